--- a/benchmarks/stonespring/lab/SolverBenchmark.java
+++ b/benchmarks/stonespring/lab/SolverBenchmark.java
@@ -25,32 +25,37 @@
 @Measurement(iterations = 3, time = 10)
 @Fork(1)
 public class SolverBenchmark {
-    @Param({"200", "800"}) public int size;
+  @Param({"200", "800"})
+  public int size;
 
-    private SolverTrial trial;
-    private Problem whole;
-    private Solver solver;
-    private Plan plan;
-    private Problem changed;
+  private SolverTrial trial;
+  private Problem whole;
+  private Solver solver;
+  private Plan plan;
+  private Problem changed;
 
-    @Setup(Level.Trial) public void draw() {
-        trial = new SolverTrial(1, size, size);
-        whole = trial.problem(null);
-        solver = new Solver();
-        plan = solver.solve(whole);
-    }
+  @Setup(Level.Trial)
+  public void draw() {
+    trial = new SolverTrial(1, size, size);
+    whole = trial.problem(null);
+    solver = new Solver();
+    plan = solver.solve(whole);
+  }
 
-    @Setup(Level.Invocation) public void change() {
-        trial.change();
-        changed = trial.problem(plan);
-    }
+  @Setup(Level.Invocation)
+  public void change() {
+    trial.change();
+    changed = trial.problem(plan);
+  }
 
-    @Benchmark public Plan whole() {
-        return new Solver().solve(whole);
-    }
+  @Benchmark
+  public Plan whole() {
+    return new Solver().solve(whole);
+  }
 
-    @Benchmark public Plan afterASmallChange() {
-        plan = solver.solve(changed);
-        return plan;
-    }
+  @Benchmark
+  public Plan afterASmallChange() {
+    plan = solver.solve(changed);
+    return plan;
+  }
 }
--- a/src/main/java/stonespring/chp/ChpBackend.java
+++ b/src/main/java/stonespring/chp/ChpBackend.java
@@ -3,16 +3,16 @@
 import stonespring.zmtp.ZmtpPeer;
 
 /**
- * What stands behind a server's three ports. Calls come on the server's event loop and must not block; what is sent
- * back may be sent from any thread.
+ * What stands behind a server's three ports. Calls come on the server's event loop and must not
+ * block; what is sent back may be sent from any thread.
  */
 public interface ChpBackend {
-    /** A client asks for a subtree; the answer is its KVSYNCs and one KTHXBAI. */
-    void snapshotAsked(ZmtpPeer peer, String subtree);
+  /** A client asks for a subtree; the answer is its KVSYNCs and one KTHXBAI. */
+  void snapshotAsked(ZmtpPeer peer, String subtree);
 
-    /** A client sets a key. A {@link ChpException} ends its connection. */
-    void keySet(ZmtpPeer peer, ChpMessage.KvSet set);
+  /** A client sets a key. A {@link ChpException} ends its connection. */
+  void keySet(ZmtpPeer peer, ChpMessage.KvSet set);
 
-    /** A collector's connection ended. */
-    void collectorClosed(ZmtpPeer peer);
+  /** A collector's connection ended. */
+  void collectorClosed(ZmtpPeer peer);
 }
--- a/src/main/java/stonespring/chp/Publisher.java
+++ b/src/main/java/stonespring/chp/Publisher.java
@@ -8,135 +8,143 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.LinkedHashSet;
 import stonespring.zmtp.Wire;
 import stonespring.zmtp.ZmtpEvents;
 import stonespring.zmtp.ZmtpPeer;
 
 /**
- * The updates' port: who wants which prefix, and sending. All state lives on one event loop. A topic is looked up by
- * its own prefixes, so that an update for one proxy costs its key's length and not a look at every subscriber.
+ * The updates' port: who wants which prefix, and sending. All state lives on one event loop. A
+ * topic is looked up by its own prefixes, so that an update for one proxy costs its key's length
+ * and not a look at every subscriber.
  */
 final class Publisher implements ZmtpEvents {
-    private final EventLoop loop;
-    private final Map<String, Map<ZmtpPeer, Integer>> wanted = new HashMap<>();
-    private final TreeMap<Integer, Integer> lengths = new TreeMap<>();
-    private final Map<ZmtpPeer, Set<String>> byPeer = new HashMap<>();
-    private final Set<ZmtpPeer> writtenSinceBeat = new HashSet<>();
+  private final EventLoop loop;
+  private final Map<String, Map<ZmtpPeer, Integer>> wanted = new HashMap<>();
+  private final TreeMap<Integer, Integer> lengths = new TreeMap<>();
+  private final Map<ZmtpPeer, Set<String>> byPeer = new HashMap<>();
+  private final Set<ZmtpPeer> writtenSinceBeat = new HashSet<>();
 
-    Publisher(EventLoop loop) {
-        this.loop = loop;
-    }
+  Publisher(EventLoop loop) {
+    this.loop = loop;
+  }
 
-    @Override public void subscription(ZmtpPeer peer, byte[] prefixBytes, boolean on) {
-        String prefix = new String(prefixBytes, StandardCharsets.ISO_8859_1);
-        Map<ZmtpPeer, Integer> peers = wanted.get(prefix);
-        if (on) {
-            if (peers == null) {
-                wanted.put(prefix, peers = new LinkedHashMap<>());
-                lengths.merge(prefix.length(), 1, Integer::sum);
-            }
-            peers.merge(peer, 1, Integer::sum);
-            byPeer.computeIfAbsent(peer, p -> new LinkedHashSet<>()).add(prefix);
-            if (prefix.equals("HUGZ")) {
-                // Tells the subscriber that all it asked for before this is in force: it may ask for its snapshot now.
-                peer.sendNow(new ChpMessage.Hugz().frames());
-            }
-        } else if (peers != null && peers.containsKey(peer)) {
-            int left = peers.get(peer) - 1;
-            if (left > 0) {
-                peers.put(peer, left);
-            } else {
-                remove(peer, prefix);
-                byPeer.get(peer).remove(prefix);
-            }
-        }
+  @Override
+  public void subscription(ZmtpPeer peer, byte[] prefixBytes, boolean on) {
+    String prefix = new String(prefixBytes, StandardCharsets.ISO_8859_1);
+    Map<ZmtpPeer, Integer> peers = wanted.get(prefix);
+    if (on) {
+      if (peers == null) {
+        wanted.put(prefix, peers = new LinkedHashMap<>());
+        lengths.merge(prefix.length(), 1, Integer::sum);
+      }
+      peers.merge(peer, 1, Integer::sum);
+      byPeer.computeIfAbsent(peer, p -> new LinkedHashSet<>()).add(prefix);
+      if (prefix.equals("HUGZ")) {
+        // Tells the subscriber that all it asked for before this is in force: it may ask for its
+        // snapshot now.
+        peer.sendNow(new ChpMessage.Hugz().frames());
+      }
+    } else if (peers != null && peers.containsKey(peer)) {
+      int left = peers.get(peer) - 1;
+      if (left > 0) {
+        peers.put(peer, left);
+      } else {
+        remove(peer, prefix);
+        byPeer.get(peer).remove(prefix);
+      }
     }
+  }
 
-    private void remove(ZmtpPeer peer, String prefix) {
-        Map<ZmtpPeer, Integer> peers = wanted.get(prefix);
-        if (peers == null || peers.remove(peer) == null || !peers.isEmpty()) {
-            return;
-        }
-        wanted.remove(prefix);
-        if (lengths.merge(prefix.length(), -1, Integer::sum) == 0) {
-            lengths.remove(prefix.length());
-        }
+  private void remove(ZmtpPeer peer, String prefix) {
+    Map<ZmtpPeer, Integer> peers = wanted.get(prefix);
+    if (peers == null || peers.remove(peer) == null || !peers.isEmpty()) {
+      return;
     }
-
-    @Override public void closed(ZmtpPeer peer) {
-        writtenSinceBeat.remove(peer);
-        Set<String> prefixes = byPeer.remove(peer);
-        if (prefixes != null) {
-            prefixes.forEach(prefix -> remove(peer, prefix));
-        }
+    wanted.remove(prefix);
+    if (lengths.merge(prefix.length(), -1, Integer::sum) == 0) {
+      lengths.remove(prefix.length());
     }
+  }
 
-    /** Sends updates to all that want them, in order; from any thread. */
-    void publish(List<? extends ChpMessage> updates) {
-        loop.execute(() -> send(updates));
+  @Override
+  public void closed(ZmtpPeer peer) {
+    writtenSinceBeat.remove(peer);
+    Set<String> prefixes = byPeer.remove(peer);
+    if (prefixes != null) {
+      prefixes.forEach(prefix -> remove(peer, prefix));
     }
+  }
 
-    /**
-     * HUGZ to every subscriber to whom nothing else went since the last beat. What went to others is no sign of life
-     * to it: a follower of a quiet subtree once took a busy server for dead.
-     */
-    void beat() {
-        List<byte[]> hugz = new ChpMessage.Hugz().frames();
-        for (ZmtpPeer peer : wanted.getOrDefault("HUGZ", Map.of()).keySet()) {
-            if (!writtenSinceBeat.contains(peer)) {
-                peer.sendNow(hugz);
-            }
-        }
-        writtenSinceBeat.clear();
+  /** Sends updates to all that want them, in order; from any thread. */
+  void publish(List<? extends ChpMessage> updates) {
+    loop.execute(() -> send(updates));
+  }
+
+  /**
+   * HUGZ to every subscriber to whom nothing else went since the last beat. What went to others is
+   * no sign of life to it: a follower of a quiet subtree once took a busy server for dead.
+   */
+  void beat() {
+    List<byte[]> hugz = new ChpMessage.Hugz().frames();
+    for (ZmtpPeer peer : wanted.getOrDefault("HUGZ", Map.of()).keySet()) {
+      if (!writtenSinceBeat.contains(peer)) {
+        peer.sendNow(hugz);
+      }
     }
+    writtenSinceBeat.clear();
+  }
 
-    /** What goes to one peer goes as one piece: a write for each update costs more than all else here together. */
-    private void send(List<? extends ChpMessage> updates) {
-        Map<ZmtpPeer, ByteBuf> pieces = new LinkedHashMap<>();
-        List<ZmtpPeer> peers = new ArrayList<>();
-        for (ChpMessage update : updates) {
-            List<byte[]> frames = update.frames();
-            peers.clear();
-            wanting(new String(frames.get(0), StandardCharsets.ISO_8859_1), peers);
-            for (ZmtpPeer peer : peers) {
-                ByteBuf piece = pieces.get(peer);
-                if (piece == null) {
-                    pieces.put(peer, piece = PooledByteBufAllocator.DEFAULT.buffer());
-                }
-                Wire.append(piece, frames);
-            }
+  /**
+   * What goes to one peer goes as one piece: a write for each update costs more than all else here
+   * together.
+   */
+  private void send(List<? extends ChpMessage> updates) {
+    Map<ZmtpPeer, ByteBuf> pieces = new LinkedHashMap<>();
+    List<ZmtpPeer> peers = new ArrayList<>();
+    for (ChpMessage update : updates) {
+      List<byte[]> frames = update.frames();
+      peers.clear();
+      wanting(new String(frames.get(0), StandardCharsets.ISO_8859_1), peers);
+      for (ZmtpPeer peer : peers) {
+        ByteBuf piece = pieces.get(peer);
+        if (piece == null) {
+          pieces.put(peer, piece = PooledByteBufAllocator.DEFAULT.buffer());
         }
-        pieces.forEach((peer, piece) -> {
-            peer.write(piece);
-            peer.flush();
-            writtenSinceBeat.add(peer);
-        });
+        Wire.append(piece, frames);
+      }
     }
+    pieces.forEach(
+        (peer, piece) -> {
+          peer.write(piece);
+          peer.flush();
+          writtenSinceBeat.add(peer);
+        });
+  }
 
-    /** Adds every peer that wants this topic, each once. */
-    private void wanting(String topic, List<ZmtpPeer> peers) {
-        Set<ZmtpPeer> seen = null;
-        for (int length : lengths.keySet()) {
-            if (length > topic.length()) {
-                break;
-            }
-            Map<ZmtpPeer, Integer> some = wanted.get(topic.substring(0, length));
-            if (some == null) {
-                continue;
-            }
-            if (!peers.isEmpty() && seen == null) {
-                seen = new LinkedHashSet<>(peers);
-            }
-            for (ZmtpPeer peer : some.keySet()) {
-                if (seen == null || seen.add(peer)) {
-                    peers.add(peer);
-                }
-            }
+  /** Adds every peer that wants this topic, each once. */
+  private void wanting(String topic, List<ZmtpPeer> peers) {
+    Set<ZmtpPeer> seen = null;
+    for (int length : lengths.keySet()) {
+      if (length > topic.length()) {
+        break;
+      }
+      Map<ZmtpPeer, Integer> some = wanted.get(topic.substring(0, length));
+      if (some == null) {
+        continue;
+      }
+      if (!peers.isEmpty() && seen == null) {
+        seen = new LinkedHashSet<>(peers);
+      }
+      for (ZmtpPeer peer : some.keySet()) {
+        if (seen == null || seen.add(peer)) {
+          peers.add(peer);
         }
+      }
     }
+  }
 }
--- a/src/main/java/stonespring/cli/Check.java
+++ b/src/main/java/stonespring/cli/Check.java
@@ -7,20 +7,32 @@
 import stonespring.config.AssignerSettings;
 import stonespring.config.ScriptException;
 
-@Command(name = "check", mixinStandardHelpOptions = true, description = "Says every fault of a settings script.")
+@Command(
+    name = "check",
+    mixinStandardHelpOptions = true,
+    description = "Says every fault of a settings script.")
 final class Check implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The settings script.")
-    private Path file;
+  @Parameters(paramLabel = "FILE", description = "The settings script.")
+  private Path file;
 
-    @Override public Integer call() {
-        try {
-            AssignerSettings settings = AssignerSettings.read(file);
-            System.out.println(file + ": good; " + settings.zones().size() + " zones, " + settings.opTypeNames().size()
-                    + " op types, ports " + settings.port() + " to " + (settings.port() + 2));
-            return Exit.GOOD;
-        } catch (ScriptException e) {
-            e.faults().forEach(System.err::println);
-            return Exit.USAGE;
-        }
+  @Override
+  public Integer call() {
+    try {
+      AssignerSettings settings = AssignerSettings.read(file);
+      System.out.println(
+          file
+              + ": good; "
+              + settings.zones().size()
+              + " zones, "
+              + settings.opTypeNames().size()
+              + " op types, ports "
+              + settings.port()
+              + " to "
+              + (settings.port() + 2));
+      return Exit.GOOD;
+    } catch (ScriptException e) {
+      e.faults().forEach(System.err::println);
+      return Exit.USAGE;
     }
+  }
 }
--- a/src/main/java/stonespring/cli/DayCommand.java
+++ b/src/main/java/stonespring/cli/DayCommand.java
@@ -13,43 +13,58 @@
 import stonespring.lab.Observer;
 import stonespring.recording.RecordingFile;
 
-@Command(name = "day", mixinStandardHelpOptions = true,
-        description = "Plays a scripted day on loopback with stand-ins and judges the five rules by what crossed the sockets.")
+@Command(
+    name = "day",
+    mixinStandardHelpOptions = true,
+    description =
+        "Plays a scripted day on loopback with stand-ins and judges the five rules by what crossed the sockets.")
 final class DayCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The day's script.")
-    private Path file;
+  @Parameters(paramLabel = "FILE", description = "The day's script.")
+  private Path file;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Who is struck, what is drawn (${DEFAULT-VALUE}).")
-    private long seed;
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      description = "Who is struck, what is drawn (${DEFAULT-VALUE}).")
+  private long seed;
 
-    @Option(names = "--keep", paramLabel = "FOLDER", description = "Where logs of the assigners are kept (a temporary folder).")
-    private Path keep;
+  @Option(
+      names = "--keep",
+      paramLabel = "FOLDER",
+      description = "Where logs of the assigners are kept (a temporary folder).")
+  private Path keep;
 
-    @Option(names = "--record", paramLabel = "FILE", description = "Writes the load as it came, for solve and compare.")
-    private Path record;
+  @Option(
+      names = "--record",
+      paramLabel = "FILE",
+      description = "Writes the load as it came, for solve and compare.")
+  private Path record;
 
-    @Mixin private Logs logs;
+  @Mixin private Logs logs;
 
-    @Override public Integer call() throws Exception {
-        logs.set();
-        Day day;
-        try {
-            day = Day.read(file);
-        } catch (ScriptException e) {
-            return Exit.fail(Exit.USAGE, "day:\n" + e.getMessage());
-        }
-        Path folder = keep == null ? DayRun.folder() : Files.createDirectories(keep);
-        try {
-            DayRun run = new DayRun(day, file, seed, folder);
-            Observer.Verdict verdict = run.run();
-            if (record != null) {
-                RecordingFile.write(run.recording(file.getFileName().toString().replaceAll("\\.[a-z]+$", "") + "-" + seed), record);
-            }
-            System.out.printf("seed %d: ", seed);
-            System.out.print(DayRun.report(verdict));
-            return verdict.broken().isEmpty() ? Exit.GOOD : Exit.FAILED;
-        } catch (DayRun.Failed e) {
-            return Exit.fail(Exit.FAILED, e.getMessage() + "; logs are in " + folder);
-        }
+  @Override
+  public Integer call() throws Exception {
+    logs.set();
+    Day day;
+    try {
+      day = Day.read(file);
+    } catch (ScriptException e) {
+      return Exit.fail(Exit.USAGE, "day:\n" + e.getMessage());
     }
+    Path folder = keep == null ? DayRun.folder() : Files.createDirectories(keep);
+    try {
+      DayRun run = new DayRun(day, file, seed, folder);
+      Observer.Verdict verdict = run.run();
+      if (record != null) {
+        RecordingFile.write(
+            run.recording(file.getFileName().toString().replaceAll("\\.[a-z]+$", "") + "-" + seed),
+            record);
+      }
+      System.out.printf("seed %d: ", seed);
+      System.out.print(DayRun.report(verdict));
+      return verdict.broken().isEmpty() ? Exit.GOOD : Exit.FAILED;
+    } catch (DayRun.Failed e) {
+      return Exit.fail(Exit.FAILED, e.getMessage() + "; logs are in " + folder);
+    }
+  }
 }
--- a/src/main/java/stonespring/cli/LoadCommand.java
+++ b/src/main/java/stonespring/cli/LoadCommand.java
@@ -8,28 +8,32 @@
 import stonespring.lab.virtual.Loads;
 import stonespring.recording.RecordingFile;
 
-@Command(name = "load", mixinStandardHelpOptions = true, description = "Draws a load with one kind of trouble and writes it.")
+@Command(
+    name = "load",
+    mixinStandardHelpOptions = true,
+    description = "Draws a load with one kind of trouble and writes it.")
 final class LoadCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "KIND", description = "One of ${COMPLETION-CANDIDATES}.")
-    private Loads.Kind kind;
+  @Parameters(paramLabel = "KIND", description = "One of ${COMPLETION-CANDIDATES}.")
+  private Loads.Kind kind;
 
-    @Parameters(paramLabel = "FILE", description = "Where the recording goes.")
-    private Path file;
+  @Parameters(paramLabel = "FILE", description = "Where the recording goes.")
+  private Path file;
 
-    @Option(names = "--seed", defaultValue = "1", description = "What is drawn (${DEFAULT-VALUE}).")
-    private long seed;
+  @Option(names = "--seed", defaultValue = "1", description = "What is drawn (${DEFAULT-VALUE}).")
+  private long seed;
 
-    @Option(names = "--tasks", defaultValue = "24", description = "How many (${DEFAULT-VALUE}).")
-    private int tasks;
+  @Option(names = "--tasks", defaultValue = "24", description = "How many (${DEFAULT-VALUE}).")
+  private int tasks;
 
-    @Option(names = "--proxies", defaultValue = "24", description = "How many (${DEFAULT-VALUE}).")
-    private int proxies;
+  @Option(names = "--proxies", defaultValue = "24", description = "How many (${DEFAULT-VALUE}).")
+  private int proxies;
 
-    @Override public Integer call() throws Exception {
-        if (tasks < 3 || proxies < 1 || tasks > 2_000 || proxies > 2_000) {
-            return Exit.fail(Exit.USAGE, "load: --tasks from 3 to 2000, --proxies from 1 to 2000");
-        }
-        RecordingFile.write(Loads.draw(kind, seed, tasks, proxies), file);
-        return Exit.GOOD;
+  @Override
+  public Integer call() throws Exception {
+    if (tasks < 3 || proxies < 1 || tasks > 2_000 || proxies > 2_000) {
+      return Exit.fail(Exit.USAGE, "load: --tasks from 3 to 2000, --proxies from 1 to 2000");
     }
+    RecordingFile.write(Loads.draw(kind, seed, tasks, proxies), file);
+    return Exit.GOOD;
+  }
 }
--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -8,38 +8,76 @@
 import stonespring.lab.Measure;
 import stonespring.lab.SolverTrial;
 
-@Command(name = "measure", mixinStandardHelpOptions = true, description = "Measures the program on this machine.")
+@Command(
+    name = "measure",
+    mixinStandardHelpOptions = true,
+    description = "Measures the program on this machine.")
 final class MeasureCommand {
-    @Command(name = "fleet", mixinStandardHelpOptions = true,
-            description = "Decision latency, orders to answers, joining and memory with a fleet of idle proxies.")
-    int fleet(@Parameters(paramLabel = "FILE", description = "The assigner's settings script.") Path file,
-              @Option(names = "--proxies", defaultValue = "24", description = "How many (${DEFAULT-VALUE}).") int proxies,
-              @Option(names = "--within-ms", defaultValue = "1000", description = "All dial within (${DEFAULT-VALUE}).") long within,
-              @Option(names = "--seconds", defaultValue = "20", description = "Go on for (${DEFAULT-VALUE}).") long seconds)
-            throws Exception {
-        System.out.print(Measure.fleet(file, proxies, within, seconds, DayRun.folder()));
-        System.exit(Exit.GOOD); // idle proxies' redials would hold the process
-        return Exit.GOOD;
-    }
+  @Command(
+      name = "fleet",
+      mixinStandardHelpOptions = true,
+      description =
+          "Decision latency, orders to answers, joining and memory with a fleet of idle proxies.")
+  int fleet(
+      @Parameters(paramLabel = "FILE", description = "The assigner's settings script.") Path file,
+      @Option(
+              names = "--proxies",
+              defaultValue = "24",
+              description = "How many (${DEFAULT-VALUE}).")
+          int proxies,
+      @Option(
+              names = "--within-ms",
+              defaultValue = "1000",
+              description = "All dial within (${DEFAULT-VALUE}).")
+          long within,
+      @Option(
+              names = "--seconds",
+              defaultValue = "20",
+              description = "Go on for (${DEFAULT-VALUE}).")
+          long seconds)
+      throws Exception {
+    System.out.print(Measure.fleet(file, proxies, within, seconds, DayRun.folder()));
+    System.exit(Exit.GOOD); // idle proxies' redials would hold the process
+    return Exit.GOOD;
+  }
 
-    @Command(name = "throughput", mixinStandardHelpOptions = true,
-            description = "Updates published a second, beside bare Netty writing the same bytes, by turns in one run.")
-    int throughput(@Option(names = "--updates", defaultValue = "500000", description = "A round (${DEFAULT-VALUE}).") int updates,
-                   @Option(names = "--rounds", defaultValue = "7", description = "Rounds (${DEFAULT-VALUE}).") int rounds)
-            throws Exception {
-        System.out.print(Measure.throughput(updates, rounds));
-        return Exit.GOOD;
-    }
+  @Command(
+      name = "throughput",
+      mixinStandardHelpOptions = true,
+      description =
+          "Updates published a second, beside bare Netty writing the same bytes, by turns in one run.")
+  int throughput(
+      @Option(
+              names = "--updates",
+              defaultValue = "500000",
+              description = "A round (${DEFAULT-VALUE}).")
+          int updates,
+      @Option(names = "--rounds", defaultValue = "7", description = "Rounds (${DEFAULT-VALUE}).")
+          int rounds)
+      throws Exception {
+    System.out.print(Measure.throughput(updates, rounds));
+    return Exit.GOOD;
+  }
 
-    @Command(name = "solver", mixinStandardHelpOptions = true,
-            description = "The weight solver by itself: whole solves and small changes by turns, and the distance from the bound.")
-    int solver(@Option(names = "--tasks", defaultValue = "800", description = "How many (${DEFAULT-VALUE}).") int tasks,
-               @Option(names = "--proxies", defaultValue = "800", description = "How many (${DEFAULT-VALUE}).") int proxies,
-               @Option(names = "--rounds", defaultValue = "20", description = "Rounds (${DEFAULT-VALUE}).") int rounds) {
-        if (tasks < 1 || proxies < 1 || rounds < 1) {
-            return Exit.fail(Exit.USAGE, "--tasks, --proxies and --rounds are at least 1");
-        }
-        System.out.print(SolverTrial.run(tasks, proxies, rounds));
-        return Exit.GOOD;
+  @Command(
+      name = "solver",
+      mixinStandardHelpOptions = true,
+      description =
+          "The weight solver by itself: whole solves and small changes by turns, and the distance from the bound.")
+  int solver(
+      @Option(names = "--tasks", defaultValue = "800", description = "How many (${DEFAULT-VALUE}).")
+          int tasks,
+      @Option(
+              names = "--proxies",
+              defaultValue = "800",
+              description = "How many (${DEFAULT-VALUE}).")
+          int proxies,
+      @Option(names = "--rounds", defaultValue = "20", description = "Rounds (${DEFAULT-VALUE}).")
+          int rounds) {
+    if (tasks < 1 || proxies < 1 || rounds < 1) {
+      return Exit.fail(Exit.USAGE, "--tasks, --proxies and --rounds are at least 1");
     }
+    System.out.print(SolverTrial.run(tasks, proxies, rounds));
+    return Exit.GOOD;
+  }
 }
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -8,24 +8,33 @@
 import picocli.CommandLine.Parameters;
 import stonespring.lab.StandIns;
 
-@Command(name = "registry", mixinStandardHelpOptions = true, description = "Runs a stand-in registry with blocking queries at"
-        + " /v1/health/service/tasks; its tasks come from a file that is looked at again and again.")
+@Command(
+    name = "registry",
+    mixinStandardHelpOptions = true,
+    description =
+        "Runs a stand-in registry with blocking queries at"
+            + " /v1/health/service/tasks; its tasks come from a file that is looked at again and again.")
 final class RegistryCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The list of tasks, as an assigner would read it.")
-    private Path file;
+  @Parameters(paramLabel = "FILE", description = "The list of tasks, as an assigner would read it.")
+  private Path file;
 
-    @Option(names = "--port", defaultValue = "7480", description = "Its port (${DEFAULT-VALUE}).")
-    private int port;
+  @Option(names = "--port", defaultValue = "7480", description = "Its port (${DEFAULT-VALUE}).")
+  private int port;
 
-    @Option(names = "--zones", split = ",", required = true, description = "The zones that the list may name.")
-    private java.util.List<String> zones;
+  @Option(
+      names = "--zones",
+      split = ",",
+      required = true,
+      description = "The zones that the list may name.")
+  private java.util.List<String> zones;
 
-    @Mixin private Logs logs;
+  @Mixin private Logs logs;
 
-    @Override public Integer call() throws Exception {
-        logs.set();
-        System.out.println("registry " + StandIns.registry(file, zones, port));
-        Thread.currentThread().join();
-        return Exit.GOOD;
-    }
+  @Override
+  public Integer call() throws Exception {
+    logs.set();
+    System.out.println("registry " + StandIns.registry(file, zones, port));
+    Thread.currentThread().join();
+    return Exit.GOOD;
+  }
 }
--- a/src/main/java/stonespring/cli/Serve.java
+++ b/src/main/java/stonespring/cli/Serve.java
@@ -10,39 +10,48 @@
 import stonespring.config.ScriptException;
 import stonespring.daemon.Daemon;
 
-@Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs an assigner until it is told to stop.")
+@Command(
+    name = "serve",
+    mixinStandardHelpOptions = true,
+    description = "Runs an assigner until it is told to stop.")
 final class Serve implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The settings script.")
-    private Path file;
+  @Parameters(paramLabel = "FILE", description = "The settings script.")
+  private Path file;
 
-    @Option(names = "--port", description = "Snapshot port, instead of the script's; 0 takes three free ones.")
-    private Integer port;
+  @Option(
+      names = "--port",
+      description = "Snapshot port, instead of the script's; 0 takes three free ones.")
+  private Integer port;
 
-    @Option(names = "--registry-port", description = "The registry's port, instead of the script's.")
-    private Integer registryPort;
+  @Option(names = "--registry-port", description = "The registry's port, instead of the script's.")
+  private Integer registryPort;
 
-    @Option(names = "--saved-list", paramLabel = "PATH", description = "Where the last list is kept, instead of the script's.")
-    private Path savedList;
+  @Option(
+      names = "--saved-list",
+      paramLabel = "PATH",
+      description = "Where the last list is kept, instead of the script's.")
+  private Path savedList;
 
-    @Mixin private Logs logs;
+  @Mixin private Logs logs;
 
-    @Override public Integer call() throws Exception {
-        logs.set();
-        AssignerSettings settings;
-        try {
-            settings = AssignerSettings.read(file);
-        } catch (ScriptException e) {
-            return Exit.fail(Exit.USAGE, "settings:\n" + e.getMessage());
-        }
-        try {
-            settings = settings.with(port, registryPort, savedList);
-        } catch (IllegalArgumentException e) {
-            return Exit.fail(Exit.USAGE, e.getMessage());
-        }
-        Daemon daemon = new Daemon(settings);
-        daemon.start();
-        System.out.println("serving " + settings.host() + " " + daemon.port());
-        System.out.flush();
-        return Running.untilTold("serve", daemon::awaitEnd, daemon::stop);
+  @Override
+  public Integer call() throws Exception {
+    logs.set();
+    AssignerSettings settings;
+    try {
+      settings = AssignerSettings.read(file);
+    } catch (ScriptException e) {
+      return Exit.fail(Exit.USAGE, "settings:\n" + e.getMessage());
     }
+    try {
+      settings = settings.with(port, registryPort, savedList);
+    } catch (IllegalArgumentException e) {
+      return Exit.fail(Exit.USAGE, e.getMessage());
+    }
+    Daemon daemon = new Daemon(settings);
+    daemon.start();
+    System.out.println("serving " + settings.host() + " " + daemon.port());
+    System.out.flush();
+    return Running.untilTold("serve", daemon::awaitEnd, daemon::stop);
+  }
 }
--- a/src/main/java/stonespring/cli/SimHostCommand.java
+++ b/src/main/java/stonespring/cli/SimHostCommand.java
@@ -6,17 +6,21 @@
 import stonespring.simhost.SimHost;
 import stonespring.simhost.WireException;
 
-@Command(name = "simhost", mixinStandardHelpOptions = true,
-        description = "Hosts assigners behind the simulator's wire: events on standard input, orders on standard output.")
+@Command(
+    name = "simhost",
+    mixinStandardHelpOptions = true,
+    description =
+        "Hosts assigners behind the simulator's wire: events on standard input, orders on standard output.")
 final class SimHostCommand implements Callable<Integer> {
-    @Override public Integer call() {
-        try {
-            new SimHost().run(System.in, System.out);
-            return Exit.GOOD;
-        } catch (WireException e) {
-            return Exit.fail(Exit.FAILED, e.getMessage());
-        } catch (IOException e) {
-            return Exit.fail(Exit.FAILED, "input or output failed: " + e.getMessage());
-        }
+  @Override
+  public Integer call() {
+    try {
+      new SimHost().run(System.in, System.out);
+      return Exit.GOOD;
+    } catch (WireException e) {
+      return Exit.fail(Exit.FAILED, e.getMessage());
+    } catch (IOException e) {
+      return Exit.fail(Exit.FAILED, "input or output failed: " + e.getMessage());
     }
+  }
 }
--- a/src/main/java/stonespring/config/Facts.java
+++ b/src/main/java/stonespring/config/Facts.java
@@ -8,8 +8,8 @@
 import stonespring.model.Tenths;
 
 /**
- * The settings object as the operators hand it out, read once: on the simulator's wire with an instance's start, on the
- * platform inside its configuration. Faults name the field.
+ * The settings object as the operators hand it out, read once: on the simulator's wire with an
+ * instance's start, on the platform inside its configuration. Faults name the field.
  *
  * @param settings what the decisions are told
  * @param zones the zones' names, by position
@@ -17,126 +17,148 @@
  * @param round the shortest gap between two replies of the decisions, tenths of a millisecond
  */
 public record Facts(Settings settings, List<String> zones, List<String> opTypes, long round) {
-    private static final int OP_TYPES_MOST = 31; // an order names its op types by the bits of a number
-    private static final double NUMBER_MOST = 1e9; // in any unit of theirs; above lies a fault of whoever wrote it
+  private static final int OP_TYPES_MOST =
+      31; // an order names its op types by the bits of a number
+  private static final double NUMBER_MOST =
+      1e9; // in any unit of theirs; above lies a fault of whoever wrote it
 
-    /** Settings that can't be used; the text names the field. */
-    public static final class BadFacts extends RuntimeException {
-        private static final long serialVersionUID = 1;
+  /** Settings that can't be used; the text names the field. */
+  public static final class BadFacts extends RuntimeException {
+    private static final long serialVersionUID = 1;
 
-        BadFacts(String field, String what) {
-            super("field '" + field + "' " + what, null, false, false);
-        }
+    BadFacts(String field, String what) {
+      super("field '" + field + "' " + what, null, false, false);
     }
-
-    public static Facts read(JsonNode facts) {
-        JsonNode fleet = child(facts, "familyInfo");
-        JsonNode rules = child(facts, "rules");
-        List<String> zones = new ArrayList<>();
-        for (JsonNode zone : list(facts, "zones")) {
-            zones.add(text(zone, "zones"));
-        }
-        List<OpType> types = new ArrayList<>();
-        List<String> names = new ArrayList<>();
-        for (JsonNode node : list(facts, "categories")) {
-            names.add(text(child(node, "name"), "name"));
-            types.add(new OpType(repeat(text(child(node, "repeat"), "repeat")), time(node, "goalTimeS"), number(node, "gain")));
-        }
-        atLeastOne("zones", zones.size());
-        atLeastOne("categories", types.size());
-        if (types.size() > OP_TYPES_MOST) {
-            throw new BadFacts("categories", "has over " + OP_TYPES_MOST + " op types");
-        }
-        atLeastOne("balancers", number(facts, "balancers"));
-        atLeastOne("proxyCount", number(fleet, "proxyCount"));
-        atLeastOne("backlog", number(fleet, "backlog"));
-        atLeastOne("pushRate", number(fleet, "pushRate"));
-        atLeastOne("reportEveryS", time(fleet, "reportEveryS"));
-        Settings settings = new Settings((int) number(facts, "balancers"), zones.size(), List.copyOf(types),
-                text(child(facts, "discovery"), "discovery").equals("on_request"),
-                levelKind(text(child(fleet, "levelKind"), "levelKind")), (int) number(fleet, "backlog"),
-                (int) number(fleet, "perMessage"), (int) number(fleet, "reloadsMax", 0),
-                time(fleet, "messagesOverS", 10), number(fleet, "pushRate"), time(fleet, "emptyForS"),
-                (int) number(fleet, "bootstrap"), (int) number(fleet, "proxyCount"), time(fleet, "reportEveryS"),
-                number(fleet, "partitionsN", 0) > 0, number(child(facts, "prices"), "crossZone", 0),
-                time(rules, "coldS"), number(rules, "coldShare"), number(rules, "fallMultiple"),
-                number(facts.path("scoringMix"), "worstClass", 0), rules.path("droppedStayOpen").asBoolean(false),
-                (int) number(fleet, "outlierAfter", 0));
-        return new Facts(settings, List.copyOf(zones), List.copyOf(names), time(facts, "roundS", 0));
+  }
+
+  public static Facts read(JsonNode facts) {
+    JsonNode fleet = child(facts, "familyInfo");
+    JsonNode rules = child(facts, "rules");
+    List<String> zones = new ArrayList<>();
+    for (JsonNode zone : list(facts, "zones")) {
+      zones.add(text(zone, "zones"));
     }
-
-    /** The same on the platform's sockets. */
-    Facts onSockets() {
-        return new Facts(settings.onSockets(), zones, opTypes, round);
+    List<OpType> types = new ArrayList<>();
+    List<String> names = new ArrayList<>();
+    for (JsonNode node : list(facts, "categories")) {
+      names.add(text(child(node, "name"), "name"));
+      types.add(
+          new OpType(
+              repeat(text(child(node, "repeat"), "repeat")),
+              time(node, "goalTimeS"),
+              number(node, "gain")));
     }
-
-    /** What is divided by or waited for: at nothing an assigner would decide without end, or never. */
-    private static void atLeastOne(String field, double value) {
-        if (value < 1) {
-            throw new BadFacts(field, "has none, or too few");
-        }
+    atLeastOne("zones", zones.size());
+    atLeastOne("categories", types.size());
+    if (types.size() > OP_TYPES_MOST) {
+      throw new BadFacts("categories", "has over " + OP_TYPES_MOST + " op types");
     }
-
-    private static OpType.Repeat repeat(String word) {
-        return switch (word) {
-            case "free" -> OpType.Repeat.RETRYABLE;
-            case "guarded" -> OpType.Repeat.DEDUPLICATED;
-            case "single_shot" -> OpType.Repeat.ONCE_ONLY;
-            default -> throw new BadFacts("repeat", "has an unknown word: " + word);
-        };
+    atLeastOne("balancers", number(facts, "balancers"));
+    atLeastOne("proxyCount", number(fleet, "proxyCount"));
+    atLeastOne("backlog", number(fleet, "backlog"));
+    atLeastOne("pushRate", number(fleet, "pushRate"));
+    atLeastOne("reportEveryS", time(fleet, "reportEveryS"));
+    Settings settings =
+        new Settings(
+            (int) number(facts, "balancers"),
+            zones.size(),
+            List.copyOf(types),
+            text(child(facts, "discovery"), "discovery").equals("on_request"),
+            levelKind(text(child(fleet, "levelKind"), "levelKind")),
+            (int) number(fleet, "backlog"),
+            (int) number(fleet, "perMessage"),
+            (int) number(fleet, "reloadsMax", 0),
+            time(fleet, "messagesOverS", 10),
+            number(fleet, "pushRate"),
+            time(fleet, "emptyForS"),
+            (int) number(fleet, "bootstrap"),
+            (int) number(fleet, "proxyCount"),
+            time(fleet, "reportEveryS"),
+            number(fleet, "partitionsN", 0) > 0,
+            number(child(facts, "prices"), "crossZone", 0),
+            time(rules, "coldS"),
+            number(rules, "coldShare"),
+            number(rules, "fallMultiple"),
+            number(facts.path("scoringMix"), "worstClass", 0),
+            rules.path("droppedStayOpen").asBoolean(false),
+            (int) number(fleet, "outlierAfter", 0));
+    return new Facts(settings, List.copyOf(zones), List.copyOf(names), time(facts, "roundS", 0));
+  }
+
+  /** The same on the platform's sockets. */
+  Facts onSockets() {
+    return new Facts(settings.onSockets(), zones, opTypes, round);
+  }
+
+  /**
+   * What is divided by or waited for: at nothing an assigner would decide without end, or never.
+   */
+  private static void atLeastOne(String field, double value) {
+    if (value < 1) {
+      throw new BadFacts(field, "has none, or too few");
     }
-
-    private static Settings.LevelKind levelKind(String word) {
-        return switch (word) {
-            case "share" -> Settings.LevelKind.SHARE;
-            case "rate" -> Settings.LevelKind.RATE;
-            default -> Settings.LevelKind.NONE;
-        };
+  }
+
+  private static OpType.Repeat repeat(String word) {
+    return switch (word) {
+      case "free" -> OpType.Repeat.RETRYABLE;
+      case "guarded" -> OpType.Repeat.DEDUPLICATED;
+      case "single_shot" -> OpType.Repeat.ONCE_ONLY;
+      default -> throw new BadFacts("repeat", "has an unknown word: " + word);
+    };
+  }
+
+  private static Settings.LevelKind levelKind(String word) {
+    return switch (word) {
+      case "share" -> Settings.LevelKind.SHARE;
+      case "rate" -> Settings.LevelKind.RATE;
+      default -> Settings.LevelKind.NONE;
+    };
+  }
+
+  private static JsonNode child(JsonNode node, String field) {
+    JsonNode value = node.get(field);
+    if (value == null || value.isNull()) {
+      throw new BadFacts(field, "is missing");
     }
+    return value;
+  }
 
-    private static JsonNode child(JsonNode node, String field) {
-        JsonNode value = node.get(field);
-        if (value == null || value.isNull()) {
-            throw new BadFacts(field, "is missing");
-        }
-        return value;
+  private static JsonNode list(JsonNode node, String field) {
+    JsonNode value = child(node, field);
+    if (!value.isArray()) {
+      throw new BadFacts(field, "is no list");
     }
+    return value;
+  }
 
-    private static JsonNode list(JsonNode node, String field) {
-        JsonNode value = child(node, field);
-        if (!value.isArray()) {
-            throw new BadFacts(field, "is no list");
-        }
-        return value;
+  private static String text(JsonNode value, String field) {
+    if (!value.isTextual()) {
+      throw new BadFacts(field, "is no text: " + value);
     }
+    return value.asText();
+  }
 
-    private static String text(JsonNode value, String field) {
-        if (!value.isTextual()) {
-            throw new BadFacts(field, "is no text: " + value);
-        }
-        return value.asText();
+  private static double number(JsonNode node, String field) {
+    JsonNode value = child(node, field);
+    if (!value.isNumber()) {
+      throw new BadFacts(field, "is not a number: " + value);
     }
-
-    private static double number(JsonNode node, String field) {
-        JsonNode value = child(node, field);
-        if (!value.isNumber()) {
-            throw new BadFacts(field, "is not a number: " + value);
-        }
-        if (!(value.asDouble() >= 0 && value.asDouble() <= NUMBER_MOST)) {
-            throw new BadFacts(field, "is not a number from 0 to " + NUMBER_MOST + ": " + value);
-        }
-        return value.asDouble();
+    if (!(value.asDouble() >= 0 && value.asDouble() <= NUMBER_MOST)) {
+      throw new BadFacts(field, "is not a number from 0 to " + NUMBER_MOST + ": " + value);
     }
+    return value.asDouble();
+  }
 
-    private static double number(JsonNode node, String field, double ifAbsent) {
-        return node.hasNonNull(field) ? number(node, field) : ifAbsent;
-    }
+  private static double number(JsonNode node, String field, double ifAbsent) {
+    return node.hasNonNull(field) ? number(node, field) : ifAbsent;
+  }
 
-    private static long time(JsonNode node, String field) {
-        return Tenths.ofSeconds(number(node, field));
-    }
+  private static long time(JsonNode node, String field) {
+    return Tenths.ofSeconds(number(node, field));
+  }
 
-    private static long time(JsonNode node, String field, double ifAbsent) {
-        return Tenths.ofSeconds(number(node, field, ifAbsent));
-    }
+  private static long time(JsonNode node, String field, double ifAbsent) {
+    return Tenths.ofSeconds(number(node, field, ifAbsent));
+  }
 }
--- a/src/main/java/stonespring/config/Place.java
+++ b/src/main/java/stonespring/config/Place.java
@@ -2,7 +2,8 @@
 
 /** Where something stands in a script; line and column count from 1. */
 public record Place(String file, int line, int column) {
-    @Override public String toString() {
-        return file + ":" + line + ":" + column;
-    }
+  @Override
+  public String toString() {
+    return file + ":" + line + ":" + column;
+  }
 }
--- a/src/main/java/stonespring/daemon/Core.java
+++ b/src/main/java/stonespring/daemon/Core.java
@@ -29,223 +29,276 @@
 import stonespring.state.Update;
 
 /**
- * One instance without its thread, clock and sockets: it tells the decision module what happens and carries out what
- * it orders. Time is passed in, tenths of a millisecond, so that a test drives it in virtual time and the loop by the
- * real clock, through the same code. What proxies say is gathered and told once a period, as the module expects it.
+ * One instance without its thread, clock and sockets: it tells the decision module what happens and
+ * carries out what it orders. Time is passed in, tenths of a millisecond, so that a test drives it
+ * in virtual time and the loop by the real clock, through the same code. What proxies say is
+ * gathered and told once a period, as the module expects it.
  */
 public final class Core {
-    private static final Logger LOG = LoggerFactory.getLogger(Core.class);
-    private static final long STATUS_EVERY = Tenths.SECOND; // 0.1 ms; a person and a probe look no oftener
-    private static final long ANSWER_MOST = 600 * Tenths.SECOND; // 0.1 ms; the histogram's end, longer counts as that
-    private static final int CAUSES_MOST = 8; // causes told in one log line
-
-    private final Settings settings;
-    private final Outside outside;
-    private final Decisions decisions;
-    private final Presence presence;
-    private final Tables tables;
-    private final Reports reports;
-    private final PacedChannel channel;
-    private final KeyTree keys;
-    private final Published published;
-    private final Set<TaskId> listed = new HashSet<>();
-    private final TreeSet<String> ready = new TreeSet<>();
-    private final Histogram answers = new Histogram(ANSWER_MOST, 2);
-    private final List<String> causes = new ArrayList<>();
-    private int moreCauses;
-    private long reportsAt;
-    private long statusAt;
-    private long unknownReports;
-
-    public Core(Settings settings, List<String> opTypeNames, CoreLimits limits, String epoch, long firstSequence,
-                DecisionModule module, Outside outside, long now) {
-        this.settings = settings;
-        this.outside = outside;
-        this.decisions = new Decisions(module, outside);
-        this.presence = new Presence(limits.proxies());
-        this.tables = new Tables(opTypeNames);
-        this.reports = new Reports(limits.reportPairs());
-        this.channel = new PacedChannel(settings.linesPerSecond(), settings.messageHead(), settings.backlogLines(),
-                settings.messagesOver());
-        this.keys = new KeyTree(firstSequence, limits.keys());
-        this.published = new Published(keys, epoch, presence);
-        this.reportsAt = now + settings.sumsEvery();
-        this.statusAt = now;
-    }
-
-    private void tell(long now, Event event, String cause) {
-        because(cause);
-        decisions.tell(now, event);
-    }
-
-    private void because(String cause) {
-        if (causes.size() < CAUSES_MOST) {
-            causes.add(cause);
-        } else {
-            moreCauses++;
-        }
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(Core.class);
+  private static final long STATUS_EVERY =
+      Tenths.SECOND; // 0.1 ms; a person and a probe look no oftener
+  private static final long ANSWER_MOST =
+      600 * Tenths.SECOND; // 0.1 ms; the histogram's end, longer counts as that
+  private static final int CAUSES_MOST = 8; // causes told in one log line
 
-    /** A proxy says that it is here, for {@code holds} from now. */
-    public void hello(String proxy, Hello hello, long holds, Intake.Origin from, long now) {
-        Presence.Verdict verdict = presence.hello(proxy, hello, from, now, now + holds);
-        if (verdict instanceof Presence.Verdict.Refused refused) {
-            from.end(refused.cause());
-        } else if (verdict instanceof Presence.Verdict.Joined joined) {
-            ProxyId id = joined.proxy();
-            if (joined.before()) {
-                gone(id, "a newer stream of it came", now);
-                if (joined.oldConnection() != from) {
-                    ((Intake.Origin) joined.oldConnection()).end("proxy " + proxy + " came back on a newer stream");
-                }
-            }
-            tables.joined(id, hello.holds());
-            tell(now, new Event.ProxyJoined(id, hello.zone(), hello.opsPerSecond(), hello.fresh()), "join " + proxy);
-            outside.publish(published.here(id));
-            LOG.info("proxy {} joined as {}, stream {}, {}", proxy, id.number(), published.origin(id),
-                    hello.fresh() ? "with its standing table" : "with tables of its own");
-        }
-    }
+  private final Settings settings;
+  private final Outside outside;
+  private final Decisions decisions;
+  private final Presence presence;
+  private final Tables tables;
+  private final Reports reports;
+  private final PacedChannel channel;
+  private final KeyTree keys;
+  private final Published published;
+  private final Set<TaskId> listed = new HashSet<>();
+  private final TreeSet<String> ready = new TreeSet<>();
+  private final Histogram answers = new Histogram(ANSWER_MOST, 2);
+  private final List<String> causes = new ArrayList<>();
+  private int moreCauses;
+  private long reportsAt;
+  private long statusAt;
+  private long unknownReports;
 
-    private void gone(ProxyId id, String why, long now) {
-        tables.left(id);
-        channel.left(id);
-        reports.left(id);
-        outside.publish(published.ended(id));
-        tell(now, new Event.ProxyLeft(id), "left " + presence.name(id));
-        LOG.info("proxy {} left: {}", presence.name(id), why);
-    }
+  public Core(
+      Settings settings,
+      List<String> opTypeNames,
+      CoreLimits limits,
+      String epoch,
+      long firstSequence,
+      DecisionModule module,
+      Outside outside,
+      long now) {
+    this.settings = settings;
+    this.outside = outside;
+    this.decisions = new Decisions(module, outside);
+    this.presence = new Presence(limits.proxies());
+    this.tables = new Tables(opTypeNames);
+    this.reports = new Reports(limits.reportPairs());
+    this.channel =
+        new PacedChannel(
+            settings.linesPerSecond(),
+            settings.messageHead(),
+            settings.backlogLines(),
+            settings.messagesOver());
+    this.keys = new KeyTree(firstSequence, limits.keys());
+    this.published = new Published(keys, epoch, presence);
+    this.reportsAt = now + settings.sumsEvery();
+    this.statusAt = now;
+  }
 
-    /** A connection ended: whatever spoke on it is gone at once. */
-    public void closed(Intake.Origin from, long now) {
-        for (ProxyId id : presence.closed(from)) {
-            gone(id, "its connection ended", now);
-        }
-    }
+  private void tell(long now, Event event, String cause) {
+    because(cause);
+    decisions.tell(now, event);
+  }
 
-    /** What a proxy met; from one that is not here it ends the connection. */
-    public void reported(String proxy, long span, List<Reports.Met> met, List<Reports.Came> came,
-                         Intake.Origin from) {
-        ProxyId id = presence.speaking(proxy, from);
-        if (id == null) {
-            from.end("report: proxy " + proxy + " never joined on this connection");
-            return;
-        }
-        // What its own tables name may be gone from the list since before this start: the decisions must hear of it.
-        List<TaskId> holds = presence.hello(id).holds();
-        List<Reports.Met> known = met.stream().filter(m -> listed.contains(m.task()) || holds != null && holds.contains(m.task()))
-                .toList();
-        unknownReports += met.size() - known.size();
-        reports.add(id, presence.hello(id).zone(), span, known, came);
-    }
-
-    /** A proxy has applied a message; a mark that was never set, or another stream's, means nothing. */
-    public void answered(String proxy, String stream, int mark, long took, Intake.Origin from, long now) {
-        ProxyId id = presence.speaking(proxy, from);
-        if (id == null) {
-            from.end("answer: proxy " + proxy + " never joined on this connection");
-        } else if (published.origin(id).equals(stream)) {
-            long orderedAt = published.answer(id, mark);
-            if (orderedAt < 0) {
-                from.end("answer: mark " + mark + " was never set for proxy " + proxy);
-                return;
-            }
-            answers.recordValue(Math.min(ANSWER_MOST, Math.max(0, now - orderedAt)));
-            tell(now, new Event.Answered(id, new MarkId(mark), took), "answer " + proxy);
-        }
+  private void because(String cause) {
+    if (causes.size() < CAUSES_MOST) {
+      causes.add(cause);
+    } else {
+      moreCauses++;
     }
+  }
 
-    /** What the list of tasks says. */
-    public void listTold(Event.ListTold told, long now) {
-        for (Listing listing : told.entries()) {
-            listed.add(listing.task());
+  /** A proxy says that it is here, for {@code holds} from now. */
+  public void hello(String proxy, Hello hello, long holds, Intake.Origin from, long now) {
+    Presence.Verdict verdict = presence.hello(proxy, hello, from, now, now + holds);
+    if (verdict instanceof Presence.Verdict.Refused refused) {
+      from.end(refused.cause());
+    } else if (verdict instanceof Presence.Verdict.Joined joined) {
+      ProxyId id = joined.proxy();
+      if (joined.before()) {
+        gone(id, "a newer stream of it came", now);
+        if (joined.oldConnection() != from) {
+          ((Intake.Origin) joined.oldConnection())
+              .end("proxy " + proxy + " came back on a newer stream");
         }
-        countReady(told);
-        LOG.info("list {}: {} entries", told.kind(), told.entries().size());
-        tell(now, told, "list " + told.kind() + " of " + told.entries().size());
+      }
+      tables.joined(id, hello.holds());
+      tell(
+          now,
+          new Event.ProxyJoined(id, hello.zone(), hello.opsPerSecond(), hello.fresh()),
+          "join " + proxy);
+      outside.publish(published.here(id));
+      LOG.info(
+          "proxy {} joined as {}, stream {}, {}",
+          proxy,
+          id.number(),
+          published.origin(id),
+          hello.fresh() ? "with its standing table" : "with tables of its own");
     }
+  }
 
-    private void countReady(Event.ListTold told) {
-        if (told.kind() == Event.ListKind.WHOLE) {
-            ready.clear();
-        }
-        for (Listing listing : told.entries()) {
-            if (listing.state() == Listing.State.READY) {
-                ready.add(listing.task().name());
-            } else {
-                ready.remove(listing.task().name());
-            }
-        }
+  private void gone(ProxyId id, String why, long now) {
+    tables.left(id);
+    channel.left(id);
+    reports.left(id);
+    outside.publish(published.ended(id));
+    tell(now, new Event.ProxyLeft(id), "left " + presence.name(id));
+    LOG.info("proxy {} left: {}", presence.name(id), why);
+  }
+
+  /** A connection ended: whatever spoke on it is gone at once. */
+  public void closed(Intake.Origin from, long now) {
+    for (ProxyId id : presence.closed(from)) {
+      gone(id, "its connection ended", now);
     }
+  }
 
-    public List<Update> snapshot(String subtree) {
-        return keys.snapshot(subtree);
+  /** What a proxy met; from one that is not here it ends the connection. */
+  public void reported(
+      String proxy, long span, List<Reports.Met> met, List<Reports.Came> came, Intake.Origin from) {
+    ProxyId id = presence.speaking(proxy, from);
+    if (id == null) {
+      from.end("report: proxy " + proxy + " never joined on this connection");
+      return;
     }
+    // What its own tables name may be gone from the list since before this start: the decisions
+    // must hear of it.
+    List<TaskId> holds = presence.hello(id).holds();
+    List<Reports.Met> known =
+        met.stream()
+            .filter(m -> listed.contains(m.task()) || holds != null && holds.contains(m.task()))
+            .toList();
+    unknownReports += met.size() - known.size();
+    reports.add(id, presence.hello(id).zone(), span, known, came);
+  }
 
-    public long sequence() {
-        return keys.sequence();
+  /**
+   * A proxy has applied a message; a mark that was never set, or another stream's, means nothing.
+   */
+  public void answered(
+      String proxy, String stream, int mark, long took, Intake.Origin from, long now) {
+    ProxyId id = presence.speaking(proxy, from);
+    if (id == null) {
+      from.end("answer: proxy " + proxy + " never joined on this connection");
+    } else if (published.origin(id).equals(stream)) {
+      long orderedAt = published.answer(id, mark);
+      if (orderedAt < 0) {
+        from.end("answer: mark " + mark + " was never set for proxy " + proxy);
+        return;
+      }
+      answers.recordValue(Math.min(ANSWER_MOST, Math.max(0, now - orderedAt)));
+      tell(now, new Event.Answered(id, new MarkId(mark), took), "answer " + proxy);
     }
+  }
 
-    /** Does all that is due by now, and says when something is due next. */
-    public long run(long now) {
-        if (decisions.timersDue(now)) {
-            because("timer");
-        }
-        for (ProxyId id : presence.expire(now)) {
-            gone(id, "its presence was not renewed", now);
-        }
-        if (now >= reportsAt) {
-            List<Event> events = reports.drain();
-            events.forEach(event -> decisions.tell(now, event));
-            if (!events.isEmpty()) {
-                because("sums");
-            }
-            reportsAt = Math.max(reportsAt + settings.sumsEvery(), now + settings.sumsEvery() / 2);
-        }
-        if (decisions.pending()) {
-            carryOut(decisions.finish(now), now);
-            causes.clear();
-            moreCauses = 0;
-        }
-        for (ProxyMessage message : channel.due(now)) {
-            outside.publish(published.publish(message));
-        }
-        if (now >= statusAt) {
-            statusAt = now + STATUS_EVERY;
-            outside.publish(published.status(status()));
-        }
-        long next = Math.min(Math.min(reportsAt, statusAt), channel.nextAt());
-        return Math.min(next, decisions.nextTimer());
-    }
-
-    private void carryOut(List<Order> orders, long now) {
-        List<ProxyMessage> messages = tables.messages(orders, now);
-        channel.offer(messages, now);
-        if (!messages.isEmpty() && LOG.isDebugEnabled()) {
-            String cause = String.join(", ", causes) + (moreCauses > 0 ? " and " + moreCauses + " more" : "");
-            for (ProxyMessage message : messages) {
-                LOG.debug("order for {}: {} because of {}", presence.name(message.proxy()), message.changes(), cause);
-            }
-        }
-        if (channel.backlog() > settings.backlogLines()) {
-            LOG.error("channel: {} lines wait, the limit is {}", channel.backlog(), settings.backlogLines());
-        }
+  /** What the list of tasks says. */
+  public void listTold(Event.ListTold told, long now) {
+    for (Listing listing : told.entries()) {
+      listed.add(listing.task());
     }
+    countReady(told);
+    LOG.info("list {}: {} entries", told.kind(), told.entries().size());
+    tell(now, told, "list " + told.kind() + " of " + told.entries().size());
+  }
 
-    private String status() {
-        return "{\"proxies\":" + presence.here() + ",\"tasks_ready\":" + ready.size() + ",\"backlog_lines\":"
-                + channel.backlog() + ",\"backlog_high\":" + channel.backlogHigh() + ",\"backlog_limit\":"
-                + settings.backlogLines() + ",\"messages_high\":" + channel.messagesHigh() + ",\"messages_limit\":"
-                + settings.messagesMost() + ",\"merged\":" + channel.merged() + ",\"reports_left_out\":"
-                + (reports.leftOut() + unknownReports) + ",\"decisions\":" + decisions.finishes() + ",\"answer_ms_p50\":"
-                + answers.getValueAtPercentile(50) / 10.0 + ",\"answer_ms_p99\":" + answers.getValueAtPercentile(99) / 10.0 + "}";
+  private void countReady(Event.ListTold told) {
+    if (told.kind() == Event.ListKind.WHOLE) {
+      ready.clear();
     }
+    for (Listing listing : told.entries()) {
+      if (listing.state() == Listing.State.READY) {
+        ready.add(listing.task().name());
+      } else {
+        ready.remove(listing.task().name());
+      }
+    }
+  }
+
+  public List<Update> snapshot(String subtree) {
+    return keys.snapshot(subtree);
+  }
 
-    public int proxiesHere() {
-        return presence.here();
+  public long sequence() {
+    return keys.sequence();
+  }
+
+  /** Does all that is due by now, and says when something is due next. */
+  public long run(long now) {
+    if (decisions.timersDue(now)) {
+      because("timer");
+    }
+    for (ProxyId id : presence.expire(now)) {
+      gone(id, "its presence was not renewed", now);
     }
+    if (now >= reportsAt) {
+      List<Event> events = reports.drain();
+      events.forEach(event -> decisions.tell(now, event));
+      if (!events.isEmpty()) {
+        because("sums");
+      }
+      reportsAt = Math.max(reportsAt + settings.sumsEvery(), now + settings.sumsEvery() / 2);
+    }
+    if (decisions.pending()) {
+      carryOut(decisions.finish(now), now);
+      causes.clear();
+      moreCauses = 0;
+    }
+    for (ProxyMessage message : channel.due(now)) {
+      outside.publish(published.publish(message));
+    }
+    if (now >= statusAt) {
+      statusAt = now + STATUS_EVERY;
+      outside.publish(published.status(status()));
+    }
+    long next = Math.min(Math.min(reportsAt, statusAt), channel.nextAt());
+    return Math.min(next, decisions.nextTimer());
+  }
 
-    public long decisions() {
-        return decisions.finishes();
+  private void carryOut(List<Order> orders, long now) {
+    List<ProxyMessage> messages = tables.messages(orders, now);
+    channel.offer(messages, now);
+    if (!messages.isEmpty() && LOG.isDebugEnabled()) {
+      String cause =
+          String.join(", ", causes) + (moreCauses > 0 ? " and " + moreCauses + " more" : "");
+      for (ProxyMessage message : messages) {
+        LOG.debug(
+            "order for {}: {} because of {}",
+            presence.name(message.proxy()),
+            message.changes(),
+            cause);
+      }
     }
+    if (channel.backlog() > settings.backlogLines()) {
+      LOG.error(
+          "channel: {} lines wait, the limit is {}", channel.backlog(), settings.backlogLines());
+    }
+  }
+
+  private String status() {
+    return "{\"proxies\":"
+        + presence.here()
+        + ",\"tasks_ready\":"
+        + ready.size()
+        + ",\"backlog_lines\":"
+        + channel.backlog()
+        + ",\"backlog_high\":"
+        + channel.backlogHigh()
+        + ",\"backlog_limit\":"
+        + settings.backlogLines()
+        + ",\"messages_high\":"
+        + channel.messagesHigh()
+        + ",\"messages_limit\":"
+        + settings.messagesMost()
+        + ",\"merged\":"
+        + channel.merged()
+        + ",\"reports_left_out\":"
+        + (reports.leftOut() + unknownReports)
+        + ",\"decisions\":"
+        + decisions.finishes()
+        + ",\"answer_ms_p50\":"
+        + answers.getValueAtPercentile(50) / 10.0
+        + ",\"answer_ms_p99\":"
+        + answers.getValueAtPercentile(99) / 10.0
+        + "}";
+  }
+
+  public int proxiesHere() {
+    return presence.here();
+  }
+
+  public long decisions() {
+    return decisions.finishes();
+  }
 }
--- a/src/main/java/stonespring/daemon/DecisionFailed.java
+++ b/src/main/java/stonespring/daemon/DecisionFailed.java
@@ -2,9 +2,9 @@
 
 /** The decision module failed; its state can't be trusted any more. */
 final class DecisionFailed extends RuntimeException {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    DecisionFailed(Throwable cause) {
-        super(cause);
-    }
+  DecisionFailed(Throwable cause) {
+    super(cause);
+  }
 }
--- a/src/main/java/stonespring/daemon/Decisions.java
+++ b/src/main/java/stonespring/daemon/Decisions.java
@@ -12,88 +12,88 @@
 import stonespring.model.TimerToken;
 
 /**
- * The decision module with its timers, as every route drives it: events in, a moment finished, what concerns the list
- * and the log carried out, what concerns proxies handed back. Time is passed in, tenths of a millisecond.
+ * The decision module with its timers, as every route drives it: events in, a moment finished, what
+ * concerns the list and the log carried out, what concerns proxies handed back. Time is passed in,
+ * tenths of a millisecond.
  */
 final class Decisions {
-    private static final Logger LOG = LoggerFactory.getLogger(Decisions.class);
+  private static final Logger LOG = LoggerFactory.getLogger(Decisions.class);
 
-    private record Timer(long at, long count, TimerToken token) {
-    }
+  private record Timer(long at, long count, TimerToken token) {}
 
-    private final DecisionModule module;
-    private final ListAsks list;
-    private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparing(Timer::count));
-    private long timerCount;
-    private long finishes;
-    private boolean pending;
+  private final DecisionModule module;
+  private final ListAsks list;
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparing(Timer::count));
+  private long timerCount;
+  private long finishes;
+  private boolean pending;
 
-    Decisions(DecisionModule module, ListAsks list) {
-        this.module = module;
-        this.list = list;
-    }
+  Decisions(DecisionModule module, ListAsks list) {
+    this.module = module;
+    this.list = list;
+  }
 
-    void tell(long now, Event event) {
-        pending = true;
-        try {
-            module.take(now, event);
-        } catch (RuntimeException | StackOverflowError e) {
-            throw new DecisionFailed(e);
-        }
+  void tell(long now, Event event) {
+    pending = true;
+    try {
+      module.take(now, event);
+    } catch (RuntimeException | StackOverflowError e) {
+      throw new DecisionFailed(e);
     }
+  }
 
-    /** Tells the timers that are due; whether there were any. */
-    boolean timersDue(long now) {
-        boolean any = false;
-        while (!timers.isEmpty() && timers.peek().at <= now) {
-            tell(now, new Event.TimerDue(timers.poll().token));
-            any = true;
-        }
-        return any;
+  /** Tells the timers that are due; whether there were any. */
+  boolean timersDue(long now) {
+    boolean any = false;
+    while (!timers.isEmpty() && timers.peek().at <= now) {
+      tell(now, new Event.TimerDue(timers.poll().token));
+      any = true;
     }
+    return any;
+  }
 
-    /** When the next timer is due; far away if there is none. */
-    long nextTimer() {
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
-    }
+  /** When the next timer is due; far away if there is none. */
+  long nextTimer() {
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
+  }
 
-    /** Whether anything was told since the last moment ended. */
-    boolean pending() {
-        return pending;
-    }
+  /** Whether anything was told since the last moment ended. */
+  boolean pending() {
+    return pending;
+  }
 
-    /** Ends the moment; the orders that concern proxies, in order. */
-    List<Order> finish(long now) {
-        pending = false;
-        finishes++;
-        List<Order> orders;
-        try {
-            orders = module.finish(now);
-        } catch (RuntimeException | StackOverflowError e) {
-            throw new DecisionFailed(e);
-        }
-        List<Order> forProxies = new ArrayList<>();
-        for (Order order : orders) {
-            if (order instanceof Order.SetTimer o) {
-                // Never in the moment that set it: the module could keep the loop busy for ever.
-                timers.add(new Timer(now + Math.max(1, o.delay()), timerCount++, o.token()));
-            } else if (order instanceof Order.FetchList) {
-                list.fetchList();
-            } else if (order instanceof Order.FollowList o) {
-                list.followList(o.on());
-            } else if (order instanceof Order.LogLine o) {
-                LOG.info("decision: {}", o.text());
-            } else if (order instanceof Order.Probe || order instanceof Order.TellPeer) {
-                LOG.warn("decision: {} is not carried out: settings that allow it are not offered", order);
-            } else {
-                forProxies.add(order);
-            }
-        }
-        return forProxies;
+  /** Ends the moment; the orders that concern proxies, in order. */
+  List<Order> finish(long now) {
+    pending = false;
+    finishes++;
+    List<Order> orders;
+    try {
+      orders = module.finish(now);
+    } catch (RuntimeException | StackOverflowError e) {
+      throw new DecisionFailed(e);
     }
-
-    long finishes() {
-        return finishes;
+    List<Order> forProxies = new ArrayList<>();
+    for (Order order : orders) {
+      if (order instanceof Order.SetTimer o) {
+        // Never in the moment that set it: the module could keep the loop busy for ever.
+        timers.add(new Timer(now + Math.max(1, o.delay()), timerCount++, o.token()));
+      } else if (order instanceof Order.FetchList) {
+        list.fetchList();
+      } else if (order instanceof Order.FollowList o) {
+        list.followList(o.on());
+      } else if (order instanceof Order.LogLine o) {
+        LOG.info("decision: {}", o.text());
+      } else if (order instanceof Order.Probe || order instanceof Order.TellPeer) {
+        LOG.warn("decision: {} is not carried out: settings that allow it are not offered", order);
+      } else {
+        forProxies.add(order);
+      }
     }
+    return forProxies;
+  }
+
+  long finishes() {
+    return finishes;
+  }
 }
--- a/src/main/java/stonespring/daemon/ListAsks.java
+++ b/src/main/java/stonespring/daemon/ListAsks.java
@@ -1,10 +1,12 @@
 package stonespring.daemon;
 
-/** What an instance's decisions ask of the list of tasks; calls come from the loop that drives it. */
+/**
+ * What an instance's decisions ask of the list of tasks; calls come from the loop that drives it.
+ */
 public interface ListAsks {
-    /** Follows the list of tasks, or stops to; the answer comes as a list event, good or bad. */
-    void followList(boolean on);
+  /** Follows the list of tasks, or stops to; the answer comes as a list event, good or bad. */
+  void followList(boolean on);
 
-    /** Asks for the whole list once. */
-    void fetchList();
+  /** Asks for the whole list once. */
+  void fetchList();
 }
--- a/src/main/java/stonespring/daemon/Loop.java
+++ b/src/main/java/stonespring/daemon/Loop.java
@@ -18,145 +18,161 @@
 import stonespring.state.Update;
 
 /**
- * The one thread that drives an instance's core: words from the sockets wait in an inbox, a moment's worth of them is
- * told together, then the core does what is due. The inbox is bounded: words of proxies are refused at the bound (their
- * connection ends, they come again); lists and ended connections always find room, there are few of them. What goes
- * wrong while one word is taken ends nothing but that word; what goes wrong in the decisions ends the instance.
+ * The one thread that drives an instance's core: words from the sockets wait in an inbox, a
+ * moment's worth of them is told together, then the core does what is due. The inbox is bounded:
+ * words of proxies are refused at the bound (their connection ends, they come again); lists and
+ * ended connections always find room, there are few of them. What goes wrong while one word is
+ * taken ends nothing but that word; what goes wrong in the decisions ends the instance.
  */
 public final class Loop implements Intake {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
-    private static final long MOST_NANOS = TimeUnit.MINUTES.toNanos(1); // the histogram's end; longer counts as that
-
-    private final InstanceClock clock;
-    private final int inboxMost;
-    private final int momentMillis;
-    private final LinkedBlockingQueue<LongConsumer> inbox = new LinkedBlockingQueue<>();
-    private final AtomicInteger words = new AtomicInteger();
-    private final AtomicLong refused = new AtomicLong();
-    private final Histogram moments = new Histogram(MOST_NANOS, 3);
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private Core core;
-    private volatile boolean stopping;
-    private volatile Throwable failure;
-
-    public Loop(InstanceClock clock, int inboxMost, int momentMillis) {
-        this.clock = clock;
-        this.inboxMost = inboxMost;
-        this.momentMillis = momentMillis;
-    }
-
-    /** Starts the thread that drives this core. */
-    public void start(String name, Core driven) {
-        core = driven;
-        Thread thread = new Thread(this::drive, name + "-loop");
-        thread.setUncaughtExceptionHandler((t, e) -> LOG.error("loop ended", e));
-        thread.start();
-    }
-
-    private void drive() {
-        try {
-            long wakeAt = clock.now();
-            while (!stopping) {
-                long wait = Math.max(0, wakeAt - clock.now());
-                LongConsumer word = inbox.poll(wait * 100, TimeUnit.MICROSECONDS);
-                if (word != null && momentMillis > 0) {
-                    Thread.sleep(momentMillis); // what comes within a moment is told together
-                }
-                long began = System.nanoTime();
-                long now = clock.now();
-                for (; word != null; word = inbox.poll()) {
-                    take(word, now);
-                }
-                long decisions = core.decisions();
-                wakeAt = core.run(now);
-                if (core.decisions() > decisions) {
-                    moments.recordValue(Math.min(MOST_NANOS, System.nanoTime() - began));
-                }
-            }
-        } catch (DecisionFailed e) {
-            failure = e.getCause();
-            LOG.error("the decisions failed: this instance ends, its proxies go on by their last tables", e.getCause());
-        } catch (InterruptedException e) {
-            failure = e;
-        } catch (RuntimeException | Error e) {
-            failure = e;
-            LOG.error("the loop failed: this instance ends, its proxies go on by their last tables", e);
-        } finally {
-            ended.countDown();
+  private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+  private static final long MOST_NANOS =
+      TimeUnit.MINUTES.toNanos(1); // the histogram's end; longer counts as that
+
+  private final InstanceClock clock;
+  private final int inboxMost;
+  private final int momentMillis;
+  private final LinkedBlockingQueue<LongConsumer> inbox = new LinkedBlockingQueue<>();
+  private final AtomicInteger words = new AtomicInteger();
+  private final AtomicLong refused = new AtomicLong();
+  private final Histogram moments = new Histogram(MOST_NANOS, 3);
+  private final CountDownLatch ended = new CountDownLatch(1);
+  private Core core;
+  private volatile boolean stopping;
+  private volatile Throwable failure;
+
+  public Loop(InstanceClock clock, int inboxMost, int momentMillis) {
+    this.clock = clock;
+    this.inboxMost = inboxMost;
+    this.momentMillis = momentMillis;
+  }
+
+  /** Starts the thread that drives this core. */
+  public void start(String name, Core driven) {
+    core = driven;
+    Thread thread = new Thread(this::drive, name + "-loop");
+    thread.setUncaughtExceptionHandler((t, e) -> LOG.error("loop ended", e));
+    thread.start();
+  }
+
+  private void drive() {
+    try {
+      long wakeAt = clock.now();
+      while (!stopping) {
+        long wait = Math.max(0, wakeAt - clock.now());
+        LongConsumer word = inbox.poll(wait * 100, TimeUnit.MICROSECONDS);
+        if (word != null && momentMillis > 0) {
+          Thread.sleep(momentMillis); // what comes within a moment is told together
         }
-    }
-
-    private void take(LongConsumer word, long now) {
-        try {
-            word.accept(now);
-        } catch (DecisionFailed e) {
-            throw e;
-        } catch (RuntimeException e) {
-            LOG.error("a word could not be taken", e);
+        long began = System.nanoTime();
+        long now = clock.now();
+        for (; word != null; word = inbox.poll()) {
+          take(word, now);
         }
-    }
-
-    private boolean offer(LongConsumer word) {
-        if (words.incrementAndGet() > inboxMost || stopping) {
-            words.decrementAndGet();
-            refused.incrementAndGet();
-            return false;
+        long decisions = core.decisions();
+        wakeAt = core.run(now);
+        if (core.decisions() > decisions) {
+          moments.recordValue(Math.min(MOST_NANOS, System.nanoTime() - began));
         }
-        inbox.add(now -> {
-            words.decrementAndGet();
-            word.accept(now);
+      }
+    } catch (DecisionFailed e) {
+      failure = e.getCause();
+      LOG.error(
+          "the decisions failed: this instance ends, its proxies go on by their last tables",
+          e.getCause());
+    } catch (InterruptedException e) {
+      failure = e;
+    } catch (RuntimeException | Error e) {
+      failure = e;
+      LOG.error("the loop failed: this instance ends, its proxies go on by their last tables", e);
+    } finally {
+      ended.countDown();
+    }
+  }
+
+  private void take(LongConsumer word, long now) {
+    try {
+      word.accept(now);
+    } catch (DecisionFailed e) {
+      throw e;
+    } catch (RuntimeException e) {
+      LOG.error("a word could not be taken", e);
+    }
+  }
+
+  private boolean offer(LongConsumer word) {
+    if (words.incrementAndGet() > inboxMost || stopping) {
+      words.decrementAndGet();
+      refused.incrementAndGet();
+      return false;
+    }
+    inbox.add(
+        now -> {
+          words.decrementAndGet();
+          word.accept(now);
         });
-        return true;
-    }
-
-    /** Runs on the loop's thread, soon; never refused. */
-    public void post(LongConsumer work) {
-        inbox.add(work);
-    }
-
-    @Override public boolean hello(String proxy, Hello hello, long holds, Origin from) {
-        return offer(now -> core.hello(proxy, hello, holds, from, now));
-    }
-
-    @Override public boolean reported(String proxy, long span, List<Reports.Met> met, List<Reports.Came> came, Origin from) {
-        return offer(now -> core.reported(proxy, span, met, came, from));
-    }
-
-    @Override public boolean answered(String proxy, String stream, int mark, long took, Origin from) {
-        return offer(now -> core.answered(proxy, stream, mark, took, from, now));
-    }
-
-    @Override public boolean snapshot(String subtree, BiConsumer<List<Update>, Long> then) {
-        return offer(now -> then.accept(core.snapshot(subtree), core.sequence()));
-    }
-
-    @Override public void closed(Origin from) {
-        post(now -> core.closed(from, now));
-    }
-
-    public void listTold(Event.ListTold told) {
-        post(now -> core.listTold(told, now));
-    }
-
-    /** Ends after the moment in hand. */
-    public void stop() throws InterruptedException {
-        stopping = true;
-        post(now -> { });
-        ended.await(10, TimeUnit.SECONDS);
-    }
-
-    /** Waits until the loop has ended by itself or was stopped; the failure that ended it, or null. */
-    public Throwable awaitEnd() throws InterruptedException {
-        ended.await();
-        return failure;
-    }
-
-    /** How long a moment with decisions took, from its first word to its orders: a copy, in nanoseconds. Loop ended. */
-    public Histogram moments() {
-        return moments.copy();
-    }
-
-    public long refused() {
-        return refused.get();
-    }
+    return true;
+  }
+
+  /** Runs on the loop's thread, soon; never refused. */
+  public void post(LongConsumer work) {
+    inbox.add(work);
+  }
+
+  @Override
+  public boolean hello(String proxy, Hello hello, long holds, Origin from) {
+    return offer(now -> core.hello(proxy, hello, holds, from, now));
+  }
+
+  @Override
+  public boolean reported(
+      String proxy, long span, List<Reports.Met> met, List<Reports.Came> came, Origin from) {
+    return offer(now -> core.reported(proxy, span, met, came, from));
+  }
+
+  @Override
+  public boolean answered(String proxy, String stream, int mark, long took, Origin from) {
+    return offer(now -> core.answered(proxy, stream, mark, took, from, now));
+  }
+
+  @Override
+  public boolean snapshot(String subtree, BiConsumer<List<Update>, Long> then) {
+    return offer(now -> then.accept(core.snapshot(subtree), core.sequence()));
+  }
+
+  @Override
+  public void closed(Origin from) {
+    post(now -> core.closed(from, now));
+  }
+
+  public void listTold(Event.ListTold told) {
+    post(now -> core.listTold(told, now));
+  }
+
+  /** Ends after the moment in hand. */
+  public void stop() throws InterruptedException {
+    stopping = true;
+    post(now -> {});
+    ended.await(10, TimeUnit.SECONDS);
+  }
+
+  /**
+   * Waits until the loop has ended by itself or was stopped; the failure that ended it, or null.
+   */
+  public Throwable awaitEnd() throws InterruptedException {
+    ended.await();
+    return failure;
+  }
+
+  /**
+   * How long a moment with decisions took, from its first word to its orders: a copy, in
+   * nanoseconds. Loop ended.
+   */
+  public Histogram moments() {
+    return moments.copy();
+  }
+
+  public long refused() {
+    return refused.get();
+  }
 }
--- a/src/main/java/stonespring/discovery/FileSource.java
+++ b/src/main/java/stonespring/discovery/FileSource.java
@@ -15,70 +15,84 @@
 import stonespring.model.Listing;
 
 /**
- * The list in a file, looked at again and again: a file system's own notices differ between systems and get lost. A
- * file that can't be read, or not as a list, changes nothing: the last good one holds, and one line says so.
+ * The list in a file, looked at again and again: a file system's own notices differ between systems
+ * and get lost. A file that can't be read, or not as a list, changes nothing: the last good one
+ * holds, and one line says so.
  */
 public final class FileSource implements TaskSource {
-    private static final Logger LOG = LoggerFactory.getLogger(FileSource.class);
-    private static final long LOOK_MILLIS = 200; // ms; well under any grace
-    private static final long BYTES_MOST = 64L << 20; // of the file; far above the most tasks of a list
+  private static final Logger LOG = LoggerFactory.getLogger(FileSource.class);
+  private static final long LOOK_MILLIS = 200; // ms; well under any grace
+  private static final long BYTES_MOST =
+      64L << 20; // of the file; far above the most tasks of a list
 
-    private final Path path;
-    private final Entries entries;
-    private final EventLoop loop;
-    private final ListDiff diff = new ListDiff();
-    private Consumer<Event.ListTold> told;
-    private Consumer<List<Listing>> list;
-    private byte[] last = new byte[0];
-    private String lastFault = "";
-    private Future<?> looks;
+  private final Path path;
+  private final Entries entries;
+  private final EventLoop loop;
+  private final ListDiff diff = new ListDiff();
+  private Consumer<Event.ListTold> told;
+  private Consumer<List<Listing>> list;
+  private byte[] last = new byte[0];
+  private String lastFault = "";
+  private Future<?> looks;
 
-    public FileSource(Path path, Entries entries, EventLoop loop) {
-        this.path = path;
-        this.entries = entries;
-        this.loop = loop;
-    }
+  public FileSource(Path path, Entries entries, EventLoop loop) {
+    this.path = path;
+    this.entries = entries;
+    this.loop = loop;
+  }
 
-    @Override public void start(Consumer<Event.ListTold> to, Consumer<List<Listing>> listTo) {
-        told = to;
-        list = listTo;
-        looks = loop.scheduleWithFixedDelay(this::look, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
-    }
+  @Override
+  public void start(Consumer<Event.ListTold> to, Consumer<List<Listing>> listTo) {
+    told = to;
+    list = listTo;
+    looks = loop.scheduleWithFixedDelay(this::look, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+  }
 
-    private void look() {
-        try {
-            if (Files.size(path) > BYTES_MOST) {
-                throw new IOException("it is over " + BYTES_MOST + " bytes");
-            }
-            byte[] bytes = Files.readAllBytes(path);
-            if (!Arrays.equals(bytes, last)) {
-                Event.ListTold event = diff.next(entries.read(bytes));
-                last = bytes;
-                if (event != null) {
-                    told.accept(event);
-                    list.accept(diff.list());
-                }
-            }
-            lastFault = "";
-        } catch (IOException | Entries.BadList e) {
-            if (!lastFault.equals(e.toString())) {
-                LOG.warn("list file {}: the last list holds: {}", path, e instanceof java.nio.file.NoSuchFileException
-                        ? "there is no such file" : e.getMessage());
-            }
-            lastFault = e.toString();
+  private void look() {
+    try {
+      if (Files.size(path) > BYTES_MOST) {
+        throw new IOException("it is over " + BYTES_MOST + " bytes");
+      }
+      byte[] bytes = Files.readAllBytes(path);
+      if (!Arrays.equals(bytes, last)) {
+        Event.ListTold event = diff.next(entries.read(bytes));
+        last = bytes;
+        if (event != null) {
+          told.accept(event);
+          list.accept(diff.list());
         }
+      }
+      lastFault = "";
+    } catch (IOException | Entries.BadList e) {
+      if (!lastFault.equals(e.toString())) {
+        LOG.warn(
+            "list file {}: the last list holds: {}",
+            path,
+            e instanceof java.nio.file.NoSuchFileException
+                ? "there is no such file"
+                : e.getMessage());
+      }
+      lastFault = e.toString();
     }
+  }
 
-    @Override public void follow(boolean on) {
-        // It is looked at in any case.
-    }
+  @Override
+  public void follow(boolean on) {
+    // It is looked at in any case.
+  }
 
-    @Override public void fetch() {
-        loop.execute(() -> told.accept(diff.list().isEmpty() ? new Event.ListTold(Event.ListKind.FAILED, List.of())
-                : new Event.ListTold(Event.ListKind.WHOLE, diff.list())));
-    }
+  @Override
+  public void fetch() {
+    loop.execute(
+        () ->
+            told.accept(
+                diff.list().isEmpty()
+                    ? new Event.ListTold(Event.ListKind.FAILED, List.of())
+                    : new Event.ListTold(Event.ListKind.WHOLE, diff.list())));
+  }
 
-    @Override public void stop() {
-        looks.cancel(false);
-    }
+  @Override
+  public void stop() {
+    looks.cancel(false);
+  }
 }
--- a/src/main/java/stonespring/front/chp/ChpFront.java
+++ b/src/main/java/stonespring/front/chp/ChpFront.java
@@ -16,114 +16,127 @@
 import stonespring.zmtp.ZmtpPeer;
 
 /**
- * The pub-sub front: the published state as CHP messages, and what proxies set at the collector as words for the
- * intake. Keys that proxies set: {@code /presence/NAME} with a ttl, {@code /up/NAME/report}, {@code /up/NAME/answer}.
+ * The pub-sub front: the published state as CHP messages, and what proxies set at the collector as
+ * words for the intake. Keys that proxies set: {@code /presence/NAME} with a ttl, {@code
+ * /up/NAME/report}, {@code /up/NAME/answer}.
  */
 public final class ChpFront implements ChpBackend {
-    private static final AttributeKey<Source> SOURCE = AttributeKey.valueOf("stonespring.source");
-    private static final AttributeKey<AtomicInteger> ASKS = AttributeKey.valueOf("stonespring.asks");
-    private static final int ASKS_MOST = 4; // snapshots that one peer may wait for; a follower waits for one
-    private static final int TTL_MOST = 3600; // s; longer, a dead proxy would hold its name for hours
+  private static final AttributeKey<Source> SOURCE = AttributeKey.valueOf("stonespring.source");
+  private static final AttributeKey<AtomicInteger> ASKS = AttributeKey.valueOf("stonespring.asks");
+  private static final int ASKS_MOST =
+      4; // snapshots that one peer may wait for; a follower waits for one
+  private static final int TTL_MOST = 3600; // s; longer, a dead proxy would hold its name for hours
 
-    /** One collector connection. */
-    private record Source(ZmtpPeer peer) implements Intake.Origin {
-        @Override public void end(String cause) {
-            peer.close(cause);
-        }
+  /** One collector connection. */
+  private record Source(ZmtpPeer peer) implements Intake.Origin {
+    @Override
+    public void end(String cause) {
+      peer.close(cause);
     }
+  }
 
-    private final Intake intake;
-    private final Words words;
+  private final Intake intake;
+  private final Words words;
 
-    public ChpFront(Intake intake, Names names) {
-        this.intake = intake;
-        this.words = new Words(names);
-    }
+  public ChpFront(Intake intake, Names names) {
+    this.intake = intake;
+    this.words = new Words(names);
+  }
 
-    /** An update of the state as this front publishes it. */
-    public static ChpMessage.KvPub publication(Update update) {
-        return new ChpMessage.KvPub(update.key(), update.sequence(), ChpMessage.NONE, ChpMessage.NONE, update.value());
-    }
+  /** An update of the state as this front publishes it. */
+  public static ChpMessage.KvPub publication(Update update) {
+    return new ChpMessage.KvPub(
+        update.key(), update.sequence(), ChpMessage.NONE, ChpMessage.NONE, update.value());
+  }
 
-    public static List<ChpMessage.KvPub> publications(List<Update> updates) {
-        return updates.stream().map(ChpFront::publication).toList();
-    }
+  public static List<ChpMessage.KvPub> publications(List<Update> updates) {
+    return updates.stream().map(ChpFront::publication).toList();
+  }
 
-    @Override public void snapshotAsked(ZmtpPeer peer, String subtree) {
-        AtomicInteger asks = peer.channel().attr(ASKS).get();
-        if (asks == null) {
-            peer.channel().attr(ASKS).set(asks = new AtomicInteger());
-        }
-        if (asks.incrementAndGet() > ASKS_MOST) {
-            throw new ChpException("ICANHAZ: over " + ASKS_MOST + " snapshots asked at once");
-        }
-        AtomicInteger waiting = asks;
-        boolean taken = intake.snapshot(subtree, (keys, sequence) -> {
-            for (Update key : keys) {
+  @Override
+  public void snapshotAsked(ZmtpPeer peer, String subtree) {
+    AtomicInteger asks = peer.channel().attr(ASKS).get();
+    if (asks == null) {
+      peer.channel().attr(ASKS).set(asks = new AtomicInteger());
+    }
+    if (asks.incrementAndGet() > ASKS_MOST) {
+      throw new ChpException("ICANHAZ: over " + ASKS_MOST + " snapshots asked at once");
+    }
+    AtomicInteger waiting = asks;
+    boolean taken =
+        intake.snapshot(
+            subtree,
+            (keys, sequence) -> {
+              for (Update key : keys) {
                 peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
-            }
-            peer.sendNow(new ChpMessage.Kthxbai(sequence, subtree).frames());
-            waiting.decrementAndGet();
-        });
-        if (!taken) {
-            throw new ChpException("too much waits to be looked at; come again");
-        }
+              }
+              peer.sendNow(new ChpMessage.Kthxbai(sequence, subtree).frames());
+              waiting.decrementAndGet();
+            });
+    if (!taken) {
+      throw new ChpException("too much waits to be looked at; come again");
     }
+  }
 
-    @Override public void keySet(ZmtpPeer peer, ChpMessage.KvSet set) {
-        Source source = peer.channel().attr(SOURCE).get();
-        if (source == null) {
-            peer.channel().attr(SOURCE).set(source = new Source(peer));
-        }
-        String[] segments = set.key().substring(1).split("/");
-        boolean taken;
-        try {
-            taken = taken(segments, set, source);
-        } catch (Words.BadWord e) {
-            throw new ChpException("KVSET " + set.key() + ": " + e.getMessage());
-        }
-        if (!taken) {
-            throw new ChpException("too much waits to be looked at; come again");
-        }
+  @Override
+  public void keySet(ZmtpPeer peer, ChpMessage.KvSet set) {
+    Source source = peer.channel().attr(SOURCE).get();
+    if (source == null) {
+      peer.channel().attr(SOURCE).set(source = new Source(peer));
+    }
+    String[] segments = set.key().substring(1).split("/");
+    boolean taken;
+    try {
+      taken = taken(segments, set, source);
+    } catch (Words.BadWord e) {
+      throw new ChpException("KVSET " + set.key() + ": " + e.getMessage());
     }
+    if (!taken) {
+      throw new ChpException("too much waits to be looked at; come again");
+    }
+  }
 
-    private boolean taken(String[] segments, ChpMessage.KvSet set, Source source) {
-        if (segments.length == 2 && segments[0].equals("presence")) {
-            return presence(segments[1], set, source);
-        }
-        if (segments.length == 3 && segments[0].equals("up")) {
-            if (segments[2].equals("report")) {
-                Words.Report report = words.report(set.value());
-                return intake.reported(segments[1], report.span(), report.met(), report.came(), source);
-            }
-            if (segments[2].equals("answer")) {
-                Words.Answer answer = words.answer(set.value());
-                return intake.answered(segments[1], answer.stream(), answer.mark(), answer.took(), source);
-            }
-        }
-        throw new ChpException("KVSET: key " + set.key() + " is not one that clients set");
+  private boolean taken(String[] segments, ChpMessage.KvSet set, Source source) {
+    if (segments.length == 2 && segments[0].equals("presence")) {
+      return presence(segments[1], set, source);
+    }
+    if (segments.length == 3 && segments[0].equals("up")) {
+      if (segments[2].equals("report")) {
+        Words.Report report = words.report(set.value());
+        return intake.reported(segments[1], report.span(), report.met(), report.came(), source);
+      }
+      if (segments[2].equals("answer")) {
+        Words.Answer answer = words.answer(set.value());
+        return intake.answered(segments[1], answer.stream(), answer.mark(), answer.took(), source);
+      }
     }
+    throw new ChpException("KVSET: key " + set.key() + " is not one that clients set");
+  }
 
-    private boolean presence(String proxy, ChpMessage.KvSet set, Source source) {
-        if (set.value().length == 0) {
-            throw new ChpException("KVSET " + set.key() + ": presence ends by its ttl or its connection");
-        }
-        Hello hello = words.hello(set.value());
-        return intake.hello(proxy, hello, ttl(set.properties()) * Tenths.SECOND, source);
+  private boolean presence(String proxy, ChpMessage.KvSet set, Source source) {
+    if (set.value().length == 0) {
+      throw new ChpException("KVSET " + set.key() + ": presence ends by its ttl or its connection");
     }
+    Hello hello = words.hello(set.value());
+    return intake.hello(proxy, hello, ttl(set.properties()) * Tenths.SECOND, source);
+  }
 
-    private static long ttl(Map<String, String> properties) {
-        String word = properties.getOrDefault("ttl", "");
-        if (!word.matches("[0-9]{1,6}") || Integer.parseInt(word) < 1 || Integer.parseInt(word) > TTL_MOST) {
-            throw new ChpException("presence: property 'ttl' is not a number of seconds from 1 to " + TTL_MOST);
-        }
-        return Integer.parseInt(word);
+  private static long ttl(Map<String, String> properties) {
+    String word = properties.getOrDefault("ttl", "");
+    if (!word.matches("[0-9]{1,6}")
+        || Integer.parseInt(word) < 1
+        || Integer.parseInt(word) > TTL_MOST) {
+      throw new ChpException(
+          "presence: property 'ttl' is not a number of seconds from 1 to " + TTL_MOST);
     }
+    return Integer.parseInt(word);
+  }
 
-    @Override public void collectorClosed(ZmtpPeer peer) {
-        Source source = peer.channel().attr(SOURCE).get();
-        if (source != null) {
-            intake.closed(source);
-        }
+  @Override
+  public void collectorClosed(ZmtpPeer peer) {
+    Source source = peer.channel().attr(SOURCE).get();
+    if (source != null) {
+      intake.closed(source);
     }
+  }
 }
--- a/src/main/java/stonespring/front/line/LineFront.java
+++ b/src/main/java/stonespring/front/line/LineFront.java
@@ -23,226 +23,255 @@
 import stonespring.state.Tables;
 
 /**
- * The platform's side: proxies' streams and zones' collectors in, events out; orders in, messages on the streams out.
- * The platform has the channel, so nothing is paced here: a message leaves as it is ordered. Lives on one event loop.
+ * The platform's side: proxies' streams and zones' collectors in, events out; orders in, messages
+ * on the streams out. The platform has the channel, so nothing is paced here: a message leaves as
+ * it is ordered. Lives on one event loop.
  */
 public final class LineFront implements LineEvents {
-    private static final Logger LOG = LoggerFactory.getLogger(LineFront.class);
-    public static final int COLLECTORS_A_ZONE = 4; // connections; one, and old ones whose end is not seen yet
-    private static final int MARKS_MOST = 64; // marks that one stream may still answer; more means it never does
-    private static final int LISTED_MOST = 60_000; // tasks; over the most of a list, and of those gone the latest
-    private static final int DROPPED_LOGGED = 50; // messages told in the log; the rest are counted
-
-    /** A proxy's stream. */
-    private static final class Stream {
-        private final Event.ProxyJoined hello;
-        private final LinePeer peer;
-        private final StreamTable table;
-        private final LinkedHashSet<Integer> marks = new LinkedHashSet<>();
-
-        Stream(Event.ProxyJoined hello, LinePeer peer, StreamTable table) {
-            this.hello = hello;
-            this.peer = peer;
-            this.table = table;
-        }
+  private static final Logger LOG = LoggerFactory.getLogger(LineFront.class);
+  public static final int COLLECTORS_A_ZONE =
+      4; // connections; one, and old ones whose end is not seen yet
+  private static final int MARKS_MOST =
+      64; // marks that one stream may still answer; more means it never does
+  private static final int LISTED_MOST =
+      60_000; // tasks; over the most of a list, and of those gone the latest
+  private static final int DROPPED_LOGGED = 50; // messages told in the log; the rest are counted
 
-        @Override public String toString() {
-            return "proxy " + hello.proxy().number();
-        }
-    }
+  /** A proxy's stream. */
+  private static final class Stream {
+    private final Event.ProxyJoined hello;
+    private final LinePeer peer;
+    private final StreamTable table;
+    private final LinkedHashSet<Integer> marks = new LinkedHashSet<>();
 
-    /** A zone's collector. */
-    private record Collector(int zone) {
-        @Override public String toString() {
-            return "the collector of zone " + zone;
-        }
+    Stream(Event.ProxyJoined hello, LinePeer peer, StreamTable table) {
+      this.hello = hello;
+      this.peer = peer;
+      this.table = table;
     }
 
-    private final PlatformWords words;
-    private final Names names;
-    private final Consumer<Event> heard;
-    private final TreeMap<Integer, Stream> streams = new TreeMap<>();
-    private final Map<Integer, TreeSet<String>> shut = new TreeMap<>();
-    private final Map<Integer, LinkedHashSet<LinePeer>> collectors = new LinkedHashMap<>();
-    private final LinkedHashSet<TaskId> listed = new LinkedHashSet<>();
-    private Tables tables;
-    private long dropped;
-
-    /** @param heard takes events, on the event loop */
-    public LineFront(Names names, int proxies, Consumer<Event> heard) {
-        this.words = new PlatformWords(names, proxies);
-        this.names = names;
-        this.heard = heard;
-        this.tables = new Tables(names.opTypes());
+    @Override
+    public String toString() {
+      return "proxy " + hello.proxy().number();
     }
+  }
 
-    @Override public void message(LinePeer peer, LineMessage message) {
-        Object known = peer.keptFor();
-        if (known == null) {
-            unjoined(peer, message);
-        } else if (!PlatformWords.KINDS.contains(message.kind())) {
-            peer.end("it goes on with what can't be read: " + LineMessage.printable(message.kind()));
-        } else {
-            try {
-                report(known, message);
-            } catch (PlatformWords.BadWord e) {
-                drop(known, message, e.getMessage());
-            }
-        }
+  /** A zone's collector. */
+  private record Collector(int zone) {
+    @Override
+    public String toString() {
+      return "the collector of zone " + zone;
     }
+  }
 
-    private void unjoined(LinePeer peer, LineMessage message) {
-        try {
-            switch (message.kind()) {
-                case PlatformWords.JOIN -> joined(peer, words.join(message));
-                case PlatformWords.COLLECTOR -> collector(peer, new Collector(words.collector(message).index()));
-                default -> peer.end("no joining before " + LineMessage.printable(message.kind()));
-            }
-        } catch (PlatformWords.BadWord e) {
-            peer.end(e.getMessage());
-        }
-    }
+  private final PlatformWords words;
+  private final Names names;
+  private final Consumer<Event> heard;
+  private final TreeMap<Integer, Stream> streams = new TreeMap<>();
+  private final Map<Integer, TreeSet<String>> shut = new TreeMap<>();
+  private final Map<Integer, LinkedHashSet<LinePeer>> collectors = new LinkedHashMap<>();
+  private final LinkedHashSet<TaskId> listed = new LinkedHashSet<>();
+  private Tables tables;
+  private long dropped;
 
-    private void joined(LinePeer peer, Event.ProxyJoined hello) {
-        int id = hello.proxy().number();
-        Stream old = streams.get(id);
-        if (old != null) {
-            old.peer.end("it came back on a newer stream"); // which tells that it left
-        }
-        StreamTable table = new StreamTable(names.opTypes(), tables, shut.computeIfAbsent(id, i -> new TreeSet<>()),
-                !hello.fresh());
-        Stream stream = new Stream(hello, peer, table);
-        streams.put(id, stream);
-        peer.keep(stream);
-        tables.joined(hello.proxy(), null);
-        heard.accept(hello);
-    }
+  /**
+   * @param heard takes events, on the event loop
+   */
+  public LineFront(Names names, int proxies, Consumer<Event> heard) {
+    this.words = new PlatformWords(names, proxies);
+    this.names = names;
+    this.heard = heard;
+    this.tables = new Tables(names.opTypes());
+  }
 
-    private void collector(LinePeer peer, Collector collector) {
-        LinkedHashSet<LinePeer> ofZone = collectors.computeIfAbsent(collector.zone(), z -> new LinkedHashSet<>());
-        peer.keep(collector);
-        ofZone.add(peer);
-        if (ofZone.size() > COLLECTORS_A_ZONE) {
-            ofZone.iterator().next().end("newer collectors of its zone came");
-        }
+  @Override
+  public void message(LinePeer peer, LineMessage message) {
+    Object known = peer.keptFor();
+    if (known == null) {
+      unjoined(peer, message);
+    } else if (!PlatformWords.KINDS.contains(message.kind())) {
+      peer.end("it goes on with what can't be read: " + LineMessage.printable(message.kind()));
+    } else {
+      try {
+        report(known, message);
+      } catch (PlatformWords.BadWord e) {
+        drop(known, message, e.getMessage());
+      }
     }
+  }
 
-    private void report(Object from, LineMessage message) {
-        boolean collector = from instanceof Collector;
-        switch (message.kind()) {
-            case PlatformWords.SUMS -> {
-                if (!collector) {
-                    throw new PlatformWords.BadWord(message, "it is a collector's");
-                }
-                Event.TaskSums sums = words.sums(message);
-                // A task that no list ever named: a spoilt word, and an order that names it would end streams.
-                if (!listed.contains(sums.task())) {
-                    throw new PlatformWords.BadWord(message, "target", "names a task that was never listed");
-                }
-                heard.accept(sums);
-            }
-            case PlatformWords.OPS -> {
-                Event.ProxyOps ops = words.ops(message);
-                Stream stream = streams.get(ops.proxy().number());
-                if (stream == null || !collector && stream != from) {
-                    throw new PlatformWords.BadWord(message, "id", "names a proxy that is not joined here");
-                }
-                heard.accept(ops);
-            }
-            case PlatformWords.ANSWER -> {
-                Event.Answered answer = words.answer(message);
-                if (collector || ((Stream) from).hello.proxy().number() != answer.proxy().number()) {
-                    throw new PlatformWords.BadWord(message, "id", "is not this stream's");
-                }
-                if (!((Stream) from).marks.remove(answer.mark().number())) {
-                    throw new PlatformWords.BadWord(message, "seq", "is a mark that waits for no answer");
-                }
-                heard.accept(answer);
-            }
-            case "PONG" -> { }
-            default -> throw new PlatformWords.BadWord(message, "it is not to be sent here");
-        }
+  private void unjoined(LinePeer peer, LineMessage message) {
+    try {
+      switch (message.kind()) {
+        case PlatformWords.JOIN -> joined(peer, words.join(message));
+        case PlatformWords.COLLECTOR ->
+            collector(peer, new Collector(words.collector(message).index()));
+        default -> peer.end("no joining before " + LineMessage.printable(message.kind()));
+      }
+    } catch (PlatformWords.BadWord e) {
+      peer.end(e.getMessage());
     }
+  }
 
-    private void drop(Object from, LineMessage message, String cause) {
-        if (dropped++ < DROPPED_LOGGED) {
-            LOG.warn("a message of {} is dropped: {} in: {}", from, cause, PlatformWords.told(message));
-        }
+  private void joined(LinePeer peer, Event.ProxyJoined hello) {
+    int id = hello.proxy().number();
+    Stream old = streams.get(id);
+    if (old != null) {
+      old.peer.end("it came back on a newer stream"); // which tells that it left
     }
+    StreamTable table =
+        new StreamTable(
+            names.opTypes(),
+            tables,
+            shut.computeIfAbsent(id, i -> new TreeSet<>()),
+            !hello.fresh());
+    Stream stream = new Stream(hello, peer, table);
+    streams.put(id, stream);
+    peer.keep(stream);
+    tables.joined(hello.proxy(), null);
+    heard.accept(hello);
+  }
 
-    @Override public void closed(LinePeer peer) {
-        if (peer.keptFor() instanceof Collector collector) {
-            collectors.get(collector.zone()).remove(peer);
-        } else if (peer.keptFor() instanceof Stream stream && streams.remove(stream.hello.proxy().number(), stream)) {
-            tables.left(stream.hello.proxy());
-            heard.accept(new Event.ProxyLeft(stream.hello.proxy()));
-        }
+  private void collector(LinePeer peer, Collector collector) {
+    LinkedHashSet<LinePeer> ofZone =
+        collectors.computeIfAbsent(collector.zone(), z -> new LinkedHashSet<>());
+    peer.keep(collector);
+    ofZone.add(peer);
+    if (ofZone.size() > COLLECTORS_A_ZONE) {
+      ofZone.iterator().next().end("newer collectors of its zone came");
     }
+  }
 
-    /** What the list says; only tasks that were listed may be named on a stream. */
-    public void listTold(Event.ListTold told) {
-        for (Listing listing : told.entries()) {
-            listed.remove(listing.task()); // the latest told stand last
-            listed.add(listing.task());
+  private void report(Object from, LineMessage message) {
+    boolean collector = from instanceof Collector;
+    switch (message.kind()) {
+      case PlatformWords.SUMS -> {
+        if (!collector) {
+          throw new PlatformWords.BadWord(message, "it is a collector's");
+        }
+        Event.TaskSums sums = words.sums(message);
+        // A task that no list ever named: a spoilt word, and an order that names it would end
+        // streams.
+        if (!listed.contains(sums.task())) {
+          throw new PlatformWords.BadWord(message, "target", "names a task that was never listed");
+        }
+        heard.accept(sums);
+      }
+      case PlatformWords.OPS -> {
+        Event.ProxyOps ops = words.ops(message);
+        Stream stream = streams.get(ops.proxy().number());
+        if (stream == null || !collector && stream != from) {
+          throw new PlatformWords.BadWord(message, "id", "names a proxy that is not joined here");
         }
-        while (listed.size() > LISTED_MOST) {
-            TaskId oldest = listed.iterator().next();
-            listed.remove(oldest);
-            shut.values().forEach(of -> of.remove(oldest.name()));
-            tables.forget(oldest);
+        heard.accept(ops);
+      }
+      case PlatformWords.ANSWER -> {
+        Event.Answered answer = words.answer(message);
+        if (collector || ((Stream) from).hello.proxy().number() != answer.proxy().number()) {
+          throw new PlatformWords.BadWord(message, "id", "is not this stream's");
         }
+        if (!((Stream) from).marks.remove(answer.mark().number())) {
+          throw new PlatformWords.BadWord(message, "seq", "is a mark that waits for no answer");
+        }
+        heard.accept(answer);
+      }
+      case "PONG" -> {}
+      default -> throw new PlatformWords.BadWord(message, "it is not to be sent here");
     }
+  }
 
-    /** The decisions restart: no table, level or withdrawal of theirs stands; who is joined joins again. */
-    public void restart() {
-        tables = new Tables(names.opTypes());
-        for (Map.Entry<Integer, Stream> entry : streams.entrySet()) {
-            Stream old = entry.getValue();
-            Event.ProxyJoined hello = new Event.ProxyJoined(old.hello.proxy(), old.hello.zone(), old.hello.opsPerSecond(), false);
-            Stream again = new Stream(hello, old.peer, new StreamTable(names.opTypes(), tables, shut.get(entry.getKey()), true));
-            entry.setValue(again);
-            old.peer.keep(again);
-            tables.joined(hello.proxy(), null);
-            heard.accept(hello);
-        }
+  private void drop(Object from, LineMessage message, String cause) {
+    if (dropped++ < DROPPED_LOGGED) {
+      LOG.warn("a message of {} is dropped: {} in: {}", from, cause, PlatformWords.told(message));
     }
+  }
 
-    /** Writes what one reply orders: one message for each proxy concerned, never mixed with the next. */
-    public void carryOut(List<Order> orders, long now) {
-        for (ProxyMessage message : tables.messages(orders, now)) {
-            Stream stream = streams.get(message.proxy().number());
-            List<String> parts = stream.table.parts(message);
-            if (parts.isEmpty()) {
-                continue;
-            }
-            if (message.mark() != null) {
-                mark(stream, message.mark());
-            }
-            if (LOG.isDebugEnabled()) {
-                LOG.debug("{}: {} lines: {}", stream, StreamTable.price(parts), String.join(" | ", parts));
-            }
-            stream.peer.write(String.join("\r\n", parts) + "\r\n");
-        }
+  @Override
+  public void closed(LinePeer peer) {
+    if (peer.keptFor() instanceof Collector collector) {
+      collectors.get(collector.zone()).remove(peer);
+    } else if (peer.keptFor() instanceof Stream stream
+        && streams.remove(stream.hello.proxy().number(), stream)) {
+      tables.left(stream.hello.proxy());
+      heard.accept(new Event.ProxyLeft(stream.hello.proxy()));
     }
+  }
 
-    private static void mark(Stream stream, MarkId mark) {
-        if (stream.marks.size() >= MARKS_MOST) {
-            stream.marks.remove(stream.marks.iterator().next());
-        }
-        stream.marks.add(mark.number());
+  /** What the list says; only tasks that were listed may be named on a stream. */
+  public void listTold(Event.ListTold told) {
+    for (Listing listing : told.entries()) {
+      listed.remove(listing.task()); // the latest told stand last
+      listed.add(listing.task());
+    }
+    while (listed.size() > LISTED_MOST) {
+      TaskId oldest = listed.iterator().next();
+      listed.remove(oldest);
+      shut.values().forEach(of -> of.remove(oldest.name()));
+      tables.forget(oldest);
     }
+  }
 
-    public int proxiesHere() {
-        return streams.size();
+  /**
+   * The decisions restart: no table, level or withdrawal of theirs stands; who is joined joins
+   * again.
+   */
+  public void restart() {
+    tables = new Tables(names.opTypes());
+    for (Map.Entry<Integer, Stream> entry : streams.entrySet()) {
+      Stream old = entry.getValue();
+      Event.ProxyJoined hello =
+          new Event.ProxyJoined(
+              old.hello.proxy(), old.hello.zone(), old.hello.opsPerSecond(), false);
+      Stream again =
+          new Stream(
+              hello,
+              old.peer,
+              new StreamTable(names.opTypes(), tables, shut.get(entry.getKey()), true));
+      entry.setValue(again);
+      old.peer.keep(again);
+      tables.joined(hello.proxy(), null);
+      heard.accept(hello);
     }
+  }
 
-    /** Messages of known peers that were dropped, ever. */
-    public long dropped() {
-        return dropped;
+  /**
+   * Writes what one reply orders: one message for each proxy concerned, never mixed with the next.
+   */
+  public void carryOut(List<Order> orders, long now) {
+    for (ProxyMessage message : tables.messages(orders, now)) {
+      Stream stream = streams.get(message.proxy().number());
+      List<String> parts = stream.table.parts(message);
+      if (parts.isEmpty()) {
+        continue;
+      }
+      if (message.mark() != null) {
+        mark(stream, message.mark());
+      }
+      if (LOG.isDebugEnabled()) {
+        LOG.debug("{}: {} lines: {}", stream, StreamTable.price(parts), String.join(" | ", parts));
+      }
+      stream.peer.write(String.join("\r\n", parts) + "\r\n");
     }
+  }
 
-    /** Whether a proxy's stream stands here. */
-    boolean here(ProxyId proxy) {
-        return streams.containsKey(proxy.number());
+  private static void mark(Stream stream, MarkId mark) {
+    if (stream.marks.size() >= MARKS_MOST) {
+      stream.marks.remove(stream.marks.iterator().next());
     }
+    stream.marks.add(mark.number());
+  }
+
+  public int proxiesHere() {
+    return streams.size();
+  }
+
+  /** Messages of known peers that were dropped, ever. */
+  public long dropped() {
+    return dropped;
+  }
+
+  /** Whether a proxy's stream stands here. */
+  boolean here(ProxyId proxy) {
+    return streams.containsKey(proxy.number());
+  }
 }
--- a/src/main/java/stonespring/http/HttpFault.java
+++ b/src/main/java/stonespring/http/HttpFault.java
@@ -1,10 +1,13 @@
 package stonespring.http;
 
-/** A peer's bytes are no HTTP/1.1 that is taken here; the text names the place. The connection ends with it. */
+/**
+ * A peer's bytes are no HTTP/1.1 that is taken here; the text names the place. The connection ends
+ * with it.
+ */
 public final class HttpFault extends RuntimeException {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    public HttpFault(String message) {
-        super(message, null, false, false);
-    }
+  public HttpFault(String message) {
+    super(message, null, false, false);
+  }
 }
--- a/src/main/java/stonespring/lab/Day.java
+++ b/src/main/java/stonespring/lab/Day.java
@@ -12,74 +12,141 @@
 import stonespring.config.Section;
 
 /**
- * A scripted day: the assigner's settings, what the stand-ins are made of, the ops, and the troubles with their times.
+ * A scripted day: the assigner's settings, what the stand-ins are made of, the ops, and the
+ * troubles with their times.
  *
  * @param workMillis an op's work, by op type
  * @param shares each op type's share of the ops
  */
-public record Day(AssignerSettings assigner, double seconds, double opsPerSecond, int tasksPerZone, int proxiesPerZone,
-                  int cores, int queue, int connections, double handshakeMillis, Map<String, Double> workMillis,
-                  Map<String, Double> shares, double dedupMillis, double graceMillis, double fallMillis, long listLateMillis,
-                  List<Trouble> troubles) {
-    /**
-     * One trouble. {@code part}: the share of tasks, proxies or links that it strikes; {@code size} and {@code each} as
-     * its kind takes them; {@code zone}: where, by position, or -1.
-     */
-    public record Trouble(String kind, double atMillis, double forMillis, double part, double size, double eachMillis, int zone) {
-    }
+public record Day(
+    AssignerSettings assigner,
+    double seconds,
+    double opsPerSecond,
+    int tasksPerZone,
+    int proxiesPerZone,
+    int cores,
+    int queue,
+    int connections,
+    double handshakeMillis,
+    Map<String, Double> workMillis,
+    Map<String, Double> shares,
+    double dedupMillis,
+    double graceMillis,
+    double fallMillis,
+    long listLateMillis,
+    List<Trouble> troubles) {
+  /**
+   * One trouble. {@code part}: the share of tasks, proxies or links that it strikes; {@code size}
+   * and {@code each} as its kind takes them; {@code zone}: where, by position, or -1.
+   */
+  public record Trouble(
+      String kind,
+      double atMillis,
+      double forMillis,
+      double part,
+      double size,
+      double eachMillis,
+      int zone) {}
 
-    /** Every kind that a script may name. */
-    public static final List<String> KINDS = List.of("crash", "silent", "fast_errors", "pauses", "late_reports", "zone_loss",
-            "zone_cut", "deploy", "shrink", "growth", "surge", "proxy_crash", "assigner_crash", "slow_channel", "reconnect",
-            "proxy_stall", "assigner_stall", "false_reports", "slow_handshakes", "op_type_fails", "flapping", "impatience",
-            "taken_in_waves", "wrong_list", "registry_dead", "cut_in_snapshot", "byte_by_byte", "half_close",
-            "lost_answers");
+  /** Every kind that a script may name. */
+  public static final List<String> KINDS =
+      List.of(
+          "crash",
+          "silent",
+          "fast_errors",
+          "pauses",
+          "late_reports",
+          "zone_loss",
+          "zone_cut",
+          "deploy",
+          "shrink",
+          "growth",
+          "surge",
+          "proxy_crash",
+          "assigner_crash",
+          "slow_channel",
+          "reconnect",
+          "proxy_stall",
+          "assigner_stall",
+          "false_reports",
+          "slow_handshakes",
+          "op_type_fails",
+          "flapping",
+          "impatience",
+          "taken_in_waves",
+          "wrong_list",
+          "registry_dead",
+          "cut_in_snapshot",
+          "byte_by_byte",
+          "half_close",
+          "lost_answers");
 
-    public static Day read(Path file) throws ScriptException {
-        List<Fault> faults = new ArrayList<>();
-        Section top = Section.of(file.toString(), Script.run(file), faults);
-        AssignerSettings assigner = AssignerSettings.decode(top, file);
-        Section day = top.section("day", true);
-        double seconds = day.number("seconds", 1, 3600, null);
-        double ops = day.number("ops_per_s", 0.1, 100_000, null);
-        int tasks = day.whole("tasks_per_zone", 1, 200, null);
-        int proxies = day.whole("proxies_per_zone", 1, 400, null);
-        int cores = day.whole("cores", 1, 64, 2);
-        int queue = day.whole("queue", 1, 10_000, 200);
-        int connections = day.whole("connections", 1, 10_000, 150);
-        double handshake = day.number("handshake_ms", 0, 100, 5.0);
-        Map<String, Double> work = new TreeMap<>();
-        Map<String, Double> shares = new TreeMap<>();
-        Section workOf = day.section("work_ms", true);
-        Section shareOf = day.section("shares", true);
-        for (String type : assigner.opTypeNames()) {
-            work.put(type, workOf.number(type, 0.1, 10_000, null));
-            shares.put(type, shareOf.number(type, 0, 1, null));
-        }
-        workOf.done();
-        shareOf.done();
-        double dedup = day.number("dedup_window_ms", 0, 60_000, 2000.0);
-        double grace = day.number("grace_s", 0.1, 60, null) * 1000;
-        double fall = day.number("fall_window_s", 0.1, 60, 2.0) * 1000;
-        double late = day.number("list_late_s", 0, 60, 1.0) * 1000;
-        List<Trouble> troubles = new ArrayList<>();
-        for (Section t : day.sections("troubles", 0, 1000)) {
-            troubles.add(trouble(t, seconds, assigner.zones().size()));
-        }
-        day.done();
-        top.done();
-        if (!faults.isEmpty()) {
-            throw new ScriptException(faults);
-        }
-        return new Day(assigner, seconds, ops, tasks, proxies, cores, queue, connections, handshake, work, shares, dedup, grace,
-                fall, (long) late, troubles);
+  public static Day read(Path file) throws ScriptException {
+    List<Fault> faults = new ArrayList<>();
+    Section top = Section.of(file.toString(), Script.run(file), faults);
+    AssignerSettings assigner = AssignerSettings.decode(top, file);
+    Section day = top.section("day", true);
+    double seconds = day.number("seconds", 1, 3600, null);
+    double ops = day.number("ops_per_s", 0.1, 100_000, null);
+    int tasks = day.whole("tasks_per_zone", 1, 200, null);
+    int proxies = day.whole("proxies_per_zone", 1, 400, null);
+    int cores = day.whole("cores", 1, 64, 2);
+    int queue = day.whole("queue", 1, 10_000, 200);
+    int connections = day.whole("connections", 1, 10_000, 150);
+    double handshake = day.number("handshake_ms", 0, 100, 5.0);
+    Map<String, Double> work = new TreeMap<>();
+    Map<String, Double> shares = new TreeMap<>();
+    Section workOf = day.section("work_ms", true);
+    Section shareOf = day.section("shares", true);
+    for (String type : assigner.opTypeNames()) {
+      work.put(type, workOf.number(type, 0.1, 10_000, null));
+      shares.put(type, shareOf.number(type, 0, 1, null));
     }
-
-    private static Trouble trouble(Section t, double seconds, int zones) {
-        Trouble trouble = new Trouble(t.word("kind", KINDS, null), t.number("at_s", 0, seconds, null) * 1000,
-                t.number("for_s", 0, seconds, 1.0) * 1000, t.number("part", 0, 1, 0.2), t.number("size", 0, 100_000, 1.0),
-                t.number("each_s", 0.01, seconds, 2.0) * 1000, t.whole("zone", -1, zones - 1, -1));
-        t.done();
-        return trouble;
+    workOf.done();
+    shareOf.done();
+    double dedup = day.number("dedup_window_ms", 0, 60_000, 2000.0);
+    double grace = day.number("grace_s", 0.1, 60, null) * 1000;
+    double fall = day.number("fall_window_s", 0.1, 60, 2.0) * 1000;
+    double late = day.number("list_late_s", 0, 60, 1.0) * 1000;
+    List<Trouble> troubles = new ArrayList<>();
+    for (Section t : day.sections("troubles", 0, 1000)) {
+      troubles.add(trouble(t, seconds, assigner.zones().size()));
     }
+    day.done();
+    top.done();
+    if (!faults.isEmpty()) {
+      throw new ScriptException(faults);
+    }
+    return new Day(
+        assigner,
+        seconds,
+        ops,
+        tasks,
+        proxies,
+        cores,
+        queue,
+        connections,
+        handshake,
+        work,
+        shares,
+        dedup,
+        grace,
+        fall,
+        (long) late,
+        troubles);
+  }
+
+  private static Trouble trouble(Section t, double seconds, int zones) {
+    Trouble trouble =
+        new Trouble(
+            t.word("kind", KINDS, null),
+            t.number("at_s", 0, seconds, null) * 1000,
+            t.number("for_s", 0, seconds, 1.0) * 1000,
+            t.number("part", 0, 1, 0.2),
+            t.number("size", 0, 100_000, 1.0),
+            t.number("each_s", 0.01, seconds, 2.0) * 1000,
+            t.whole("zone", -1, zones - 1, -1));
+    t.done();
+    return trouble;
+  }
 }
--- a/src/main/java/stonespring/lab/StandIns.java
+++ b/src/main/java/stonespring/lab/StandIns.java
@@ -19,55 +19,72 @@
 
 /** Stand-ins run by themselves, for trying things out by hand. */
 public final class StandIns {
-    private static final long SHUN_LEAST = 26_000; // 0.1 ms; as deployments' proxies keep away from a failing task
-    private static final long SHUN_MOST = 64_000; // 0.1 ms; as above
-    private static final long RETRY_LEAST = 500; // 0.1 ms; less is no time for a further try
+  private static final long SHUN_LEAST =
+      26_000; // 0.1 ms; as deployments' proxies keep away from a failing task
+  private static final long SHUN_MOST = 64_000; // 0.1 ms; as above
+  private static final long RETRY_LEAST = 500; // 0.1 ms; less is no time for a further try
 
-    private StandIns() {
-    }
+  private StandIns() {}
 
-    /** How a proxy of these settings routes; {@code window}: how long tasks drop a repeat, tenths of a millisecond. */
-    public static RouterSettings routing(AssignerSettings of, ToLongFunction<OpType> window) {
-        return routing(of.settings(), of.opTypeNames(), window);
-    }
+  /**
+   * How a proxy of these settings routes; {@code window}: how long tasks drop a repeat, tenths of a
+   * millisecond.
+   */
+  public static RouterSettings routing(AssignerSettings of, ToLongFunction<OpType> window) {
+    return routing(of.settings(), of.opTypeNames(), window);
+  }
 
-    /** The same for settings and the names of their op types. */
-    public static RouterSettings routing(Settings s, List<String> names, ToLongFunction<OpType> window) {
-        List<RouterSettings.Type> types = new ArrayList<>();
-        for (int k = 0; k < s.opTypes().size(); k++) {
-            OpType type = s.opTypes().get(k);
-            types.add(new RouterSettings.Type(names.get(k), Repeat.valueOf(type.repeat().name()), window.applyAsLong(type)));
-        }
-        return new RouterSettings(types, s.shunAfter(), SHUN_LEAST, SHUN_MOST, RETRY_LEAST, RouterSettings.Picks.TWO,
-                RouterSettings.Levels.valueOf(s.levelKind().name()));
+  /** The same for settings and the names of their op types. */
+  public static RouterSettings routing(
+      Settings s, List<String> names, ToLongFunction<OpType> window) {
+    List<RouterSettings.Type> types = new ArrayList<>();
+    for (int k = 0; k < s.opTypes().size(); k++) {
+      OpType type = s.opTypes().get(k);
+      types.add(
+          new RouterSettings.Type(
+              names.get(k), Repeat.valueOf(type.repeat().name()), window.applyAsLong(type)));
     }
+    return new RouterSettings(
+        types,
+        s.shunAfter(),
+        SHUN_LEAST,
+        SHUN_MOST,
+        RETRY_LEAST,
+        RouterSettings.Picks.TWO,
+        RouterSettings.Levels.valueOf(s.levelKind().name()));
+  }
 
-    /** The settings' op timeouts as proxies take them, milliseconds. */
-    public static List<Long> opTimeouts(AssignerSettings of) {
-        return of.opTimeouts().stream().map(t -> t / 10).toList();
-    }
+  /** The settings' op timeouts as proxies take them, milliseconds. */
+  public static List<Long> opTimeouts(AssignerSettings of) {
+    return of.opTimeouts().stream().map(t -> t / 10).toList();
+  }
 
-    /** A task at a port; its id as lists name it. */
-    public static String task(String name, String zone, int port, int cores, double workMillis, boolean cold)
-            throws IOException, InterruptedException {
-        TaskStandIn.Make make = new TaskStandIn.Make(cores, 200, 1000, 1, Map.of(), workMillis, Map.of(), 0.2, 10_000, 4, 2_000);
-        TaskStandIn task = new TaskStandIn(name, zone, make, loops(), new Evidence(false), 1);
-        task.listenAt(port);
-        task.start(cold);
-        return task.id();
-    }
+  /** A task at a port; its id as lists name it. */
+  public static String task(
+      String name, String zone, int port, int cores, double workMillis, boolean cold)
+      throws IOException, InterruptedException {
+    TaskStandIn.Make make =
+        new TaskStandIn.Make(
+            cores, 200, 1000, 1, Map.of(), workMillis, Map.of(), 0.2, 10_000, 4, 2_000);
+    TaskStandIn task = new TaskStandIn(name, zone, make, loops(), new Evidence(false), 1);
+    task.listenAt(port);
+    task.start(cold);
+    return task.id();
+  }
 
-    /** A registry whose list comes from a file; its address. */
-    public static String registry(Path file, List<String> zones, int port) throws IOException, InterruptedException {
-        MultiThreadIoEventLoopGroup loops = loops();
-        RegistryStandIn registry = new RegistryStandIn(loops, new Evidence(false), 0);
-        registry.start(port);
-        Entries entries = new Entries(zones, 0);
-        new FileSource(file, entries, (EventLoop) loops.next()).start(told -> { }, list -> registry.whole(list, zones));
-        return "127.0.0.1:" + registry.port();
-    }
+  /** A registry whose list comes from a file; its address. */
+  public static String registry(Path file, List<String> zones, int port)
+      throws IOException, InterruptedException {
+    MultiThreadIoEventLoopGroup loops = loops();
+    RegistryStandIn registry = new RegistryStandIn(loops, new Evidence(false), 0);
+    registry.start(port);
+    Entries entries = new Entries(zones, 0);
+    new FileSource(file, entries, (EventLoop) loops.next())
+        .start(told -> {}, list -> registry.whole(list, zones));
+    return "127.0.0.1:" + registry.port();
+  }
 
-    private static MultiThreadIoEventLoopGroup loops() {
-        return new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    }
+  private static MultiThreadIoEventLoopGroup loops() {
+    return new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  }
 }
--- a/src/main/java/stonespring/lab/virtual/Loads.java
+++ b/src/main/java/stonespring/lab/virtual/Loads.java
@@ -11,152 +11,200 @@
 import stonespring.recording.Moment;
 import stonespring.recording.Recording;
 
-/** Loads drawn from a seed, each with one kind of trouble. Tasks are listed alike and can do unlike work. */
+/**
+ * Loads drawn from a seed, each with one kind of trouble. Tasks are listed alike and can do unlike
+ * work.
+ */
 public final class Loads {
-    /** What a load is about. */
-    public enum Kind { QUIET, SURGE, STALE_REPORTS, DEPLOY, HUGE_PROXY, LOST_ZONE }
+  /** What a load is about. */
+  public enum Kind {
+    QUIET,
+    SURGE,
+    STALE_REPORTS,
+    DEPLOY,
+    HUGE_PROXY,
+    LOST_ZONE
+  }
 
-    private static final int ZONES = 3;
-    private static final int CORES = 2;
-    private static final long EVERY = 1_000; // 0.1 ms over which ops are counted together
-    private static final long LENGTH = 40 * Tenths.SECOND;
-    private static final long TROUBLE = 12 * Tenths.SECOND; // 0.1 ms; by then all decide by what they heard
-    private static final long LIST_LATE = Tenths.SECOND; // 0.1 ms until the list tells
-    private static final double FILL = 0.6; // share of what all tasks can do
-    private static final double SURGE = 1.6; // times; a little under what all can do
-    private static final double CLAIM = 3; // times the capacity, by a third of the tasks
-    private static final long[] WORK = {600, 900, 1_200}; // 0.1 ms on a usual core
-    private static final double[] SHARE = {0.6, 0.25, 0.15}; // of the ops, by type
+  private static final int ZONES = 3;
+  private static final int CORES = 2;
+  private static final long EVERY = 1_000; // 0.1 ms over which ops are counted together
+  private static final long LENGTH = 40 * Tenths.SECOND;
+  private static final long TROUBLE =
+      12 * Tenths.SECOND; // 0.1 ms; by then all decide by what they heard
+  private static final long LIST_LATE = Tenths.SECOND; // 0.1 ms until the list tells
+  private static final double FILL = 0.6; // share of what all tasks can do
+  private static final double SURGE = 1.6; // times; a little under what all can do
+  private static final double CLAIM = 3; // times the capacity, by a third of the tasks
+  private static final long[] WORK = {600, 900, 1_200}; // 0.1 ms on a usual core
+  private static final double[] SHARE = {0.6, 0.25, 0.15}; // of the ops, by type
 
-    private final SplittableRandom random;
-    private final List<Moment> moments = new ArrayList<>();
-    private final Kind kind;
-    private final int taskCount;
-    private final int proxyCount;
+  private final SplittableRandom random;
+  private final List<Moment> moments = new ArrayList<>();
+  private final Kind kind;
+  private final int taskCount;
+  private final int proxyCount;
 
-    private Loads(Kind kind, long seed, int taskCount, int proxyCount) {
-        this.kind = kind;
-        this.random = new SplittableRandom(seed);
-        this.taskCount = taskCount;
-        this.proxyCount = proxyCount;
-    }
+  private Loads(Kind kind, long seed, int taskCount, int proxyCount) {
+    this.kind = kind;
+    this.random = new SplittableRandom(seed);
+    this.taskCount = taskCount;
+    this.proxyCount = proxyCount;
+  }
 
-    /** Draws a load; the same kind, seed and sizes give the same. At least 3 tasks and 1 proxy. */
-    public static Recording draw(Kind kind, long seed, int tasks, int proxies) {
-        return new Loads(kind, seed, tasks, proxies).draw(seed);
-    }
+  /** Draws a load; the same kind, seed and sizes give the same. At least 3 tasks and 1 proxy. */
+  public static Recording draw(Kind kind, long seed, int tasks, int proxies) {
+    return new Loads(kind, seed, tasks, proxies).draw(seed);
+  }
 
-    private static Settings settings(int proxies) {
-        int lines = Math.max(2900, 120 * proxies);
-        return new Settings(1, ZONES, List.of(new OpType(OpType.Repeat.RETRYABLE, 5_000, 3),
-                new OpType(OpType.Repeat.DEDUPLICATED, 8_000, 3), new OpType(OpType.Repeat.ONCE_ONLY, 6_000, 2)), false,
-                Settings.LevelKind.SHARE, lines, 10, 30, 10 * Tenths.SECOND, lines, 5 * Tenths.SECOND, 5, proxies, Tenths.SECOND, false,
-                0.12, 8 * Tenths.SECOND, 0.2, 3, 0.3, false, 3);
-    }
+  private static Settings settings(int proxies) {
+    int lines = Math.max(2900, 120 * proxies);
+    return new Settings(
+        1,
+        ZONES,
+        List.of(
+            new OpType(OpType.Repeat.RETRYABLE, 5_000, 3),
+            new OpType(OpType.Repeat.DEDUPLICATED, 8_000, 3),
+            new OpType(OpType.Repeat.ONCE_ONLY, 6_000, 2)),
+        false,
+        Settings.LevelKind.SHARE,
+        lines,
+        10,
+        30,
+        10 * Tenths.SECOND,
+        lines,
+        5 * Tenths.SECOND,
+        5,
+        proxies,
+        Tenths.SECOND,
+        false,
+        0.12,
+        8 * Tenths.SECOND,
+        0.2,
+        3,
+        0.3,
+        false,
+        3);
+  }
 
-    private Recording draw(long seed) {
-        double able = 0;
-        double[] speed = new double[taskCount];
-        for (int t = 0; t < taskCount; t++) {
-            speed[t] = 0.5 + random.nextDouble();
-            able += CORES * speed[t] * Tenths.SECOND / meanWork();
-            boolean claims = kind == Kind.STALE_REPORTS && t % 3 == 0;
-            started(0, "t" + t, t % ZONES, speed[t], false, claims ? CLAIM : 1);
-        }
-        double[] size = new double[proxyCount];
-        double all = 0;
-        for (int p = 0; p < proxyCount; p++) {
-            size[p] = Math.pow(1 - random.nextDouble(), -0.5);
-            all += size[p];
-        }
-        if (kind == Kind.HUGE_PROXY && proxyCount > 1) {
-            size[0] = (all - size[0]) / 2; // a third of all ops
-            all = 3 * size[0];
-        }
-        double ops = FILL * able;
-        List<Recording.Proxy> proxies = new ArrayList<>();
-        for (int p = 0; p < proxyCount; p++) {
-            proxies.add(new Recording.Proxy("p" + p, p % ZONES, size[p] / all * ops));
-        }
-        arrivals(proxies);
-        if (kind == Kind.STALE_REPORTS) {
-            moments.add(new Moment.Late(TROUBLE, 2 * Tenths.SECOND));
-        } else if (kind == Kind.DEPLOY) {
-            deploy(speed);
-        } else if (kind == Kind.LOST_ZONE) {
-            loseZone(speed);
-        }
-        moments.sort(Comparator.comparingLong(Moment::at));
-        List<Recording.Type> types = List.of(new Recording.Type("view", 15_000, WORK[0]), new Recording.Type("sketch", 20_000, WORK[1]),
-                new Recording.Type("extract", 15_000, WORK[2]));
-        return new Recording(new Recording.Head(Recording.VERSION, kind.name().toLowerCase(java.util.Locale.ROOT) + "-" + seed,
-                settings(proxyCount), List.of("west", "south", "east"), types, proxies, EVERY, LENGTH), moments);
+  private Recording draw(long seed) {
+    double able = 0;
+    double[] speed = new double[taskCount];
+    for (int t = 0; t < taskCount; t++) {
+      speed[t] = 0.5 + random.nextDouble();
+      able += CORES * speed[t] * Tenths.SECOND / meanWork();
+      boolean claims = kind == Kind.STALE_REPORTS && t % 3 == 0;
+      started(0, "t" + t, t % ZONES, speed[t], false, claims ? CLAIM : 1);
     }
-
-    private static double meanWork() {
-        double mean = 0;
-        for (int k = 0; k < WORK.length; k++) {
-            mean += SHARE[k] * WORK[k];
-        }
-        return mean;
+    double[] size = new double[proxyCount];
+    double all = 0;
+    for (int p = 0; p < proxyCount; p++) {
+      size[p] = Math.pow(1 - random.nextDouble(), -0.5);
+      all += size[p];
     }
+    if (kind == Kind.HUGE_PROXY && proxyCount > 1) {
+      size[0] = (all - size[0]) / 2; // a third of all ops
+      all = 3 * size[0];
+    }
+    double ops = FILL * able;
+    List<Recording.Proxy> proxies = new ArrayList<>();
+    for (int p = 0; p < proxyCount; p++) {
+      proxies.add(new Recording.Proxy("p" + p, p % ZONES, size[p] / all * ops));
+    }
+    arrivals(proxies);
+    if (kind == Kind.STALE_REPORTS) {
+      moments.add(new Moment.Late(TROUBLE, 2 * Tenths.SECOND));
+    } else if (kind == Kind.DEPLOY) {
+      deploy(speed);
+    } else if (kind == Kind.LOST_ZONE) {
+      loseZone(speed);
+    }
+    moments.sort(Comparator.comparingLong(Moment::at));
+    List<Recording.Type> types =
+        List.of(
+            new Recording.Type("view", 15_000, WORK[0]),
+            new Recording.Type("sketch", 20_000, WORK[1]),
+            new Recording.Type("extract", 15_000, WORK[2]));
+    return new Recording(
+        new Recording.Head(
+            Recording.VERSION,
+            kind.name().toLowerCase(java.util.Locale.ROOT) + "-" + seed,
+            settings(proxyCount),
+            List.of("west", "south", "east"),
+            types,
+            proxies,
+            EVERY,
+            LENGTH),
+        moments);
+  }
 
-    private void started(long at, String task, int zone, double speed, boolean cold, double claims) {
-        moments.add(new Moment.Ran(at, task, zone, CORES, speed, cold));
-        if (claims != 1) {
-            moments.add(new Moment.Claimed(at, task, claims));
-        }
-        long told = at == 0 ? 0 : at + LIST_LATE;
-        moments.add(new Moment.Listed(told, task, zone, 1, Listing.State.READY, cold ? at : 0));
+  private static double meanWork() {
+    double mean = 0;
+    for (int k = 0; k < WORK.length; k++) {
+      mean += SHARE[k] * WORK[k];
     }
+    return mean;
+  }
 
-    private void died(long at, String task, int zone, long toldAfter) {
-        moments.add(new Moment.Ran(at, task, zone, 0, 1, false));
-        moments.add(new Moment.Listed(at + toldAfter, task, zone, 1, Listing.State.GONE, 0));
+  private void started(long at, String task, int zone, double speed, boolean cold, double claims) {
+    moments.add(new Moment.Ran(at, task, zone, CORES, speed, cold));
+    if (claims != 1) {
+      moments.add(new Moment.Claimed(at, task, claims));
     }
+    long told = at == 0 ? 0 : at + LIST_LATE;
+    moments.add(new Moment.Listed(told, task, zone, 1, Listing.State.READY, cold ? at : 0));
+  }
+
+  private void died(long at, String task, int zone, long toldAfter) {
+    moments.add(new Moment.Ran(at, task, zone, 0, 1, false));
+    moments.add(new Moment.Listed(at + toldAfter, task, zone, 1, Listing.State.GONE, 0));
+  }
 
-    private void arrivals(List<Recording.Proxy> proxies) {
-        for (long at = EVERY; at < LENGTH; at += EVERY) {
-            double times = kind == Kind.SURGE && at >= TROUBLE && at < 2 * TROUBLE ? SURGE : 1;
-            for (int p = 0; p < proxies.size(); p++) {
-                int[] came = new int[SHARE.length];
-                boolean any = false;
-                for (int k = 0; k < came.length; k++) {
-                    came[k] = poisson(proxies.get(p).usualOps() * times * SHARE[k] * EVERY / Tenths.SECOND);
-                    any |= came[k] > 0;
-                }
-                if (any) {
-                    moments.add(new Moment.Came(at, p, came));
-                }
-            }
+  private void arrivals(List<Recording.Proxy> proxies) {
+    for (long at = EVERY; at < LENGTH; at += EVERY) {
+      double times = kind == Kind.SURGE && at >= TROUBLE && at < 2 * TROUBLE ? SURGE : 1;
+      for (int p = 0; p < proxies.size(); p++) {
+        int[] came = new int[SHARE.length];
+        boolean any = false;
+        for (int k = 0; k < came.length; k++) {
+          came[k] = poisson(proxies.get(p).usualOps() * times * SHARE[k] * EVERY / Tenths.SECOND);
+          any |= came[k] > 0;
         }
+        if (any) {
+          moments.add(new Moment.Came(at, p, came));
+        }
+      }
     }
+  }
 
-    /** Knuth, The Art of Computer Programming, volume 2, section 3.4.1; the means here are small. */
-    private int poisson(double mean) {
-        double least = Math.exp(-mean);
-        int count = 0;
-        for (double product = random.nextDouble(); product > least; product *= random.nextDouble()) {
-            count++;
-        }
-        return count;
+  /** Knuth, The Art of Computer Programming, volume 2, section 3.4.1; the means here are small. */
+  private int poisson(double mean) {
+    double least = Math.exp(-mean);
+    int count = 0;
+    for (double product = random.nextDouble(); product > least; product *= random.nextDouble()) {
+      count++;
     }
+    return count;
+  }
 
-    /** Six tenths of the tasks are replaced by cold ones, an eighth of the fleet at a time; each drains for 3 s. */
-    private void deploy(double[] speed) {
-        int batch = Math.max(1, taskCount / 8);
-        for (int t = 0; t < taskCount * 6 / 10; t++) {
-            long at = TROUBLE + t / batch * 35_000L;
-            started(at, "n" + t, t % ZONES, speed[t], true, 1);
-            moments.add(new Moment.Listed(at + 20_000, "t" + t, t % ZONES, 1, Listing.State.DRAINING, 0));
-            died(at + 50_000, "t" + t, t % ZONES, LIST_LATE);
-        }
+  /**
+   * Six tenths of the tasks are replaced by cold ones, an eighth of the fleet at a time; each
+   * drains for 3 s.
+   */
+  private void deploy(double[] speed) {
+    int batch = Math.max(1, taskCount / 8);
+    for (int t = 0; t < taskCount * 6 / 10; t++) {
+      long at = TROUBLE + t / batch * 35_000L;
+      started(at, "n" + t, t % ZONES, speed[t], true, 1);
+      moments.add(new Moment.Listed(at + 20_000, "t" + t, t % ZONES, 1, Listing.State.DRAINING, 0));
+      died(at + 50_000, "t" + t, t % ZONES, LIST_LATE);
     }
+  }
 
-    private void loseZone(double[] speed) {
-        for (int t = 0; t < taskCount; t += ZONES) {
-            died(TROUBLE, "t" + t, 0, LIST_LATE);
-            started(TROUBLE + 10 * Tenths.SECOND, "t" + t, 0, speed[t], true, 1);
-        }
+  private void loseZone(double[] speed) {
+    for (int t = 0; t < taskCount; t += ZONES) {
+      died(TROUBLE, "t" + t, 0, LIST_LATE);
+      started(TROUBLE + 10 * Tenths.SECOND, "t" + t, 0, speed[t], true, 1);
     }
+  }
 }
--- a/src/main/java/stonespring/lab/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/lab/virtual/VirtualFleet.java
@@ -23,215 +23,259 @@
 import stonespring.state.Update;
 
 /**
- * A recorded load in virtual time: one real instance, from what it is told to the keys it publishes, proxies with the real
- * routing, simulated tasks. The same recording, policy and seed give the same day.
+ * A recorded load in virtual time: one real instance, from what it is told to the keys it
+ * publishes, proxies with the real routing, simulated tasks. The same recording, policy and seed
+ * give the same day.
  */
 public final class VirtualFleet {
-    private static final long AWAY = 200; // 0.1 ms from an instance to a proxy and back
-    private static final long REPORT_AWAY = 3_000; // 0.1 ms that sums are late on an ordinary day
-    private static final long DEDUPLICATED_FOR = 20_000; // 0.1 ms that tasks drop a repeat
-
-    final Agenda agenda = new Agenda();
-    private final Recording recording;
-    private final Policy policy;
-    private final long seed;
-    private final Map<String, VirtualTask> tasks = new HashMap<>();
-    private final Map<String, VirtualProxy> byName = new LinkedHashMap<>();
-    private final List<VirtualProxy> proxies = new ArrayList<>();
-    private final SplittableRandom random;
-    private final double[][] windows;
-    private Core core;
-    private Advisor advisor;
-    private Moment.Late late = new Moment.Late(0, 0);
-    private long wake = Long.MAX_VALUE;
-    private long tries;
-    private long crossed;
-    private long connections;
-    private long lines;
-    private long plans;
-
-    public VirtualFleet(Recording recording, Policy policy, long seed) {
-        this.recording = recording;
-        this.policy = policy;
-        this.seed = seed;
-        this.random = new SplittableRandom(seed);
-        this.windows = new double[(int) (recording.head().length() / Played.WINDOW) + 1][5];
-        start();
-    }
+  private static final long AWAY = 200; // 0.1 ms from an instance to a proxy and back
+  private static final long REPORT_AWAY = 3_000; // 0.1 ms that sums are late on an ordinary day
+  private static final long DEDUPLICATED_FOR = 20_000; // 0.1 ms that tasks drop a repeat
 
-    private void start() {
-        List<Moment> first = recording.moments().stream().takeWhile(m -> m.at() == 0).toList();
-        List<Moment> rest = recording.moments().subList(first.size(), recording.moments().size());
-        first.stream().filter(m -> !(m instanceof Moment.Listed)).forEach(this::happen);
-        List<Listing> listed = first.stream().filter(Moment.Listed.class::isInstance).map(m -> listing((Moment.Listed) m)).toList();
-        Policy.Made made = policy.make(settings(), random.nextLong(), 0);
-        advisor = made.advisor();
-        List<String> names = recording.head().types().stream().map(Recording.Type::name).toList();
-        core = new Core(settings(), names, CoreLimits.USUAL, "e", 1,
-                made.module(), new Outside() {
-                    @Override public void publish(List<Update> updates) {
-                        for (Update update : updates) {
-                            String[] key = update.key().split("/", 4);
-                            if (key[1].equals("proxy") && byName.containsKey(key[2])) {
-                                agenda.in(AWAY / 2, () -> byName.get(key[2]).told(core, update, key[3]));
-                            }
-                        }
-                        agenda.in(AWAY / 2, VirtualFleet.this::pump);
-                    }
-
-                    @Override public void followList(boolean on) {
-                        // The list is told as it was recorded, whoever follows.
-                    }
-
-                    @Override public void fetchList() {
-                        // As above.
-                    }
-                }, 0);
-        core.listTold(new Event.ListTold(Event.ListKind.WHOLE, listed), 0);
-        RouterSettings routing = StandIns.routing(settings(), names, type -> DEDUPLICATED_FOR);
-        for (Recording.Proxy p : recording.head().proxies()) {
-            List<TaskName> near = new ArrayList<>(listed.stream().filter(l -> l.zone().index() == p.zone())
-                    .map(l -> new TaskName(l.task().name())).toList());
-            List<TaskName> standing = new ArrayList<>();
-            while (standing.size() < settings().standingLines() && !near.isEmpty()) {
-                standing.add(near.remove(random.nextInt(near.size())));
-            }
-            VirtualProxy proxy = new VirtualProxy(this, p, routing, standing, random.nextLong());
-            proxies.add(proxy);
-            byName.put(p.name(), proxy);
-        }
-        for (VirtualProxy proxy : proxies) {
-            agenda.at(random.nextLong(5_000), () -> {
-                proxy.join(core);
-                pump();
-                agenda.in(settings().sumsEvery(), () -> report(proxy));
-            });
-        }
-        rest.forEach(m -> agenda.at(m.at(), () -> happen(m)));
-        pump();
-    }
+  final Agenda agenda = new Agenda();
+  private final Recording recording;
+  private final Policy policy;
+  private final long seed;
+  private final Map<String, VirtualTask> tasks = new HashMap<>();
+  private final Map<String, VirtualProxy> byName = new LinkedHashMap<>();
+  private final List<VirtualProxy> proxies = new ArrayList<>();
+  private final SplittableRandom random;
+  private final double[][] windows;
+  private Core core;
+  private Advisor advisor;
+  private Moment.Late late = new Moment.Late(0, 0);
+  private long wake = Long.MAX_VALUE;
+  private long tries;
+  private long crossed;
+  private long connections;
+  private long lines;
+  private long plans;
 
-    private static Listing listing(Moment.Listed m) {
-        return new Listing(new TaskId(m.task()), new ZoneId(m.zone()), m.weight(), m.state(), m.startedAt());
-    }
+  public VirtualFleet(Recording recording, Policy policy, long seed) {
+    this.recording = recording;
+    this.policy = policy;
+    this.seed = seed;
+    this.random = new SplittableRandom(seed);
+    this.windows = new double[(int) (recording.head().length() / Played.WINDOW) + 1][5];
+    start();
+  }
 
-    private void happen(Moment moment) {
-        if (moment instanceof Moment.Came m) {
-            for (int k = 0; k < m.ops().length; k++) {
-                int type = k;
-                for (int i = 0; i < m.ops()[k]; i++) {
-                    // Counted over the span before: spread over the one after, so that time never goes back.
-                    agenda.in(random.nextLong(recording.head().every()), () -> proxies.get(m.proxy()).ask(type));
+  private void start() {
+    List<Moment> first = recording.moments().stream().takeWhile(m -> m.at() == 0).toList();
+    List<Moment> rest = recording.moments().subList(first.size(), recording.moments().size());
+    first.stream().filter(m -> !(m instanceof Moment.Listed)).forEach(this::happen);
+    List<Listing> listed =
+        first.stream()
+            .filter(Moment.Listed.class::isInstance)
+            .map(m -> listing((Moment.Listed) m))
+            .toList();
+    Policy.Made made = policy.make(settings(), random.nextLong(), 0);
+    advisor = made.advisor();
+    List<String> names = recording.head().types().stream().map(Recording.Type::name).toList();
+    core =
+        new Core(
+            settings(),
+            names,
+            CoreLimits.USUAL,
+            "e",
+            1,
+            made.module(),
+            new Outside() {
+              @Override
+              public void publish(List<Update> updates) {
+                for (Update update : updates) {
+                  String[] key = update.key().split("/", 4);
+                  if (key[1].equals("proxy") && byName.containsKey(key[2])) {
+                    agenda.in(AWAY / 2, () -> byName.get(key[2]).told(core, update, key[3]));
+                  }
                 }
-            }
-        } else if (moment instanceof Moment.Listed m) {
-            core.listTold(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing(m))), agenda.now());
-            pump();
-        } else if (moment instanceof Moment.Ran m) {
-            tasks.computeIfAbsent(m.task(), t -> new VirtualTask(agenda, settings(), random.nextLong())).ran(m);
-        } else if (moment instanceof Moment.Claimed m && tasks.containsKey(m.task())) {
-            tasks.get(m.task()).claims(m.times());
-        } else if (moment instanceof Moment.Late m) {
-            late = m;
-        }
-    }
+                agenda.in(AWAY / 2, VirtualFleet.this::pump);
+              }
 
-    private void report(VirtualProxy proxy) {
-        proxy.report((met, came) -> agenda.in(REPORT_AWAY + late.by(), () -> {
-            core.reported(proxy.name(), settings().sumsEvery(), met, came, proxy);
+              @Override
+              public void followList(boolean on) {
+                // The list is told as it was recorded, whoever follows.
+              }
+
+              @Override
+              public void fetchList() {
+                // As above.
+              }
+            },
+            0);
+    core.listTold(new Event.ListTold(Event.ListKind.WHOLE, listed), 0);
+    RouterSettings routing = StandIns.routing(settings(), names, type -> DEDUPLICATED_FOR);
+    for (Recording.Proxy p : recording.head().proxies()) {
+      List<TaskName> near =
+          new ArrayList<>(
+              listed.stream()
+                  .filter(l -> l.zone().index() == p.zone())
+                  .map(l -> new TaskName(l.task().name()))
+                  .toList());
+      List<TaskName> standing = new ArrayList<>();
+      while (standing.size() < settings().standingLines() && !near.isEmpty()) {
+        standing.add(near.remove(random.nextInt(near.size())));
+      }
+      VirtualProxy proxy = new VirtualProxy(this, p, routing, standing, random.nextLong());
+      proxies.add(proxy);
+      byName.put(p.name(), proxy);
+    }
+    for (VirtualProxy proxy : proxies) {
+      agenda.at(
+          random.nextLong(5_000),
+          () -> {
+            proxy.join(core);
             pump();
-        }));
-        agenda.in(settings().sumsEvery(), () -> report(proxy));
+            agenda.in(settings().sumsEvery(), () -> report(proxy));
+          });
     }
+    rest.forEach(m -> agenda.at(m.at(), () -> happen(m)));
+    pump();
+  }
 
-    /** Lets the instance do what is due, and comes back when something is due next. */
-    private void pump() {
-        Object before = advisor == null ? null : advisor.plan();
-        long next = core.run(agenda.now());
-        plans += advisor != null && advisor.plan() != null && advisor.plan() != before ? 1 : 0;
-        if (next < wake || wake <= agenda.now()) {
-            wake = Math.max(next, agenda.now() + 1);
-            long mine = wake;
-            agenda.at(mine, () -> {
-                if (mine == wake) {
-                    pump();
-                }
-            });
+  private static Listing listing(Moment.Listed m) {
+    return new Listing(
+        new TaskId(m.task()), new ZoneId(m.zone()), m.weight(), m.state(), m.startedAt());
+  }
+
+  private void happen(Moment moment) {
+    if (moment instanceof Moment.Came m) {
+      for (int k = 0; k < m.ops().length; k++) {
+        int type = k;
+        for (int i = 0; i < m.ops()[k]; i++) {
+          // Counted over the span before: spread over the one after, so that time never goes back.
+          agenda.in(
+              random.nextLong(recording.head().every()), () -> proxies.get(m.proxy()).ask(type));
         }
+      }
+    } else if (moment instanceof Moment.Listed m) {
+      core.listTold(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing(m))), agenda.now());
+      pump();
+    } else if (moment instanceof Moment.Ran m) {
+      tasks
+          .computeIfAbsent(m.task(), t -> new VirtualTask(agenda, settings(), random.nextLong()))
+          .ran(m);
+    } else if (moment instanceof Moment.Claimed m && tasks.containsKey(m.task())) {
+      tasks.get(m.task()).claims(m.times());
+    } else if (moment instanceof Moment.Late m) {
+      late = m;
     }
+  }
 
-    // ---- What proxies ask and tell.
+  private void report(VirtualProxy proxy) {
+    proxy.report(
+        (met, came) ->
+            agenda.in(
+                REPORT_AWAY + late.by(),
+                () -> {
+                  core.reported(proxy.name(), settings().sumsEvery(), met, came, proxy);
+                  pump();
+                }));
+    agenda.in(settings().sumsEvery(), () -> report(proxy));
+  }
 
-    Settings settings() {
-        return recording.head().settings();
+  /** Lets the instance do what is due, and comes back when something is due next. */
+  private void pump() {
+    Object before = advisor == null ? null : advisor.plan();
+    long next = core.run(agenda.now());
+    plans += advisor != null && advisor.plan() != null && advisor.plan() != before ? 1 : 0;
+    if (next < wake || wake <= agenda.now()) {
+      wake = Math.max(next, agenda.now() + 1);
+      long mine = wake;
+      agenda.at(
+          mine,
+          () -> {
+            if (mine == wake) {
+              pump();
+            }
+          });
     }
+  }
 
-    int types() {
-        return recording.head().types().size();
-    }
+  // ---- What proxies ask and tell.
 
-    Recording.Type type(int k) {
-        return recording.head().types().get(k);
-    }
+  Settings settings() {
+    return recording.head().settings();
+  }
 
-    VirtualTask task(String name) {
-        return tasks.get(name);
-    }
+  int types() {
+    return recording.head().types().size();
+  }
 
-    long away() {
-        return AWAY;
-    }
+  Recording.Type type(int k) {
+    return recording.head().types().get(k);
+  }
 
-    void changed(long count) {
-        lines += count;
-    }
+  VirtualTask task(String name) {
+    return tasks.get(name);
+  }
 
-    void tried(boolean crosses, boolean connects) {
-        tries++;
-        crossed += crosses ? 1 : 0;
-        connections += connects ? 1 : 0;
-    }
+  long away() {
+    return AWAY;
+  }
 
-    private double[] window(long askedAt) {
-        return windows[(int) Math.min(windows.length - 1, askedAt / Played.WINDOW)];
-    }
+  void changed(long count) {
+    lines += count;
+  }
 
-    void asked(long at, double benefit) {
-        window(at)[0] += benefit;
-        window(at)[2]++;
-    }
+  void tried(boolean crosses, boolean connects) {
+    tries++;
+    crossed += crosses ? 1 : 0;
+    connections += connects ? 1 : 0;
+  }
 
-    void over(long askedAt, double inTime, boolean rejected, boolean gaveUp) {
-        double[] window = window(askedAt);
-        window[1] += inTime;
-        window[3] += rejected ? 1 : 0;
-        window[4] += gaveUp ? 1 : 0;
-    }
+  private double[] window(long askedAt) {
+    return windows[(int) Math.min(windows.length - 1, askedAt / Played.WINDOW)];
+  }
 
-    // ---- Playing.
+  void asked(long at, double benefit) {
+    window(at)[0] += benefit;
+    window(at)[2]++;
+  }
 
-    /** Plays on until then, tenths of a millisecond, and no further than the day is long. */
-    public void playTo(long until) {
-        agenda.runTo(Math.min(until, recording.head().length()));
-    }
+  void over(long askedAt, double inTime, boolean rejected, boolean gaveUp) {
+    double[] window = window(askedAt);
+    window[1] += inTime;
+    window[3] += rejected ? 1 : 0;
+    window[4] += gaveUp ? 1 : 0;
+  }
 
-    /** What the solver last advised; null without one, or before it advised anything. */
-    public Advisor advisor() {
-        return advisor;
-    }
+  // ---- Playing.
 
-    /** Plays to the end, waits for the last op's answer, and tells what became of all. */
-    public Played play() {
-        playTo(recording.head().length());
-        agenda.runTo(recording.head().length() + recording.head().types().stream().mapToLong(Recording.Type::opTimeout).max().orElse(0));
-        List<Played.Window> spans = new ArrayList<>();
-        for (double[] w : windows) {
-            if (w[2] > 0) {
-                spans.add(new Played.Window(w[0], w[1], (long) w[2], (long) w[3], (long) w[4]));
-            }
-        }
-        return new Played(policy, seed, spans, connections, lines, tries == 0 ? 0 : (double) crossed / tries,
-                tasks.values().stream().mapToDouble(VirtualTask::worst).max().orElse(0),
-                proxies.stream().mapToDouble(VirtualProxy::bare).sum(), plans);
+  /** Plays on until then, tenths of a millisecond, and no further than the day is long. */
+  public void playTo(long until) {
+    agenda.runTo(Math.min(until, recording.head().length()));
+  }
+
+  /** What the solver last advised; null without one, or before it advised anything. */
+  public Advisor advisor() {
+    return advisor;
+  }
+
+  /** Plays to the end, waits for the last op's answer, and tells what became of all. */
+  public Played play() {
+    playTo(recording.head().length());
+    agenda.runTo(
+        recording.head().length()
+            + recording.head().types().stream()
+                .mapToLong(Recording.Type::opTimeout)
+                .max()
+                .orElse(0));
+    List<Played.Window> spans = new ArrayList<>();
+    for (double[] w : windows) {
+      if (w[2] > 0) {
+        spans.add(new Played.Window(w[0], w[1], (long) w[2], (long) w[3], (long) w[4]));
+      }
     }
+    return new Played(
+        policy,
+        seed,
+        spans,
+        connections,
+        lines,
+        tries == 0 ? 0 : (double) crossed / tries,
+        tasks.values().stream().mapToDouble(VirtualTask::worst).max().orElse(0),
+        proxies.stream().mapToDouble(VirtualProxy::bare).sum(),
+        plans);
+  }
 }
--- a/src/main/java/stonespring/lab/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/lab/virtual/VirtualProxy.java
@@ -3,7 +3,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -12,7 +11,6 @@
 import stonespring.model.LoadReport;
 import stonespring.model.OpType;
 import stonespring.model.OpTypeId;
-import stonespring.model.Settings;
 import stonespring.model.TaskId;
 import stonespring.model.Tenths;
 import stonespring.model.ZoneId;
@@ -28,213 +26,261 @@
 import stonespring.state.Reports;
 import stonespring.state.Update;
 
-/** A proxy in virtual time: the real routing, what an instance publishes as its keys come, and clients that come again. */
+/**
+ * A proxy in virtual time: the real routing, what an instance publishes as its keys come, and
+ * clients that come again.
+ */
 final class VirtualProxy implements Intake.Origin {
-    private static final long IDLE = 15 * Tenths.SECOND; // 0.1 ms after which an unused connection is closed
-    private static final long NEAR = 3; // 0.1 ms one way in a zone
-    private static final long FAR = 13; // 0.1 ms one way between zones
-    private static final int AGAIN_MOST = 2; // times that a client comes again by itself
-    private static final long AGAIN_AFTER = 3_000; // 0.1 ms
-    private static final long AGAIN_LEAST = 500; // 0.1 ms; with less time left a client doesn't come again
-
-    private final VirtualFleet fleet;
-    private final Recording.Proxy proxy;
-    private final Agenda agenda;
-    private final SplittableRandom random;
-    private final Router router;
-    private final Follower follower = new Follower();
-    private final Tally tally;
-    private final Map<String, Long> connected = new HashMap<>();
-    private long bareSince = -1;
-    private double bare;
-
-    VirtualProxy(VirtualFleet fleet, Recording.Proxy proxy, RouterSettings routing, List<TaskName> standing, long seed) {
-        this.fleet = fleet;
-        this.proxy = proxy;
-        this.agenda = fleet.agenda;
-        this.random = new SplittableRandom(seed);
-        this.router = new Router(routing, random.nextLong());
-        this.router.standing(standing);
-        this.tally = new Tally(routing.types().size(), 0);
-    }
+  private static final long IDLE =
+      15 * Tenths.SECOND; // 0.1 ms after which an unused connection is closed
+  private static final long NEAR = 3; // 0.1 ms one way in a zone
+  private static final long FAR = 13; // 0.1 ms one way between zones
+  private static final int AGAIN_MOST = 2; // times that a client comes again by itself
+  private static final long AGAIN_AFTER = 3_000; // 0.1 ms
+  private static final long AGAIN_LEAST =
+      500; // 0.1 ms; with less time left a client doesn't come again
 
-    String name() {
-        return proxy.name();
-    }
+  private final VirtualFleet fleet;
+  private final Recording.Proxy proxy;
+  private final Agenda agenda;
+  private final SplittableRandom random;
+  private final Router router;
+  private final Follower follower = new Follower();
+  private final Tally tally;
+  private final Map<String, Long> connected = new HashMap<>();
+  private long bareSince = -1;
+  private double bare;
+
+  VirtualProxy(
+      VirtualFleet fleet,
+      Recording.Proxy proxy,
+      RouterSettings routing,
+      List<TaskName> standing,
+      long seed) {
+    this.fleet = fleet;
+    this.proxy = proxy;
+    this.agenda = fleet.agenda;
+    this.random = new SplittableRandom(seed);
+    this.router = new Router(routing, random.nextLong());
+    this.router.standing(standing);
+    this.tally = new Tally(routing.types().size(), 0);
+  }
+
+  String name() {
+    return proxy.name();
+  }
+
+  /** Seconds in which it had no line. */
+  double bare() {
+    return bareSince >= 0 ? bare + (double) (agenda.now() - bareSince) / Tenths.SECOND : bare;
+  }
+
+  @Override
+  public void end(String cause) {
+    throw new IllegalStateException(proxy.name() + " was cut off: " + cause);
+  }
+
+  // ---- Its assigner.
 
-    /** Seconds in which it had no line. */
-    double bare() {
-        return bareSince >= 0 ? bare + (double) (agenda.now() - bareSince) / Tenths.SECOND : bare;
+  void join(Core core) {
+    core.hello(
+        proxy.name(),
+        new Hello(
+            "life",
+            1,
+            new ZoneId(proxy.zone()),
+            proxy.usualOps(),
+            true,
+            router.named().stream().map(TaskId::new).toList()),
+        24 * 3600 * Tenths.SECOND,
+        this,
+        agenda.now());
+  }
+
+  void told(Core core, Update update, String key) {
+    String value =
+        update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
+    Follower.Step step =
+        follower.update(
+            key,
+            value,
+            value != null && key.equals("commit") ? Commits.read(update.value()) : null);
+    if (step instanceof Follower.Step.Resync resync) {
+      throw new IllegalStateException(
+          proxy.name() + " lost a message where none can be: " + resync.cause());
+    }
+    if (step instanceof Follower.Step.Message message) {
+      router.apply(message);
+      fleet.changed(message.changes().keySet().stream().filter(k -> k.startsWith("line/")).count());
+      boolean empty = router.weights(new TypeIndex(0)).isEmpty();
+      if (empty != bareSince >= 0) {
+        bare += empty ? 0 : (double) (agenda.now() - bareSince) / Tenths.SECOND;
+        bareSince = empty ? agenda.now() : -1;
+      }
+      if (message.mark() >= 0) {
+        core.answered(
+            proxy.name(), message.origin(), message.mark(), fleet.away(), this, agenda.now());
+      }
     }
+  }
 
-    @Override public void end(String cause) {
-        throw new IllegalStateException(proxy.name() + " was cut off: " + cause);
+  /** Hands over what it met since it last did. */
+  void report(java.util.function.BiConsumer<List<Reports.Met>, List<Reports.Came>> to) {
+    List<Reports.Met> met = new ArrayList<>();
+    for (Tally.Met m : tally.met()) {
+      long good = m.tries() - m.bad();
+      Tally.Load l = m.load();
+      met.add(
+          new Reports.Met(
+              new TaskId(m.task()),
+              m.tries(),
+              m.bad(),
+              good == 0 ? 0 : m.goodTime() / good,
+              l == null
+                  ? LoadReport.NONE
+                  : new LoadReport(
+                      l.busy(), l.waiting(), l.inHand(), l.workMs(), l.opsPerSecond())));
+    }
+    List<Reports.Came> came = new ArrayList<>();
+    for (int k = 0; k < fleet.types(); k++) {
+      came.add(
+          new Reports.Came(
+              new OpTypeId(k), tally.ops(new TypeIndex(k)), tally.unansweredOps(new TypeIndex(k))));
     }
+    tally.clear(agenda.now());
+    to.accept(met, came);
+  }
 
-    // ---- Its assigner.
+  // ---- Ops.
 
-    void join(Core core) {
-        core.hello(proxy.name(), new Hello("life", 1, new ZoneId(proxy.zone()), proxy.usualOps(), true,
-                router.named().stream().map(TaskId::new).toList()), 24 * 3600 * Tenths.SECOND, this, agenda.now());
+  /** A client's op; all its tries count with the first. */
+  void ask(int k) {
+    new Op(k).come();
+  }
+
+  private final class Op {
+    private final TypeIndex type;
+    private final OpType settings;
+    private final long askedAt = agenda.now();
+    private final long until;
+    private int came;
+    private int life;
+    private int tries;
+    private boolean proven;
+    private long firstAt;
+    private TaskName open;
+    private long openSince;
+    private boolean done;
+
+    Op(int k) {
+      type = new TypeIndex(k);
+      settings = fleet.settings().opTypes().get(k);
+      until = askedAt + fleet.type(k).opTimeout();
+      fleet.asked(askedAt, settings.benefit());
+      // Whatever hangs somewhere then: the client has its answer, and the try counts as bad.
+      agenda.at(until, () -> over(false, false, false));
     }
 
-    void told(Core core, Update update, String key) {
-        String value = update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
-        Follower.Step step = follower.update(key, value, value != null && key.equals("commit") ? Commits.read(update.value()) : null);
-        if (step instanceof Follower.Step.Resync resync) {
-            throw new IllegalStateException(proxy.name() + " lost a message where none can be: " + resync.cause());
-        }
-        if (step instanceof Follower.Step.Message message) {
-            router.apply(message);
-            fleet.changed(message.changes().keySet().stream().filter(k -> k.startsWith("line/")).count());
-            boolean empty = router.weights(new TypeIndex(0)).isEmpty();
-            if (empty != bareSince >= 0) {
-                bare += empty ? 0 : (double) (agenda.now() - bareSince) / Tenths.SECOND;
-                bareSince = empty ? agenda.now() : -1;
-            }
-            if (message.mark() >= 0) {
-                core.answered(proxy.name(), message.origin(), message.mark(), fleet.away(), this, agenda.now());
-            }
-        }
+    void come() {
+      tally.came(type);
+      tries = 0;
+      proven = true;
+      if (router.admit(type, agenda.now())) {
+        send(null);
+      } else {
+        refused(true);
+      }
     }
 
-    /** Hands over what it met since it last did. */
-    void report(java.util.function.BiConsumer<List<Reports.Met>, List<Reports.Came>> to) {
-        List<Reports.Met> met = new ArrayList<>();
-        for (Tally.Met m : tally.met()) {
-            long good = m.tries() - m.bad();
-            Tally.Load l = m.load();
-            met.add(new Reports.Met(new TaskId(m.task()), m.tries(), m.bad(), good == 0 ? 0 : m.goodTime() / good, l == null
-                    ? LoadReport.NONE : new LoadReport(l.busy(), l.waiting(), l.inHand(), l.workMs(), l.opsPerSecond())));
-        }
-        List<Reports.Came> came = new ArrayList<>();
-        for (int k = 0; k < fleet.types(); k++) {
-            came.add(new Reports.Came(new OpTypeId(k), tally.ops(new TypeIndex(k)), tally.unansweredOps(new TypeIndex(k))));
-        }
-        tally.clear(agenda.now());
-        to.accept(met, came);
+    private void refused(boolean byLevel) {
+      if (!byLevel) {
+        tally.unanswered(type);
+      }
+      boolean may = settings.repeat() == OpType.Repeat.RETRYABLE || proven;
+      if (may && came < AGAIN_MOST && until - agenda.now() > AGAIN_AFTER + AGAIN_LEAST) {
+        came++;
+        int mine = ++life;
+        agenda.in(
+            AGAIN_AFTER,
+            () -> {
+              if (mine == life) {
+                come();
+              }
+            });
+      } else {
+        over(false, byLevel, true);
+      }
     }
 
-    // ---- Ops.
+    private void send(TaskName not) {
+      TaskName task = router.pick(type, not, agenda.now());
+      if (task == null) {
+        refused(false);
+        return;
+      }
+      int mine = ++life;
+      tries++;
+      long began = agenda.now();
+      firstAt = proven ? began : firstAt;
+      VirtualTask to = fleet.task(task.name());
+      boolean crosses = to != null && to.zone() != proxy.zone();
+      boolean connects = connected.getOrDefault(task.name(), Long.MIN_VALUE / 2) < began - IDLE;
+      connected.put(task.name(), began);
+      fleet.tried(crosses, connects);
+      long way = crosses ? FAR : NEAR;
+      open = task;
+      openSince = began;
+      if (to == null || !to.up()) {
+        connected.remove(task.name()); // its process is gone: the connection is refused at once
+        agenda.in(2 * way, () -> ended(mine, task, began, false, false, null));
+        return;
+      }
+      agenda.in(
+          connects ? 3 * way : way,
+          () ->
+              to.take(
+                  fleet.type(type.index()).work(),
+                  until,
+                  connects,
+                  (good, ran, load) ->
+                      agenda.in(way, () -> ended(mine, task, began, good, ran, load))));
+    }
 
-    /** A client's op; all its tries count with the first. */
-    void ask(int k) {
-        new Op(k).come();
+    private void ended(
+        int mine, TaskName task, long began, boolean good, boolean ran, Tally.Load load) {
+      if (mine != life) {
+        return; // nobody waits for it any more
+      }
+      long now = agenda.now();
+      open = null;
+      router.ended(task, good, now);
+      tally.met(task, good, now - began, load);
+      if (good) {
+        over(true, false, true);
+        return;
+      }
+      proven &= !ran;
+      if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
+        send(task);
+      } else {
+        refused(false);
+      }
     }
 
-    private final class Op {
-        private final TypeIndex type;
-        private final OpType settings;
-        private final long askedAt = agenda.now();
-        private final long until;
-        private int came;
-        private int life;
-        private int tries;
-        private boolean proven;
-        private long firstAt;
-        private TaskName open;
-        private long openSince;
-        private boolean done;
-
-        Op(int k) {
-            type = new TypeIndex(k);
-            settings = fleet.settings().opTypes().get(k);
-            until = askedAt + fleet.type(k).opTimeout();
-            fleet.asked(askedAt, settings.benefit());
-            // Whatever hangs somewhere then: the client has its answer, and the try counts as bad.
-            agenda.at(until, () -> over(false, false, false));
-        }
-
-        void come() {
-            tally.came(type);
-            tries = 0;
-            proven = true;
-            if (router.admit(type, agenda.now())) {
-                send(null);
-            } else {
-                refused(true);
-            }
-        }
-
-        private void refused(boolean byLevel) {
-            if (!byLevel) {
-                tally.unanswered(type);
-            }
-            boolean may = settings.repeat() == OpType.Repeat.RETRYABLE || proven;
-            if (may && came < AGAIN_MOST && until - agenda.now() > AGAIN_AFTER + AGAIN_LEAST) {
-                came++;
-                int mine = ++life;
-                agenda.in(AGAIN_AFTER, () -> {
-                    if (mine == life) {
-                        come();
-                    }
-                });
-            } else {
-                over(false, byLevel, true);
-            }
-        }
-
-        private void send(TaskName not) {
-            TaskName task = router.pick(type, not, agenda.now());
-            if (task == null) {
-                refused(false);
-                return;
-            }
-            int mine = ++life;
-            tries++;
-            long began = agenda.now();
-            firstAt = proven ? began : firstAt;
-            VirtualTask to = fleet.task(task.name());
-            boolean crosses = to != null && to.zone() != proxy.zone();
-            boolean connects = connected.getOrDefault(task.name(), Long.MIN_VALUE / 2) < began - IDLE;
-            connected.put(task.name(), began);
-            fleet.tried(crosses, connects);
-            long way = crosses ? FAR : NEAR;
-            open = task;
-            openSince = began;
-            if (to == null || !to.up()) {
-                connected.remove(task.name()); // its process is gone: the connection is refused at once
-                agenda.in(2 * way, () -> ended(mine, task, began, false, false, null));
-                return;
-            }
-            agenda.in(connects ? 3 * way : way, () -> to.take(fleet.type(type.index()).work(), until, connects,
-                    (good, ran, load) -> agenda.in(way, () -> ended(mine, task, began, good, ran, load))));
-        }
-
-        private void ended(int mine, TaskName task, long began, boolean good, boolean ran, Tally.Load load) {
-            if (mine != life) {
-                return; // nobody waits for it any more
-            }
-            long now = agenda.now();
-            open = null;
-            router.ended(task, good, now);
-            tally.met(task, good, now - began, load);
-            if (good) {
-                over(true, false, true);
-                return;
-            }
-            proven &= !ran;
-            if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
-                send(task);
-            } else {
-                refused(false);
-            }
-        }
-
-        private void over(boolean good, boolean rejected, boolean answered) {
-            if (done) {
-                return;
-            }
-            done = true;
-            life++;
-            long now = agenda.now();
-            if (open != null) {
-                router.ended(open, false, now);
-                tally.met(open, false, now - openSince, null);
-                tally.unanswered(type);
-            }
-            boolean inTime = good && now - askedAt <= settings.targetLatency();
-            fleet.over(askedAt, inTime ? settings.benefit() : 0, rejected, !answered);
-        }
+    private void over(boolean good, boolean rejected, boolean answered) {
+      if (done) {
+        return;
+      }
+      done = true;
+      life++;
+      long now = agenda.now();
+      if (open != null) {
+        router.ended(open, false, now);
+        tally.met(open, false, now - openSince, null);
+        tally.unanswered(type);
+      }
+      boolean inTime = good && now - askedAt <= settings.targetLatency();
+      fleet.over(askedAt, inTime ? settings.benefit() : 0, rejected, !answered);
     }
+  }
 }
--- a/src/main/java/stonespring/line/LineFault.java
+++ b/src/main/java/stonespring/line/LineFault.java
@@ -2,9 +2,9 @@
 
 /** A peer's bytes are no line: nothing that follows on its connection has a meaning. */
 public final class LineFault extends RuntimeException {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    public LineFault(String message) {
-        super(message, null, false, false);
-    }
+  public LineFault(String message) {
+    super(message, null, false, false);
+  }
 }
--- a/src/main/java/stonespring/model/MarkId.java
+++ b/src/main/java/stonespring/model/MarkId.java
@@ -1,5 +1,4 @@
 package stonespring.model;
 
 /** The number that proxies' answers carry back. */
-public record MarkId(int number) {
-}
+public record MarkId(int number) {}
--- a/src/main/java/stonespring/model/OpTypeId.java
+++ b/src/main/java/stonespring/model/OpTypeId.java
@@ -1,5 +1,4 @@
 package stonespring.model;
 
 /** An op type, by its position in the settings. */
-public record OpTypeId(int index) {
-}
+public record OpTypeId(int index) {}
--- a/src/main/java/stonespring/model/PeerId.java
+++ b/src/main/java/stonespring/model/PeerId.java
@@ -1,5 +1,4 @@
 package stonespring.model;
 
 /** Another assigner's number; -1 stands for every peer. */
-public record PeerId(int number) {
-}
+public record PeerId(int number) {}
--- a/src/main/java/stonespring/model/ProxyId.java
+++ b/src/main/java/stonespring/model/ProxyId.java
@@ -1,5 +1,4 @@
 package stonespring.model;
 
 /** A proxy's number at this assigner. */
-public record ProxyId(int number) {
-}
+public record ProxyId(int number) {}
--- a/src/main/java/stonespring/model/TaskId.java
+++ b/src/main/java/stonespring/model/TaskId.java
@@ -1,5 +1,4 @@
 package stonespring.model;
 
 /** A task as the list names it; told back unaltered. */
-public record TaskId(String name) {
-}
+public record TaskId(String name) {}
--- a/src/main/java/stonespring/model/TimerToken.java
+++ b/src/main/java/stonespring/model/TimerToken.java
@@ -1,5 +1,4 @@
 package stonespring.model;
 
 /** What an assigner gives a timer to know it again. */
-public record TimerToken(long value) {
-}
+public record TimerToken(long value) {}
--- a/src/main/java/stonespring/model/ZoneId.java
+++ b/src/main/java/stonespring/model/ZoneId.java
@@ -1,5 +1,4 @@
 package stonespring.model;
 
 /** A zone, by its position in the settings. */
-public record ZoneId(int index) {
-}
+public record ZoneId(int index) {}
--- a/src/main/java/stonespring/proxy/Commits.java
+++ b/src/main/java/stonespring/proxy/Commits.java
@@ -7,19 +7,21 @@
 
 /** Reads the key that commits a message. */
 public final class Commits {
-    private static final ObjectMapper JSON = new ObjectMapper();
+  private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Commits() {
-    }
+  private Commits() {}
 
-    /** What can't be read is out of any count: the snapshot is asked anew. */
-    public static Follower.Commit read(byte[] value) {
-        try {
-            JsonNode node = JSON.readTree(value);
-            return new Follower.Commit(node.path("origin").asText(), node.path("at").asInt(-1), node.path("keys").asInt(-1),
-                    node.path("mark").asInt(-1));
-        } catch (IOException e) {
-            return new Follower.Commit("", -1, -1, -1);
-        }
+  /** What can't be read is out of any count: the snapshot is asked anew. */
+  public static Follower.Commit read(byte[] value) {
+    try {
+      JsonNode node = JSON.readTree(value);
+      return new Follower.Commit(
+          node.path("origin").asText(),
+          node.path("at").asInt(-1),
+          node.path("keys").asInt(-1),
+          node.path("mark").asInt(-1));
+    } catch (IOException e) {
+      return new Follower.Commit("", -1, -1, -1);
     }
+  }
 }
