--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -17,208 +17,233 @@
 import stonespring.proxy.routing.TypeIndex;
 
 /**
- * A plain proxy: it takes ops by HTTP ({@code POST /op/TYPE}, the op's id in {@code x-op}), sends them to tasks as its
- * tables say, and answers. What it gives up on is answered at once, with {@code retry-after} and, where the op
- * certainly did not run, {@code x-not-run: 1}. All of it lives on one event loop.
+ * A plain proxy: it takes ops by HTTP ({@code POST /op/TYPE}, the op's id in {@code x-op}), sends
+ * them to tasks as its tables say, and answers. What it gives up on is answered at once, with
+ * {@code retry-after} and, where the op certainly did not run, {@code x-not-run: 1}. All of it
+ * lives on one event loop.
  */
 public final class Proxy {
-    public static final String NOT_RUN = "x-not-run"; // a header; the op was refused before it was read
-    private static final int CONNECT_MILLIS = 250; // ms; a task that accepts does so in a few
-    private static final int BODY_MOST = 64 << 10; // bytes of an op or its answer
-    private static final int IDLE_MOST = 8; // connections kept open to one task
-    private static final int IN_HAND_MOST = 5_000; // ops; above it an op is answered as not done at once
-
-    private static final long CATCH_UP_MILLIS = 100; // ms; what waits in the socket is read and applied by then
-
-    private final ProxySettings set;
-    private final EventLoop loop;
-    private final Router router;
-    private final Tally tally;
-    private final AssignerLink link;
-    private final HttpClient client;
-    private final HttpServer server;
-    private final TreeSet<String> connected = new TreeSet<>();
-    private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-    private int inHand;
-    private boolean still;
-
-    public Proxy(ProxySettings settings, EventLoop loop) {
-        this.set = settings;
-        this.loop = loop;
-        this.router = new Router(settings.router(), settings.seed());
-        this.router.standing(settings.standing());
-        this.tally = new Tally(settings.router().types().size(), 0);
-        this.link = new AssignerLink(settings, loop, router, tally);
-        this.client = new HttpClient(loop, CONNECT_MILLIS, BODY_MOST, IDLE_MOST);
-        this.server = new HttpServer((request, exchange) -> loop.execute(() -> take(request, exchange)), BODY_MOST);
-    }
+  public static final String NOT_RUN =
+      "x-not-run"; // a header; the op was refused before it was read
+  private static final int CONNECT_MILLIS = 250; // ms; a task that accepts does so in a few
+  private static final int BODY_MOST = 64 << 10; // bytes of an op or its answer
+  private static final int IDLE_MOST = 8; // connections kept open to one task
+  private static final int IN_HAND_MOST =
+      5_000; // ops; above it an op is answered as not done at once
+
+  private static final long CATCH_UP_MILLIS =
+      100; // ms; what waits in the socket is read and applied by then
+
+  private final ProxySettings set;
+  private final EventLoop loop;
+  private final Router router;
+  private final Tally tally;
+  private final AssignerLink link;
+  private final HttpClient client;
+  private final HttpServer server;
+  private final TreeSet<String> connected = new TreeSet<>();
+  private final ArrayDeque<Runnable> held = new ArrayDeque<>();
+  private int inHand;
+  private boolean still;
+
+  public Proxy(ProxySettings settings, EventLoop loop) {
+    this.set = settings;
+    this.loop = loop;
+    this.router = new Router(settings.router(), settings.seed());
+    this.router.standing(settings.standing());
+    this.tally = new Tally(settings.router().types().size(), 0);
+    this.link = new AssignerLink(settings, loop, router, tally);
+    this.client = new HttpClient(loop, CONNECT_MILLIS, BODY_MOST, IDLE_MOST);
+    this.server =
+        new HttpServer(
+            (request, exchange) -> loop.execute(() -> take(request, exchange)), BODY_MOST);
+  }
+
+  /** Listens and dials its assigner; port 0 takes a free one. */
+  public Proxy start(EventLoopGroup loops, int port) throws IOException, InterruptedException {
+    server.start(loops, "127.0.0.1", port);
+    loop.execute(link::start);
+    loop.scheduleAtFixedRate(this::closeUnused, 1, 1, TimeUnit.SECONDS);
+    return this;
+  }
+
+  public int port() {
+    return server.port();
+  }
+
+  /** Messages of its assigner applied so far; from any thread, a moment old. */
+  public long applied() {
+    return link.applied();
+  }
+
+  /**
+   * Stands still, or goes on: nothing is read from its assigner, no op is taken up. When it goes on
+   * it reads what was ordered meanwhile before it sends the first op: its tables are as old as its
+   * halt was long.
+   */
+  public void standStill(boolean on) {
+    loop.execute(
+        () -> {
+          link.reading(!on);
+          if (on) {
+            still = true;
+          } else {
+            loop.schedule(this::goOn, CATCH_UP_MILLIS, TimeUnit.MILLISECONDS);
+          }
+        });
+  }
 
-    /** Listens and dials its assigner; port 0 takes a free one. */
-    public Proxy start(EventLoopGroup loops, int port) throws IOException, InterruptedException {
-        server.start(loops, "127.0.0.1", port);
-        loop.execute(link::start);
-        loop.scheduleAtFixedRate(this::closeUnused, 1, 1, TimeUnit.SECONDS);
-        return this;
+  private void goOn() {
+    still = false;
+    while (!still && !held.isEmpty()) {
+      held.poll().run();
     }
-
-    public int port() {
-        return server.port();
+  }
+
+  /** Ends it at once; what it held has no answer. Waits until its port is free. */
+  public void stop() throws InterruptedException {
+    server.stop().await();
+    loop.execute(
+        () -> {
+          link.stop();
+          client.close();
+        });
+  }
+
+  private void closeUnused() {
+    TreeSet<String> named = router.named();
+    for (String task : new TreeSet<>(connected)) {
+      if (!named.contains(task)) {
+        connected.remove(task);
+        client.forget(ProxySettings.address(new TaskName(task)));
+      }
     }
+  }
 
-    /** Messages of its assigner applied so far; from any thread, a moment old. */
-    public long applied() {
-        return link.applied();
+  private void take(HttpMessage request, HttpServer.Exchange exchange) {
+    int k = -1;
+    for (int i = 0; i < set.router().types().size(); i++) {
+      k = request.second().equals("/op/" + set.router().types().get(i).name()) ? i : k;
     }
-
-    /**
-     * Stands still, or goes on: nothing is read from its assigner, no op is taken up. When it goes on it reads what
-     * was ordered meanwhile before it sends the first op: its tables are as old as its halt was long.
-     */
-    public void standStill(boolean on) {
-        loop.execute(() -> {
-            link.reading(!on);
-            if (on) {
-                still = true;
-            } else {
-                loop.schedule(this::goOn, CATCH_UP_MILLIS, TimeUnit.MILLISECONDS);
-            }
-        });
+    if (k < 0 || !request.first().equals("POST") || request.header("x-op").isEmpty()) {
+      exchange.answer(HttpMessage.answer(404, "POST /op/TYPE with header x-op\n"));
+      return;
     }
-
-    private void goOn() {
-        still = false;
-        while (!still && !held.isEmpty()) {
-            held.poll().run();
-        }
+    Op op = new Op(new TypeIndex(k), request, exchange);
+    if (!still) {
+      op.start();
+    } else if (held.size() < IN_HAND_MOST) {
+      held.add(op::start);
+    } else {
+      exchange.answer(refusal(503, "full"));
+    }
+  }
+
+  private static HttpMessage refusal(int status, String why) {
+    return HttpMessage.answer(status, why + "\n")
+        .with("retry-after", "1")
+        .with(NOT_RUN, "1")
+        .with("x-reason", why);
+  }
+
+  /** One op on its way. */
+  private final class Op {
+    private final TypeIndex type;
+    private final HttpMessage request;
+    private final HttpServer.Exchange exchange;
+    private final long until;
+    private int tries;
+    private boolean proven = true;
+    private long firstAt;
+
+    Op(TypeIndex type, HttpMessage request, HttpServer.Exchange exchange) {
+      this.type = type;
+      this.request = request;
+      this.exchange = exchange;
+      String asked = request.header("x-op-timeout-ms");
+      long most = set.opTimeouts().get(type.index());
+      long millis = asked.matches("[0-9]{1,7}") ? Math.min(most, Long.parseLong(asked)) : most;
+      this.until = link.now() + millis * 10;
     }
 
-    /** Ends it at once; what it held has no answer. Waits until its port is free. */
-    public void stop() throws InterruptedException {
-        server.stop().await();
-        loop.execute(() -> {
-            link.stop();
-            client.close();
-        });
+    void start() {
+      tally.came(type);
+      if (link.now() >= until) {
+        exchange.answer(refusal(504, "timeout")); // it waited here for longer than its client does
+      } else if (inHand >= IN_HAND_MOST) {
+        exchange.answer(refusal(503, "full"));
+      } else if (!router.admit(type, link.now())) {
+        exchange.answer(refusal(429, "level"));
+      } else {
+        inHand++;
+        send(null);
+      }
     }
 
-    private void closeUnused() {
-        TreeSet<String> named = router.named();
-        for (String task : new TreeSet<>(connected)) {
-            if (!named.contains(task)) {
-                connected.remove(task);
-                client.forget(ProxySettings.address(new TaskName(task)));
-            }
-        }
+    private void send(TaskName not) {
+      TaskName task = router.pick(type, not, link.now());
+      if (task == null) {
+        finish(not == null ? refusal(503, "no-task") : failed(503, "failed"));
+        return;
+      }
+      long began = link.now();
+      tries++;
+      firstAt = proven ? began : firstAt;
+      connected.add(task.name());
+      InetSocketAddress to = ProxySettings.address(task);
+      long left = Math.max(1, (until - began) / 10);
+      HttpMessage call =
+          new HttpMessage("POST", request.second(), new java.util.LinkedHashMap<>(), request.body())
+              .with("host", to.getHostString() + ":" + to.getPort())
+              .with("x-op", request.header("x-op"))
+              .with("x-proxy", set.name())
+              .with("x-zone", set.zone())
+              .with("x-try", String.valueOf(tries))
+              .with("x-op-timeout-ms", String.valueOf(left));
+      client.call(to, call, left, (answer, failure) -> ended(task, began, answer, failure));
     }
 
-    private void take(HttpMessage request, HttpServer.Exchange exchange) {
-        int k = -1;
-        for (int i = 0; i < set.router().types().size(); i++) {
-            k = request.second().equals("/op/" + set.router().types().get(i).name()) ? i : k;
-        }
-        if (k < 0 || !request.first().equals("POST") || request.header("x-op").isEmpty()) {
-            exchange.answer(HttpMessage.answer(404, "POST /op/TYPE with header x-op\n"));
-            return;
-        }
-        Op op = new Op(new TypeIndex(k), request, exchange);
-        if (!still) {
-            op.start();
-        } else if (held.size() < IN_HAND_MOST) {
-            held.add(op::start);
-        } else {
-            exchange.answer(refusal(503, "full"));
-        }
+    private void ended(TaskName task, long began, HttpMessage answer, HttpClient.Failure failure) {
+      long now = link.now();
+      Ending ending =
+          answer != null
+              ? Ending.answered(answer.status(), answer.header(NOT_RUN).equals("1"))
+              : Ending.valueOf(failure.name());
+      boolean good = ending == Ending.GOOD;
+      router.ended(task, good, now);
+      tally.met(
+          task,
+          good,
+          now - began,
+          answer == null ? null : LoadHeader.read(answer.header(LoadHeader.NAME)));
+      if (good) {
+        finish(HttpMessage.answer(200, answer.text()));
+        return;
+      }
+      proven &= ending.neverRan();
+      if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
+        send(task);
+      } else {
+        finish(
+            failure == HttpClient.Failure.TIMED_OUT
+                ? failed(504, "timeout")
+                : failed(503, "failed"));
+      }
     }
 
-    private static HttpMessage refusal(int status, String why) {
-        return HttpMessage.answer(status, why + "\n").with("retry-after", "1").with(NOT_RUN, "1").with("x-reason", why);
+    private HttpMessage failed(int status, String why) {
+      if (proven) {
+        return refusal(status, why);
+      }
+      return HttpMessage.answer(status, why + "\n").with("retry-after", "1").with("x-reason", why);
     }
 
-    /** One op on its way. */
-    private final class Op {
-        private final TypeIndex type;
-        private final HttpMessage request;
-        private final HttpServer.Exchange exchange;
-        private final long until;
-        private int tries;
-        private boolean proven = true;
-        private long firstAt;
-
-        Op(TypeIndex type, HttpMessage request, HttpServer.Exchange exchange) {
-            this.type = type;
-            this.request = request;
-            this.exchange = exchange;
-            String asked = request.header("x-op-timeout-ms");
-            long most = set.opTimeouts().get(type.index());
-            long millis = asked.matches("[0-9]{1,7}") ? Math.min(most, Long.parseLong(asked)) : most;
-            this.until = link.now() + millis * 10;
-        }
-
-        void start() {
-            tally.came(type);
-            if (link.now() >= until) {
-                exchange.answer(refusal(504, "timeout")); // it waited here for longer than its client does
-            } else if (inHand >= IN_HAND_MOST) {
-                exchange.answer(refusal(503, "full"));
-            } else if (!router.admit(type, link.now())) {
-                exchange.answer(refusal(429, "level"));
-            } else {
-                inHand++;
-                send(null);
-            }
-        }
-
-        private void send(TaskName not) {
-            TaskName task = router.pick(type, not, link.now());
-            if (task == null) {
-                finish(not == null ? refusal(503, "no-task") : failed(503, "failed"));
-                return;
-            }
-            long began = link.now();
-            tries++;
-            firstAt = proven ? began : firstAt;
-            connected.add(task.name());
-            InetSocketAddress to = ProxySettings.address(task);
-            long left = Math.max(1, (until - began) / 10);
-            HttpMessage call = new HttpMessage("POST", request.second(), new java.util.LinkedHashMap<>(), request.body())
-                    .with("host", to.getHostString() + ":" + to.getPort()).with("x-op", request.header("x-op"))
-                    .with("x-proxy", set.name()).with("x-zone", set.zone()).with("x-try", String.valueOf(tries))
-                    .with("x-op-timeout-ms", String.valueOf(left));
-            client.call(to, call, left, (answer, failure) -> ended(task, began, answer, failure));
-        }
-
-        private void ended(TaskName task, long began, HttpMessage answer, HttpClient.Failure failure) {
-            long now = link.now();
-            Ending ending = answer != null ? Ending.answered(answer.status(), answer.header(NOT_RUN).equals("1"))
-                    : Ending.valueOf(failure.name());
-            boolean good = ending == Ending.GOOD;
-            router.ended(task, good, now);
-            tally.met(task, good, now - began, answer == null ? null : LoadHeader.read(answer.header(LoadHeader.NAME)));
-            if (good) {
-                finish(HttpMessage.answer(200, answer.text()));
-                return;
-            }
-            proven &= ending.neverRan();
-            if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
-                send(task);
-            } else {
-                finish(failure == HttpClient.Failure.TIMED_OUT ? failed(504, "timeout") : failed(503, "failed"));
-            }
-        }
-
-        private HttpMessage failed(int status, String why) {
-            if (proven) {
-                return refusal(status, why);
-            }
-            return HttpMessage.answer(status, why + "\n").with("retry-after", "1").with("x-reason", why);
-        }
-
-        private void finish(HttpMessage answer) {
-            inHand--;
-            if (answer.status() != 200) {
-                tally.unanswered(type);
-            }
-            exchange.answer(answer);
-        }
+    private void finish(HttpMessage answer) {
+      inHand--;
+      if (answer.status() != 200) {
+        tally.unanswered(type);
+      }
+      exchange.answer(answer);
     }
+  }
 }
--- a/src/main/java/stonespring/proxy/routing/Repeat.java
+++ b/src/main/java/stonespring/proxy/routing/Repeat.java
@@ -1,4 +1,8 @@
 package stonespring.proxy.routing;
 
 /** Whether an op may run again. */
-public enum Repeat { RETRYABLE, DEDUPLICATED, ONCE_ONLY }
+public enum Repeat {
+  RETRYABLE,
+  DEDUPLICATED,
+  ONCE_ONLY
+}
--- a/src/main/java/stonespring/state/Hello.java
+++ b/src/main/java/stonespring/state/Hello.java
@@ -13,5 +13,10 @@
  * @param fresh it holds only the table that it started with
  * @param holds the tasks that its tables name; null where it does not say
  */
-public record Hello(String life, long stream, ZoneId zone, double opsPerSecond, boolean fresh, List<TaskId> holds) {
-}
+public record Hello(
+    String life,
+    long stream,
+    ZoneId zone,
+    double opsPerSecond,
+    boolean fresh,
+    List<TaskId> holds) {}
--- a/src/main/java/stonespring/state/KeyTree.java
+++ b/src/main/java/stonespring/state/KeyTree.java
@@ -7,67 +7,71 @@
 import java.util.TreeMap;
 
 /**
- * The published keys with their sequences: what a snapshot shows and updates change. Sequences rise strictly. Not safe
- * for several threads.
+ * The published keys with their sequences: what a snapshot shows and updates change. Sequences rise
+ * strictly. Not safe for several threads.
  */
 public final class KeyTree {
-    private record Held(byte[] value, long sequence) {
-    }
+  private record Held(byte[] value, long sequence) {}
 
-    private static final byte[] NONE = new byte[0];
+  private static final byte[] NONE = new byte[0];
 
-    private final TreeMap<String, Held> keys = new TreeMap<>();
-    private final int keysMost;
-    private long sequence;
+  private final TreeMap<String, Held> keys = new TreeMap<>();
+  private final int keysMost;
+  private long sequence;
 
-    /** @param sequence the highest that an earlier run may have given out; @param keysMost the bound on keys */
-    public KeyTree(long sequence, int keysMost) {
-        this.sequence = sequence;
-        this.keysMost = keysMost;
-    }
+  /**
+   * @param sequence the highest that an earlier run may have given out; @param keysMost the bound
+   *     on keys
+   */
+  public KeyTree(long sequence, int keysMost) {
+    this.sequence = sequence;
+    this.keysMost = keysMost;
+  }
 
-    /** Sets a key; null where there is no room for one key more: then nothing changes. */
-    public Update put(String key, byte[] value) {
-        if (value.length == 0) {
-            return delete(key);
-        }
-        if (!keys.containsKey(key) && keys.size() >= keysMost) {
-            return null;
-        }
-        keys.put(key, new Held(value, ++sequence));
-        return new Update(key, sequence, value);
+  /** Sets a key; null where there is no room for one key more: then nothing changes. */
+  public Update put(String key, byte[] value) {
+    if (value.length == 0) {
+      return delete(key);
     }
-
-    /** Deletes a key; the update tells so also where the key did not stand. */
-    public Update delete(String key) {
-        keys.remove(key);
-        return new Update(key, ++sequence, NONE);
+    if (!keys.containsKey(key) && keys.size() >= keysMost) {
+      return null;
     }
+    keys.put(key, new Held(value, ++sequence));
+    return new Update(key, sequence, value);
+  }
 
-    /** Drops a subtree without a word: for keys that nobody follows any more. */
-    public void forget(String subtree) {
-        under(subtree).clear();
-    }
+  /** Deletes a key; the update tells so also where the key did not stand. */
+  public Update delete(String key) {
+    keys.remove(key);
+    return new Update(key, ++sequence, NONE);
+  }
 
-    /** The keys of a subtree as they stand, by name. */
-    public List<Update> snapshot(String subtree) {
-        List<Update> all = new ArrayList<>();
-        for (Map.Entry<String, Held> entry : under(subtree).entrySet()) {
-            all.add(new Update(entry.getKey(), entry.getValue().sequence, entry.getValue().value));
-        }
-        return all;
-    }
+  /** Drops a subtree without a word: for keys that nobody follows any more. */
+  public void forget(String subtree) {
+    under(subtree).clear();
+  }
 
-    private NavigableMap<String, Held> under(String subtree) {
-        return subtree.isEmpty() ? keys : keys.subMap(subtree, true, subtree + Character.MAX_VALUE, false);
+  /** The keys of a subtree as they stand, by name. */
+  public List<Update> snapshot(String subtree) {
+    List<Update> all = new ArrayList<>();
+    for (Map.Entry<String, Held> entry : under(subtree).entrySet()) {
+      all.add(new Update(entry.getKey(), entry.getValue().sequence, entry.getValue().value));
     }
+    return all;
+  }
 
-    public boolean has(String key) {
-        return keys.containsKey(key);
-    }
+  private NavigableMap<String, Held> under(String subtree) {
+    return subtree.isEmpty()
+        ? keys
+        : keys.subMap(subtree, true, subtree + Character.MAX_VALUE, false);
+  }
 
-    /** The highest sequence given out. */
-    public long sequence() {
-        return sequence;
-    }
+  public boolean has(String key) {
+    return keys.containsKey(key);
+  }
+
+  /** The highest sequence given out. */
+  public long sequence() {
+    return sequence;
+  }
 }
--- a/src/main/java/stonespring/zmtp/ZmtpLimits.java
+++ b/src/main/java/stonespring/zmtp/ZmtpLimits.java
@@ -1,8 +1,9 @@
 package stonespring.zmtp;
 
 /**
- * Bounds of one connection. What gives way: a frame, message or backlog over its bound, and a handshake that takes
- * longer, end the connection; a connection over {@code connections} at one listener is closed before its greeting.
+ * Bounds of one connection. What gives way: a frame, message or backlog over its bound, and a
+ * handshake that takes longer, end the connection; a connection over {@code connections} at one
+ * listener is closed before its greeting.
  *
  * @param frameBytes the longest frame taken
  * @param messageBytes the longest message taken, all frames together
@@ -12,7 +13,14 @@
  * @param handshakeMillis how long a handshake may take, milliseconds
  * @param connections the most connections at one listener
  */
-public record ZmtpLimits(int frameBytes, int messageBytes, int frames, int pendingBytes, int subscriptions,
-                         long handshakeMillis, int connections) {
-    public static final ZmtpLimits USUAL = new ZmtpLimits(1 << 20, 2 << 20, 64, 8 << 20, 256, 10_000, 10_000);
+public record ZmtpLimits(
+    int frameBytes,
+    int messageBytes,
+    int frames,
+    int pendingBytes,
+    int subscriptions,
+    long handshakeMillis,
+    int connections) {
+  public static final ZmtpLimits USUAL =
+      new ZmtpLimits(1 << 20, 2 << 20, 64, 8 << 20, 256, 10_000, 10_000);
 }
--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -18,47 +18,74 @@
 
 /** Listening and dialling sockets with the NULL mechanism. */
 public final class ZmtpSockets {
-    private static final Logger LOG = LoggerFactory.getLogger(ZmtpSockets.class);
-    private static final int LISTEN_BACKLOG = 2048; // connections; a whole fleet redials within a second
-    private static final int CONNECT_MILLIS = 3_000; // ms; loopback and neighbouring data centres answer in a few
+  private static final Logger LOG = LoggerFactory.getLogger(ZmtpSockets.class);
+  private static final int LISTEN_BACKLOG =
+      2048; // connections; a whole fleet redials within a second
+  private static final int CONNECT_MILLIS =
+      3_000; // ms; loopback and neighbouring data centres answer in a few
 
-    private ZmtpSockets() {
-    }
+  private ZmtpSockets() {}
 
-    public static ChannelFuture listen(EventLoopGroup loops, SocketType own, SocketAddress address, ZmtpLimits limits,
-                                       ZmtpEvents events) {
-        AtomicInteger open = new AtomicInteger();
-        return new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override protected void initChannel(SocketChannel child) {
-                        if (open.incrementAndGet() > limits.connections()) {
-                            LOG.warn("zmtp {} peer {}: refused: over {} connections", own, child.remoteAddress(),
-                                    limits.connections());
-                            open.decrementAndGet();
-                            child.close();
-                            return;
-                        }
-                        child.closeFuture().addListener(f -> open.decrementAndGet());
-                        fill(child, new ZmtpPeer(own, true, limits, events), limits);
-                    }
-                }).bind(address);
-    }
+  public static ChannelFuture listen(
+      EventLoopGroup loops,
+      SocketType own,
+      SocketAddress address,
+      ZmtpLimits limits,
+      ZmtpEvents events) {
+    AtomicInteger open = new AtomicInteger();
+    return new ServerBootstrap()
+        .group(loops)
+        .channel(NioServerSocketChannel.class)
+        .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childHandler(
+            new ChannelInitializer<SocketChannel>() {
+              @Override
+              protected void initChannel(SocketChannel child) {
+                if (open.incrementAndGet() > limits.connections()) {
+                  LOG.warn(
+                      "zmtp {} peer {}: refused: over {} connections",
+                      own,
+                      child.remoteAddress(),
+                      limits.connections());
+                  open.decrementAndGet();
+                  child.close();
+                  return;
+                }
+                child.closeFuture().addListener(f -> open.decrementAndGet());
+                fill(child, new ZmtpPeer(own, true, limits, events), limits);
+              }
+            })
+        .bind(address);
+  }
 
-    public static ChannelFuture dial(EventLoopGroup loops, SocketType own, SocketAddress address, ZmtpLimits limits,
-                                     ZmtpEvents events) {
-        return new Bootstrap().group(loops).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override protected void initChannel(SocketChannel channel) {
-                        fill(channel, new ZmtpPeer(own, false, limits, events), limits);
-                    }
-                }).connect(address);
-    }
+  public static ChannelFuture dial(
+      EventLoopGroup loops,
+      SocketType own,
+      SocketAddress address,
+      ZmtpLimits limits,
+      ZmtpEvents events) {
+    return new Bootstrap()
+        .group(loops)
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+        .handler(
+            new ChannelInitializer<SocketChannel>() {
+              @Override
+              protected void initChannel(SocketChannel channel) {
+                fill(channel, new ZmtpPeer(own, false, limits, events), limits);
+              }
+            })
+        .connect(address);
+  }
 
-    private static void fill(Channel channel, ZmtpPeer peer, ZmtpLimits limits) {
-        channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(limits.pendingBytes() / 2, limits.pendingBytes()));
-        channel.pipeline().addLast(new ZmtpDecoder(limits), peer);
-    }
+  private static void fill(Channel channel, ZmtpPeer peer, ZmtpLimits limits) {
+    channel
+        .config()
+        .setWriteBufferWaterMark(
+            new WriteBufferWaterMark(limits.pendingBytes() / 2, limits.pendingBytes()));
+    channel.pipeline().addLast(new ZmtpDecoder(limits), peer);
+  }
 }
--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -11,43 +11,107 @@
 
 /** Packages have one job each and make no circles; what decides has no I/O, clock or thread. */
 final class ArchitectureTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("stonespring");
-    private static final String[] DECIDES = {"stonespring.decision..", "stonespring.proxy.routing..", "stonespring.solver.."};
-
-    private static void holds(ArchRule rule) {
-        rule.check(ALL);
-    }
-
-    @Test void packagesMakeNoCircles() {
-        holds(SlicesRuleDefinition.slices().matching("stonespring.(**)").should().beFreeOfCycles());
-    }
-
-    @Test void whatDecidesHasNoOutside() {
-        holds(noClasses().that().resideInAnyPackage(DECIDES).should().dependOnClassesThat()
-                .resideInAnyPackage("java.io..", "java.net..", "java.nio.file..", "java.nio.channels..", "java.util.concurrent..",
-                        "java.time..", "io.netty..", "org.slf4j..", "com.fasterxml..")
-                .orShould().dependOnClassesThat().haveFullyQualifiedName("java.util.Random")
-                .orShould().dependOnClassesThat().haveFullyQualifiedName("java.lang.Thread"));
-        holds(noClasses().that().resideInAnyPackage(DECIDES).should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis"));
-    }
-
-    @Test void transportKnowsNothingOfTables() {
-        holds(noClasses().that().resideInAnyPackage("stonespring.zmtp..", "stonespring.chp..", "stonespring.http..", "stonespring.line..")
-                .should().dependOnClassesThat().resideInAnyPackage("stonespring.state..", "stonespring.model..",
-                        "stonespring.decision..", "stonespring.front..", "stonespring.daemon.."));
-    }
-
-    @Test void stateKnowsNoFrontAndNoSocket() {
-        holds(noClasses().that().resideInAnyPackage("stonespring.state..").should().dependOnClassesThat()
-                .resideInAnyPackage("stonespring.front..", "stonespring.zmtp..", "stonespring.chp..", "io.netty.."));
-    }
-
-    @Test void theObserverSharesNoCodeWithWhatDecides() {
-        holds(noClasses().that().haveSimpleNameStartingWith("Observer").or().haveSimpleNameStartingWith("WireTap")
-                .or().haveSimpleNameStartingWith("Evidence").should().dependOnClassesThat().resideInAnyPackage(
-                        "stonespring.decision..", "stonespring.state..", "stonespring.proxy..", "stonespring.daemon..",
-                        "stonespring.zmtp..", "stonespring.chp.."));
-    }
+  private static final JavaClasses ALL =
+      new ClassFileImporter()
+          .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+          .importPackages("stonespring");
+  private static final String[] DECIDES = {
+    "stonespring.decision..", "stonespring.proxy.routing..", "stonespring.solver.."
+  };
+
+  private static void holds(ArchRule rule) {
+    rule.check(ALL);
+  }
+
+  @Test
+  void packagesMakeNoCircles() {
+    holds(SlicesRuleDefinition.slices().matching("stonespring.(**)").should().beFreeOfCycles());
+  }
+
+  @Test
+  void whatDecidesHasNoOutside() {
+    holds(
+        noClasses()
+            .that()
+            .resideInAnyPackage(DECIDES)
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                "java.io..",
+                "java.net..",
+                "java.nio.file..",
+                "java.nio.channels..",
+                "java.util.concurrent..",
+                "java.time..",
+                "io.netty..",
+                "org.slf4j..",
+                "com.fasterxml..")
+            .orShould()
+            .dependOnClassesThat()
+            .haveFullyQualifiedName("java.util.Random")
+            .orShould()
+            .dependOnClassesThat()
+            .haveFullyQualifiedName("java.lang.Thread"));
+    holds(
+        noClasses()
+            .that()
+            .resideInAnyPackage(DECIDES)
+            .should()
+            .callMethod(System.class, "nanoTime")
+            .orShould()
+            .callMethod(System.class, "currentTimeMillis"));
+  }
+
+  @Test
+  void transportKnowsNothingOfTables() {
+    holds(
+        noClasses()
+            .that()
+            .resideInAnyPackage(
+                "stonespring.zmtp..",
+                "stonespring.chp..",
+                "stonespring.http..",
+                "stonespring.line..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                "stonespring.state..",
+                "stonespring.model..",
+                "stonespring.decision..",
+                "stonespring.front..",
+                "stonespring.daemon.."));
+  }
+
+  @Test
+  void stateKnowsNoFrontAndNoSocket() {
+    holds(
+        noClasses()
+            .that()
+            .resideInAnyPackage("stonespring.state..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                "stonespring.front..", "stonespring.zmtp..", "stonespring.chp..", "io.netty.."));
+  }
+
+  @Test
+  void theObserverSharesNoCodeWithWhatDecides() {
+    holds(
+        noClasses()
+            .that()
+            .haveSimpleNameStartingWith("Observer")
+            .or()
+            .haveSimpleNameStartingWith("WireTap")
+            .or()
+            .haveSimpleNameStartingWith("Evidence")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                "stonespring.decision..",
+                "stonespring.state..",
+                "stonespring.proxy..",
+                "stonespring.daemon..",
+                "stonespring.zmtp..",
+                "stonespring.chp.."));
+  }
 }
--- a/src/test/java/stonespring/daemon/CoreTest.java
+++ b/src/test/java/stonespring/daemon/CoreTest.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.junit.jupiter.api.Test;
 import stonespring.decision.Assigner;
 import stonespring.front.Intake;
 import stonespring.model.Event;
@@ -38,352 +38,453 @@
 import stonespring.state.Reports;
 import stonespring.state.Update;
 
-/** A whole instance in virtual time, with proxies that follow what it publishes; rules are checked after every step. */
+/**
+ * A whole instance in virtual time, with proxies that follow what it publishes; rules are checked
+ * after every step.
+ */
 final class CoreTest {
-    private static final long SECOND = Tenths.SECOND;
-    private static final long STEP = 500; // 0.1 ms
-    private static final long GRACE = 3 * SECOND;
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final RouterSettings ROUTING = new RouterSettings(List.of(new RouterSettings.Type("view", Repeat.RETRYABLE, 0),
-            new RouterSettings.Type("extract", Repeat.ONCE_ONLY, 0)), 0, 0, 0, 0, RouterSettings.Picks.WEIGHTED,
-            RouterSettings.Levels.SHARE);
+  private static final long SECOND = Tenths.SECOND;
+  private static final long STEP = 500; // 0.1 ms
+  private static final long GRACE = 3 * SECOND;
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final RouterSettings ROUTING =
+      new RouterSettings(
+          List.of(
+              new RouterSettings.Type("view", Repeat.RETRYABLE, 0),
+              new RouterSettings.Type("extract", Repeat.ONCE_ONLY, 0)),
+          0,
+          0,
+          0,
+          0,
+          RouterSettings.Picks.WEIGHTED,
+          RouterSettings.Levels.SHARE);
 
-    /** A connection that notes why it was ended. */
-    private static final class Line implements Intake.Origin {
-        private String cause;
+  /** A connection that notes why it was ended. */
+  private static final class Line implements Intake.Origin {
+    private String cause;
 
-        @Override public void end(String why) {
-            cause = why;
-        }
+    @Override
+    public void end(String why) {
+      cause = why;
     }
+  }
 
-    private static final class Seat {
-        private final String name;
-        private final int zone;
-        private Line line;
-        private long stream;
-        private long joinedAt;
-        private Follower follower = new Follower();
-        private Router router;
-        private long emptySince = -1;
-        private final ArrayDeque<Long> messages = new ArrayDeque<>();
-        private String origin = "";
-        private final List<int[]> marks = new ArrayList<>();
+  private static final class Seat {
+    private final String name;
+    private final int zone;
+    private Line line;
+    private long stream;
+    private long joinedAt;
+    private Follower follower = new Follower();
+    private Router router;
+    private long emptySince = -1;
+    private final ArrayDeque<Long> messages = new ArrayDeque<>();
+    private String origin = "";
+    private final List<int[]> marks = new ArrayList<>();
 
-        Seat(String name, int zone) {
-            this.name = name;
-            this.zone = zone;
-        }
+    Seat(String name, int zone) {
+      this.name = name;
+      this.zone = zone;
     }
+  }
 
-    private SplittableRandom random = new SplittableRandom(1);
-    private final Settings settings = settings(2000, 30);
-    private final List<Seat> seats = new ArrayList<>();
-    private final TreeMap<String, Listing> list = new TreeMap<>();
-    private final Map<String, Long> leftAt = new LinkedHashMap<>();
-    private long now = 100 * SECOND;
-    private long lastSequence;
-    private Core core;
-    private int restarts;
-    private int resyncs;
-    private boolean advised;
+  private SplittableRandom random = new SplittableRandom(1);
+  private final Settings settings = settings(2000, 30);
+  private final List<Seat> seats = new ArrayList<>();
+  private final TreeMap<String, Listing> list = new TreeMap<>();
+  private final Map<String, Long> leftAt = new LinkedHashMap<>();
+  private long now = 100 * SECOND;
+  private long lastSequence;
+  private Core core;
+  private int restarts;
+  private int resyncs;
+  private boolean advised;
 
-    private static CoreTest run(long seed) {
-        CoreTest run = new CoreTest();
-        run.random = new SplittableRandom(seed);
-        return run;
-    }
+  private static CoreTest run(long seed) {
+    CoreTest run = new CoreTest();
+    run.random = new SplittableRandom(seed);
+    return run;
+  }
 
-    private static Settings settings(int backlog, int messages) {
-        return new Settings(1, 2, List.of(new OpType(OpType.Repeat.RETRYABLE, SECOND / 2, 3),
-                new OpType(OpType.Repeat.ONCE_ONLY, SECOND, 2)), false, Settings.LevelKind.SHARE, backlog, 10, messages, 10 * SECOND,
-                2000, 5 * SECOND, 3, 12, SECOND, false, 0.1, 10 * SECOND, 0.2, 3, 0.1, false, 3);
-    }
+  private static Settings settings(int backlog, int messages) {
+    return new Settings(
+        1,
+        2,
+        List.of(
+            new OpType(OpType.Repeat.RETRYABLE, SECOND / 2, 3),
+            new OpType(OpType.Repeat.ONCE_ONLY, SECOND, 2)),
+        false,
+        Settings.LevelKind.SHARE,
+        backlog,
+        10,
+        messages,
+        10 * SECOND,
+        2000,
+        5 * SECOND,
+        3,
+        12,
+        SECOND,
+        false,
+        0.1,
+        10 * SECOND,
+        0.2,
+        3,
+        0.1,
+        false,
+        3);
+  }
 
-    private void startCore() {
-        restarts++;
-        core = new Core(settings, List.of("view", "extract"), CoreLimits.USUAL, "e" + restarts, now << 20,
-                advised ? new Advised(new Assigner(settings, random.nextLong(), now), new Advisor(settings))
-                        : new Assigner(settings, random.nextLong(), now), new Outside() {
-                    @Override public void publish(List<Update> updates) {
-                        updates.forEach(CoreTest.this::published);
-                    }
+  private void startCore() {
+    restarts++;
+    core =
+        new Core(
+            settings,
+            List.of("view", "extract"),
+            CoreLimits.USUAL,
+            "e" + restarts,
+            now << 20,
+            advised
+                ? new Advised(new Assigner(settings, random.nextLong(), now), new Advisor(settings))
+                : new Assigner(settings, random.nextLong(), now),
+            new Outside() {
+              @Override
+              public void publish(List<Update> updates) {
+                updates.forEach(CoreTest.this::published);
+              }
 
-                    @Override public void followList(boolean on) {
-                    }
+              @Override
+              public void followList(boolean on) {}
 
-                    @Override public void fetchList() {
-                    }
-                }, now);
-        core.listTold(new Event.ListTold(Event.ListKind.LAST_SEEN, List.copyOf(list.values())), now);
-        for (Seat seat : seats) {
-            if (seat.line != null) {
-                seat.line = null;
-            }
-        }
+              @Override
+              public void fetchList() {}
+            },
+            now);
+    core.listTold(new Event.ListTold(Event.ListKind.LAST_SEEN, List.copyOf(list.values())), now);
+    for (Seat seat : seats) {
+      if (seat.line != null) {
+        seat.line = null;
+      }
     }
+  }
 
-    private void published(Update update) {
-        assertTrue(update.sequence() > lastSequence, "sequences rise strictly, over restarts too");
-        lastSequence = update.sequence();
-        for (Seat seat : seats) {
-            String subtree = "/proxy/" + seat.name + "/";
-            if (seat.line != null && update.key().startsWith(subtree)) {
-                String key = update.key().substring(subtree.length());
-                String value = update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
-                step(seat, seat.follower.update(key, value, value != null && key.equals("commit") ? commit(value) : null));
-            }
-        }
-        if (update.key().equals("/assigner/status")) {
-            JsonNode status = json(new String(update.value(), StandardCharsets.UTF_8));
-            assertTrue(status.path("backlog_high").asInt() <= settings.backlogLines(), () -> "rule 5: " + status);
-            assertEquals(0, status.path("merged").asInt());
-        }
+  private void published(Update update) {
+    assertTrue(update.sequence() > lastSequence, "sequences rise strictly, over restarts too");
+    lastSequence = update.sequence();
+    for (Seat seat : seats) {
+      String subtree = "/proxy/" + seat.name + "/";
+      if (seat.line != null && update.key().startsWith(subtree)) {
+        String key = update.key().substring(subtree.length());
+        String value =
+            update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
+        step(
+            seat,
+            seat.follower.update(
+                key, value, value != null && key.equals("commit") ? commit(value) : null));
+      }
     }
-
-    private static JsonNode json(String text) {
-        try {
-            return JSON.readTree(text);
-        } catch (java.io.IOException e) {
-            throw new AssertionError(e);
-        }
+    if (update.key().equals("/assigner/status")) {
+      JsonNode status = json(new String(update.value(), StandardCharsets.UTF_8));
+      assertTrue(
+          status.path("backlog_high").asInt() <= settings.backlogLines(),
+          () -> "rule 5: " + status);
+      assertEquals(0, status.path("merged").asInt());
     }
+  }
 
-    private static Follower.Commit commit(String value) {
-        JsonNode node = json(value);
-        return new Follower.Commit(node.path("origin").asText(), node.path("at").asInt(), node.path("keys").asInt(),
-                node.path("mark").asInt(-1));
+  private static JsonNode json(String text) {
+    try {
+      return JSON.readTree(text);
+    } catch (java.io.IOException e) {
+      throw new AssertionError(e);
     }
+  }
 
-    private void step(Seat seat, Follower.Step step) {
-        if (step instanceof Follower.Step.Message message) {
-            seat.router.apply(message);
-            seat.origin = message.origin();
-            seat.messages.add(now);
-            seat.messages.removeIf(at -> now - at > settings.messagesOver() || at < seat.joinedAt);
-            assertTrue(seat.messages.size() <= settings.messagesMost(), "rule 5: messages to " + seat.name);
-            if (message.mark() >= 0) {
-                seat.marks.add(new int[] {message.mark()});
-            }
-        } else if (step instanceof Follower.Step.Resync) {
-            resyncs++;
-            snapshot(seat);
-        }
+  private static Follower.Commit commit(String value) {
+    JsonNode node = json(value);
+    return new Follower.Commit(
+        node.path("origin").asText(),
+        node.path("at").asInt(),
+        node.path("keys").asInt(),
+        node.path("mark").asInt(-1));
+  }
+
+  private void step(Seat seat, Follower.Step step) {
+    if (step instanceof Follower.Step.Message message) {
+      seat.router.apply(message);
+      seat.origin = message.origin();
+      seat.messages.add(now);
+      seat.messages.removeIf(at -> now - at > settings.messagesOver() || at < seat.joinedAt);
+      assertTrue(
+          seat.messages.size() <= settings.messagesMost(), "rule 5: messages to " + seat.name);
+      if (message.mark() >= 0) {
+        seat.marks.add(new int[] {message.mark()});
+      }
+    } else if (step instanceof Follower.Step.Resync) {
+      resyncs++;
+      snapshot(seat);
     }
+  }
 
-    private void snapshot(Seat seat) {
-        Map<String, String> keys = new LinkedHashMap<>();
-        Follower.Commit commit = null;
-        String subtree = "/proxy/" + seat.name + "/";
-        for (Update key : core.snapshot(subtree)) {
-            String value = new String(key.value(), StandardCharsets.UTF_8);
-            keys.put(key.key().substring(subtree.length()), value);
-            commit = key.key().endsWith("/commit") ? commit(value) : commit;
-        }
-        step(seat, seat.follower.snapshot(keys, commit));
+  private void snapshot(Seat seat) {
+    Map<String, String> keys = new LinkedHashMap<>();
+    Follower.Commit commit = null;
+    String subtree = "/proxy/" + seat.name + "/";
+    for (Update key : core.snapshot(subtree)) {
+      String value = new String(key.value(), StandardCharsets.UTF_8);
+      keys.put(key.key().substring(subtree.length()), value);
+      commit = key.key().endsWith("/commit") ? commit(value) : commit;
     }
+    step(seat, seat.follower.snapshot(keys, commit));
+  }
 
-    private void join(Seat seat) {
-        boolean fresh = seat.router == null;
-        if (fresh) {
-            seat.router = new Router(ROUTING, random.nextLong());
-            seat.router.standing(list.values().stream().filter(l -> l.state() == Listing.State.READY).limit(3)
-                    .map(l -> new stonespring.proxy.routing.TaskName(l.task().name())).toList());
-        }
-        seat.line = new Line();
-        seat.stream++;
-        seat.joinedAt = now;
-        seat.messages.clear();
-        snapshot(seat);
-        hello(seat);
+  private void join(Seat seat) {
+    boolean fresh = seat.router == null;
+    if (fresh) {
+      seat.router = new Router(ROUTING, random.nextLong());
+      seat.router.standing(
+          list.values().stream()
+              .filter(l -> l.state() == Listing.State.READY)
+              .limit(3)
+              .map(l -> new stonespring.proxy.routing.TaskName(l.task().name()))
+              .toList());
     }
+    seat.line = new Line();
+    seat.stream++;
+    seat.joinedAt = now;
+    seat.messages.clear();
+    snapshot(seat);
+    hello(seat);
+  }
+
+  private void hello(Seat seat) {
+    core.hello(
+        seat.name,
+        new Hello(
+            "life-" + seat.name,
+            seat.stream,
+            new ZoneId(seat.zone),
+            10,
+            seat.router.fresh(),
+            seat.router.named().stream().map(TaskId::new).toList()),
+        3 * SECOND,
+        seat.line,
+        now);
+  }
 
-    private void hello(Seat seat) {
-        core.hello(seat.name, new Hello("life-" + seat.name, seat.stream, new ZoneId(seat.zone), 10, seat.router.fresh(),
-                seat.router.named().stream().map(TaskId::new).toList()), 3 * SECOND, seat.line, now);
+  private void listed(String task, Listing.State state, long startedAt) {
+    Listing listing =
+        new Listing(
+            new TaskId(task), new ZoneId(Math.abs(task.hashCode()) % 2), 1, state, startedAt);
+    if (state == Listing.State.GONE) {
+      list.remove(task);
+    } else {
+      list.put(task, listing);
     }
+    if (state == Listing.State.READY) {
+      leftAt.remove(task);
+    } else {
+      leftAt.putIfAbsent(task, now);
+    }
+    core.listTold(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing)), now);
+  }
+
+  private void report(Seat seat) {
+    List<Reports.Met> met = new ArrayList<>();
+    seat.router
+        .weights(new TypeIndex(0))
+        .forEach(
+            (task, weight) -> {
+              boolean up = list.containsKey(task);
+              met.add(
+                  new Reports.Met(
+                      new TaskId(task),
+                      Math.round(10 * weight),
+                      up ? 0 : Math.round(10 * weight),
+                      800,
+                      new LoadReport(0.5, 1, Double.NaN, Double.NaN, Double.NaN)));
+            });
+    core.reported(
+        seat.name,
+        SECOND,
+        met,
+        List.of(new Reports.Came(new OpTypeId(0), 8, 0), new Reports.Came(new OpTypeId(1), 2, 0)),
+        seat.line);
+  }
 
-    private void listed(String task, Listing.State state, long startedAt) {
-        Listing listing = new Listing(new TaskId(task), new ZoneId(Math.abs(task.hashCode()) % 2), 1, state, startedAt);
-        if (state == Listing.State.GONE) {
-            list.remove(task);
-        } else {
-            list.put(task, listing);
+  private void check() {
+    boolean warm =
+        list.values().stream()
+            .anyMatch(
+                l ->
+                    l.state() == Listing.State.READY && now - l.startedAt() >= settings.coldTime());
+    for (Seat seat : seats) {
+      if (seat.line == null) {
+        seat.emptySince = -1;
+        continue;
+      }
+      for (int k = 0; k < 2; k++) {
+        Map<String, Double> weights = seat.router.weights(new TypeIndex(k));
+        for (String task : weights.keySet()) {
+          long told = Math.max(leftAt.getOrDefault(task, Long.MAX_VALUE / 2), seat.joinedAt);
+          assertTrue(
+              now - told <= GRACE,
+              () -> "rule 3: " + seat.name + " still sends to " + task + " at " + now);
         }
-        if (state == Listing.State.READY) {
-            leftAt.remove(task);
-        } else {
-            leftAt.putIfAbsent(task, now);
+        if (k == 0) {
+          seat.emptySince =
+              weights.isEmpty() && warm ? seat.emptySince < 0 ? now : seat.emptySince : -1;
         }
-        core.listTold(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing)), now);
+      }
+      assertTrue(
+          seat.emptySince < 0 || now - seat.emptySince <= settings.emptyLimit(),
+          () -> "rule 1: " + seat.name + " has no line at " + now);
     }
+  }
 
-    private void report(Seat seat) {
-        List<Reports.Met> met = new ArrayList<>();
-        seat.router.weights(new TypeIndex(0)).forEach((task, weight) -> {
-            boolean up = list.containsKey(task);
-            met.add(new Reports.Met(new TaskId(task), Math.round(10 * weight), up ? 0 : Math.round(10 * weight), 800,
-                    new LoadReport(0.5, 1, Double.NaN, Double.NaN, Double.NaN)));
-        });
-        core.reported(seat.name, SECOND, met, List.of(new Reports.Came(new OpTypeId(0), 8, 0), new Reports.Came(new OpTypeId(1), 2, 0)),
-                seat.line);
+  private void play(int steps) {
+    for (int i = 0; i < 8; i++) {
+      String task = "t" + i + "@h:" + (i + 1);
+      list.put(task, new Listing(new TaskId(task), new ZoneId(i % 2), 1, Listing.State.READY, 0));
     }
-
-    private void check() {
-        boolean warm = list.values().stream().anyMatch(l -> l.state() == Listing.State.READY && now - l.startedAt() >= settings.coldTime());
-        for (Seat seat : seats) {
-            if (seat.line == null) {
-                seat.emptySince = -1;
-                continue;
-            }
-            for (int k = 0; k < 2; k++) {
-                Map<String, Double> weights = seat.router.weights(new TypeIndex(k));
-                for (String task : weights.keySet()) {
-                    long told = Math.max(leftAt.getOrDefault(task, Long.MAX_VALUE / 2), seat.joinedAt);
-                    assertTrue(now - told <= GRACE, () -> "rule 3: " + seat.name + " still sends to " + task + " at " + now);
-                }
-                if (k == 0) {
-                    seat.emptySince = weights.isEmpty() && warm ? seat.emptySince < 0 ? now : seat.emptySince : -1;
-                }
-            }
-            assertTrue(seat.emptySince < 0 || now - seat.emptySince <= settings.emptyLimit(),
-                    () -> "rule 1: " + seat.name + " has no line at " + now);
-        }
+    for (int i = 0; i < 12; i++) {
+      seats.add(new Seat("p" + i, i % 2));
     }
-
-    private void play(int steps) {
-        for (int i = 0; i < 8; i++) {
-            String task = "t" + i + "@h:" + (i + 1);
-            list.put(task, new Listing(new TaskId(task), new ZoneId(i % 2), 1, Listing.State.READY, 0));
+    startCore();
+    for (int i = 0; i < steps; i++) {
+      now += STEP;
+      trouble();
+      for (Seat seat : seats) {
+        if (seat.line == null && random.nextInt(12) == 0) {
+          join(seat);
+        } else if (seat.line != null && (now / STEP + seat.name.hashCode()) % 20 == 0) {
+          hello(seat);
+          report(seat);
         }
-        for (int i = 0; i < 12; i++) {
-            seats.add(new Seat("p" + i, i % 2));
-        }
-        startCore();
-        for (int i = 0; i < steps; i++) {
-            now += STEP;
-            trouble();
-            for (Seat seat : seats) {
-                if (seat.line == null && random.nextInt(12) == 0) {
-                    join(seat);
-                } else if (seat.line != null && (now / STEP + seat.name.hashCode()) % 20 == 0) {
-                    hello(seat);
-                    report(seat);
-                }
-                for (int[] mark : seat.marks) {
-                    if (seat.line != null) {
-                        core.answered(seat.name, seat.origin, mark[0], 100, seat.line, now);
-                    }
-                }
-                seat.marks.clear();
-                assertTrue(seat.line == null || seat.line.cause == null, () -> "ended: " + seat.line.cause);
-            }
-            core.run(now);
-            check();
+        for (int[] mark : seat.marks) {
+          if (seat.line != null) {
+            core.answered(seat.name, seat.origin, mark[0], 100, seat.line, now);
+          }
         }
+        seat.marks.clear();
+        assertTrue(seat.line == null || seat.line.cause == null, () -> "ended: " + seat.line.cause);
+      }
+      core.run(now);
+      check();
     }
+  }
 
-    private void trouble() {
-        int draw = random.nextInt(400);
-        String task = "t" + random.nextInt(10) + "@h:" + (1 + random.nextInt(10));
-        String known = list.isEmpty() ? task : new ArrayList<>(list.keySet()).get(random.nextInt(list.size()));
-        if (draw < 8) {
-            listed(task, Listing.State.READY, now);
-        } else if (draw < 12 && list.size() > 3) {
-            listed(known, random.nextBoolean() ? Listing.State.DRAINING : Listing.State.GONE, 0);
-        } else if (draw < 16) {
-            Seat seat = seats.get(random.nextInt(seats.size()));
-            if (seat.line != null) {
-                Line line = seat.line;
-                seat.line = null;
-                core.closed(line, now);
-            }
-        } else if (draw < 17) {
-            startCore();
-        }
+  private void trouble() {
+    int draw = random.nextInt(400);
+    String task = "t" + random.nextInt(10) + "@h:" + (1 + random.nextInt(10));
+    String known =
+        list.isEmpty() ? task : new ArrayList<>(list.keySet()).get(random.nextInt(list.size()));
+    if (draw < 8) {
+      listed(task, Listing.State.READY, now);
+    } else if (draw < 12 && list.size() > 3) {
+      listed(known, random.nextBoolean() ? Listing.State.DRAINING : Listing.State.GONE, 0);
+    } else if (draw < 16) {
+      Seat seat = seats.get(random.nextInt(seats.size()));
+      if (seat.line != null) {
+        Line line = seat.line;
+        seat.line = null;
+        core.closed(line, now);
+      }
+    } else if (draw < 17) {
+      startCore();
     }
+  }
 
-    @ParameterizedTest @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) void rulesHoldAfterEveryStepOfASeededRun(long seed) {
-        CoreTest run = run(seed);
-        run.advised = seed > 6;
-        run.play(3000);
-        assertEquals(0, run.resyncs, "nothing is ever lost on the way in virtual time");
-        assertTrue(run.restarts > 1);
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
+  void rulesHoldAfterEveryStepOfASeededRun(long seed) {
+    CoreTest run = run(seed);
+    run.advised = seed > 6;
+    run.play(3000);
+    assertEquals(0, run.resyncs, "nothing is ever lost on the way in virtual time");
+    assertTrue(run.restarts > 1);
+  }
 
-    @Test void aFollowerAndALateSnapshotHoldTheSame() {
-        CoreTest run = run(9);
-        run.play(1500);
-        int compared = 0;
-        for (Seat seat : run.seats) {
-            Map<String, Double> followed = seat.line == null ? Map.of() : seat.router.weights(new TypeIndex(0));
-            Router late = new Router(ROUTING, 1);
-            Seat other = new Seat(seat.name, seat.zone);
-            other.router = late;
-            other.line = new Line();
-            run.snapshot(other);
-            if (!late.fresh() && !late.weights(new TypeIndex(0)).isEmpty() && seat.line != null) {
-                assertEquals(followed, late.weights(new TypeIndex(0)));
-                compared++;
-            }
-        }
-        assertTrue(compared > 5, "compared " + compared);
+  @Test
+  void aFollowerAndALateSnapshotHoldTheSame() {
+    CoreTest run = run(9);
+    run.play(1500);
+    int compared = 0;
+    for (Seat seat : run.seats) {
+      Map<String, Double> followed =
+          seat.line == null ? Map.of() : seat.router.weights(new TypeIndex(0));
+      Router late = new Router(ROUTING, 1);
+      Seat other = new Seat(seat.name, seat.zone);
+      other.router = late;
+      other.line = new Line();
+      run.snapshot(other);
+      if (!late.fresh() && !late.weights(new TypeIndex(0)).isEmpty() && seat.line != null) {
+        assertEquals(followed, late.weights(new TypeIndex(0)));
+        compared++;
+      }
     }
+    assertTrue(compared > 5, "compared " + compared);
+  }
 
-    private Seat one() {
-        startCore();
-        Seat seat = new Seat("p0", 0);
-        seats.add(seat);
-        return seat;
-    }
+  private Seat one() {
+    startCore();
+    Seat seat = new Seat("p0", 0);
+    seats.add(seat);
+    return seat;
+  }
 
-    /** What only a faulty or hostile peer says ends that peer's connection and nothing else. */
-    @Test void wordsOfStrangersEndTheirConnection() {
-        list.put("a@h:1", new Listing(new TaskId("a@h:1"), new ZoneId(0), 1, Listing.State.READY, 0));
-        Seat seat = one();
-        Line stranger = new Line();
-        core.reported("p0", SECOND, List.of(), List.of(), stranger);
-        assertTrue(stranger.cause.contains("never joined"));
-        join(seat);
-        now += STEP;
-        core.run(now);
-        now += SECOND;
-        core.run(now);
-        Line thief = new Line();
-        core.hello("p0", new Hello("another-life", 99, new ZoneId(0), 1, true, null), SECOND, thief, now);
-        assertEquals("proxy p0 is here already", thief.cause);
-        Line late = new Line();
-        core.answered("p0", seat.origin, 1, 1, late, now);
-        assertTrue(late.cause.contains("never joined on this connection"));
-        core.answered("p0", "some-other-stream", 1, 1, seat.line, now);
-        assertEquals(null, seat.line.cause, "an answer to an earlier stream's mark may be on its way");
-        core.answered("p0", seat.origin, 64_999, 1, seat.line, now);
-        assertEquals("answer: mark 64999 was never set for proxy p0", seat.line.cause);
-    }
+  /** What only a faulty or hostile peer says ends that peer's connection and nothing else. */
+  @Test
+  void wordsOfStrangersEndTheirConnection() {
+    list.put("a@h:1", new Listing(new TaskId("a@h:1"), new ZoneId(0), 1, Listing.State.READY, 0));
+    Seat seat = one();
+    Line stranger = new Line();
+    core.reported("p0", SECOND, List.of(), List.of(), stranger);
+    assertTrue(stranger.cause.contains("never joined"));
+    join(seat);
+    now += STEP;
+    core.run(now);
+    now += SECOND;
+    core.run(now);
+    Line thief = new Line();
+    core.hello(
+        "p0", new Hello("another-life", 99, new ZoneId(0), 1, true, null), SECOND, thief, now);
+    assertEquals("proxy p0 is here already", thief.cause);
+    Line late = new Line();
+    core.answered("p0", seat.origin, 1, 1, late, now);
+    assertTrue(late.cause.contains("never joined on this connection"));
+    core.answered("p0", "some-other-stream", 1, 1, seat.line, now);
+    assertEquals(null, seat.line.cause, "an answer to an earlier stream's mark may be on its way");
+    core.answered("p0", seat.origin, 64_999, 1, seat.line, now);
+    assertEquals("answer: mark 64999 was never set for proxy p0", seat.line.cause);
+  }
 
-    /** A half-open link hides that the old stream is dead: the same process on a newer stream takes its place. */
-    @Test void theSameProxyOnANewerStreamTakesItsOwnPlace() {
-        list.put("a@h:1", new Listing(new TaskId("a@h:1"), new ZoneId(0), 1, Listing.State.READY, 0));
-        Seat seat = one();
-        join(seat);
-        now += SECOND;
-        core.run(now);
-        Line old = seat.line;
-        String before = seat.origin;
-        join(seat);
-        now += SECOND;
-        core.run(now);
-        assertTrue(old.cause.contains("newer stream"));
-        assertEquals(1, core.proxiesHere());
-        for (int i = 0; i < 100 && seat.origin.equals(before); i++) {
-            now += STEP;
-            hello(seat);
-            report(seat);
-            core.run(now);
-        }
-        assertTrue(!seat.origin.equals(before), "the new stream gets orders of its own");
-        now += 4 * SECOND;
-        core.run(now);
-        assertEquals(0, core.proxiesHere(), "what is not renewed ends");
+  /**
+   * A half-open link hides that the old stream is dead: the same process on a newer stream takes
+   * its place.
+   */
+  @Test
+  void theSameProxyOnANewerStreamTakesItsOwnPlace() {
+    list.put("a@h:1", new Listing(new TaskId("a@h:1"), new ZoneId(0), 1, Listing.State.READY, 0));
+    Seat seat = one();
+    join(seat);
+    now += SECOND;
+    core.run(now);
+    Line old = seat.line;
+    String before = seat.origin;
+    join(seat);
+    now += SECOND;
+    core.run(now);
+    assertTrue(old.cause.contains("newer stream"));
+    assertEquals(1, core.proxiesHere());
+    for (int i = 0; i < 100 && seat.origin.equals(before); i++) {
+      now += STEP;
+      hello(seat);
+      report(seat);
+      core.run(now);
     }
+    assertTrue(!seat.origin.equals(before), "the new stream gets orders of its own");
+    now += 4 * SECOND;
+    core.run(now);
+    assertEquals(0, core.proxiesHere(), "what is not renewed ends");
+  }
 }
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -7,17 +7,18 @@
 import stonespring.model.Tenths;
 
 final class RestartBudgetTest {
-    @Test void failuresOfWeeksAreForgivenAndThoseOfAnHourAreNot() {
-        RestartBudget budget = new RestartBudget();
-        long hour = 3_600 * Tenths.SECOND;
-        for (long week = 0; week < 500; week++) {
-            assertTrue(budget.spend(week * 7 * 24 * hour));
-        }
-        int left = 0;
-        long now = 500 * 7 * 24 * hour;
-        while (budget.spend(now++)) {
-            left++;
-        }
-        assertEquals(10, left);
+  @Test
+  void failuresOfWeeksAreForgivenAndThoseOfAnHourAreNot() {
+    RestartBudget budget = new RestartBudget();
+    long hour = 3_600 * Tenths.SECOND;
+    for (long week = 0; week < 500; week++) {
+      assertTrue(budget.spend(week * 7 * 24 * hour));
     }
+    int left = 0;
+    long now = 500 * 7 * 24 * hour;
+    while (budget.spend(now++)) {
+      left++;
+    }
+    assertEquals(10, left);
+  }
 }
--- a/src/test/java/stonespring/discovery/DiscoveryTest.java
+++ b/src/test/java/stonespring/discovery/DiscoveryTest.java
@@ -24,115 +24,182 @@
 import stonespring.model.ZoneId;
 
 final class DiscoveryTest {
-    private static final int WAIT = 10_000; // ms; an upper bound, every wait ends with its event
-    private final Entries entries = new Entries(List.of("west", "east"), 0);
-    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final LinkedBlockingQueue<Event.ListTold> told = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<HttpServer.Exchange> asks = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<String> targets = new LinkedBlockingQueue<>();
+  private static final int WAIT = 10_000; // ms; an upper bound, every wait ends with its event
+  private final Entries entries = new Entries(List.of("west", "east"), 0);
+  private final MultiThreadIoEventLoopGroup loops =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final LinkedBlockingQueue<Event.ListTold> told = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<HttpServer.Exchange> asks = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<String> targets = new LinkedBlockingQueue<>();
 
-    @AfterEach void stop() {
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-    }
+  @AfterEach
+  void stop() {
+    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
 
-    private static String entry(String id, String checks) {
-        return "{\"Node\":{\"Address\":\"10.0.0.9\"},\"Service\":{\"ID\":\"" + id + "\",\"Address\":\"127.0.0.1\",\"Port\":80,\"Meta\":"
-                + "{\"zone\":\"east\",\"started_ms\":\"1000\"},\"Weights\":{\"Passing\":3,\"Warning\":1}},\"Checks\":[" + checks + "]}";
-    }
+  private static String entry(String id, String checks) {
+    return "{\"Node\":{\"Address\":\"10.0.0.9\"},\"Service\":{\"ID\":\""
+        + id
+        + "\",\"Address\":\"127.0.0.1\",\"Port\":80,\"Meta\":"
+        + "{\"zone\":\"east\",\"started_ms\":\"1000\"},\"Weights\":{\"Passing\":3,\"Warning\":1}},\"Checks\":["
+        + checks
+        + "]}";
+  }
 
-    private static String check(String id, String status) {
-        return "{\"CheckID\":\"" + id + "\",\"Status\":\"" + status + "\"}";
-    }
+  private static String check(String id, String status) {
+    return "{\"CheckID\":\"" + id + "\",\"Status\":\"" + status + "\"}";
+  }
 
-    private void answer(String index, String body) throws InterruptedException {
-        HttpMessage answer = HttpMessage.answer(200, body);
-        asks.poll(WAIT, TimeUnit.MILLISECONDS).answer(index == null ? answer : answer.with("X-Consul-Index", index));
-    }
+  private void answer(String index, String body) throws InterruptedException {
+    HttpMessage answer = HttpMessage.answer(200, body);
+    asks.poll(WAIT, TimeUnit.MILLISECONDS)
+        .answer(index == null ? answer : answer.with("X-Consul-Index", index));
+  }
 
-    private Event.ListTold next() throws InterruptedException {
-        return told.poll(WAIT, TimeUnit.MILLISECONDS);
-    }
+  private Event.ListTold next() throws InterruptedException {
+    return told.poll(WAIT, TimeUnit.MILLISECONDS);
+  }
 
-    private static Listing listing(String id, double weight, Listing.State state) {
-        return new Listing(new TaskId(id + "@127.0.0.1:80"), new ZoneId(1), weight, state, state == Listing.State.GONE ? 0 : 10_000);
-    }
+  private static Listing listing(String id, double weight, Listing.State state) {
+    return new Listing(
+        new TaskId(id + "@127.0.0.1:80"),
+        new ZoneId(1),
+        weight,
+        state,
+        state == Listing.State.GONE ? 0 : 10_000);
+  }
 
-    @Test void blockingQueriesAreFollowedAndEveryBreakIsToldApart() throws Exception {
-        HttpServer server = new HttpServer((request, exchange) -> {
-            targets.add(request.second());
-            asks.add(exchange);
-        }, 100).start(loops, "127.0.0.1", 0);
-        RegistrySource source = new RegistrySource("127.0.0.1", server.port(), "map", 5, entries, (EventLoop) loops.next());
-        source.start(told::add, list -> { });
-        source.follow(true);
-        answer("7", "[" + entry("a", check("c", "passing")) + "," + entry("b", check("c", "warning")) + ","
-                + entry("dead", check("c", "critical")) + "]");
-        assertEquals(new Event.ListTold(Event.ListKind.WHOLE, List.of(listing("a", 3, Listing.State.READY),
-                listing("b", 1, Listing.State.READY))), next());
-        answer("7", "[" + entry("a", check("c", "passing")) + "," + entry("b", check("c", "warning")) + "]");
-        answer("9", "[" + entry("a", check("_service_maintenance:a", "critical")) + "]");
-        assertEquals(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing("a", 3, Listing.State.DRAINING),
-                listing("b", 1, Listing.State.GONE))), next(), "an ask that timed out with nothing new says nothing");
-        answer("2", "[]");
-        assertEquals(1, next().entries().size());
-        assertEquals(List.of("/v1/health/service/map", "/v1/health/service/map?index=7&wait=5s",
-                "/v1/health/service/map?index=7&wait=5s", "/v1/health/service/map?index=9&wait=5s"),
-                List.of(targets.take(), targets.take(), targets.take(), targets.take()));
-        assertEquals("/v1/health/service/map", targets.poll(WAIT, TimeUnit.MILLISECONDS), "an index that goes back starts anew");
-        answer(null, "[]");
-        assertEquals(Event.ListKind.FAILED, next().kind(), "no index");
-        source.follow(true);
-        answer("12", "[" + entry("a", check("c", "passing")) + "]");
-        assertEquals(Event.ListKind.WHOLE, next().kind(), "asked anew: what was missed is not known");
-        asks.poll(WAIT, TimeUnit.MILLISECONDS).channel().close();
-        assertEquals(Event.ListKind.FAILED, next().kind(), "the follow dropped");
-        for (String bad : new String[] {"{}", "[{}]", "[" + entry("a b", "") + "]", "not json"}) {
-            source.fetch();
-            answer("13", bad);
-            assertEquals(Event.ListKind.FAILED, next().kind(), bad);
-        }
-        source.fetch();
-        answer("13", "[" + entry("a", check("c", "passing")) + "]");
-        assertEquals(Event.ListKind.WHOLE, next().kind());
-        server.stop();
-        source.fetch();
-        assertEquals(Event.ListKind.FAILED, next().kind(), "nobody listens");
-        source.stop();
+  @Test
+  void blockingQueriesAreFollowedAndEveryBreakIsToldApart() throws Exception {
+    HttpServer server =
+        new HttpServer(
+                (request, exchange) -> {
+                  targets.add(request.second());
+                  asks.add(exchange);
+                },
+                100)
+            .start(loops, "127.0.0.1", 0);
+    RegistrySource source =
+        new RegistrySource("127.0.0.1", server.port(), "map", 5, entries, (EventLoop) loops.next());
+    source.start(told::add, list -> {});
+    source.follow(true);
+    answer(
+        "7",
+        "["
+            + entry("a", check("c", "passing"))
+            + ","
+            + entry("b", check("c", "warning"))
+            + ","
+            + entry("dead", check("c", "critical"))
+            + "]");
+    assertEquals(
+        new Event.ListTold(
+            Event.ListKind.WHOLE,
+            List.of(listing("a", 3, Listing.State.READY), listing("b", 1, Listing.State.READY))),
+        next());
+    answer(
+        "7",
+        "[" + entry("a", check("c", "passing")) + "," + entry("b", check("c", "warning")) + "]");
+    answer("9", "[" + entry("a", check("_service_maintenance:a", "critical")) + "]");
+    assertEquals(
+        new Event.ListTold(
+            Event.ListKind.CHANGES,
+            List.of(listing("a", 3, Listing.State.DRAINING), listing("b", 1, Listing.State.GONE))),
+        next(),
+        "an ask that timed out with nothing new says nothing");
+    answer("2", "[]");
+    assertEquals(1, next().entries().size());
+    assertEquals(
+        List.of(
+            "/v1/health/service/map",
+            "/v1/health/service/map?index=7&wait=5s",
+            "/v1/health/service/map?index=7&wait=5s",
+            "/v1/health/service/map?index=9&wait=5s"),
+        List.of(targets.take(), targets.take(), targets.take(), targets.take()));
+    assertEquals(
+        "/v1/health/service/map",
+        targets.poll(WAIT, TimeUnit.MILLISECONDS),
+        "an index that goes back starts anew");
+    answer(null, "[]");
+    assertEquals(Event.ListKind.FAILED, next().kind(), "no index");
+    source.follow(true);
+    answer("12", "[" + entry("a", check("c", "passing")) + "]");
+    assertEquals(Event.ListKind.WHOLE, next().kind(), "asked anew: what was missed is not known");
+    asks.poll(WAIT, TimeUnit.MILLISECONDS).channel().close();
+    assertEquals(Event.ListKind.FAILED, next().kind(), "the follow dropped");
+    for (String bad : new String[] {"{}", "[{}]", "[" + entry("a b", "") + "]", "not json"}) {
+      source.fetch();
+      answer("13", bad);
+      assertEquals(Event.ListKind.FAILED, next().kind(), bad);
     }
+    source.fetch();
+    answer("13", "[" + entry("a", check("c", "passing")) + "]");
+    assertEquals(Event.ListKind.WHOLE, next().kind());
+    server.stop();
+    source.fetch();
+    assertEquals(Event.ListKind.FAILED, next().kind(), "nobody listens");
+    source.stop();
+  }
 
-    @Test void aWatchedFileTellsChangesAndABadOneChangesNothing(@TempDir Path folder) throws Exception {
-        Path file = folder.resolve("tasks.json");
-        String a = "{\"id\":\"a\",\"address\":\"127.0.0.1:80\",\"zone\":\"east\",\"weight\":3,\"started_ms\":1000}";
-        Files.writeString(file, "[" + a + "]");
-        FileSource source = new FileSource(file, entries, (EventLoop) loops.next());
-        source.start(told::add, list -> { });
-        assertEquals(new Event.ListTold(Event.ListKind.WHOLE, List.of(listing("a", 3, Listing.State.READY))), next());
-        Files.writeString(file, "[" + a + ", half a list");
-        Files.writeString(file, "[" + a.replace("}", ",\"state\":\"draining\"}") + "]");
-        assertEquals(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing("a", 3, Listing.State.DRAINING))), next());
-        Files.writeString(file, "[]");
-        assertEquals(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing("a", 3, Listing.State.GONE))), next());
-        source.stop();
-    }
+  @Test
+  void aWatchedFileTellsChangesAndABadOneChangesNothing(@TempDir Path folder) throws Exception {
+    Path file = folder.resolve("tasks.json");
+    String a =
+        "{\"id\":\"a\",\"address\":\"127.0.0.1:80\",\"zone\":\"east\",\"weight\":3,\"started_ms\":1000}";
+    Files.writeString(file, "[" + a + "]");
+    FileSource source = new FileSource(file, entries, (EventLoop) loops.next());
+    source.start(told::add, list -> {});
+    assertEquals(
+        new Event.ListTold(Event.ListKind.WHOLE, List.of(listing("a", 3, Listing.State.READY))),
+        next());
+    Files.writeString(file, "[" + a + ", half a list");
+    Files.writeString(file, "[" + a.replace("}", ",\"state\":\"draining\"}") + "]");
+    assertEquals(
+        new Event.ListTold(
+            Event.ListKind.CHANGES, List.of(listing("a", 3, Listing.State.DRAINING))),
+        next());
+    Files.writeString(file, "[]");
+    assertEquals(
+        new Event.ListTold(Event.ListKind.CHANGES, List.of(listing("a", 3, Listing.State.GONE))),
+        next());
+    source.stop();
+  }
 
-    @Test void aBadListNamesEntryAndField() {
-        for (String[] row : new String[][] {{"{}", "no JSON array"}, {"[1]", "entry 0: it is no object"},
-            {"[{\"id\":\"a/b\"}]", "entry 0: field 'id'"}, {"[{\"id\":\"a\",\"address\":\"h\"}]", "field 'address'"},
-            {"[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"x\"}]", "field 'zone' names no zone of the settings: x"},
-            {"[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"state\":\"up\"}]", "field 'state'"},
-            {"[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"weight\":0}]", "field 'weight'"}, {"[", "line 1"}}) {
-            Entries.BadList e = assertThrows(Entries.BadList.class, () -> entries.read(row[0].getBytes(StandardCharsets.UTF_8)));
-            assertTrue(e.getMessage().contains(row[1]), e.getMessage());
-        }
+  @Test
+  void aBadListNamesEntryAndField() {
+    for (String[] row :
+        new String[][] {
+          {"{}", "no JSON array"},
+          {"[1]", "entry 0: it is no object"},
+          {"[{\"id\":\"a/b\"}]", "entry 0: field 'id'"},
+          {"[{\"id\":\"a\",\"address\":\"h\"}]", "field 'address'"},
+          {
+            "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"x\"}]",
+            "field 'zone' names no zone of the settings: x"
+          },
+          {
+            "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"state\":\"up\"}]",
+            "field 'state'"
+          },
+          {"[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"weight\":0}]", "field 'weight'"},
+          {"[", "line 1"}
+        }) {
+      Entries.BadList e =
+          assertThrows(
+              Entries.BadList.class, () -> entries.read(row[0].getBytes(StandardCharsets.UTF_8)));
+      assertTrue(e.getMessage().contains(row[1]), e.getMessage());
     }
+  }
 
-    @Test void theSavedListComesBack(@TempDir Path folder) throws Exception {
-        SavedList saved = new SavedList(folder.resolve("list.json"), entries);
-        List<Listing> list = List.of(listing("a", 3, Listing.State.DRAINING), listing("b", 1, Listing.State.READY));
-        saved.keep(list);
-        saved.stop();
-        assertEquals(list, new SavedList(folder.resolve("list.json"), entries).read());
-        Files.writeString(folder.resolve("list.json"), "[{");
-        assertEquals(List.of(), new SavedList(folder.resolve("list.json"), entries).read());
-    }
+  @Test
+  void theSavedListComesBack(@TempDir Path folder) throws Exception {
+    SavedList saved = new SavedList(folder.resolve("list.json"), entries);
+    List<Listing> list =
+        List.of(listing("a", 3, Listing.State.DRAINING), listing("b", 1, Listing.State.READY));
+    saved.keep(list);
+    saved.stop();
+    assertEquals(list, new SavedList(folder.resolve("list.json"), entries).read());
+    Files.writeString(folder.resolve("list.json"), "[{");
+    assertEquals(List.of(), new SavedList(folder.resolve("list.json"), entries).read());
+  }
 }
--- a/src/test/java/stonespring/front/line/RecordedBytesTest.java
+++ b/src/test/java/stonespring/front/line/RecordedBytesTest.java
@@ -29,167 +29,242 @@
 import stonespring.state.Tables;
 import stonespring.state.Update;
 
-/** Holds what goes out on the three wires for scripted input: the platform's messages, the published keys, the simulator's replies. */
+/**
+ * Holds what goes out on the three wires for scripted input: the platform's messages, the published
+ * keys, the simulator's replies.
+ */
 final class RecordedBytesTest {
-    private static final List<String> CLASSES = List.of("look", "buy", "pay/now");
-    private static final int PROXIES = 4;
-    private static final int STEPS = 600;
+  private static final List<String> CLASSES = List.of("look", "buy", "pay/now");
+  private static final int PROXIES = 4;
+  private static final int STEPS = 600;
 
-    private static Order command(SplittableRandom random) {
-        TableId table = new TableId(random.nextInt(PROXIES));
-        TaskId endpoint = new TaskId("s-" + random.nextInt(9) + (random.nextInt(5) == 0 ? "/a" : ""));
-        int mask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
-        return switch (random.nextInt(10)) {
-            case 0, 1, 2, 3 -> new Order.SetLine(table, endpoint, random.nextInt(4) == 0 ? 0 : random.nextInt(1, 3000) / 1000.0);
-            case 4 -> random.nextInt(5) == 0 ? new Order.ClearTable(table) : new Order.SetLine(table, endpoint, 1e-5);
-            case 5, 6 -> new Order.Bind(table, new ProxyId(random.nextInt(PROXIES)), mask);
-            case 7 -> new Order.Withdraw(endpoint, random.nextBoolean());
-            default -> new Order.Admit(random.nextBoolean() ? Order.EVERY_TABLE : table, mask,
-                    Order.Retry.values()[random.nextInt(4)], random.nextInt(9) / 8.0);
-        };
+  private static Order command(SplittableRandom random) {
+    TableId table = new TableId(random.nextInt(PROXIES));
+    TaskId endpoint = new TaskId("s-" + random.nextInt(9) + (random.nextInt(5) == 0 ? "/a" : ""));
+    int mask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
+    return switch (random.nextInt(10)) {
+      case 0, 1, 2, 3 ->
+          new Order.SetLine(
+              table, endpoint, random.nextInt(4) == 0 ? 0 : random.nextInt(1, 3000) / 1000.0);
+      case 4 ->
+          random.nextInt(5) == 0
+              ? new Order.ClearTable(table)
+              : new Order.SetLine(table, endpoint, 1e-5);
+      case 5, 6 -> new Order.Bind(table, new ProxyId(random.nextInt(PROXIES)), mask);
+      case 7 -> new Order.Withdraw(endpoint, random.nextBoolean());
+      default ->
+          new Order.Admit(
+              random.nextBoolean() ? Order.EVERY_TABLE : table,
+              mask,
+              Order.Retry.values()[random.nextInt(4)],
+              random.nextInt(9) / 8.0);
+    };
+  }
+
+  private static List<Order> commands(SplittableRandom random, int step) {
+    List<Order> commands = new ArrayList<>();
+    for (int i = random.nextInt(6); i >= 0; i--) {
+      commands.add(command(random));
+    }
+    if (random.nextBoolean()) {
+      commands.add(new Order.Mark(new MarkId(step), random.nextBoolean()));
     }
+    return commands;
+  }
 
-    private static List<Order> commands(SplittableRandom random, int step) {
-        List<Order> commands = new ArrayList<>();
-        for (int i = random.nextInt(6); i >= 0; i--) {
-            commands.add(command(random));
+  @Test
+  void messagesToPlatformProxiesAreAsRecorded() throws IOException {
+    RecordedDigests digests = new RecordedDigests();
+    for (long seed = 1; seed <= 4; seed++) {
+      SplittableRandom random = new SplittableRandom(seed);
+      Tables tables = new Tables(CLASSES);
+      Map<Integer, StreamTable> streams = new LinkedHashMap<>();
+      Map<Integer, TreeSet<String>> excluded = new LinkedHashMap<>();
+      RecordedDigests.Recording recording = new RecordedDigests.Recording();
+      for (int step = 0; step < STEPS; step++) {
+        int proxy = random.nextInt(PROXIES);
+        if (!streams.containsKey(proxy) || random.nextInt(30) == 0) {
+          tables.joined(new ProxyId(proxy), null);
+          streams.put(
+              proxy,
+              new StreamTable(
+                  CLASSES,
+                  tables,
+                  excluded.computeIfAbsent(proxy, p -> new TreeSet<>()),
+                  random.nextBoolean()));
         }
-        if (random.nextBoolean()) {
-            commands.add(new Order.Mark(new MarkId(step), random.nextBoolean()));
+        for (ProxyMessage message : tables.messages(commands(random, step), step)) {
+          List<String> parts = streams.get(message.proxy().number()).parts(message);
+          recording.add(
+              message.proxy().number()
+                  + " "
+                  + message.lines()
+                  + " "
+                  + StreamTable.price(parts)
+                  + " "
+                  + String.join("\r\n", parts)
+                  + "\r\n");
         }
-        return commands;
+      }
+      digests.put("platform/" + seed, recording);
     }
+    digests.check("platform-bytes.sha256");
+  }
 
-    @Test void messagesToPlatformProxiesAreAsRecorded() throws IOException {
-        RecordedDigests digests = new RecordedDigests();
-        for (long seed = 1; seed <= 4; seed++) {
-            SplittableRandom random = new SplittableRandom(seed);
-            Tables tables = new Tables(CLASSES);
-            Map<Integer, StreamTable> streams = new LinkedHashMap<>();
-            Map<Integer, TreeSet<String>> excluded = new LinkedHashMap<>();
-            RecordedDigests.Recording recording = new RecordedDigests.Recording();
-            for (int step = 0; step < STEPS; step++) {
-                int proxy = random.nextInt(PROXIES);
-                if (!streams.containsKey(proxy) || random.nextInt(30) == 0) {
-                    tables.joined(new ProxyId(proxy), null);
-                    streams.put(proxy, new StreamTable(CLASSES, tables, excluded.computeIfAbsent(proxy, p -> new TreeSet<>()),
-                            random.nextBoolean()));
-                }
-                for (ProxyMessage message : tables.messages(commands(random, step), step)) {
-                    List<String> parts = streams.get(message.proxy().number()).parts(message);
-                    recording.add(message.proxy().number() + " " + message.lines() + " " + StreamTable.price(parts) + " "
-                            + String.join("\r\n", parts) + "\r\n");
-                }
-            }
-            digests.put("platform/" + seed, recording);
-        }
-        digests.check("platform-bytes.sha256");
+  private static void publish(RecordedDigests.Recording recording, List<Update> updates) {
+    for (ChpMessage message : ChpFront.publications(updates)) {
+      message.frames().forEach(recording::add);
     }
+  }
 
-    private static void publish(RecordedDigests.Recording recording, List<Update> updates) {
-        for (ChpMessage message : ChpFront.publications(updates)) {
-            message.frames().forEach(recording::add);
+  @Test
+  void publishedKeysAreAsRecorded() throws IOException {
+    RecordedDigests digests = new RecordedDigests();
+    for (long seed = 1; seed <= 4; seed++) {
+      SplittableRandom random = new SplittableRandom(seed);
+      Tables tables = new Tables(CLASSES);
+      Presence presence = new Presence(PROXIES);
+      Published published = new Published(new KeyTree(50, 4000), "e" + seed, presence);
+      RecordedDigests.Recording recording = new RecordedDigests.Recording();
+      boolean[] here = new boolean[PROXIES];
+      for (int step = 0; step < STEPS; step++) {
+        int number = random.nextInt(PROXIES);
+        if (!here[number] || random.nextInt(30) == 0) {
+          List<TaskId> holds =
+              random.nextBoolean() ? null : List.of(new TaskId("s-1"), new TaskId("s-2"));
+          Presence.Verdict verdict =
+              presence.hello(
+                  "p" + number,
+                  new Hello("life", step, new ZoneId(0), 5, random.nextBoolean(), holds),
+                  "connection" + step,
+                  step,
+                  1L << 40);
+          ProxyId proxy = ((Presence.Verdict.Joined) verdict).proxy();
+          if (here[number]) {
+            publish(recording, published.ended(proxy));
+            tables.left(proxy);
+          }
+          here[number] = true;
+          tables.joined(proxy, holds);
+          publish(recording, published.here(proxy));
         }
-    }
-
-    @Test void publishedKeysAreAsRecorded() throws IOException {
-        RecordedDigests digests = new RecordedDigests();
-        for (long seed = 1; seed <= 4; seed++) {
-            SplittableRandom random = new SplittableRandom(seed);
-            Tables tables = new Tables(CLASSES);
-            Presence presence = new Presence(PROXIES);
-            Published published = new Published(new KeyTree(50, 4000), "e" + seed, presence);
-            RecordedDigests.Recording recording = new RecordedDigests.Recording();
-            boolean[] here = new boolean[PROXIES];
-            for (int step = 0; step < STEPS; step++) {
-                int number = random.nextInt(PROXIES);
-                if (!here[number] || random.nextInt(30) == 0) {
-                    List<TaskId> holds = random.nextBoolean() ? null : List.of(new TaskId("s-1"), new TaskId("s-2"));
-                    Presence.Verdict verdict = presence.hello("p" + number, new Hello("life", step, new ZoneId(0), 5, random.nextBoolean(),
-                            holds), "connection" + step, step, 1L << 40);
-                    ProxyId proxy = ((Presence.Verdict.Joined) verdict).proxy();
-                    if (here[number]) {
-                        publish(recording, published.ended(proxy));
-                        tables.left(proxy);
-                    }
-                    here[number] = true;
-                    tables.joined(proxy, holds);
-                    publish(recording, published.here(proxy));
-                }
-                for (ProxyMessage message : tables.messages(commands(random, step), step)) {
-                    recording.add(message.proxy().number() + " " + message.lines());
-                    publish(recording, published.publish(message));
-                }
-                publish(recording, published.status("{\"step\":" + step + "}"));
-            }
-            digests.put("published/" + seed, recording);
+        for (ProxyMessage message : tables.messages(commands(random, step), step)) {
+          recording.add(message.proxy().number() + " " + message.lines());
+          publish(recording, published.publish(message));
         }
-        digests.check("published-bytes.sha256");
+        publish(recording, published.status("{\"step\":" + step + "}"));
+      }
+      digests.put("published/" + seed, recording);
     }
+    digests.check("published-bytes.sha256");
+  }
 
-    private static final String SETTINGS = """
+  private static final String SETTINGS =
+      """
             {"balancers":2,"discovery":"on_request","roundS":0.001,"zones":["west","east"],"categories":[
             {"name":"look","repeat":"free","goalTimeS":0.4,"gain":1.0},{"name":"buy","repeat":"single_shot","goalTimeS":0.9,"gain":4.0}],
             "familyInfo":{"levelKind":"LEVELS","backlog":3000,"perMessage":5,"reloadsMax":20,"pushRate":1500.0,"emptyForS":6.0,
             "bootstrap":3,"proxyCount":8,"reportEveryS":0.5,"outlierAfter":3},
             "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1},"scoringMix":{"worstClass":0.2}}"""
-            .replace("\n", "");
+          .replace("\n", "");
 
-    private static String simulatorBatch(SplittableRandom random, int step) {
-        double now = 5 + step * 0.5;
-        List<String> messages = new ArrayList<>();
-        String settings = SETTINGS.replace("LEVELS", random.nextInt(2) == 0 ? "share" : "rate");
-        if (step == 1 || step == 60) {
-            StringBuilder entries = new StringBuilder();
-            for (int i = 0; i < 8; i++) {
-                entries.append(i == 0 ? "" : ",").append("[\"").append(i % 2 == 0 ? "west" : "east").append("\",1,\"std\",\"up\",")
-                        .append(i == 7 ? String.valueOf(now) : "null").append(",0,\"task.").append(i).append("\"]");
-            }
-            messages.add("[\"boot\"," + (step + 11) + "," + settings + "]");
-            messages.add("[\"ledger\",0,[" + entries + "]]");
-            messages.add("[\"endpoints\",0,\"stale_copy\",4]");
-            for (int p = 0; p < 6; p++) {
-                messages.add("[\"joined\"," + p + ",\"" + (p % 2 == 0 ? "west" : "east") + "\"," + (p + 2.5) + "," + (p % 3 == 0) + "]");
-            }
-        } else if (step == 20) {
-            messages.add("[\"ledger\",1,[[\"west\",1,\"std\",\"draining\",null,0,\"task.2\"],[\"east\",2,\"std\",\"removed\",null,0,\"task.3\"]]]");
-            messages.add("[\"endpoints\",1,\"patch\",5]");
-            messages.add("[\"disconnected\",4]");
-        } else if (step == 25) {
-            messages.add("[\"endpoints\",0,\"broken\",0]");
-            messages.add("[\"heard\",1,\"68692037\"]");
-            messages.add("[\"echo\",\"task.1\",503,0.02,null]");
-        } else if (step > 1) {
-            messages.add("[\"alarm\"," + (1 + step % 2) + "]");
-            for (int i = 0; i < 8; i++) {
-                int total = 20 + random.nextInt(60);
-                messages.add("[\"observed\"," + random.nextInt(step > 30 && step < 50 ? total : 3) + "," + total + ",0.5,\""
-                        + (i % 3 == 0 ? "west" : "east") + "\"," + 0.0125 * random.nextInt(1, 40) + ",\"task." + i
-                        + "\",{\"utilization\":" + random.nextInt(101) / 100.0 + ",\"backlog\":3}]");
-            }
-            for (int p = 0; p < 6; p++) {
-                messages.add("[\"traffic\"," + p + ",\"" + (random.nextBoolean() ? "look" : "buy") + "\"," + random.nextInt(30) + ",0,0.5]");
-                messages.add("[\"acked\"," + p + "," + (1 + step / 2) + ",0.3]");
-            }
-        }
-        return "{\"tS\":" + now + ",\"seq\":" + step + ",\"parts\":["
-                + (messages.isEmpty() ? "" : "{\"i\":3,\"msgs\":[" + String.join(",", messages) + "]}") + "]}\n";
+  private static String simulatorBatch(SplittableRandom random, int step) {
+    double now = 5 + step * 0.5;
+    List<String> messages = new ArrayList<>();
+    String settings = SETTINGS.replace("LEVELS", random.nextInt(2) == 0 ? "share" : "rate");
+    if (step == 1 || step == 60) {
+      StringBuilder entries = new StringBuilder();
+      for (int i = 0; i < 8; i++) {
+        entries
+            .append(i == 0 ? "" : ",")
+            .append("[\"")
+            .append(i % 2 == 0 ? "west" : "east")
+            .append("\",1,\"std\",\"up\",")
+            .append(i == 7 ? String.valueOf(now) : "null")
+            .append(",0,\"task.")
+            .append(i)
+            .append("\"]");
+      }
+      messages.add("[\"boot\"," + (step + 11) + "," + settings + "]");
+      messages.add("[\"ledger\",0,[" + entries + "]]");
+      messages.add("[\"endpoints\",0,\"stale_copy\",4]");
+      for (int p = 0; p < 6; p++) {
+        messages.add(
+            "[\"joined\","
+                + p
+                + ",\""
+                + (p % 2 == 0 ? "west" : "east")
+                + "\","
+                + (p + 2.5)
+                + ","
+                + (p % 3 == 0)
+                + "]");
+      }
+    } else if (step == 20) {
+      messages.add(
+          "[\"ledger\",1,[[\"west\",1,\"std\",\"draining\",null,0,\"task.2\"],[\"east\",2,\"std\",\"removed\",null,0,\"task.3\"]]]");
+      messages.add("[\"endpoints\",1,\"patch\",5]");
+      messages.add("[\"disconnected\",4]");
+    } else if (step == 25) {
+      messages.add("[\"endpoints\",0,\"broken\",0]");
+      messages.add("[\"heard\",1,\"68692037\"]");
+      messages.add("[\"echo\",\"task.1\",503,0.02,null]");
+    } else if (step > 1) {
+      messages.add("[\"alarm\"," + (1 + step % 2) + "]");
+      for (int i = 0; i < 8; i++) {
+        int total = 20 + random.nextInt(60);
+        messages.add(
+            "[\"observed\","
+                + random.nextInt(step > 30 && step < 50 ? total : 3)
+                + ","
+                + total
+                + ",0.5,\""
+                + (i % 3 == 0 ? "west" : "east")
+                + "\","
+                + 0.0125 * random.nextInt(1, 40)
+                + ",\"task."
+                + i
+                + "\",{\"utilization\":"
+                + random.nextInt(101) / 100.0
+                + ",\"backlog\":3}]");
+      }
+      for (int p = 0; p < 6; p++) {
+        messages.add(
+            "[\"traffic\","
+                + p
+                + ",\""
+                + (random.nextBoolean() ? "look" : "buy")
+                + "\","
+                + random.nextInt(30)
+                + ",0,0.5]");
+        messages.add("[\"acked\"," + p + "," + (1 + step / 2) + ",0.3]");
+      }
     }
+    return "{\"tS\":"
+        + now
+        + ",\"seq\":"
+        + step
+        + ",\"parts\":["
+        + (messages.isEmpty() ? "" : "{\"i\":3,\"msgs\":[" + String.join(",", messages) + "]}")
+        + "]}\n";
+  }
 
-    @Test void repliesToTheSimulatorAreAsRecorded() throws IOException {
-        RecordedDigests digests = new RecordedDigests();
-        for (long seed = 1; seed <= 4; seed++) {
-            SplittableRandom random = new SplittableRandom(seed);
-            StringBuilder input = new StringBuilder();
-            for (int step = 0; step < 160; step++) {
-                input.append(simulatorBatch(random, step));
-            }
-            ByteArrayOutputStream output = new ByteArrayOutputStream();
-            new SimHost().run(new ByteArrayInputStream(input.toString().getBytes(StandardCharsets.UTF_8)), output);
-            RecordedDigests.Recording recording = new RecordedDigests.Recording();
-            recording.add(output.toByteArray());
-            digests.put("simulator/" + seed + " (" + output.size() + " bytes)", recording);
-        }
-        digests.check("simulator-bytes.sha256");
+  @Test
+  void repliesToTheSimulatorAreAsRecorded() throws IOException {
+    RecordedDigests digests = new RecordedDigests();
+    for (long seed = 1; seed <= 4; seed++) {
+      SplittableRandom random = new SplittableRandom(seed);
+      StringBuilder input = new StringBuilder();
+      for (int step = 0; step < 160; step++) {
+        input.append(simulatorBatch(random, step));
+      }
+      ByteArrayOutputStream output = new ByteArrayOutputStream();
+      new SimHost()
+          .run(new ByteArrayInputStream(input.toString().getBytes(StandardCharsets.UTF_8)), output);
+      RecordedDigests.Recording recording = new RecordedDigests.Recording();
+      recording.add(output.toByteArray());
+      digests.put("simulator/" + seed + " (" + output.size() + " bytes)", recording);
     }
+    digests.check("simulator-bytes.sha256");
+  }
 }
--- a/src/test/java/stonespring/lab/DayTest.java
+++ b/src/test/java/stonespring/lab/DayTest.java
@@ -8,9 +8,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole path on sockets, with an assigner in a process of its own that is killed on the way. */
+/**
+ * The whole path on sockets, with an assigner in a process of its own that is killed on the way.
+ */
 final class DayTest {
-    private static final String DAY = """
+  private static final String DAY =
+      """
             assigner = {"port": 0}
             fleet = {"zones": ["west", "east"], "proxies": 6, "standing_lines": 3, "shun_after": 3}
             op_types = [
@@ -37,16 +40,21 @@
             }
             """;
 
-    @Test void aShortBadDayKeepsEveryRule(@TempDir Path folder) throws Exception {
-        Path script = Files.writeString(folder.resolve("day.star"), DAY);
-        Observer.Verdict verdict = new DayRun(Day.read(script), script, 3, folder).run();
-        assertTrue(verdict.broken().isEmpty(), verdict.broken().toString());
-        // The day must have been one: ops done, messages sent, streams lost and found.
-        assertTrue(verdict.counts().get("not repeatable, done once") > 100, verdict.counts().toString());
-        assertTrue(verdict.counts().get("messages") > 6, verdict.counts().toString());
-        assertTrue(verdict.counts().get("joins") > 12, verdict.counts().toString());
-        assertTrue(verdict.service() > 0.5, DayRun.report(verdict));
-        assertEquals(verdict.counts().get("ops"), verdict.counts().getOrDefault("acked", 0)
-                + verdict.counts().getOrDefault("rejected", 0) + verdict.counts().getOrDefault("aborted", 0));
-    }
+  @Test
+  void aShortBadDayKeepsEveryRule(@TempDir Path folder) throws Exception {
+    Path script = Files.writeString(folder.resolve("day.star"), DAY);
+    Observer.Verdict verdict = new DayRun(Day.read(script), script, 3, folder).run();
+    assertTrue(verdict.broken().isEmpty(), verdict.broken().toString());
+    // The day must have been one: ops done, messages sent, streams lost and found.
+    assertTrue(
+        verdict.counts().get("not repeatable, done once") > 100, verdict.counts().toString());
+    assertTrue(verdict.counts().get("messages") > 6, verdict.counts().toString());
+    assertTrue(verdict.counts().get("joins") > 12, verdict.counts().toString());
+    assertTrue(verdict.service() > 0.5, DayRun.report(verdict));
+    assertEquals(
+        verdict.counts().get("ops"),
+        verdict.counts().getOrDefault("acked", 0)
+            + verdict.counts().getOrDefault("rejected", 0)
+            + verdict.counts().getOrDefault("aborted", 0));
+  }
 }
--- a/src/test/java/stonespring/lab/LinkTest.java
+++ b/src/test/java/stonespring/lab/LinkTest.java
@@ -19,96 +19,104 @@
 import org.junit.jupiter.api.Test;
 
 final class LinkTest {
-    private static final int WAIT = 10_000; // ms; an upper bound, every wait ends with its event
-    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private ServerSocket far;
-    private Link link;
-    private Socket near;
-    private Socket farEnd;
+  private static final int WAIT = 10_000; // ms; an upper bound, every wait ends with its event
+  private final MultiThreadIoEventLoopGroup loops =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private ServerSocket far;
+  private Link link;
+  private Socket near;
+  private Socket farEnd;
 
-    @BeforeEach void start() throws Exception {
-        far = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        link = new Link((EventLoop) loops.next(), (listener, pair, down, bytes) -> { });
-        near = dial(link.listen(far.getLocalPort()));
-    }
+  @BeforeEach
+  void start() throws Exception {
+    far = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+    link = new Link((EventLoop) loops.next(), (listener, pair, down, bytes) -> {});
+    near = dial(link.listen(far.getLocalPort()));
+  }
 
-    private Socket dial(int port) throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout(WAIT);
-        farEnd = far.accept();
-        farEnd.setSoTimeout(WAIT);
-        return socket;
-    }
+  private Socket dial(int port) throws IOException {
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+    socket.setSoTimeout(WAIT);
+    farEnd = far.accept();
+    farEnd.setSoTimeout(WAIT);
+    return socket;
+  }
 
-    @AfterEach void stop() throws IOException {
-        link.close();
-        near.close();
-        far.close();
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-    }
+  @AfterEach
+  void stop() throws IOException {
+    link.close();
+    near.close();
+    far.close();
+    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
 
-    private void settled() throws InterruptedException {
-        loops.next().submit(() -> { }).sync(); // what was told to the link is in force
-    }
+  private void settled() throws InterruptedException {
+    loops.next().submit(() -> {}).sync(); // what was told to the link is in force
+  }
 
-    @Test void bytesPassBothWaysAndOneAtATime() throws Exception {
-        link.byteByByte(true);
-        settled();
-        near.getOutputStream().write("to the far end".getBytes());
-        assertArrayEquals("to the far end".getBytes(), farEnd.getInputStream().readNBytes(14));
-        farEnd.getOutputStream().write("and back".getBytes());
-        assertArrayEquals("and back".getBytes(), near.getInputStream().readNBytes(8));
-    }
+  @Test
+  void bytesPassBothWaysAndOneAtATime() throws Exception {
+    link.byteByByte(true);
+    settled();
+    near.getOutputStream().write("to the far end".getBytes());
+    assertArrayEquals("to the far end".getBytes(), farEnd.getInputStream().readNBytes(14));
+    farEnd.getOutputStream().write("and back".getBytes());
+    assertArrayEquals("and back".getBytes(), near.getInputStream().readNBytes(8));
+  }
 
-    @Test void aCutFallsOnTheStatedByte() throws Exception {
-        link.cutAfter(0, 5);
-        settled();
-        farEnd.getOutputStream().write("0123456789".getBytes());
-        InputStream in = near.getInputStream();
-        assertArrayEquals("01234".getBytes(), in.readNBytes(5));
-        assertEquals(-1, in.read());
-    }
+  @Test
+  void aCutFallsOnTheStatedByte() throws Exception {
+    link.cutAfter(0, 5);
+    settled();
+    farEnd.getOutputStream().write("0123456789".getBytes());
+    InputStream in = near.getInputStream();
+    assertArrayEquals("01234".getBytes(), in.readNBytes(5));
+    assertEquals(-1, in.read());
+  }
 
-    @Test void whatIsFrozenPassesLaterAndWhole() throws Exception {
-        link.freeze(true);
-        settled();
-        farEnd.getOutputStream().write("late".getBytes());
-        near.setSoTimeout(50);
-        try {
-            near.getInputStream().read();
-            throw new AssertionError("it passed through a frozen link");
-        } catch (SocketTimeoutException e) {
-            // as it should be
-        }
-        near.setSoTimeout(WAIT);
-        link.freeze(false);
-        assertArrayEquals("late".getBytes(), near.getInputStream().readNBytes(4));
+  @Test
+  void whatIsFrozenPassesLaterAndWhole() throws Exception {
+    link.freeze(true);
+    settled();
+    farEnd.getOutputStream().write("late".getBytes());
+    near.setSoTimeout(50);
+    try {
+      near.getInputStream().read();
+      throw new AssertionError("it passed through a frozen link");
+    } catch (SocketTimeoutException e) {
+      // as it should be
     }
+    near.setSoTimeout(WAIT);
+    link.freeze(false);
+    assertArrayEquals("late".getBytes(), near.getInputStream().readNBytes(4));
+  }
 
-    @Test void aHalfThatIsClosedLeavesTheOtherOpen() throws Exception {
-        link.halfClose(0);
-        assertEquals(-1, near.getInputStream().read());
-        near.getOutputStream().write("still".getBytes());
-        assertArrayEquals("still".getBytes(), farEnd.getInputStream().readNBytes(5));
-    }
+  @Test
+  void aHalfThatIsClosedLeavesTheOtherOpen() throws Exception {
+    link.halfClose(0);
+    assertEquals(-1, near.getInputStream().read());
+    near.getOutputStream().write("still".getBytes());
+    assertArrayEquals("still".getBytes(), farEnd.getInputStream().readNBytes(5));
+  }
 
-    @Test void aCutEndsConnectionsAndRefusesNewOnes() throws Exception {
-        link.cut(true);
-        assertEquals(-1, near.getInputStream().read());
-        settled();
-        try (Socket again = new Socket(InetAddress.getLoopbackAddress(), near.getPort())) {
-            again.setSoTimeout(WAIT);
-            assertTrue(ends(again));
-        }
+  @Test
+  void aCutEndsConnectionsAndRefusesNewOnes() throws Exception {
+    link.cut(true);
+    assertEquals(-1, near.getInputStream().read());
+    settled();
+    try (Socket again = new Socket(InetAddress.getLoopbackAddress(), near.getPort())) {
+      again.setSoTimeout(WAIT);
+      assertTrue(ends(again));
     }
+  }
 
-    private static boolean ends(Socket socket) {
-        try {
-            return socket.getInputStream().read() < 0;
-        } catch (SocketTimeoutException e) {
-            return false;
-        } catch (IOException e) {
-            return true; // a reset is an end too
-        }
+  private static boolean ends(Socket socket) {
+    try {
+      return socket.getInputStream().read() < 0;
+    } catch (SocketTimeoutException e) {
+      return false;
+    } catch (IOException e) {
+      return true; // a reset is an end too
     }
+  }
 }
--- a/src/test/java/stonespring/lab/ObserverTest.java
+++ b/src/test/java/stonespring/lab/ObserverTest.java
@@ -8,128 +8,146 @@
 
 /** Each rule's check sees its break, and passes over what is none. */
 final class ObserverTest {
-    private final Evidence evidence = new Evidence(true);
-
-    private Observer.Verdict judge() {
-        return new Observer(new Observer.Limits(5_000, 3_000, 10_000, 3, 10_000),
-                Map.of("view", new Observer.Worth(500, 3, true), "extract", new Observer.Worth(500, 2, false)), evidence).judge(40_000);
-    }
-
-    private void broken(String start) {
-        Observer.Verdict verdict = judge();
-        assertEquals(1, verdict.broken().size(), verdict.broken().toString());
-        assertTrue(verdict.broken().get(0).startsWith(start), verdict.broken().toString());
-    }
-
-    private void kept() {
-        assertEquals(0, judge().broken().size(), judge().broken().toString());
-    }
-
-    private void outcome(double at, String proxy, String op, String type, int status, String reason, boolean notRun) {
-        evidence.add(new Evidence.Outcome(at, proxy, op, type, status, reason, notRun, 100, at + 100));
-    }
-
-    private void joined(double at, String proxy) {
-        evidence.add(new Evidence.Stream(at, proxy, true));
-    }
-
-    private void told(double at, String task, String state) {
-        evidence.add(new Evidence.Told(at, task, state, -1e9));
-    }
-
-    @Test void aProxyWithoutATaskForLongerThanTheLimit() {
-        told(0, "t", "ready");
-        joined(0, "p");
-        for (int i = 0; i < 5; i++) {
-            outcome(10_000 + 1000 * i, "p", "o" + i, "view", 503, "no-task", true);
-        }
-        kept();
-        outcome(15_500, "p", "o6", "view", 503, "no-task", true);
-        broken("rule 1: at 15600 ms proxy p for view had no task for 5500 ms");
-    }
-
-    @Test void aProxyThatIsNotJoinedOrHasNoWarmTaskListedIsNoBreak() {
-        joined(0, "p");
-        evidence.add(new Evidence.Told(0, "t", "ready", 12_000));
-        outcome(10_000, "p", "a", "view", 503, "no-task", true);
-        outcome(17_000, "p", "b", "view", 503, "no-task", true);
-        evidence.add(new Evidence.Stream(19_000, "p", false));
-        outcome(23_000, "p", "c", "view", 503, "no-task", true);
-        outcome(39_000, "p", "d", "view", 503, "no-task", true);
-        kept();
-    }
-
-    private void effect(String op, String type, int tryNumber) {
-        evidence.add(new Evidence.Effect(1, "t" + tryNumber, op, type, tryNumber));
-    }
-
-    @Test void anEffectTwice() {
-        effect("v", "view", 1);
-        effect("v", "view", 2);
-        kept();
-        effect("x", "extract", 1);
-        effect("x", "extract", 2);
-        broken("rule 2: op x took effect 2 times");
-    }
-
-    @Test void anAnswerThatSaysNotDoneThoughItWas() {
-        effect("x", "extract", 1);
-        outcome(0, "p", "x", "extract", 503, "failed", true);
-        broken("rule 2: op x was answered 503 as not done and took effect 1 times");
-    }
-
-    @Test void sendingToATaskThatDrainsAfterTheGrace() {
-        told(0, "t", "ready");
-        told(10_000, "t", "draining");
-        joined(0, "p");
-        joined(12_000, "late");
-        evidence.add(new Evidence.Arrival(12_900, "t", "p", "a", "view", 1));
-        evidence.add(new Evidence.Arrival(14_900, "t", "late", "b", "view", 1));
-        evidence.add(new Evidence.Arrival(20_000, "t", "never-joined", "c", "view", 1));
-        kept();
-        evidence.add(new Evidence.Arrival(13_100, "t", "p", "d", "view", 1));
-        broken("rule 3: at 13100 ms proxy p sent to t, 3100 ms after");
-    }
-
-    @Test void aTaskThatStartsAgainMayBeSentTo() {
-        told(10_000, "t", "draining");
-        told(12_000, "t", "gone");
-        told(13_000, "t", "ready");
-        joined(0, "p");
-        evidence.add(new Evidence.Arrival(30_000, "t", "p", "a", "view", 1));
-        kept();
-    }
-
-    @Test void aColdTaskThatFalls() {
-        evidence.add(new Evidence.Fell(7, "t", 4.5));
-        broken("rule 4: at 7 ms cold task t was sent 4.5 times");
-    }
-
-    @Test void aBacklogOverItsLimit() {
-        evidence.add(new Evidence.Channel(1, 100, 100));
-        kept();
-        evidence.add(new Evidence.Channel(2, 101, 100));
-        broken("rule 5: at 2 ms 101 lines wait, the limit is 100");
-    }
-
-    @Test void tooManyMessagesToOneProxy() {
-        for (int i = 0; i < 3; i++) {
-            evidence.add(new Evidence.Commit(i, "p"));
-            evidence.add(new Evidence.Commit(11_000 + i, "p"));
-        }
-        kept();
-        evidence.add(new Evidence.Commit(11_500, "p"));
-        broken("rule 5: at 11500 ms proxy p had 4 messages");
-    }
-
-    @Test void serviceIsTheBenefitInTimeOverTheBenefitAskedFor() {
-        outcome(0, "p", "a", "view", 200, "", false);
-        evidence.add(new Evidence.Outcome(20_000, "p", "b", "view", 200, "", false, 501, 20_501));
-        outcome(30_000, "p", "c", "extract", 429, "level", true);
-        Observer.Verdict verdict = judge();
-        assertEquals(3.0 / 8, verdict.service(), 1e-9);
-        assertEquals(0, verdict.worstWindow(), 1e-9);
-        assertEquals(0, verdict.worstType(), 1e-9);
-        assertEquals("extract", verdict.worstTypeName());
-    }
+  private final Evidence evidence = new Evidence(true);
+
+  private Observer.Verdict judge() {
+    return new Observer(
+            new Observer.Limits(5_000, 3_000, 10_000, 3, 10_000),
+            Map.of(
+                "view",
+                new Observer.Worth(500, 3, true),
+                "extract",
+                new Observer.Worth(500, 2, false)),
+            evidence)
+        .judge(40_000);
+  }
+
+  private void broken(String start) {
+    Observer.Verdict verdict = judge();
+    assertEquals(1, verdict.broken().size(), verdict.broken().toString());
+    assertTrue(verdict.broken().get(0).startsWith(start), verdict.broken().toString());
+  }
+
+  private void kept() {
+    assertEquals(0, judge().broken().size(), judge().broken().toString());
+  }
+
+  private void outcome(
+      double at, String proxy, String op, String type, int status, String reason, boolean notRun) {
+    evidence.add(new Evidence.Outcome(at, proxy, op, type, status, reason, notRun, 100, at + 100));
+  }
+
+  private void joined(double at, String proxy) {
+    evidence.add(new Evidence.Stream(at, proxy, true));
+  }
+
+  private void told(double at, String task, String state) {
+    evidence.add(new Evidence.Told(at, task, state, -1e9));
+  }
+
+  @Test
+  void aProxyWithoutATaskForLongerThanTheLimit() {
+    told(0, "t", "ready");
+    joined(0, "p");
+    for (int i = 0; i < 5; i++) {
+      outcome(10_000 + 1000 * i, "p", "o" + i, "view", 503, "no-task", true);
+    }
+    kept();
+    outcome(15_500, "p", "o6", "view", 503, "no-task", true);
+    broken("rule 1: at 15600 ms proxy p for view had no task for 5500 ms");
+  }
+
+  @Test
+  void aProxyThatIsNotJoinedOrHasNoWarmTaskListedIsNoBreak() {
+    joined(0, "p");
+    evidence.add(new Evidence.Told(0, "t", "ready", 12_000));
+    outcome(10_000, "p", "a", "view", 503, "no-task", true);
+    outcome(17_000, "p", "b", "view", 503, "no-task", true);
+    evidence.add(new Evidence.Stream(19_000, "p", false));
+    outcome(23_000, "p", "c", "view", 503, "no-task", true);
+    outcome(39_000, "p", "d", "view", 503, "no-task", true);
+    kept();
+  }
+
+  private void effect(String op, String type, int tryNumber) {
+    evidence.add(new Evidence.Effect(1, "t" + tryNumber, op, type, tryNumber));
+  }
+
+  @Test
+  void anEffectTwice() {
+    effect("v", "view", 1);
+    effect("v", "view", 2);
+    kept();
+    effect("x", "extract", 1);
+    effect("x", "extract", 2);
+    broken("rule 2: op x took effect 2 times");
+  }
+
+  @Test
+  void anAnswerThatSaysNotDoneThoughItWas() {
+    effect("x", "extract", 1);
+    outcome(0, "p", "x", "extract", 503, "failed", true);
+    broken("rule 2: op x was answered 503 as not done and took effect 1 times");
+  }
+
+  @Test
+  void sendingToATaskThatDrainsAfterTheGrace() {
+    told(0, "t", "ready");
+    told(10_000, "t", "draining");
+    joined(0, "p");
+    joined(12_000, "late");
+    evidence.add(new Evidence.Arrival(12_900, "t", "p", "a", "view", 1));
+    evidence.add(new Evidence.Arrival(14_900, "t", "late", "b", "view", 1));
+    evidence.add(new Evidence.Arrival(20_000, "t", "never-joined", "c", "view", 1));
+    kept();
+    evidence.add(new Evidence.Arrival(13_100, "t", "p", "d", "view", 1));
+    broken("rule 3: at 13100 ms proxy p sent to t, 3100 ms after");
+  }
+
+  @Test
+  void aTaskThatStartsAgainMayBeSentTo() {
+    told(10_000, "t", "draining");
+    told(12_000, "t", "gone");
+    told(13_000, "t", "ready");
+    joined(0, "p");
+    evidence.add(new Evidence.Arrival(30_000, "t", "p", "a", "view", 1));
+    kept();
+  }
+
+  @Test
+  void aColdTaskThatFalls() {
+    evidence.add(new Evidence.Fell(7, "t", 4.5));
+    broken("rule 4: at 7 ms cold task t was sent 4.5 times");
+  }
+
+  @Test
+  void aBacklogOverItsLimit() {
+    evidence.add(new Evidence.Channel(1, 100, 100));
+    kept();
+    evidence.add(new Evidence.Channel(2, 101, 100));
+    broken("rule 5: at 2 ms 101 lines wait, the limit is 100");
+  }
+
+  @Test
+  void tooManyMessagesToOneProxy() {
+    for (int i = 0; i < 3; i++) {
+      evidence.add(new Evidence.Commit(i, "p"));
+      evidence.add(new Evidence.Commit(11_000 + i, "p"));
+    }
+    kept();
+    evidence.add(new Evidence.Commit(11_500, "p"));
+    broken("rule 5: at 11500 ms proxy p had 4 messages");
+  }
+
+  @Test
+  void serviceIsTheBenefitInTimeOverTheBenefitAskedFor() {
+    outcome(0, "p", "a", "view", 200, "", false);
+    evidence.add(new Evidence.Outcome(20_000, "p", "b", "view", 200, "", false, 501, 20_501));
+    outcome(30_000, "p", "c", "extract", 429, "level", true);
+    Observer.Verdict verdict = judge();
+    assertEquals(3.0 / 8, verdict.service(), 1e-9);
+    assertEquals(0, verdict.worstWindow(), 1e-9);
+    assertEquals(0, verdict.worstType(), 1e-9);
+    assertEquals("extract", verdict.worstTypeName());
+  }
 }
--- a/src/test/java/stonespring/line/LineDecoderTest.java
+++ b/src/test/java/stonespring/line/LineDecoderTest.java
@@ -19,77 +19,93 @@
 import org.junit.jupiter.api.Test;
 
 final class LineDecoderTest {
-    private static final int MOST = 64; // bytes of a line in these tests
+  private static final int MOST = 64; // bytes of a line in these tests
 
-    private static byte[] bytes(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
-    }
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
 
-    private static List<LineMessage> read(EmbeddedChannel channel) {
-        List<LineMessage> messages = new ArrayList<>();
-        for (Object next = channel.readInbound(); next != null; next = channel.readInbound()) {
-            messages.add((LineMessage) next);
-        }
-        return messages;
+  private static List<LineMessage> read(EmbeddedChannel channel) {
+    List<LineMessage> messages = new ArrayList<>();
+    for (Object next = channel.readInbound(); next != null; next = channel.readInbound()) {
+      messages.add((LineMessage) next);
     }
+    return messages;
+  }
 
-    private static EmbeddedChannel channel() {
-        return new EmbeddedChannel(new LineDecoder(MOST));
-    }
+  private static EmbeddedChannel channel() {
+    return new EmbeddedChannel(new LineDecoder(MOST));
+  }
 
-    @Test void everySplitOfTwoMessagesIsTheSame() {
-        byte[] all = bytes("ACK id=17 seq=905 ms=310.4\r\nPING\r\n");
-        List<LineMessage> whole = List.of(new LineMessage("ACK", Map.of("id", "17", "seq", "905", "ms", "310.4"), null),
-                new LineMessage("PING", Map.of(), null));
-        for (int cut = 0; cut <= all.length; cut++) {
-            EmbeddedChannel channel = channel();
-            channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOf(all, cut)));
-            channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(all, cut, all.length)));
-            assertEquals(whole, read(channel), "cut at " + cut);
-        }
-        EmbeddedChannel channel = channel();
-        for (byte one : all) {
-            channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {one}));
-        }
-        assertEquals(whole, read(channel), "byte by byte");
+  @Test
+  void everySplitOfTwoMessagesIsTheSame() {
+    byte[] all = bytes("ACK id=17 seq=905 ms=310.4\r\nPING\r\n");
+    List<LineMessage> whole =
+        List.of(
+            new LineMessage("ACK", Map.of("id", "17", "seq", "905", "ms", "310.4"), null),
+            new LineMessage("PING", Map.of(), null));
+    for (int cut = 0; cut <= all.length; cut++) {
+      EmbeddedChannel channel = channel();
+      channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOf(all, cut)));
+      channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(all, cut, all.length)));
+      assertEquals(whole, read(channel), "cut at " + cut);
     }
-
-    @Test void whatIsNoLineEndsTheConnection() {
-        for (String bad : new String[] {"PING\n", "\r\n", "x".repeat(MOST + 1), "A \u0000\r\n", "A b=\u007f\r\n", "A \tb\r\n"}) {
-            DecoderException e = assertThrows(DecoderException.class, () -> channel().writeInbound(Unpooled.wrappedBuffer(bytes(bad))), bad);
-            assertTrue(e.getCause() instanceof LineFault, bad);
-        }
-        byte[] noText = {'A', ' ', (byte) 0xC3, '(', '\r', '\n'};
-        assertThrows(DecoderException.class, () -> channel().writeInbound(Unpooled.wrappedBuffer(noText)));
+    EmbeddedChannel channel = channel();
+    for (byte one : all) {
+      channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {one}));
     }
+    assertEquals(whole, read(channel), "byte by byte");
+  }
 
-    @Test void wordsThatCantBeReadAreAFlawOfThatMessageAlone() {
-        EmbeddedChannel channel = channel();
-        channel.writeInbound(Unpooled.wrappedBuffer(bytes("LOAD a=1 b\r\nLOAD a=1 a=2\r\nLOAD =1\r\nLOAD a=\r\n")));
-        List<LineMessage> read = read(channel);
-        assertEquals("word 2 is not name=value", read.get(0).flaw());
-        assertEquals("'a' comes twice", read.get(1).flaw());
-        assertEquals("word 1 is not name=value", read.get(2).flaw());
-        assertNull(read.get(3).flaw());
-        assertEquals("", read.get(3).words().get("a"));
+  @Test
+  void whatIsNoLineEndsTheConnection() {
+    for (String bad :
+        new String[] {
+          "PING\n", "\r\n", "x".repeat(MOST + 1), "A \u0000\r\n", "A b=\u007f\r\n", "A \tb\r\n"
+        }) {
+      DecoderException e =
+          assertThrows(
+              DecoderException.class,
+              () -> channel().writeInbound(Unpooled.wrappedBuffer(bytes(bad))),
+              bad);
+      assertTrue(e.getCause() instanceof LineFault, bad);
     }
+    byte[] noText = {'A', ' ', (byte) 0xC3, '(', '\r', '\n'};
+    assertThrows(
+        DecoderException.class, () -> channel().writeInbound(Unpooled.wrappedBuffer(noText)));
+  }
+
+  @Test
+  void wordsThatCantBeReadAreAFlawOfThatMessageAlone() {
+    EmbeddedChannel channel = channel();
+    channel.writeInbound(
+        Unpooled.wrappedBuffer(bytes("LOAD a=1 b\r\nLOAD a=1 a=2\r\nLOAD =1\r\nLOAD a=\r\n")));
+    List<LineMessage> read = read(channel);
+    assertEquals("word 2 is not name=value", read.get(0).flaw());
+    assertEquals("'a' comes twice", read.get(1).flaw());
+    assertEquals("word 1 is not name=value", read.get(2).flaw());
+    assertNull(read.get(3).flaw());
+    assertEquals("", read.get(3).words().get("a"));
+  }
 
-    @Property(tries = 300) void anyBytesAreLinesOrOneFault(@ForAll @Size(max = 300) byte[] some, @ForAll @Size(max = 8) int[] cuts) {
-        EmbeddedChannel channel = channel();
-        int from = 0;
-        try {
-            for (int cut : cuts) {
-                int to = from + Math.floorMod(cut, some.length - from + 1);
-                channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(some, from, to)));
-                from = to;
-            }
-            channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(some, from, some.length)));
-        } catch (DecoderException e) {
-            assertTrue(e.getCause() instanceof LineFault, String.valueOf(e.getCause()));
-            read(channel);
-            channel.writeInbound(Unpooled.wrappedBuffer(bytes("PING\r\n")));
-            assertEquals(List.of(), read(channel), "nothing has a meaning after a fault");
-        }
-        channel.releaseInbound();
+  @Property(tries = 300)
+  void anyBytesAreLinesOrOneFault(
+      @ForAll @Size(max = 300) byte[] some, @ForAll @Size(max = 8) int[] cuts) {
+    EmbeddedChannel channel = channel();
+    int from = 0;
+    try {
+      for (int cut : cuts) {
+        int to = from + Math.floorMod(cut, some.length - from + 1);
+        channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(some, from, to)));
+        from = to;
+      }
+      channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(some, from, some.length)));
+    } catch (DecoderException e) {
+      assertTrue(e.getCause() instanceof LineFault, String.valueOf(e.getCause()));
+      read(channel);
+      channel.writeInbound(Unpooled.wrappedBuffer(bytes("PING\r\n")));
+      assertEquals(List.of(), read(channel), "nothing has a meaning after a fault");
     }
+    channel.releaseInbound();
+  }
 }
--- a/src/test/java/stonespring/recorded/RecordedDigests.java
+++ b/src/test/java/stonespring/recorded/RecordedDigests.java
@@ -13,49 +13,58 @@
 import java.util.HexFormat;
 
 /**
- * Digests of recorded output, held against a resource: one line for each recording, its name, how many pieces it had, and the
- * SHA-256 of all their bytes. Where they differ, what was found is left in {@code target/} under the resource's name.
+ * Digests of recorded output, held against a resource: one line for each recording, its name, how
+ * many pieces it had, and the SHA-256 of all their bytes. Where they differ, what was found is left
+ * in {@code target/} under the resource's name.
  */
 public final class RecordedDigests {
-    private final StringBuilder found = new StringBuilder();
-
-    /** One recording's running digest. */
-    public static final class Recording {
-        private final MessageDigest digest;
-        private int pieces;
-
-        public Recording() {
-            try {
-                this.digest = MessageDigest.getInstance("SHA-256");
-            } catch (NoSuchAlgorithmException e) {
-                throw new AssertionError(e);
-            }
-        }
-
-        public void add(byte[] bytes) {
-            digest.update(bytes);
-            pieces++;
-        }
-
-        public void add(String text) {
-            add(text.getBytes(StandardCharsets.UTF_8));
-        }
+  private final StringBuilder found = new StringBuilder();
+
+  /** One recording's running digest. */
+  public static final class Recording {
+    private final MessageDigest digest;
+    private int pieces;
+
+    public Recording() {
+      try {
+        this.digest = MessageDigest.getInstance("SHA-256");
+      } catch (NoSuchAlgorithmException e) {
+        throw new AssertionError(e);
+      }
     }
 
-    /** Ends a recording. */
-    public void put(String name, Recording recording) {
-        found.append(name).append(' ').append(recording.pieces).append(' ')
-                .append(HexFormat.of().formatHex(recording.digest.digest())).append('\n');
+    public void add(byte[] bytes) {
+      digest.update(bytes);
+      pieces++;
     }
 
-    /** Compares all recordings with those that the resource holds. */
-    public void check(String resource) throws IOException {
-        Path left = Path.of("target", resource);
-        Files.createDirectories(left.getParent());
-        Files.writeString(left, found.toString());
-        try (InputStream in = RecordedDigests.class.getResourceAsStream("/recorded/" + resource)) {
-            assertNotNull(in, "no resource /recorded/" + resource);
-            assertEquals(new String(in.readAllBytes(), StandardCharsets.UTF_8), found.toString(), "what is recorded has changed");
-        }
+    public void add(String text) {
+      add(text.getBytes(StandardCharsets.UTF_8));
+    }
+  }
+
+  /** Ends a recording. */
+  public void put(String name, Recording recording) {
+    found
+        .append(name)
+        .append(' ')
+        .append(recording.pieces)
+        .append(' ')
+        .append(HexFormat.of().formatHex(recording.digest.digest()))
+        .append('\n');
+  }
+
+  /** Compares all recordings with those that the resource holds. */
+  public void check(String resource) throws IOException {
+    Path left = Path.of("target", resource);
+    Files.createDirectories(left.getParent());
+    Files.writeString(left, found.toString());
+    try (InputStream in = RecordedDigests.class.getResourceAsStream("/recorded/" + resource)) {
+      assertNotNull(in, "no resource /recorded/" + resource);
+      assertEquals(
+          new String(in.readAllBytes(), StandardCharsets.UTF_8),
+          found.toString(),
+          "what is recorded has changed");
     }
+  }
 }
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -21,75 +21,128 @@
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
 
-/** What version 0.2.0 stored or was given is read as it was then, and is written in the same form again. */
+/**
+ * What version 0.2.0 stored or was given is read as it was then, and is written in the same form
+ * again.
+ */
 final class StoredDataTest {
-    private static final Path STORED = Path.of("src/test/resources/stored");
-    private static final List<String> ZONES = List.of("west", "east");
-    @TempDir private Path folder;
+  private static final Path STORED = Path.of("src/test/resources/stored");
+  private static final List<String> ZONES = List.of("west", "east");
+  @TempDir private Path folder;
 
-    /** Every value of the settings, by position: no name of a field is part of it. */
-    private static String values(Settings s) {
-        StringBuilder classes = new StringBuilder();
-        for (OpType type : s.opTypes()) {
-            classes.append('(').append(type.repeat().ordinal()).append(' ').append(type.targetLatency()).append(' ')
-                    .append(type.benefit()).append(')');
-        }
-        return String.join(" ", List.of("" + s.assigners(), "" + s.zones(), classes, "" + s.listOnRequest(),
-                "" + s.levelKind().ordinal(), "" + s.backlogLines(), "" + s.messageHead(), "" + s.messagesMost(),
-                "" + s.messagesOver(), "" + s.linesPerSecond(), "" + s.emptyLimit(), "" + s.standingLines(), "" + s.proxies(),
-                "" + s.sumsEvery(), "" + s.slices(), "" + s.crossZonePrice(), "" + s.coldTime(), "" + s.coldShare(),
-                "" + s.fallMultiple(), "" + s.worstTypeWeight(), "" + s.droppedStayOpen(), "" + s.shunAfter(),
-                "" + s.holdingsUnknown()));
+  /** Every value of the settings, by position: no name of a field is part of it. */
+  private static String values(Settings s) {
+    StringBuilder classes = new StringBuilder();
+    for (OpType type : s.opTypes()) {
+      classes
+          .append('(')
+          .append(type.repeat().ordinal())
+          .append(' ')
+          .append(type.targetLatency())
+          .append(' ')
+          .append(type.benefit())
+          .append(')');
     }
+    return String.join(
+        " ",
+        List.of(
+            "" + s.assigners(),
+            "" + s.zones(),
+            classes,
+            "" + s.listOnRequest(),
+            "" + s.levelKind().ordinal(),
+            "" + s.backlogLines(),
+            "" + s.messageHead(),
+            "" + s.messagesMost(),
+            "" + s.messagesOver(),
+            "" + s.linesPerSecond(),
+            "" + s.emptyLimit(),
+            "" + s.standingLines(),
+            "" + s.proxies(),
+            "" + s.sumsEvery(),
+            "" + s.slices(),
+            "" + s.crossZonePrice(),
+            "" + s.coldTime(),
+            "" + s.coldShare(),
+            "" + s.fallMultiple(),
+            "" + s.worstTypeWeight(),
+            "" + s.droppedStayOpen(),
+            "" + s.shunAfter(),
+            "" + s.holdingsUnknown()));
+  }
 
-    @Test void aSavedListIsReadAndWrittenAsItWas() throws Exception {
-        Entries entries = new Entries(ZONES, 17_645_760_000_000L);
-        byte[] stored = Files.readAllBytes(STORED.resolve("saved-list.json"));
-        List<Listing> list = entries.read(stored);
-        assertEquals(List.of(new Listing(new TaskId("a-1@10.0.0.1:8080"), new ZoneId(0), 1, Listing.State.READY, 0),
-                new Listing(new TaskId("b-2@10.0.0.2:8080"), new ZoneId(1), 2.5, Listing.State.DRAINING, 2500)), list);
-        assertArrayEquals(stored, entries.write(list));
-    }
+  @Test
+  void aSavedListIsReadAndWrittenAsItWas() throws Exception {
+    Entries entries = new Entries(ZONES, 17_645_760_000_000L);
+    byte[] stored = Files.readAllBytes(STORED.resolve("saved-list.json"));
+    List<Listing> list = entries.read(stored);
+    assertEquals(
+        List.of(
+            new Listing(new TaskId("a-1@10.0.0.1:8080"), new ZoneId(0), 1, Listing.State.READY, 0),
+            new Listing(
+                new TaskId("b-2@10.0.0.2:8080"), new ZoneId(1), 2.5, Listing.State.DRAINING, 2500)),
+        list);
+    assertArrayEquals(stored, entries.write(list));
+  }
 
-    private static byte[] unpacked(Path file) throws IOException {
-        try (GZIPInputStream in = new GZIPInputStream(Files.newInputStream(file))) {
-            return in.readAllBytes();
-        }
+  private static byte[] unpacked(Path file) throws IOException {
+    try (GZIPInputStream in = new GZIPInputStream(Files.newInputStream(file))) {
+      return in.readAllBytes();
     }
+  }
 
-    @Test void aRecordedDayIsRead() throws IOException {
-        Recording day = RecordingFile.read(STORED.resolve("day.rec.gz"));
-        assertEquals("1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 2900 10 30 100000 2900.0 50000 5 3 10000 false 0.12 80000 0.2"
-                + " 3.0 0.3 false 3 false", values(day.head().settings()));
-        assertEquals(1098, day.moments().size());
-        assertEquals(3, day.head().proxies().size());
-    }
+  @Test
+  void aRecordedDayIsRead() throws IOException {
+    Recording day = RecordingFile.read(STORED.resolve("day.rec.gz"));
+    assertEquals(
+        "1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 2900 10 30 100000 2900.0 50000 5 3 10000 false 0.12 80000 0.2"
+            + " 3.0 0.3 false 3 false",
+        values(day.head().settings()));
+    assertEquals(1098, day.moments().size());
+    assertEquals(3, day.head().proxies().size());
+  }
 
-    @Test void aRecordedDayIsWrittenAsItWas() throws IOException {
-        Path stored = STORED.resolve("day.rec.gz");
-        Path again = folder.resolve("again.rec.gz");
-        RecordingFile.write(RecordingFile.read(stored), again);
-        assertArrayEquals(unpacked(stored), unpacked(again));
-    }
+  @Test
+  void aRecordedDayIsWrittenAsItWas() throws IOException {
+    Path stored = STORED.resolve("day.rec.gz");
+    Path again = folder.resolve("again.rec.gz");
+    RecordingFile.write(RecordingFile.read(stored), again);
+    assertArrayEquals(unpacked(stored), unpacked(again));
+  }
 
-    @Test void aSettingsScriptIsRead() throws Exception {
-        AssignerSettings settings = AssignerSettings.read(STORED.resolve("settings.star"));
-        assertEquals("1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 5800 10 30 100000 2900.0 50000 5 24 10000 false 0.12 170000 0.17"
-                + " 4.0 0.3 false 3 false", values(settings.settings()));
-        assertEquals(List.of("view", "sketch", "extract"), settings.opTypeNames());
-        assertEquals(List.of(15_000L, 20_000L, 15_000L), settings.opTimeouts());
-        assertEquals(7400, settings.port());
-    }
+  @Test
+  void aSettingsScriptIsRead() throws Exception {
+    AssignerSettings settings = AssignerSettings.read(STORED.resolve("settings.star"));
+    assertEquals(
+        "1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 5800 10 30 100000 2900.0 50000 5 24 10000 false 0.12 170000 0.17"
+            + " 4.0 0.3 false 3 false",
+        values(settings.settings()));
+    assertEquals(List.of("view", "sketch", "extract"), settings.opTypeNames());
+    assertEquals(List.of(15_000L, 20_000L, 15_000L), settings.opTimeouts());
+    assertEquals(7400, settings.port());
+  }
 
-    @Test void thePlatformsConfigurationIsRead() throws Exception {
-        PlatformFile file = PlatformFile.read(STORED.resolve("platform.json"));
-        assertEquals("2 2 (0 4000 1.0)(1 7000 2.5)(2 9000 4.0) true 2 3000 5 20 80000 1500.0 60000 3 8 5000 true 0.1 120000 0.3 2.5 0.2"
-                + " true 3 true", values(file.facts().settings()));
-        assertEquals("n1 4100 4101 256 " + 0x8c1f30d27a5be964L, file.name() + " " + file.listen().getPort() + " "
-                + file.discovery().getPort() + " " + file.sockets() + " " + file.seed());
-        assertEquals(ZONES, file.facts().zones());
-        assertEquals(List.of("look", "edit", "buy"), file.facts().opTypes());
-        assertEquals(2500, file.facts().round());
-        assertEquals(4, file.known().get("seq").asInt());
-    }
+  @Test
+  void thePlatformsConfigurationIsRead() throws Exception {
+    PlatformFile file = PlatformFile.read(STORED.resolve("platform.json"));
+    assertEquals(
+        "2 2 (0 4000 1.0)(1 7000 2.5)(2 9000 4.0) true 2 3000 5 20 80000 1500.0 60000 3 8 5000 true 0.1 120000 0.3 2.5 0.2"
+            + " true 3 true",
+        values(file.facts().settings()));
+    assertEquals(
+        "n1 4100 4101 256 " + 0x8c1f30d27a5be964L,
+        file.name()
+            + " "
+            + file.listen().getPort()
+            + " "
+            + file.discovery().getPort()
+            + " "
+            + file.sockets()
+            + " "
+            + file.seed());
+    assertEquals(ZONES, file.facts().zones());
+    assertEquals(List.of("look", "edit", "buy"), file.facts().opTypes());
+    assertEquals(2500, file.facts().round());
+    assertEquals(4, file.known().get("seq").asInt());
+  }
 }
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -17,80 +17,89 @@
 import stonespring.lab.virtual.Loads;
 
 final class RecordingFileTest {
-    @TempDir private Path folder;
+  @TempDir private Path folder;
 
-    private String[] lines() throws IOException {
-        Path file = folder.resolve("a.rec.gz");
-        RecordingFile.write(Loads.draw(Loads.Kind.DEPLOY, 3, 6, 3), file);
-        try (GZIPInputStream in = new GZIPInputStream(Files.newInputStream(file))) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n");
-        }
+  private String[] lines() throws IOException {
+    Path file = folder.resolve("a.rec.gz");
+    RecordingFile.write(Loads.draw(Loads.Kind.DEPLOY, 3, 6, 3), file);
+    try (GZIPInputStream in = new GZIPInputStream(Files.newInputStream(file))) {
+      return new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n");
     }
+  }
 
-    private Path packed(List<String> lines) throws IOException {
-        Path file = folder.resolve("b.rec.gz");
-        try (GZIPOutputStream out = new GZIPOutputStream(Files.newOutputStream(file))) {
-            out.write((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
-        }
-        return file;
+  private Path packed(List<String> lines) throws IOException {
+    Path file = folder.resolve("b.rec.gz");
+    try (GZIPOutputStream out = new GZIPOutputStream(Files.newOutputStream(file))) {
+      out.write((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
     }
+    return file;
+  }
 
-    private String fault(int line, String with) throws IOException {
-        String[] lines = lines();
-        lines[line - 1] = with;
-        Path file = packed(List.of(lines));
-        String message = assertThrows(RecordingFile.Bad.class, () -> RecordingFile.read(file)).getMessage();
-        assertTrue(message.startsWith(file + ", line " + line + ": "), message);
-        return message.substring((file + ", line " + line + ": ").length());
-    }
+  private String fault(int line, String with) throws IOException {
+    String[] lines = lines();
+    lines[line - 1] = with;
+    Path file = packed(List.of(lines));
+    String message =
+        assertThrows(RecordingFile.Bad.class, () -> RecordingFile.read(file)).getMessage();
+    assertTrue(message.startsWith(file + ", line " + line + ": "), message);
+    return message.substring((file + ", line " + line + ": ").length());
+  }
 
-    @Test void whatIsWrittenIsRead() throws IOException {
-        for (Loads.Kind kind : Loads.Kind.values()) {
-            Recording drawn = Loads.draw(kind, 5, 9, 4);
-            Path file = folder.resolve(kind + ".rec.gz");
-            RecordingFile.write(drawn, file);
-            Recording read = RecordingFile.read(file);
-            assertEquals(drawn.head(), read.head());
-            assertEquals(drawn.moments().toString().replaceAll("\\[I@[0-9a-f]+", "ops"),
-                    read.moments().toString().replaceAll("\\[I@[0-9a-f]+", "ops"));
-            for (int i = 0; i < drawn.moments().size(); i++) {
-                if (drawn.moments().get(i) instanceof Moment.Came came) {
-                    assertEquals(List.of(came.ops()[0], came.ops()[1]), List.of(((Moment.Came) read.moments().get(i)).ops()[0],
-                            ((Moment.Came) read.moments().get(i)).ops()[1]));
-                }
-            }
+  @Test
+  void whatIsWrittenIsRead() throws IOException {
+    for (Loads.Kind kind : Loads.Kind.values()) {
+      Recording drawn = Loads.draw(kind, 5, 9, 4);
+      Path file = folder.resolve(kind + ".rec.gz");
+      RecordingFile.write(drawn, file);
+      Recording read = RecordingFile.read(file);
+      assertEquals(drawn.head(), read.head());
+      assertEquals(
+          drawn.moments().toString().replaceAll("\\[I@[0-9a-f]+", "ops"),
+          read.moments().toString().replaceAll("\\[I@[0-9a-f]+", "ops"));
+      for (int i = 0; i < drawn.moments().size(); i++) {
+        if (drawn.moments().get(i) instanceof Moment.Came came) {
+          assertEquals(
+              List.of(came.ops()[0], came.ops()[1]),
+              List.of(
+                  ((Moment.Came) read.moments().get(i)).ops()[0],
+                  ((Moment.Came) read.moments().get(i)).ops()[1]));
         }
+      }
     }
+  }
 
-    @Test void faultsNameTheLineAndTheField() throws IOException {
-        assertEquals("version: missing", fault(1, "{}"));
-        assertEquals("version: 2, this program reads 1", fault(1, "{\"version\":2}"));
-        assertEquals("no JSON", fault(2, "[\"ran\",0"));
-        assertEquals("kind: \"walked\"", fault(2, "[\"walked\",0]"));
-        assertEquals("zone: 3", fault(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
-        assertEquals("ran: 6 fields, not 7", fault(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
-        assertEquals("ops: -1", fault(2, "[\"came\",0,0,-1,0,0]"));
-        assertEquals("state: \"UP\"", fault(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
-        assertEquals("at: goes back to 5", fault(lines().length, "[\"late\",5,0]"));
-    }
+  @Test
+  void faultsNameTheLineAndTheField() throws IOException {
+    assertEquals("version: missing", fault(1, "{}"));
+    assertEquals("version: 2, this program reads 1", fault(1, "{\"version\":2}"));
+    assertEquals("no JSON", fault(2, "[\"ran\",0"));
+    assertEquals("kind: \"walked\"", fault(2, "[\"walked\",0]"));
+    assertEquals("zone: 3", fault(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
+    assertEquals("ran: 6 fields, not 7", fault(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
+    assertEquals("ops: -1", fault(2, "[\"came\",0,0,-1,0,0]"));
+    assertEquals("state: \"UP\"", fault(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
+    assertEquals("at: goes back to 5", fault(lines().length, "[\"late\",5,0]"));
+  }
 
-    /** Whatever bytes come: a recording, or one plain fault. */
-    @Test void changedAndCutFilesAreAFaultAtMost() throws IOException {
-        lines();
-        byte[] whole = Files.readAllBytes(folder.resolve("a.rec.gz"));
-        SplittableRandom random = new SplittableRandom(4);
-        Path file = folder.resolve("c.rec.gz");
-        for (int i = 0; i < 300; i++) {
-            byte[] bytes = java.util.Arrays.copyOf(whole, i % 2 == 0 ? random.nextInt(whole.length) : whole.length);
-            for (int j = 0; j < 2 && bytes.length > 0; j++) {
-                bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
-            }
-            Files.write(file, bytes);
-            try {
-                RecordingFile.read(file);
-            } catch (RecordingFile.Bad e) {
-                assertTrue(e.getMessage().startsWith(file + ", line "), e.getMessage());
-            }
-        }
+  /** Whatever bytes come: a recording, or one plain fault. */
+  @Test
+  void changedAndCutFilesAreAFaultAtMost() throws IOException {
+    lines();
+    byte[] whole = Files.readAllBytes(folder.resolve("a.rec.gz"));
+    SplittableRandom random = new SplittableRandom(4);
+    Path file = folder.resolve("c.rec.gz");
+    for (int i = 0; i < 300; i++) {
+      byte[] bytes =
+          java.util.Arrays.copyOf(whole, i % 2 == 0 ? random.nextInt(whole.length) : whole.length);
+      for (int j = 0; j < 2 && bytes.length > 0; j++) {
+        bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
+      }
+      Files.write(file, bytes);
+      try {
+        RecordingFile.read(file);
+      } catch (RecordingFile.Bad e) {
+        assertTrue(e.getMessage().startsWith(file + ", line "), e.getMessage());
+      }
     }
+  }
 }
--- a/src/test/java/stonespring/state/StateTest.java
+++ b/src/test/java/stonespring/state/StateTest.java
@@ -24,158 +24,227 @@
 import stonespring.model.ZoneId;
 
 final class StateTest {
-    private static final ProxyId P = new ProxyId(0);
-    private static final ProxyId Q = new ProxyId(1);
-    private static final TableId T = new TableId(7);
-    private static final TaskId A = new TaskId("a@h:1");
-    private static final TaskId B = new TaskId("b@h:2");
+  private static final ProxyId P = new ProxyId(0);
+  private static final ProxyId Q = new ProxyId(1);
+  private static final TableId T = new TableId(7);
+  private static final TaskId A = new TaskId("a@h:1");
+  private static final TaskId B = new TaskId("b@h:2");
 
-    private final Tables tables = new Tables(List.of("view", "extract"));
+  private final Tables tables = new Tables(List.of("view", "extract"));
 
-    private Map<String, String> only(ProxyMessage message, int lines) {
-        assertEquals(lines, message.lines());
-        return message.changes();
-    }
+  private Map<String, String> only(ProxyMessage message, int lines) {
+    assertEquals(lines, message.lines());
+    return message.changes();
+  }
 
-    @Test void ordersBecomeTheLeastKeysAndTheirPrice() {
-        tables.joined(P, List.of(A));
-        tables.joined(Q, List.of());
-        List<ProxyMessage> first = tables.messages(List.of(new Order.Admit(Order.EVERY_TABLE, 0, Order.Retry.ON_PROOF, 1),
-                new Order.Withdraw(A, true), new Order.SetLine(T, A, 0.25), new Order.SetLine(T, B, 0.75),
-                new Order.Bind(T, P, 0), new Order.Mark(new MarkId(3), false)), 5);
-        assertEquals(2, first.size());
-        assertEquals(Map.of("out/a@h:1", "1", "bind/view", "7", "bind/extract", "7", "line/7/a@h:1", "0.25", "line/7/b@h:2", "0.75",
-                "level/every/view", "1 on_proof", "level/every/extract", "1 on_proof"), only(first.get(0), 7));
-        assertEquals(Map.of("level/every/view", "1 on_proof", "level/every/extract", "1 on_proof"), only(first.get(1), 2));
-        List<ProxyMessage> second = tables.messages(List.of(new Order.SetLine(T, A, 0), new Order.SetLine(T, B, 1)), 6);
-        assertEquals(1, second.size(), "who does not use the table is not told");
-        Map<String, String> changes = only(second.get(0), 2);
-        assertTrue(changes.containsKey("line/7/a@h:1") && changes.get("line/7/a@h:1") == null);
-        tables.left(P);
-        assertEquals(List.of(), tables.messages(List.of(new Order.SetLine(T, A, 1), new Order.Bind(T, P, 0)), 7));
-    }
+  @Test
+  void ordersBecomeTheLeastKeysAndTheirPrice() {
+    tables.joined(P, List.of(A));
+    tables.joined(Q, List.of());
+    List<ProxyMessage> first =
+        tables.messages(
+            List.of(
+                new Order.Admit(Order.EVERY_TABLE, 0, Order.Retry.ON_PROOF, 1),
+                new Order.Withdraw(A, true),
+                new Order.SetLine(T, A, 0.25),
+                new Order.SetLine(T, B, 0.75),
+                new Order.Bind(T, P, 0),
+                new Order.Mark(new MarkId(3), false)),
+            5);
+    assertEquals(2, first.size());
+    assertEquals(
+        Map.of(
+            "out/a@h:1",
+            "1",
+            "bind/view",
+            "7",
+            "bind/extract",
+            "7",
+            "line/7/a@h:1",
+            "0.25",
+            "line/7/b@h:2",
+            "0.75",
+            "level/every/view",
+            "1 on_proof",
+            "level/every/extract",
+            "1 on_proof"),
+        only(first.get(0), 7));
+    assertEquals(
+        Map.of("level/every/view", "1 on_proof", "level/every/extract", "1 on_proof"),
+        only(first.get(1), 2));
+    List<ProxyMessage> second =
+        tables.messages(List.of(new Order.SetLine(T, A, 0), new Order.SetLine(T, B, 1)), 6);
+    assertEquals(1, second.size(), "who does not use the table is not told");
+    Map<String, String> changes = only(second.get(0), 2);
+    assertTrue(changes.containsKey("line/7/a@h:1") && changes.get("line/7/a@h:1") == null);
+    tables.left(P);
+    assertEquals(
+        List.of(),
+        tables.messages(List.of(new Order.SetLine(T, A, 1), new Order.Bind(T, P, 0)), 7));
+  }
 
-    @Test void aLaterJoinerIsToldLevelsWithItsFirstMessageAndWithdrawalsOfItsTable() {
-        tables.messages(List.of(new Order.Admit(Order.EVERY_TABLE, 1, Order.Retry.NEVER, 0.5), new Order.Withdraw(B, true),
-                new Order.SetLine(T, B, 1)), 1);
-        tables.joined(P, null);
-        List<ProxyMessage> messages = tables.messages(List.of(new Order.Bind(T, P, 0)), 2);
-        assertEquals(Map.of("bind/view", "7", "bind/extract", "7", "line/7/b@h:2", "1", "out/b@h:2", "1", "level/every/view",
-                "0.5 never"), messages.get(0).changes());
-    }
+  @Test
+  void aLaterJoinerIsToldLevelsWithItsFirstMessageAndWithdrawalsOfItsTable() {
+    tables.messages(
+        List.of(
+            new Order.Admit(Order.EVERY_TABLE, 1, Order.Retry.NEVER, 0.5),
+            new Order.Withdraw(B, true),
+            new Order.SetLine(T, B, 1)),
+        1);
+    tables.joined(P, null);
+    List<ProxyMessage> messages = tables.messages(List.of(new Order.Bind(T, P, 0)), 2);
+    assertEquals(
+        Map.of(
+            "bind/view",
+            "7",
+            "bind/extract",
+            "7",
+            "line/7/b@h:2",
+            "1",
+            "out/b@h:2",
+            "1",
+            "level/every/view",
+            "0.5 never"),
+        messages.get(0).changes());
+  }
 
-    @Test void weightsAreWrittenWithoutExponents() {
-        assertEquals("0.001", Tables.weight(0.001));
-        assertEquals("0.00001", Tables.weight(1e-5));
-        assertEquals("1000000", Tables.weight(1e6));
-    }
+  @Test
+  void weightsAreWrittenWithoutExponents() {
+    assertEquals("0.001", Tables.weight(0.001));
+    assertEquals("0.00001", Tables.weight(1e-5));
+    assertEquals("1000000", Tables.weight(1e6));
+  }
 
-    private static ProxyMessage message(ProxyId to, int lines) {
-        Map<String, String> changes = new LinkedHashMap<>();
-        for (int i = 0; i < lines; i++) {
-            changes.put("line/7/t" + i, "1");
-        }
-        return new ProxyMessage(to, changes, lines, null, 0);
+  private static ProxyMessage message(ProxyId to, int lines) {
+    Map<String, String> changes = new LinkedHashMap<>();
+    for (int i = 0; i < lines; i++) {
+      changes.put("line/7/t" + i, "1");
     }
+    return new ProxyMessage(to, changes, lines, null, 0);
+  }
 
-    @Test void messagesLeaveAtThePaceOfTheirLinesInOrder() {
-        PacedChannel channel = new PacedChannel(1000, 10, 100, 10 * Tenths.SECOND);
-        channel.offer(List.of(message(P, 10), message(Q, 30)), 0);
-        assertEquals(60, channel.backlog());
-        assertEquals(List.of(), channel.due(199));
-        assertEquals(P, channel.due(200).get(0).proxy());
-        assertEquals(600, channel.nextAt());
-        assertEquals(Q, channel.due(600).get(0).proxy());
-        assertTrue(channel.isEmpty());
-        channel.offer(List.of(message(P, 10)), 10_000);
-        assertEquals(10_200, channel.nextAt(), "an idle channel saves nothing up");
-    }
+  @Test
+  void messagesLeaveAtThePaceOfTheirLinesInOrder() {
+    PacedChannel channel = new PacedChannel(1000, 10, 100, 10 * Tenths.SECOND);
+    channel.offer(List.of(message(P, 10), message(Q, 30)), 0);
+    assertEquals(60, channel.backlog());
+    assertEquals(List.of(), channel.due(199));
+    assertEquals(P, channel.due(200).get(0).proxy());
+    assertEquals(600, channel.nextAt());
+    assertEquals(Q, channel.due(600).get(0).proxy());
+    assertTrue(channel.isEmpty());
+    channel.offer(List.of(message(P, 10)), 10_000);
+    assertEquals(10_200, channel.nextAt(), "an idle channel saves nothing up");
+  }
 
-    @Test void overTheBoundMessagesToOneProxyBecomeOneAndNothingIsLost() {
-        PacedChannel channel = new PacedChannel(1000, 10, 50, 10 * Tenths.SECOND);
-        for (int i = 0; i < 1000; i++) {
-            channel.offer(List.of(new ProxyMessage(P, Map.of("line/7/t" + i % 5, String.valueOf(i)), 1, null, 0)), 0);
-        }
-        assertTrue(channel.backlog() <= 60, "backlog " + channel.backlog());
-        assertTrue(channel.merged() > 900);
-        Map<String, String> last = new LinkedHashMap<>();
-        channel.due(1_000_000).forEach(m -> last.putAll(m.changes()));
-        for (int k = 0; k < 5; k++) {
-            assertEquals(String.valueOf(995 + k), last.get("line/7/t" + k), "the later value stands");
-        }
-        channel.offer(List.of(message(P, 3), message(Q, 3)), 2_000_000);
-        channel.left(P);
-        assertEquals(13, channel.backlog());
+  @Test
+  void overTheBoundMessagesToOneProxyBecomeOneAndNothingIsLost() {
+    PacedChannel channel = new PacedChannel(1000, 10, 50, 10 * Tenths.SECOND);
+    for (int i = 0; i < 1000; i++) {
+      channel.offer(
+          List.of(new ProxyMessage(P, Map.of("line/7/t" + i % 5, String.valueOf(i)), 1, null, 0)),
+          0);
     }
-
-    @Test void namesAreBoundedAndNumbersOfTheGoneAreGivenAnew() {
-        Presence presence = new Presence(2);
-        Hello hello = new Hello("l", 1, new ZoneId(0), 1, true, null);
-        Object line = new Object();
-        assertInstanceOf(Presence.Verdict.Joined.class, presence.hello("a", hello, line, 0, 10));
-        assertInstanceOf(Presence.Verdict.Joined.class, presence.hello("b", hello, new Object(), 0, 10));
-        assertInstanceOf(Presence.Verdict.Refused.class, presence.hello("c", hello, new Object(), 0, 10));
-        long before = presence.stream(new ProxyId(0));
-        assertEquals(List.of(new ProxyId(0)), presence.closed(line));
-        Presence.Verdict.Joined joined = (Presence.Verdict.Joined) presence.hello("c", hello, new Object(), 1, 10);
-        assertEquals(new ProxyId(0), joined.proxy());
-        assertTrue(presence.stream(joined.proxy()) > before, "a number given anew is another stream");
-        assertNull(presence.speaking("a", line));
-        assertEquals(2, presence.expire(10).size());
-        assertEquals(0, presence.here());
+    assertTrue(channel.backlog() <= 60, "backlog " + channel.backlog());
+    assertTrue(channel.merged() > 900);
+    Map<String, String> last = new LinkedHashMap<>();
+    channel.due(1_000_000).forEach(m -> last.putAll(m.changes()));
+    for (int k = 0; k < 5; k++) {
+      assertEquals(String.valueOf(995 + k), last.get("line/7/t" + k), "the later value stands");
     }
+    channel.offer(List.of(message(P, 3), message(Q, 3)), 2_000_000);
+    channel.left(P);
+    assertEquals(13, channel.backlog());
+  }
 
-    /** Random words of many proxies: no name is ever here twice, and counts stay true. */
-    @Test void presenceKeepsCountInASeededRun() {
-        SplittableRandom random = new SplittableRandom(4);
-        Presence presence = new Presence(20);
-        List<Object> lines = new ArrayList<>(List.of(new Object(), new Object(), new Object()));
-        for (int i = 0; i < 20_000; i++) {
-            Object line = lines.get(random.nextInt(3));
-            switch (random.nextInt(6)) {
-                case 0 -> presence.closed(line);
-                case 1 -> presence.expire(i);
-                default -> presence.hello("p" + random.nextInt(30), new Hello("l" + random.nextInt(2), random.nextInt(3),
-                        new ZoneId(0), 1, false, null), line, i, i + random.nextInt(200));
-            }
-            int here = 0;
-            for (int n = 0; n < 20; n++) {
-                try {
-                    here += presence.isHere(new ProxyId(n)) ? 1 : 0;
-                } catch (RuntimeException e) {
-                    throw new AssertionError("number " + n, e);
-                }
-            }
-            assertEquals(here, presence.here());
+  @Test
+  void namesAreBoundedAndNumbersOfTheGoneAreGivenAnew() {
+    Presence presence = new Presence(2);
+    Hello hello = new Hello("l", 1, new ZoneId(0), 1, true, null);
+    Object line = new Object();
+    assertInstanceOf(Presence.Verdict.Joined.class, presence.hello("a", hello, line, 0, 10));
+    assertInstanceOf(
+        Presence.Verdict.Joined.class, presence.hello("b", hello, new Object(), 0, 10));
+    assertInstanceOf(
+        Presence.Verdict.Refused.class, presence.hello("c", hello, new Object(), 0, 10));
+    long before = presence.stream(new ProxyId(0));
+    assertEquals(List.of(new ProxyId(0)), presence.closed(line));
+    Presence.Verdict.Joined joined =
+        (Presence.Verdict.Joined) presence.hello("c", hello, new Object(), 1, 10);
+    assertEquals(new ProxyId(0), joined.proxy());
+    assertTrue(presence.stream(joined.proxy()) > before, "a number given anew is another stream");
+    assertNull(presence.speaking("a", line));
+    assertEquals(2, presence.expire(10).size());
+    assertEquals(0, presence.here());
+  }
+
+  /** Random words of many proxies: no name is ever here twice, and counts stay true. */
+  @Test
+  void presenceKeepsCountInASeededRun() {
+    SplittableRandom random = new SplittableRandom(4);
+    Presence presence = new Presence(20);
+    List<Object> lines = new ArrayList<>(List.of(new Object(), new Object(), new Object()));
+    for (int i = 0; i < 20_000; i++) {
+      Object line = lines.get(random.nextInt(3));
+      switch (random.nextInt(6)) {
+        case 0 -> presence.closed(line);
+        case 1 -> presence.expire(i);
+        default ->
+            presence.hello(
+                "p" + random.nextInt(30),
+                new Hello(
+                    "l" + random.nextInt(2), random.nextInt(3), new ZoneId(0), 1, false, null),
+                line,
+                i,
+                i + random.nextInt(200));
+      }
+      int here = 0;
+      for (int n = 0; n < 20; n++) {
+        try {
+          here += presence.isHere(new ProxyId(n)) ? 1 : 0;
+        } catch (RuntimeException e) {
+          throw new AssertionError("number " + n, e);
         }
+      }
+      assertEquals(here, presence.here());
     }
+  }
 
-    @Test void keysAreBoundedAndAMessageWithoutRoomDoesNotCommit() {
-        Presence presence = new Presence(5);
-        KeyTree keys = new KeyTree(10, 3);
-        Published published = new Published(keys, "e", presence);
-        presence.hello("p", new Hello("l", 1, new ZoneId(0), 1, true, null), new Object(), 0, 10);
-        assertEquals(List.of(), published.publish(message(P, 5)));
-        assertTrue(keys.snapshot("/proxy/p/").stream().noneMatch(k -> k.key().endsWith("/commit")));
-        assertNotNull(keys.delete("/x"));
-        assertEquals(14, keys.sequence());
-        assertEquals(15, published.ended(P).get(0).sequence());
-    }
+  @Test
+  void keysAreBoundedAndAMessageWithoutRoomDoesNotCommit() {
+    Presence presence = new Presence(5);
+    KeyTree keys = new KeyTree(10, 3);
+    Published published = new Published(keys, "e", presence);
+    presence.hello("p", new Hello("l", 1, new ZoneId(0), 1, true, null), new Object(), 0, 10);
+    assertEquals(List.of(), published.publish(message(P, 5)));
+    assertTrue(keys.snapshot("/proxy/p/").stream().noneMatch(k -> k.key().endsWith("/commit")));
+    assertNotNull(keys.delete("/x"));
+    assertEquals(14, keys.sequence());
+    assertEquals(15, published.ended(P).get(0).sequence());
+  }
 
-    @Test void sumsAreOneFigureForEachPairHoweverOftenTheyAreTold() {
-        Reports reports = new Reports(2);
-        LoadReport load = new LoadReport(0.5, 1, 1, 1, 1);
-        for (int i = 0; i < 100; i++) {
-            reports.add(P, new ZoneId(1), 100, List.of(new Reports.Met(A, 4, 1, 200, load), new Reports.Met(B, 1, 1, 0, LoadReport.NONE),
-                    new Reports.Met(new TaskId("c@h:3"), 1, 0, 1, LoadReport.NONE)), List.of(new Reports.Came(new OpTypeId(0), 5, 1)));
-        }
-        assertEquals(100, reports.leftOut());
-        List<Event> events = reports.drain();
-        assertEquals(new Event.TaskSums(A, new ZoneId(1), 400, 100, 10_000, 200, load), events.get(0));
-        assertEquals(new Event.ProxyOps(P, new OpTypeId(0), 500, 100, 10_000), events.get(2));
-        assertEquals(3, events.size());
-        reports.add(P, new ZoneId(0), 1, List.of(), List.of(new Reports.Came(new OpTypeId(0), 5, 1)));
-        reports.left(P);
-        assertEquals(List.of(), reports.drain());
+  @Test
+  void sumsAreOneFigureForEachPairHoweverOftenTheyAreTold() {
+    Reports reports = new Reports(2);
+    LoadReport load = new LoadReport(0.5, 1, 1, 1, 1);
+    for (int i = 0; i < 100; i++) {
+      reports.add(
+          P,
+          new ZoneId(1),
+          100,
+          List.of(
+              new Reports.Met(A, 4, 1, 200, load),
+              new Reports.Met(B, 1, 1, 0, LoadReport.NONE),
+              new Reports.Met(new TaskId("c@h:3"), 1, 0, 1, LoadReport.NONE)),
+          List.of(new Reports.Came(new OpTypeId(0), 5, 1)));
     }
+    assertEquals(100, reports.leftOut());
+    List<Event> events = reports.drain();
+    assertEquals(new Event.TaskSums(A, new ZoneId(1), 400, 100, 10_000, 200, load), events.get(0));
+    assertEquals(new Event.ProxyOps(P, new OpTypeId(0), 500, 100, 10_000), events.get(2));
+    assertEquals(3, events.size());
+    reports.add(P, new ZoneId(0), 1, List.of(), List.of(new Reports.Came(new OpTypeId(0), 5, 1)));
+    reports.left(P);
+    assertEquals(List.of(), reports.drain());
+  }
 }
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -18,87 +18,98 @@
 import org.junit.jupiter.api.Test;
 
 final class ZmtpDecoderTest {
-    private static final ZmtpLimits SMALL = new ZmtpLimits(1000, 2000, 8, 10_000, 4, 100, 10);
+  private static final ZmtpLimits SMALL = new ZmtpLimits(1000, 2000, 8, 10_000, 4, 100, 10);
 
-    private static List<String> decode(byte[] bytes, SplittableRandom cuts) {
-        EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(SMALL));
-        List<String> parts = new ArrayList<>();
-        try {
-            for (int at = 0; at < bytes.length;) {
-                int size = Math.min(bytes.length - at, cuts == null ? bytes.length : 1 + cuts.nextInt(20));
-                channel.writeInbound(Unpooled.copiedBuffer(bytes, at, size));
-                at += size;
-            }
-        } catch (DecoderException e) {
-            assertTrue(e.getCause() instanceof ZmtpException, () -> "a fault that is not the peer's: " + e);
-            parts.add("fault " + e.getCause().getMessage());
-        }
-        for (Object part = channel.readInbound(); part != null; part = channel.readInbound()) {
-            parts.add(part instanceof Part.Message m ? "message of " + m.frames().stream().map(f -> f.length).toList()
-                    : part instanceof Part.Command c ? "command " + c.name() : part.toString());
-        }
-        channel.finishAndReleaseAll();
-        return parts;
+  private static List<String> decode(byte[] bytes, SplittableRandom cuts) {
+    EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(SMALL));
+    List<String> parts = new ArrayList<>();
+    try {
+      for (int at = 0; at < bytes.length; ) {
+        int size = Math.min(bytes.length - at, cuts == null ? bytes.length : 1 + cuts.nextInt(20));
+        channel.writeInbound(Unpooled.copiedBuffer(bytes, at, size));
+        at += size;
+      }
+    } catch (DecoderException e) {
+      assertTrue(
+          e.getCause() instanceof ZmtpException, () -> "a fault that is not the peer's: " + e);
+      parts.add("fault " + e.getCause().getMessage());
     }
-
-    private static byte[] stream(long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        ByteBuf out = Unpooled.buffer();
-        out.writeBytes(Wire.greeting(false)).writeBytes(Wire.ready(SocketType.DEALER));
-        for (int i = 0; i < 5; i++) {
-            List<byte[]> frames = new ArrayList<>();
-            for (int f = 0; f <= random.nextInt(4); f++) {
-                frames.add(new byte[random.nextInt(400)]);
-            }
-            ByteBuf message = Wire.message(UnpooledByteBufAllocator.DEFAULT, frames);
-            out.writeBytes(message);
-            message.release();
-        }
-        byte[] bytes = new byte[out.readableBytes()];
-        out.readBytes(bytes);
-        return bytes;
+    for (Object part = channel.readInbound(); part != null; part = channel.readInbound()) {
+      parts.add(
+          part instanceof Part.Message m
+              ? "message of " + m.frames().stream().map(f -> f.length).toList()
+              : part instanceof Part.Command c ? "command " + c.name() : part.toString());
     }
+    channel.finishAndReleaseAll();
+    return parts;
+  }
 
-    @Property(tries = 200, seed = "1") void bytesMeanTheSameHoweverTheyAreCut(@ForAll long seed) {
-        byte[] bytes = stream(seed);
-        List<String> whole = decode(bytes, null);
-        assertEquals(7, whole.size());
-        assertEquals(whole, decode(bytes, new SplittableRandom(seed)));
+  private static byte[] stream(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    ByteBuf out = Unpooled.buffer();
+    out.writeBytes(Wire.greeting(false)).writeBytes(Wire.ready(SocketType.DEALER));
+    for (int i = 0; i < 5; i++) {
+      List<byte[]> frames = new ArrayList<>();
+      for (int f = 0; f <= random.nextInt(4); f++) {
+        frames.add(new byte[random.nextInt(400)]);
+      }
+      ByteBuf message = Wire.message(UnpooledByteBufAllocator.DEFAULT, frames);
+      out.writeBytes(message);
+      message.release();
     }
+    byte[] bytes = new byte[out.readableBytes()];
+    out.readBytes(bytes);
+    return bytes;
+  }
 
-    @Property(tries = 500, seed = "1") void aByteChangedAnywhereIsAFaultOfThePeerAtMost(@ForAll long seed) {
-        byte[] bytes = stream(seed);
-        SplittableRandom random = new SplittableRandom(seed ^ 7);
-        for (int i = 0; i < 3; i++) {
-            bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
-        }
-        decode(bytes, random);
-    }
+  @Property(tries = 200, seed = "1")
+  void bytesMeanTheSameHoweverTheyAreCut(@ForAll long seed) {
+    byte[] bytes = stream(seed);
+    List<String> whole = decode(bytes, null);
+    assertEquals(7, whole.size());
+    assertEquals(whole, decode(bytes, new SplittableRandom(seed)));
+  }
 
-    @Property(tries = 500, seed = "1") void garbageIsAFaultAtItsFirstByte(@ForAll @Size(min = 1, max = 300) byte[] bytes) {
-        List<String> parts = decode(bytes, null);
-        if (bytes[0] != (byte) 0xFF) {
-            assertEquals(1, parts.size());
-            assertTrue(parts.get(0).startsWith("fault greeting: byte 0"), parts.get(0));
-        }
+  @Property(tries = 500, seed = "1")
+  void aByteChangedAnywhereIsAFaultOfThePeerAtMost(@ForAll long seed) {
+    byte[] bytes = stream(seed);
+    SplittableRandom random = new SplittableRandom(seed ^ 7);
+    for (int i = 0; i < 3; i++) {
+      bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
     }
+    decode(bytes, random);
+  }
 
-    private static String fault(int... afterGreeting) {
-        ByteBuf out = Wire.greeting(false);
-        for (int b : afterGreeting) {
-            out.writeByte(b);
-        }
-        EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(SMALL));
-        return assertThrows(DecoderException.class, () -> channel.writeInbound(out)).getCause().getMessage();
+  @Property(tries = 500, seed = "1")
+  void garbageIsAFaultAtItsFirstByte(@ForAll @Size(min = 1, max = 300) byte[] bytes) {
+    List<String> parts = decode(bytes, null);
+    if (bytes[0] != (byte) 0xFF) {
+      assertEquals(1, parts.size());
+      assertTrue(parts.get(0).startsWith("fault greeting: byte 0"), parts.get(0));
     }
+  }
 
-    @Test void framesThatTheProtocolForbids() {
-        assertTrue(fault(8, 0).contains("flags 0x8"));
-        assertTrue(fault(5, 0).contains("flags 0x5"), "a command is never one of several frames");
-        assertTrue(fault(1, 0, 4, 0).contains("command stands inside a message"));
-        assertTrue(fault(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
-        assertTrue(fault(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"), "a size below 0 as a signed number");
-        assertTrue(fault(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0).contains("8 frames"));
-        assertTrue(fault(4, 1, 5).contains("name's length"));
+  private static String fault(int... afterGreeting) {
+    ByteBuf out = Wire.greeting(false);
+    for (int b : afterGreeting) {
+      out.writeByte(b);
     }
+    EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(SMALL));
+    return assertThrows(DecoderException.class, () -> channel.writeInbound(out))
+        .getCause()
+        .getMessage();
+  }
+
+  @Test
+  void framesThatTheProtocolForbids() {
+    assertTrue(fault(8, 0).contains("flags 0x8"));
+    assertTrue(fault(5, 0).contains("flags 0x5"), "a command is never one of several frames");
+    assertTrue(fault(1, 0, 4, 0).contains("command stands inside a message"));
+    assertTrue(fault(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
+    assertTrue(
+        fault(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"),
+        "a size below 0 as a signed number");
+    assertTrue(fault(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0).contains("8 frames"));
+    assertTrue(fault(4, 1, 5).contains("name's length"));
+  }
 }
