--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -40,7 +40,7 @@
     this.loops = loops;
     this.limits = limits;
     this.backend = backend;
-    var loop = (io.netty.channel.EventLoop) loops.next();
+    var loop = loops.next();
     this.publisher = new Publisher(loop);
     this.open = new DefaultChannelGroup(loop);
   }
--- a/src/main/java/stonespring/lab/RegistryStandIn.java
+++ b/src/main/java/stonespring/lab/RegistryStandIn.java
@@ -37,7 +37,7 @@
 
   RegistryStandIn(EventLoopGroup loops, Evidence evidence, long lateMillis) {
     this.loops = loops;
-    this.loop = (EventLoop) loops.next();
+    this.loop = loops.next();
     this.evidence = evidence;
     this.lateMillis = lateMillis;
   }
--- a/src/main/java/stonespring/lab/TaskStandIn.java
+++ b/src/main/java/stonespring/lab/TaskStandIn.java
@@ -81,7 +81,7 @@
     this.zone = zone;
     this.make = make;
     this.loops = loops;
-    this.loop = (EventLoop) loops.next();
+    this.loop = loops.next();
     this.evidence = evidence;
     this.random = new SplittableRandom(seed);
   }
--- a/src/main/java/stonespring/line/LineListener.java
+++ b/src/main/java/stonespring/line/LineListener.java
@@ -51,6 +51,7 @@
   }
 
   /** Listens; waits until it does. The loops must be of one thread. */
+  @SuppressWarnings("deprecation") // RCVBUF_ALLOCATOR: Netty 4.2 names no other way to set it
   public LineListener start(EventLoopGroup loops, InetSocketAddress address)
       throws InterruptedException {
     channel =
--- a/src/test/java/stonespring/recorded/RecordedDigests.java
+++ b/src/test/java/stonespring/recorded/RecordedDigests.java
@@ -25,6 +25,7 @@
     private final MessageDigest digest;
     private int pieces;
 
+    /** Starts with nothing recorded. */
     public Recording() {
       try {
         this.digest = MessageDigest.getInstance("SHA-256");
