--- a/benchmarks/stonespring/lab/SolverBenchmark.java
+++ b/benchmarks/stonespring/testbed/SolverBenchmark.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
--- a/src/main/java/stonespring/cli/AssignerCommand.java
+++ b/src/main/java/stonespring/cli/AssignerCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
-import stonespring.config.PlatformFile;
+import stonespring.config.PlatformConfig;
 import stonespring.daemon.PlatformDaemon;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
@@ -50,8 +50,8 @@
     }
     PlatformDaemon started;
     try {
-      started = new PlatformDaemon(PlatformFile.read(path));
-    } catch (PlatformFile.BadFile e) {
+      started = new PlatformDaemon(PlatformConfig.read(path));
+    } catch (PlatformConfig.BadFile e) {
       return Exit.fail(Exit.USAGE, e.getMessage());
     }
     started.start();
@@ -101,10 +101,10 @@
       return;
     }
     try {
-      daemon.reloaded(PlatformFile.read(path));
+      daemon.reloaded(PlatformConfig.read(path));
     } catch (RejectedExecutionException e) {
       LOG.info("the new configuration comes after the end");
-    } catch (PlatformFile.BadFile e) {
+    } catch (PlatformConfig.BadFile e) {
       LOG.warn("the new configuration is not used, the old one holds: {}", e.getMessage());
     }
   }
--- a/src/main/java/stonespring/cli/Check.java
+++ b/src/main/java/stonespring/cli/CheckCommand.java
@@ -4,21 +4,21 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import stonespring.config.AssignerSettings;
+import stonespring.config.InstanceSettings;
 import stonespring.config.ScriptException;
 
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
     description = "Says every fault of a settings script.")
-final class Check implements Callable<Integer> {
+final class CheckCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "The settings script.")
   private Path file;
 
   @Override
   public Integer call() {
     try {
-      AssignerSettings settings = AssignerSettings.read(file);
+      InstanceSettings settings = InstanceSettings.read(file);
       System.out.println(
           file
               + ": good; "
--- a/src/main/java/stonespring/cli/Commands.java
+++ b/src/main/java/stonespring/cli/Commands.java
@@ -11,10 +11,10 @@
     description = "Directs the traffic of a fleet of sidecars.",
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
-      Serve.class,
+      ServeCommand.class,
       AssignerCommand.class,
-      Check.class,
-      Snapshot.class,
+      CheckCommand.class,
+      SnapshotCommand.class,
       DayCommand.class,
       TaskCommand.class,
       ProxyCommand.class,
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.lab.virtual.Charts;
-import stonespring.lab.virtual.Comparison;
-import stonespring.lab.virtual.Policy;
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
+import stonespring.testbed.virtual.Charts;
+import stonespring.testbed.virtual.Comparison;
+import stonespring.testbed.virtual.Policy;
 
 @Command(
     name = "compare",
--- a/src/main/java/stonespring/cli/DayCommand.java
+++ b/src/main/java/stonespring/cli/DayCommand.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.config.ScriptException;
-import stonespring.lab.Day;
-import stonespring.lab.DayRun;
-import stonespring.lab.Observer;
 import stonespring.recording.RecordingFile;
+import stonespring.testbed.InvariantChecker;
+import stonespring.testbed.Scenario;
+import stonespring.testbed.ScenarioRun;
 
 @Command(
     name = "day",
@@ -45,25 +45,25 @@
   @Override
   public Integer call() throws Exception {
     logs.set();
-    Day day;
+    Scenario day;
     try {
-      day = Day.read(file);
+      day = Scenario.read(file);
     } catch (ScriptException e) {
       return Exit.fail(Exit.USAGE, "day:\n" + e.getMessage());
     }
-    Path folder = keep == null ? DayRun.folder() : Files.createDirectories(keep);
+    Path folder = keep == null ? ScenarioRun.folder() : Files.createDirectories(keep);
     try {
-      DayRun run = new DayRun(day, file, seed, folder);
-      Observer.Verdict verdict = run.run();
+      ScenarioRun run = new ScenarioRun(day, file, seed, folder);
+      InvariantChecker.Verdict verdict = run.run();
       if (record != null) {
         RecordingFile.write(
             run.recording(file.getFileName().toString().replaceAll("\\.[a-z]+$", "") + "-" + seed),
             record);
       }
       System.out.printf("seed %d: ", seed);
-      System.out.print(DayRun.report(verdict));
+      System.out.print(ScenarioRun.report(verdict));
       return verdict.broken().isEmpty() ? Exit.GOOD : Exit.FAILED;
-    } catch (DayRun.Failed e) {
+    } catch (ScenarioRun.Failed e) {
       return Exit.fail(Exit.FAILED, e.getMessage() + "; logs are in " + folder);
     }
   }
--- a/src/main/java/stonespring/cli/LoadCommand.java
+++ b/src/main/java/stonespring/cli/LoadCommand.java
@@ -5,8 +5,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.lab.virtual.Loads;
 import stonespring.recording.RecordingFile;
+import stonespring.testbed.virtual.Loads;
 
 @Command(
     name = "load",
--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -4,9 +4,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.lab.DayRun;
-import stonespring.lab.Measure;
-import stonespring.lab.SolverTrial;
+import stonespring.testbed.Measure;
+import stonespring.testbed.ScenarioRun;
+import stonespring.testbed.SolverTrial;
 
 @Command(
     name = "measure",
@@ -36,7 +36,7 @@
               description = "Go on for (${DEFAULT-VALUE}).")
           long seconds)
       throws Exception {
-    System.out.print(Measure.fleet(file, proxies, within, seconds, DayRun.folder()));
+    System.out.print(Measure.fleet(file, proxies, within, seconds, ScenarioRun.folder()));
     System.exit(Exit.GOOD); // idle proxies' redials would hold the process
     return Exit.GOOD;
   }
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -11,13 +11,13 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.config.AssignerSettings;
+import stonespring.config.InstanceSettings;
 import stonespring.config.ScriptException;
-import stonespring.lab.StandIns;
-import stonespring.model.OpType;
+import stonespring.model.RequestClass;
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
 import stonespring.proxy.routing.RouterSettings;
+import stonespring.testbed.StandIns;
 
 @Command(
     name = "proxy",
@@ -53,9 +53,9 @@
   @Override
   public Integer call() throws Exception {
     logs.set();
-    AssignerSettings of;
+    InstanceSettings of;
     try {
-      of = AssignerSettings.read(file);
+      of = InstanceSettings.read(file);
     } catch (ScriptException e) {
       return Exit.fail(Exit.USAGE, "settings:\n" + e.getMessage());
     }
@@ -74,7 +74,7 @@
           new ProxySettings.Ports(
               assigner.substring(0, assigner.indexOf(':')), at, at + 1, at + 2));
     }
-    RouterSettings router = StandIns.routing(of, OpType::targetLatency);
+    RouterSettings router = StandIns.routing(of, RequestClass::latencyObjective);
     ProxySettings settings =
         new ProxySettings(
             name,
@@ -86,7 +86,7 @@
             ports,
             1,
             0,
-            of.settings().sumsEvery() / 10,
+            of.settings().reportInterval() / 10,
             3_000,
             300,
             1_500,
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.lab.StandIns;
+import stonespring.testbed.StandIns;
 
 @Command(
     name = "registry",
--- a/src/main/java/stonespring/cli/Serve.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.config.AssignerSettings;
+import stonespring.config.InstanceSettings;
 import stonespring.config.ScriptException;
 import stonespring.daemon.Daemon;
 
@@ -14,7 +14,7 @@
     name = "serve",
     mixinStandardHelpOptions = true,
     description = "Runs an assigner until it is told to stop.")
-final class Serve implements Callable<Integer> {
+final class ServeCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "The settings script.")
   private Path file;
 
@@ -37,9 +37,9 @@
   @Override
   public Integer call() throws Exception {
     logs.set();
-    AssignerSettings settings;
+    InstanceSettings settings;
     try {
-      settings = AssignerSettings.read(file);
+      settings = InstanceSettings.read(file);
     } catch (ScriptException e) {
       return Exit.fail(Exit.USAGE, "settings:\n" + e.getMessage());
     }
--- a/src/main/java/stonespring/cli/SimHostCommand.java
+++ b/src/main/java/stonespring/cli/SimHostCommand.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import stonespring.simhost.SimHost;
-import stonespring.simhost.WireException;
+import stonespring.simulator.SimulatorHost;
+import stonespring.simulator.SimulatorProtocolException;
 
 @Command(
     name = "simhost",
@@ -15,9 +15,9 @@
   @Override
   public Integer call() {
     try {
-      new SimHost().run(System.in, System.out);
+      new SimulatorHost().run(System.in, System.out);
       return Exit.GOOD;
-    } catch (WireException e) {
+    } catch (SimulatorProtocolException e) {
       return Exit.fail(Exit.FAILED, e.getMessage());
     } catch (IOException e) {
       return Exit.fail(Exit.FAILED, "input or output failed: " + e.getMessage());
--- a/src/main/java/stonespring/cli/Snapshot.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -22,7 +22,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Prints what a running assigner publishes: a key and its value a line, as any CHP client sees it.")
-final class Snapshot implements Callable<Integer> {
+final class SnapshotCommand implements Callable<Integer> {
   private static final long SILENCE_MILLIS = 5_000; // ms; HUGZ comes every second
 
   @Parameters(paramLabel = "PORT", description = "The assigner's snapshot port.")
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.lab.virtual.Policy;
-import stonespring.lab.virtual.VirtualFleet;
-import stonespring.model.Tenths;
+import stonespring.model.DeciMillis;
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
 import stonespring.solver.Plan;
+import stonespring.testbed.virtual.Policy;
+import stonespring.testbed.virtual.VirtualFleet;
 
 @Command(
     name = "solve",
@@ -44,13 +44,13 @@
     } catch (RecordingFile.Bad e) {
       return Exit.fail(Exit.USAGE, "solve: " + e.getMessage());
     }
-    double end = recording.head().length() / (double) Tenths.SECOND;
+    double end = recording.head().length() / (double) DeciMillis.SECOND;
     if (at != null && !(at >= 0 && at <= end)) {
       return Exit.fail(Exit.USAGE, "solve: --at is outside 0 to " + end);
     }
     double moment = at == null ? end : at;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
-    fleet.playTo((long) (moment * Tenths.SECOND));
+    fleet.playTo((long) (moment * DeciMillis.SECOND));
     Plan plan = fleet.advisor().plan();
     if (plan == null) {
       return Exit.fail(
--- a/src/main/java/stonespring/cli/TaskCommand.java
+++ b/src/main/java/stonespring/cli/TaskCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import stonespring.lab.StandIns;
+import stonespring.testbed.StandIns;
 
 @Command(
     name = "task",
--- a/src/main/java/stonespring/config/AssignerSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -3,9 +3,11 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import stonespring.model.OpType;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.DeciMillis;
+import stonespring.model.RequestClass;
+import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
-import stonespring.model.Tenths;
 
 /**
  * The settings of one instance, decoded once from a script.
@@ -18,7 +20,7 @@
  * @param saved where the last list is kept, or null
  * @param proposals whether the weight solver proposes weights to the decisions
  */
-public record AssignerSettings(
+public record InstanceSettings(
     String name,
     String host,
     int port,
@@ -46,14 +48,19 @@
   public record Bounds(
       int proxies, int connections, int pendingBytes, int inbox, int momentMillis) {}
 
+  /** The script's words, in the order of {@link RetrySafety}. */
+  private static final List<String> RETRY_SAFETY_WORDS =
+      List.of("retryable", "deduplicated", "once_only");
+
+  private static final List<String> LIMIT_KIND_WORDS = List.of("share", "rate", "none");
   private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
   /** Runs and validates a script; the exception holds every fault. */
-  public static AssignerSettings read(Path file) throws ScriptException {
+  public static InstanceSettings read(Path file) throws ScriptException {
     Script.Dict globals = Script.run(file);
-    List<Fault> faults = new ArrayList<>();
+    List<SettingsError> faults = new ArrayList<>();
     Section top = Section.of(file.toString(), globals, faults);
-    AssignerSettings settings = decode(top, file);
+    InstanceSettings settings = decode(top, file);
     top.has("day"); // a day's script holds its fleet's settings too
     top.done();
     if (!faults.isEmpty()) {
@@ -63,7 +70,7 @@
   }
 
   /** The same settings with what a command line says instead; null leaves a value as it is. */
-  public AssignerSettings with(Integer otherPort, Integer registryPort, Path savedList) {
+  public InstanceSettings with(Integer otherPort, Integer registryPort, Path savedList) {
     if (otherPort != null && (otherPort < 0 || otherPort > 65533)) {
       throw new IllegalArgumentException("the port is outside 0 to 65533");
     }
@@ -75,7 +82,7 @@
       }
       from = new Source.FromRegistry(r.host(), registryPort, r.service(), r.waitSeconds());
     }
-    return new AssignerSettings(
+    return new InstanceSettings(
         name,
         host,
         otherPort == null ? port : otherPort,
@@ -90,7 +97,7 @@
   }
 
   /** Decodes the instance's part of a script that holds more; faults go to the section's list. */
-  public static AssignerSettings decode(Section top, Path file) {
+  public static InstanceSettings decode(Section top, Path file) {
     Section assigner = top.section("assigner", false);
     String name = assigner.text("name", NAME, "assigner");
     String host = assigner.text("host", "[0-9a-zA-Z.:-]{1,100}", "127.0.0.1");
@@ -104,7 +111,7 @@
     int standing = fleet.whole("standing_lines", 0, 1000, 5);
     int shun = fleet.whole("shun_after", 0, 1000, 0);
     fleet.done();
-    List<OpType> types = new ArrayList<>();
+    List<RequestClass> types = new ArrayList<>();
     List<String> typeNames = new ArrayList<>();
     List<Long> timeouts = new ArrayList<>();
     for (Section type : top.sections("op_types", 1, 16)) {
@@ -118,13 +125,11 @@
       if (timeout < target) {
         type.refuse("op_timeout_ms", "is below the target latency");
       }
-      timeouts.add(Math.round(timeout * Tenths.SECOND / 1000));
+      timeouts.add(Math.round(timeout * DeciMillis.SECOND / 1000));
       types.add(
-          new OpType(
-              OpType.Repeat.valueOf(
-                  type.word("repeat", List.of("retryable", "deduplicated", "once_only"), null)
-                      .toUpperCase(java.util.Locale.ROOT)),
-              Math.round(target * Tenths.SECOND / 1000),
+          new RequestClass(
+              retrySafety(type.word("repeat", RETRY_SAFETY_WORDS, null)),
+              Math.round(target * DeciMillis.SECOND / 1000),
               type.number("benefit", 0, 1e6, 1.0)));
       type.done();
     }
@@ -148,7 +153,7 @@
             bounds.whole("inbox_words", 100, 10_000_000, 100_000),
             bounds.whole("moment_ms", 0, 1000, 5));
     bounds.done();
-    return new AssignerSettings(
+    return new InstanceSettings(
         name,
         host,
         port,
@@ -169,7 +174,7 @@
   private static Settings settings(
       Section top,
       List<String> zones,
-      List<OpType> types,
+      List<RequestClass> types,
       boolean asks,
       int assigners,
       int standing,
@@ -196,35 +201,33 @@
     double crossZone = prices.number("cross_zone", 0, 1, 0.0);
     double worst = prices.number("worst_op_type", 0, 1, 0.0);
     prices.done();
-    String levels = top.word("levels", List.of("share", "rate", "none"), "share");
+    String levels = top.word("levels", LIMIT_KIND_WORDS, "share");
     return new Settings(
-        assigners,
-        zones.size(),
+        new Settings.Fleet(assigners, zones.size(), proxies, false),
         List.copyOf(types),
-        asks,
-        Settings.LevelKind.valueOf(levels.toUpperCase(java.util.Locale.ROOT)),
-        backlog,
-        head,
-        messages,
-        over,
-        pace,
-        empty,
-        standing,
-        proxies,
-        every,
-        false,
-        crossZone,
-        cold,
-        coldShare,
-        fall,
-        worst,
-        stay,
-        shun);
+        new Settings.EndpointListRules(asks, stay),
+        limitKind(levels),
+        new Settings.ChannelLimits(backlog, head, messages, over, pace, false),
+        new Settings.RoutingRules(empty, standing, crossZone, worst, shun),
+        new Settings.SlowStart(cold, coldShare, fall),
+        every);
+  }
+
+  private static RetrySafety retrySafety(String word) {
+    return RetrySafety.values()[RETRY_SAFETY_WORDS.indexOf(word)];
+  }
+
+  private static AdmissionLimitKind limitKind(String word) {
+    return switch (word) {
+      case "share" -> AdmissionLimitKind.FRACTION;
+      case "rate" -> AdmissionLimitKind.RATE;
+      default -> AdmissionLimitKind.NONE;
+    };
   }
 
   private static long seconds(
       Section section, String key, double least, double most, Double standard) {
-    return Tenths.ofSeconds(section.number(key, least, most, standard));
+    return DeciMillis.ofSeconds(section.number(key, least, most, standard));
   }
 
   private static Source source(Section top, Path file) {
--- a/src/main/java/stonespring/config/Lexer.java
+++ b/src/main/java/stonespring/config/Lexer.java
@@ -54,7 +54,7 @@
 
   private final String file;
   private final String text;
-  private final List<Fault> faults;
+  private final List<SettingsError> faults;
   private final List<Token> tokens = new ArrayList<>();
   private final ArrayDeque<Integer> indents = new ArrayDeque<>(List.of(0));
   private int at;
@@ -62,17 +62,17 @@
   private int lineStart;
   private int brackets;
 
-  Lexer(String file, String text, List<Fault> faults) {
+  Lexer(String file, String text, List<SettingsError> faults) {
     this.file = file;
     this.text = text;
     this.faults = faults;
   }
 
-  private Place place() {
-    return new Place(file, line, at - lineStart + 1);
+  private SourceLocation place() {
+    return new SourceLocation(file, line, at - lineStart + 1);
   }
 
-  private void add(Token.Kind kind, String word, Object value, Place place) {
+  private void add(Token.Kind kind, String word, Object value, SourceLocation place) {
     tokens.add(new Token(kind, word, value, place));
   }
 
@@ -149,7 +149,7 @@
       indents.pop();
       add(Token.Kind.DEDENT, "", null, place());
       if (depth > indents.peek()) {
-        faults.add(new Fault(place(), "this line's indentation fits no block"));
+        faults.add(new SettingsError(place(), "this line's indentation fits no block"));
         indents.push(depth);
       }
     }
@@ -157,7 +157,7 @@
   }
 
   private void token(char c) {
-    Place place = place();
+    SourceLocation place = place();
     if (Character.isDigit(c)
         || c == '.' && at + 1 < text.length() && Character.isDigit(text.charAt(at + 1))) {
       number(place);
@@ -171,7 +171,7 @@
       }
       String word = text.substring(start, at);
       if (REFUSED.contains(word)) {
-        faults.add(new Fault(place, "'" + word + "' is not part of this language"));
+        faults.add(new SettingsError(place, "'" + word + "' is not part of this language"));
       }
       add(WORDS.contains(word) ? Token.Kind.WORD : Token.Kind.NAME, word, null, place);
     } else {
@@ -179,7 +179,7 @@
     }
   }
 
-  private void operator(char c, Place place) {
+  private void operator(char c, SourceLocation place) {
     for (String op : OPS) {
       if (text.startsWith(op, at)) {
         at += op.length();
@@ -190,11 +190,12 @@
       }
     }
     faults.add(
-        new Fault(place, c == '\t' ? "a tab: indent by spaces" : "'" + c + "' means nothing here"));
+        new SettingsError(
+            place, c == '\t' ? "a tab: indent by spaces" : "'" + c + "' means nothing here"));
     at++;
   }
 
-  private void number(Place place) {
+  private void number(SourceLocation place) {
     int start = at;
     boolean real = false;
     while (at < text.length()
@@ -211,7 +212,7 @@
     try {
       value = real ? (Object) Double.valueOf(checked(word)) : (Object) Long.valueOf(word);
     } catch (NumberFormatException e) {
-      faults.add(new Fault(place, "'" + word + "' is no number, or too large a one"));
+      faults.add(new SettingsError(place, "'" + word + "' is no number, or too large a one"));
     }
     add(Token.Kind.NUMBER, word, value, place);
   }
@@ -225,7 +226,7 @@
     return value;
   }
 
-  private void string(char quote, Place place) {
+  private void string(char quote, SourceLocation place) {
     StringBuilder out = new StringBuilder();
     for (at++; at < text.length() && text.charAt(at) != quote && text.charAt(at) != '\n'; at++) {
       char c = text.charAt(at);
@@ -233,7 +234,7 @@
         at++;
         int escape = "nt\\\"'".indexOf(text.charAt(at));
         if (escape < 0) {
-          faults.add(new Fault(place(), "'\\" + text.charAt(at) + "' is no escape"));
+          faults.add(new SettingsError(place(), "'\\" + text.charAt(at) + "' is no escape"));
         } else {
           out.append("\n\t\\\"'".charAt(escape));
         }
@@ -242,7 +243,7 @@
       }
     }
     if (at >= text.length() || text.charAt(at) != quote) {
-      faults.add(new Fault(place, "this string does not end on its line"));
+      faults.add(new SettingsError(place, "this string does not end on its line"));
     } else {
       at++;
     }
--- a/src/main/java/stonespring/config/Parser.java
+++ b/src/main/java/stonespring/config/Parser.java
@@ -27,11 +27,11 @@
           List.of("*", "/", "//", "%"));
 
   private final List<Token> tokens;
-  private final List<Fault> faults;
+  private final List<SettingsError> faults;
   private int at;
   private int depth;
 
-  Parser(List<Token> tokens, List<Fault> faults) {
+  Parser(List<Token> tokens, List<SettingsError> faults) {
     this.tokens = tokens;
     this.faults = faults;
   }
@@ -54,12 +54,12 @@
     return false;
   }
 
-  private Skip fault(Place place, String message) {
+  private Skip fault(SourceLocation place, String message) {
     // A line that is told already needs no second word on what follows from the first.
     if (faults.stream()
         .noneMatch(
             f -> f.place().line() == place.line() && f.place().file().equals(place.file()))) {
-      faults.add(new Fault(place, message));
+      faults.add(new SettingsError(place, message));
     }
     return new Skip();
   }
@@ -78,7 +78,7 @@
     return next().text();
   }
 
-  private void deeper(Place place) {
+  private void deeper(SourceLocation place) {
     if (++depth > NESTING_MOST) {
       throw fault(place, "nested more than " + NESTING_MOST + " deep");
     }
@@ -104,7 +104,7 @@
       } else if (token.is("if")) {
         into.add(ifStatement(inFunction));
       } else if (token.is("for")) {
-        Place place = next().place();
+        SourceLocation place = next().place();
         List<String> names = names();
         expect("in");
         Node in = expression();
@@ -168,7 +168,7 @@
   }
 
   private Node ifStatement(boolean inFunction) {
-    Place place = peek().place();
+    SourceLocation place = peek().place();
     List<Node.Branch> branches = new ArrayList<>();
     do {
       next();
@@ -188,7 +188,7 @@
   }
 
   private Node def() {
-    Place place = next().place();
+    SourceLocation place = next().place();
     String name = name();
     expect("(");
     List<Node.Parameter> parameters = new ArrayList<>();
@@ -233,7 +233,7 @@
   }
 
   private Node load() {
-    Place place = next().place();
+    SourceLocation place = next().place();
     expect("(");
     if (peek().kind() != Token.Kind.STRING) {
       throw fault(peek().place(), "load: the file's name is missing");
@@ -259,7 +259,7 @@
     deeper(peek().place());
     Node then = binary(0);
     if (peek().is("if")) {
-      Place place = next().place();
+      SourceLocation place = next().place();
       Node condition = binary(0);
       expect("else");
       then = new Node.Choice(place, then, condition, expression());
@@ -309,7 +309,7 @@
       if (peek().is("(")) {
         node = call(node);
       } else if (peek().is("[")) {
-        Place place = next().place();
+        SourceLocation place = next().place();
         Node index = expression();
         expect("]");
         node = new Node.Index(place, node, index);
@@ -374,7 +374,7 @@
     }
   }
 
-  private Node list(Place place) {
+  private Node list(SourceLocation place) {
     List<Node> items = new ArrayList<>();
     while (!peek().is("]")) {
       items.add(expression());
@@ -391,7 +391,7 @@
     return new Node.ListOf(place, items);
   }
 
-  private Node dict(Place place) {
+  private Node dict(SourceLocation place) {
     List<Node.Pair> pairs = new ArrayList<>();
     while (!peek().is("}")) {
       Node key = expression();
@@ -414,7 +414,7 @@
   private List<Node.Clause> clauses() {
     List<Node.Clause> clauses = new ArrayList<>();
     while (peek().is("for")) {
-      Place place = next().place();
+      SourceLocation place = next().place();
       List<String> names = names();
       expect("in");
       Node in = binary(0);
--- a/src/main/java/stonespring/config/PlatformFile.java
+++ b/src/main/java/stonespring/config/PlatformConfig.java
@@ -20,14 +20,14 @@
  * @param sockets how many descriptors the process may hold
  * @param known the list of tasks as last had, in discovery's form; null where there is none
  */
-public record PlatformFile(
+public record PlatformConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
     int sockets,
     JsonNode known,
-    Facts facts) {
+    PlatformSettings facts) {
   /** A file that can't be used: one line that names the file and the field. */
   public static final class BadFile extends Exception {
     private static final long serialVersionUID = 1;
@@ -44,7 +44,7 @@
       1024; // where the file gives no limit: what systems give a process
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  public static PlatformFile read(Path file) throws BadFile {
+  public static PlatformConfig read(Path file) throws BadFile {
     try {
       if (Files.size(file) > BYTES_MOST) {
         throw new BadFile(file, "it is over " + BYTES_MOST + " bytes");
@@ -61,12 +61,12 @@
               + e.getOriginalMessage().split("\n")[0]);
     } catch (IOException e) {
       throw new BadFile(file, "it can't be read: " + e.getMessage());
-    } catch (Facts.BadFacts e) {
+    } catch (PlatformSettings.BadFacts e) {
       throw new BadFile(file, "field 'settings': " + e.getMessage());
     }
   }
 
-  private static PlatformFile decode(Path file, JsonNode all) throws BadFile {
+  private static PlatformConfig decode(Path file, JsonNode all) throws BadFile {
     if (all == null || !all.isObject()) {
       throw new BadFile(file, "it is no JSON object");
     }
@@ -82,8 +82,8 @@
     // Settings of customers whose simulator pushes the list say so, but on sockets it comes only by
     // a watch: taken at
     // their word, an assigner never asked, and sent ops to drained tasks for the rest of its life.
-    Facts facts = Facts.read(settings).onSockets();
-    return new PlatformFile(
+    PlatformSettings facts = PlatformSettings.read(settings).onPlatform();
+    return new PlatformConfig(
         text(file, all, "name"),
         address(file, all, "listen"),
         address(file, all, "discovery"),
--- a/src/main/java/stonespring/config/Facts.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -3,9 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import stonespring.model.OpType;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.DeciMillis;
+import stonespring.model.RequestClass;
+import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
-import stonespring.model.Tenths;
 
 /**
  * The settings object as the operators hand it out, read once: on the simulator's wire with an
@@ -16,7 +18,8 @@
  * @param opTypes the op types' names, by position
  * @param round the shortest gap between two replies of the decisions, tenths of a millisecond
  */
-public record Facts(Settings settings, List<String> zones, List<String> opTypes, long round) {
+public record PlatformSettings(
+    Settings settings, List<String> zones, List<String> opTypes, long round) {
   private static final int OP_TYPES_MOST =
       31; // an order names its op types by the bits of a number
   private static final double NUMBER_MOST =
@@ -31,19 +34,19 @@
     }
   }
 
-  public static Facts read(JsonNode facts) {
+  public static PlatformSettings read(JsonNode facts) {
     JsonNode fleet = child(facts, "familyInfo");
     JsonNode rules = child(facts, "rules");
     List<String> zones = new ArrayList<>();
     for (JsonNode zone : list(facts, "zones")) {
       zones.add(text(zone, "zones"));
     }
-    List<OpType> types = new ArrayList<>();
+    List<RequestClass> types = new ArrayList<>();
     List<String> names = new ArrayList<>();
     for (JsonNode node : list(facts, "categories")) {
       names.add(text(child(node, "name"), "name"));
       types.add(
-          new OpType(
+          new RequestClass(
               repeat(text(child(node, "repeat"), "repeat")),
               time(node, "goalTimeS"),
               number(node, "gain")));
@@ -58,36 +61,52 @@
     atLeastOne("backlog", number(fleet, "backlog"));
     atLeastOne("pushRate", number(fleet, "pushRate"));
     atLeastOne("reportEveryS", time(fleet, "reportEveryS"));
-    Settings settings =
-        new Settings(
-            (int) number(facts, "balancers"),
-            zones.size(),
-            List.copyOf(types),
-            text(child(facts, "discovery"), "discovery").equals("on_request"),
-            levelKind(text(child(fleet, "levelKind"), "levelKind")),
+    // Fields are read in this order, so that of several faults the same one is told.
+    int instances = (int) number(facts, "balancers");
+    boolean watchRequired = text(child(facts, "discovery"), "discovery").equals("on_request");
+    AdmissionLimitKind limitKind = levelKind(text(child(fleet, "levelKind"), "levelKind"));
+    Settings.ChannelLimits channel =
+        new Settings.ChannelLimits(
             (int) number(fleet, "backlog"),
             (int) number(fleet, "perMessage"),
             (int) number(fleet, "reloadsMax", 0),
             time(fleet, "messagesOverS", 10),
             number(fleet, "pushRate"),
-            time(fleet, "emptyForS"),
-            (int) number(fleet, "bootstrap"),
-            (int) number(fleet, "proxyCount"),
-            time(fleet, "reportEveryS"),
-            number(fleet, "partitionsN", 0) > 0,
-            number(child(facts, "prices"), "crossZone", 0),
-            time(rules, "coldS"),
-            number(rules, "coldShare"),
-            number(rules, "fallMultiple"),
-            number(facts.path("scoringMix"), "worstClass", 0),
-            rules.path("droppedStayOpen").asBoolean(false),
-            (int) number(fleet, "outlierAfter", 0));
-    return new Facts(settings, List.copyOf(zones), List.copyOf(names), time(facts, "roundS", 0));
+            false);
+    long maxTimeWithoutEndpoint = time(fleet, "emptyForS");
+    int bootstrapRouteCount = (int) number(fleet, "bootstrap");
+    int proxies = (int) number(fleet, "proxyCount");
+    long reportInterval = time(fleet, "reportEveryS");
+    boolean sharded = number(fleet, "partitionsN", 0) > 0;
+    double crossZonePenalty = number(child(facts, "prices"), "crossZone", 0);
+    Settings.SlowStart slowStart =
+        new Settings.SlowStart(
+            time(rules, "coldS"), number(rules, "coldShare"), number(rules, "fallMultiple"));
+    double worstClassWeight = number(facts.path("scoringMix"), "worstClass", 0);
+    boolean removedKeepServing = rules.path("droppedStayOpen").asBoolean(false);
+    int ejectAfter = (int) number(fleet, "outlierAfter", 0);
+    Settings settings =
+        new Settings(
+            new Settings.Fleet(instances, zones.size(), proxies, sharded),
+            List.copyOf(types),
+            new Settings.EndpointListRules(watchRequired, removedKeepServing),
+            limitKind,
+            channel,
+            new Settings.RoutingRules(
+                maxTimeWithoutEndpoint,
+                bootstrapRouteCount,
+                crossZonePenalty,
+                worstClassWeight,
+                ejectAfter),
+            slowStart,
+            reportInterval);
+    return new PlatformSettings(
+        settings, List.copyOf(zones), List.copyOf(names), time(facts, "roundS", 0));
   }
 
   /** The same on the platform's sockets. */
-  Facts onSockets() {
-    return new Facts(settings.onSockets(), zones, opTypes, round);
+  PlatformSettings onPlatform() {
+    return new PlatformSettings(settings.onPlatform(), zones, opTypes, round);
   }
 
   /**
@@ -99,20 +118,20 @@
     }
   }
 
-  private static OpType.Repeat repeat(String word) {
+  private static RetrySafety repeat(String word) {
     return switch (word) {
-      case "free" -> OpType.Repeat.RETRYABLE;
-      case "guarded" -> OpType.Repeat.DEDUPLICATED;
-      case "single_shot" -> OpType.Repeat.ONCE_ONLY;
+      case "free" -> RetrySafety.IDEMPOTENT;
+      case "guarded" -> RetrySafety.IDEMPOTENCY_KEYED;
+      case "single_shot" -> RetrySafety.NON_IDEMPOTENT;
       default -> throw new BadFacts("repeat", "has an unknown word: " + word);
     };
   }
 
-  private static Settings.LevelKind levelKind(String word) {
+  private static AdmissionLimitKind levelKind(String word) {
     return switch (word) {
-      case "share" -> Settings.LevelKind.SHARE;
-      case "rate" -> Settings.LevelKind.RATE;
-      default -> Settings.LevelKind.NONE;
+      case "share" -> AdmissionLimitKind.FRACTION;
+      case "rate" -> AdmissionLimitKind.RATE;
+      default -> AdmissionLimitKind.NONE;
     };
   }
 
@@ -155,10 +174,10 @@
   }
 
   private static long time(JsonNode node, String field) {
-    return Tenths.ofSeconds(number(node, field));
+    return DeciMillis.ofSeconds(number(node, field));
   }
 
   private static long time(JsonNode node, String field, double ifAbsent) {
-    return Tenths.ofSeconds(number(node, field, ifAbsent));
+    return DeciMillis.ofSeconds(number(node, field, ifAbsent));
   }
 }
--- a/src/main/java/stonespring/config/Script.java
+++ b/src/main/java/stonespring/config/Script.java
@@ -26,9 +26,9 @@
   /** A dict that knows where each of its entries stands. */
   public static final class Dict extends LinkedHashMap<Object, Object> {
     private static final long serialVersionUID = 1;
-    private final transient Map<Object, Place> places = new HashMap<>();
+    private final transient Map<Object, SourceLocation> places = new HashMap<>();
 
-    Place placeOf(Object key, Place otherwise) {
+    SourceLocation placeOf(Object key, SourceLocation otherwise) {
       return places.getOrDefault(key, otherwise);
     }
   }
@@ -38,9 +38,9 @@
    */
   public static final class Items extends ArrayList<Object> {
     private static final long serialVersionUID = 1;
-    private final transient List<Place> places = new ArrayList<>();
+    private final transient List<SourceLocation> places = new ArrayList<>();
 
-    Place placeOf(int index, Place otherwise) {
+    SourceLocation placeOf(int index, SourceLocation otherwise) {
       return index < places.size() ? places.get(index) : otherwise;
     }
   }
@@ -51,11 +51,11 @@
 
   private static final class Stop extends RuntimeException {
     private static final long serialVersionUID = 1;
-    private final transient Fault fault;
+    private final transient SettingsError fault;
 
-    Stop(Place place, String message) {
+    Stop(SourceLocation place, String message) {
       super(message, null, false, false);
-      this.fault = new Fault(place, message);
+      this.fault = new SettingsError(place, message);
     }
   }
 
@@ -83,10 +83,10 @@
           "get",
           "zip");
 
-  private final List<Fault> faults = new ArrayList<>();
+  private final List<SettingsError> faults = new ArrayList<>();
   private final Map<Path, Map<String, Object>> loaded = new HashMap<>();
   private final Set<Path> loading = new HashSet<>();
-  private final Map<String, Place> topPlaces = new HashMap<>();
+  private final Map<String, SourceLocation> topPlaces = new HashMap<>();
   private final List<String> calls = new ArrayList<>();
   private int steps;
   private Object returned;
@@ -101,13 +101,14 @@
     Script script = new Script();
     Dict result = new Dict();
     try {
-      Map<String, Object> globals = script.file(file, new Place(file.toString(), 1, 1));
+      Map<String, Object> globals = script.file(file, new SourceLocation(file.toString(), 1, 1));
       globals.forEach(
           (name, value) -> {
             if (!name.startsWith("_") && !(value instanceof Function)) {
               result.put(name, value);
               result.places.put(
-                  name, script.topPlaces.getOrDefault(name, new Place(file.toString(), 1, 1)));
+                  name,
+                  script.topPlaces.getOrDefault(name, new SourceLocation(file.toString(), 1, 1)));
             }
           });
     } catch (Stop e) {
@@ -119,7 +120,7 @@
     return result;
   }
 
-  private Map<String, Object> file(Path file, Place from) {
+  private Map<String, Object> file(Path file, SourceLocation from) {
     Path path = file.toAbsolutePath().normalize();
     Map<String, Object> known = loaded.get(path);
     if (known != null) {
@@ -157,7 +158,7 @@
     return globals;
   }
 
-  private void step(Place place) {
+  private void step(SourceLocation place) {
     if (++steps > STEPS_MOST) {
       throw new Stop(place, "the script takes over " + STEPS_MOST + " steps");
     }
@@ -276,7 +277,8 @@
     }
   }
 
-  private void unpack(Place place, List<String> to, Object item, Map<String, Object> names) {
+  private void unpack(
+      SourceLocation place, List<String> to, Object item, Map<String, Object> names) {
     if (to.size() == 1) {
       names.put(to.get(0), item);
       return;
@@ -398,20 +400,20 @@
     }
   }
 
-  private static void bounded(Place place, int size) {
+  private static void bounded(SourceLocation place, int size) {
     if (size > ITEMS_MOST) {
       throw new Stop(place, "over " + ITEMS_MOST + " items");
     }
   }
 
-  private static Object key(Place place, Object key) {
+  private static Object key(SourceLocation place, Object key) {
     if (!(key instanceof String || key instanceof Long || key instanceof Boolean)) {
       throw new Stop(place, "a dict's key is a string or a whole number, not " + kind(key));
     }
     return key;
   }
 
-  private static int position(Place place, Object index, int size) {
+  private static int position(SourceLocation place, Object index, int size) {
     if (!(index instanceof Long l) || l < -size || l >= size) {
       throw new Stop(place, "the index " + index + " is outside a list of " + size);
     }
@@ -434,7 +436,7 @@
     throw new Stop(n.place(), kind(of) + " has no entries");
   }
 
-  private static List<Object> items(Place place, Object value) {
+  private static List<Object> items(SourceLocation place, Object value) {
     if (value instanceof Items list) {
       return new ArrayList<>(list);
     }
@@ -470,7 +472,7 @@
                             : value instanceof Dict ? "a dict" : "a function";
   }
 
-  private static Object binary(Place place, String op, Object a, Object b) {
+  private static Object binary(SourceLocation place, String op, Object a, Object b) {
     switch (op) {
       case "==" -> {
         return same(a, b);
@@ -502,7 +504,7 @@
     }
   }
 
-  private static Object joined(Place place, String op, Object a, Object b) {
+  private static Object joined(SourceLocation place, String op, Object a, Object b) {
     if (op.equals("+") && a instanceof String x && b instanceof String y) {
       bounded(place, x.length() + y.length());
       return x + y;
@@ -543,7 +545,7 @@
         : java.util.Objects.equals(a, b);
   }
 
-  private static int compare(Place place, Object a, Object b) {
+  private static int compare(SourceLocation place, Object a, Object b) {
     if (a instanceof Number x && b instanceof Number y) {
       return Double.compare(x.doubleValue(), y.doubleValue());
     }
@@ -553,7 +555,7 @@
     throw new Stop(place, kind(a) + " and " + kind(b) + " have no order");
   }
 
-  private static Object arithmetic(Place place, String op, Number x, Number y) {
+  private static Object arithmetic(SourceLocation place, String op, Number x, Number y) {
     boolean whole = x instanceof Long && y instanceof Long;
     double a = x.doubleValue();
     double b = y.doubleValue();
@@ -617,7 +619,8 @@
     return call(n.place(), f, plain, named);
   }
 
-  private Object call(Place place, Function f, List<Object> plain, Map<String, Object> named) {
+  private Object call(
+      SourceLocation place, Function f, List<Object> plain, Map<String, Object> named) {
     String name = f.def().name();
     if (calls.contains(name + f.def().place()) || calls.size() >= CALLS_MOST) {
       throw new Stop(
@@ -654,7 +657,7 @@
     return result;
   }
 
-  private Object builtin(Place place, String name, List<Object> a) {
+  private Object builtin(SourceLocation place, String name, List<Object> a) {
     try {
       return switch (name) {
         case "len" ->
@@ -698,7 +701,7 @@
     }
   }
 
-  private static Items range(Place place, List<Object> a) {
+  private static Items range(SourceLocation place, List<Object> a) {
     long from = a.size() > 1 ? (Long) a.get(0) : 0;
     long to = (Long) a.get(a.size() > 1 ? 1 : 0);
     long by = a.size() > 2 ? (Long) a.get(2) : 1;
@@ -712,7 +715,7 @@
     return list;
   }
 
-  private static Object extreme(Place place, List<Object> of, int sign) {
+  private static Object extreme(SourceLocation place, List<Object> of, int sign) {
     Object best = of.get(0);
     for (Object item : of) {
       best = sign * compare(place, item, best) < 0 ? item : best;
@@ -720,7 +723,7 @@
     return best;
   }
 
-  private static Items rows(Place place, String name, List<Object> a) {
+  private static Items rows(SourceLocation place, String name, List<Object> a) {
     List<Object> first = items(place, a.get(0));
     List<Object> second = name.equals("zip") ? items(place, a.get(1)) : first;
     Items rows = new Items();
--- a/src/main/java/stonespring/config/ScriptException.java
+++ b/src/main/java/stonespring/config/ScriptException.java
@@ -7,28 +7,28 @@
 /** A script that can't be taken, with every fault found in it. */
 public final class ScriptException extends Exception {
   private static final long serialVersionUID = 1;
-  private final transient List<Fault> faults;
+  private final transient List<SettingsError> faults;
 
-  public ScriptException(List<Fault> faults) {
+  public ScriptException(List<SettingsError> faults) {
     super(
-        ordered(faults).stream().map(Fault::toString).collect(Collectors.joining("\n")),
+        ordered(faults).stream().map(SettingsError::toString).collect(Collectors.joining("\n")),
         null,
         false,
         false);
     this.faults = ordered(faults);
   }
 
-  private static List<Fault> ordered(List<Fault> faults) {
+  private static List<SettingsError> ordered(List<SettingsError> faults) {
     return faults.stream()
         .distinct()
         .sorted(
-            Comparator.comparing((Fault f) -> f.place().file())
+            Comparator.comparing((SettingsError f) -> f.place().file())
                 .thenComparing(f -> f.place().line())
                 .thenComparing(f -> f.place().column()))
         .toList();
   }
 
-  public List<Fault> faults() {
+  public List<SettingsError> faults() {
     return faults;
   }
 }
--- a/src/main/java/stonespring/config/Section.java
+++ b/src/main/java/stonespring/config/Section.java
@@ -12,11 +12,11 @@
 public final class Section {
   private final String name;
   private final Script.Dict dict;
-  private final Place place;
-  private final List<Fault> faults;
+  private final SourceLocation place;
+  private final List<SettingsError> faults;
   private final TreeSet<String> known = new TreeSet<>();
 
-  private Section(String name, Script.Dict dict, Place place, List<Fault> faults) {
+  private Section(String name, Script.Dict dict, SourceLocation place, List<SettingsError> faults) {
     this.name = name;
     this.dict = dict;
     this.place = place;
@@ -24,8 +24,8 @@
   }
 
   /** The whole script's names as a section. */
-  public static Section of(String file, Script.Dict globals, List<Fault> faults) {
-    return new Section("", globals, new Place(file, 1, 1), faults);
+  public static Section of(String file, Script.Dict globals, List<SettingsError> faults) {
+    return new Section("", globals, new SourceLocation(file, 1, 1), faults);
   }
 
   private String path(String key) {
@@ -33,7 +33,7 @@
   }
 
   private void fault(String key, String message) {
-    faults.add(new Fault(dict.placeOf(key, place), path(key) + " " + message));
+    faults.add(new SettingsError(dict.placeOf(key, place), path(key) + " " + message));
   }
 
   /** Notes a fault of a value that was read, where two values do not go together. */
@@ -44,7 +44,7 @@
   private Object read(String key, boolean required) {
     known.add(key);
     if (required && !dict.containsKey(key)) {
-      faults.add(new Fault(place, path(key) + " is missing"));
+      faults.add(new SettingsError(place, path(key) + " is missing"));
     }
     return dict.get(key);
   }
@@ -144,7 +144,7 @@
         texts.add(s);
       } else {
         faults.add(
-            new Fault(
+            new SettingsError(
                 list.placeOf(i, dict.placeOf(key, place)),
                 path(key)
                     + " holds "
@@ -176,7 +176,7 @@
    */
   public Section section(String key, boolean required) {
     Object value = read(key, required);
-    Place at = dict.placeOf(key, place);
+    SourceLocation at = dict.placeOf(key, place);
     String path = name.isEmpty() ? key : name + "." + key;
     if (value != null && !(value instanceof Script.Dict)) {
       fault(key, "is a dict, not " + Script.kind(value));
@@ -193,13 +193,13 @@
     List<Section> sections = new ArrayList<>();
     Script.Items list = items(key, least, most);
     for (int i = 0; list != null && i < list.size(); i++) {
-      Place at = list.placeOf(i, dict.placeOf(key, place));
+      SourceLocation at = list.placeOf(i, dict.placeOf(key, place));
       if (list.get(i) instanceof Script.Dict d) {
         sections.add(
             new Section((name.isEmpty() ? key : name + "." + key) + "[" + i + "]", d, at, faults));
       } else {
         faults.add(
-            new Fault(
+            new SettingsError(
                 at, path(key) + " holds " + Script.kind(list.get(i)) + " where a dict belongs"));
       }
     }
--- a/src/main/java/stonespring/config/Fault.java
+++ b/src/main/java/stonespring/config/SettingsError.java
@@ -1,7 +1,7 @@
 package stonespring.config;
 
 /** One fault of a script: where, and what. */
-public record Fault(Place place, String message) {
+public record SettingsError(SourceLocation place, String message) {
   @Override
   public String toString() {
     return place + ": " + message;
--- a/src/main/java/stonespring/config/Place.java
+++ b/src/main/java/stonespring/config/SourceLocation.java
@@ -1,7 +1,7 @@
 package stonespring.config;
 
 /** Where something stands in a script; line and column count from 1. */
-public record Place(String file, int line, int column) {
+public record SourceLocation(String file, int line, int column) {
   @Override
   public String toString() {
     return file + ":" + line + ":" + column;
--- a/src/main/java/stonespring/config/Token.java
+++ b/src/main/java/stonespring/config/Token.java
@@ -1,7 +1,7 @@
 package stonespring.config;
 
 /** A token; {@code text} is a name, an operator or a string's value. */
-record Token(Kind kind, String text, Object value, Place place) {
+record Token(Kind kind, String text, Object value, SourceLocation place) {
   enum Kind {
     NAME,
     WORD,
--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/Daemon.java
@@ -10,21 +10,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stonespring.chp.ChpServer;
-import stonespring.config.AssignerSettings;
-import stonespring.decision.Assigner;
-import stonespring.discovery.Entries;
-import stonespring.discovery.FileSource;
-import stonespring.discovery.RegistrySource;
-import stonespring.discovery.SavedList;
-import stonespring.discovery.TaskSource;
-import stonespring.front.Names;
-import stonespring.front.chp.ChpFront;
-import stonespring.model.DecisionModule;
+import stonespring.config.InstanceSettings;
+import stonespring.decision.AssignmentEngine;
+import stonespring.discovery.CachedEndpointList;
+import stonespring.discovery.EndpointListCodec;
+import stonespring.discovery.EndpointSource;
+import stonespring.discovery.FileEndpointSource;
+import stonespring.discovery.RegistryEndpointSource;
+import stonespring.model.DecisionEngine;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
-import stonespring.solver.Advised;
-import stonespring.solver.Advisor;
-import stonespring.state.Update;
+import stonespring.proxyapi.NameTable;
+import stonespring.proxyapi.chp.ChpProxyApi;
+import stonespring.solver.AdvisedEngine;
+import stonespring.solver.WeightAdvisor;
+import stonespring.state.KeyUpdate;
 import stonespring.zmtp.ZmtpLimits;
 
 /**
@@ -39,19 +39,19 @@
   private static final int SEQUENCE_SHIFT =
       20; // bits; room for a million updates in each millisecond of a run
 
-  private final AssignerSettings settings;
+  private final InstanceSettings settings;
   private final InstanceClock clock = new InstanceClock();
   private final MultiThreadIoEventLoopGroup sockets =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Loop loop;
+  private final EventLoopThread loop;
   private final ChpServer server;
-  private final TaskSource source;
-  private final SavedList saved;
+  private final EndpointSource source;
+  private final CachedEndpointList saved;
 
-  public Daemon(AssignerSettings settings) {
+  public Daemon(InstanceSettings settings) {
     this.settings = settings;
-    AssignerSettings.Bounds bounds = settings.bounds();
-    this.loop = new Loop(clock, bounds.inbox(), bounds.momentMillis());
+    InstanceSettings.Bounds bounds = settings.bounds();
+    this.loop = new EventLoopThread(clock, bounds.inbox(), bounds.momentMillis());
     ZmtpLimits usual = ZmtpLimits.USUAL;
     ZmtpLimits limits =
         new ZmtpLimits(
@@ -66,23 +66,25 @@
         new ChpServer(
             sockets,
             limits,
-            new ChpFront(loop, new Names(settings.zones(), settings.opTypeNames())));
-    Entries entries = new Entries(settings.zones(), clock.unixOffset());
+            new ChpProxyApi(loop, new NameTable(settings.zones(), settings.opTypeNames())));
+    EndpointListCodec entries = new EndpointListCodec(settings.zones(), clock.unixOffset());
     this.source = source(settings.source(), entries, (EventLoop) sockets.next());
-    this.saved = new SavedList(settings.saved(), entries);
+    this.saved = new CachedEndpointList(settings.saved(), entries);
   }
 
-  private static TaskSource source(AssignerSettings.Source from, Entries entries, EventLoop loop) {
-    if (from instanceof AssignerSettings.Source.FromRegistry r) {
-      return new RegistrySource(r.host(), r.port(), r.service(), r.waitSeconds(), entries, loop);
+  private static EndpointSource source(
+      InstanceSettings.Source from, EndpointListCodec entries, EventLoop loop) {
+    if (from instanceof InstanceSettings.Source.FromRegistry r) {
+      return new RegistryEndpointSource(
+          r.host(), r.port(), r.service(), r.waitSeconds(), entries, loop);
     }
-    return new FileSource(((AssignerSettings.Source.FromFile) from).path(), entries, loop);
+    return new FileEndpointSource(((InstanceSettings.Source.FromFile) from).path(), entries, loop);
   }
 
-  private DecisionModule module(long seed) {
-    Assigner assigner = new Assigner(settings.settings(), seed, clock.now());
+  private DecisionEngine module(long seed) {
+    AssignmentEngine assigner = new AssignmentEngine(settings.settings(), seed, clock.now());
     return settings.proposals()
-        ? new Advised(assigner, new Advisor(settings.settings()))
+        ? new AdvisedEngine(assigner, new WeightAdvisor(settings.settings()))
         : assigner;
   }
 
@@ -91,12 +93,12 @@
     long unixMillis = System.currentTimeMillis();
     String epoch = Long.toString(unixMillis, 36);
     long seed = unixMillis ^ System.nanoTime();
-    Outside outside =
-        new Outside() {
+    HostEnvironment outside =
+        new HostEnvironment() {
           @Override
-          public void publish(List<Update> updates) {
+          public void publish(List<KeyUpdate> updates) {
             if (!updates.isEmpty()) {
-              server.publish(ChpFront.publications(updates));
+              server.publish(ChpProxyApi.publications(updates));
             }
           }
 
@@ -110,22 +112,22 @@
             source.fetch();
           }
         };
-    CoreLimits usual = CoreLimits.USUAL;
+    HostLimits usual = HostLimits.USUAL;
     // Sequences must rise over restarts, or followers would drop what a restarted instance says.
-    Core core =
-        new Core(
+    EngineHost core =
+        new EngineHost(
             settings.settings(),
             settings.opTypeNames(),
-            new CoreLimits(settings.bounds().proxies(), usual.reportPairs(), usual.keys()),
+            new HostLimits(settings.bounds().proxies(), usual.reportPairs(), usual.keys()),
             epoch,
             unixMillis << SEQUENCE_SHIFT,
             module(seed),
             outside,
             clock.now());
     server.start(settings.host(), settings.port());
-    List<Listing> last = saved.read();
+    List<EndpointRecord> last = saved.read();
     loop.start(settings.name(), core);
-    loop.listTold(new Event.ListTold(Event.ListKind.LAST_SEEN, last));
+    loop.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, last));
     source.start(loop::listTold, saved::keep);
     LOG.info(
         "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} tasks of the saved list",
--- a/src/main/java/stonespring/daemon/DecisionFailed.java
+++ b/src/main/java/stonespring/daemon/DecisionFailedException.java
@@ -1,10 +1,10 @@
 package stonespring.daemon;
 
 /** The decision module failed; its state can't be trusted any more. */
-final class DecisionFailed extends RuntimeException {
+final class DecisionFailedException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  DecisionFailed(Throwable cause) {
+  DecisionFailedException(Throwable cause) {
     super(cause);
   }
 }
--- a/src/main/java/stonespring/daemon/Core.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -8,25 +8,17 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.front.Intake;
-import stonespring.model.DecisionModule;
+import stonespring.model.AckId;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.DecisionEngine;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
-import stonespring.model.MarkId;
-import stonespring.model.Order;
 import stonespring.model.ProxyId;
 import stonespring.model.Settings;
-import stonespring.model.TaskId;
-import stonespring.model.Tenths;
-import stonespring.state.Hello;
-import stonespring.state.KeyTree;
-import stonespring.state.PacedChannel;
-import stonespring.state.Presence;
-import stonespring.state.ProxyMessage;
-import stonespring.state.Published;
-import stonespring.state.Reports;
-import stonespring.state.Tables;
-import stonespring.state.Update;
+import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.state.*;
 
 /**
  * One instance without its thread, clock and sockets: it tells the decision module what happens and
@@ -34,24 +26,24 @@
  * in virtual time and the loop by the real clock, through the same code. What proxies say is
  * gathered and told once a period, as the module expects it.
  */
-public final class Core {
-  private static final Logger LOG = LoggerFactory.getLogger(Core.class);
+public final class EngineHost {
+  private static final Logger LOG = LoggerFactory.getLogger(EngineHost.class);
   private static final long STATUS_EVERY =
-      Tenths.SECOND; // 0.1 ms; a person and a probe look no oftener
+      DeciMillis.SECOND; // 0.1 ms; a person and a probe look no oftener
   private static final long ANSWER_MOST =
-      600 * Tenths.SECOND; // 0.1 ms; the histogram's end, longer counts as that
+      600 * DeciMillis.SECOND; // 0.1 ms; the histogram's end, longer counts as that
   private static final int CAUSES_MOST = 8; // causes told in one log line
 
   private final Settings settings;
-  private final Outside outside;
-  private final Decisions decisions;
-  private final Presence presence;
-  private final Tables tables;
-  private final Reports reports;
-  private final PacedChannel channel;
-  private final KeyTree keys;
-  private final Published published;
-  private final Set<TaskId> listed = new HashSet<>();
+  private final HostEnvironment outside;
+  private final EngineRunner decisions;
+  private final ProxySessions presence;
+  private final RouteTables tables;
+  private final ReportAggregator reports;
+  private final RateLimitedChannel channel;
+  private final KeyStore keys;
+  private final PublishedState published;
+  private final Set<EndpointId> listed = new HashSet<>();
   private final TreeSet<String> ready = new TreeSet<>();
   private final Histogram answers = new Histogram(ANSWER_MOST, 2);
   private final List<String> causes = new ArrayList<>();
@@ -60,30 +52,30 @@
   private long statusAt;
   private long unknownReports;
 
-  public Core(
+  public EngineHost(
       Settings settings,
       List<String> opTypeNames,
-      CoreLimits limits,
+      HostLimits limits,
       String epoch,
       long firstSequence,
-      DecisionModule module,
-      Outside outside,
+      DecisionEngine module,
+      HostEnvironment outside,
       long now) {
     this.settings = settings;
     this.outside = outside;
-    this.decisions = new Decisions(module, outside);
-    this.presence = new Presence(limits.proxies());
-    this.tables = new Tables(opTypeNames);
-    this.reports = new Reports(limits.reportPairs());
+    this.decisions = new EngineRunner(module, outside);
+    this.presence = new ProxySessions(limits.proxies());
+    this.tables = new RouteTables(opTypeNames);
+    this.reports = new ReportAggregator(limits.reportPairs());
     this.channel =
-        new PacedChannel(
-            settings.linesPerSecond(),
-            settings.messageHead(),
-            settings.backlogLines(),
-            settings.messagesOver());
-    this.keys = new KeyTree(firstSequence, limits.keys());
-    this.published = new Published(keys, epoch, presence);
-    this.reportsAt = now + settings.sumsEvery();
+        new RateLimitedChannel(
+            settings.channel().entriesPerSecond(),
+            settings.channel().messageOverheadEntries(),
+            settings.channel().maxBacklogEntries(),
+            settings.channel().messageWindow());
+    this.keys = new KeyStore(firstSequence, limits.keys());
+    this.published = new PublishedState(keys, epoch, presence);
+    this.reportsAt = now + settings.reportInterval();
     this.statusAt = now;
   }
 
@@ -101,23 +93,24 @@
   }
 
   /** A proxy says that it is here, for {@code holds} from now. */
-  public void hello(String proxy, Hello hello, long holds, Intake.Origin from, long now) {
-    Presence.Verdict verdict = presence.hello(proxy, hello, from, now, now + holds);
-    if (verdict instanceof Presence.Verdict.Refused refused) {
+  public void hello(
+      String proxy, ProxyHello hello, long holds, ProxyMessageHandler.Origin from, long now) {
+    ProxySessions.Verdict verdict = presence.hello(proxy, hello, from, now, now + holds);
+    if (verdict instanceof ProxySessions.Verdict.Refused refused) {
       from.end(refused.cause());
-    } else if (verdict instanceof Presence.Verdict.Joined joined) {
+    } else if (verdict instanceof ProxySessions.Verdict.Joined joined) {
       ProxyId id = joined.proxy();
       if (joined.before()) {
         gone(id, "a newer stream of it came", now);
         if (joined.oldConnection() != from) {
-          ((Intake.Origin) joined.oldConnection())
+          ((ProxyMessageHandler.Origin) joined.oldConnection())
               .end("proxy " + proxy + " came back on a newer stream");
         }
       }
       tables.joined(id, hello.holds());
       tell(
           now,
-          new Event.ProxyJoined(id, hello.zone(), hello.opsPerSecond(), hello.fresh()),
+          new Event.ProxyConnected(id, hello.zone(), hello.opsPerSecond(), hello.fresh()),
           "join " + proxy);
       outside.publish(published.here(id));
       LOG.info(
@@ -134,12 +127,12 @@
     channel.left(id);
     reports.left(id);
     outside.publish(published.ended(id));
-    tell(now, new Event.ProxyLeft(id), "left " + presence.name(id));
+    tell(now, new Event.ProxyDisconnected(id), "left " + presence.name(id));
     LOG.info("proxy {} left: {}", presence.name(id), why);
   }
 
   /** A connection ended: whatever spoke on it is gone at once. */
-  public void closed(Intake.Origin from, long now) {
+  public void closed(ProxyMessageHandler.Origin from, long now) {
     for (ProxyId id : presence.closed(from)) {
       gone(id, "its connection ended", now);
     }
@@ -147,7 +140,11 @@
 
   /** What a proxy met; from one that is not here it ends the connection. */
   public void reported(
-      String proxy, long span, List<Reports.Met> met, List<Reports.Came> came, Intake.Origin from) {
+      String proxy,
+      long span,
+      List<ReportAggregator.Met> met,
+      List<ReportAggregator.Came> came,
+      ProxyMessageHandler.Origin from) {
     ProxyId id = presence.speaking(proxy, from);
     if (id == null) {
       from.end("report: proxy " + proxy + " never joined on this connection");
@@ -155,8 +152,8 @@
     }
     // What its own tables name may be gone from the list since before this start: the decisions
     // must hear of it.
-    List<TaskId> holds = presence.hello(id).holds();
-    List<Reports.Met> known =
+    List<EndpointId> holds = presence.hello(id).holds();
+    List<ReportAggregator.Met> known =
         met.stream()
             .filter(m -> listed.contains(m.task()) || holds != null && holds.contains(m.task()))
             .toList();
@@ -168,7 +165,7 @@
    * A proxy has applied a message; a mark that was never set, or another stream's, means nothing.
    */
   public void answered(
-      String proxy, String stream, int mark, long took, Intake.Origin from, long now) {
+      String proxy, String stream, int mark, long took, ProxyMessageHandler.Origin from, long now) {
     ProxyId id = presence.speaking(proxy, from);
     if (id == null) {
       from.end("answer: proxy " + proxy + " never joined on this connection");
@@ -179,34 +176,34 @@
         return;
       }
       answers.recordValue(Math.min(ANSWER_MOST, Math.max(0, now - orderedAt)));
-      tell(now, new Event.Answered(id, new MarkId(mark), took), "answer " + proxy);
+      tell(now, new Event.UpdateAcknowledged(id, new AckId(mark), took), "answer " + proxy);
     }
   }
 
   /** What the list of tasks says. */
-  public void listTold(Event.ListTold told, long now) {
-    for (Listing listing : told.entries()) {
-      listed.add(listing.task());
+  public void listTold(Event.EndpointListUpdate told, long now) {
+    for (EndpointRecord listing : told.endpoints()) {
+      listed.add(listing.endpoint());
     }
     countReady(told);
-    LOG.info("list {}: {} entries", told.kind(), told.entries().size());
-    tell(now, told, "list " + told.kind() + " of " + told.entries().size());
+    LOG.info("list {}: {} entries", told.kind(), told.endpoints().size());
+    tell(now, told, "list " + told.kind() + " of " + told.endpoints().size());
   }
 
-  private void countReady(Event.ListTold told) {
-    if (told.kind() == Event.ListKind.WHOLE) {
+  private void countReady(Event.EndpointListUpdate told) {
+    if (told.kind() == Event.ListUpdateKind.SNAPSHOT) {
       ready.clear();
     }
-    for (Listing listing : told.entries()) {
-      if (listing.state() == Listing.State.READY) {
-        ready.add(listing.task().name());
+    for (EndpointRecord listing : told.endpoints()) {
+      if (listing.state() == EndpointRecord.State.READY) {
+        ready.add(listing.endpoint().name());
       } else {
-        ready.remove(listing.task().name());
+        ready.remove(listing.endpoint().name());
       }
     }
   }
 
-  public List<Update> snapshot(String subtree) {
+  public List<KeyUpdate> snapshot(String subtree) {
     return keys.snapshot(subtree);
   }
 
@@ -228,14 +225,15 @@
       if (!events.isEmpty()) {
         because("sums");
       }
-      reportsAt = Math.max(reportsAt + settings.sumsEvery(), now + settings.sumsEvery() / 2);
+      reportsAt =
+          Math.max(reportsAt + settings.reportInterval(), now + settings.reportInterval() / 2);
     }
     if (decisions.pending()) {
       carryOut(decisions.finish(now), now);
       causes.clear();
       moreCauses = 0;
     }
-    for (ProxyMessage message : channel.due(now)) {
+    for (ProxyUpdate message : channel.due(now)) {
       outside.publish(published.publish(message));
     }
     if (now >= statusAt) {
@@ -246,13 +244,13 @@
     return Math.min(next, decisions.nextTimer());
   }
 
-  private void carryOut(List<Order> orders, long now) {
-    List<ProxyMessage> messages = tables.messages(orders, now);
+  private void carryOut(List<Command> orders, long now) {
+    List<ProxyUpdate> messages = tables.messages(orders, now);
     channel.offer(messages, now);
     if (!messages.isEmpty() && LOG.isDebugEnabled()) {
       String cause =
           String.join(", ", causes) + (moreCauses > 0 ? " and " + moreCauses + " more" : "");
-      for (ProxyMessage message : messages) {
+      for (ProxyUpdate message : messages) {
         LOG.debug(
             "order for {}: {} because of {}",
             presence.name(message.proxy()),
@@ -260,9 +258,11 @@
             cause);
       }
     }
-    if (channel.backlog() > settings.backlogLines()) {
+    if (channel.backlog() > settings.channel().maxBacklogEntries()) {
       LOG.error(
-          "channel: {} lines wait, the limit is {}", channel.backlog(), settings.backlogLines());
+          "channel: {} lines wait, the limit is {}",
+          channel.backlog(),
+          settings.channel().maxBacklogEntries());
     }
   }
 
@@ -276,11 +276,11 @@
         + ",\"backlog_high\":"
         + channel.backlogHigh()
         + ",\"backlog_limit\":"
-        + settings.backlogLines()
+        + settings.channel().maxBacklogEntries()
         + ",\"messages_high\":"
         + channel.messagesHigh()
         + ",\"messages_limit\":"
-        + settings.messagesMost()
+        + settings.channel().maxMessagesPerProxy()
         + ",\"merged\":"
         + channel.merged()
         + ",\"reports_left_out\":"
--- a/src/main/java/stonespring/daemon/Decisions.java
+++ b/src/main/java/stonespring/daemon/EngineRunner.java
@@ -6,9 +6,9 @@
 import java.util.PriorityQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.model.DecisionModule;
+import stonespring.model.Command;
+import stonespring.model.DecisionEngine;
 import stonespring.model.Event;
-import stonespring.model.Order;
 import stonespring.model.TimerToken;
 
 /**
@@ -16,20 +16,20 @@
  * concerns the list and the log carried out, what concerns proxies handed back. Time is passed in,
  * tenths of a millisecond.
  */
-final class Decisions {
-  private static final Logger LOG = LoggerFactory.getLogger(Decisions.class);
+final class EngineRunner {
+  private static final Logger LOG = LoggerFactory.getLogger(EngineRunner.class);
 
   private record Timer(long at, long count, TimerToken token) {}
 
-  private final DecisionModule module;
-  private final ListAsks list;
+  private final DecisionEngine module;
+  private final EndpointListRequests list;
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparing(Timer::count));
   private long timerCount;
   private long finishes;
   private boolean pending;
 
-  Decisions(DecisionModule module, ListAsks list) {
+  EngineRunner(DecisionEngine module, EndpointListRequests list) {
     this.module = module;
     this.list = list;
   }
@@ -37,9 +37,9 @@
   void tell(long now, Event event) {
     pending = true;
     try {
-      module.take(now, event);
+      module.handle(now, event);
     } catch (RuntimeException | StackOverflowError e) {
-      throw new DecisionFailed(e);
+      throw new DecisionFailedException(e);
     }
   }
 
@@ -47,7 +47,7 @@
   boolean timersDue(long now) {
     boolean any = false;
     while (!timers.isEmpty() && timers.peek().at <= now) {
-      tell(now, new Event.TimerDue(timers.poll().token));
+      tell(now, new Event.TimerFired(timers.poll().token));
       any = true;
     }
     return any;
@@ -64,27 +64,27 @@
   }
 
   /** Ends the moment; the orders that concern proxies, in order. */
-  List<Order> finish(long now) {
+  List<Command> finish(long now) {
     pending = false;
     finishes++;
-    List<Order> orders;
+    List<Command> orders;
     try {
-      orders = module.finish(now);
+      orders = module.endBatch(now);
     } catch (RuntimeException | StackOverflowError e) {
-      throw new DecisionFailed(e);
+      throw new DecisionFailedException(e);
     }
-    List<Order> forProxies = new ArrayList<>();
-    for (Order order : orders) {
-      if (order instanceof Order.SetTimer o) {
+    List<Command> forProxies = new ArrayList<>();
+    for (Command order : orders) {
+      if (order instanceof Command.StartTimer o) {
         // Never in the moment that set it: the module could keep the loop busy for ever.
         timers.add(new Timer(now + Math.max(1, o.delay()), timerCount++, o.token()));
-      } else if (order instanceof Order.FetchList) {
+      } else if (order instanceof Command.FetchEndpoints) {
         list.fetchList();
-      } else if (order instanceof Order.FollowList o) {
-        list.followList(o.on());
-      } else if (order instanceof Order.LogLine o) {
+      } else if (order instanceof Command.WatchEndpoints o) {
+        list.followList(o.enabled());
+      } else if (order instanceof Command.Log o) {
         LOG.info("decision: {}", o.text());
-      } else if (order instanceof Order.Probe || order instanceof Order.TellPeer) {
+      } else if (order instanceof Command.HealthCheck || order instanceof Command.SendToPeer) {
         LOG.warn("decision: {} is not carried out: settings that allow it are not offered", order);
       } else {
         forProxies.add(order);
--- a/src/main/java/stonespring/daemon/Loop.java
+++ b/src/main/java/stonespring/daemon/EventLoopThread.java
@@ -11,11 +11,11 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.front.Intake;
 import stonespring.model.Event;
-import stonespring.state.Hello;
-import stonespring.state.Reports;
-import stonespring.state.Update;
+import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
+import stonespring.state.ReportAggregator;
 
 /**
  * The one thread that drives an instance's core: words from the sockets wait in an inbox, a
@@ -24,8 +24,8 @@
  * ended connections always find room, there are few of them. What goes wrong while one word is
  * taken ends nothing but that word; what goes wrong in the decisions ends the instance.
  */
-public final class Loop implements Intake {
-  private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventLoopThread implements ProxyMessageHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoopThread.class);
   private static final long MOST_NANOS =
       TimeUnit.MINUTES.toNanos(1); // the histogram's end; longer counts as that
 
@@ -37,18 +37,18 @@
   private final AtomicLong refused = new AtomicLong();
   private final Histogram moments = new Histogram(MOST_NANOS, 3);
   private final CountDownLatch ended = new CountDownLatch(1);
-  private Core core;
+  private EngineHost core;
   private volatile boolean stopping;
   private volatile Throwable failure;
 
-  public Loop(InstanceClock clock, int inboxMost, int momentMillis) {
+  public EventLoopThread(InstanceClock clock, int inboxMost, int momentMillis) {
     this.clock = clock;
     this.inboxMost = inboxMost;
     this.momentMillis = momentMillis;
   }
 
   /** Starts the thread that drives this core. */
-  public void start(String name, Core driven) {
+  public void start(String name, EngineHost driven) {
     core = driven;
     Thread thread = new Thread(this::drive, name + "-loop");
     thread.setUncaughtExceptionHandler((t, e) -> LOG.error("loop ended", e));
@@ -75,7 +75,7 @@
           moments.recordValue(Math.min(MOST_NANOS, System.nanoTime() - began));
         }
       }
-    } catch (DecisionFailed e) {
+    } catch (DecisionFailedException e) {
       failure = e.getCause();
       LOG.error(
           "the decisions failed: this instance ends, its proxies go on by their last tables",
@@ -93,7 +93,7 @@
   private void take(LongConsumer word, long now) {
     try {
       word.accept(now);
-    } catch (DecisionFailed e) {
+    } catch (DecisionFailedException e) {
       throw e;
     } catch (RuntimeException e) {
       LOG.error("a word could not be taken", e);
@@ -120,13 +120,17 @@
   }
 
   @Override
-  public boolean hello(String proxy, Hello hello, long holds, Origin from) {
+  public boolean hello(String proxy, ProxyHello hello, long holds, Origin from) {
     return offer(now -> core.hello(proxy, hello, holds, from, now));
   }
 
   @Override
   public boolean reported(
-      String proxy, long span, List<Reports.Met> met, List<Reports.Came> came, Origin from) {
+      String proxy,
+      long span,
+      List<ReportAggregator.Met> met,
+      List<ReportAggregator.Came> came,
+      Origin from) {
     return offer(now -> core.reported(proxy, span, met, came, from));
   }
 
@@ -136,7 +140,7 @@
   }
 
   @Override
-  public boolean snapshot(String subtree, BiConsumer<List<Update>, Long> then) {
+  public boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then) {
     return offer(now -> then.accept(core.snapshot(subtree), core.sequence()));
   }
 
@@ -145,7 +149,7 @@
     post(now -> core.closed(from, now));
   }
 
-  public void listTold(Event.ListTold told) {
+  public void listTold(Event.EndpointListUpdate told) {
     post(now -> core.listTold(told, now));
   }
 
--- a/src/main/java/stonespring/daemon/Outside.java
+++ b/src/main/java/stonespring/daemon/HostEnvironment.java
@@ -1,10 +1,10 @@
 package stonespring.daemon;
 
 import java.util.List;
-import stonespring.state.Update;
+import stonespring.state.KeyUpdate;
 
 /** What the core of an instance has done outside; calls come from the loop that drives it. */
-public interface Outside extends ListAsks {
+public interface HostEnvironment extends EndpointListRequests {
   /** Tells all fronts. */
-  void publish(List<Update> updates);
+  void publish(List<KeyUpdate> updates);
 }
--- a/src/main/java/stonespring/daemon/CoreLimits.java
+++ b/src/main/java/stonespring/daemon/HostLimits.java
@@ -5,6 +5,6 @@
  * a report over {@code reportPairs} are left out and counted; a message that would need more than
  * {@code keys} is not published.
  */
-public record CoreLimits(int proxies, int reportPairs, int keys) {
-  public static final CoreLimits USUAL = new CoreLimits(20_000, 200_000, 4_000_000);
+public record HostLimits(int proxies, int reportPairs, int keys) {
+  public static final HostLimits USUAL = new HostLimits(20_000, 200_000, 4_000_000);
 }
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -11,19 +11,19 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.config.PlatformFile;
-import stonespring.decision.Assigner;
-import stonespring.discovery.InstanceEntries;
-import stonespring.discovery.InstancesSource;
-import stonespring.front.Names;
-import stonespring.front.line.LineFront;
+import stonespring.config.PlatformConfig;
+import stonespring.decision.AssignmentEngine;
+import stonespring.discovery.PlatformEndpointCodec;
+import stonespring.discovery.PlatformEndpointSource;
 import stonespring.line.LineLimits;
-import stonespring.line.LineListener;
-import stonespring.model.DecisionModule;
+import stonespring.line.LineServer;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.DecisionEngine;
 import stonespring.model.Event;
-import stonespring.model.Order;
 import stonespring.model.Settings;
-import stonespring.model.Tenths;
+import stonespring.proxyapi.NameTable;
+import stonespring.proxyapi.platform.PlatformProxyApi;
 
 /**
  * An assigner on the operators' platform: one thread for its sockets and its decisions, since it
@@ -50,28 +50,28 @@
   private static final int REPORTS_MOST = 20_000; // events; at that many they are told at once
   private static final long MILLI = 10; // 0.1 ms in one
   private static final long TOOK_MOST =
-      60 * Tenths.SECOND; // 0.1 ms; the histograms' end, longer counts as that
+      60 * DeciMillis.SECOND; // 0.1 ms; the histograms' end, longer counts as that
   private static final long STOP_MILLIS = 300; // ms; what was written is out long before
 
-  private final PlatformFile file;
+  private final PlatformConfig file;
   private final Factory factory;
   private final InstanceClock clock = new InstanceClock();
   private final MultiThreadIoEventLoopGroup sockets =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = (EventLoop) sockets.next();
-  private final LineFront front;
-  private final LineListener listener;
-  private final InstancesSource source;
+  private final PlatformProxyApi front;
+  private final LineServer listener;
+  private final PlatformEndpointSource source;
   private final CompletableFuture<Throwable> ended = new CompletableFuture<>();
   private final List<Event> events = new ArrayList<>();
   private final List<Event> reports = new ArrayList<>();
-  private final ListAsks asks;
+  private final EndpointListRequests asks;
   private final Histogram batches = new Histogram(TOOK_MOST, 2);
   private final Histogram answered = new Histogram(TOOK_MOST, 2);
   private long reportsFrom;
   private long reportsTold = -1;
   private long reportsLast;
-  private Decisions decisions;
+  private EngineRunner decisions;
   private Runnable whenListFails = () -> {};
   private boolean batchDue;
   private long lastBatch;
@@ -81,35 +81,38 @@
   private int failures;
   private boolean stopping;
 
-  public PlatformDaemon(PlatformFile file) {
-    this(file, Assigner::new);
+  public PlatformDaemon(PlatformConfig file) {
+    this(file, AssignmentEngine::new);
   }
 
   /** What makes the decisions, by settings, seed and time. */
   interface Factory {
-    DecisionModule create(Settings settings, long seed, long now);
+    DecisionEngine create(Settings settings, long seed, long now);
   }
 
-  PlatformDaemon(PlatformFile file, Factory factory) {
+  PlatformDaemon(PlatformConfig file, Factory factory) {
     this.file = file;
     this.factory = factory;
     Settings settings = file.facts().settings();
     int reserved =
-        settings.proxies() + (LineFront.COLLECTORS_A_ZONE + 1) * settings.zones() + FILES;
+        settings.fleet().proxies()
+            + (PlatformProxyApi.COLLECTORS_A_ZONE + 1) * settings.fleet().zones()
+            + FILES;
     int unjoined = Math.max(UNJOINED_LEAST, Math.min(UNJOINED_MOST, file.sockets() - reserved));
     this.front =
-        new LineFront(
-            new Names(file.facts().zones(), file.facts().opTypes()),
-            settings.proxies(),
+        new PlatformProxyApi(
+            new NameTable(file.facts().zones(), file.facts().opTypes()),
+            settings.fleet().proxies(),
             this::heard);
     this.listener =
-        new LineListener(
-            new LineLimits(LINE_BYTES, unjoined, UNJOINED_MILLIS, PENDING_BYTES), front);
+        new LineServer(new LineLimits(LINE_BYTES, unjoined, UNJOINED_MILLIS, PENDING_BYTES), front);
     this.source =
-        new InstancesSource(
-            file.discovery(), new InstanceEntries(file.facts().zones(), clock.unixOffset()), loop);
+        new PlatformEndpointSource(
+            file.discovery(),
+            new PlatformEndpointCodec(file.facts().zones(), clock.unixOffset()),
+            loop);
     this.asks =
-        new ListAsks() {
+        new EndpointListRequests() {
           @Override
           public void followList(boolean on) {
             source.follow(on);
@@ -126,7 +129,7 @@
   public void start() throws InterruptedException {
     loop.submit(
             () -> {
-              decisions = new Decisions(module(file.seed()), asks);
+              decisions = new EngineRunner(module(file.seed()), asks);
               source.start(this::listTold, list -> {});
               listTold(source.lastSeen(file.known()));
               batch();
@@ -139,7 +142,7 @@
         file.listen().getHostString(),
         listener.port(),
         source.held().size(),
-        file.facts().settings().proxies(),
+        file.facts().settings().fleet().proxies(),
         listener.limits().unjoined());
   }
 
@@ -151,23 +154,23 @@
     loop.execute(() -> whenListFails = then);
   }
 
-  private DecisionModule module(long seed) {
+  private DecisionEngine module(long seed) {
     return factory.create(file.facts().settings(), seed, clock.now());
   }
 
-  private void listTold(Event.ListTold told) {
+  private void listTold(Event.EndpointListUpdate told) {
     front.listTold(told);
-    if (told.kind() != Event.ListKind.CHANGES) {
-      LOG.info("list {}: {} entries", told.kind(), told.entries().size());
+    if (told.kind() != Event.ListUpdateKind.DELTA) {
+      LOG.info("list {}: {} entries", told.kind(), told.endpoints().size());
     }
     heard(told);
-    if (told.kind() == Event.ListKind.FAILED) {
+    if (told.kind() == Event.ListUpdateKind.FETCH_FAILED) {
       whenListFails.run();
     }
   }
 
   private void heard(Event event) {
-    if (event instanceof Event.TaskSums || event instanceof Event.ProxyOps) {
+    if (event instanceof Event.EndpointOutcomes || event instanceof Event.ProxyRequestRate) {
       reportsLast = clock.now();
       if (reports.isEmpty()) {
         reportsFrom = reportsLast;
@@ -229,7 +232,7 @@
       decisions.timersDue(now);
       told.forEach(event -> decisions.tell(now, event));
       if (decisions.pending()) {
-        List<Order> orders = decisions.finish(now);
+        List<Command> orders = decisions.finish(now);
         front.carryOut(orders, now);
         long done = clock.now();
         batches.recordValue(Math.min(TOOK_MOST, done - now));
@@ -238,7 +241,7 @@
           reportsTold = -1;
         }
       }
-    } catch (DecisionFailed e) {
+    } catch (DecisionFailedException e) {
       restart(e.getCause());
     } catch (RuntimeException | Error e) {
       restart(
@@ -278,14 +281,14 @@
     LOG.error("the decisions failed and restart", cause);
     events.clear();
     reports.clear();
-    decisions = new Decisions(module(file.seed() + failures), asks);
+    decisions = new EngineRunner(module(file.seed() + failures), asks);
     timerAt = Long.MAX_VALUE;
-    heard(new Event.ListTold(Event.ListKind.LAST_SEEN, source.held()));
+    heard(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.held()));
     front.restart();
   }
 
   /** The configuration was replaced: discovery may have moved, the rest needs a new start. */
-  public void reloaded(PlatformFile anew) {
+  public void reloaded(PlatformConfig anew) {
     if (!anew.facts().equals(file.facts()) || !anew.listen().equals(file.listen())) {
       LOG.warn(
           "the new configuration has other settings or another address to listen at: those need a restart");
--- a/src/main/java/stonespring/daemon/RestartBudget.java
+++ b/src/main/java/stonespring/daemon/RestartBudget.java
@@ -1,7 +1,7 @@
 package stonespring.daemon;
 
 import java.util.ArrayDeque;
-import stonespring.model.Tenths;
+import stonespring.model.DeciMillis;
 
 /**
  * How often the decisions may fail before the process ends. Counted within a span and not for ever:
@@ -10,7 +10,7 @@
 final class RestartBudget {
   private static final int MOST = 10; // restarts within the span; more is no passing moment
   private static final long SPAN =
-      3_600 * Tenths.SECOND; // 0.1 ms; whoever looks after it sees a log line of each
+      3_600 * DeciMillis.SECOND; // 0.1 ms; whoever looks after it sees a log line of each
 
   private final ArrayDeque<Long> spentAt = new ArrayDeque<>();
 
--- a/src/main/java/stonespring/decision/Assigner.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -14,7 +14,7 @@
  * settings stand beside it. An instance keeps no clock, thread or file, so that a simulator and a
  * daemon can drive it alike.
  */
-public final class Assigner implements DecisionModule {
+public final class AssignmentEngine implements DecisionEngine {
   // ---- Constants: each with its unit and the reason for its size.
 
   // The mechanism.
@@ -144,7 +144,7 @@
 
   private interface Note {}
 
-  private record Entry(Listing listing) implements Note {}
+  private record Entry(EndpointRecord listing) implements Note {}
 
   private record Told(Event event) implements Note {}
 
@@ -189,10 +189,10 @@
   // Figures about tasks: parallel arrays under a task's index; a first index of two is the zone's.
   private int tasks;
   private final ArrayDeque<Integer> free = new ArrayDeque<>(); // indices of those long gone
-  private final Map<TaskId, Task> taskById = new HashMap<>();
+  private final Map<EndpointId, Task> taskById = new HashMap<>();
   private Task[] task = new Task[0];
   private int[] zone = new int[0];
-  private Listing.State[] state = new Listing.State[0];
+  private EndpointRecord.State[] state = new EndpointRecord.State[0];
   private long[] started = new long[0], entered = new long[0], left = new long[0];
   private boolean[] out = new boolean[0], dropped = new boolean[0];
   private double[] listed = new double[0], rate = new double[0], busy = new double[0];
@@ -200,40 +200,44 @@
   private final double[][] bad, tries, zoneRate;
   private final long[][] lastLine;
 
-  public Assigner(Settings settings, long seed, long now) {
+  public AssignmentEngine(Settings settings, long seed, long now) {
     this.set = settings;
     this.seed = seed;
-    this.target = settings.opTypes().stream().mapToLong(OpType::targetLatency).average().orElse(1);
+    this.target =
+        settings.requestClasses().stream()
+            .mapToLong(RequestClass::latencyObjective)
+            .average()
+            .orElse(1);
     this.now = now;
-    this.bad = new double[settings.zones()][0];
-    this.tries = new double[settings.zones()][0];
-    this.zoneRate = new double[settings.zones()][0];
-    this.lastLine = new long[settings.zones()][0];
+    this.bad = new double[settings.fleet().zones()][0];
+    this.tries = new double[settings.fleet().zones()][0];
+    this.zoneRate = new double[settings.fleet().zones()][0];
+    this.lastLine = new long[settings.fleet().zones()][0];
   }
 
   @Override
-  public void take(long at, Event event) {
+  public void handle(long at, Event event) {
     now = at;
     Part part = roster;
     // What tables from before a start name and the list has no more was gone before: named by sums
     // alone.
-    if (event instanceof Event.TaskSums e)
+    if (event instanceof Event.EndpointOutcomes e)
       part =
-          set.droppedStayOpen()
-              ? taskById.get(e.task())
-              : taskById.computeIfAbsent(e.task(), Task::new);
-    if (event instanceof Event.ProxyJoined e)
+          set.endpointList().removedEndpointsKeepServing()
+              ? taskById.get(e.endpoint())
+              : taskById.computeIfAbsent(e.endpoint(), Task::new);
+    if (event instanceof Event.ProxyConnected e)
       proxies.computeIfAbsent(e.proxy().number(), Proxy::new);
-    if (event instanceof Event.OfProxy e) part = proxies.get(e.proxy().number());
+    if (event instanceof Event.ProxyEvent e) part = proxies.get(e.proxy().number());
     look |=
-        !(event instanceof Event.TaskSums || event instanceof Event.OfProxy)
-            || event instanceof Event.ProxyJoined;
+        !(event instanceof Event.EndpointOutcomes || event instanceof Event.ProxyEvent)
+            || event instanceof Event.ProxyConnected;
     if (part != null) post(part, new Told(event));
     emptyInboxes();
   }
 
   @Override
-  public List<Order> finish(long at) {
+  public List<Command> endBatch(long at) {
     now = at;
     emptyInboxes();
     planner.plan();
@@ -248,11 +252,11 @@
   }
 
   private boolean live(int i) {
-    return state[i] == Listing.State.READY;
+    return state[i] == EndpointRecord.State.READY;
   }
 
   private double warmth(int i) {
-    return set.warmth(started[i], now);
+    return set.slowStart().warmUpFraction(started[i], now);
   }
 
   /**
@@ -304,15 +308,15 @@
   // ---- A task.
 
   private final class Task extends Part {
-    private final TaskId id;
+    private final EndpointId id;
     private final int index;
 
-    Task(TaskId id) {
+    Task(EndpointId id) {
       this.id = id;
       this.index = free.isEmpty() ? tasks++ : free.poll();
       if (index == task.length) grow(Math.max(32, 2 * index));
       task[index] = this;
-      state[index] = Listing.State.GONE;
+      state[index] = EndpointRecord.State.REMOVED;
       out[index] = false;
       started[index] = entered[index] = 0;
       left[index] = now;
@@ -331,50 +335,57 @@
     @Override
     void on(Note note) {
       if (note instanceof Entry e) entry(e.listing());
-      if (note instanceof Told t && t.event() instanceof Event.TaskSums sums) sums(sums);
+      if (note instanceof Told t && t.event() instanceof Event.EndpointOutcomes sums) sums(sums);
     }
 
-    private void leave(Listing.State how) {
+    private void leave(EndpointRecord.State how) {
       state[index] = how;
       left[index] = now;
       dropped[index] = false;
       post(planner, new Leaving(index));
     }
 
-    private void entry(Listing l) {
+    private void entry(EndpointRecord l) {
       zone[index] = l.zone().index();
       listed[index] = l.weight() > 0 ? l.weight() : 1;
       // A list may call running tasks gone: where that doesn't bind, one stays until tries fail
       // too.
       // Holds against any wrong or late list; hurts for the tries that show a true loss.
-      dropped[index] = set.droppedStayOpen() && l.state() == Listing.State.GONE && live(index);
-      if (l.state() != Listing.State.READY) {
+      dropped[index] =
+          set.endpointList().removedEndpointsKeepServing()
+              && l.state() == EndpointRecord.State.REMOVED
+              && live(index);
+      if (l.state() != EndpointRecord.State.READY) {
         if (!dropped[index]) leave(l.state());
         return;
       }
       boolean again = l.startedAt() > started[index];
       if (again || !live(index)) post(planner, new Entering(index));
-      state[index] = Listing.State.READY;
+      state[index] = EndpointRecord.State.READY;
       if (again) forget(); // a task that started again is cold though tables still name it
       started[index] = Math.max(started[index], l.startedAt());
     }
 
-    private void sums(Event.TaskSums e) {
-      double span = Math.max(1, e.span());
+    private void sums(Event.EndpointOutcomes e) {
+      double span = Math.max(1, e.interval());
       double keep = Math.pow(0.5, span / HALF_LIFE);
-      int z = e.from().index();
-      double seen = e.tries() * Tenths.SECOND / span;
-      bad[z][index] = bad[z][index] * keep + e.bad();
-      tries[z][index] = tries[z][index] * keep + e.tries();
+      int z = e.proxyZone().index();
+      double seen = e.attempts() * DeciMillis.SECOND / span;
+      bad[z][index] = bad[z][index] * keep + e.failures();
+      tries[z][index] = tries[z][index] * keep + e.attempts();
       double old = lastLine[z][index] == 0 ? Double.NaN : zoneRate[z][index];
       zoneRate[z][index] = smooth(old, seen, keep);
       lastLine[z][index] = now;
-      if (dropped[index] && 1 - good(index) > DEAD) leave(Listing.State.GONE);
+      if (dropped[index] && 1 - good(index) > DEAD) leave(EndpointRecord.State.REMOVED);
       LoadReport r = e.report();
-      busy[index] = smooth(busy[index], r.busyShare(), keep * keep); // a mean already, and older
-      told[index] = smooth(told[index], r.opsPerSecond(), keep);
-      if (e.goodLatency() > 0) latency[index] = smooth(latency[index], e.goodLatency(), keep);
-      post(planner, new Heard(e.tries(), e.bad() + (e.tries() - e.bad()) * late(e.goodLatency())));
+      busy[index] = smooth(busy[index], r.utilization(), keep * keep); // a mean already, and older
+      told[index] = smooth(told[index], r.requestsPerSecond(), keep);
+      if (e.successLatency() > 0) latency[index] = smooth(latency[index], e.successLatency(), keep);
+      post(
+          planner,
+          new Heard(
+              e.attempts(),
+              e.failures() + (e.attempts() - e.failures()) * late(e.successLatency())));
     }
   }
 
@@ -387,38 +398,39 @@
     @Override
     void on(Note note) {
       Event event = ((Told) note).event();
-      if (event instanceof Event.ListTold e) list(e);
-      if (event instanceof Event.TimerDue e && e.token().equals(TICK)) ticking = false;
-      if (!following && set.listOnRequest() && now >= nextFollow) {
-        channel.other(new Order.FollowList(true));
+      if (event instanceof Event.EndpointListUpdate e) list(e);
+      if (event instanceof Event.TimerFired e && e.token().equals(TICK)) ticking = false;
+      if (!following && set.endpointList().watchRequired() && now >= nextFollow) {
+        channel.other(new Command.WatchEndpoints(true));
         nextFollow = now + FOLLOW_LOST;
       }
       if (!ticking) {
         ticking = true;
-        channel.other(new Order.SetTimer(set.sumsEvery() / 2, TICK));
+        channel.other(new Command.StartTimer(set.reportInterval() / 2, TICK));
       }
     }
 
-    private void list(Event.ListTold e) {
-      if (e.kind() == Event.ListKind.FAILED) {
+    private void list(Event.EndpointListUpdate e) {
+      if (e.kind() == Event.ListUpdateKind.FETCH_FAILED) {
         following = false;
         nextFollow = now + followWait + (long) (followWait * chance());
         followWait = Math.min(8 * FOLLOW_RETRY, 2 * followWait);
         return;
       }
-      following |= e.kind() != Event.ListKind.LAST_SEEN;
+      following |= e.kind() != Event.ListUpdateKind.CACHED;
       if (following) followWait = FOLLOW_RETRY;
-      boolean[] seen = new boolean[tasks + e.entries().size()];
-      for (Listing l : e.entries()) {
-        Task t = taskById.computeIfAbsent(l.task(), Task::new);
+      boolean[] seen = new boolean[tasks + e.endpoints().size()];
+      for (EndpointRecord l : e.endpoints()) {
+        Task t = taskById.computeIfAbsent(l.endpoint(), Task::new);
         seen[t.index] = true;
         post(t, new Entry(l));
       }
-      if (e.kind() != Event.ListKind.WHOLE) return;
+      if (e.kind() != Event.ListUpdateKind.SNAPSHOT) return;
       for (int i = 0; i < tasks; i++) {
-        if (seen[i] || state[i] == Listing.State.GONE) continue;
-        Listing gone =
-            new Listing(task[i].id, new ZoneId(zone[i]), listed[i], Listing.State.GONE, 0);
+        if (seen[i] || state[i] == EndpointRecord.State.REMOVED) continue;
+        EndpointRecord gone =
+            new EndpointRecord(
+                task[i].id, new ZoneId(zone[i]), listed[i], EndpointRecord.State.REMOVED, 0);
         post(task[i], new Entry(gone));
       }
     }
@@ -432,9 +444,9 @@
     private boolean joined, bound, fresh, warned;
     private long joinedAt, leftAt = NEVER;
     private double ops, arriving;
-    private final double[] opsByType = new double[set.opTypes().size()];
-    private final double[] latest = new double[set.opTypes().size()];
-    private final double[] opsALine = new double[set.opTypes().size()];
+    private final double[] opsByType = new double[set.requestClasses().size()];
+    private final double[] latest = new double[set.requestClasses().size()];
+    private final double[] opsALine = new double[set.requestClasses().size()];
     private final List<Line> table = new ArrayList<>();
     private double potential, waiting, sentTo;
     private int waited;
@@ -499,34 +511,34 @@
     @Override
     void on(Note note) {
       Event event = ((Told) note).event();
-      if (event instanceof Event.Answered e) channel.answered(this, e.mark().number());
-      if (event instanceof Event.ProxyJoined e) {
+      if (event instanceof Event.UpdateAcknowledged e) channel.answered(this, e.ack().number());
+      if (event instanceof Event.ProxyConnected e) {
         zoneIndex = e.zone().index();
         joined = true;
         bound = false;
-        fresh = e.fresh();
+        fresh = e.withoutTables();
         warned = false;
         joinedAt = now;
         messages.clear();
-        if (ops <= 0) ops = e.opsPerSecond();
+        if (ops <= 0) ops = e.requestsPerSecond();
         arriving = ops;
-      } else if (event instanceof Event.Proposed e) {
+      } else if (event instanceof Event.WeightsProposed e) {
         proposed.clear();
         proposedAt = now;
-        for (Event.Proposed.Share s : e.lines()) {
-          Task t = taskById.get(s.task());
+        for (Event.WeightsProposed.Share s : e.routes()) {
+          Task t = taskById.get(s.endpoint());
           if (t != null && s.weight() > 0) proposed.put(t.index, s.weight());
         }
-      } else if (event instanceof Event.ProxyLeft) {
+      } else if (event instanceof Event.ProxyDisconnected) {
         joined = bound = false;
         leftAt = now;
         channel.left(this);
         for (Freed f : planner.moving) f.answered |= f.proxy == this;
-      } else if (event instanceof Event.ProxyOps e) {
-        int k = e.opType().index();
-        double seen = e.ops() * (double) Tenths.SECOND / Math.max(1, e.span());
-        double keep = Math.pow(0.5, (double) e.span() / HALF_LIFE);
-        opsALine[k] = smooth(opsALine[k], e.ops(), LINES_KEEP);
+      } else if (event instanceof Event.ProxyRequestRate e) {
+        int k = e.requestClass().index();
+        double seen = e.requests() * (double) DeciMillis.SECOND / Math.max(1, e.interval());
+        double keep = Math.pow(0.5, (double) e.interval() / HALF_LIFE);
+        opsALine[k] = smooth(opsALine[k], e.requests(), LINES_KEEP);
         latest[k] = seen * held(opsALine[k]);
         opsByType[k] = smooth(opsByType[k], seen, keep);
         double sum = IntStream.range(0, opsByType.length).mapToDouble(this::typeOps).sum();
@@ -598,13 +610,13 @@
 
     /** Called once at the end of a moment. Slices' tables stand as stored. */
     void plan() {
-      boolean turn = sumsCame && now - lastTurn >= set.sumsEvery() * 9 / 10;
+      boolean turn = sumsCame && now - lastTurn >= set.reportInterval() * 9 / 10;
       if (!turn && !look) return;
       look = false;
       if (turn) {
         settleSums();
         // Sums that stay out come late from then on: what they tell may be over, a cut shows later.
-        lateBy = turns == 0 ? 0 : Math.max(now - lastTurn - set.sumsEvery(), lateBy * 9 / 10);
+        lateBy = turns == 0 ? 0 : Math.max(now - lastTurn - set.reportInterval(), lateBy * 9 / 10);
         lastTurn = now;
         turns++;
       }
@@ -617,11 +629,11 @@
         // or on its way out as the instance died: no list tells of it any more, and sums seldom do.
         boolean late =
             crowded
-                || anyOut && now - p.joinedAt > set.emptyLimit() / 2
+                || anyOut && now - p.joinedAt > set.routing().maxTimeWithoutEndpoint() / 2
                 || turns > 0 && now - p.joinedAt > OLD_TABLES;
         boolean due =
             p.joined
-                && !set.slices()
+                && !set.fleet().sharded()
                 && (p.bound ? p.broken() : p.fresh || turns >= SETTLE_TURNS || late);
         if (due && channel.roomForUrgent(p)) urgent.add(p);
         held |= due && !urgent.contains(p);
@@ -638,9 +650,9 @@
       }
       if ((held || unwarned) && now >= wakeAt) {
         wakeAt = now + BUNCH_WAIT;
-        channel.other(new Order.SetTimer(BUNCH_WAIT, WAKE));
+        channel.other(new Command.StartTimer(BUNCH_WAIT, WAKE));
       }
-      if (set.slices() || urgent.isEmpty() && !turn) return;
+      if (set.fleet().sharded() || urgent.isEmpty() && !turn) return;
       weighCapacity();
       levels(turn);
       if (turn) enter();
@@ -669,7 +681,7 @@
 
     /** Sums up a turn's rates; a line counts over its own span, so what sent none only fades. */
     private void settleSums() {
-      double keep = Math.pow(0.5, (double) set.sumsEvery() / HALF_LIFE);
+      double keep = Math.pow(0.5, (double) set.reportInterval() / HALF_LIFE);
       // Who joins shows in the sums late, and by and by: taken whole at once, a fleet that came
       // over in
       // a second made tasks seem slow by as much, and levels were cut for it.
@@ -680,7 +692,7 @@
         rate[i] = 0;
         int gone = i; // tasks come under new ids for ever: what no table names is forgotten at last
         if (task[i] != null
-            && state[i] == Listing.State.GONE
+            && state[i] == EndpointRecord.State.REMOVED
             && now - left[i] > FORGET
             && proxies.values().stream().allMatch(p -> p.find(gone) == null)) {
           taskById.remove(task[i].id);
@@ -688,7 +700,7 @@
           free.add(i);
         }
         for (int z = 0; z < bad.length; z++) {
-          boolean fades = now - lastLine[z][i] > FADE_AFTER + set.sumsEvery();
+          boolean fades = now - lastLine[z][i] > FADE_AFTER + set.reportInterval();
           if (fades) for (double[][] of : List.of(bad, tries, zoneRate)) of[z][i] *= keep;
           rate[i] += zoneRate[z][i];
         }
@@ -726,7 +738,9 @@
     /** The part of the fleet's proxies that are ours, which is taken for that of the traffic. */
     private double part(Predicate<Proxy> ours) {
       double some = proxies.values().stream().filter(ours).count();
-      return set.assigners() == 1 ? 1 : Math.max(0.01, Math.min(1, some / set.proxies()));
+      return set.fleet().instances() == 1
+          ? 1
+          : Math.max(0.01, Math.min(1, some / set.fleet().proxies()));
     }
 
     /** Capacity of each task, ops a second: from the cost of its ops, else by listed weight. */
@@ -775,8 +789,8 @@
                   p -> p.table.stream().noneMatch(l -> l.has > 0 && warmth(l.task) < 1))
               .thenComparingDouble(p -> p.ops));
       double[] room = new double[tasks], worstRoom = new double[tasks];
-      double letIn = set.levelKind() == Settings.LevelKind.SHARE ? level : 1;
-      double most = set.fallMultiple() * part;
+      double letIn = set.admissionLimitKind() == AdmissionLimitKind.FRACTION ? level : 1;
+      double most = set.slowStart().overloadMultiple() * part;
       double mean = proxies.values().stream().mapToDouble(p -> p.joined ? p.ops : 0).sum();
       double worst = came > SURGE * mean ? COLD_SURGE : COLD_WORST;
       for (int i = 0; i < tasks; i++) {
@@ -839,10 +853,11 @@
      * XIII.7).
      */
     private double shunned(Proxy p, Line l, double share, boolean worst) {
-      if (set.shunAfter() == 0 || !worst && warmth(l.task) < 1) return 0;
+      if (set.routing().ejectAfterConsecutiveFailures() == 0 || !worst && warmth(l.task) < 1)
+        return 0;
       double bad = badShare(p.zoneIndex, l.task);
       if (worst) bad = Math.min(0.99, Math.max(SHUN_BAD, bad)); // known to be worse than a jam's
-      double row = Math.pow(bad, set.shunAfter());
+      double row = Math.pow(bad, set.routing().ejectAfterConsecutiveFailures());
       double rows = worst ? SHUN_UNSEEN * row * (1 - bad) / (1 - row) : SHUN * row;
       return Math.min(1, p.ops * share * rows);
     }
@@ -864,10 +879,10 @@
           reported > 0 ? sum(i -> busy[i] >= 0 ? capacity[i] * busy[i] : 0) / reported : 0;
       double spread = sum(i -> troubled(i) > CALM ? capacity[i] : 0) / Math.max(1e-9, allCapacity);
       double trouble = turnVain / Math.max(DOUBT, turnTries);
-      double step = TRUST_STEP * set.sumsEvery() / Tenths.SECOND;
+      double step = TRUST_STEP * set.reportInterval() / DeciMillis.SECOND;
       if (turn && trouble > JAM && spread > SPREAD && now - lastCut > CUT_WAIT + lateBy) {
-        if (trust == 1) channel.other(new Order.LogLine("Busy tasks fail ops: levels are cut."));
-        double doubt = lateBy > set.sumsEvery() ? TRUST_CALM : TRUST_DOUBT;
+        if (trust == 1) channel.other(new Command.Log("Busy tasks fail ops: levels are cut."));
+        double doubt = lateBy > set.reportInterval() ? TRUST_CALM : TRUST_DOUBT;
         double least = fill > PRESSED ? TRUST_LEAST : Math.min(trust, doubt);
         trust = Math.max(least, trust * (level == 1 ? TRUST_DOUBT : TRUST_CUT));
         lastCut = now;
@@ -882,8 +897,7 @@
       if (turn) turnTries = turnVain = 0;
       boolean change = want == 1 ? level < 1 : Math.abs(want - level) > LEVEL_STEP * level;
       if (change && channel.roomForLevels()) {
-        if (want == 1)
-          channel.other(new Order.LogLine("Tasks have time: all ops are let in again."));
+        if (want == 1) channel.other(new Command.Log("Tasks have time: all ops are let in again."));
         level = want;
         channel.admit(level, levelsByType());
       }
@@ -895,18 +909,19 @@
      * more.
      */
     private double[] levelsByType() {
-      List<OpType> type = set.opTypes();
+      List<RequestClass> type = set.requestClasses();
       double[] ops = new double[type.size()];
       for (Proxy p : proxies.values()) {
         for (int k = 0; p.joined && k < ops.length; k++) ops[k] += p.typeOps(k);
       }
-      double least = level * Math.min(1, TYPE_FLOOR * set.worstTypeWeight());
+      double least = level * Math.min(1, TYPE_FLOOR * set.routing().worstClassWeight());
       double rest = (level - least) * Arrays.stream(ops).sum();
       double[] levels = new double[ops.length];
       Arrays.fill(levels, level);
       List<Integer> best = new ArrayList<>(IntStream.range(0, ops.length).boxed().toList());
       best.sort(
-          Comparator.comparingDouble(k -> -type.get(k).benefit() / type.get(k).targetLatency()));
+          Comparator.comparingDouble(
+              k -> -type.get(k).priorityWeight() / type.get(k).latencyObjective()));
       for (int k : best) {
         double more = Math.max(0, Math.min(rest, (1 - least) * ops[k]));
         if (level < 1 && ops[k] > 0) levels[k] = least + more / ops[k];
@@ -947,7 +962,7 @@
       // brings.
       int wantedLines =
           Math.max(
-              Math.max(LINES_LEAST, set.standingLines()),
+              Math.max(LINES_LEAST, set.routing().bootstrapRouteCount()),
               (int) Math.ceil(p.ops / (TABLE_FILL * meanCapacity)));
       if (p.table.stream().noneMatch(l -> l.goal > 0 && warmth(l.task) >= 1)) {
         // A table of cold tasks alone would push them over, or be empty where their lines are
@@ -1064,7 +1079,7 @@
                 loss
                     + FAIL_PRICE * badShare(p.zoneIndex, l.task)
                     + late(latency[l.task])
-                    + (zone[l.task] == p.zoneIndex ? 0 : set.crossZonePrice());
+                    + (zone[l.task] == p.zoneIndex ? 0 : set.routing().crossZonePenalty());
             mean += l.goal * l.price;
             load[l.task] -= p.ops * l.goal;
           }
@@ -1161,7 +1176,7 @@
         double ratio = yieldRatio(m, room);
         boolean starved =
             ratio < 1
-                && m.waited * set.sumsEvery() >= SHOWS_AFTER
+                && m.waited * set.reportInterval() >= SHOWS_AFTER
                 && m.table.stream().anyMatch(l -> m.part(l) < 0 && room[l.task] < 0);
         if (channel.roomForRoutine(m) && (ratio <= 0 || starved)) {
           send(m, 1 - ratio, room);
@@ -1232,8 +1247,10 @@
       }
       m.open = false;
       double lines =
-          set.messageHead() + m.table.stream().filter(l -> differs(l.goal, l.has)).count();
-      m.potential = Math.min(CYCLE, lines * Tenths.SECOND / set.linesPerSecond() + deepest);
+          set.channel().messageOverheadEntries()
+              + m.table.stream().filter(l -> differs(l.goal, l.has)).count();
+      m.potential =
+          Math.min(CYCLE, lines * DeciMillis.SECOND / set.channel().entriesPerSecond() + deepest);
       return m.potential;
     }
 
@@ -1271,21 +1288,21 @@
   // ---- The channel: what goes out, how much may wait, and what was answered.
 
   private final class Channel {
-    private final List<Order> first = new ArrayList<>(), lines = new ArrayList<>();
-    private final List<Order> binds = new ArrayList<>(), others = new ArrayList<>();
+    private final List<Command> first = new ArrayList<>(), lines = new ArrayList<>();
+    private final List<Command> binds = new ArrayList<>(), others = new ArrayList<>();
     private final TreeMap<Integer, Integer> touched = new TreeMap<>();
     private final Map<Integer, Reply> replies = new HashMap<>();
     private int mark;
     private double sent, passed, pending;
     private long emptyAt, lastAnswer = NEVER;
 
-    void other(Order order) {
+    void other(Command order) {
       others.add(order);
     }
 
     private void touch(Proxy p, int count) {
       Integer before = touched.put(p.id.number(), touched.getOrDefault(p.id.number(), 0) + count);
-      pending += count + (before == null ? 1 + set.messageHead() : 0);
+      pending += count + (before == null ? 1 + set.channel().messageOverheadEntries() : 0);
     }
 
     /** Known tables lose what left by their own lines; withdrawals are for unknown, small ones. */
@@ -1293,7 +1310,7 @@
       if (task[i] == null) return;
       if (leaves ? proxies.values().stream().noneMatch(p -> p.joined && !p.bound) : !out[i]) return;
       out[i] = leaves;
-      first.add(new Order.Withdraw(task[i].id, leaves));
+      first.add(new Command.ExcludeEndpoint(task[i].id, leaves));
       proxies.values().stream()
           .filter(
               p ->
@@ -1305,18 +1322,18 @@
     }
 
     private int mostNamed() {
-      return set.holdingsUnknown() ? tasks : set.standingLines();
+      return set.channel().proxyTablesUnknown() ? tasks : set.routing().bootstrapRouteCount();
     }
 
     void line(Proxy p, int i, double weight) {
-      lines.add(new Order.SetLine(new TableId(p.id.number()), task[i].id, weight));
+      lines.add(new Command.SetRoute(new RouteTableId(p.id.number()), task[i].id, weight));
       if (p.bound) touch(p, 1);
     }
 
     void bind(Proxy p) {
-      binds.add(new Order.Bind(new TableId(p.id.number()), p.id, 0));
+      binds.add(new Command.AssignRouteTable(new RouteTableId(p.id.number()), p.id, 0));
       int some = (int) p.table.stream().filter(l -> l.has > 0).count();
-      touch(p, 3 + (set.holdingsUnknown() && !p.fresh ? 2 * some : some));
+      touch(p, 3 + (set.channel().proxyTablesUnknown() && !p.fresh ? 2 * some : some));
     }
 
     /** Answers tell how far the channel is, whatever its pace; without them it counts as slow. */
@@ -1340,12 +1357,15 @@
 
     private double queued() {
       double slowest =
-          Math.max(0, emptyAt - now) * set.linesPerSecond() / CHANNEL_SLOW / Tenths.SECOND;
+          Math.max(0, emptyAt - now)
+              * set.channel().entriesPerSecond()
+              / CHANNEL_SLOW
+              / DeciMillis.SECOND;
       return pending + Math.min(now - lastAnswer < SHOWS_AFTER ? sent : slowest, sent - passed);
     }
 
     private int recent(Proxy p) {
-      p.messages.removeIf(at -> now - at > set.messagesOver());
+      p.messages.removeIf(at -> now - at > set.channel().messageWindow());
       return p.messages.size();
     }
 
@@ -1355,7 +1375,8 @@
     boolean roomForWarnings() {
       long out = IntStream.range(0, tasks).filter(i -> !live(i)).limit(mostNamed()).count();
       long unknown = proxies.values().stream().filter(p -> p.joined && !p.bound).count();
-      return queued() + unknown * (1 + set.messageHead() + out) <= CROWD_LINES * set.backlogLines();
+      return queued() + unknown * (1 + set.channel().messageOverheadEntries() + out)
+          <= CROWD_LINES * set.channel().maxBacklogEntries();
     }
 
     /**
@@ -1364,9 +1385,10 @@
      */
     boolean roomForUrgent(Proxy p) {
       double most = p.bound ? URGENT_LINES : planner.crowded ? CROWD_LINES : FIRST_LINES;
-      if (queued() > most * set.backlogLines()) return false;
-      if (set.messagesMost() == 0 || recent(p) < ROUTINE_MESSAGES * set.messagesMost()) return true;
-      return recent(p) < set.messagesMost() - SPARE_MESSAGES
+      if (queued() > most * set.channel().maxBacklogEntries()) return false;
+      if (set.channel().maxMessagesPerProxy() == 0
+          || recent(p) < ROUTINE_MESSAGES * set.channel().maxMessagesPerProxy()) return true;
+      return recent(p) < set.channel().maxMessagesPerProxy() - SPARE_MESSAGES
           && now - p.messages.peekLast() >= BUNCH_WAIT;
     }
 
@@ -1375,50 +1397,61 @@
      * tables.
      */
     boolean roomForRoutine(Proxy p) {
-      return queued() < ROUTINE_LINES * set.backlogLines()
-          && (set.messagesMost() == 0 || recent(p) < ROUTINE_MESSAGES * set.messagesMost());
+      return queued() < ROUTINE_LINES * set.channel().maxBacklogEntries()
+          && (set.channel().maxMessagesPerProxy() == 0
+              || recent(p) < ROUTINE_MESSAGES * set.channel().maxMessagesPerProxy());
     }
 
     boolean roomForLevels() {
-      double most = set.messagesMost() == 0 ? 1e9 : 2 * ROUTINE_MESSAGES * set.messagesMost();
-      return queued() < FIRST_LINES * set.backlogLines()
+      double most =
+          set.channel().maxMessagesPerProxy() == 0
+              ? 1e9
+              : 2 * ROUTINE_MESSAGES * set.channel().maxMessagesPerProxy();
+      return queued() < FIRST_LINES * set.channel().maxBacklogEntries()
           && proxies.values().stream().allMatch(p -> !p.joined || recent(p) < most);
     }
 
     /** Ops are tried again on proof that no try ran, and never when there is too much. */
     void admit(double level, double[] levels) {
-      Order.Retry again = level < 1 ? Order.Retry.NEVER : Order.Retry.ON_PROOF;
+      RetryPolicy again = level < 1 ? RetryPolicy.NEVER : RetryPolicy.IF_NOT_EXECUTED;
       TreeMap<Double, Integer> bits = new TreeMap<>();
       for (int k = 0; k < levels.length; k++) {
-        double value = set.levelKind() == Settings.LevelKind.RATE ? ALL_OPS : levels[k];
+        double value = set.admissionLimitKind() == AdmissionLimitKind.RATE ? ALL_OPS : levels[k];
         bits.merge(value, 1 << k, Integer::sum);
       }
-      bits.forEach((value, of) -> first.add(new Order.Admit(Order.EVERY_TABLE, of, again, value)));
+      bits.forEach(
+          (value, of) ->
+              first.add(new Command.LimitAdmission(Command.ALL_TABLES, of, again, value)));
       for (Proxy p : proxies.values()) if (p.joined) touch(p, bits.size());
     }
 
-    List<Order> flush() {
+    List<Command> flush() {
       if (mark == 0) {
         mark = 1;
-        admit(1, set.opTypes().stream().mapToDouble(t -> 1).toArray());
+        admit(1, set.requestClasses().stream().mapToDouble(t -> 1).toArray());
       }
-      List<Order> orders = new ArrayList<>();
-      for (List<Order> some : List.of(others, first, lines, binds)) {
+      List<Command> orders = new ArrayList<>();
+      for (List<Command> some : List.of(others, first, lines, binds)) {
         orders.addAll(some);
         some.clear();
       }
       if (!touched.isEmpty()) {
-        orders.add(new Order.Mark(new MarkId(mark), false));
+        orders.add(new Command.RequestAck(new AckId(mark), false));
         replies.put(mark, new Reply(sent, pending, touched.size()));
         mark = mark % MARKS + 1;
         sent += pending;
         emptyAt =
             Math.max(emptyAt, now)
-                + (long) (pending * Tenths.SECOND * CHANNEL_SLOW / set.linesPerSecond());
+                + (long)
+                    (pending * DeciMillis.SECOND * CHANNEL_SLOW / set.channel().entriesPerSecond());
         for (int id : touched.keySet()) {
           Proxy p = proxies.get(id);
           p.messages.add(now);
-          p.waiting = (p.sentTo > passed ? p.waiting : 0) + 1 + set.messageHead() + touched.get(id);
+          p.waiting =
+              (p.sentTo > passed ? p.waiting : 0)
+                  + 1
+                  + set.channel().messageOverheadEntries()
+                  + touched.get(id);
           p.sentTo = sent;
         }
       }
--- a/src/main/java/stonespring/discovery/SavedList.java
+++ b/src/main/java/stonespring/discovery/CachedEndpointList.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.model.Listing;
+import stonespring.model.EndpointRecord;
 
 /**
  * The last list that was heard, on disk: written beside and renamed, so that a cut leaves the old
  * one or the new.
  */
-public final class SavedList {
-  private static final Logger LOG = LoggerFactory.getLogger(SavedList.class);
+public final class CachedEndpointList {
+  private static final Logger LOG = LoggerFactory.getLogger(CachedEndpointList.class);
   private final Path path;
-  private final Entries entries;
-  private final AtomicReference<List<Listing>> waiting = new AtomicReference<>();
+  private final EndpointListCodec entries;
+  private final AtomicReference<List<EndpointRecord>> waiting = new AtomicReference<>();
   private final ExecutorService writer =
       Executors.newSingleThreadExecutor(
           work -> {
@@ -33,19 +33,19 @@
             return thread;
           });
 
-  public SavedList(Path path, Entries entries) {
+  public CachedEndpointList(Path path, EndpointListCodec entries) {
     this.path = path;
     this.entries = entries;
   }
 
   /** The list as last seen; empty where there is none or it can't be read, which one line says. */
-  public List<Listing> read() {
+  public List<EndpointRecord> read() {
     if (path == null || !Files.exists(path)) {
       return List.of();
     }
     try {
       return entries.read(Files.readAllBytes(path));
-    } catch (IOException | Entries.BadList e) {
+    } catch (IOException | EndpointListCodec.BadList e) {
       LOG.warn("saved list {}: not used: {}", path, e.getMessage());
       return List.of();
     }
@@ -54,7 +54,7 @@
   /**
    * Has the list written soon, on a thread of its own; a newer one replaces one that still waits.
    */
-  public void keep(List<Listing> list) {
+  public void keep(List<EndpointRecord> list) {
     if (path != null && waiting.getAndSet(list) == null) {
       writer.execute(() -> write(waiting.getAndSet(null)));
     }
@@ -66,7 +66,7 @@
     writer.awaitTermination(1, TimeUnit.SECONDS);
   }
 
-  private void write(List<Listing> list) {
+  private void write(List<EndpointRecord> list) {
     Path beside = path.resolveSibling(path.getFileName() + ".new");
     try (FileChannel out =
         FileChannel.open(
--- a/src/main/java/stonespring/discovery/Entries.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -8,15 +8,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import stonespring.model.Listing;
-import stonespring.model.TaskId;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
 import stonespring.model.ZoneId;
 
 /**
  * The list of tasks as a JSON array, in a file or saved. A task's id holds its address, {@code
  * NAME@HOST:PORT}: a task at another address is another task, and no proxy needs a second look-up.
  */
-public final class Entries {
+public final class EndpointListCodec {
   /** A list that can't be read; the text names entry and field. */
   public static final class BadList extends Exception {
     private static final long serialVersionUID = 1;
@@ -37,13 +37,13 @@
    * @param unixOffset what is taken off a time of the wall clock, in tenths of a millisecond, for
    *     the instance's clock
    */
-  public Entries(List<String> zones, long unixOffset) {
+  public EndpointListCodec(List<String> zones, long unixOffset) {
     this.zones = zones;
     this.unixOffset = unixOffset;
   }
 
   /** The id of a task by its name and address; refuses what would not make a key's segment. */
-  static TaskId id(String where, String name, String address) throws BadList {
+  static EndpointId id(String where, String name, String address) throws BadList {
     if (!name.matches("[A-Za-z0-9._-]{1,100}")) {
       throw new BadList(
           where + ": field 'id' is not a name of 1 to 100 letters, digits, dots or dashes");
@@ -51,7 +51,7 @@
     if (!address.matches("[A-Za-z0-9.-]{1,60}:[0-9]{1,5}")) {
       throw new BadList(where + ": field 'address' is not HOST:PORT");
     }
-    return new TaskId(name + "@" + address);
+    return new EndpointId(name + "@" + address);
   }
 
   ZoneId zone(String where, String name) throws BadList {
@@ -72,7 +72,7 @@
   }
 
   /** The whole list in a JSON array of objects: id, address, zone, weight, state, started_ms. */
-  public List<Listing> read(byte[] bytes) throws BadList {
+  public List<EndpointRecord> read(byte[] bytes) throws BadList {
     JsonNode all;
     try {
       all = JSON.readTree(bytes);
@@ -88,25 +88,25 @@
     if (all == null || !all.isArray() || all.size() > ENTRIES_MOST) {
       throw new BadList("it is no JSON array of at most " + ENTRIES_MOST + " tasks");
     }
-    TreeMap<String, Listing> listed = new TreeMap<>();
+    TreeMap<String, EndpointRecord> listed = new TreeMap<>();
     for (int i = 0; i < all.size(); i++) {
-      Listing listing = listing("entry " + i, all.get(i));
-      if (listed.put(listing.task().name(), listing) != null) {
-        throw new BadList("entry " + i + ": " + listing.task().name() + " comes twice");
+      EndpointRecord listing = listing("entry " + i, all.get(i));
+      if (listed.put(listing.endpoint().name(), listing) != null) {
+        throw new BadList("entry " + i + ": " + listing.endpoint().name() + " comes twice");
       }
     }
     return new ArrayList<>(listed.values());
   }
 
-  private Listing listing(String where, JsonNode node) throws BadList {
+  private EndpointRecord listing(String where, JsonNode node) throws BadList {
     if (!node.isObject()) {
       throw new BadList(where + ": it is no object");
     }
-    TaskId id = id(where, node.path("id").asText(), node.path("address").asText());
-    Listing.State state =
+    EndpointId id = id(where, node.path("id").asText(), node.path("address").asText());
+    EndpointRecord.State state =
         switch (node.path("state").asText("ready")) {
-          case "ready" -> Listing.State.READY;
-          case "draining" -> Listing.State.DRAINING;
+          case "ready" -> EndpointRecord.State.READY;
+          case "draining" -> EndpointRecord.State.DRAINING;
           default -> throw new BadList(where + ": field 'state' is neither ready nor draining");
         };
     JsonNode weight = node.path("weight");
@@ -114,7 +114,7 @@
         && !(weight.isNumber() && weight.asDouble() > 0 && weight.asDouble() < 1e6)) {
       throw new BadList(where + ": field 'weight' is no number above 0");
     }
-    return new Listing(
+    return new EndpointRecord(
         id,
         zone(where, node.path("zone").asText()),
         weight.asDouble(1),
@@ -122,15 +122,15 @@
         startedAt(node.path("started_ms").asLong(0)));
   }
 
-  public byte[] write(List<Listing> list) {
+  public byte[] write(List<EndpointRecord> list) {
     ArrayNode all = JSON.createArrayNode();
-    for (Listing listing : list) {
+    for (EndpointRecord listing : list) {
       ObjectNode node = all.addObject();
-      String name = listing.task().name();
+      String name = listing.endpoint().name();
       int at = name.lastIndexOf('@');
       node.put("id", name.substring(0, at)).put("address", name.substring(at + 1));
       node.put("zone", zones.get(listing.zone().index())).put("weight", listing.weight());
-      node.put("state", listing.state() == Listing.State.DRAINING ? "draining" : "ready");
+      node.put("state", listing.state() == EndpointRecord.State.DRAINING ? "draining" : "ready");
       if (listing.startedAt() > 0) {
         node.put("started_ms", (listing.startedAt() + unixOffset) / 10);
       }
--- a/src/main/java/stonespring/discovery/TaskSource.java
+++ b/src/main/java/stonespring/discovery/EndpointSource.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import java.util.function.Consumer;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
 
 /** Where the list of tasks comes from. Events are handed over from a thread of the source's own. */
-public interface TaskSource {
+public interface EndpointSource {
   /** Starts; {@code list} hears the whole list after each change. */
-  void start(Consumer<Event.ListTold> told, Consumer<List<Listing>> list);
+  void start(Consumer<Event.EndpointListUpdate> told, Consumer<List<EndpointRecord>> list);
 
   /**
    * Follows the list or stops to; one event answers, good or bad. A source that pushes by itself
--- a/src/main/java/stonespring/discovery/FileSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -11,38 +11,38 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
 
 /**
  * The list in a file, looked at again and again: a file system's own notices differ between systems
  * and get lost. A file that can't be read, or not as a list, changes nothing: the last good one
  * holds, and one line says so.
  */
-public final class FileSource implements TaskSource {
-  private static final Logger LOG = LoggerFactory.getLogger(FileSource.class);
+public final class FileEndpointSource implements EndpointSource {
+  private static final Logger LOG = LoggerFactory.getLogger(FileEndpointSource.class);
   private static final long LOOK_MILLIS = 200; // ms; well under any grace
   private static final long BYTES_MOST =
       64L << 20; // of the file; far above the most tasks of a list
 
   private final Path path;
-  private final Entries entries;
+  private final EndpointListCodec entries;
   private final EventLoop loop;
-  private final ListDiff diff = new ListDiff();
-  private Consumer<Event.ListTold> told;
-  private Consumer<List<Listing>> list;
+  private final EndpointListDiff diff = new EndpointListDiff();
+  private Consumer<Event.EndpointListUpdate> told;
+  private Consumer<List<EndpointRecord>> list;
   private byte[] last = new byte[0];
   private String lastFault = "";
   private Future<?> looks;
 
-  public FileSource(Path path, Entries entries, EventLoop loop) {
+  public FileEndpointSource(Path path, EndpointListCodec entries, EventLoop loop) {
     this.path = path;
     this.entries = entries;
     this.loop = loop;
   }
 
   @Override
-  public void start(Consumer<Event.ListTold> to, Consumer<List<Listing>> listTo) {
+  public void start(Consumer<Event.EndpointListUpdate> to, Consumer<List<EndpointRecord>> listTo) {
     told = to;
     list = listTo;
     looks = loop.scheduleWithFixedDelay(this::look, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
@@ -55,7 +55,7 @@
       }
       byte[] bytes = Files.readAllBytes(path);
       if (!Arrays.equals(bytes, last)) {
-        Event.ListTold event = diff.next(entries.read(bytes));
+        Event.EndpointListUpdate event = diff.next(entries.read(bytes));
         last = bytes;
         if (event != null) {
           told.accept(event);
@@ -63,7 +63,7 @@
         }
       }
       lastFault = "";
-    } catch (IOException | Entries.BadList e) {
+    } catch (IOException | EndpointListCodec.BadList e) {
       if (!lastFault.equals(e.toString())) {
         LOG.warn(
             "list file {}: the last list holds: {}",
@@ -87,8 +87,8 @@
         () ->
             told.accept(
                 diff.list().isEmpty()
-                    ? new Event.ListTold(Event.ListKind.FAILED, List.of())
-                    : new Event.ListTold(Event.ListKind.WHOLE, diff.list())));
+                    ? new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of())
+                    : new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, diff.list())));
   }
 
   @Override
--- a/src/main/java/stonespring/discovery/InstanceEntries.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
-import stonespring.model.TaskId;
 import stonespring.model.ZoneId;
 
 /**
@@ -15,11 +15,12 @@
  * entries. An entry with a bad field is left out, and the one held of that task stays; what can't
  * be read as an object at all is refused.
  */
-public final class InstanceEntries {
+public final class PlatformEndpointCodec {
   /** One object of the list. */
-  record Told(boolean whole, List<Listing> entries, long version) {
-    Event.ListTold event() {
-      return new Event.ListTold(whole ? Event.ListKind.WHOLE : Event.ListKind.CHANGES, entries);
+  record Told(boolean whole, List<EndpointRecord> entries, long version) {
+    Event.EndpointListUpdate event() {
+      return new Event.EndpointListUpdate(
+          whole ? Event.ListUpdateKind.SNAPSHOT : Event.ListUpdateKind.DELTA, entries);
     }
   }
 
@@ -29,7 +30,7 @@
 
   private final List<String> zones;
   private final long unixOffset;
-  private final Map<TaskId, Listing> held = new HashMap<>();
+  private final Map<EndpointId, EndpointRecord> held = new HashMap<>();
   private long version;
   private long history;
   private long leftOut;
@@ -39,13 +40,13 @@
    * @param unixOffset what is taken off a time of the wall clock, in tenths of a millisecond, for
    *     the instance's clock
    */
-  public InstanceEntries(List<String> zones, long unixOffset) {
+  public PlatformEndpointCodec(List<String> zones, long unixOffset) {
     this.zones = zones;
     this.unixOffset = unixOffset;
   }
 
   /** Reads one object of nobody's telling, as the configuration has it. */
-  Told read(JsonNode node) throws Entries.BadList {
+  Told read(JsonNode node) throws EndpointListCodec.BadList {
     return read(node, version, true);
   }
 
@@ -60,40 +61,40 @@
    * @param since the version that whoever tells this was asked from, or told last
    * @param watch whether more follows on this
    */
-  Told read(JsonNode node, long since, boolean watch) throws Entries.BadList {
+  Told read(JsonNode node, long since, boolean watch) throws EndpointListCodec.BadList {
     if (node == null || !node.isObject()) {
-      throw new Entries.BadList("it is no object");
+      throw new EndpointListCodec.BadList("it is no object");
     }
     JsonNode version = node.path("seq");
     JsonNode whole = node.path("whole");
     JsonNode hosts = node.path("hosts");
     if (!version.isIntegralNumber() || version.asLong() < 0) {
-      throw new Entries.BadList("field 'seq' is no version");
+      throw new EndpointListCodec.BadList("field 'seq' is no version");
     }
     if (!whole.isBoolean()) {
-      throw new Entries.BadList("field 'whole' is neither true nor false");
+      throw new EndpointListCodec.BadList("field 'whole' is neither true nor false");
     }
-    if (!hosts.isArray() || hosts.size() > Entries.ENTRIES_MOST) {
-      throw new Entries.BadList(
-          "field 'hosts' is no list of at most " + Entries.ENTRIES_MOST + " entries");
+    if (!hosts.isArray() || hosts.size() > EndpointListCodec.ENTRIES_MOST) {
+      throw new EndpointListCodec.BadList(
+          "field 'hosts' is no list of at most " + EndpointListCodec.ENTRIES_MOST + " entries");
     }
     if (version.asLong() < since) {
       history++;
       if (!whole.asBoolean()) {
         this.version = 0; // only the whole list of another history tells what was missed
-        throw new Entries.BadList("its version goes back to " + version.asLong());
+        throw new EndpointListCodec.BadList("its version goes back to " + version.asLong());
       }
     } else if (version.asLong() < this.version && !(watch && whole.asBoolean())) {
       return new Told(whole.asBoolean(), whole.asBoolean() ? list() : List.of(), version.asLong());
     }
     this.version = version.asLong();
-    Map<TaskId, Listing> before = whole.asBoolean() ? new HashMap<>(held) : held;
-    List<Listing> read = new ArrayList<>();
+    Map<EndpointId, EndpointRecord> before = whole.asBoolean() ? new HashMap<>(held) : held;
+    List<EndpointRecord> read = new ArrayList<>();
     for (JsonNode host : hosts) {
-      Listing listing = listing(host);
+      EndpointRecord listing = listing(host);
       if (listing == null) {
         leftOut++;
-        listing = before.get(new TaskId(host.path("host").asText()));
+        listing = before.get(new EndpointId(host.path("host").asText()));
       }
       if (listing != null) {
         read.add(listing);
@@ -102,11 +103,11 @@
     if (whole.asBoolean()) {
       held.clear();
     }
-    for (Listing listing : read) {
-      if (listing.state() == Listing.State.GONE) {
-        held.remove(listing.task());
+    for (EndpointRecord listing : read) {
+      if (listing.state() == EndpointRecord.State.REMOVED) {
+        held.remove(listing.endpoint());
       } else {
-        held.put(listing.task(), listing);
+        held.put(listing.endpoint(), listing);
       }
     }
     return new Told(whole.asBoolean(), read, this.version);
@@ -126,7 +127,7 @@
   }
 
   /** What is held now. */
-  List<Listing> list() {
+  List<EndpointRecord> list() {
     return List.copyOf(held.values());
   }
 
@@ -135,13 +136,13 @@
     return leftOut;
   }
 
-  private Listing listing(JsonNode host) {
+  private EndpointRecord listing(JsonNode host) {
     String name = host.path("host").isTextual() ? host.path("host").asText() : "";
-    Listing.State state =
+    EndpointRecord.State state =
         switch (host.path("health").asText()) {
-          case "Ready" -> Listing.State.READY;
-          case "Terminating" -> Listing.State.DRAINING;
-          case "Gone" -> Listing.State.GONE;
+          case "Ready" -> EndpointRecord.State.READY;
+          case "Terminating" -> EndpointRecord.State.DRAINING;
+          case "Gone" -> EndpointRecord.State.REMOVED;
           default -> null;
         };
     int zone = zones.indexOf(host.path("site").asText());
@@ -161,17 +162,17 @@
     }
     if (zone < 0) {
       // What is gone may come without the rest.
-      Listing last = held.get(new TaskId(name));
-      if (state != Listing.State.GONE || last == null) {
+      EndpointRecord last = held.get(new EndpointId(name));
+      if (state != EndpointRecord.State.REMOVED || last == null) {
         return null;
       }
       zone = last.zone().index();
     }
-    return new Listing(
-        new TaskId(name),
+    return new EndpointRecord(
+        new EndpointId(name),
         new ZoneId(zone),
         weight.asDouble(1),
         state,
-        Entries.startedAt((long) born.asDouble(0), unixOffset));
+        EndpointListCodec.startedAt((long) born.asDouble(0), unixOffset));
   }
 }
--- a/src/main/java/stonespring/discovery/InstancesSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -18,8 +18,8 @@
 import stonespring.http.HttpClient;
 import stonespring.http.HttpMessage;
 import stonespring.http.HttpWatch;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
 
 /**
  * The platform's list of tasks: asked for whole, or watched by an answer that stays open and holds
@@ -27,8 +27,8 @@
  * failed, and the decisions say when to ask again. The address may move: the new one is asked
  * before the old one is closed. All of it lives on one event loop.
  */
-public final class InstancesSource implements TaskSource {
-  private static final Logger LOG = LoggerFactory.getLogger(InstancesSource.class);
+public final class PlatformEndpointSource implements EndpointSource {
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformEndpointSource.class);
   private static final String PATH = "/registry/instances";
   private static final int CONNECT_MILLIS = 1_000; // ms; discovery is near
   private static final int ANSWER_MILLIS =
@@ -50,22 +50,23 @@
                   StreamReadConstraints.builder().maxNestingDepth(16).maxStringLength(4096).build())
               .build());
 
-  private final InstanceEntries entries;
+  private final PlatformEndpointCodec entries;
   private final EventLoop loop;
   private final Dialer dialer;
   private final HttpClient client;
   private InetSocketAddress address;
-  private Consumer<Event.ListTold> told;
-  private Consumer<List<Listing>> list;
+  private Consumer<Event.EndpointListUpdate> told;
+  private Consumer<List<EndpointRecord>> list;
   private boolean following;
   private Watch watch;
   private Watch moving;
 
-  public InstancesSource(InetSocketAddress address, InstanceEntries entries, EventLoop loop) {
+  public PlatformEndpointSource(
+      InetSocketAddress address, PlatformEndpointCodec entries, EventLoop loop) {
     this(address, entries, new Dialer(loop));
   }
 
-  InstancesSource(InetSocketAddress address, InstanceEntries entries, Dialer dialer) {
+  PlatformEndpointSource(InetSocketAddress address, PlatformEndpointCodec entries, Dialer dialer) {
     this.address = address;
     this.entries = entries;
     this.loop = dialer.loop();
@@ -74,24 +75,25 @@
   }
 
   /** Takes a list in the platform's form, as last had before the start; a bad one is none. */
-  public Event.ListTold lastSeen(JsonNode known) {
+  public Event.EndpointListUpdate lastSeen(JsonNode known) {
     if (known != null) {
       try {
-        return new Event.ListTold(Event.ListKind.LAST_SEEN, entries.read(known).entries());
-      } catch (Entries.BadList e) {
+        return new Event.EndpointListUpdate(
+            Event.ListUpdateKind.CACHED, entries.read(known).entries());
+      } catch (EndpointListCodec.BadList e) {
         LOG.warn("the list known before the start is not used: {}", e.getMessage());
       }
     }
-    return new Event.ListTold(Event.ListKind.LAST_SEEN, List.of());
+    return new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.of());
   }
 
   /** What is held now. */
-  public List<Listing> held() {
+  public List<EndpointRecord> held() {
     return entries.list();
   }
 
   @Override
-  public void start(Consumer<Event.ListTold> to, Consumer<List<Listing>> listTo) {
+  public void start(Consumer<Event.EndpointListUpdate> to, Consumer<List<EndpointRecord>> listTo) {
     told = to;
     list = listTo;
   }
@@ -140,7 +142,7 @@
   /** The one answer to what the decisions asked last. */
   private void failed(String cause) {
     LOG.warn("discovery {}: the list held stays: {}", address, cause);
-    told.accept(new Event.ListTold(Event.ListKind.FAILED, List.of()));
+    told.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
   }
 
   private final class Watch implements HttpWatch.Listener {
@@ -204,11 +206,11 @@
         return; // a sign of life
       }
       try {
-        InstanceEntries.Told object = entries.read(JSON.readTree(bytes), seen, true);
+        PlatformEndpointCodec.Told object = entries.read(JSON.readTree(bytes), seen, true);
         seen = object.version();
         told.accept(object.event());
         list.accept(entries.list());
-      } catch (Entries.BadList e) {
+      } catch (EndpointListCodec.BadList e) {
         broken(e.getMessage());
       } catch (IOException e) {
         broken("an object is no well-formed JSON");
@@ -275,18 +277,18 @@
         (answer, failure) -> {
           try {
             if (history != entries.history()) {
-              throw new Entries.BadList("its versions started over while it was asked");
+              throw new EndpointListCodec.BadList("its versions started over while it was asked");
             }
             if (answer == null || answer.status() != 200) {
-              throw new Entries.BadList(
+              throw new EndpointListCodec.BadList(
                   answer == null ? "the ask failed: " + failure : "it answers " + answer.status());
             }
             told.accept(
-                new Event.ListTold(
-                    Event.ListKind.WHOLE,
+                new Event.EndpointListUpdate(
+                    Event.ListUpdateKind.SNAPSHOT,
                     entries.read(JSON.readTree(answer.body()), since, false).entries()));
             list.accept(entries.list());
-          } catch (Entries.BadList e) {
+          } catch (EndpointListCodec.BadList e) {
             failed(e.getMessage());
           } catch (IOException e) {
             failed("its answer is no well-formed JSON");
--- a/src/main/java/stonespring/discovery/RegistrySource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 import stonespring.http.HttpClient;
 import stonespring.http.HttpMessage;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
 
 /**
  * The list from a registry, in the published form of Consul's health endpoint ({@code
@@ -22,8 +22,8 @@
  * decisions say when to ask again. An index that goes back, or is none, starts from 0 as the
  * registry's pages ask of clients. A check in maintenance means draining, a critical one gone.
  */
-public final class RegistrySource implements TaskSource {
-  private static final Logger LOG = LoggerFactory.getLogger(RegistrySource.class);
+public final class RegistryEndpointSource implements EndpointSource {
+  private static final Logger LOG = LoggerFactory.getLogger(RegistryEndpointSource.class);
   private static final int CONNECT_MILLIS = 2_000; // ms; a registry is near
   private static final int BODY_MOST =
       64 << 20; // bytes of an answer; far above the most tasks of a list
@@ -33,18 +33,23 @@
   private final InetSocketAddress address;
   private final String service;
   private final int waitSeconds;
-  private final Entries entries;
+  private final EndpointListCodec entries;
   private final EventLoop loop;
   private final HttpClient client;
-  private final ListDiff diff = new ListDiff();
-  private Consumer<Event.ListTold> told;
-  private Consumer<List<Listing>> list;
+  private final EndpointListDiff diff = new EndpointListDiff();
+  private Consumer<Event.EndpointListUpdate> told;
+  private Consumer<List<EndpointRecord>> list;
   private boolean following;
   private int ask;
   private Runnable giveUp = () -> {};
 
-  public RegistrySource(
-      String host, int port, String service, int waitSeconds, Entries entries, EventLoop loop) {
+  public RegistryEndpointSource(
+      String host,
+      int port,
+      String service,
+      int waitSeconds,
+      EndpointListCodec entries,
+      EventLoop loop) {
     this.address = new InetSocketAddress(host, port);
     this.service = service;
     this.waitSeconds = waitSeconds;
@@ -54,7 +59,7 @@
   }
 
   @Override
-  public void start(Consumer<Event.ListTold> to, Consumer<List<Listing>> listTo) {
+  public void start(Consumer<Event.EndpointListUpdate> to, Consumer<List<EndpointRecord>> listTo) {
     told = to;
     list = listTo;
   }
@@ -91,28 +96,30 @@
               try {
                 long next = take(answer, failure, false);
                 ask(mine, next < index ? 0 : next);
-              } catch (Entries.BadList e) {
+              } catch (EndpointListCodec.BadList e) {
                 following = false;
                 LOG.warn("registry {}: the last list holds: {}", address, e.getMessage());
-                told.accept(new Event.ListTold(Event.ListKind.FAILED, List.of()));
+                told.accept(
+                    new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
               }
             });
   }
 
   private long take(HttpMessage answer, HttpClient.Failure failure, boolean whole)
-      throws Entries.BadList {
+      throws EndpointListCodec.BadList {
     if (answer == null) {
-      throw new Entries.BadList("the ask failed: " + failure);
+      throw new EndpointListCodec.BadList("the ask failed: " + failure);
     }
     if (answer.status() != 200) {
-      throw new Entries.BadList("it answers " + answer.status());
+      throw new EndpointListCodec.BadList("it answers " + answer.status());
     }
     String index = answer.header("x-consul-index");
     if (!index.matches("[0-9]{1,18}")) {
-      throw new Entries.BadList("header X-Consul-Index is no number");
+      throw new EndpointListCodec.BadList("header X-Consul-Index is no number");
     }
-    List<Listing> read = read(answer.body());
-    Event.ListTold event = whole ? new Event.ListTold(Event.ListKind.WHOLE, read) : diff.next(read);
+    List<EndpointRecord> read = read(answer.body());
+    Event.EndpointListUpdate event =
+        whole ? new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, read) : diff.next(read);
     if (event != null) {
       told.accept(event);
       list.accept(read);
@@ -120,23 +127,23 @@
     return Long.parseLong(index);
   }
 
-  List<Listing> read(byte[] body) throws Entries.BadList {
+  List<EndpointRecord> read(byte[] body) throws EndpointListCodec.BadList {
     JsonNode all;
     try {
       all = JSON.readTree(body);
     } catch (JsonProcessingException e) {
-      throw new Entries.BadList(
+      throw new EndpointListCodec.BadList(
           "its answer is no well-formed JSON: " + e.getOriginalMessage().split("\n")[0]);
     } catch (java.io.IOException e) {
-      throw new Entries.BadList("its answer can't be read: " + e.getMessage());
+      throw new EndpointListCodec.BadList("its answer can't be read: " + e.getMessage());
     }
-    if (all == null || !all.isArray() || all.size() > Entries.ENTRIES_MOST) {
-      throw new Entries.BadList(
-          "its answer is no array of at most " + Entries.ENTRIES_MOST + " entries");
+    if (all == null || !all.isArray() || all.size() > EndpointListCodec.ENTRIES_MOST) {
+      throw new EndpointListCodec.BadList(
+          "its answer is no array of at most " + EndpointListCodec.ENTRIES_MOST + " entries");
     }
-    List<Listing> read = new ArrayList<>();
+    List<EndpointRecord> read = new ArrayList<>();
     for (int i = 0; i < all.size(); i++) {
-      Listing listing = listing("entry " + i, all.get(i));
+      EndpointRecord listing = listing("entry " + i, all.get(i));
       if (listing != null) {
         read.add(listing);
       }
@@ -144,7 +151,7 @@
     return read;
   }
 
-  private Listing listing(String where, JsonNode node) throws Entries.BadList {
+  private EndpointRecord listing(String where, JsonNode node) throws EndpointListCodec.BadList {
     JsonNode of = node.path("Service");
     boolean maintenance = false;
     boolean critical = false;
@@ -164,8 +171,8 @@
     JsonNode weights = of.path("Weights");
     double weight =
         warning ? weights.path("Warning").asDouble(1) : weights.path("Passing").asDouble(1);
-    return new Listing(
-        Entries.id(
+    return new EndpointRecord(
+        EndpointListCodec.id(
             where,
             of.path("ID").asText(),
             (host.isEmpty() ? node.path("Node").path("Address").asText() : host)
@@ -173,7 +180,7 @@
                 + of.path("Port").asInt()),
         entries.zone(where, meta.path("zone").asText()),
         weight > 0 ? weight : 1,
-        maintenance ? Listing.State.DRAINING : Listing.State.READY,
+        maintenance ? EndpointRecord.State.DRAINING : EndpointRecord.State.READY,
         entries.startedAt(meta.path("started_ms").asLong(0)));
   }
 
@@ -188,9 +195,10 @@
                 (answer, failure) -> {
                   try {
                     take(answer, failure, true);
-                  } catch (Entries.BadList e) {
+                  } catch (EndpointListCodec.BadList e) {
                     LOG.warn("registry {}: the last list holds: {}", address, e.getMessage());
-                    told.accept(new Event.ListTold(Event.ListKind.FAILED, List.of()));
+                    told.accept(
+                        new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
                   }
                 }));
   }
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -68,7 +68,7 @@
     }
     try {
       step(in, out);
-    } catch (HttpFault e) {
+    } catch (MalformedHttpException e) {
       dead = true;
       throw e;
     }
@@ -97,7 +97,7 @@
       case CHUNK_END -> {
         String line = line(in);
         if (line != null && !line.isEmpty()) {
-          throw new HttpFault("body: a chunk is longer than its size");
+          throw new MalformedHttpException("body: a chunk is longer than its size");
         }
         at = line == null ? at : At.CHUNK_SIZE;
       }
@@ -110,19 +110,19 @@
     int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
     if (end < 0) {
       if (in.readableBytes() > LINE_MOST) {
-        throw new HttpFault(place() + ": a line is over " + LINE_MOST + " bytes");
+        throw new MalformedHttpException(place() + ": a line is over " + LINE_MOST + " bytes");
       }
       return null;
     }
     int length = end - in.readerIndex();
     if (length > LINE_MOST || length == 0 || in.getByte(end - 1) != '\r') {
-      throw new HttpFault(
+      throw new MalformedHttpException(
           place() + ": a line is over " + LINE_MOST + " bytes or does not end in CR LF");
     }
     String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.ISO_8859_1);
     in.skipBytes(length + 1);
     if (line.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127)) {
-      throw new HttpFault(place() + ": a line holds a control character");
+      throw new MalformedHttpException(place() + ": a line holds a control character");
     }
     return line;
   }
@@ -143,14 +143,14 @@
           || !parts[2].matches("HTTP/1\\.[01]")
           || !parts[0].matches("[A-Z]{1,20}")
           || !parts[1].startsWith("/")) {
-        throw new HttpFault("first line: it is no request of HTTP/1.1");
+        throw new MalformedHttpException("first line: it is no request of HTTP/1.1");
       }
       second = parts[1];
     } else {
       if (parts.length < 2
           || !parts[0].matches("HTTP/1\\.[01]")
           || !parts[1].matches("[1-5][0-9][0-9]")) {
-        throw new HttpFault("first line: it is no answer of HTTP/1.1");
+        throw new MalformedHttpException("first line: it is no answer of HTTP/1.1");
       }
       second = parts.length == 3 ? parts[2] : "";
     }
@@ -174,11 +174,12 @@
       return;
     }
     if (++headerLines > HEADERS_MOST) {
-      throw new HttpFault("header " + headerLines + ": over " + HEADERS_MOST + " of them");
+      throw new MalformedHttpException(
+          "header " + headerLines + ": over " + HEADERS_MOST + " of them");
     }
     int colon = line.indexOf(':');
     if (colon < 1 || !line.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+")) {
-      throw new HttpFault("header " + headerLines + ": it has no proper name");
+      throw new MalformedHttpException("header " + headerLines + ": it has no proper name");
     }
     if (at == At.TRAILERS) {
       return; // RFC 9110, 6.5: trailers may be left out
@@ -190,7 +191,7 @@
       if (name.equals("content-length")
           || name.equals("transfer-encoding")
           || name.equals("host")) {
-        throw new HttpFault("header " + headerLines + ": '" + name + "' comes twice");
+        throw new MalformedHttpException("header " + headerLines + ": '" + name + "' comes twice");
       }
       headers.put(name, before + ", " + value);
     }
@@ -201,7 +202,7 @@
     String encoding = headers.get("transfer-encoding");
     if (encoding != null) {
       if (length != null || !encoding.equalsIgnoreCase("chunked")) {
-        throw new HttpFault(
+        throw new MalformedHttpException(
             "header 'transfer-encoding': it is not 'chunked', or a length stands beside it");
       }
       at = At.CHUNK_SIZE;
@@ -211,12 +212,13 @@
       return;
     }
     if (length != null && !length.matches("[0-9]{1,9}")) {
-      throw new HttpFault("header 'content-length': it is no length");
+      throw new MalformedHttpException("header 'content-length': it is no length");
     }
     boolean bodiless =
         !requests && (first.startsWith("1") || first.equals("204") || first.equals("304"));
     if (length == null && !requests && !bodiless) {
-      throw new HttpFault("header 'content-length': it is missing, and no chunks are announced");
+      throw new MalformedHttpException(
+          "header 'content-length': it is missing, and no chunks are announced");
     }
     left = length == null || bodiless ? 0 : bounded(Integer.parseInt(length));
     at = At.BODY;
@@ -227,7 +229,7 @@
 
   private int bounded(int size) {
     if (size > bodyMost - body.size()) {
-      throw new HttpFault("body: over " + bodyMost + " bytes");
+      throw new MalformedHttpException("body: over " + bodyMost + " bytes");
     }
     return size;
   }
@@ -236,7 +238,7 @@
     int end = line.indexOf(';');
     String size = (end < 0 ? line : line.substring(0, end)).strip();
     if (!size.matches("[0-9A-Fa-f]{1,7}")) {
-      throw new HttpFault("body: a chunk's size is no number");
+      throw new MalformedHttpException("body: a chunk's size is no number");
     }
     left = bounded(Integer.parseInt(size, 16));
     at = left == 0 ? At.TRAILERS : At.CHUNK;
--- a/src/main/java/stonespring/http/HttpServer.java
+++ b/src/main/java/stonespring/http/HttpServer.java
@@ -162,7 +162,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       Throwable root =
           cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
-      if (root instanceof HttpFault) {
+      if (root instanceof MalformedHttpException) {
         LOG.warn(
             "http peer {}: connection ended: {}", ctx.channel().remoteAddress(), root.getMessage());
         ctx.writeAndFlush(
--- a/src/main/java/stonespring/line/LinePeer.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -18,19 +18,19 @@
  * it has not joined: any fault of it is answered by a refusal and a close. The sign of life is
  * answered here, whoever asks.
  */
-public final class LinePeer extends SimpleChannelInboundHandler<LineMessage> {
-  private static final Logger LOG = LoggerFactory.getLogger(LinePeer.class);
+public final class LineConnection extends SimpleChannelInboundHandler<LineMessage> {
+  private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
   private static final String REFUSAL = "NACK";
 
-  private final LineListener listener;
-  private final LineEvents events;
+  private final LineServer listener;
+  private final LineHandler events;
   private Channel channel;
   private long since;
   private Future<?> unjoinedEnd;
   private Object keptFor;
   private boolean over;
 
-  LinePeer(LineListener listener, LineEvents events) {
+  LineConnection(LineServer listener, LineHandler events) {
     this.listener = listener;
     this.events = events;
   }
@@ -144,11 +144,11 @@
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     Throwable root =
         cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
-    if (!(root instanceof LineFault) && !(root instanceof java.io.IOException)) {
+    if (!(root instanceof MalformedLineException) && !(root instanceof java.io.IOException)) {
       LOG.error("a connection's handler failed", root);
     }
     end(
-        root instanceof LineFault
+        root instanceof MalformedLineException
             ? root.getMessage()
             : root instanceof java.io.IOException ? "reset" : "handler failed");
   }
--- a/src/main/java/stonespring/line/LineDecoder.java
+++ b/src/main/java/stonespring/line/LineDecoder.java
@@ -33,7 +33,7 @@
       if (line != null) {
         out.add(LineMessage.read(line));
       }
-    } catch (LineFault e) {
+    } catch (MalformedLineException e) {
       dead = true;
       throw e;
     }
@@ -44,7 +44,7 @@
     int end = in.indexOf(from + looked, in.writerIndex(), (byte) '\n');
     int length = (end < 0 ? in.writerIndex() : end) - from;
     if (length > bytesMost) {
-      throw new LineFault("a line is over " + bytesMost + " bytes");
+      throw new MalformedLineException("a line is over " + bytesMost + " bytes");
     }
     if (end < 0) {
       looked = length; // a line that comes byte by byte is searched once, not once for each byte
@@ -52,7 +52,7 @@
     }
     looked = 0;
     if (length < 2 || in.getByte(end - 1) != '\r') {
-      throw new LineFault("a line is empty or does not end in CR LF");
+      throw new MalformedLineException("a line is empty or does not end in CR LF");
     }
     byte[] bytes = new byte[length - 1];
     in.readBytes(bytes);
@@ -66,11 +66,11 @@
               .decode(ByteBuffer.wrap(bytes))
               .toString();
     } catch (CharacterCodingException e) {
-      throw new LineFault("a line is no text");
+      throw new MalformedLineException("a line is no text");
     }
     for (int i = 0; i < line.length(); i++) {
       if (line.charAt(i) < ' ' || line.charAt(i) == 127) {
-        throw new LineFault("a line holds a control character");
+        throw new MalformedLineException("a line holds a control character");
       }
     }
     return line;
--- a/src/main/java/stonespring/line/LineListener.java
+++ b/src/main/java/stonespring/line/LineServer.java
@@ -23,8 +23,8 @@
  * who are known. It lives on one event loop. Ends of connections are logged up to a number a
  * second, then counted.
  */
-public final class LineListener {
-  private static final Logger LOG = LoggerFactory.getLogger(LineListener.class);
+public final class LineServer {
+  private static final Logger LOG = LoggerFactory.getLogger(LineServer.class);
   private static final int ACCEPT_BACKLOG =
       1024; // connections; a whole fleet and a crowd dial within a second
   private static final int ACCEPTS_AT_ONCE =
@@ -37,22 +37,22 @@
   private static final int LOGGED_A_SECOND = 5; // lines; the rest are counted in one
 
   private final LineLimits limits;
-  private final LineEvents events;
-  private final Set<LinePeer> unjoined = new LinkedHashSet<>();
+  private final LineHandler events;
+  private final Set<LineConnection> unjoined = new LinkedHashSet<>();
   private Channel channel;
   private Future<?> crowded;
   private long secondAt;
   private int logged;
   private long unlogged;
 
-  public LineListener(LineLimits limits, LineEvents events) {
+  public LineServer(LineLimits limits, LineHandler events) {
     this.limits = limits;
     this.events = events;
   }
 
   /** Listens; waits until it does. The loops must be of one thread. */
   @SuppressWarnings("deprecation") // RCVBUF_ALLOCATOR: Netty 4.2 names no other way to set it
-  public LineListener start(EventLoopGroup loops, InetSocketAddress address)
+  public LineServer start(EventLoopGroup loops, InetSocketAddress address)
       throws InterruptedException {
     channel =
         new ServerBootstrap()
@@ -73,7 +73,7 @@
                         .pipeline()
                         .addLast(
                             new LineDecoder(limits.lineBytes()),
-                            new LinePeer(LineListener.this, events));
+                            new LineConnection(LineServer.this, events));
                   }
                 })
             .bind(address)
@@ -94,7 +94,7 @@
    * A new connection: it has some time to say who it is. Beyond the bound no more are accepted
    * until there is room.
    */
-  Future<?> connected(LinePeer peer) {
+  Future<?> connected(LineConnection peer) {
     unjoined.add(peer);
     Future<?> end =
         peer.channel()
@@ -122,7 +122,7 @@
   /** The oldest go until half the room is free, but none that hardly had time to say who it is. */
   private void makeRoom(Channel server) {
     long ripe = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(UNJOINED_LEAST_MILLIS);
-    for (LinePeer oldest : List.copyOf(unjoined)) {
+    for (LineConnection oldest : List.copyOf(unjoined)) {
       if (unjoined.size() <= limits.unjoined() / 2 || oldest.since() - ripe > 0) {
         break;
       }
@@ -133,7 +133,7 @@
     }
   }
 
-  void known(LinePeer peer) {
+  void known(LineConnection peer) {
     unjoined.remove(peer);
     if (crowded != null && unjoined.size() < limits.unjoined()) {
       crowded.cancel(false);
@@ -142,7 +142,7 @@
     }
   }
 
-  void ended(LinePeer peer, String cause) {
+  void ended(LineConnection peer, String cause) {
     long second = System.nanoTime() / 1_000_000_000;
     if (second != secondAt) {
       if (unlogged > 0) {
--- a/src/main/java/stonespring/line/LineFault.java
+++ b/src/main/java/stonespring/line/MalformedLineException.java
@@ -1,10 +1,10 @@
 package stonespring.line;
 
 /** A peer's bytes are no line: nothing that follows on its connection has a meaning. */
-public final class LineFault extends RuntimeException {
+public final class MalformedLineException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  public LineFault(String message) {
+  public MalformedLineException(String message) {
     super(message, null, false, false);
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/model/EndpointId.java
@@ -0,0 +1,4 @@
+package stonespring.model;
+
+/** An endpoint's name as the endpoint list gives it; passed on unaltered. */
+public record EndpointId(String name) {}
--- a/src/main/java/stonespring/model/Event.java
+++ b/src/main/java/stonespring/model/Event.java
@@ -2,62 +2,112 @@
 
 import java.util.List;
 
-/** What an assigner is told. Spans and durations are in tenths of a millisecond. */
+/**
+ * What a {@link DecisionEngine} is notified of. Instants and durations are in {@link DeciMillis};
+ * no component is null. Events are immutable and may be passed between threads.
+ */
 public sealed interface Event {
-  /** How a list event relates to the list that the assigner holds. */
-  enum ListKind {
-    CHANGES,
-    WHOLE,
-    LAST_SEEN,
-    FAILED
+  /** How an update of the endpoint list relates to the list that the engine holds. */
+  enum ListUpdateKind {
+    /** Entries that changed; all others stand. */
+    DELTA,
+    /** The whole list; an endpoint that it lacks is removed. */
+    SNAPSHOT,
+    /** The whole list as this instance last held it, before a restart; it may be stale. */
+    CACHED,
+    /** A fetch or a watch failed, or the watch ended; the list held stands. */
+    FETCH_FAILED
   }
 
-  /** What concerns one joined proxy. */
-  sealed interface OfProxy extends Event {
+  /** An event of one connected proxy. */
+  sealed interface ProxyEvent extends Event {
+    /** The proxy that the event is about. */
     ProxyId proxy();
   }
 
-  record ListTold(ListKind kind, List<Listing> entries) implements Event {}
+  /** The endpoint list changed, or could not be had. */
+  record EndpointListUpdate(ListUpdateKind kind, List<EndpointRecord> endpoints) implements Event {}
 
-  record PeerSaid(PeerId from, byte[] bytes) implements Event {}
+  /** Another instance sent a message; its bytes have no meaning outside the engine. */
+  record PeerMessage(PeerId from, byte[] bytes) implements Event {}
 
-  record ProxyJoined(ProxyId proxy, ZoneId zone, double opsPerSecond, boolean fresh)
-      implements OfProxy {}
+  /**
+   * A proxy connected.
+   *
+   * @param requestsPerSecond what it usually receives; rough
+   * @param withoutTables whether it holds only the route tables that it started with
+   */
+  record ProxyConnected(ProxyId proxy, ZoneId zone, double requestsPerSecond, boolean withoutTables)
+      implements ProxyEvent {}
 
-  record ProxyLeft(ProxyId proxy) implements OfProxy {}
+  /** A proxy's connection ended. */
+  record ProxyDisconnected(ProxyId proxy) implements ProxyEvent {}
 
-  record ProxyOps(ProxyId proxy, OpTypeId opType, long ops, long unanswered, long span)
-      implements OfProxy {}
+  /**
+   * Requests of one class that a proxy received.
+   *
+   * @param requests all that were received, rejected ones and repeats of clients included
+   * @param unanswered requests that were admitted and never answered
+   * @param interval the time that they were counted over
+   */
+  record ProxyRequestRate(
+      ProxyId proxy, RequestClassId requestClass, long requests, long unanswered, long interval)
+      implements ProxyEvent {}
 
-  record SliceOps(TableId slice, OpTypeId opType, long ops, long unanswered, long span)
+  /**
+   * Requests of one class that all connected proxies received for a shard; components as in {@link
+   * ProxyRequestRate}.
+   */
+  record ShardRequestRate(
+      RouteTableId shard,
+      RequestClassId requestClass,
+      long requests,
+      long unanswered,
+      long interval)
       implements Event {}
 
-  record SliceGiven(TableId slice, boolean inCharge) implements Event {}
+  /** A shard was assigned to this instance or taken from it. */
+  record ShardOwnership(RouteTableId shard, boolean owned) implements Event {}
 
-  record SliceLine(TableId slice, TaskId task, double weight) implements Event {}
+  /** A route of a shard's stored table, following the shard's assignment. */
+  record ShardRoute(RouteTableId shard, EndpointId endpoint, double weight) implements Event {}
 
-  record TaskSums(
-      TaskId task,
-      ZoneId from,
-      long tries,
-      long bad,
-      long span,
-      long goodLatency,
+  /**
+   * What the connected proxies of one zone observed at an endpoint.
+   *
+   * @param attempts attempts that ended
+   * @param failures attempts without a successful answer
+   * @param interval the time that they were counted over
+   * @param successLatency mean duration of the successful ones, 0 if there were none
+   * @param report the latest load report among the answers
+   */
+  record EndpointOutcomes(
+      EndpointId endpoint,
+      ZoneId proxyZone,
+      long attempts,
+      long failures,
+      long interval,
+      long successLatency,
       LoadReport report)
       implements Event {}
 
-  record Probed(TaskId task, boolean good, long took, LoadReport report) implements Event {}
-
-  record Answered(ProxyId proxy, MarkId mark, long took) implements OfProxy {}
+  /** The result of a {@link Command.HealthCheck}. */
+  record HealthCheckResult(EndpointId endpoint, boolean healthy, long duration, LoadReport report)
+      implements Event {}
 
   /**
-   * What the weight solver would have a proxy's table be: shares of its ops that sum to 1. Advice,
-   * no order.
+   * A proxy applied the update that carried an acknowledgement request.
+   *
+   * @param duration from the command to its effect
    */
-  record Proposed(ProxyId proxy, List<Share> lines) implements OfProxy {
-    /** One line of it. */
-    public record Share(TaskId task, double weight) {}
+  record UpdateAcknowledged(ProxyId proxy, AckId ack, long duration) implements ProxyEvent {}
+
+  /** Weights that the solver proposes for a proxy: advice that the engine may follow in part. */
+  record WeightsProposed(ProxyId proxy, List<Share> routes) implements ProxyEvent {
+    /** The share of the proxy's requests, 0 to 1, that an endpoint would get. */
+    public record Share(EndpointId endpoint, double weight) {}
   }
 
-  record TimerDue(TimerToken token) implements Event {}
+  /** A timer that the engine started has run out. */
+  record TimerFired(TimerToken token) implements Event {}
 }
--- a/src/main/java/stonespring/model/PeerId.java
+++ b/src/main/java/stonespring/model/PeerId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** Another assigner's number; -1 stands for every peer. */
+/** Another instance's number; -1 stands for every peer. */
 public record PeerId(int number) {}
--- a/src/main/java/stonespring/model/ProxyId.java
+++ b/src/main/java/stonespring/model/ProxyId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** A proxy's number at this assigner. */
+/** A proxy's number at this instance. */
 public record ProxyId(int number) {}
--- /dev/null
+++ b/src/main/java/stonespring/model/RetryPolicy.java
@@ -0,0 +1,13 @@
+package stonespring.model;
+
+/** When a proxy repeats a request at another endpoint. */
+public enum RetryPolicy {
+  /** Not at all. */
+  NEVER,
+  /** Once, if it is proven that the first attempt was not executed. */
+  IF_NOT_EXECUTED,
+  /** Once, after any failure. */
+  ONCE_ON_FAILURE,
+  /** Twice, after any failure. */
+  TWICE_ON_FAILURE
+}
--- a/src/main/java/stonespring/model/TimerToken.java
+++ b/src/main/java/stonespring/model/TimerToken.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** What an assigner gives a timer to know it again. */
+/** Tells one timer from another; chosen by who starts it. */
 public record TimerToken(long value) {}
--- /dev/null
+++ b/src/main/java/stonespring/model/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * The interface of the decisions: what an engine is notified of ({@link stonespring.model.Event}),
+ * what it commands ({@link stonespring.model.Command}) and what it is configured with ({@link
+ * stonespring.model.Settings}). All types are immutable.
+ */
+package stonespring.model;
--- a/src/main/java/stonespring/proxy/AssignerLink.java
+++ b/src/main/java/stonespring/proxy/AssignerLink.java
@@ -15,10 +15,10 @@
 import org.slf4j.LoggerFactory;
 import stonespring.chp.ChpClient;
 import stonespring.chp.ChpMessage;
-import stonespring.proxy.routing.Follower;
+import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
-import stonespring.proxy.routing.Tally;
-import stonespring.proxy.routing.TypeIndex;
+import stonespring.proxy.routing.TableSubscriber;
 import stonespring.zmtp.ZmtpLimits;
 
 /**
@@ -36,12 +36,12 @@
   private final ProxySettings set;
   private final EventLoop loop;
   private final Router router;
-  private final Tally tally;
+  private final RequestStatistics tally;
   private final String life;
   private final String subtree;
   private final SplittableRandom waits;
   private final long startNanos = System.nanoTime();
-  private Follower follower = new Follower();
+  private TableSubscriber follower = new TableSubscriber();
   private ChpClient client;
   private long stream;
   private int assigner;
@@ -49,7 +49,7 @@
   private boolean stopped;
   private volatile long applied;
 
-  AssignerLink(ProxySettings set, EventLoop loop, Router router, Tally tally) {
+  AssignerLink(ProxySettings set, EventLoop loop, Router router, RequestStatistics tally) {
     this.set = set;
     this.loop = loop;
     this.router = router;
@@ -106,11 +106,11 @@
               @Override
               public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
                 Map<String, String> all = new LinkedHashMap<>();
-                Follower.Commit commit = null;
+                TableSubscriber.Commit commit = null;
                 for (ChpMessage.KvSync key : keys) {
                   String name = key.key().substring(subtree.length());
                   all.put(name, text(key.value()));
-                  commit = name.equals("commit") ? Commits.read(key.value()) : commit;
+                  commit = name.equals("commit") ? CommitLog.read(key.value()) : commit;
                 }
                 act(follower.snapshot(all, commit));
               }
@@ -123,7 +123,7 @@
                     follower.update(
                         name,
                         update.value().length == 0 ? null : text(update.value()),
-                        commits ? Commits.read(update.value()) : null));
+                        commits ? CommitLog.read(update.value()) : null));
               }
 
               @Override
@@ -158,11 +158,11 @@
     return new String(value, StandardCharsets.UTF_8);
   }
 
-  private void act(Follower.Step step) {
-    if (step instanceof Follower.Step.Resync resync) {
+  private void act(TableSubscriber.Step step) {
+    if (step instanceof TableSubscriber.Step.Resync resync) {
       LOG.warn("proxy {}: snapshot asked anew: {}", set.name(), resync.cause());
       client.resync();
-    } else if (step instanceof Follower.Step.Message message) {
+    } else if (step instanceof TableSubscriber.Step.Message message) {
       long came = now();
       // A proxy halts for each line that it takes in; a message is applied whole after that.
       loop.schedule(
@@ -172,7 +172,7 @@
     }
   }
 
-  private void apply(Follower.Step.Message message, long came) {
+  private void apply(TableSubscriber.Step.Message message, long came) {
     try {
       router.apply(message);
     } catch (IllegalArgumentException e) {
@@ -225,7 +225,7 @@
     ObjectNode report = JSON.createObjectNode();
     report.put("span", tally.span(now()) / 1e4);
     ArrayNode tasks = report.putArray("tasks");
-    for (Tally.Met met : tally.met()) {
+    for (RequestStatistics.Met met : tally.met()) {
       ArrayNode row = tasks.addArray();
       long good = met.tries() - met.bad();
       row.add(met.task())
@@ -236,7 +236,7 @@
     }
     ArrayNode ops = report.putArray("ops");
     for (int k = 0; k < set.router().types().size(); k++) {
-      TypeIndex type = new TypeIndex(k);
+      RequestClassIndex type = new RequestClassIndex(k);
       ops.addArray()
           .add(set.router().types().get(k).name())
           .add(tally.ops(type))
@@ -247,7 +247,7 @@
     }
   }
 
-  private static void load(ArrayNode row, Tally.Load load) {
+  private static void load(ArrayNode row, RequestStatistics.Load load) {
     if (load == null) {
       return;
     }
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -10,11 +10,11 @@
 import stonespring.http.HttpClient;
 import stonespring.http.HttpMessage;
 import stonespring.http.HttpServer;
-import stonespring.proxy.routing.Ending;
+import stonespring.proxy.routing.EndpointName;
+import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.proxy.routing.RequestOutcome;
+import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
-import stonespring.proxy.routing.Tally;
-import stonespring.proxy.routing.TaskName;
-import stonespring.proxy.routing.TypeIndex;
 
 /**
  * A plain proxy: it takes ops by HTTP ({@code POST /op/TYPE}, the op's id in {@code x-op}), sends
@@ -37,7 +37,7 @@
   private final ProxySettings set;
   private final EventLoop loop;
   private final Router router;
-  private final Tally tally;
+  private final RequestStatistics tally;
   private final AssignerLink link;
   private final HttpClient client;
   private final HttpServer server;
@@ -51,7 +51,7 @@
     this.loop = loop;
     this.router = new Router(settings.router(), settings.seed());
     this.router.standing(settings.standing());
-    this.tally = new Tally(settings.router().types().size(), 0);
+    this.tally = new RequestStatistics(settings.router().types().size(), 0);
     this.link = new AssignerLink(settings, loop, router, tally);
     this.client = new HttpClient(loop, CONNECT_MILLIS, BODY_MOST, IDLE_MOST);
     this.server =
@@ -115,7 +115,7 @@
     for (String task : new TreeSet<>(connected)) {
       if (!named.contains(task)) {
         connected.remove(task);
-        client.forget(ProxySettings.address(new TaskName(task)));
+        client.forget(ProxySettings.address(new EndpointName(task)));
       }
     }
   }
@@ -129,7 +129,7 @@
       exchange.answer(HttpMessage.answer(404, "POST /op/TYPE with header x-op\n"));
       return;
     }
-    Op op = new Op(new TypeIndex(k), request, exchange);
+    Op op = new Op(new RequestClassIndex(k), request, exchange);
     if (!still) {
       op.start();
     } else if (held.size() < IN_HAND_MOST) {
@@ -148,7 +148,7 @@
 
   /** One op on its way. */
   private final class Op {
-    private final TypeIndex type;
+    private final RequestClassIndex type;
     private final HttpMessage request;
     private final HttpServer.Exchange exchange;
     private final long until;
@@ -156,7 +156,7 @@
     private boolean proven = true;
     private long firstAt;
 
-    Op(TypeIndex type, HttpMessage request, HttpServer.Exchange exchange) {
+    Op(RequestClassIndex type, HttpMessage request, HttpServer.Exchange exchange) {
       this.type = type;
       this.request = request;
       this.exchange = exchange;
@@ -180,8 +180,8 @@
       }
     }
 
-    private void send(TaskName not) {
-      TaskName task = router.pick(type, not, link.now());
+    private void send(EndpointName not) {
+      EndpointName task = router.pick(type, not, link.now());
       if (task == null) {
         finish(not == null ? refusal(503, "no-task") : failed(503, "failed"));
         return;
@@ -203,13 +203,14 @@
       client.call(to, call, left, (answer, failure) -> ended(task, began, answer, failure));
     }
 
-    private void ended(TaskName task, long began, HttpMessage answer, HttpClient.Failure failure) {
+    private void ended(
+        EndpointName task, long began, HttpMessage answer, HttpClient.Failure failure) {
       long now = link.now();
-      Ending ending =
+      RequestOutcome ending =
           answer != null
-              ? Ending.answered(answer.status(), answer.header(NOT_RUN).equals("1"))
-              : Ending.valueOf(failure.name());
-      boolean good = ending == Ending.GOOD;
+              ? RequestOutcome.answered(answer.status(), answer.header(NOT_RUN).equals("1"))
+              : RequestOutcome.valueOf(failure.name());
+      boolean good = ending == RequestOutcome.GOOD;
       router.ended(task, good, now);
       tally.met(
           task,
--- a/src/main/java/stonespring/proxy/ProxySettings.java
+++ b/src/main/java/stonespring/proxy/ProxySettings.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
+import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RouterSettings;
-import stonespring.proxy.routing.TaskName;
 
 /**
  * What a proxy is started with.
@@ -24,7 +24,7 @@
     long seed,
     RouterSettings router,
     List<Long> opTimeouts,
-    List<TaskName> standing,
+    List<EndpointName> standing,
     List<Ports> assigners,
     double usualOps,
     int lineMicros,
@@ -36,7 +36,7 @@
   /** An assigner's three ports; a link between may have moved each of them. */
   public record Ports(String host, int snapshots, int updates, int collector) {}
 
-  static InetSocketAddress address(TaskName task) {
+  static InetSocketAddress address(EndpointName task) {
     String text = task.name().substring(task.name().lastIndexOf('@') + 1);
     int colon = text.lastIndexOf(':');
     return new InetSocketAddress(
--- a/src/main/java/stonespring/proxy/routing/TaskName.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointName.java
@@ -1,4 +1,4 @@
 package stonespring.proxy.routing;
 
 /** A task as tables name it. */
-public record TaskName(String name) {}
+public record EndpointName(String name) {}
--- a/src/main/java/stonespring/proxy/routing/TypeIndex.java
+++ b/src/main/java/stonespring/proxy/routing/RequestClassIndex.java
@@ -1,4 +1,4 @@
 package stonespring.proxy.routing;
 
 /** An op type by its position in the settings. */
-public record TypeIndex(int index) {}
+public record RequestClassIndex(int index) {}
--- a/src/main/java/stonespring/proxy/routing/Ending.java
+++ b/src/main/java/stonespring/proxy/routing/RequestOutcome.java
@@ -5,7 +5,7 @@
  * once-only op be tried again. The list is whole: every end that HTTP/1.1 (RFC 9112) and a socket
  * can show is one of these, and what is in doubt is no proof.
  */
-public enum Ending {
+public enum RequestOutcome {
   /** An answer with status 200. */
   GOOD(false),
   /**
@@ -36,12 +36,12 @@
 
   private final boolean proof;
 
-  Ending(boolean proof) {
+  RequestOutcome(boolean proof) {
     this.proof = proof;
   }
 
   /** An answer came. */
-  public static Ending answered(int status, boolean saysNotRun) {
+  public static RequestOutcome answered(int status, boolean saysNotRun) {
     return status == 200 ? GOOD : saysNotRun ? REFUSED_UNREAD : FAILED;
   }
 
--- a/src/main/java/stonespring/proxy/routing/Tally.java
+++ b/src/main/java/stonespring/proxy/routing/RequestStatistics.java
@@ -9,7 +9,7 @@
  * What a proxy met since it last reported; one figure for each task and op type, however much
  * comes.
  */
-public final class Tally {
+public final class RequestStatistics {
   /** A task's account of its load; NaN where it does not say. */
   public record Load(
       double busy, double waiting, double inHand, double workMs, double opsPerSecond) {}
@@ -32,22 +32,22 @@
   private final long[] unanswered;
   private long since;
 
-  public Tally(int types, long now) {
+  public RequestStatistics(int types, long now) {
     this.ops = new long[types];
     this.unanswered = new long[types];
     this.since = now;
   }
 
-  public void came(TypeIndex type) {
+  public void came(RequestClassIndex type) {
     ops[type.index()]++;
   }
 
-  public void unanswered(TypeIndex type) {
+  public void unanswered(RequestClassIndex type) {
     unanswered[type.index()]++;
   }
 
   /** A try ended; {@code load} null where the answer told none. */
-  public void met(TaskName task, boolean good, long took, Load load) {
+  public void met(EndpointName task, boolean good, long took, Load load) {
     Cell cell = cells.computeIfAbsent(task.name(), n -> new Cell());
     cell.tries++;
     if (good) {
@@ -66,11 +66,11 @@
     return all;
   }
 
-  public long ops(TypeIndex type) {
+  public long ops(RequestClassIndex type) {
     return ops[type.index()];
   }
 
-  public long unansweredOps(TypeIndex type) {
+  public long unansweredOps(RequestClassIndex type) {
     return unanswered[type.index()];
   }
 
--- a/src/main/java/stonespring/proxy/routing/Router.java
+++ b/src/main/java/stonespring/proxy/routing/Router.java
@@ -44,7 +44,7 @@
 
   // Figures about tasks: parallel arrays under a task's index.
   private final Map<String, Integer> indexOf = new HashMap<>();
-  private final List<TaskName> taskOf = new ArrayList<>();
+  private final List<EndpointName> taskOf = new ArrayList<>();
   private int[] out = new int[16];
   private int[] row = new int[16];
   private long[] shunnedUntil = new long[16];
@@ -81,7 +81,7 @@
   }
 
   /** The table that a proxy starts with, for every op type alike. */
-  public void standing(List<TaskName> tasks) {
+  public void standing(List<EndpointName> tasks) {
     for (TreeMap<String, Double> table : before) {
       tasks.forEach(task -> table.put(task.name(), 1.0));
     }
@@ -101,7 +101,7 @@
     }
     int index = taskOf.size();
     indexOf.put(task, index);
-    taskOf.add(new TaskName(task));
+    taskOf.add(new EndpointName(task));
     if (index == out.length) {
       out = Arrays.copyOf(out, 2 * index);
       row = Arrays.copyOf(row, 2 * index);
@@ -115,7 +115,7 @@
    * may say more; a known key with a value that can't be read throws IllegalArgumentException and
    * leaves all as it was.
    */
-  public void apply(Follower.Step.Message message) {
+  public void apply(TableSubscriber.Step.Message message) {
     check(message.changes());
     if (message.whole()) {
       begin(message.origin());
@@ -242,7 +242,7 @@
   }
 
   /** Whether one op of this type is let in now. */
-  public boolean admit(TypeIndex type, long now) {
+  public boolean admit(RequestClassIndex type, long now) {
     Level level = level(type.index());
     if (level == null || set.levels() == RouterSettings.Levels.NONE) {
       return true;
@@ -280,7 +280,7 @@
    * Where an op of this type goes, or null where no line is left; {@code not} is a task that a try
    * failed at, left out. The op counts as out there until {@link #ended}.
    */
-  public TaskName pick(TypeIndex type, TaskName not, long now) {
+  public EndpointName pick(RequestClassIndex type, EndpointName not, long now) {
     int without = not == null ? -1 : indexOf.getOrDefault(not.name(), -1);
     List<Line> open = new ArrayList<>();
     for (Line line : lines.get(type.index())) {
@@ -341,7 +341,7 @@
   }
 
   /** A try ended; a row of bad ones is a reason to keep away for a while. */
-  public void ended(TaskName task, boolean good, long now) {
+  public void ended(EndpointName task, boolean good, long now) {
     int i = index(task.name());
     out[i] = Math.max(0, out[i] - 1);
     row[i] = good ? 0 : row[i] + 1;
@@ -361,7 +361,7 @@
    * @param until when the op times out
    */
   public boolean mayTryAgain(
-      TypeIndex type, int tries, boolean proven, long firstAt, long until, long now) {
+      RequestClassIndex type, int tries, boolean proven, long firstAt, long until, long now) {
     Level level = level(type.index());
     Way way = level == null ? Way.ON_PROOF : level.way;
     if (way == Way.NEVER || until - now < set.retryLeast()) {
@@ -394,7 +394,7 @@
   }
 
   /** The share of one op type's ops that a task gets by the table; for tests and pages. */
-  public Map<String, Double> weights(TypeIndex type) {
+  public Map<String, Double> weights(RequestClassIndex type) {
     Map<String, Double> weights = new TreeMap<>();
     for (Line line : lines.get(type.index())) {
       weights.put(taskOf.get(line.task).name(), line.weight);
--- a/src/main/java/stonespring/proxy/routing/Follower.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -13,7 +13,7 @@
  * it says, means that something was lost: nothing of it takes effect and the snapshot is to be
  * asked anew.
  */
-public final class Follower {
+public final class TableSubscriber {
   /** What a key led to. */
   public sealed interface Step {
     /** Nothing yet. */
--- a/src/main/java/stonespring/front/Words.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -1,4 +1,4 @@
-package stonespring.front;
+package stonespring.proxyapi;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -8,16 +8,16 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
 import stonespring.model.LoadReport;
-import stonespring.model.OpTypeId;
-import stonespring.model.TaskId;
-import stonespring.model.Tenths;
+import stonespring.model.RequestClassId;
 import stonespring.model.ZoneId;
-import stonespring.state.Hello;
-import stonespring.state.Reports;
+import stonespring.state.ProxyHello;
+import stonespring.state.ReportAggregator;
 
 /** Reads what proxies say, as JSON objects; a fault's text names the message and the field. */
-public final class Words {
+public final class ProxyMessageCodec {
   /** A word that can't be read. */
   public static final class BadWord extends RuntimeException {
     private static final long serialVersionUID = 1;
@@ -28,7 +28,8 @@
   }
 
   /** What a proxy met since its last report. Span in tenths of a millisecond. */
-  public record Report(long span, List<Reports.Met> met, List<Reports.Came> came) {}
+  public record Report(
+      long span, List<ReportAggregator.Met> met, List<ReportAggregator.Came> came) {}
 
   /** A proxy has applied the message that carried this mark. */
   public record Answer(String stream, int mark, long took) {}
@@ -44,9 +45,9 @@
                   StreamReadConstraints.builder().maxNestingDepth(8).maxStringLength(4096).build())
               .build());
 
-  private final Names names;
+  private final NameTable names;
 
-  public Words(Names names) {
+  public ProxyMessageCodec(NameTable names) {
     this.names = names;
   }
 
@@ -110,25 +111,25 @@
     return value;
   }
 
-  public Hello hello(byte[] bytes) {
+  public ProxyHello hello(byte[] bytes) {
     JsonNode node = object("presence", bytes);
     String zoneName = name("presence", "zone", field("presence", node, "zone"));
     ZoneId zone = names.zone(zoneName);
     if (zone == null) {
       throw bad("presence", "zone", "names no zone of the settings: " + zoneName);
     }
-    List<TaskId> holds = null;
+    List<EndpointId> holds = null;
     if (node.has("holds")) {
       holds = new ArrayList<>();
       for (JsonNode task : list("presence", node, "holds")) {
-        holds.add(new TaskId(name("presence", "holds", task)));
+        holds.add(new EndpointId(name("presence", "holds", task)));
       }
     }
     JsonNode fresh = field("presence", node, "fresh");
     if (!fresh.isBoolean()) {
       throw bad("presence", "fresh", "is neither true nor false");
     }
-    return new Hello(
+    return new ProxyHello(
         name("presence", "life", field("presence", node, "life")),
         whole("presence", "stream", field("presence", node, "stream"), Long.MAX_VALUE),
         zone,
@@ -144,7 +145,7 @@
   public Report report(byte[] bytes) {
     JsonNode node = object("report", bytes);
     double span = number("report", "span", field("report", node, "span"), SPAN_MOST);
-    List<Reports.Met> met = new ArrayList<>();
+    List<ReportAggregator.Met> met = new ArrayList<>();
     for (JsonNode row : list("report", node, "tasks")) {
       if (!row.isArray() || row.size() < 4) {
         throw bad(
@@ -156,29 +157,29 @@
         throw bad("report", "tasks", "tells more bad tries than tries");
       }
       met.add(
-          new Reports.Met(
-              new TaskId(name("report", "tasks", row.get(0))),
+          new ReportAggregator.Met(
+              new EndpointId(name("report", "tasks", row.get(0))),
               tries,
               badTries,
-              Tenths.ofSeconds(number("report", "tasks", row.get(3), SPAN_MOST)),
+              DeciMillis.ofSeconds(number("report", "tasks", row.get(3), SPAN_MOST)),
               load(row.path(4))));
     }
-    List<Reports.Came> came = new ArrayList<>();
+    List<ReportAggregator.Came> came = new ArrayList<>();
     for (JsonNode row : list("report", node, "ops")) {
       if (!row.isArray() || row.size() != 3) {
         throw bad("report", "ops", "holds a row that is not a list of op type, ops, unanswered");
       }
-      OpTypeId opType = names.opType(row.get(0).asText());
+      RequestClassId opType = names.opType(row.get(0).asText());
       if (opType == null) {
         throw bad("report", "ops", "names no op type of the settings: " + row.get(0).asText());
       }
       came.add(
-          new Reports.Came(
+          new ReportAggregator.Came(
               opType,
               whole("report", "ops", row.get(1), OPS_MOST),
               whole("report", "ops", row.get(2), OPS_MOST)));
     }
-    return new Report(Math.max(1, Tenths.ofSeconds(span)), met, came);
+    return new Report(Math.max(1, DeciMillis.ofSeconds(span)), met, came);
   }
 
   private static LoadReport load(JsonNode node) {
@@ -205,6 +206,6 @@
     return new Answer(
         name("answer", "origin", field("answer", node, "origin")),
         (int) whole("answer", "mark", field("answer", node, "mark"), 65_535),
-        Tenths.ofSeconds(number("answer", "took", field("answer", node, "took"), SPAN_MOST)));
+        DeciMillis.ofSeconds(number("answer", "took", field("answer", node, "took"), SPAN_MOST)));
   }
 }
