--- a/src/main/java/stonespring/front/chp/ChpFront.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -1,4 +1,4 @@
-package stonespring.front.chp;
+package stonespring.proxyapi.chp;
 
 import io.netty.util.AttributeKey;
 import java.util.List;
@@ -7,12 +7,12 @@
 import stonespring.chp.ChpBackend;
 import stonespring.chp.ChpException;
 import stonespring.chp.ChpMessage;
-import stonespring.front.Intake;
-import stonespring.front.Names;
-import stonespring.front.Words;
-import stonespring.model.Tenths;
-import stonespring.state.Hello;
-import stonespring.state.Update;
+import stonespring.model.DeciMillis;
+import stonespring.proxyapi.NameTable;
+import stonespring.proxyapi.ProxyMessageCodec;
+import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
 import stonespring.zmtp.ZmtpPeer;
 
 /**
@@ -20,7 +20,7 @@
  * words for the intake. Keys that proxies set: {@code /presence/NAME} with a ttl, {@code
  * /up/NAME/report}, {@code /up/NAME/answer}.
  */
-public final class ChpFront implements ChpBackend {
+public final class ChpProxyApi implements ChpBackend {
   private static final AttributeKey<Source> SOURCE = AttributeKey.valueOf("stonespring.source");
   private static final AttributeKey<AtomicInteger> ASKS = AttributeKey.valueOf("stonespring.asks");
   private static final int ASKS_MOST =
@@ -28,29 +28,29 @@
   private static final int TTL_MOST = 3600; // s; longer, a dead proxy would hold its name for hours
 
   /** One collector connection. */
-  private record Source(ZmtpPeer peer) implements Intake.Origin {
+  private record Source(ZmtpPeer peer) implements ProxyMessageHandler.Origin {
     @Override
     public void end(String cause) {
       peer.close(cause);
     }
   }
 
-  private final Intake intake;
-  private final Words words;
+  private final ProxyMessageHandler intake;
+  private final ProxyMessageCodec words;
 
-  public ChpFront(Intake intake, Names names) {
+  public ChpProxyApi(ProxyMessageHandler intake, NameTable names) {
     this.intake = intake;
-    this.words = new Words(names);
+    this.words = new ProxyMessageCodec(names);
   }
 
   /** An update of the state as this front publishes it. */
-  public static ChpMessage.KvPub publication(Update update) {
+  public static ChpMessage.KvPub publication(KeyUpdate update) {
     return new ChpMessage.KvPub(
         update.key(), update.sequence(), ChpMessage.NONE, ChpMessage.NONE, update.value());
   }
 
-  public static List<ChpMessage.KvPub> publications(List<Update> updates) {
-    return updates.stream().map(ChpFront::publication).toList();
+  public static List<ChpMessage.KvPub> publications(List<KeyUpdate> updates) {
+    return updates.stream().map(ChpProxyApi::publication).toList();
   }
 
   @Override
@@ -67,7 +67,7 @@
         intake.snapshot(
             subtree,
             (keys, sequence) -> {
-              for (Update key : keys) {
+              for (KeyUpdate key : keys) {
                 peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
               }
               peer.sendNow(new ChpMessage.Kthxbai(sequence, subtree).frames());
@@ -88,7 +88,7 @@
     boolean taken;
     try {
       taken = taken(segments, set, source);
-    } catch (Words.BadWord e) {
+    } catch (ProxyMessageCodec.BadWord e) {
       throw new ChpException("KVSET " + set.key() + ": " + e.getMessage());
     }
     if (!taken) {
@@ -102,11 +102,11 @@
     }
     if (segments.length == 3 && segments[0].equals("up")) {
       if (segments[2].equals("report")) {
-        Words.Report report = words.report(set.value());
+        ProxyMessageCodec.Report report = words.report(set.value());
         return intake.reported(segments[1], report.span(), report.met(), report.came(), source);
       }
       if (segments[2].equals("answer")) {
-        Words.Answer answer = words.answer(set.value());
+        ProxyMessageCodec.Answer answer = words.answer(set.value());
         return intake.answered(segments[1], answer.stream(), answer.mark(), answer.took(), source);
       }
     }
@@ -117,8 +117,8 @@
     if (set.value().length == 0) {
       throw new ChpException("KVSET " + set.key() + ": presence ends by its ttl or its connection");
     }
-    Hello hello = words.hello(set.value());
-    return intake.hello(proxy, hello, ttl(set.properties()) * Tenths.SECOND, source);
+    ProxyHello hello = words.hello(set.value());
+    return intake.hello(proxy, hello, ttl(set.properties()) * DeciMillis.SECOND, source);
   }
 
   private static long ttl(Map<String, String> properties) {
--- a/src/main/java/stonespring/front/line/PlatformWords.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -1,24 +1,17 @@
-package stonespring.front.line;
+package stonespring.proxyapi.platform;
 
 import java.util.Map;
 import java.util.Set;
-import stonespring.front.Names;
 import stonespring.line.LineMessage;
-import stonespring.model.Event;
-import stonespring.model.LoadReport;
-import stonespring.model.MarkId;
-import stonespring.model.OpTypeId;
-import stonespring.model.ProxyId;
-import stonespring.model.TaskId;
-import stonespring.model.Tenths;
-import stonespring.model.ZoneId;
+import stonespring.model.*;
+import stonespring.proxyapi.NameTable;
 
 /**
  * The platform's messages as events. Times come in milliseconds. A fault's text names the message
  * and the field. Load figures go by the platform's names or by those of the settings; what has
  * neither is passed over.
  */
-final class PlatformWords {
+final class PlatformMessageCodec {
   /** A message that can't be used. */
   static final class BadWord extends RuntimeException {
     private static final long serialVersionUID = 1;
@@ -53,10 +46,10 @@
   private static final double BUSY_MOST = 2; // share; a figure with noise may pass 1
   private static final double FIGURE_MOST = 1e7; // of any other load figure
 
-  private final Names names;
+  private final NameTable names;
   private final int proxies;
 
-  PlatformWords(Names names, int proxies) {
+  PlatformMessageCodec(NameTable names, int proxies) {
     this.names = names;
     this.proxies = proxies;
   }
@@ -96,7 +89,7 @@
   }
 
   private static long time(LineMessage m, String field) {
-    return Tenths.ofSeconds(number(m, field, word(m, field), SPAN_MOST) / 1000);
+    return DeciMillis.ofSeconds(number(m, field, word(m, field), SPAN_MOST) / 1000);
   }
 
   private static long span(LineMessage m) {
@@ -128,37 +121,38 @@
     return zone(m);
   }
 
-  Event.ProxyJoined join(LineMessage m) {
+  Event.ProxyConnected join(LineMessage m) {
     String fresh = word(m, "new");
     if (!fresh.equals("0") && !fresh.equals("1")) {
       throw bad(m, "new", "is neither 0 nor 1", fresh);
     }
-    return new Event.ProxyJoined(
+    return new Event.ProxyConnected(
         proxy(m), zone(m), number(m, "rps", word(m, "rps"), RATE_MOST), fresh.equals("1"));
   }
 
-  Event.Answered answer(LineMessage m) {
-    return new Event.Answered(proxy(m), new MarkId((int) whole(m, "seq", 65_535)), time(m, "ms"));
+  Event.UpdateAcknowledged answer(LineMessage m) {
+    return new Event.UpdateAcknowledged(
+        proxy(m), new AckId((int) whole(m, "seq", 65_535)), time(m, "ms"));
   }
 
-  Event.ProxyOps ops(LineMessage m) {
+  Event.ProxyRequestRate ops(LineMessage m) {
     String name = word(m, "lane");
-    OpTypeId opType = names.opType(name);
+    RequestClassId opType = names.opType(name);
     if (opType == null) {
       throw bad(m, "lane", "names no op type of the settings", name);
     }
-    return new Event.ProxyOps(
+    return new Event.ProxyRequestRate(
         proxy(m), opType, whole(m, "count", COUNT_MOST), whole(m, "fail", COUNT_MOST), span(m));
   }
 
-  Event.TaskSums sums(LineMessage m) {
+  Event.EndpointOutcomes sums(LineMessage m) {
     long tries = whole(m, "count", COUNT_MOST);
     long bad = whole(m, "fail", COUNT_MOST);
     if (bad > tries) {
       throw new BadWord(m, "fail", "is more than 'count'");
     }
-    return new Event.TaskSums(
-        new TaskId(word(m, "target")), zone(m), tries, bad, span(m), time(m, "mean"), load(m));
+    return new Event.EndpointOutcomes(
+        new EndpointId(word(m, "target")), zone(m), tries, bad, span(m), time(m, "mean"), load(m));
   }
 
   private static LoadReport load(LineMessage m) {
--- a/src/main/java/stonespring/front/line/LineFront.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -1,4 +1,4 @@
-package stonespring.front.line;
+package stonespring.proxyapi.platform;
 
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -9,26 +9,26 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.front.Names;
-import stonespring.line.LineEvents;
+import stonespring.line.LineConnection;
+import stonespring.line.LineHandler;
 import stonespring.line.LineMessage;
-import stonespring.line.LinePeer;
+import stonespring.model.AckId;
+import stonespring.model.Command;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
-import stonespring.model.MarkId;
-import stonespring.model.Order;
 import stonespring.model.ProxyId;
-import stonespring.model.TaskId;
-import stonespring.state.ProxyMessage;
-import stonespring.state.Tables;
+import stonespring.proxyapi.NameTable;
+import stonespring.state.ProxyUpdate;
+import stonespring.state.RouteTables;
 
 /**
  * The platform's side: proxies' streams and zones' collectors in, events out; orders in, messages
  * on the streams out. The platform has the channel, so nothing is paced here: a message leaves as
  * it is ordered. Lives on one event loop.
  */
-public final class LineFront implements LineEvents {
-  private static final Logger LOG = LoggerFactory.getLogger(LineFront.class);
+public final class PlatformProxyApi implements LineHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformProxyApi.class);
   public static final int COLLECTORS_A_ZONE =
       4; // connections; one, and old ones whose end is not seen yet
   private static final int MARKS_MOST =
@@ -39,12 +39,12 @@
 
   /** A proxy's stream. */
   private static final class Stream {
-    private final Event.ProxyJoined hello;
-    private final LinePeer peer;
-    private final StreamTable table;
+    private final Event.ProxyConnected hello;
+    private final LineConnection peer;
+    private final ProxyRouteState table;
     private final LinkedHashSet<Integer> marks = new LinkedHashSet<>();
 
-    Stream(Event.ProxyJoined hello, LinePeer peer, StreamTable table) {
+    Stream(Event.ProxyConnected hello, LineConnection peer, ProxyRouteState table) {
       this.hello = hello;
       this.peer = peer;
       this.table = table;
@@ -64,67 +64,67 @@
     }
   }
 
-  private final PlatformWords words;
-  private final Names names;
+  private final PlatformMessageCodec words;
+  private final NameTable names;
   private final Consumer<Event> heard;
   private final TreeMap<Integer, Stream> streams = new TreeMap<>();
   private final Map<Integer, TreeSet<String>> shut = new TreeMap<>();
-  private final Map<Integer, LinkedHashSet<LinePeer>> collectors = new LinkedHashMap<>();
-  private final LinkedHashSet<TaskId> listed = new LinkedHashSet<>();
-  private Tables tables;
+  private final Map<Integer, LinkedHashSet<LineConnection>> collectors = new LinkedHashMap<>();
+  private final LinkedHashSet<EndpointId> listed = new LinkedHashSet<>();
+  private RouteTables tables;
   private long dropped;
 
   /**
    * @param heard takes events, on the event loop
    */
-  public LineFront(Names names, int proxies, Consumer<Event> heard) {
-    this.words = new PlatformWords(names, proxies);
+  public PlatformProxyApi(NameTable names, int proxies, Consumer<Event> heard) {
+    this.words = new PlatformMessageCodec(names, proxies);
     this.names = names;
     this.heard = heard;
-    this.tables = new Tables(names.opTypes());
+    this.tables = new RouteTables(names.opTypes());
   }
 
   @Override
-  public void message(LinePeer peer, LineMessage message) {
+  public void message(LineConnection peer, LineMessage message) {
     Object known = peer.keptFor();
     if (known == null) {
       unjoined(peer, message);
-    } else if (!PlatformWords.KINDS.contains(message.kind())) {
+    } else if (!PlatformMessageCodec.KINDS.contains(message.kind())) {
       peer.end("it goes on with what can't be read: " + LineMessage.printable(message.kind()));
     } else {
       try {
         report(known, message);
-      } catch (PlatformWords.BadWord e) {
+      } catch (PlatformMessageCodec.BadWord e) {
         drop(known, message, e.getMessage());
       }
     }
   }
 
-  private void unjoined(LinePeer peer, LineMessage message) {
+  private void unjoined(LineConnection peer, LineMessage message) {
     try {
       switch (message.kind()) {
-        case PlatformWords.JOIN -> joined(peer, words.join(message));
-        case PlatformWords.COLLECTOR ->
+        case PlatformMessageCodec.JOIN -> joined(peer, words.join(message));
+        case PlatformMessageCodec.COLLECTOR ->
             collector(peer, new Collector(words.collector(message).index()));
         default -> peer.end("no joining before " + LineMessage.printable(message.kind()));
       }
-    } catch (PlatformWords.BadWord e) {
+    } catch (PlatformMessageCodec.BadWord e) {
       peer.end(e.getMessage());
     }
   }
 
-  private void joined(LinePeer peer, Event.ProxyJoined hello) {
+  private void joined(LineConnection peer, Event.ProxyConnected hello) {
     int id = hello.proxy().number();
     Stream old = streams.get(id);
     if (old != null) {
       old.peer.end("it came back on a newer stream"); // which tells that it left
     }
-    StreamTable table =
-        new StreamTable(
+    ProxyRouteState table =
+        new ProxyRouteState(
             names.opTypes(),
             tables,
             shut.computeIfAbsent(id, i -> new TreeSet<>()),
-            !hello.fresh());
+            !hello.withoutTables());
     Stream stream = new Stream(hello, peer, table);
     streams.put(id, stream);
     peer.keep(stream);
@@ -132,8 +132,8 @@
     heard.accept(hello);
   }
 
-  private void collector(LinePeer peer, Collector collector) {
-    LinkedHashSet<LinePeer> ofZone =
+  private void collector(LineConnection peer, Collector collector) {
+    LinkedHashSet<LineConnection> ofZone =
         collectors.computeIfAbsent(collector.zone(), z -> new LinkedHashSet<>());
     peer.keep(collector);
     ofZone.add(peer);
@@ -145,66 +145,70 @@
   private void report(Object from, LineMessage message) {
     boolean collector = from instanceof Collector;
     switch (message.kind()) {
-      case PlatformWords.SUMS -> {
+      case PlatformMessageCodec.SUMS -> {
         if (!collector) {
-          throw new PlatformWords.BadWord(message, "it is a collector's");
+          throw new PlatformMessageCodec.BadWord(message, "it is a collector's");
         }
-        Event.TaskSums sums = words.sums(message);
+        Event.EndpointOutcomes sums = words.sums(message);
         // A task that no list ever named: a spoilt word, and an order that names it would end
         // streams.
-        if (!listed.contains(sums.task())) {
-          throw new PlatformWords.BadWord(message, "target", "names a task that was never listed");
+        if (!listed.contains(sums.endpoint())) {
+          throw new PlatformMessageCodec.BadWord(
+              message, "target", "names a task that was never listed");
         }
         heard.accept(sums);
       }
-      case PlatformWords.OPS -> {
-        Event.ProxyOps ops = words.ops(message);
+      case PlatformMessageCodec.OPS -> {
+        Event.ProxyRequestRate ops = words.ops(message);
         Stream stream = streams.get(ops.proxy().number());
         if (stream == null || !collector && stream != from) {
-          throw new PlatformWords.BadWord(message, "id", "names a proxy that is not joined here");
+          throw new PlatformMessageCodec.BadWord(
+              message, "id", "names a proxy that is not joined here");
         }
         heard.accept(ops);
       }
-      case PlatformWords.ANSWER -> {
-        Event.Answered answer = words.answer(message);
+      case PlatformMessageCodec.ANSWER -> {
+        Event.UpdateAcknowledged answer = words.answer(message);
         if (collector || ((Stream) from).hello.proxy().number() != answer.proxy().number()) {
-          throw new PlatformWords.BadWord(message, "id", "is not this stream's");
+          throw new PlatformMessageCodec.BadWord(message, "id", "is not this stream's");
         }
-        if (!((Stream) from).marks.remove(answer.mark().number())) {
-          throw new PlatformWords.BadWord(message, "seq", "is a mark that waits for no answer");
+        if (!((Stream) from).marks.remove(answer.ack().number())) {
+          throw new PlatformMessageCodec.BadWord(
+              message, "seq", "is a mark that waits for no answer");
         }
         heard.accept(answer);
       }
       case "PONG" -> {}
-      default -> throw new PlatformWords.BadWord(message, "it is not to be sent here");
+      default -> throw new PlatformMessageCodec.BadWord(message, "it is not to be sent here");
     }
   }
 
   private void drop(Object from, LineMessage message, String cause) {
     if (dropped++ < DROPPED_LOGGED) {
-      LOG.warn("a message of {} is dropped: {} in: {}", from, cause, PlatformWords.told(message));
+      LOG.warn(
+          "a message of {} is dropped: {} in: {}", from, cause, PlatformMessageCodec.told(message));
     }
   }
 
   @Override
-  public void closed(LinePeer peer) {
+  public void closed(LineConnection peer) {
     if (peer.keptFor() instanceof Collector collector) {
       collectors.get(collector.zone()).remove(peer);
     } else if (peer.keptFor() instanceof Stream stream
         && streams.remove(stream.hello.proxy().number(), stream)) {
       tables.left(stream.hello.proxy());
-      heard.accept(new Event.ProxyLeft(stream.hello.proxy()));
+      heard.accept(new Event.ProxyDisconnected(stream.hello.proxy()));
     }
   }
 
   /** What the list says; only tasks that were listed may be named on a stream. */
-  public void listTold(Event.ListTold told) {
-    for (Listing listing : told.entries()) {
-      listed.remove(listing.task()); // the latest told stand last
-      listed.add(listing.task());
+  public void listTold(Event.EndpointListUpdate told) {
+    for (EndpointRecord listing : told.endpoints()) {
+      listed.remove(listing.endpoint()); // the latest told stand last
+      listed.add(listing.endpoint());
     }
     while (listed.size() > LISTED_MOST) {
-      TaskId oldest = listed.iterator().next();
+      EndpointId oldest = listed.iterator().next();
       listed.remove(oldest);
       shut.values().forEach(of -> of.remove(oldest.name()));
       tables.forget(oldest);
@@ -216,17 +220,17 @@
    * again.
    */
   public void restart() {
-    tables = new Tables(names.opTypes());
+    tables = new RouteTables(names.opTypes());
     for (Map.Entry<Integer, Stream> entry : streams.entrySet()) {
       Stream old = entry.getValue();
-      Event.ProxyJoined hello =
-          new Event.ProxyJoined(
-              old.hello.proxy(), old.hello.zone(), old.hello.opsPerSecond(), false);
+      Event.ProxyConnected hello =
+          new Event.ProxyConnected(
+              old.hello.proxy(), old.hello.zone(), old.hello.requestsPerSecond(), false);
       Stream again =
           new Stream(
               hello,
               old.peer,
-              new StreamTable(names.opTypes(), tables, shut.get(entry.getKey()), true));
+              new ProxyRouteState(names.opTypes(), tables, shut.get(entry.getKey()), true));
       entry.setValue(again);
       old.peer.keep(again);
       tables.joined(hello.proxy(), null);
@@ -237,8 +241,8 @@
   /**
    * Writes what one reply orders: one message for each proxy concerned, never mixed with the next.
    */
-  public void carryOut(List<Order> orders, long now) {
-    for (ProxyMessage message : tables.messages(orders, now)) {
+  public void carryOut(List<Command> orders, long now) {
+    for (ProxyUpdate message : tables.messages(orders, now)) {
       Stream stream = streams.get(message.proxy().number());
       List<String> parts = stream.table.parts(message);
       if (parts.isEmpty()) {
@@ -248,13 +252,14 @@
         mark(stream, message.mark());
       }
       if (LOG.isDebugEnabled()) {
-        LOG.debug("{}: {} lines: {}", stream, StreamTable.price(parts), String.join(" | ", parts));
+        LOG.debug(
+            "{}: {} lines: {}", stream, ProxyRouteState.price(parts), String.join(" | ", parts));
       }
       stream.peer.write(String.join("\r\n", parts) + "\r\n");
     }
   }
 
-  private static void mark(Stream stream, MarkId mark) {
+  private static void mark(Stream stream, AckId mark) {
     if (stream.marks.size() >= MARKS_MOST) {
       stream.marks.remove(stream.marks.iterator().next());
     }
--- a/src/main/java/stonespring/front/line/StreamTable.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -1,4 +1,4 @@
-package stonespring.front.line;
+package stonespring.proxyapi.platform;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,8 +10,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import stonespring.state.ProxyMessage;
-import stonespring.state.Tables;
+import stonespring.state.ProxyUpdate;
+import stonespring.state.RetryPolicyNames;
+import stonespring.state.RouteTables;
 
 /**
  * What one proxy holds, as its stream's orders made it: whole messages of the published state
@@ -20,7 +21,7 @@
  * withdrawals outlive the stream, so that a task that the proxy may still shut out is let back when
  * a table names it.
  */
-final class StreamTable {
+final class ProxyRouteState {
   private static final int ROWS_A_PART =
       512; // lines; far under the bytes of a message, and no table has so many
   private static final String ALL = "every";
@@ -39,7 +40,7 @@
   }
 
   private final List<String> opTypes;
-  private final Tables tables;
+  private final RouteTables tables;
   private final TreeSet<String> shut;
   private final boolean unknown;
   private final TreeSet<String> sure =
@@ -54,7 +55,7 @@
    * @param shut the tasks that this instance had the proxy shut out, over its streams; changed here
    * @param unknown whether the proxy may shut out other tasks too: it holds what others ordered
    */
-  StreamTable(List<String> opTypes, Tables tables, TreeSet<String> shut, boolean unknown) {
+  ProxyRouteState(List<String> opTypes, RouteTables tables, TreeSet<String> shut, boolean unknown) {
     this.opTypes = opTypes;
     this.tables = tables;
     this.shut = shut;
@@ -64,7 +65,7 @@
   }
 
   /** The parts of one message: each a line without its end; empty where nothing would change. */
-  List<String> parts(ProxyMessage message) {
+  List<String> parts(ProxyUpdate message) {
     Set<String> replaced = new LinkedHashSet<>();
     Map<String, Map<String, String>> changed = new LinkedHashMap<>();
     Set<String> out = new TreeSet<>();
@@ -137,10 +138,7 @@
       return null;
     }
     String[] parts = word.split(" ");
-    return new Level(
-        Double.parseDouble(parts[0]),
-        stonespring.model.Order.Retry.valueOf(parts[1].toUpperCase(java.util.Locale.ROOT))
-            .ordinal());
+    return new Level(Double.parseDouble(parts[0]), RetryPolicyNames.policy(parts[1]).ordinal());
   }
 
   private String types(java.util.function.IntPredicate which) {
@@ -210,7 +208,7 @@
     alike.forEach(
         (level, of) -> {
           String words =
-              " gate=" + Tables.weight(Math.max(0, level.level)) + " again=" + level.again;
+              " gate=" + RouteTables.weight(Math.max(0, level.level)) + " again=" + level.again;
           String types = types(of::contains);
           if (parts.size() == 1
               && parts.get(0).startsWith(types)
--- a/src/main/java/stonespring/recording/Recording.java
+++ b/src/main/java/stonespring/recording/Recording.java
@@ -9,7 +9,7 @@
  *
  * @param moments in the order of their times
  */
-public record Recording(Head head, List<Moment> moments) {
+public record Recording(Head head, List<LoadSample> moments) {
   /**
    * What holds all day. Times in tenths of a millisecond.
    *
--- a/src/main/java/stonespring/recording/RecordingFile.java
+++ b/src/main/java/stonespring/recording/RecordingFile.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
-import stonespring.model.Listing;
+import stonespring.model.EndpointRecord;
 
 /**
  * Recordings as files: gzip over lines of JSON, the head first as an object, then each moment as an
@@ -37,6 +37,9 @@
     }
   }
 
+  /** The file's words, in the order of {@link EndpointRecord.State}. */
+  private static final List<String> STATES = List.of("READY", "DRAINING", "GONE");
+
   private static final int MOMENTS_MOST =
       5_000_000; // a day of 800 proxies, every second, in well under an hour
   private static final int LINE_MOST = 4 << 20; // characters; the head names every proxy
@@ -55,9 +58,9 @@
         new BufferedWriter(
             new OutputStreamWriter(
                 new GZIPOutputStream(Files.newOutputStream(beside)), StandardCharsets.UTF_8))) {
-      out.write(JSON.writeValueAsString(recording.head()));
+      out.write(JSON.writeValueAsString(StoredHead.of(recording.head())));
       out.write('\n');
-      for (Moment moment : recording.moments()) {
+      for (LoadSample moment : recording.moments()) {
         out.write(JSON.writeValueAsString(row(moment)));
         out.write('\n');
       }
@@ -65,22 +68,22 @@
     Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  private static ArrayNode row(Moment moment) {
+  private static ArrayNode row(LoadSample moment) {
     ArrayNode row = JSON.createArrayNode();
-    if (moment instanceof Moment.Came m) {
+    if (moment instanceof LoadSample.Came m) {
       row.add("came").add(m.at()).add(m.proxy());
       for (int ops : m.ops()) {
         row.add(ops);
       }
-    } else if (moment instanceof Moment.Listed m) {
+    } else if (moment instanceof LoadSample.Listed m) {
       row.add("listed")
           .add(m.at())
           .add(m.task())
           .add(m.zone())
           .add(m.weight())
-          .add(m.state().name())
+          .add(STATES.get(m.state().ordinal()))
           .add(m.startedAt());
-    } else if (moment instanceof Moment.Ran m) {
+    } else if (moment instanceof LoadSample.Ran m) {
       row.add("ran")
           .add(m.at())
           .add(m.task())
@@ -88,9 +91,9 @@
           .add(m.cores())
           .add(m.speed())
           .add(m.cold());
-    } else if (moment instanceof Moment.Claimed m) {
+    } else if (moment instanceof LoadSample.Claimed m) {
       row.add("claimed").add(m.at()).add(m.task()).add(m.times());
-    } else if (moment instanceof Moment.Late m) {
+    } else if (moment instanceof LoadSample.Late m) {
       row.add("late").add(m.at()).add(m.by());
     }
     return row;
@@ -128,14 +131,14 @@
     Recording all(BufferedReader in) throws IOException {
       String first = next(in);
       head(first == null ? "" : first);
-      List<Moment> moments = new ArrayList<>();
+      List<LoadSample> moments = new ArrayList<>();
       long last = 0;
       for (String text = next(in); text != null; text = next(in)) {
         line++;
         if (moments.size() == MOMENTS_MOST) {
           throw bad("more than " + MOMENTS_MOST + " moments");
         }
-        Moment moment = moment(text);
+        LoadSample moment = moment(text);
         if (moment.at() < last) {
           throw bad("at: goes back to " + moment.at());
         }
@@ -170,19 +173,22 @@
                       ? "missing"
                       : version + ", this program reads " + Recording.VERSION));
         }
-        head = JSON.readValue(text, Recording.Head.class);
+        head = JSON.readValue(text, StoredHead.class).toHead();
       } catch (JsonProcessingException e) {
         throw bad(e.getOriginalMessage().lines().findFirst().orElse("no head"));
       }
       check(
-          head.zones().size() == head.settings().zones(),
-          "zones: " + head.zones().size() + ", the settings have " + head.settings().zones());
+          head.zones().size() == head.settings().fleet().zones(),
+          "zones: "
+              + head.zones().size()
+              + ", the settings have "
+              + head.settings().fleet().zones());
       check(
-          head.types().size() == head.settings().opTypes().size() && !head.types().isEmpty(),
+          head.types().size() == head.settings().requestClasses().size() && !head.types().isEmpty(),
           "types: "
               + head.types().size()
               + ", the settings have "
-              + head.settings().opTypes().size());
+              + head.settings().requestClasses().size());
       check(
           head.every() > 0 && head.length() > 0 && head.length() <= END,
           "every, length: " + head.every() + ", " + head.length());
@@ -209,7 +215,7 @@
       }
     }
 
-    private Moment moment(String text) throws Bad {
+    private LoadSample moment(String text) throws Bad {
       try {
         row = JSON.readTree(text);
       } catch (JsonProcessingException e) {
@@ -224,24 +230,22 @@
           for (int k = 0; k < ops.length; k++) {
             ops[k] = (int) whole(3 + k, "ops", 0, 10_000_000);
           }
-          yield new Moment.Came(at, (int) whole(2, "proxy", 0, head.proxies().size() - 1), ops);
+          yield new LoadSample.Came(at, (int) whole(2, "proxy", 0, head.proxies().size() - 1), ops);
         }
         case "listed" -> {
           size(7);
-          check(
-              List.of("READY", "DRAINING", "GONE").contains(row.get(5).asText()),
-              "state: " + row.get(5));
-          yield new Moment.Listed(
+          check(STATES.contains(row.get(5).asText()), "state: " + row.get(5));
+          yield new LoadSample.Listed(
               at,
               name(),
               zone(),
               number(4, "weight", 0, 1e9),
-              Listing.State.valueOf(row.get(5).asText()),
+              EndpointRecord.State.values()[STATES.indexOf(row.get(5).asText())],
               whole(6, "startedAt", -END, END));
         }
         case "ran" -> {
           size(7);
-          yield new Moment.Ran(
+          yield new LoadSample.Ran(
               at,
               name(),
               zone(),
@@ -251,11 +255,11 @@
         }
         case "claimed" -> {
           size(4);
-          yield new Moment.Claimed(at, name(), number(3, "times", 1e-6, 1e6));
+          yield new LoadSample.Claimed(at, name(), number(3, "times", 1e-6, 1e6));
         }
         case "late" -> {
           size(3);
-          yield new Moment.Late(at, whole(2, "by", 0, END));
+          yield new LoadSample.Late(at, whole(2, "by", 0, END));
         }
         default -> throw bad("kind: " + row.get(0));
       };
--- a/src/main/java/stonespring/simhost/SettingsReader.java
+++ b/src/main/java/stonespring/simulator/SettingsReader.java
@@ -1,26 +1,26 @@
-package stonespring.simhost;
+package stonespring.simulator;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import stonespring.config.Facts;
-import stonespring.model.OpTypeId;
+import stonespring.config.PlatformSettings;
+import stonespring.model.RequestClassId;
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 
 /** A start message's settings; knows the names of zones and op types in the messages after it. */
 final class SettingsReader {
   final Settings settings;
-  private final Facts facts;
+  private final PlatformSettings facts;
 
   SettingsReader(JsonNode node) {
     try {
-      facts = Facts.read(node);
-    } catch (Facts.BadFacts e) {
-      throw new WireException("message 'boot': " + e.getMessage());
+      facts = PlatformSettings.read(node);
+    } catch (PlatformSettings.BadFacts e) {
+      throw new SimulatorProtocolException("message 'boot': " + e.getMessage());
     }
     settings = facts.settings();
   }
 
-  ZoneId zone(Message message, int position, String field) {
+  ZoneId zone(SimulatorMessage message, int position, String field) {
     int at = facts.zones().indexOf(message.text(position, field));
     if (at < 0) {
       throw message.bad(field, "names no zone of the settings: " + message.text(position, field));
@@ -28,12 +28,12 @@
     return new ZoneId(at);
   }
 
-  OpTypeId opType(Message message, int position, String field) {
+  RequestClassId opType(SimulatorMessage message, int position, String field) {
     int at = facts.opTypes().indexOf(message.text(position, field));
     if (at < 0) {
       throw message.bad(
           field, "names no op type of the settings: " + message.text(position, field));
     }
-    return new OpTypeId(at);
+    return new RequestClassId(at);
   }
 }
--- a/src/main/java/stonespring/simhost/SimHost.java
+++ b/src/main/java/stonespring/simulator/SimulatorHost.java
@@ -1,4 +1,4 @@
-package stonespring.simhost;
+package stonespring.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -19,11 +19,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import stonespring.model.Order;
-import stonespring.model.Tenths;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
 
 /** Hosts assigners behind the simulator's wire: one line of events in, one line of orders out. */
-public final class SimHost {
+public final class SimulatorHost {
   private static final int ENTRY_LISTS = 16;
   private final JsonFactory factory =
       JsonFactory.builder()
@@ -31,7 +31,7 @@
               StreamReadConstraints.builder().maxStringLength(Integer.MAX_VALUE).build())
           .build();
   private final ObjectMapper mapper = new ObjectMapper(factory);
-  private final Map<Integer, Instance> instances = new TreeMap<>();
+  private final Map<Integer, HostedInstance> instances = new TreeMap<>();
   private final JsonNode[] entryLists = new JsonNode[ENTRY_LISTS];
 
   public void run(InputStream input, OutputStream output) throws IOException {
@@ -42,7 +42,8 @@
       try {
         batch(line, out);
       } catch (JsonProcessingException e) {
-        throw new WireException("a line is not well-formed JSON: " + e.getOriginalMessage());
+        throw new SimulatorProtocolException(
+            "a line is not well-formed JSON: " + e.getOriginalMessage());
       }
       out.write('\n');
       out.flush();
@@ -61,12 +62,13 @@
         String field = in.currentName();
         in.nextToken();
         switch (field) {
-          case "tS" -> now = Tenths.ofSeconds(number(in, "tS").asDouble());
+          case "tS" -> now = DeciMillis.ofSeconds(number(in, "tS").asDouble());
           case "seq" -> seq = number(in, "seq").asLong();
           case "parts" -> {
             partsSeen = true;
             if (now < 0) {
-              throw new WireException("the batch's field 'tS' is missing or stands after 'parts'");
+              throw new SimulatorProtocolException(
+                  "the batch's field 'tS' is missing or stands after 'parts'");
             }
             parts(in, now, touched);
           }
@@ -74,11 +76,12 @@
         }
       }
       if (now < 0 || seq < 0 || !partsSeen) {
-        throw new WireException("the batch lacks one of its fields 'tS', 'seq' and 'parts'");
+        throw new SimulatorProtocolException(
+            "the batch lacks one of its fields 'tS', 'seq' and 'parts'");
       }
       expect(in.currentToken(), JsonToken.END_OBJECT, "the batch");
       if (in.nextToken() != null) {
-        throw new WireException("a line holds more than one value");
+        throw new SimulatorProtocolException("a line holds more than one value");
       }
     }
     reply(now, seq, touched, out);
@@ -96,7 +99,7 @@
           case "i" -> number = number(in, "i").asInt();
           case "msgs" -> {
             if (number < 0) {
-              throw new WireException("field 'i' is missing or stands after 'msgs'");
+              throw new SimulatorProtocolException("field 'i' is missing or stands after 'msgs'");
             }
             messages(in, now, number, touched);
           }
@@ -111,7 +114,7 @@
     expect(in.currentToken(), JsonToken.START_ARRAY, "field 'msgs'");
     while (in.nextToken() != JsonToken.END_ARRAY) {
       JsonNode values = in.readValueAsTree();
-      Message message = Instance.message(values);
+      SimulatorMessage message = HostedInstance.message(values);
       if (values.get(0).asText().equals("ledger")) {
         int list = message.small(0, "setId");
         if (list >= ENTRY_LISTS || !message.at(1, "membersList").isArray()) {
@@ -122,7 +125,7 @@
         continue;
       }
       touched.add(number);
-      instances.computeIfAbsent(number, n -> new Instance()).take(now, values, entryLists);
+      instances.computeIfAbsent(number, n -> new HostedInstance()).take(now, values, entryLists);
     }
   }
 
@@ -131,20 +134,20 @@
     try (JsonGenerator json = factory.createGenerator(out)) {
       json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
       json.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
-      OrderWriter writer = new OrderWriter(json);
+      CommandWriter writer = new CommandWriter(json);
       json.writeStartObject();
       json.writeNumberField("seq", seq);
       json.writeArrayFieldStart("parts");
       for (int number : touched) {
-        Instance instance = instances.get(number);
-        List<Order> orders = instance.finish(now);
+        HostedInstance instance = instances.get(number);
+        List<Command> orders = instance.finish(now);
         if (orders.isEmpty() && instance.failure() == null) {
           continue;
         }
         json.writeStartObject();
         json.writeNumberField("i", number);
         json.writeArrayFieldStart("decisions");
-        for (Order order : orders) {
+        for (Command order : orders) {
           writer.write(order);
         }
         if (instance.failure() != null) {
@@ -161,14 +164,14 @@
   private static JsonNode number(JsonParser in, String field) throws IOException {
     JsonNode value = in.readValueAsTree();
     if (!value.isNumber()) {
-      throw new WireException("field '" + field + "' is not a number: " + value);
+      throw new SimulatorProtocolException("field '" + field + "' is not a number: " + value);
     }
     return value;
   }
 
   private static void expect(JsonToken found, JsonToken wanted, String what) {
     if (found != wanted) {
-      throw new WireException(what + " is not well-formed: " + found);
+      throw new SimulatorProtocolException(what + " is not well-formed: " + found);
     }
   }
 }
--- a/src/main/java/stonespring/simhost/Message.java
+++ b/src/main/java/stonespring/simulator/SimulatorMessage.java
@@ -1,15 +1,15 @@
-package stonespring.simhost;
+package stonespring.simulator;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import stonespring.model.Tenths;
+import stonespring.model.DeciMillis;
 
 /** One message's values by position, with plain complaints that name the message and the field. */
-final class Message {
+final class SimulatorMessage {
   private final String name;
   private final JsonNode values;
   private final int first;
 
-  Message(String name, JsonNode values, int first) {
+  SimulatorMessage(String name, JsonNode values, int first) {
     this.name = name;
     this.values = values;
     this.first = first;
@@ -48,7 +48,7 @@
   }
 
   long time(int position, String field) {
-    return Tenths.ofSeconds(number(position, field));
+    return DeciMillis.ofSeconds(number(position, field));
   }
 
   String text(int position, String field) {
@@ -67,7 +67,7 @@
     return value.asBoolean();
   }
 
-  WireException bad(String field, String what) {
-    return new WireException("message '" + name + "': field '" + field + "' " + what);
+  SimulatorProtocolException bad(String field, String what) {
+    return new SimulatorProtocolException("message '" + name + "': field '" + field + "' " + what);
   }
 }
--- a/src/main/java/stonespring/simhost/WireException.java
+++ b/src/main/java/stonespring/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
-package stonespring.simhost;
+package stonespring.simulator;
 
 /** Input that breaks the wire's form; the text names the message and the field. */
-public final class WireException extends RuntimeException {
+public final class SimulatorProtocolException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  public WireException(String text) {
+  public SimulatorProtocolException(String text) {
     super(text);
   }
 }
--- a/src/main/java/stonespring/solver/Prices.java
+++ b/src/main/java/stonespring/solver/CostModel.java
@@ -7,11 +7,11 @@
  * @param crossing lost for one op sent to another zone
  * @param newLine lost for opening a line, once
  */
-public record Prices(double lateness, double crossing, double newLine) {
+public record CostModel(double lateness, double crossing, double newLine) {
   /**
    * @throws IllegalArgumentException if a price is below 0, lateness is 0 or one is no number
    */
-  public Prices {
+  public CostModel {
     if (!(lateness > 0)
         || !(crossing >= 0)
         || !(newLine >= 0)
--- a/src/main/java/stonespring/solver/Plan.java
+++ b/src/main/java/stonespring/solver/Plan.java
@@ -1,8 +1,8 @@
 package stonespring.solver;
 
 import java.util.List;
+import stonespring.model.EndpointId;
 import stonespring.model.ProxyId;
-import stonespring.model.TaskId;
 
 /**
  * Weights that the fleet should have, and why.
@@ -37,7 +37,7 @@
   }
 
   /** One line: the share of the proxy's ops, and by op type the share of that type's. */
-  public record Line(TaskId task, double weight, double[] byOpType) {}
+  public record Line(EndpointId task, double weight, double[] byOpType) {}
 
   public record Table(ProxyId proxy, List<Line> lines) {
     /** The lines as a proxy holds them that follows the plan. */
@@ -55,7 +55,7 @@
    * @param unmet plans in a row in which lines were missing
    */
   public record Share(
-      TaskId task,
+      EndpointId task,
       double capacity,
       double load,
       double target,
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import stonespring.model.EndpointId;
 import stonespring.model.ProxyId;
-import stonespring.model.TaskId;
 import stonespring.model.ZoneId;
 
 /**
@@ -26,14 +26,14 @@
    * @param unfit by op type, the share of tries there that end badly
    */
   public record Task(
-      TaskId id, ZoneId zone, double capacity, double most, double namedMost, double[] unfit) {
+      EndpointId id, ZoneId zone, double capacity, double most, double namedMost, double[] unfit) {
     public boolean warm() {
       return most == Double.POSITIVE_INFINITY;
     }
   }
 
   /** A line that a proxy holds; its connection is open. */
-  public record Line(TaskId task, double weight) {}
+  public record Line(EndpointId task, double weight) {}
 
   /** A proxy: what comes in there, ops a second by op type, and the lines that it holds. */
   public record Proxy(ProxyId id, ZoneId zone, double[] ops, List<Line> standing) {
@@ -49,10 +49,10 @@
   final int zones;
   final int opTypes;
   final int lineLimit;
-  final Prices prices;
+  final CostModel prices;
   final Task[] task;
   final Proxy[] proxy;
-  final Map<TaskId, Integer> taskIndex = new HashMap<>();
+  final Map<EndpointId, Integer> taskIndex = new HashMap<>();
 
   /**
    * @param lineLimit lines that a table may have; large proxies get more where so few tasks can't
@@ -61,7 +61,12 @@
    *     figure is none
    */
   public Problem(
-      int zones, int opTypes, int lineLimit, Prices prices, List<Task> tasks, List<Proxy> proxies) {
+      int zones,
+      int opTypes,
+      int lineLimit,
+      CostModel prices,
+      List<Task> tasks,
+      List<Proxy> proxies) {
     if (zones < 1 || opTypes < 1 || lineLimit < 1) {
       throw new IllegalArgumentException("problem: zones, op types and lines must be at least 1");
     }
--- a/src/main/java/stonespring/solver/Trust.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
-import stonespring.model.TaskId;
-import stonespring.model.Tenths;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
 
 /**
  * Judges what is said of capacity before it counts. A claim loses force with age and when its
@@ -15,7 +15,7 @@
  * at most {@code STEP} - 1 of its capacity too much, for about twice the time that sums take to
  * tell of trouble, and nothing once the claim is {@code AGE_MOST} old.
  */
-public final class Trust {
+public final class ReportCredibility {
   /** Who says what a task can do. */
   public enum Source {
     TASK,
@@ -52,7 +52,7 @@
    * @param claimed the highest claim that counts at all; NaN if none
    * @param why which of the judgements set the figure
    */
-  public record Judgement(TaskId task, double capacity, double claimed, Why why) {}
+  public record Judgement(EndpointId task, double capacity, double claimed, Why why) {}
 
   /** What set a figure. */
   public enum Why {
@@ -65,7 +65,7 @@
 
   private final TreeMap<String, Integer> index = new TreeMap<>();
   private final ArrayDeque<Integer> free = new ArrayDeque<>();
-  private TaskId[] task = new TaskId[0];
+  private EndpointId[] task = new EndpointId[0];
   private double[] listed = new double[0];
   private double[] proven = new double[0];
   private double[] ceiling = new double[0];
@@ -79,14 +79,14 @@
   /**
    * @throws IllegalArgumentException if the weight is not above 0
    */
-  public void listed(TaskId id, double weight) {
+  public void listed(EndpointId id, double weight) {
     require(weight > 0 && weight < 1e12, id, "weight " + weight);
     int i = of(id); // before the array is read, as it may grow
     listed[i] = weight;
   }
 
   /** A task that starts anew has proven nothing, and nobody has lied about it. */
-  public void startedAnew(TaskId id) {
+  public void startedAnew(EndpointId id) {
     Integer i = index.get(id.name());
     if (i != null) {
       forget(i);
@@ -94,7 +94,7 @@
   }
 
   /** A task left for good: its place is for another. */
-  public void gone(TaskId id) {
+  public void gone(EndpointId id) {
     Integer i = index.remove(id.name());
     if (i != null) {
       free.push(i); // whoever takes the place is forgotten first
@@ -112,7 +112,7 @@
     }
   }
 
-  private int of(TaskId id) {
+  private int of(EndpointId id) {
     Integer known = index.get(id.name());
     if (known != null) {
       return known;
@@ -138,7 +138,7 @@
     return i;
   }
 
-  private static void require(boolean holds, TaskId id, String what) {
+  private static void require(boolean holds, EndpointId id, String what) {
     if (!holds) {
       throw new IllegalArgumentException("task " + id.name() + ": " + what);
     }
@@ -150,7 +150,7 @@
    *
    * @throws IllegalArgumentException if the capacity is not above 0
    */
-  public void claimed(TaskId id, Source source, double capacity, long made) {
+  public void claimed(EndpointId id, Source source, double capacity, long made) {
     require(capacity > 0 && capacity < 1e12, id, "capacity " + capacity + " by " + source);
     int i = of(id);
     int s = source.ordinal();
@@ -174,17 +174,17 @@
    *
    * @param others ops a second that reach it besides, from proxies of other instances
    */
-  public void met(TaskId id, long tries, double inVain, long span, double others, long now) {
+  public void met(EndpointId id, long tries, double inVain, long span, double others, long now) {
     int i = of(id);
     double trouble = inVain / (tries + DOUBT);
-    double came = tries * (double) Tenths.SECOND / Math.max(1, span) + others;
+    double came = tries * (double) DeciMillis.SECOND / Math.max(1, span) + others;
     double went = came * (1 - Math.min(1, inVain / Math.max(1, tries)));
     double past = Math.max(0, now - metAt[i]);
     proven[i] *= Math.pow(0.5, past / PROVEN_HALF);
     metAt[i] = now;
     if (trouble < CALM) {
       proven[i] = Math.max(proven[i], went);
-      ceiling[i] *= Math.pow(1 + CEILING_RISE, past / Tenths.SECOND);
+      ceiling[i] *= Math.pow(1 + CEILING_RISE, past / DeciMillis.SECOND);
     } else if (1 - (1 - trouble) / fleetGood > TROUBLE) {
       // In a jam acks in time say too little: what came is cut by a part, again and again until it
       // goes well.
--- a/src/main/java/stonespring/solver/Solver.java
+++ b/src/main/java/stonespring/solver/Solver.java
@@ -11,7 +11,7 @@
   /** The plan for a moment; the same moments in the same order give the same plans. */
   public Plan solve(Problem problem) {
     flow = new Flow(problem, flow);
-    plan = Subsets.plan(problem, flow, plan);
+    plan = SubsetSelector.plan(problem, flow, plan);
     return plan;
   }
 }
--- a/src/main/java/stonespring/solver/Subsets.java
+++ b/src/main/java/stonespring/solver/SubsetSelector.java
@@ -14,7 +14,7 @@
  * the same lines the one nearest to those that stand); only where that can't reach a task's target,
  * and the gain pays for a connection, a line comes in.
  */
-final class Subsets {
+final class SubsetSelector {
   private static final int FITTINGS = 24; // rounds of scaling; the rest is for new lines
   private static final double EXACT = 1e-9; // share of a proxy's ops; sums differ by rounding
   private static final double FITTED =
@@ -57,7 +57,7 @@
   private double meanCapacity;
   private boolean anyWarm;
 
-  private Subsets(Problem problem, Flow flow, Plan before) {
+  private SubsetSelector(Problem problem, Flow flow, Plan before) {
     this.problem = problem;
     this.flow = flow;
     int proxies = problem.proxy.length;
@@ -82,7 +82,7 @@
   }
 
   static Plan plan(Problem problem, Flow flow, Plan before) {
-    Subsets s = new Subsets(problem, flow, before);
+    SubsetSelector s = new SubsetSelector(problem, flow, before);
     if (problem.task.length > 0) {
       s.stand();
       s.draw();
--- a/src/main/java/stonespring/solver/Advisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
-import stonespring.model.Order;
 import stonespring.model.ProxyId;
 import stonespring.model.Settings;
-import stonespring.model.TaskId;
-import stonespring.model.Tenths;
 import stonespring.model.ZoneId;
 
 /**
@@ -21,7 +21,7 @@
  * orders anything itself: a proposal is an event of the module's interface, and one that never
  * comes leaves the module as it is.
  */
-public final class Advisor {
+public final class WeightAdvisor {
   private static final double BUSY_LEAST = 0.1; // share; costs read from less are mostly noise
   private static final double SMOOTH_HALF = 20_000; // 0.1 ms; as steady as it is quick
   private static final double CLAIM_HALF =
@@ -67,120 +67,125 @@
 
   private final Settings settings;
   private final long target;
-  private final Trust trust = new Trust();
+  private final ReportCredibility trust = new ReportCredibility();
   private final Solver solver = new Solver();
   private final TreeMap<String, Known> tasks = new TreeMap<>();
   private final TreeMap<Integer, Joined> proxies = new TreeMap<>();
   private Plan plan;
   private int rounds;
 
-  public Advisor(Settings settings) {
+  public WeightAdvisor(Settings settings) {
     this.settings = settings;
     this.target =
-        settings.opTypes().stream()
-            .mapToLong(type -> type.targetLatency())
+        settings.requestClasses().stream()
+            .mapToLong(type -> type.latencyObjective())
             .min()
-            .orElse(Tenths.SECOND);
+            .orElse(DeciMillis.SECOND);
   }
 
   /** What the module is told. */
   public void take(long now, Event event) {
-    if (event instanceof Event.ListTold e) {
+    if (event instanceof Event.EndpointListUpdate e) {
       list(e);
-    } else if (event instanceof Event.TaskSums e) {
+    } else if (event instanceof Event.EndpointOutcomes e) {
       sums(e);
-    } else if (event instanceof Event.ProxyJoined e) {
-      Joined p = new Joined(settings.opTypes().size());
+    } else if (event instanceof Event.ProxyConnected e) {
+      Joined p = new Joined(settings.requestClasses().size());
       p.zone = e.zone();
-      Arrays.fill(p.ops, e.opsPerSecond() / p.ops.length);
+      Arrays.fill(p.ops, e.requestsPerSecond() / p.ops.length);
       proxies.put(e.proxy().number(), p);
-    } else if (event instanceof Event.ProxyLeft e) {
+    } else if (event instanceof Event.ProxyDisconnected e) {
       proxies.remove(e.proxy().number());
-    } else if (event instanceof Event.ProxyOps e && proxies.containsKey(e.proxy().number())) {
+    } else if (event instanceof Event.ProxyRequestRate e
+        && proxies.containsKey(e.proxy().number())) {
       double[] ops = proxies.get(e.proxy().number()).ops;
-      double keep = Math.pow(0.5, e.span() / SMOOTH_HALF);
-      double seen = e.ops() * (double) Tenths.SECOND / Math.max(1, e.span());
-      ops[e.opType().index()] = keep * ops[e.opType().index()] + (1 - keep) * seen;
+      double keep = Math.pow(0.5, e.interval() / SMOOTH_HALF);
+      double seen = e.requests() * (double) DeciMillis.SECOND / Math.max(1, e.interval());
+      ops[e.requestClass().index()] = keep * ops[e.requestClass().index()] + (1 - keep) * seen;
     }
   }
 
-  private void list(Event.ListTold e) {
-    if (e.kind() == Event.ListKind.FAILED) {
+  private void list(Event.EndpointListUpdate e) {
+    if (e.kind() == Event.ListUpdateKind.FETCH_FAILED) {
       return;
     }
-    if (e.kind() == Event.ListKind.WHOLE && !settings.droppedStayOpen()) {
+    if (e.kind() == Event.ListUpdateKind.SNAPSHOT
+        && !settings.endpointList().removedEndpointsKeepServing()) {
       Set<String> listed =
-          e.entries().stream().map(l -> l.task().name()).collect(Collectors.toSet());
+          e.endpoints().stream().map(l -> l.endpoint().name()).collect(Collectors.toSet());
       tasks.keySet().stream()
           .filter(name -> !listed.contains(name))
-          .map(TaskId::new)
+          .map(EndpointId::new)
           .forEach(trust::gone);
       tasks.keySet().retainAll(listed);
     }
-    for (Listing l : e.entries()) {
-      if (l.state() == Listing.State.GONE) {
-        if (!settings.droppedStayOpen()) {
+    for (EndpointRecord l : e.endpoints()) {
+      if (l.state() == EndpointRecord.State.REMOVED) {
+        if (!settings.endpointList().removedEndpointsKeepServing()) {
           tasks.remove(
-              l.task().name()); // names come and go with each deploy: nothing is kept of the gone
-          trust.gone(l.task());
+              l.endpoint()
+                  .name()); // names come and go with each deploy: nothing is kept of the gone
+          trust.gone(l.endpoint());
         }
         continue; // where lists call running tasks gone: if it doesn't run on, its tries fail and
         // its price tells
       }
-      Known t = tasks.computeIfAbsent(l.task().name(), name -> new Known());
+      Known t = tasks.computeIfAbsent(l.endpoint().name(), name -> new Known());
       t.zone = l.zone();
-      t.ready = l.state() == Listing.State.READY;
+      t.ready = l.state() == EndpointRecord.State.READY;
       if (l.startedAt() > t.started) {
-        trust.startedAnew(l.task());
+        trust.startedAnew(l.endpoint());
         t.tries = t.bad = 0;
         t.able = Double.NaN;
         t.started = l.startedAt();
       }
-      trust.listed(l.task(), l.weight() > 0 ? l.weight() : 1);
+      trust.listed(l.endpoint(), l.weight() > 0 ? l.weight() : 1);
     }
   }
 
-  private void sums(Event.TaskSums e) {
-    Known t = tasks.get(e.task().name());
+  private void sums(Event.EndpointOutcomes e) {
+    Known t = tasks.get(e.endpoint().name());
     if (t == null) {
       return;
     }
-    double keep = Math.pow(0.5, e.span() / SMOOTH_HALF);
-    t.tries = t.tries * keep + e.tries();
-    t.bad = t.bad * keep + e.bad();
+    double keep = Math.pow(0.5, e.interval() / SMOOTH_HALF);
+    t.tries = t.tries * keep + e.attempts();
+    t.bad = t.bad * keep + e.failures();
     // Each zone tells its own part of a turn: only all of them together are what a task got.
-    t.turnTries += e.tries();
-    t.turnVain += e.goodLatency() > LATE_MOST * target ? e.tries() : e.bad();
-    t.turnSpan = Math.max(t.turnSpan, e.span());
-    t.busy = e.report().busyShare();
-    t.told = e.report().opsPerSecond();
+    t.turnTries += e.attempts();
+    t.turnVain += e.successLatency() > LATE_MOST * target ? e.attempts() : e.failures();
+    t.turnSpan = Math.max(t.turnSpan, e.interval());
+    t.busy = e.report().utilization();
+    t.told = e.report().requestsPerSecond();
   }
 
-  private void settle(TaskId id, Known t, long now) {
+  private void settle(EndpointId id, Known t, long now) {
     if (t.turnSpan <= 0) {
       return;
     }
-    double ours = t.turnTries * (double) Tenths.SECOND / t.turnSpan;
+    double ours = t.turnTries * (double) DeciMillis.SECOND / t.turnSpan;
     double all = Double.isNaN(t.told) ? ours / part() : Math.max(t.told, ours);
     trust.met(id, t.turnTries, t.turnVain, t.turnSpan, all - ours, now);
     // What a cold task seems to do says little of the warm one: its own claim waits until it is.
-    if (t.busy > BUSY_LEAST && all > 0 && settings.warmth(t.started, now) >= 1) {
+    if (t.busy > BUSY_LEAST
+        && all > 0
+        && settings.slowStart().warmUpFraction(t.started, now) >= 1) {
       // One report's noise moved weights by a tenth each round: a claim is the mean of some.
       double keep = Double.isNaN(t.able) ? 0 : Math.pow(0.5, t.turnSpan / CLAIM_HALF);
       t.able = keep == 0 ? all / t.busy : keep * t.able + (1 - keep) * all / t.busy;
-      trust.claimed(id, Trust.Source.TASK, t.able, now);
+      trust.claimed(id, ReportCredibility.Source.TASK, t.able, now);
     }
     t.turnTries = t.turnVain = t.turnSpan = 0;
   }
 
   /** What the module orders: the lines that proxies hold. */
-  public void ordered(Order order) {
-    if (order instanceof Order.SetLine o && proxies.containsKey(o.table().number())) {
+  public void ordered(Command order) {
+    if (order instanceof Command.SetRoute o && proxies.containsKey(o.table().number())) {
       Map<String, Double> lines = proxies.get(o.table().number()).lines;
       if (o.weight() > 0) {
-        lines.put(o.task().name(), o.weight());
+        lines.put(o.endpoint().name(), o.weight());
       } else {
-        lines.remove(o.task().name());
+        lines.remove(o.endpoint().name());
       }
     }
   }
@@ -189,31 +194,32 @@
    * Our part of the fleet's proxies: each has one instance, so the parts never sum to more than 1.
    */
   private double part() {
-    return settings.assigners() == 1
+    return settings.fleet().instances() == 1
         ? 1
         : Math.max(
-            PART_LEAST, Math.min(1, (double) proxies.size() / Math.max(1, settings.proxies())));
+            PART_LEAST,
+            Math.min(1, (double) proxies.size() / Math.max(1, settings.fleet().proxies())));
   }
 
   /**
    * Called once a round of sums: proposals for all joined proxies; none in the first rounds, or
    * while no task is ready.
    */
-  public List<Event.Proposed> propose(long now) {
+  public List<Event.WeightsProposed> propose(long now) {
     double tries = tasks.values().stream().mapToDouble(t -> t.turnTries).sum();
     trust.fleetMet(
         tasks.values().stream().mapToDouble(t -> t.turnVain).sum() / Math.max(DOUBT, tries));
-    tasks.forEach((name, t) -> settle(new TaskId(name), t, now));
+    tasks.forEach((name, t) -> settle(new EndpointId(name), t, now));
     List<Problem.Task> ready = new ArrayList<>();
     double part = part();
-    for (Trust.Judgement j : trust.judge(now)) {
+    for (ReportCredibility.Judgement j : trust.judge(now)) {
       Known t = tasks.get(j.task().name());
       if (t == null || !t.ready || !(j.capacity() > 0)) {
         continue;
       }
-      double warmth = settings.warmth(t.started, now);
+      double warmth = settings.slowStart().warmUpFraction(t.started, now);
       double able = j.capacity() * warmth * part;
-      double[] unfit = new double[settings.opTypes().size()];
+      double[] unfit = new double[settings.requestClasses().size()];
       Arrays.fill(unfit, Math.min(1, t.bad / (t.tries + DOUBT)));
       boolean cold = warmth < 1;
       ready.add(
@@ -222,10 +228,15 @@
               t.zone,
               able,
               cold ? able : Double.POSITIVE_INFINITY,
-              cold ? NAMED_MOST * settings.fallMultiple() * able : Double.POSITIVE_INFINITY,
+              cold
+                  ? NAMED_MOST * settings.slowStart().overloadMultiple() * able
+                  : Double.POSITIVE_INFINITY,
               unfit));
     }
-    if (rounds++ < ROUNDS_FIRST || ready.isEmpty() || proxies.isEmpty() || settings.slices()) {
+    if (rounds++ < ROUNDS_FIRST
+        || ready.isEmpty()
+        || proxies.isEmpty()
+        || settings.fleet().sharded()) {
       plan = null;
       return List.of();
     }
@@ -238,22 +249,24 @@
                     p.zone,
                     p.ops.clone(),
                     p.lines.entrySet().stream()
-                        .map(l -> new Problem.Line(new TaskId(l.getKey()), l.getValue()))
+                        .map(l -> new Problem.Line(new EndpointId(l.getKey()), l.getValue()))
                         .toList())));
     plan =
         solver.solve(
             new Problem(
-                settings.zones(),
-                settings.opTypes().size(),
-                Math.max(1, settings.standingLines()),
-                new Prices(LATENESS, settings.crossZonePrice(), NEW_LINE),
+                settings.fleet().zones(),
+                settings.requestClasses().size(),
+                Math.max(1, settings.routing().bootstrapRouteCount()),
+                new CostModel(LATENESS, settings.routing().crossZonePenalty(), NEW_LINE),
                 ready,
                 joined));
-    List<Event.Proposed> all = new ArrayList<>();
+    List<Event.WeightsProposed> all = new ArrayList<>();
     for (Plan.Table table : plan.tables()) {
-      List<Event.Proposed.Share> lines =
-          table.lines().stream().map(l -> new Event.Proposed.Share(l.task(), l.weight())).toList();
-      all.add(new Event.Proposed(table.proxy(), lines));
+      List<Event.WeightsProposed.Share> lines =
+          table.lines().stream()
+              .map(l -> new Event.WeightsProposed.Share(l.task(), l.weight()))
+              .toList();
+      all.add(new Event.WeightsProposed(table.proxy(), lines));
     }
     return all;
   }
--- a/src/main/java/stonespring/state/KeyTree.java
+++ b/src/main/java/stonespring/state/KeyStore.java
@@ -10,7 +10,7 @@
  * The published keys with their sequences: what a snapshot shows and updates change. Sequences rise
  * strictly. Not safe for several threads.
  */
-public final class KeyTree {
+public final class KeyStore {
   private record Held(byte[] value, long sequence) {}
 
   private static final byte[] NONE = new byte[0];
@@ -23,13 +23,13 @@
    * @param sequence the highest that an earlier run may have given out; @param keysMost the bound
    *     on keys
    */
-  public KeyTree(long sequence, int keysMost) {
+  public KeyStore(long sequence, int keysMost) {
     this.sequence = sequence;
     this.keysMost = keysMost;
   }
 
   /** Sets a key; null where there is no room for one key more: then nothing changes. */
-  public Update put(String key, byte[] value) {
+  public KeyUpdate put(String key, byte[] value) {
     if (value.length == 0) {
       return delete(key);
     }
@@ -37,13 +37,13 @@
       return null;
     }
     keys.put(key, new Held(value, ++sequence));
-    return new Update(key, sequence, value);
+    return new KeyUpdate(key, sequence, value);
   }
 
   /** Deletes a key; the update tells so also where the key did not stand. */
-  public Update delete(String key) {
+  public KeyUpdate delete(String key) {
     keys.remove(key);
-    return new Update(key, ++sequence, NONE);
+    return new KeyUpdate(key, ++sequence, NONE);
   }
 
   /** Drops a subtree without a word: for keys that nobody follows any more. */
@@ -52,10 +52,10 @@
   }
 
   /** The keys of a subtree as they stand, by name. */
-  public List<Update> snapshot(String subtree) {
-    List<Update> all = new ArrayList<>();
+  public List<KeyUpdate> snapshot(String subtree) {
+    List<KeyUpdate> all = new ArrayList<>();
     for (Map.Entry<String, Held> entry : under(subtree).entrySet()) {
-      all.add(new Update(entry.getKey(), entry.getValue().sequence, entry.getValue().value));
+      all.add(new KeyUpdate(entry.getKey(), entry.getValue().sequence, entry.getValue().value));
     }
     return all;
   }
--- a/src/main/java/stonespring/state/Update.java
+++ b/src/main/java/stonespring/state/KeyUpdate.java
@@ -1,4 +1,4 @@
 package stonespring.state;
 
 /** One change of the published state, as any front may tell it; an empty value deletes the key. */
-public record Update(String key, long sequence, byte[] value) {}
+public record KeyUpdate(String key, long sequence, byte[] value) {}
--- a/src/main/java/stonespring/state/Hello.java
+++ b/src/main/java/stonespring/state/ProxyHello.java
@@ -1,7 +1,7 @@
 package stonespring.state;
 
 import java.util.List;
-import stonespring.model.TaskId;
+import stonespring.model.EndpointId;
 import stonespring.model.ZoneId;
 
 /**
@@ -13,10 +13,10 @@
  * @param fresh it holds only the table that it started with
  * @param holds the tasks that its tables name; null where it does not say
  */
-public record Hello(
+public record ProxyHello(
     String life,
     long stream,
     ZoneId zone,
     double opsPerSecond,
     boolean fresh,
-    List<TaskId> holds) {}
+    List<EndpointId> holds) {}
--- a/src/main/java/stonespring/state/Presence.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -17,7 +17,7 @@
  * the newcomer is refused. Time is passed in, tenths of a millisecond. Connections are told apart
  * by identity alone. Not safe for several threads.
  */
-public final class Presence {
+public final class ProxySessions {
   /** What a word of presence led to. */
   public sealed interface Verdict {
     /** {@code before} is set where an earlier stream of the same proxy ended by this. */
@@ -31,7 +31,7 @@
   private static final class Claim {
     private final String name;
     private final ProxyId id;
-    private Hello hello;
+    private ProxyHello hello;
     private Object connection;
     private long until;
     private long stream;
@@ -55,15 +55,15 @@
   private int here;
   private long streams;
 
-  public Presence(int most) {
+  public ProxySessions(int most) {
     this.most = most;
   }
 
   /** Takes a word of presence that holds until {@code until}. */
-  public Verdict hello(String name, Hello hello, Object connection, long now, long until) {
+  public Verdict hello(String name, ProxyHello hello, Object connection, long now, long until) {
     Claim claim = byName.get(name);
     if (claim != null && claim.here()) {
-      Hello held = claim.hello;
+      ProxyHello held = claim.hello;
       if (claim.connection == connection
           && held.life().equals(hello.life())
           && held.stream() == hello.stream()) {
@@ -110,7 +110,7 @@
     return oldest.id;
   }
 
-  private void join(Claim claim, Hello hello, Object connection, long until) {
+  private void join(Claim claim, ProxyHello hello, Object connection, long until) {
     gone.remove(claim);
     claim.hello = hello;
     claim.connection = connection;
@@ -170,7 +170,7 @@
     return byNumber.get(proxy.number()).name;
   }
 
-  public Hello hello(ProxyId proxy) {
+  public ProxyHello hello(ProxyId proxy) {
     return byNumber.get(proxy.number()).hello;
   }
 
--- a/src/main/java/stonespring/state/ProxyMessage.java
+++ b/src/main/java/stonespring/state/ProxyUpdate.java
@@ -1,7 +1,7 @@
 package stonespring.state;
 
 import java.util.Map;
-import stonespring.model.MarkId;
+import stonespring.model.AckId;
 import stonespring.model.ProxyId;
 
 /**
@@ -12,5 +12,5 @@
  * @param mark the number to answer, or null
  * @param orderedAt when it was ordered, tenths of a millisecond
  */
-public record ProxyMessage(
-    ProxyId proxy, Map<String, String> changes, int lines, MarkId mark, long orderedAt) {}
+public record ProxyUpdate(
+    ProxyId proxy, Map<String, String> changes, int lines, AckId mark, long orderedAt) {}
--- a/src/main/java/stonespring/state/Published.java
+++ b/src/main/java/stonespring/state/PublishedState.java
@@ -17,15 +17,15 @@
  * at} counts its messages from 1, {@code keys} is how many keys this message changed, {@code mark},
  * where present, is to be answered.
  */
-public final class Published {
+public final class PublishedState {
   public static final String PROXIES = "/proxy/";
   public static final String PRESENCE = "/presence/";
   public static final String STATUS = "/assigner/status";
   private static final String COMMIT = "commit";
 
-  private final KeyTree keys;
+  private final KeyStore keys;
   private final String epoch;
-  private final Presence presence;
+  private final ProxySessions presence;
   private static final int MARKS_MOST =
       4096; // marks that one proxy may still answer; more means it never does
 
@@ -36,7 +36,7 @@
 
   private final Map<Integer, Stream> streams = new HashMap<>();
 
-  public Published(KeyTree keys, String epoch, Presence presence) {
+  public PublishedState(KeyStore keys, String epoch, ProxySessions presence) {
     this.keys = keys;
     this.epoch = epoch;
     this.presence = presence;
@@ -55,11 +55,11 @@
    * A message left the channel: its keys and then the commit. Empty where there is no room for the
    * keys.
    */
-  public List<Update> publish(ProxyMessage message) {
+  public List<KeyUpdate> publish(ProxyUpdate message) {
     String subtree = subtree(message.proxy());
-    List<Update> updates = new ArrayList<>();
+    List<KeyUpdate> updates = new ArrayList<>();
     for (Map.Entry<String, String> change : message.changes().entrySet()) {
-      Update update =
+      KeyUpdate update =
           change.getValue() == null
               ? keys.delete(subtree + change.getKey())
               : keys.put(subtree + change.getKey(), bytes(change.getValue()));
@@ -86,7 +86,7 @@
             + updates.size()
             + (message.mark() == null ? "" : ",\"mark\":" + message.mark().number())
             + "}";
-    Update last = keys.put(subtree + COMMIT, bytes(commit));
+    KeyUpdate last = keys.put(subtree + COMMIT, bytes(commit));
     if (last == null) {
       return List.of();
     }
@@ -95,8 +95,8 @@
   }
 
   /** A proxy's stream began. */
-  public List<Update> here(ProxyId proxy) {
-    Update update =
+  public List<KeyUpdate> here(ProxyId proxy) {
+    KeyUpdate update =
         keys.put(PRESENCE + presence.name(proxy), bytes("{\"origin\":\"" + origin(proxy) + "\"}"));
     return update == null ? List.of() : List.of(update);
   }
@@ -105,12 +105,12 @@
    * A proxy's stream ended: its keys mean nothing any more. The deleted commit tells whoever
    * follows them.
    */
-  public List<Update> ended(ProxyId proxy) {
+  public List<KeyUpdate> ended(ProxyId proxy) {
     String subtree = subtree(proxy);
     boolean any = keys.has(subtree + COMMIT);
     streams.remove(proxy.number());
     keys.forget(subtree);
-    List<Update> updates = new ArrayList<>();
+    List<KeyUpdate> updates = new ArrayList<>();
     if (any) {
       updates.add(keys.delete(subtree + COMMIT));
     }
@@ -128,8 +128,8 @@
     return orderedAt == null ? -1 : orderedAt;
   }
 
-  public List<Update> status(String json) {
-    Update update = keys.put(STATUS, bytes(json));
+  public List<KeyUpdate> status(String json) {
+    KeyUpdate update = keys.put(STATUS, bytes(json));
     return update == null ? List.of() : List.of(update);
   }
 
--- a/src/main/java/stonespring/state/PacedChannel.java
+++ b/src/main/java/stonespring/state/RateLimitedChannel.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import stonespring.model.DeciMillis;
 import stonespring.model.ProxyId;
-import stonespring.model.Tenths;
 
 /**
  * The channel: messages leave one by one at a steady pace of lines, each with a head's price. It
@@ -18,9 +18,9 @@
  * proxy that has one waiting is merged into it from there on (the later value of a key stands), so
  * that no more can wait than one whole table for each proxy. Time is passed in.
  */
-public final class PacedChannel {
+public final class RateLimitedChannel {
   private static final class Waiting {
-    private ProxyMessage message;
+    private ProxyUpdate message;
     private int price;
   }
 
@@ -36,7 +36,7 @@
   private long merged;
   private double freeAt;
 
-  public PacedChannel(double linesPerSecond, int head, int backlogMost, long messagesOver) {
+  public RateLimitedChannel(double linesPerSecond, int head, int backlogMost, long messagesOver) {
     this.linesPerSecond = linesPerSecond;
     this.head = head;
     this.backlogMost = backlogMost;
@@ -44,8 +44,8 @@
   }
 
   /** Messages of one reply, in order. */
-  public void offer(List<ProxyMessage> messages, long now) {
-    for (ProxyMessage message : messages) {
+  public void offer(List<ProxyUpdate> messages, long now) {
+    for (ProxyUpdate message : messages) {
       int price = message.lines() + head;
       Waiting before = backlog + price > backlogMost ? last(message.proxy()) : null;
       if (before != null) {
@@ -74,7 +74,7 @@
     return null;
   }
 
-  private void merge(Waiting before, ProxyMessage later) {
+  private void merge(Waiting before, ProxyUpdate later) {
     Map<String, String> changes = new LinkedHashMap<>(before.message.changes());
     later
         .changes()
@@ -89,7 +89,7 @@
     // An earlier mark stays unanswered then: the decisions count its room as free after their own
     // wait.
     before.message =
-        new ProxyMessage(
+        new ProxyUpdate(
             later.proxy(),
             changes,
             lines,
@@ -99,11 +99,11 @@
   }
 
   /** Takes out what has left the channel by now, in order. */
-  public List<ProxyMessage> due(long now) {
-    List<ProxyMessage> out = new ArrayList<>();
+  public List<ProxyUpdate> due(long now) {
+    List<ProxyUpdate> out = new ArrayList<>();
     while (!queue.isEmpty() && leavesAt() <= now) {
       Waiting next = queue.removeFirst();
-      freeAt = freeAt + next.price * Tenths.SECOND / linesPerSecond;
+      freeAt = freeAt + next.price * DeciMillis.SECOND / linesPerSecond;
       backlog -= next.price;
       ArrayDeque<Long> times =
           sent.computeIfAbsent(next.message.proxy().number(), n -> new ArrayDeque<>());
@@ -116,7 +116,7 @@
   }
 
   private long leavesAt() {
-    return (long) Math.ceil(freeAt + queue.getFirst().price * Tenths.SECOND / linesPerSecond);
+    return (long) Math.ceil(freeAt + queue.getFirst().price * DeciMillis.SECOND / linesPerSecond);
   }
 
   /** When the next message leaves; {@code Long.MAX_VALUE} where none waits. */
--- a/src/main/java/stonespring/state/Reports.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import stonespring.model.EndpointId;
 import stonespring.model.Event;
 import stonespring.model.LoadReport;
-import stonespring.model.OpTypeId;
 import stonespring.model.ProxyId;
-import stonespring.model.TaskId;
+import stonespring.model.RequestClassId;
 import stonespring.model.ZoneId;
 
 /**
@@ -18,15 +18,15 @@
  * and at most {@code pairsMost} of them; beyond, a report's further pairs are left out and counted.
  * Not safe for several threads.
  */
-public final class Reports {
+public final class ReportAggregator {
   /**
    * What one proxy met at one task. Span and latency in tenths of a millisecond; latency is the
    * good ones' mean.
    */
-  public record Met(TaskId task, long tries, long bad, long goodLatency, LoadReport load) {}
+  public record Met(EndpointId task, long tries, long bad, long goodLatency, LoadReport load) {}
 
   /** What came to one proxy of one op type. */
-  public record Came(OpTypeId opType, long ops, long unanswered) {}
+  public record Came(RequestClassId opType, long ops, long unanswered) {}
 
   private static final class TaskCell {
     private long tries;
@@ -44,11 +44,11 @@
 
   private final int pairsMost;
   private final TreeMap<String, TaskCell> byTask = new TreeMap<>();
-  private final Map<String, TaskId> taskOf = new HashMap<>();
+  private final Map<String, EndpointId> taskOf = new HashMap<>();
   private final TreeMap<Long, ProxyCell> byProxy = new TreeMap<>();
   private long leftOut;
 
-  public Reports(int pairsMost) {
+  public ReportAggregator(int pairsMost) {
     this.pairsMost = pairsMost;
   }
 
@@ -100,7 +100,7 @@
           long span = cell.spans.values().stream().mapToLong(s -> s).max().orElse(1);
           if (cell.tries > 0) {
             events.add(
-                new Event.TaskSums(
+                new Event.EndpointOutcomes(
                     taskOf.get(key),
                     zone,
                     cell.tries,
@@ -113,9 +113,9 @@
     byProxy.forEach(
         (key, cell) ->
             events.add(
-                new Event.ProxyOps(
+                new Event.ProxyRequestRate(
                     new ProxyId((int) (key >> 16)),
-                    new OpTypeId((int) (key & 0xFFFF)),
+                    new RequestClassId((int) (key & 0xFFFF)),
                     cell.ops,
                     cell.unanswered,
                     cell.span)));
--- a/src/main/java/stonespring/state/Tables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import stonespring.model.MarkId;
-import stonespring.model.Order;
+import stonespring.model.AckId;
+import stonespring.model.Command;
+import stonespring.model.EndpointId;
 import stonespring.model.ProxyId;
-import stonespring.model.TableId;
-import stonespring.model.TaskId;
+import stonespring.model.RetryPolicy;
+import stonespring.model.RouteTableId;
 
 /**
  * Orders of the decisions as messages to proxies: what each table, level and withdrawal means for
@@ -21,23 +21,23 @@
  * {@code level/TABLE/TYPE} ({@code every} for all tables), {@code out/TASK}. A message's price
  * follows the rule that an order costs a line at each proxy that it concerns.
  */
-public final class Tables {
+public final class RouteTables {
   private static final class Level {
     private double share;
-    private Order.Retry retry;
+    private RetryPolicy retry;
   }
 
   private static final class Joined {
     private final ProxyId id;
-    private final TableId[] bound;
-    private final TreeSet<TaskId> holds =
-        new TreeSet<>(java.util.Comparator.comparing(TaskId::name));
+    private final RouteTableId[] bound;
+    private final TreeSet<EndpointId> holds =
+        new TreeSet<>(java.util.Comparator.comparing(EndpointId::name));
     private final boolean holdsUnknown;
     private final String[] everyTold;
 
-    Joined(ProxyId id, int opTypes, List<TaskId> holds) {
+    Joined(ProxyId id, int opTypes, List<EndpointId> holds) {
       this.id = id;
-      this.bound = new TableId[opTypes];
+      this.bound = new RouteTableId[opTypes];
       this.everyTold = new String[opTypes];
       this.holdsUnknown = holds == null;
       if (holds != null) {
@@ -45,7 +45,7 @@
       }
     }
 
-    boolean uses(TableId table) {
+    boolean uses(RouteTableId table) {
       return Arrays.asList(bound).contains(table);
     }
 
@@ -68,7 +68,7 @@
   private final TreeSet<String> withdrawn = new TreeSet<>();
   private final Level[] every;
 
-  public Tables(List<String> opTypes) {
+  public RouteTables(List<String> opTypes) {
     this.opTypes = List.copyOf(opTypes);
     this.every = new Level[opTypes.size()];
   }
@@ -77,7 +77,7 @@
    * A proxy's stream stands: it is bound to nothing; {@code holds} are the tasks of its tables,
    * null if unknown.
    */
-  public void joined(ProxyId proxy, List<TaskId> holds) {
+  public void joined(ProxyId proxy, List<EndpointId> holds) {
     left(proxy);
     proxies.put(proxy.number(), new Joined(proxy, opTypes.size(), holds));
   }
@@ -85,7 +85,7 @@
   public void left(ProxyId proxy) {
     Joined gone = proxies.remove(proxy.number());
     if (gone != null) {
-      for (TableId table : gone.bound) {
+      for (RouteTableId table : gone.bound) {
         if (table != null) {
           users.getOrDefault(table.number(), new TreeSet<>()).remove(proxy.number());
         }
@@ -97,36 +97,36 @@
    * The messages that a reply's orders make, one for each proxy concerned, by the order in which it
    * was reached.
    */
-  public List<ProxyMessage> messages(List<Order> orders, long now) {
+  public List<ProxyUpdate> messages(List<Command> orders, long now) {
     Map<Integer, Draft> drafts = new LinkedHashMap<>();
-    MarkId mark = null;
+    AckId mark = null;
     boolean markAll = false;
-    for (Order order : orders) {
-      if (order instanceof Order.SetLine o) {
+    for (Command order : orders) {
+      if (order instanceof Command.SetRoute o) {
         setLine(drafts, o);
-      } else if (order instanceof Order.ClearTable o) {
+      } else if (order instanceof Command.ClearRouteTable o) {
         clear(drafts, o.table());
-      } else if (order instanceof Order.Bind o) {
+      } else if (order instanceof Command.AssignRouteTable o) {
         bind(drafts, o);
-      } else if (order instanceof Order.Withdraw o) {
+      } else if (order instanceof Command.ExcludeEndpoint o) {
         withdraw(drafts, o);
-      } else if (order instanceof Order.Admit o) {
+      } else if (order instanceof Command.LimitAdmission o) {
         admit(drafts, o);
-      } else if (order instanceof Order.Mark o) {
-        mark = o.mark();
+      } else if (order instanceof Command.RequestAck o) {
+        mark = o.ack();
         markAll = o.everyProxy();
       }
     }
     if (markAll) {
       proxies.keySet().forEach(number -> drafts.computeIfAbsent(number, n -> new Draft()));
     }
-    List<ProxyMessage> messages = new ArrayList<>();
+    List<ProxyUpdate> messages = new ArrayList<>();
     for (Map.Entry<Integer, Draft> entry : drafts.entrySet()) {
       Draft draft = entry.getValue();
       Joined proxy = proxies.get(entry.getKey());
       everyLevels(proxy, draft);
       int price = draft.lines + (mark == null ? 0 : 1);
-      messages.add(new ProxyMessage(proxy.id, draft.changes, price, mark, now));
+      messages.add(new ProxyUpdate(proxy.id, draft.changes, price, mark, now));
     }
     return messages;
   }
@@ -138,7 +138,7 @@
     draft.lines++;
   }
 
-  private static String lineKey(TableId table, String task) {
+  private static String lineKey(RouteTableId table, String task) {
     return "line/" + table.number() + "/" + task;
   }
 
@@ -147,13 +147,13 @@
     return java.math.BigDecimal.valueOf(weight).stripTrailingZeros().toPlainString();
   }
 
-  private TreeSet<Integer> users(TableId table) {
+  private TreeSet<Integer> users(RouteTableId table) {
     return users.computeIfAbsent(table.number(), n -> new TreeSet<>());
   }
 
-  private void setLine(Map<Integer, Draft> drafts, Order.SetLine o) {
+  private void setLine(Map<Integer, Draft> drafts, Command.SetRoute o) {
     TreeMap<String, Double> table = lines.computeIfAbsent(o.table().number(), n -> new TreeMap<>());
-    String task = o.task().name();
+    String task = o.endpoint().name();
     if (o.weight() > 0) {
       table.put(task, o.weight());
     } else {
@@ -164,7 +164,7 @@
     }
   }
 
-  private void clear(Map<Integer, Draft> drafts, TableId id) {
+  private void clear(Map<Integer, Draft> drafts, RouteTableId id) {
     TreeMap<String, Double> table = lines.remove(id.number());
     Level[] own = levels.remove(id.number());
     for (int proxy : users(id)) {
@@ -183,17 +183,17 @@
     return bits == 0 || (bits >> opType & 1) == 1;
   }
 
-  private void bind(Map<Integer, Draft> drafts, Order.Bind o) {
+  private void bind(Map<Integer, Draft> drafts, Command.AssignRouteTable o) {
     Joined proxy = proxies.get(o.proxy().number());
     if (proxy == null) {
       return; // it left before the order
     }
     boolean newTable = !proxy.uses(o.table());
     for (int k = 0; k < proxy.bound.length; k++) {
-      if (!concerns(o.opTypeBits(), k)) {
+      if (!concerns(o.requestClassMask(), k)) {
         continue;
       }
-      TableId before = proxy.bound[k];
+      RouteTableId before = proxy.bound[k];
       proxy.bound[k] = o.table();
       if (before != null && !proxy.uses(before)) {
         dropTable(drafts, proxy, before);
@@ -225,7 +225,7 @@
     }
   }
 
-  private void dropTable(Map<Integer, Draft> drafts, Joined proxy, TableId table) {
+  private void dropTable(Map<Integer, Draft> drafts, Joined proxy, RouteTableId table) {
     users(table).remove(proxy.id.number());
     for (String task : lines.getOrDefault(table.number(), new TreeMap<>()).keySet()) {
       drafts
@@ -235,21 +235,21 @@
     }
   }
 
-  private void withdraw(Map<Integer, Draft> drafts, Order.Withdraw o) {
-    String task = o.task().name();
-    if (o.out()) {
+  private void withdraw(Map<Integer, Draft> drafts, Command.ExcludeEndpoint o) {
+    String task = o.endpoint().name();
+    if (o.excluded()) {
       withdrawn.add(task);
     } else {
       withdrawn.remove(task);
     }
     for (Joined proxy : proxies.values()) {
-      boolean holds = proxy.free() && (proxy.holdsUnknown || proxy.holds.contains(o.task()));
-      for (TableId table : proxy.bound) {
+      boolean holds = proxy.free() && (proxy.holdsUnknown || proxy.holds.contains(o.endpoint()));
+      for (RouteTableId table : proxy.bound) {
         holds |=
             table != null && lines.getOrDefault(table.number(), new TreeMap<>()).containsKey(task);
       }
       if (holds) {
-        change(drafts, proxy.id.number(), "out/" + task, o.out() ? "1" : null);
+        change(drafts, proxy.id.number(), "out/" + task, o.excluded() ? "1" : null);
       }
     }
   }
@@ -260,35 +260,35 @@
   }
 
   /** A task so long gone that no proxy holds it any more: its withdrawal ends with it. */
-  public void forget(TaskId task) {
+  public void forget(EndpointId task) {
     withdrawn.remove(task.name());
   }
 
-  private String levelKey(TableId table, int opType) {
-    String name = table.equals(Order.EVERY_TABLE) ? "every" : String.valueOf(table.number());
+  private String levelKey(RouteTableId table, int opType) {
+    String name = table.equals(Command.ALL_TABLES) ? "every" : String.valueOf(table.number());
     return "level/" + name + "/" + opTypes.get(opType);
   }
 
   private static String word(Level level) {
-    return weight(level.share) + " " + level.retry.name().toLowerCase(Locale.ROOT);
+    return weight(level.share) + " " + RetryPolicyNames.name(level.retry);
   }
 
-  private void admit(Map<Integer, Draft> drafts, Order.Admit o) {
-    boolean all = o.table().equals(Order.EVERY_TABLE);
+  private void admit(Map<Integer, Draft> drafts, Command.LimitAdmission o) {
+    boolean all = o.table().equals(Command.ALL_TABLES);
     Level[] of =
         all ? every : levels.computeIfAbsent(o.table().number(), n -> new Level[opTypes.size()]);
     for (int k = 0; k < of.length; k++) {
-      if (concerns(o.opTypeBits(), k)) {
+      if (concerns(o.requestClassMask(), k)) {
         of[k] = new Level();
-        of[k].share = o.level();
-        of[k].retry = o.retry();
+        of[k].share = o.limit();
+        of[k].retry = o.retryPolicy();
       }
     }
     for (int number : all ? proxies.keySet() : users(o.table())) {
       Draft draft = drafts.computeIfAbsent(number, n -> new Draft());
       draft.lines++;
       for (int k = 0; k < of.length && !all; k++) {
-        if (concerns(o.opTypeBits(), k)) {
+        if (concerns(o.requestClassMask(), k)) {
           draft.changes.put(levelKey(o.table(), k), word(of[k]));
         }
       }
@@ -300,7 +300,7 @@
     for (int k = 0; k < every.length; k++) {
       if (every[k] != null && !word(every[k]).equals(proxy.everyTold[k])) {
         proxy.everyTold[k] = word(every[k]);
-        draft.changes.put(levelKey(Order.EVERY_TABLE, k), proxy.everyTold[k]);
+        draft.changes.put(levelKey(Command.ALL_TABLES, k), proxy.everyTold[k]);
       }
     }
   }
--- a/src/main/java/stonespring/lab/AssignerProcess.java
+++ b/src/main/java/stonespring/testbed/AssignerProcess.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.io.BufferedReader;
 import java.io.File;
--- a/src/main/java/stonespring/lab/Evidence.java
+++ b/src/main/java/stonespring/testbed/Evidence.java
@@ -1,12 +1,12 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What was seen at the sockets and in the tasks' ledgers during a day; the {@link Observer} judges
- * by it alone. Times are milliseconds since the day's start. Safe for several threads. Bounded by
- * the day's length: a day has a stated end.
+ * What was seen at the sockets and in the tasks' ledgers during a day; the {@link InvariantChecker}
+ * judges by it alone. Times are milliseconds since the day's start. Safe for several threads.
+ * Bounded by the day's length: a day has a stated end.
  */
 public final class Evidence {
   /** An op as it reached a task. */
--- a/src/main/java/stonespring/lab/Link.java
+++ b/src/main/java/stonespring/testbed/FaultyLink.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -26,7 +26,7 @@
  * byte, not at all, or until a stated byte. What passes is shown to a tap. One event loop holds all
  * of its state; what waits in it is bounded by reading no more while over a megabyte does.
  */
-final class Link {
+final class FaultyLink {
   /**
    * Sees what was sent down and what passed up, and when a pair of connections opened and ended; on
    * the link's event loop.
@@ -58,7 +58,7 @@
   private int cutListener = -1;
   private long cutAfter;
 
-  Link(EventLoop loop, Tap tap) {
+  FaultyLink(EventLoop loop, Tap tap) {
     this.loop = loop;
     this.tap = tap;
   }
--- a/src/main/java/stonespring/lab/FreePorts.java
+++ b/src/main/java/stonespring/testbed/FreePorts.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/stonespring/lab/Observer.java
+++ b/src/main/java/stonespring/testbed/InvariantChecker.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,7 +14,7 @@
  * Judges a day by its evidence alone: the five rules, whether every once-only op was done once or
  * said not to be done, and service. It shares no code with what decides.
  */
-public final class Observer {
+public final class InvariantChecker {
   /** What the rules' limits are on a day; milliseconds. */
   public record Limits(
       double emptyMillis,
@@ -47,7 +47,7 @@
   private final Map<String, Integer> counts = new LinkedHashMap<>();
   private final Map<Integer, Integer> breaks = new HashMap<>();
 
-  public Observer(Limits limits, Map<String, Worth> worths, Evidence evidence) {
+  public InvariantChecker(Limits limits, Map<String, Worth> worths, Evidence evidence) {
     this.limits = limits;
     this.worths = worths;
     this.evidence = evidence;
--- a/src/main/java/stonespring/lab/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -31,12 +31,12 @@
 import stonespring.chp.ChpClient;
 import stonespring.chp.ChpMessage;
 import stonespring.chp.ChpServer;
-import stonespring.config.AssignerSettings;
+import stonespring.config.InstanceSettings;
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
+import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.Repeat;
 import stonespring.proxy.routing.RouterSettings;
-import stonespring.proxy.routing.TaskName;
 import stonespring.zmtp.Wire;
 import stonespring.zmtp.ZmtpLimits;
 import stonespring.zmtp.ZmtpPeer;
@@ -57,7 +57,7 @@
    */
   public static String fleet(Path script, int proxies, long spreadMillis, long seconds, Path folder)
       throws Exception {
-    AssignerSettings settings = AssignerSettings.read(script);
+    InstanceSettings settings = InstanceSettings.read(script);
     MultiThreadIoEventLoopGroup loops =
         new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
     Path log = folder.resolve("assigner.log");
@@ -121,7 +121,7 @@
     }
   }
 
-  private static ProxySettings settings(AssignerSettings of, int i, int port) {
+  private static ProxySettings settings(InstanceSettings of, int i, int port) {
     List<RouterSettings.Type> types =
         of.opTypeNames().stream()
             .map(n -> new RouterSettings.Type(n, Repeat.RETRYABLE, 0))
@@ -135,11 +135,11 @@
         i,
         router,
         StandIns.opTimeouts(of),
-        List.of(new TaskName("m1@127.0.0.1:9101")),
+        List.of(new EndpointName("m1@127.0.0.1:9101")),
         List.of(new ProxySettings.Ports("127.0.0.1", port, port + 1, port + 2)),
         2,
         0,
-        of.settings().sumsEvery() / 10,
+        of.settings().reportInterval() / 10,
         10_000,
         200,
         400,
--- a/src/main/java/stonespring/lab/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import stonespring.http.HttpMessage;
 import stonespring.http.HttpServer;
-import stonespring.model.Listing;
+import stonespring.model.EndpointRecord;
 
 /**
  * A registry in the published form of Consul's health endpoint, with blocking queries. What changes
@@ -90,19 +90,19 @@
   }
 
   /** Replaces all that is listed. */
-  void whole(List<Listing> list, List<String> zones) {
+  void whole(List<EndpointRecord> list, List<String> zones) {
     loop.execute(
         () -> {
           entries.clear();
-          for (Listing l : list) {
-            String id = l.task().name();
+          for (EndpointRecord l : list) {
+            String id = l.endpoint().name();
             entries.put(
                 id,
                 new Entry(
                     id.substring(0, id.lastIndexOf('@')),
                     Integer.parseInt(id.substring(id.lastIndexOf(':') + 1)),
                     zones.get(l.zone().index()),
-                    l.state() == Listing.State.DRAINING,
+                    l.state() == EndpointRecord.State.DRAINING,
                     l.startedAt() == 0 ? -1 : l.startedAt() / 10.0 - unixAtStart));
           }
           changed();
--- a/src/main/java/stonespring/lab/Day.java
+++ b/src/main/java/stonespring/testbed/Scenario.java
@@ -1,15 +1,15 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import stonespring.config.AssignerSettings;
-import stonespring.config.Fault;
+import stonespring.config.InstanceSettings;
 import stonespring.config.Script;
 import stonespring.config.ScriptException;
 import stonespring.config.Section;
+import stonespring.config.SettingsError;
 
 /**
  * A scripted day: the assigner's settings, what the stand-ins are made of, the ops, and the
@@ -18,8 +18,8 @@
  * @param workMillis an op's work, by op type
  * @param shares each op type's share of the ops
  */
-public record Day(
-    AssignerSettings assigner,
+public record Scenario(
+    InstanceSettings assigner,
     double seconds,
     double opsPerSecond,
     int tasksPerZone,
@@ -81,10 +81,10 @@
           "half_close",
           "lost_answers");
 
-  public static Day read(Path file) throws ScriptException {
-    List<Fault> faults = new ArrayList<>();
+  public static Scenario read(Path file) throws ScriptException {
+    List<SettingsError> faults = new ArrayList<>();
     Section top = Section.of(file.toString(), Script.run(file), faults);
-    AssignerSettings assigner = AssignerSettings.decode(top, file);
+    InstanceSettings assigner = InstanceSettings.decode(top, file);
     Section day = top.section("day", true);
     double seconds = day.number("seconds", 1, 3600, null);
     double ops = day.number("ops_per_s", 0.1, 100_000, null);
@@ -117,7 +117,7 @@
     if (!faults.isEmpty()) {
       throw new ScriptException(faults);
     }
-    return new Day(
+    return new Scenario(
         assigner,
         seconds,
         ops,
--- a/src/main/java/stonespring/lab/DayRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,25 +6,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import stonespring.model.Listing;
-import stonespring.recording.Moment;
+import stonespring.model.EndpointRecord;
+import stonespring.recording.LoadSample;
 import stonespring.recording.Recording;
 
 /**
  * A played day as a recording: what came, what ran and what was told, from what was seen; nothing
  * of what was decided.
  */
-final class DayRecorder {
+final class ScenarioRecorder {
   private static final long EVERY = 1_000; // 0.1 ms over which ops are counted together
 
-  private final Day day;
+  private final Scenario day;
   private final Evidence evidence;
   private final double began;
 
   /**
    * @param began when the first client started, on the evidence's clock
    */
-  DayRecorder(Day day, Evidence evidence, double began) {
+  ScenarioRecorder(Scenario day, Evidence evidence, double began) {
     this.day = day;
     this.evidence = evidence;
     this.began = began;
@@ -39,12 +39,12 @@
   }
 
   Recording recording(String name, List<Recording.Proxy> proxies) {
-    List<Moment> moments = new ArrayList<>();
+    List<LoadSample> moments = new ArrayList<>();
     Map<String, Integer> zoneOf = new HashMap<>();
     for (Evidence.Life life : evidence.of(Evidence.Life.class)) {
       zoneOf.put(life.task(), zone(life.zone()));
       moments.add(
-          new Moment.Ran(
+          new LoadSample.Ran(
               at(life.at()),
               life.task(),
               zone(life.zone()),
@@ -53,24 +53,24 @@
               life.cold()));
     }
     for (Evidence.Told told : evidence.of(Evidence.Told.class)) {
-      Listing.State state = Listing.State.valueOf(told.state().toUpperCase(java.util.Locale.ROOT));
+      EndpointRecord.State state = state(told.state());
       // A task that was up before the day is long warm; nothing tells how long.
       long started = told.startedAt() > began ? at(told.startedAt()) : 0;
       moments.add(
-          new Moment.Listed(
+          new LoadSample.Listed(
               at(told.at()), told.task(), zoneOf.getOrDefault(told.task(), 0), 1, state, started));
     }
     for (Evidence.Claims claims : evidence.of(Evidence.Claims.class)) {
-      moments.add(new Moment.Claimed(at(claims.at()), claims.task(), claims.times()));
+      moments.add(new LoadSample.Claimed(at(claims.at()), claims.task(), claims.times()));
     }
-    for (Day.Trouble t : day.troubles()) {
+    for (Scenario.Trouble t : day.troubles()) {
       if (t.kind().equals("late_reports")) {
-        moments.add(new Moment.Late(Math.round(t.atMillis() * 10), Math.round(t.size() * 10)));
-        moments.add(new Moment.Late(Math.round((t.atMillis() + t.forMillis()) * 10), 0));
+        moments.add(new LoadSample.Late(Math.round(t.atMillis() * 10), Math.round(t.size() * 10)));
+        moments.add(new LoadSample.Late(Math.round((t.atMillis() + t.forMillis()) * 10), 0));
       }
     }
     arrivals(moments, proxies);
-    moments.sort(Comparator.comparingLong(Moment::at));
+    moments.sort(Comparator.comparingLong(LoadSample::at));
     List<Recording.Type> types = new ArrayList<>();
     for (int k = 0; k < day.assigner().opTypeNames().size(); k++) {
       String type = day.assigner().opTypeNames().get(k);
@@ -93,7 +93,7 @@
         moments);
   }
 
-  private void arrivals(List<Moment> moments, List<Recording.Proxy> proxies) {
+  private void arrivals(List<LoadSample> moments, List<Recording.Proxy> proxies) {
     Map<String, Integer> index = new HashMap<>();
     for (int p = 0; p < proxies.size(); p++) {
       index.put(proxies.get(p).name(), p);
@@ -111,6 +111,13 @@
     counts.forEach(
         (key, ops) ->
             moments.add(
-                new Moment.Came(key / proxies.size() * EVERY, (int) (key % proxies.size()), ops)));
+                new LoadSample.Came(
+                    key / proxies.size() * EVERY, (int) (key % proxies.size()), ops)));
+  }
+
+  private static EndpointRecord.State state(String word) {
+    return word.equals("gone")
+        ? EndpointRecord.State.REMOVED
+        : EndpointRecord.State.valueOf(word.toUpperCase(java.util.Locale.ROOT));
   }
 }
--- a/src/main/java/stonespring/lab/DayRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -23,12 +23,13 @@
 import org.slf4j.LoggerFactory;
 import stonespring.chp.ChpClient;
 import stonespring.chp.ChpMessage;
-import stonespring.model.OpType;
+import stonespring.model.RequestClass;
+import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
+import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RouterSettings;
-import stonespring.proxy.routing.TaskName;
 import stonespring.recording.Recording;
 import stonespring.zmtp.ZmtpLimits;
 
@@ -36,7 +37,7 @@
  * Plays a day on loopback: real assigners in processes of their own, stand-ins here, troubles by
  * the script.
  */
-public final class DayRun {
+public final class ScenarioRun {
   /** A day could not be played. */
   public static final class Failed extends Exception {
     private static final long serialVersionUID = 1;
@@ -60,17 +61,17 @@
     private Proxy proxy;
     private int port;
     private ClientStandIn client;
-    private final List<Link> links = new ArrayList<>();
+    private final List<FaultyLink> links = new ArrayList<>();
     private final List<ProxySettings.Ports> ports = new ArrayList<>();
   }
 
-  private static final Logger LOG = LoggerFactory.getLogger(DayRun.class);
+  private static final Logger LOG = LoggerFactory.getLogger(ScenarioRun.class);
   private static final int THREADS = 6; // event loops for all stand-ins
   private static final long SILENCE_MILLIS =
       3_000; // ms; three of an assigner's signs of life missed
   private static final int PRESENCE_SECONDS = 3; // s; as above, the other way
 
-  private final Day day;
+  private final Scenario day;
   private final Path script;
   private final SplittableRandom random;
   private final MultiThreadIoEventLoopGroup loops =
@@ -88,7 +89,7 @@
   private double began;
   private boolean over;
 
-  public DayRun(Day day, Path script, long seed, Path folder) {
+  public ScenarioRun(Scenario day, Path script, long seed, Path folder) {
     this.day = day;
     this.script = script;
     this.folder = folder;
@@ -97,10 +98,10 @@
   }
 
   /** Plays the day to its end and judges it. */
-  public Observer.Verdict run() throws Failed, InterruptedException {
+  public InvariantChecker.Verdict run() throws Failed, InterruptedException {
     try {
       setUp();
-      for (Day.Trouble t : day.troubles()) {
+      for (Scenario.Trouble t : day.troubles()) {
         at(t.atMillis(), () -> strike(t));
       }
       play(day.seconds() * 1000);
@@ -128,30 +129,30 @@
 
   /** The day as it was played, to be played again; after {@link #run}. */
   public Recording recording(String name) {
-    return new DayRecorder(day, evidence, began)
+    return new ScenarioRecorder(day, evidence, began)
         .recording(
             name, seats.stream().map(s -> new Recording.Proxy(s.name, s.zone, s.ops)).toList());
   }
 
-  private Observer observer() {
+  private InvariantChecker observer() {
     Settings s = day.assigner().settings();
-    Map<String, Observer.Worth> worths = new LinkedHashMap<>();
-    for (int k = 0; k < s.opTypes().size(); k++) {
-      OpType type = s.opTypes().get(k);
+    Map<String, InvariantChecker.Worth> worths = new LinkedHashMap<>();
+    for (int k = 0; k < s.requestClasses().size(); k++) {
+      RequestClass type = s.requestClasses().get(k);
       worths.put(
           day.assigner().opTypeNames().get(k),
-          new Observer.Worth(
-              type.targetLatency() / 10.0,
-              type.benefit(),
-              type.repeat() == OpType.Repeat.RETRYABLE));
+          new InvariantChecker.Worth(
+              type.latencyObjective() / 10.0,
+              type.priorityWeight(),
+              type.retrySafety() == RetrySafety.IDEMPOTENT));
     }
-    return new Observer(
-        new Observer.Limits(
-            s.emptyLimit() / 10.0,
+    return new InvariantChecker(
+        new InvariantChecker.Limits(
+            s.routing().maxTimeWithoutEndpoint() / 10.0,
             day.graceMillis(),
-            s.coldTime() / 10.0,
-            s.messagesMost(),
-            s.messagesOver() / 10.0),
+            s.slowStart().window() / 10.0,
+            s.channel().maxMessagesPerProxy(),
+            s.channel().messageWindow() / 10.0),
         worths,
         evidence);
   }
@@ -171,7 +172,7 @@
     }
     // Discovery is late: an assigner that starts now would be told of nothing.
     Thread.sleep(day.listLateMillis() + 50);
-    for (int i = 0; i < day.assigner().settings().assigners(); i++) {
+    for (int i = 0; i < day.assigner().settings().fleet().instances(); i++) {
       AssignerProcess assigner =
           new AssignerProcess(
               script,
@@ -198,7 +199,7 @@
     for (Seat seat : seats) {
       seat.ops *= day.opsPerSecond() / all;
       for (AssignerProcess assigner : assigners) {
-        Link link = new Link(loop(), new WireTap(seat.name, evidence));
+        FaultyLink link = new FaultyLink(loop(), new WireTap(seat.name, evidence));
         seat.links.add(link);
         seat.ports.add(
             new ProxySettings.Ports(
@@ -228,7 +229,8 @@
           new ClientStandIn.Asked(
               name,
               day.shares().get(name),
-              day.assigner().settings().opTypes().get(k).repeat() == OpType.Repeat.RETRYABLE,
+              day.assigner().settings().requestClasses().get(k).retrySafety()
+                  == RetrySafety.IDEMPOTENT,
               day.assigner().opTimeouts().get(k) / 10.0));
     }
     return asked;
@@ -237,9 +239,9 @@
   private TaskStandIn task(int zone) throws IOException {
     Settings s = day.assigner().settings();
     Map<String, Double> windows = new HashMap<>();
-    for (int k = 0; k < s.opTypes().size(); k++) {
+    for (int k = 0; k < s.requestClasses().size(); k++) {
       String name = day.assigner().opTypeNames().get(k);
-      if (s.opTypes().get(k).repeat() == OpType.Repeat.DEDUPLICATED) {
+      if (s.requestClasses().get(k).retrySafety() == RetrySafety.IDEMPOTENCY_KEYED) {
         windows.put(name, day.dedupMillis());
       }
     }
@@ -252,9 +254,9 @@
             day.workMillis(),
             0,
             windows,
-            s.coldShare(),
-            s.coldTime() / 10.0,
-            s.fallMultiple(),
+            s.slowStart().initialFraction(),
+            s.slowStart().window() / 10.0,
+            s.slowStart().overloadMultiple(),
             day.fallMillis());
     TaskStandIn task =
         new TaskStandIn(
@@ -281,11 +283,11 @@
             random.nextLong(),
             router,
             timeouts,
-            standing(seat.zone, s.standingLines()),
+            standing(seat.zone, s.routing().bootstrapRouteCount()),
             seat.ports,
             seat.ops,
             50,
-            s.sumsEvery() / 10,
+            s.reportInterval() / 10,
             SILENCE_MILLIS,
             300,
             1500,
@@ -294,15 +296,15 @@
   }
 
   /** Tasks that run and are listed, drawn in the proxy's zone where three are there. */
-  private List<TaskName> standing(int zone, int most) {
+  private List<EndpointName> standing(int zone, int most) {
     List<TaskStandIn> up = new ArrayList<>(tasks.stream().filter(TaskStandIn::isUp).toList());
     List<TaskStandIn> near =
         new ArrayList<>(
             up.stream().filter(t -> t.zone().equals(day.assigner().zones().get(zone))).toList());
     List<TaskStandIn> from = near.size() >= 3 ? near : up;
-    List<TaskName> drawn = new ArrayList<>();
+    List<EndpointName> drawn = new ArrayList<>();
     while (drawn.size() < most && !from.isEmpty()) {
-      drawn.add(new TaskName(from.remove(random.nextInt(from.size())).id()));
+      drawn.add(new EndpointName(from.remove(random.nextInt(from.size())).id()));
     }
     return drawn;
   }
@@ -376,7 +378,7 @@
     return seats.stream().filter(seat -> zone < 0 || seat.zone == zone).toList();
   }
 
-  private void strike(Day.Trouble t) throws Exception {
+  private void strike(Scenario.Trouble t) throws Exception {
     LOG.info("trouble at {} s: {}", Math.round(now() / 100) / 10.0, t);
     double end = now() + t.forMillis();
     List<TaskStandIn> struck = some(up(t.zone()), t.part());
@@ -535,19 +537,19 @@
   }
 
   private interface OnLink {
-    void act(Link link);
+    void act(FaultyLink link);
   }
 
   private static void links(List<Seat> seats, OnLink act) {
     seats.forEach(seat -> seat.links.forEach(act::act));
   }
 
-  private void during(Day.Trouble t, Act first, Act last) throws Exception {
+  private void during(Scenario.Trouble t, Act first, Act last) throws Exception {
     first.run();
     at(now() + t.forMillis(), last);
   }
 
-  private void each(Day.Trouble t, Act act) {
+  private void each(Scenario.Trouble t, Act act) {
     for (double when = now(); when < now() + t.forMillis(); when += t.eachMillis()) {
       at(when, act);
     }
@@ -569,7 +571,7 @@
         });
   }
 
-  private void deploy(Day.Trouble t, List<TaskStandIn> struck) {
+  private void deploy(Scenario.Trouble t, List<TaskStandIn> struck) {
     int batch = (int) Math.max(1, Math.round(t.size() * tasks.size()));
     int batches = (struck.size() + batch - 1) / batch;
     for (int i = 0; i < struck.size(); i++) {
@@ -607,7 +609,7 @@
       if (seat.proxy != null) {
         seat.proxy.stop();
       }
-      seat.links.forEach(Link::close);
+      seat.links.forEach(FaultyLink::close);
     }
     for (AssignerProcess assigner : assigners) {
       if (assigner.alive() && !assigner.stop()) {
@@ -620,7 +622,7 @@
   }
 
   /** The report that a person reads. */
-  public static String report(Observer.Verdict v) {
+  public static String report(InvariantChecker.Verdict v) {
     StringBuilder out = new StringBuilder();
     out.append(
         String.format(
--- a/src/main/java/stonespring/lab/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -1,15 +1,15 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
+import stonespring.model.EndpointId;
 import stonespring.model.ProxyId;
-import stonespring.model.TaskId;
 import stonespring.model.ZoneId;
+import stonespring.solver.CostModel;
 import stonespring.solver.Plan;
-import stonespring.solver.Prices;
 import stonespring.solver.Problem;
 import stonespring.solver.Solver;
 
@@ -25,7 +25,7 @@
   private static final double COLD = 0.3; // share of a cold task's capacity
   private static final int WARM_UP = 3; // rounds before the first that counts
   private static final int SMALL = 8; // small changes a round
-  private static final Prices PRICES = new Prices(1, 0.06, 0.2);
+  private static final CostModel PRICES = new CostModel(1, 0.06, 0.2);
 
   private final SplittableRandom random;
   private final List<Problem.Task> tasks = new ArrayList<>();
@@ -43,7 +43,7 @@
       double now = cold ? COLD * capacity : capacity;
       tasks.add(
           new Problem.Task(
-              new TaskId("t" + t),
+              new EndpointId("t" + t),
               new ZoneId(random.nextInt(ZONES)),
               now,
               cold ? now : Double.POSITIVE_INFINITY,
--- a/src/main/java/stonespring/lab/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToLongFunction;
-import stonespring.config.AssignerSettings;
-import stonespring.discovery.Entries;
-import stonespring.discovery.FileSource;
-import stonespring.model.OpType;
+import stonespring.config.InstanceSettings;
+import stonespring.discovery.EndpointListCodec;
+import stonespring.discovery.FileEndpointSource;
+import stonespring.model.RequestClass;
 import stonespring.model.Settings;
 import stonespring.proxy.routing.Repeat;
 import stonespring.proxy.routing.RouterSettings;
@@ -30,32 +30,32 @@
    * How a proxy of these settings routes; {@code window}: how long tasks drop a repeat, tenths of a
    * millisecond.
    */
-  public static RouterSettings routing(AssignerSettings of, ToLongFunction<OpType> window) {
+  public static RouterSettings routing(InstanceSettings of, ToLongFunction<RequestClass> window) {
     return routing(of.settings(), of.opTypeNames(), window);
   }
 
   /** The same for settings and the names of their op types. */
   public static RouterSettings routing(
-      Settings s, List<String> names, ToLongFunction<OpType> window) {
+      Settings s, List<String> names, ToLongFunction<RequestClass> window) {
     List<RouterSettings.Type> types = new ArrayList<>();
-    for (int k = 0; k < s.opTypes().size(); k++) {
-      OpType type = s.opTypes().get(k);
+    for (int k = 0; k < s.requestClasses().size(); k++) {
+      RequestClass type = s.requestClasses().get(k);
       types.add(
           new RouterSettings.Type(
-              names.get(k), Repeat.valueOf(type.repeat().name()), window.applyAsLong(type)));
+              names.get(k), Repeat.valueOf(type.retrySafety().name()), window.applyAsLong(type)));
     }
     return new RouterSettings(
         types,
-        s.shunAfter(),
+        s.routing().ejectAfterConsecutiveFailures(),
         SHUN_LEAST,
         SHUN_MOST,
         RETRY_LEAST,
         RouterSettings.Picks.TWO,
-        RouterSettings.Levels.valueOf(s.levelKind().name()));
+        RouterSettings.Levels.valueOf(s.admissionLimitKind().name()));
   }
 
   /** The settings' op timeouts as proxies take them, milliseconds. */
-  public static List<Long> opTimeouts(AssignerSettings of) {
+  public static List<Long> opTimeouts(InstanceSettings of) {
     return of.opTimeouts().stream().map(t -> t / 10).toList();
   }
 
@@ -78,8 +78,8 @@
     MultiThreadIoEventLoopGroup loops = loops();
     RegistryStandIn registry = new RegistryStandIn(loops, new Evidence(false), 0);
     registry.start(port);
-    Entries entries = new Entries(zones, 0);
-    new FileSource(file, entries, (EventLoop) loops.next())
+    EndpointListCodec entries = new EndpointListCodec(zones, 0);
+    new FileEndpointSource(file, entries, (EventLoop) loops.next())
         .start(told -> {}, list -> registry.whole(list, zones));
     return "127.0.0.1:" + registry.port();
   }
--- a/src/main/java/stonespring/lab/TaskStandIn.java
+++ b/src/main/java/stonespring/testbed/TaskStandIn.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
--- a/src/main/java/stonespring/lab/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -1,4 +1,4 @@
-package stonespring.lab;
+package stonespring.testbed;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -15,7 +15,7 @@
  * shared with the program's decoders. Listener 1 carries updates down, listener 2 the proxy's words
  * up.
  */
-final class WireTap implements Link.Tap {
+final class WireTap implements FaultyLink.Tap {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** One direction's bytes, cut into messages. */
--- a/src/main/java/stonespring/lab/virtual/Agenda.java
+++ b/src/main/java/stonespring/testbed/virtual/EventQueue.java
@@ -1,4 +1,4 @@
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -7,7 +7,7 @@
  * Virtual time: what is due, in order of time and then of being planned. Bounded by what the played
  * day holds.
  */
-final class Agenda {
+final class EventQueue {
   private record Due(long at, long count, Runnable act) {}
 
   private final PriorityQueue<Due> due =
--- a/src/main/java/stonespring/lab/virtual/Loads.java
+++ b/src/main/java/stonespring/testbed/virtual/Loads.java
@@ -1,14 +1,16 @@
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
-import stonespring.model.Listing;
-import stonespring.model.OpType;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointRecord;
+import stonespring.model.RequestClass;
+import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
-import stonespring.model.Tenths;
-import stonespring.recording.Moment;
+import stonespring.recording.LoadSample;
 import stonespring.recording.Recording;
 
 /**
@@ -29,10 +31,10 @@
   private static final int ZONES = 3;
   private static final int CORES = 2;
   private static final long EVERY = 1_000; // 0.1 ms over which ops are counted together
-  private static final long LENGTH = 40 * Tenths.SECOND;
+  private static final long LENGTH = 40 * DeciMillis.SECOND;
   private static final long TROUBLE =
-      12 * Tenths.SECOND; // 0.1 ms; by then all decide by what they heard
-  private static final long LIST_LATE = Tenths.SECOND; // 0.1 ms until the list tells
+      12 * DeciMillis.SECOND; // 0.1 ms; by then all decide by what they heard
+  private static final long LIST_LATE = DeciMillis.SECOND; // 0.1 ms until the list tells
   private static final double FILL = 0.6; // share of what all tasks can do
   private static final double SURGE = 1.6; // times; a little under what all can do
   private static final double CLAIM = 3; // times the capacity, by a third of the tasks
@@ -40,7 +42,7 @@
   private static final double[] SHARE = {0.6, 0.25, 0.15}; // of the ops, by type
 
   private final SplittableRandom random;
-  private final List<Moment> moments = new ArrayList<>();
+  private final List<LoadSample> moments = new ArrayList<>();
   private final Kind kind;
   private final int taskCount;
   private final int proxyCount;
@@ -60,31 +62,17 @@
   private static Settings settings(int proxies) {
     int lines = Math.max(2900, 120 * proxies);
     return new Settings(
-        1,
-        ZONES,
+        new Settings.Fleet(1, ZONES, proxies, false),
         List.of(
-            new OpType(OpType.Repeat.RETRYABLE, 5_000, 3),
-            new OpType(OpType.Repeat.DEDUPLICATED, 8_000, 3),
-            new OpType(OpType.Repeat.ONCE_ONLY, 6_000, 2)),
-        false,
-        Settings.LevelKind.SHARE,
-        lines,
-        10,
-        30,
-        10 * Tenths.SECOND,
-        lines,
-        5 * Tenths.SECOND,
-        5,
-        proxies,
-        Tenths.SECOND,
-        false,
-        0.12,
-        8 * Tenths.SECOND,
-        0.2,
-        3,
-        0.3,
-        false,
-        3);
+            new RequestClass(RetrySafety.IDEMPOTENT, 5_000, 3),
+            new RequestClass(RetrySafety.IDEMPOTENCY_KEYED, 8_000, 3),
+            new RequestClass(RetrySafety.NON_IDEMPOTENT, 6_000, 2)),
+        new Settings.EndpointListRules(false, false),
+        AdmissionLimitKind.FRACTION,
+        new Settings.ChannelLimits(lines, 10, 30, 10 * DeciMillis.SECOND, lines, false),
+        new Settings.RoutingRules(5 * DeciMillis.SECOND, 5, 0.12, 0.3, 3),
+        new Settings.SlowStart(8 * DeciMillis.SECOND, 0.2, 3),
+        DeciMillis.SECOND);
   }
 
   private Recording draw(long seed) {
@@ -92,7 +80,7 @@
     double[] speed = new double[taskCount];
     for (int t = 0; t < taskCount; t++) {
       speed[t] = 0.5 + random.nextDouble();
-      able += CORES * speed[t] * Tenths.SECOND / meanWork();
+      able += CORES * speed[t] * DeciMillis.SECOND / meanWork();
       boolean claims = kind == Kind.STALE_REPORTS && t % 3 == 0;
       started(0, "t" + t, t % ZONES, speed[t], false, claims ? CLAIM : 1);
     }
@@ -113,13 +101,13 @@
     }
     arrivals(proxies);
     if (kind == Kind.STALE_REPORTS) {
-      moments.add(new Moment.Late(TROUBLE, 2 * Tenths.SECOND));
+      moments.add(new LoadSample.Late(TROUBLE, 2 * DeciMillis.SECOND));
     } else if (kind == Kind.DEPLOY) {
       deploy(speed);
     } else if (kind == Kind.LOST_ZONE) {
       loseZone(speed);
     }
-    moments.sort(Comparator.comparingLong(Moment::at));
+    moments.sort(Comparator.comparingLong(LoadSample::at));
     List<Recording.Type> types =
         List.of(
             new Recording.Type("view", 15_000, WORK[0]),
@@ -147,17 +135,19 @@
   }
 
   private void started(long at, String task, int zone, double speed, boolean cold, double claims) {
-    moments.add(new Moment.Ran(at, task, zone, CORES, speed, cold));
+    moments.add(new LoadSample.Ran(at, task, zone, CORES, speed, cold));
     if (claims != 1) {
-      moments.add(new Moment.Claimed(at, task, claims));
+      moments.add(new LoadSample.Claimed(at, task, claims));
     }
     long told = at == 0 ? 0 : at + LIST_LATE;
-    moments.add(new Moment.Listed(told, task, zone, 1, Listing.State.READY, cold ? at : 0));
+    moments.add(
+        new LoadSample.Listed(told, task, zone, 1, EndpointRecord.State.READY, cold ? at : 0));
   }
 
   private void died(long at, String task, int zone, long toldAfter) {
-    moments.add(new Moment.Ran(at, task, zone, 0, 1, false));
-    moments.add(new Moment.Listed(at + toldAfter, task, zone, 1, Listing.State.GONE, 0));
+    moments.add(new LoadSample.Ran(at, task, zone, 0, 1, false));
+    moments.add(
+        new LoadSample.Listed(at + toldAfter, task, zone, 1, EndpointRecord.State.REMOVED, 0));
   }
 
   private void arrivals(List<Recording.Proxy> proxies) {
@@ -167,11 +157,12 @@
         int[] came = new int[SHARE.length];
         boolean any = false;
         for (int k = 0; k < came.length; k++) {
-          came[k] = poisson(proxies.get(p).usualOps() * times * SHARE[k] * EVERY / Tenths.SECOND);
+          came[k] =
+              poisson(proxies.get(p).usualOps() * times * SHARE[k] * EVERY / DeciMillis.SECOND);
           any |= came[k] > 0;
         }
         if (any) {
-          moments.add(new Moment.Came(at, p, came));
+          moments.add(new LoadSample.Came(at, p, came));
         }
       }
     }
@@ -196,7 +187,9 @@
     for (int t = 0; t < taskCount * 6 / 10; t++) {
       long at = TROUBLE + t / batch * 35_000L;
       started(at, "n" + t, t % ZONES, speed[t], true, 1);
-      moments.add(new Moment.Listed(at + 20_000, "t" + t, t % ZONES, 1, Listing.State.DRAINING, 0));
+      moments.add(
+          new LoadSample.Listed(
+              at + 20_000, "t" + t, t % ZONES, 1, EndpointRecord.State.DRAINING, 0));
       died(at + 50_000, "t" + t, t % ZONES, LIST_LATE);
     }
   }
@@ -204,7 +197,7 @@
   private void loseZone(double[] speed) {
     for (int t = 0; t < taskCount; t += ZONES) {
       died(TROUBLE, "t" + t, 0, LIST_LATE);
-      started(TROUBLE + 10 * Tenths.SECOND, "t" + t, 0, speed[t], true, 1);
+      started(TROUBLE + 10 * DeciMillis.SECOND, "t" + t, 0, speed[t], true, 1);
     }
   }
 }
--- a/src/main/java/stonespring/lab/virtual/Played.java
+++ b/src/main/java/stonespring/testbed/virtual/Played.java
@@ -1,4 +1,4 @@
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
 
 import java.util.List;
 
--- a/src/main/java/stonespring/lab/virtual/Policy.java
+++ b/src/main/java/stonespring/testbed/virtual/Policy.java
@@ -1,10 +1,10 @@
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
 
-import stonespring.decision.Assigner;
-import stonespring.model.DecisionModule;
+import stonespring.decision.AssignmentEngine;
+import stonespring.model.DecisionEngine;
 import stonespring.model.Settings;
-import stonespring.solver.Advised;
-import stonespring.solver.Advisor;
+import stonespring.solver.AdvisedEngine;
+import stonespring.solver.WeightAdvisor;
 
 /** Who decides on a played load. */
 public enum Policy {
@@ -16,16 +16,16 @@
   SOLVER;
 
   /** An instance's decisions, and its advisor where it has one. */
-  record Made(DecisionModule module, Advisor advisor) {}
+  record Made(DecisionEngine module, WeightAdvisor advisor) {}
 
   Made make(Settings settings, long seed, long now) {
     if (this == EVEN) {
       return new Made(new EvenTables(), null);
     }
-    Assigner module = new Assigner(settings, seed, now);
-    Advisor advisor = new Advisor(settings);
+    AssignmentEngine module = new AssignmentEngine(settings, seed, now);
+    WeightAdvisor advisor = new WeightAdvisor(settings);
     return this == MODULE
         ? new Made(module, null)
-        : new Made(new Advised(module, advisor), advisor);
+        : new Made(new AdvisedEngine(module, advisor), advisor);
   }
 }
--- a/src/main/java/stonespring/lab/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -1,4 +1,4 @@
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import stonespring.daemon.Core;
-import stonespring.daemon.CoreLimits;
-import stonespring.daemon.Outside;
-import stonespring.lab.StandIns;
+import stonespring.daemon.EngineHost;
+import stonespring.daemon.HostEnvironment;
+import stonespring.daemon.HostLimits;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
 import stonespring.model.Settings;
-import stonespring.model.TaskId;
 import stonespring.model.ZoneId;
+import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RouterSettings;
-import stonespring.proxy.routing.TaskName;
-import stonespring.recording.Moment;
+import stonespring.recording.LoadSample;
 import stonespring.recording.Recording;
-import stonespring.solver.Advisor;
-import stonespring.state.Update;
+import stonespring.solver.WeightAdvisor;
+import stonespring.state.KeyUpdate;
+import stonespring.testbed.StandIns;
 
 /**
  * A recorded load in virtual time: one real instance, from what it is told to the keys it
@@ -32,7 +32,7 @@
   private static final long REPORT_AWAY = 3_000; // 0.1 ms that sums are late on an ordinary day
   private static final long DEDUPLICATED_FOR = 20_000; // 0.1 ms that tasks drop a repeat
 
-  final Agenda agenda = new Agenda();
+  final EventQueue agenda = new EventQueue();
   private final Recording recording;
   private final Policy policy;
   private final long seed;
@@ -41,9 +41,9 @@
   private final List<VirtualProxy> proxies = new ArrayList<>();
   private final SplittableRandom random;
   private final double[][] windows;
-  private Core core;
-  private Advisor advisor;
-  private Moment.Late late = new Moment.Late(0, 0);
+  private EngineHost core;
+  private WeightAdvisor advisor;
+  private LoadSample.Late late = new LoadSample.Late(0, 0);
   private long wake = Long.MAX_VALUE;
   private long tries;
   private long crossed;
@@ -61,29 +61,29 @@
   }
 
   private void start() {
-    List<Moment> first = recording.moments().stream().takeWhile(m -> m.at() == 0).toList();
-    List<Moment> rest = recording.moments().subList(first.size(), recording.moments().size());
-    first.stream().filter(m -> !(m instanceof Moment.Listed)).forEach(this::happen);
-    List<Listing> listed =
+    List<LoadSample> first = recording.moments().stream().takeWhile(m -> m.at() == 0).toList();
+    List<LoadSample> rest = recording.moments().subList(first.size(), recording.moments().size());
+    first.stream().filter(m -> !(m instanceof LoadSample.Listed)).forEach(this::happen);
+    List<EndpointRecord> listed =
         first.stream()
-            .filter(Moment.Listed.class::isInstance)
-            .map(m -> listing((Moment.Listed) m))
+            .filter(LoadSample.Listed.class::isInstance)
+            .map(m -> listing((LoadSample.Listed) m))
             .toList();
     Policy.Made made = policy.make(settings(), random.nextLong(), 0);
     advisor = made.advisor();
     List<String> names = recording.head().types().stream().map(Recording.Type::name).toList();
     core =
-        new Core(
+        new EngineHost(
             settings(),
             names,
-            CoreLimits.USUAL,
+            HostLimits.USUAL,
             "e",
             1,
             made.module(),
-            new Outside() {
+            new HostEnvironment() {
               @Override
-              public void publish(List<Update> updates) {
-                for (Update update : updates) {
+              public void publish(List<KeyUpdate> updates) {
+                for (KeyUpdate update : updates) {
                   String[] key = update.key().split("/", 4);
                   if (key[1].equals("proxy") && byName.containsKey(key[2])) {
                     agenda.in(AWAY / 2, () -> byName.get(key[2]).told(core, update, key[3]));
@@ -103,17 +103,17 @@
               }
             },
             0);
-    core.listTold(new Event.ListTold(Event.ListKind.WHOLE, listed), 0);
+    core.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
     RouterSettings routing = StandIns.routing(settings(), names, type -> DEDUPLICATED_FOR);
     for (Recording.Proxy p : recording.head().proxies()) {
-      List<TaskName> near =
+      List<EndpointName> near =
           new ArrayList<>(
               listed.stream()
                   .filter(l -> l.zone().index() == p.zone())
-                  .map(l -> new TaskName(l.task().name()))
+                  .map(l -> new EndpointName(l.endpoint().name()))
                   .toList());
-      List<TaskName> standing = new ArrayList<>();
-      while (standing.size() < settings().standingLines() && !near.isEmpty()) {
+      List<EndpointName> standing = new ArrayList<>();
+      while (standing.size() < settings().routing().bootstrapRouteCount() && !near.isEmpty()) {
         standing.add(near.remove(random.nextInt(near.size())));
       }
       VirtualProxy proxy = new VirtualProxy(this, p, routing, standing, random.nextLong());
@@ -126,20 +126,20 @@
           () -> {
             proxy.join(core);
             pump();
-            agenda.in(settings().sumsEvery(), () -> report(proxy));
+            agenda.in(settings().reportInterval(), () -> report(proxy));
           });
     }
     rest.forEach(m -> agenda.at(m.at(), () -> happen(m)));
     pump();
   }
 
-  private static Listing listing(Moment.Listed m) {
-    return new Listing(
-        new TaskId(m.task()), new ZoneId(m.zone()), m.weight(), m.state(), m.startedAt());
+  private static EndpointRecord listing(LoadSample.Listed m) {
+    return new EndpointRecord(
+        new EndpointId(m.task()), new ZoneId(m.zone()), m.weight(), m.state(), m.startedAt());
   }
 
-  private void happen(Moment moment) {
-    if (moment instanceof Moment.Came m) {
+  private void happen(LoadSample moment) {
+    if (moment instanceof LoadSample.Came m) {
       for (int k = 0; k < m.ops().length; k++) {
         int type = k;
         for (int i = 0; i < m.ops()[k]; i++) {
@@ -148,16 +148,18 @@
               random.nextLong(recording.head().every()), () -> proxies.get(m.proxy()).ask(type));
         }
       }
-    } else if (moment instanceof Moment.Listed m) {
-      core.listTold(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing(m))), agenda.now());
+    } else if (moment instanceof LoadSample.Listed m) {
+      core.listTold(
+          new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing(m))),
+          agenda.now());
       pump();
-    } else if (moment instanceof Moment.Ran m) {
+    } else if (moment instanceof LoadSample.Ran m) {
       tasks
           .computeIfAbsent(m.task(), t -> new VirtualTask(agenda, settings(), random.nextLong()))
           .ran(m);
-    } else if (moment instanceof Moment.Claimed m && tasks.containsKey(m.task())) {
+    } else if (moment instanceof LoadSample.Claimed m && tasks.containsKey(m.task())) {
       tasks.get(m.task()).claims(m.times());
-    } else if (moment instanceof Moment.Late m) {
+    } else if (moment instanceof LoadSample.Late m) {
       late = m;
     }
   }
@@ -168,10 +170,10 @@
             agenda.in(
                 REPORT_AWAY + late.by(),
                 () -> {
-                  core.reported(proxy.name(), settings().sumsEvery(), met, came, proxy);
+                  core.reported(proxy.name(), settings().reportInterval(), met, came, proxy);
                   pump();
                 }));
-    agenda.in(settings().sumsEvery(), () -> report(proxy));
+    agenda.in(settings().reportInterval(), () -> report(proxy));
   }
 
   /** Lets the instance do what is due, and comes back when something is due next. */
@@ -248,7 +250,7 @@
   }
 
   /** What the solver last advised; null without one, or before it advised anything. */
-  public Advisor advisor() {
+  public WeightAdvisor advisor() {
     return advisor;
   }
 
--- a/src/main/java/stonespring/lab/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -1,4 +1,4 @@
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -6,33 +6,34 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import stonespring.daemon.Core;
-import stonespring.front.Intake;
+import stonespring.daemon.EngineHost;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
 import stonespring.model.LoadReport;
-import stonespring.model.OpType;
-import stonespring.model.OpTypeId;
-import stonespring.model.TaskId;
-import stonespring.model.Tenths;
+import stonespring.model.RequestClass;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetrySafety;
 import stonespring.model.ZoneId;
-import stonespring.proxy.Commits;
-import stonespring.proxy.routing.Follower;
+import stonespring.proxy.CommitLog;
+import stonespring.proxy.routing.EndpointName;
+import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
-import stonespring.proxy.routing.Tally;
-import stonespring.proxy.routing.TaskName;
-import stonespring.proxy.routing.TypeIndex;
+import stonespring.proxy.routing.TableSubscriber;
+import stonespring.proxyapi.ProxyMessageHandler;
 import stonespring.recording.Recording;
-import stonespring.state.Hello;
-import stonespring.state.Reports;
-import stonespring.state.Update;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
+import stonespring.state.ReportAggregator;
 
 /**
  * A proxy in virtual time: the real routing, what an instance publishes as its keys come, and
  * clients that come again.
  */
-final class VirtualProxy implements Intake.Origin {
+final class VirtualProxy implements ProxyMessageHandler.Origin {
   private static final long IDLE =
-      15 * Tenths.SECOND; // 0.1 ms after which an unused connection is closed
+      15 * DeciMillis.SECOND; // 0.1 ms after which an unused connection is closed
   private static final long NEAR = 3; // 0.1 ms one way in a zone
   private static final long FAR = 13; // 0.1 ms one way between zones
   private static final int AGAIN_MOST = 2; // times that a client comes again by itself
@@ -42,11 +43,11 @@
 
   private final VirtualFleet fleet;
   private final Recording.Proxy proxy;
-  private final Agenda agenda;
+  private final EventQueue agenda;
   private final SplittableRandom random;
   private final Router router;
-  private final Follower follower = new Follower();
-  private final Tally tally;
+  private final TableSubscriber follower = new TableSubscriber();
+  private final RequestStatistics tally;
   private final Map<String, Long> connected = new HashMap<>();
   private long bareSince = -1;
   private double bare;
@@ -55,7 +56,7 @@
       VirtualFleet fleet,
       Recording.Proxy proxy,
       RouterSettings routing,
-      List<TaskName> standing,
+      List<EndpointName> standing,
       long seed) {
     this.fleet = fleet;
     this.proxy = proxy;
@@ -63,7 +64,7 @@
     this.random = new SplittableRandom(seed);
     this.router = new Router(routing, random.nextLong());
     this.router.standing(standing);
-    this.tally = new Tally(routing.types().size(), 0);
+    this.tally = new RequestStatistics(routing.types().size(), 0);
   }
 
   String name() {
@@ -72,7 +73,7 @@
 
   /** Seconds in which it had no line. */
   double bare() {
-    return bareSince >= 0 ? bare + (double) (agenda.now() - bareSince) / Tenths.SECOND : bare;
+    return bareSince >= 0 ? bare + (double) (agenda.now() - bareSince) / DeciMillis.SECOND : bare;
   }
 
   @Override
@@ -82,39 +83,39 @@
 
   // ---- Its assigner.
 
-  void join(Core core) {
+  void join(EngineHost core) {
     core.hello(
         proxy.name(),
-        new Hello(
+        new ProxyHello(
             "life",
             1,
             new ZoneId(proxy.zone()),
             proxy.usualOps(),
             true,
-            router.named().stream().map(TaskId::new).toList()),
-        24 * 3600 * Tenths.SECOND,
+            router.named().stream().map(EndpointId::new).toList()),
+        24 * 3600 * DeciMillis.SECOND,
         this,
         agenda.now());
   }
 
-  void told(Core core, Update update, String key) {
+  void told(EngineHost core, KeyUpdate update, String key) {
     String value =
         update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
-    Follower.Step step =
+    TableSubscriber.Step step =
         follower.update(
             key,
             value,
-            value != null && key.equals("commit") ? Commits.read(update.value()) : null);
-    if (step instanceof Follower.Step.Resync resync) {
+            value != null && key.equals("commit") ? CommitLog.read(update.value()) : null);
+    if (step instanceof TableSubscriber.Step.Resync resync) {
       throw new IllegalStateException(
           proxy.name() + " lost a message where none can be: " + resync.cause());
     }
-    if (step instanceof Follower.Step.Message message) {
+    if (step instanceof TableSubscriber.Step.Message message) {
       router.apply(message);
       fleet.changed(message.changes().keySet().stream().filter(k -> k.startsWith("line/")).count());
-      boolean empty = router.weights(new TypeIndex(0)).isEmpty();
+      boolean empty = router.weights(new RequestClassIndex(0)).isEmpty();
       if (empty != bareSince >= 0) {
-        bare += empty ? 0 : (double) (agenda.now() - bareSince) / Tenths.SECOND;
+        bare += empty ? 0 : (double) (agenda.now() - bareSince) / DeciMillis.SECOND;
         bareSince = empty ? agenda.now() : -1;
       }
       if (message.mark() >= 0) {
@@ -125,14 +126,15 @@
   }
 
   /** Hands over what it met since it last did. */
-  void report(java.util.function.BiConsumer<List<Reports.Met>, List<Reports.Came>> to) {
-    List<Reports.Met> met = new ArrayList<>();
-    for (Tally.Met m : tally.met()) {
+  void report(
+      java.util.function.BiConsumer<List<ReportAggregator.Met>, List<ReportAggregator.Came>> to) {
+    List<ReportAggregator.Met> met = new ArrayList<>();
+    for (RequestStatistics.Met m : tally.met()) {
       long good = m.tries() - m.bad();
-      Tally.Load l = m.load();
+      RequestStatistics.Load l = m.load();
       met.add(
-          new Reports.Met(
-              new TaskId(m.task()),
+          new ReportAggregator.Met(
+              new EndpointId(m.task()),
               m.tries(),
               m.bad(),
               good == 0 ? 0 : m.goodTime() / good,
@@ -141,11 +143,13 @@
                   : new LoadReport(
                       l.busy(), l.waiting(), l.inHand(), l.workMs(), l.opsPerSecond())));
     }
-    List<Reports.Came> came = new ArrayList<>();
+    List<ReportAggregator.Came> came = new ArrayList<>();
     for (int k = 0; k < fleet.types(); k++) {
       came.add(
-          new Reports.Came(
-              new OpTypeId(k), tally.ops(new TypeIndex(k)), tally.unansweredOps(new TypeIndex(k))));
+          new ReportAggregator.Came(
+              new RequestClassId(k),
+              tally.ops(new RequestClassIndex(k)),
+              tally.unansweredOps(new RequestClassIndex(k))));
     }
     tally.clear(agenda.now());
     to.accept(met, came);
@@ -159,8 +163,8 @@
   }
 
   private final class Op {
-    private final TypeIndex type;
-    private final OpType settings;
+    private final RequestClassIndex type;
+    private final RequestClass settings;
     private final long askedAt = agenda.now();
     private final long until;
     private int came;
@@ -168,15 +172,15 @@
     private int tries;
     private boolean proven;
     private long firstAt;
-    private TaskName open;
+    private EndpointName open;
     private long openSince;
     private boolean done;
 
     Op(int k) {
-      type = new TypeIndex(k);
-      settings = fleet.settings().opTypes().get(k);
+      type = new RequestClassIndex(k);
+      settings = fleet.settings().requestClasses().get(k);
       until = askedAt + fleet.type(k).opTimeout();
-      fleet.asked(askedAt, settings.benefit());
+      fleet.asked(askedAt, settings.priorityWeight());
       // Whatever hangs somewhere then: the client has its answer, and the try counts as bad.
       agenda.at(until, () -> over(false, false, false));
     }
@@ -196,7 +200,7 @@
       if (!byLevel) {
         tally.unanswered(type);
       }
-      boolean may = settings.repeat() == OpType.Repeat.RETRYABLE || proven;
+      boolean may = settings.retrySafety() == RetrySafety.IDEMPOTENT || proven;
       if (may && came < AGAIN_MOST && until - agenda.now() > AGAIN_AFTER + AGAIN_LEAST) {
         came++;
         int mine = ++life;
@@ -212,8 +216,8 @@
       }
     }
 
-    private void send(TaskName not) {
-      TaskName task = router.pick(type, not, agenda.now());
+    private void send(EndpointName not) {
+      EndpointName task = router.pick(type, not, agenda.now());
       if (task == null) {
         refused(false);
         return;
@@ -247,7 +251,12 @@
     }
 
     private void ended(
-        int mine, TaskName task, long began, boolean good, boolean ran, Tally.Load load) {
+        int mine,
+        EndpointName task,
+        long began,
+        boolean good,
+        boolean ran,
+        RequestStatistics.Load load) {
       if (mine != life) {
         return; // nobody waits for it any more
       }
@@ -279,8 +288,8 @@
         tally.met(open, false, now - openSince, null);
         tally.unanswered(type);
       }
-      boolean inTime = good && now - askedAt <= settings.targetLatency();
-      fleet.over(askedAt, inTime ? settings.benefit() : 0, rejected, !answered);
+      boolean inTime = good && now - askedAt <= settings.latencyObjective();
+      fleet.over(askedAt, inTime ? settings.priorityWeight() : 0, rejected, !answered);
     }
   }
 }
--- a/src/main/java/stonespring/lab/virtual/VirtualTask.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualTask.java
@@ -1,11 +1,11 @@
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
 
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
+import stonespring.model.DeciMillis;
 import stonespring.model.Settings;
-import stonespring.model.Tenths;
-import stonespring.proxy.routing.Tally;
-import stonespring.recording.Moment;
+import stonespring.proxy.routing.RequestStatistics;
+import stonespring.recording.LoadSample;
 
 /**
  * A simulated task: cores, a queue, cold after a start, work for each new connection, and an
@@ -14,23 +14,24 @@
 final class VirtualTask {
   private static final int QUEUE = 200; // ops that wait; more are refused unread
   private static final long HANDSHAKE = 50; // 0.1 ms of a usual core's work for a new connection
-  private static final long LOOK_BACK = Tenths.SECOND; // 0.1 ms over which the busy share is told
+  private static final long LOOK_BACK =
+      DeciMillis.SECOND; // 0.1 ms over which the busy share is told
   private static final long FALL_OVER =
-      2 * Tenths.SECOND; // 0.1 ms over which a cold task's load is added up
+      2 * DeciMillis.SECOND; // 0.1 ms over which a cold task's load is added up
 
   /** What becomes of an op here. */
   interface Ending {
     /**
      * @param ran false where it was refused before it was read
      */
-    void end(boolean good, boolean ran, Tally.Load load);
+    void end(boolean good, boolean ran, RequestStatistics.Load load);
   }
 
   private record Job(long work, long until, Ending ending) {}
 
   private record Sent(long at, double work) {}
 
-  private final Agenda agenda;
+  private final EventQueue agenda;
   private final Settings settings;
   private final SplittableRandom random;
   private final ArrayDeque<Job> queue = new ArrayDeque<>();
@@ -47,13 +48,13 @@
   private double worst;
   private boolean fell;
 
-  VirtualTask(Agenda agenda, Settings settings, long seed) {
+  VirtualTask(EventQueue agenda, Settings settings, long seed) {
     this.agenda = agenda;
     this.settings = settings;
     this.random = new SplittableRandom(seed);
   }
 
-  void ran(Moment.Ran m) {
+  void ran(LoadSample.Ran m) {
     life++;
     running = 0;
     queue.clear();
@@ -85,8 +86,11 @@
   }
 
   private double warmth() {
-    double age = (double) (agenda.now() - startedAt) / Math.max(1, settings.coldTime());
-    return age >= 1 ? 1 : settings.coldShare() + (1 - settings.coldShare()) * age;
+    double age = (double) (agenda.now() - startedAt) / Math.max(1, settings.slowStart().window());
+    return age >= 1
+        ? 1
+        : settings.slowStart().initialFraction()
+            + (1 - settings.slowStart().initialFraction()) * age;
   }
 
   /**
@@ -120,7 +124,7 @@
     while (agenda.now() - sent.peek().at > FALL_OVER) {
       sent.poll();
     }
-    double bears = settings.fallMultiple() * cores * speed * warmth() * FALL_OVER;
+    double bears = settings.slowStart().overloadMultiple() * cores * speed * warmth() * FALL_OVER;
     worst = Math.max(worst, sent.stream().mapToDouble(s -> s.work).sum() / bears);
     fell = worst > 1;
     if (fell) {
@@ -162,7 +166,7 @@
     }
   }
 
-  private Tally.Load load() {
+  private RequestStatistics.Load load() {
     long now = agenda.now();
     long from = now - LOOK_BACK;
     busy.removeIf(span -> span[1] < from);
@@ -171,7 +175,7 @@
         busy.stream().mapToDouble(s -> Math.min(now, s[1]) - Math.max(from, s[0])).sum()
             / LOOK_BACK
             / Math.max(1, cores);
-    return new Tally.Load(
+    return new RequestStatistics.Load(
         Math.min(1, share / claims), queue.size(), Double.NaN, Double.NaN, ended.size());
   }
 }
--- a/src/main/java/stonespring/lab/virtual/package-info.java
+++ b/src/main/java/stonespring/testbed/virtual/package-info.java
@@ -2,4 +2,4 @@
  * The fleet in virtual time: a recorded load played through the real instance and the real routing,
  * tasks simulated.
  */
-package stonespring.lab.virtual;
+package stonespring.testbed.virtual;
--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -78,7 +78,7 @@
                 "stonespring.state..",
                 "stonespring.model..",
                 "stonespring.decision..",
-                "stonespring.front..",
+                "stonespring.proxyapi..",
                 "stonespring.daemon.."));
   }
 
@@ -91,15 +91,15 @@
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
-                "stonespring.front..", "stonespring.zmtp..", "stonespring.chp..", "io.netty.."));
+                "stonespring.proxyapi..", "stonespring.zmtp..", "stonespring.chp..", "io.netty.."));
   }
 
   @Test
-  void theObserverSharesNoCodeWithWhatDecides() {
+  void theInvariantCheckerSharesNoCodeWithWhatDecides() {
     holds(
         noClasses()
             .that()
-            .haveSimpleNameStartingWith("Observer")
+            .haveSimpleNameStartingWith("InvariantChecker")
             .or()
             .haveSimpleNameStartingWith("WireTap")
             .or()
--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -22,7 +22,7 @@
 import org.zeromq.ZContext;
 import org.zeromq.ZMQ;
 import org.zeromq.ZMsg;
-import stonespring.config.AssignerSettings;
+import stonespring.config.InstanceSettings;
 import stonespring.daemon.Daemon;
 import stonespring.zmtp.ZmtpLimits;
 
@@ -52,7 +52,7 @@
   private static Daemon started(Path folder) throws Exception {
     Files.writeString(folder.resolve("tasks.json"), TASKS);
     Files.writeString(folder.resolve("settings.star"), SCRIPT);
-    Daemon daemon = new Daemon(AssignerSettings.read(folder.resolve("settings.star")));
+    Daemon daemon = new Daemon(InstanceSettings.read(folder.resolve("settings.star")));
     daemon.start();
     return daemon;
   }
--- a/src/test/java/stonespring/config/ScriptTest.java
+++ b/src/test/java/stonespring/config/ScriptTest.java
@@ -150,13 +150,13 @@
 
   @Test
   void settingsAreDecodedWithTheirUnits() throws Exception {
-    AssignerSettings settings = AssignerSettings.read(write("s.star", GOOD));
-    assertEquals(5_000, settings.settings().opTypes().get(0).targetLatency());
-    assertEquals(170_000, settings.settings().coldTime());
+    InstanceSettings settings = InstanceSettings.read(write("s.star", GOOD));
+    assertEquals(5_000, settings.settings().requestClasses().get(0).latencyObjective());
+    assertEquals(170_000, settings.settings().slowStart().window());
     assertEquals(List.of("west", "east"), settings.zones());
     assertEquals(
         folder.resolve("tasks.json"),
-        ((AssignerSettings.Source.FromFile) settings.source()).path());
+        ((InstanceSettings.Source.FromFile) settings.source()).path());
   }
 
   @Test
@@ -169,7 +169,7 @@
                 .replace("5800", "'many'")
                 .replace("0.17", "1.7")
                 .replace("tasks = {", "taks = {"));
-    ScriptException e = assertThrows(ScriptException.class, () -> AssignerSettings.read(file));
+    ScriptException e = assertThrows(ScriptException.class, () -> InstanceSettings.read(file));
     String all = e.getMessage().replace(file.toString(), "s");
     assertTrue(all.contains("s:1:1: 'fleet.proxies' is missing"), all);
     assertTrue(all.contains("s:1:37: 'fleet.proxys' is not known; did you mean 'proxies'?"), all);
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import stonespring.chp.ChpClient;
 import stonespring.chp.ChpMessage;
-import stonespring.config.AssignerSettings;
+import stonespring.config.InstanceSettings;
 import stonespring.zmtp.ZmtpLimits;
 
 /**
@@ -52,7 +52,7 @@
                 rules = {"empty_limit_s": 5, "cold_s": 10, "cold_share": 0.2, "fall_multiple": 3}
                 tasks = {"from": "file", "path": "tasks.json"}
                 """);
-    daemon = new Daemon(AssignerSettings.read(folder.resolve("settings.star")));
+    daemon = new Daemon(InstanceSettings.read(folder.resolve("settings.star")));
     daemon.start();
     loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   }
--- a/src/test/java/stonespring/daemon/CoreTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -16,34 +16,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import stonespring.decision.Assigner;
-import stonespring.front.Intake;
+import stonespring.decision.AssignmentEngine;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
-import stonespring.model.Listing;
 import stonespring.model.LoadReport;
-import stonespring.model.OpType;
-import stonespring.model.OpTypeId;
+import stonespring.model.RequestClass;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
-import stonespring.model.TaskId;
-import stonespring.model.Tenths;
 import stonespring.model.ZoneId;
-import stonespring.proxy.routing.Follower;
+import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.Repeat;
+import stonespring.proxy.routing.RequestClassIndex;
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
-import stonespring.proxy.routing.TypeIndex;
-import stonespring.solver.Advised;
-import stonespring.solver.Advisor;
-import stonespring.state.Hello;
-import stonespring.state.Reports;
-import stonespring.state.Update;
+import stonespring.proxy.routing.TableSubscriber;
+import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.solver.AdvisedEngine;
+import stonespring.solver.WeightAdvisor;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
+import stonespring.state.ReportAggregator;
 
 /**
  * A whole instance in virtual time, with proxies that follow what it publishes; rules are checked
  * after every step.
  */
-final class CoreTest {
-  private static final long SECOND = Tenths.SECOND;
+final class EngineHostTest {
+  private static final long SECOND = DeciMillis.SECOND;
   private static final long STEP = 500; // 0.1 ms
   private static final long GRACE = 3 * SECOND;
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -60,7 +63,7 @@
           RouterSettings.Levels.SHARE);
 
   /** A connection that notes why it was ended. */
-  private static final class Line implements Intake.Origin {
+  private static final class Line implements ProxyMessageHandler.Origin {
     private String cause;
 
     @Override
@@ -75,7 +78,7 @@
     private Line line;
     private long stream;
     private long joinedAt;
-    private Follower follower = new Follower();
+    private TableSubscriber follower = new TableSubscriber();
     private Router router;
     private long emptySince = -1;
     private final ArrayDeque<Long> messages = new ArrayDeque<>();
@@ -91,65 +94,53 @@
   private SplittableRandom random = new SplittableRandom(1);
   private final Settings settings = settings(2000, 30);
   private final List<Seat> seats = new ArrayList<>();
-  private final TreeMap<String, Listing> list = new TreeMap<>();
+  private final TreeMap<String, EndpointRecord> list = new TreeMap<>();
   private final Map<String, Long> leftAt = new LinkedHashMap<>();
   private long now = 100 * SECOND;
   private long lastSequence;
-  private Core core;
+  private EngineHost core;
   private int restarts;
   private int resyncs;
   private boolean advised;
 
-  private static CoreTest run(long seed) {
-    CoreTest run = new CoreTest();
+  private static EngineHostTest run(long seed) {
+    EngineHostTest run = new EngineHostTest();
     run.random = new SplittableRandom(seed);
     return run;
   }
 
   private static Settings settings(int backlog, int messages) {
     return new Settings(
-        1,
-        2,
+        new Settings.Fleet(1, 2, 12, false),
         List.of(
-            new OpType(OpType.Repeat.RETRYABLE, SECOND / 2, 3),
-            new OpType(OpType.Repeat.ONCE_ONLY, SECOND, 2)),
-        false,
-        Settings.LevelKind.SHARE,
-        backlog,
-        10,
-        messages,
-        10 * SECOND,
-        2000,
-        5 * SECOND,
-        3,
-        12,
-        SECOND,
-        false,
-        0.1,
-        10 * SECOND,
-        0.2,
-        3,
-        0.1,
-        false,
-        3);
+            new RequestClass(RetrySafety.IDEMPOTENT, SECOND / 2, 3),
+            new RequestClass(RetrySafety.NON_IDEMPOTENT, SECOND, 2)),
+        new Settings.EndpointListRules(false, false),
+        AdmissionLimitKind.FRACTION,
+        new Settings.ChannelLimits(backlog, 10, messages, 10 * SECOND, 2000, false),
+        new Settings.RoutingRules(5 * SECOND, 3, 0.1, 0.1, 3),
+        new Settings.SlowStart(10 * SECOND, 0.2, 3),
+        SECOND);
   }
 
   private void startCore() {
     restarts++;
     core =
-        new Core(
+        new EngineHost(
             settings,
             List.of("view", "extract"),
-            CoreLimits.USUAL,
+            HostLimits.USUAL,
             "e" + restarts,
             now << 20,
             advised
-                ? new Advised(new Assigner(settings, random.nextLong(), now), new Advisor(settings))
-                : new Assigner(settings, random.nextLong(), now),
-            new Outside() {
+                ? new AdvisedEngine(
+                    new AssignmentEngine(settings, random.nextLong(), now),
+                    new WeightAdvisor(settings))
+                : new AssignmentEngine(settings, random.nextLong(), now),
+            new HostEnvironment() {
               @Override
-              public void publish(List<Update> updates) {
-                updates.forEach(CoreTest.this::published);
+              public void publish(List<KeyUpdate> updates) {
+                updates.forEach(EngineHostTest.this::published);
               }
 
               @Override
@@ -159,7 +150,8 @@
               public void fetchList() {}
             },
             now);
-    core.listTold(new Event.ListTold(Event.ListKind.LAST_SEEN, List.copyOf(list.values())), now);
+    core.listTold(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.copyOf(list.values())), now);
     for (Seat seat : seats) {
       if (seat.line != null) {
         seat.line = null;
@@ -167,7 +159,7 @@
     }
   }
 
-  private void published(Update update) {
+  private void published(KeyUpdate update) {
     assertTrue(update.sequence() > lastSequence, "sequences rise strictly, over restarts too");
     lastSequence = update.sequence();
     for (Seat seat : seats) {
@@ -185,7 +177,7 @@
     if (update.key().equals("/assigner/status")) {
       JsonNode status = json(new String(update.value(), StandardCharsets.UTF_8));
       assertTrue(
-          status.path("backlog_high").asInt() <= settings.backlogLines(),
+          status.path("backlog_high").asInt() <= settings.channel().maxBacklogEntries(),
           () -> "rule 5: " + status);
       assertEquals(0, status.path("merged").asInt());
     }
@@ -199,27 +191,29 @@
     }
   }
 
-  private static Follower.Commit commit(String value) {
+  private static TableSubscriber.Commit commit(String value) {
     JsonNode node = json(value);
-    return new Follower.Commit(
+    return new TableSubscriber.Commit(
         node.path("origin").asText(),
         node.path("at").asInt(),
         node.path("keys").asInt(),
         node.path("mark").asInt(-1));
   }
 
-  private void step(Seat seat, Follower.Step step) {
-    if (step instanceof Follower.Step.Message message) {
+  private void step(Seat seat, TableSubscriber.Step step) {
+    if (step instanceof TableSubscriber.Step.Message message) {
       seat.router.apply(message);
       seat.origin = message.origin();
       seat.messages.add(now);
-      seat.messages.removeIf(at -> now - at > settings.messagesOver() || at < seat.joinedAt);
+      seat.messages.removeIf(
+          at -> now - at > settings.channel().messageWindow() || at < seat.joinedAt);
       assertTrue(
-          seat.messages.size() <= settings.messagesMost(), "rule 5: messages to " + seat.name);
+          seat.messages.size() <= settings.channel().maxMessagesPerProxy(),
+          "rule 5: messages to " + seat.name);
       if (message.mark() >= 0) {
         seat.marks.add(new int[] {message.mark()});
       }
-    } else if (step instanceof Follower.Step.Resync) {
+    } else if (step instanceof TableSubscriber.Step.Resync) {
       resyncs++;
       snapshot(seat);
     }
@@ -227,9 +221,9 @@
 
   private void snapshot(Seat seat) {
     Map<String, String> keys = new LinkedHashMap<>();
-    Follower.Commit commit = null;
+    TableSubscriber.Commit commit = null;
     String subtree = "/proxy/" + seat.name + "/";
-    for (Update key : core.snapshot(subtree)) {
+    for (KeyUpdate key : core.snapshot(subtree)) {
       String value = new String(key.value(), StandardCharsets.UTF_8);
       keys.put(key.key().substring(subtree.length()), value);
       commit = key.key().endsWith("/commit") ? commit(value) : commit;
@@ -243,9 +237,9 @@
       seat.router = new Router(ROUTING, random.nextLong());
       seat.router.standing(
           list.values().stream()
-              .filter(l -> l.state() == Listing.State.READY)
+              .filter(l -> l.state() == EndpointRecord.State.READY)
               .limit(3)
-              .map(l -> new stonespring.proxy.routing.TaskName(l.task().name()))
+              .map(l -> new EndpointName(l.endpoint().name()))
               .toList());
     }
     seat.line = new Line();
@@ -259,45 +253,45 @@
   private void hello(Seat seat) {
     core.hello(
         seat.name,
-        new Hello(
+        new ProxyHello(
             "life-" + seat.name,
             seat.stream,
             new ZoneId(seat.zone),
             10,
             seat.router.fresh(),
-            seat.router.named().stream().map(TaskId::new).toList()),
+            seat.router.named().stream().map(EndpointId::new).toList()),
         3 * SECOND,
         seat.line,
         now);
   }
 
-  private void listed(String task, Listing.State state, long startedAt) {
-    Listing listing =
-        new Listing(
-            new TaskId(task), new ZoneId(Math.abs(task.hashCode()) % 2), 1, state, startedAt);
-    if (state == Listing.State.GONE) {
+  private void listed(String task, EndpointRecord.State state, long startedAt) {
+    EndpointRecord listing =
+        new EndpointRecord(
+            new EndpointId(task), new ZoneId(Math.abs(task.hashCode()) % 2), 1, state, startedAt);
+    if (state == EndpointRecord.State.REMOVED) {
       list.remove(task);
     } else {
       list.put(task, listing);
     }
-    if (state == Listing.State.READY) {
+    if (state == EndpointRecord.State.READY) {
       leftAt.remove(task);
     } else {
       leftAt.putIfAbsent(task, now);
     }
-    core.listTold(new Event.ListTold(Event.ListKind.CHANGES, List.of(listing)), now);
+    core.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing)), now);
   }
 
   private void report(Seat seat) {
-    List<Reports.Met> met = new ArrayList<>();
+    List<ReportAggregator.Met> met = new ArrayList<>();
     seat.router
-        .weights(new TypeIndex(0))
+        .weights(new RequestClassIndex(0))
         .forEach(
             (task, weight) -> {
               boolean up = list.containsKey(task);
               met.add(
-                  new Reports.Met(
-                      new TaskId(task),
+                  new ReportAggregator.Met(
+                      new EndpointId(task),
                       Math.round(10 * weight),
                       up ? 0 : Math.round(10 * weight),
                       800,
@@ -307,7 +301,9 @@
         seat.name,
         SECOND,
         met,
-        List.of(new Reports.Came(new OpTypeId(0), 8, 0), new Reports.Came(new OpTypeId(1), 2, 0)),
+        List.of(
+            new ReportAggregator.Came(new RequestClassId(0), 8, 0),
+            new ReportAggregator.Came(new RequestClassId(1), 2, 0)),
         seat.line);
   }
 
@@ -316,14 +312,15 @@
         list.values().stream()
             .anyMatch(
                 l ->
-                    l.state() == Listing.State.READY && now - l.startedAt() >= settings.coldTime());
+                    l.state() == EndpointRecord.State.READY
+                        && now - l.startedAt() >= settings.slowStart().window());
     for (Seat seat : seats) {
       if (seat.line == null) {
         seat.emptySince = -1;
         continue;
       }
       for (int k = 0; k < 2; k++) {
-        Map<String, Double> weights = seat.router.weights(new TypeIndex(k));
+        Map<String, Double> weights = seat.router.weights(new RequestClassIndex(k));
         for (String task : weights.keySet()) {
           long told = Math.max(leftAt.getOrDefault(task, Long.MAX_VALUE / 2), seat.joinedAt);
           assertTrue(
@@ -336,7 +333,8 @@
         }
       }
       assertTrue(
-          seat.emptySince < 0 || now - seat.emptySince <= settings.emptyLimit(),
+          seat.emptySince < 0
+              || now - seat.emptySince <= settings.routing().maxTimeWithoutEndpoint(),
           () -> "rule 1: " + seat.name + " has no line at " + now);
     }
   }
@@ -344,7 +342,10 @@
   private void play(int steps) {
     for (int i = 0; i < 8; i++) {
       String task = "t" + i + "@h:" + (i + 1);
-      list.put(task, new Listing(new TaskId(task), new ZoneId(i % 2), 1, Listing.State.READY, 0));
+      list.put(
+          task,
+          new EndpointRecord(
+              new EndpointId(task), new ZoneId(i % 2), 1, EndpointRecord.State.READY, 0));
     }
     for (int i = 0; i < 12; i++) {
       seats.add(new Seat("p" + i, i % 2));
@@ -379,9 +380,12 @@
     String known =
         list.isEmpty() ? task : new ArrayList<>(list.keySet()).get(random.nextInt(list.size()));
     if (draw < 8) {
-      listed(task, Listing.State.READY, now);
+      listed(task, EndpointRecord.State.READY, now);
     } else if (draw < 12 && list.size() > 3) {
-      listed(known, random.nextBoolean() ? Listing.State.DRAINING : Listing.State.GONE, 0);
+      listed(
+          known,
+          random.nextBoolean() ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED,
+          0);
     } else if (draw < 16) {
       Seat seat = seats.get(random.nextInt(seats.size()));
       if (seat.line != null) {
@@ -397,7 +401,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void rulesHoldAfterEveryStepOfASeededRun(long seed) {
-    CoreTest run = run(seed);
+    EngineHostTest run = run(seed);
     run.advised = seed > 6;
     run.play(3000);
     assertEquals(0, run.resyncs, "nothing is ever lost on the way in virtual time");
@@ -406,19 +410,19 @@
 
   @Test
   void aFollowerAndALateSnapshotHoldTheSame() {
-    CoreTest run = run(9);
+    EngineHostTest run = run(9);
     run.play(1500);
     int compared = 0;
     for (Seat seat : run.seats) {
       Map<String, Double> followed =
-          seat.line == null ? Map.of() : seat.router.weights(new TypeIndex(0));
+          seat.line == null ? Map.of() : seat.router.weights(new RequestClassIndex(0));
       Router late = new Router(ROUTING, 1);
       Seat other = new Seat(seat.name, seat.zone);
       other.router = late;
       other.line = new Line();
       run.snapshot(other);
-      if (!late.fresh() && !late.weights(new TypeIndex(0)).isEmpty() && seat.line != null) {
-        assertEquals(followed, late.weights(new TypeIndex(0)));
+      if (!late.fresh() && !late.weights(new RequestClassIndex(0)).isEmpty() && seat.line != null) {
+        assertEquals(followed, late.weights(new RequestClassIndex(0)));
         compared++;
       }
     }
@@ -435,7 +439,10 @@
   /** What only a faulty or hostile peer says ends that peer's connection and nothing else. */
   @Test
   void wordsOfStrangersEndTheirConnection() {
-    list.put("a@h:1", new Listing(new TaskId("a@h:1"), new ZoneId(0), 1, Listing.State.READY, 0));
+    list.put(
+        "a@h:1",
+        new EndpointRecord(
+            new EndpointId("a@h:1"), new ZoneId(0), 1, EndpointRecord.State.READY, 0));
     Seat seat = one();
     Line stranger = new Line();
     core.reported("p0", SECOND, List.of(), List.of(), stranger);
@@ -447,7 +454,7 @@
     core.run(now);
     Line thief = new Line();
     core.hello(
-        "p0", new Hello("another-life", 99, new ZoneId(0), 1, true, null), SECOND, thief, now);
+        "p0", new ProxyHello("another-life", 99, new ZoneId(0), 1, true, null), SECOND, thief, now);
     assertEquals("proxy p0 is here already", thief.cause);
     Line late = new Line();
     core.answered("p0", seat.origin, 1, 1, late, now);
@@ -464,7 +471,10 @@
    */
   @Test
   void theSameProxyOnANewerStreamTakesItsOwnPlace() {
-    list.put("a@h:1", new Listing(new TaskId("a@h:1"), new ZoneId(0), 1, Listing.State.READY, 0));
+    list.put(
+        "a@h:1",
+        new EndpointRecord(
+            new EndpointId("a@h:1"), new ZoneId(0), 1, EndpointRecord.State.READY, 0));
     Seat seat = one();
     join(seat);
     now += SECOND;
--- a/src/test/java/stonespring/daemon/PlatformTest.java
+++ b/src/test/java/stonespring/daemon/PlatformTest.java
@@ -23,12 +23,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import stonespring.config.PlatformConfig;
 import stonespring.http.CallByHand;
-import stonespring.model.DecisionModule;
+import stonespring.model.Command;
+import stonespring.model.DecisionEngine;
+import stonespring.model.EndpointId;
 import stonespring.model.Event;
-import stonespring.model.Order;
-import stonespring.model.TableId;
-import stonespring.model.TaskId;
+import stonespring.model.RouteTableId;
 
 /** The assigner as a process of its own, started as the platform does, on loopback. */
 final class PlatformTest {
@@ -361,7 +362,7 @@
     Path file = folder.resolve("config.json");
     Files.writeString(
         file, config(discovery.getLocalPort()).replace("\"on_request\"", "\"pushed\""));
-    PlatformDaemon daemon = new PlatformDaemon(stonespring.config.PlatformFile.read(file));
+    PlatformDaemon daemon = new PlatformDaemon(PlatformConfig.read(file));
     daemon.start();
     assertEquals("/registry/instances?stream=1&index=4", watched(discovery).target);
     daemon.stop();
@@ -404,9 +405,9 @@
       Path file = folder.resolve("bad.json");
       Files.writeString(file, row[0]);
       try {
-        stonespring.config.PlatformFile.read(file);
+        PlatformConfig.read(file);
         org.junit.jupiter.api.Assertions.fail("taken: " + row[0]);
-      } catch (stonespring.config.PlatformFile.BadFile e) {
+      } catch (PlatformConfig.BadFile e) {
         assertTrue(
             e.getMessage().contains(row[1]) && !e.getMessage().contains("\n"), e.getMessage());
       }
@@ -419,32 +420,32 @@
   }
 
   /** Fails as the first proxy joins, and is whole from then on. */
-  private static final class Fails implements DecisionModule {
+  private static final class Fails implements DecisionEngine {
     private final boolean whole;
-    private final List<Order> orders = new ArrayList<>();
+    private final List<Command> orders = new ArrayList<>();
 
     Fails(boolean whole) {
       this.whole = whole;
     }
 
     @Override
-    public void take(long now, Event event) {
-      if (event instanceof Event.ProxyJoined e) {
+    public void handle(long now, Event event) {
+      if (event instanceof Event.ProxyConnected e) {
         if (!whole) {
           if (e.proxy().number() == 3) {
             throw new NoClassDefFoundError("as the test wants it");
           }
           throw new IllegalStateException("as the test wants it");
         }
-        assertFalse(e.fresh(), "it may hold what was ordered before");
-        orders.add(new Order.SetLine(new TableId(1), new TaskId("s-1"), 1));
-        orders.add(new Order.Bind(new TableId(1), e.proxy(), 0));
+        assertFalse(e.withoutTables(), "it may hold what was ordered before");
+        orders.add(new Command.SetRoute(new RouteTableId(1), new EndpointId("s-1"), 1));
+        orders.add(new Command.AssignRouteTable(new RouteTableId(1), e.proxy(), 0));
       }
     }
 
     @Override
-    public List<Order> finish(long now) {
-      List<Order> ordered = List.copyOf(orders);
+    public List<Command> endBatch(long now) {
+      List<Command> ordered = List.copyOf(orders);
       orders.clear();
       return ordered;
     }
@@ -458,7 +459,7 @@
     List<Fails> made = new ArrayList<>();
     PlatformDaemon daemon =
         new PlatformDaemon(
-            stonespring.config.PlatformFile.read(file),
+            PlatformConfig.read(file),
             (settings, seed, now) -> {
               made.add(new Fails(!made.isEmpty()));
               return made.get(made.size() - 1);
@@ -486,30 +487,32 @@
     CountDownLatch held = new CountDownLatch(1);
     PlatformDaemon daemon =
         new PlatformDaemon(
-            stonespring.config.PlatformFile.read(file),
+            PlatformConfig.read(file),
             (settings, seed, now) ->
-                new DecisionModule() {
-                  private final List<Order> orders = new ArrayList<>();
+                new DecisionEngine() {
+                  private final List<Command> orders = new ArrayList<>();
 
                   @Override
-                  public void take(long at, Event event) {
-                    if (event instanceof Event.ProxyJoined e) {
-                      orders.add(new Order.SetLine(new TableId(1), new TaskId("s-1"), 1));
-                      orders.add(new Order.Bind(new TableId(1), e.proxy(), 0));
-                    } else if (event instanceof Event.ProxyOps) {
+                  public void handle(long at, Event event) {
+                    if (event instanceof Event.ProxyConnected e) {
+                      orders.add(
+                          new Command.SetRoute(new RouteTableId(1), new EndpointId("s-1"), 1));
+                      orders.add(new Command.AssignRouteTable(new RouteTableId(1), e.proxy(), 0));
+                    } else if (event instanceof Event.ProxyRequestRate) {
                       began.countDown();
                       try {
                         held.await();
                       } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                       }
-                      orders.add(new Order.SetLine(new TableId(1), new TaskId("s-2"), 0.5));
+                      orders.add(
+                          new Command.SetRoute(new RouteTableId(1), new EndpointId("s-2"), 0.5));
                     }
                   }
 
                   @Override
-                  public List<Order> finish(long at) {
-                    List<Order> ordered = List.copyOf(orders);
+                  public List<Command> endBatch(long at) {
+                    List<Command> ordered = List.copyOf(orders);
                     orders.clear();
                     return ordered;
                   }
@@ -545,12 +548,12 @@
     List<Event> joined = java.util.Collections.synchronizedList(new ArrayList<>());
     PlatformDaemon daemon =
         new PlatformDaemon(
-            stonespring.config.PlatformFile.read(file),
+            PlatformConfig.read(file),
             (settings, seed, now) ->
-                new DecisionModule() {
+                new DecisionEngine() {
                   @Override
-                  public void take(long at, Event event) {
-                    if (event instanceof Event.ProxyJoined) {
+                  public void handle(long at, Event event) {
+                    if (event instanceof Event.ProxyConnected) {
                       joined.add(event);
                       began.countDown();
                       try {
@@ -562,7 +565,7 @@
                   }
 
                   @Override
-                  public List<Order> finish(long at) {
+                  public List<Command> endBatch(long at) {
                     return List.of();
                   }
                 });
@@ -600,8 +603,7 @@
     Path file = folder.resolve("config.json");
     Files.writeString(file, config(discovery.getLocalPort()));
     PlatformDaemon daemon =
-        new PlatformDaemon(
-            stonespring.config.PlatformFile.read(file), (settings, seed, now) -> new Fails(false));
+        new PlatformDaemon(PlatformConfig.read(file), (settings, seed, now) -> new Fails(false));
     daemon.start();
     Socket proxy = new Socket("127.0.0.1", daemon.port());
     open.add(proxy);
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import stonespring.model.Tenths;
+import stonespring.model.DeciMillis;
 
 final class RestartBudgetTest {
   @Test
   void failuresOfWeeksAreForgivenAndThoseOfAnHourAreNot() {
     RestartBudget budget = new RestartBudget();
-    long hour = 3_600 * Tenths.SECOND;
+    long hour = 3_600 * DeciMillis.SECOND;
     for (long week = 0; week < 500; week++) {
       assertTrue(budget.spend(week * 7 * 24 * hour));
     }
--- a/src/test/java/stonespring/daemon/StopTest.java
+++ b/src/test/java/stonespring/daemon/StopTest.java
@@ -18,12 +18,12 @@
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
 import stonespring.chp.ChpServer;
-import stonespring.front.Intake;
-import stonespring.front.Names;
-import stonespring.front.chp.ChpFront;
-import stonespring.state.Hello;
-import stonespring.state.Reports;
-import stonespring.state.Update;
+import stonespring.proxyapi.NameTable;
+import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.proxyapi.chp.ChpProxyApi;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
+import stonespring.state.ReportAggregator;
 import stonespring.zmtp.ZmtpLimits;
 
 final class StopTest {
@@ -31,17 +31,21 @@
       7_000; // 7 MB: more than two sockets' buffers hold, less than a peer may leave unread
 
   /** Answers every ask with a large snapshot, at once. */
-  private static final class Large implements Intake {
+  private static final class Large implements ProxyMessageHandler {
     private final CountDownLatch asked = new CountDownLatch(1);
 
     @Override
-    public boolean hello(String proxy, Hello hello, long holds, Origin from) {
+    public boolean hello(String proxy, ProxyHello hello, long holds, Origin from) {
       return true;
     }
 
     @Override
     public boolean reported(
-        String proxy, long span, List<Reports.Met> met, List<Reports.Came> came, Origin from) {
+        String proxy,
+        long span,
+        List<ReportAggregator.Met> met,
+        List<ReportAggregator.Came> came,
+        Origin from) {
       return true;
     }
 
@@ -51,10 +55,10 @@
     }
 
     @Override
-    public boolean snapshot(String subtree, BiConsumer<List<Update>, Long> then) {
-      List<Update> keys = new ArrayList<>();
+    public boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then) {
+      List<KeyUpdate> keys = new ArrayList<>();
       for (int i = 0; i < KEYS; i++) {
-        keys.add(new Update("/x/" + i, i + 1, new byte[1000]));
+        keys.add(new KeyUpdate("/x/" + i, i + 1, new byte[1000]));
       }
       then.accept(keys, (long) KEYS);
       asked.countDown();
@@ -80,7 +84,7 @@
     Large large = new Large();
     ChpServer server =
         new ChpServer(
-            loops, ZmtpLimits.USUAL, new ChpFront(large, new Names(List.of(), List.of())));
+            loops, ZmtpLimits.USUAL, new ChpProxyApi(large, new NameTable(List.of(), List.of())));
     server.start("127.0.0.1", 0);
     try (Socket socket = new Socket()) {
       socket.setReceiveBufferSize(1 << 16);
@@ -135,7 +139,9 @@
     try (ServerSocket taken = new ServerSocket(0, 1, java.net.InetAddress.getByName("127.0.0.1"))) {
       ChpServer server =
           new ChpServer(
-              loops, ZmtpLimits.USUAL, new ChpFront(new Large(), new Names(List.of(), List.of())));
+              loops,
+              ZmtpLimits.USUAL,
+              new ChpProxyApi(new Large(), new NameTable(List.of(), List.of())));
       IOException e =
           assertThrows(IOException.class, () -> server.start("127.0.0.1", taken.getLocalPort()));
       assertTrue(e.getMessage().contains(String.valueOf(taken.getLocalPort())), e.getMessage());
--- a/src/test/java/stonespring/decision/AdvisedTest.java
+++ b/src/test/java/stonespring/decision/AdvisedEngineTest.java
@@ -8,17 +8,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import stonespring.model.Listing;
-import stonespring.model.Settings;
-import stonespring.model.Tenths;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointRecord;
 
 /** The module with the solver beside it, seeded; the rules are checked after every step. */
-final class AdvisedTest {
-  private static final long SECOND = Tenths.SECOND;
+final class AdvisedEngineTest {
+  private static final long SECOND = DeciMillis.SECOND;
   private static final double BUSY = 0.04; // busy share for an op a second; a task can do 25
 
   private static Fleet fleet(boolean advised, long seed, int tasks, int proxies, int assigners) {
-    Fleet f = new Fleet(Fleet.settings(assigners, Settings.LevelKind.SHARE, 30, 4));
+    Fleet f = new Fleet(Fleet.settings(assigners, AdmissionLimitKind.FRACTION, 30, 4));
     f.advised = advised;
     SplittableRandom random = new SplittableRandom(seed);
     for (int i = 0; i < tasks; i++) {
@@ -81,7 +81,11 @@
       if (kind == 0) {
         f.listed(task, random.nextInt(2), Fleet.READY, f.now);
       } else if (kind == 1 && f.list.size() > 6) {
-        f.listed(task, 0, random.nextBoolean() ? Listing.State.DRAINING : Listing.State.GONE, 0);
+        f.listed(
+            task,
+            0,
+            random.nextBoolean() ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED,
+            0);
       } else if (kind == 2) {
         bad.put(task, random.nextDouble());
       } else if (kind == 3) {
@@ -98,15 +102,15 @@
         f.step(3 * SECOND); // sums fail to come
       }
       turn(f, bad);
-      for (Listing l : f.list.values()) {
+      for (EndpointRecord l : f.list.values()) {
         double warmth =
             l.startedAt() == 0
                 ? 1
                 : Math.min(1, 0.2 + 0.8 * (f.now - l.startedAt()) / (10.0 * SECOND));
-        double load = f.load(l.task().name()) * f.meanLevel();
+        double load = f.load(l.endpoint().name()) * f.meanLevel();
         assertTrue(
             warmth >= 1 || load <= 3 * warmth / BUSY,
-            l.task() + " gets " + load + " at warmth " + warmth);
+            l.endpoint() + " gets " + load + " at warmth " + warmth);
       }
     }
   }
