--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/Daemon.java
@@ -104,7 +104,7 @@
 
           @Override
           public void followList(boolean on) {
-            source.follow(on);
+            source.watch(on);
           }
 
           @Override
@@ -128,7 +128,7 @@
     List<EndpointRecord> last = saved.read();
     loop.start(settings.name(), core);
     loop.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, last));
-    source.start(loop::listTold, saved::keep);
+    source.start(loop::listTold, saved::store);
     LOG.info(
         "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} tasks of the saved list",
         settings.name(),
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -115,7 +115,7 @@
         new EndpointListRequests() {
           @Override
           public void followList(boolean on) {
-            source.follow(on);
+            source.watch(on);
           }
 
           @Override
@@ -131,7 +131,7 @@
             () -> {
               decisions = new EngineRunner(module(file.seed()), asks);
               source.start(this::listTold, list -> {});
-              listTold(source.lastSeen(file.known()));
+              listTold(source.loadCached(file.known()));
               batch();
             })
         .sync();
@@ -141,7 +141,7 @@
         file.name(),
         file.listen().getHostString(),
         listener.port(),
-        source.held().size(),
+        source.endpoints().size(),
         file.facts().settings().fleet().proxies(),
         listener.limits().unjoined());
   }
@@ -283,7 +283,7 @@
     reports.clear();
     decisions = new EngineRunner(module(file.seed() + failures), asks);
     timerAt = Long.MAX_VALUE;
-    heard(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.held()));
+    heard(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
     front.restart();
   }
 
--- a/src/main/java/stonespring/discovery/CachedEndpointList.java
+++ b/src/main/java/stonespring/discovery/CachedEndpointList.java
@@ -17,72 +17,84 @@
 import stonespring.model.EndpointRecord;
 
 /**
- * The last list that was heard, on disk: written beside and renamed, so that a cut leaves the old
- * one or the new.
+ * The last known endpoint list on disk, for the next start. It is written beside the old file and
+ * renamed, so that a crash leaves the old list or the new one. Thread-safe.
  */
 public final class CachedEndpointList {
   private static final Logger LOG = LoggerFactory.getLogger(CachedEndpointList.class);
+  private static final long STOP_TIMEOUT_SECONDS = 1;
+
   private final Path path;
-  private final EndpointListCodec entries;
-  private final AtomicReference<List<EndpointRecord>> waiting = new AtomicReference<>();
+  private final EndpointListCodec codec;
+  private final AtomicReference<List<EndpointRecord>> pending = new AtomicReference<>();
   private final ExecutorService writer =
-      Executors.newSingleThreadExecutor(
-          work -> {
-            Thread thread = new Thread(work, "saved-list");
-            thread.setDaemon(true);
-            return thread;
-          });
+      Executors.newSingleThreadExecutor(CachedEndpointList::writerThread);
 
-  public CachedEndpointList(Path path, EndpointListCodec entries) {
+  /**
+   * Creates a cache; reads nothing yet.
+   *
+   * @param path the file, or null for a cache that keeps nothing
+   */
+  public CachedEndpointList(Path path, EndpointListCodec codec) {
     this.path = path;
-    this.entries = entries;
+    this.codec = codec;
   }
 
-  /** The list as last seen; empty where there is none or it can't be read, which one line says. */
+  private static Thread writerThread(Runnable work) {
+    Thread thread = new Thread(work, "endpoint-list-cache");
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  /** Reads the stored list; empty if there is none or, with a warning, if it can't be used. */
   public List<EndpointRecord> read() {
     if (path == null || !Files.exists(path)) {
       return List.of();
     }
     try {
-      return entries.read(Files.readAllBytes(path));
-    } catch (IOException | EndpointListCodec.BadList e) {
-      LOG.warn("saved list {}: not used: {}", path, e.getMessage());
+      return codec.read(Files.readAllBytes(path));
+    } catch (IOException | InvalidEndpointListException e) {
+      LOG.warn("cached endpoint list {} is ignored: {}", path, e.getMessage());
       return List.of();
     }
   }
 
-  /**
-   * Has the list written soon, on a thread of its own; a newer one replaces one that still waits.
-   */
-  public void keep(List<EndpointRecord> list) {
-    if (path != null && waiting.getAndSet(list) == null) {
-      writer.execute(() -> write(waiting.getAndSet(null)));
+  /** Stores a list soon, on the writer's thread; it replaces one that is not written yet. */
+  public void store(List<EndpointRecord> endpoints) {
+    if (path != null && pending.getAndSet(endpoints) == null) {
+      writer.execute(() -> write(pending.getAndSet(null)));
     }
   }
 
-  /** Writes out what waits, and ends. */
+  /** Writes a pending list and stops the writer's thread; waits for a second at most. */
   public void stop() throws InterruptedException {
     writer.shutdown();
-    writer.awaitTermination(1, TimeUnit.SECONDS);
+    writer.awaitTermination(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private void write(List<EndpointRecord> list) {
-    Path beside = path.resolveSibling(path.getFileName() + ".new");
+  private void write(List<EndpointRecord> endpoints) {
+    Path temporary = path.resolveSibling(path.getFileName() + ".new");
+    try {
+      writeAndSync(temporary, ByteBuffer.wrap(codec.write(endpoints)));
+      Files.move(
+          temporary, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    } catch (IOException e) {
+      // Decisions go on from memory; a full disk must not stop them.
+      LOG.warn("cached endpoint list {} could not be written: {}", path, e.getMessage());
+    }
+  }
+
+  private static void writeAndSync(Path file, ByteBuffer bytes) throws IOException {
     try (FileChannel out =
         FileChannel.open(
-            beside,
+            file,
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      ByteBuffer bytes = ByteBuffer.wrap(entries.write(list));
       while (bytes.hasRemaining()) {
         out.write(bytes);
       }
       out.force(true);
-      Files.move(beside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    } catch (IOException e) {
-      // Decisions go on from memory: a disk that is full must not stop them.
-      LOG.warn("saved list {}: not written: {}", path, e.getMessage());
     }
   }
 }
--- a/src/main/java/stonespring/discovery/EndpointListCodec.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -5,136 +5,138 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 import stonespring.model.EndpointId;
 import stonespring.model.EndpointRecord;
-import stonespring.model.ZoneId;
 
 /**
- * The list of tasks as a JSON array, in a file or saved. A task's id holds its address, {@code
- * NAME@HOST:PORT}: a task at another address is another task, and no proxy needs a second look-up.
+ * Reads and writes the endpoint list as a JSON array of objects with the fields {@code id}, {@code
+ * address}, {@code zone}, {@code weight}, {@code state} and {@code started_ms}: the form of list
+ * files and of the cached list. An endpoint's id contains its address, {@code NAME@HOST:PORT}, so
+ * that an endpoint that moved is another endpoint and proxies need no second look-up. Immutable.
  */
 public final class EndpointListCodec {
-  /** A list that can't be read; the text names entry and field. */
-  public static final class BadList extends Exception {
-    private static final long serialVersionUID = 1;
+  /** The most endpoints that any form of list may have. */
+  static final int MAX_ENDPOINTS = 50_000;
 
-    BadList(String message) {
-      super(message, null, false, false);
-    }
-  }
-
-  static final int ENTRIES_MOST = 50_000; // tasks of a list; more is a fault of whoever wrote it
+  private static final double MAX_WEIGHT = 1e6;
+  private static final char ADDRESS_SEPARATOR = '@';
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final List<String> zones;
-  private final long unixOffset;
+  private final EndpointFields fields;
 
   /**
-   * @param zones the settings' zones
-   * @param unixOffset what is taken off a time of the wall clock, in tenths of a millisecond, for
-   *     the instance's clock
+   * Creates a codec for one instance.
+   *
+   * @param zones the names of the configured zones
+   * @param unixOffset Unix time minus the instance's clock, {@link stonespring.model.DeciMillis}
    */
   public EndpointListCodec(List<String> zones, long unixOffset) {
-    this.zones = zones;
-    this.unixOffset = unixOffset;
+    this.fields = new EndpointFields(zones, unixOffset);
   }
 
-  /** The id of a task by its name and address; refuses what would not make a key's segment. */
-  static EndpointId id(String where, String name, String address) throws BadList {
-    if (!name.matches("[A-Za-z0-9._-]{1,100}")) {
-      throw new BadList(
-          where + ": field 'id' is not a name of 1 to 100 letters, digits, dots or dashes");
-    }
-    if (!address.matches("[A-Za-z0-9.-]{1,60}:[0-9]{1,5}")) {
-      throw new BadList(where + ": field 'address' is not HOST:PORT");
-    }
-    return new EndpointId(name + "@" + address);
+  EndpointFields fields() {
+    return fields;
   }
 
-  ZoneId zone(String where, String name) throws BadList {
-    int at = zones.indexOf(name);
-    if (at < 0) {
-      throw new BadList(where + ": field 'zone' names no zone of the settings: " + name);
+  /**
+   * Reads a whole list.
+   *
+   * @return the endpoints, sorted by id
+   */
+  public List<EndpointRecord> read(byte[] bytes) throws InvalidEndpointListException {
+    JsonNode list = parse(bytes);
+    if (list == null || !list.isArray() || list.size() > MAX_ENDPOINTS) {
+      throw new InvalidEndpointListException(
+          "it is no JSON array of at most " + MAX_ENDPOINTS + " endpoints");
     }
-    return new ZoneId(at);
-  }
-
-  long startedAt(long unixMillis) {
-    return startedAt(unixMillis, unixOffset);
-  }
-
-  /** The instance's time for a wall clock's milliseconds; 0, long ago, where none is given. */
-  static long startedAt(long unixMillis, long unixOffset) {
-    return unixMillis <= 0 ? 0 : Math.max(1, unixMillis * 10 - unixOffset);
+    TreeMap<String, EndpointRecord> endpointsById = new TreeMap<>();
+    for (int i = 0; i < list.size(); i++) {
+      String place = "entry " + i;
+      EndpointRecord endpoint = readEndpoint(place, list.get(i));
+      String id = endpoint.endpoint().name();
+      if (endpointsById.put(id, endpoint) != null) {
+        throw new InvalidEndpointListException(place, id + " is a duplicate");
+      }
+    }
+    return new ArrayList<>(endpointsById.values());
   }
 
-  /** The whole list in a JSON array of objects: id, address, zone, weight, state, started_ms. */
-  public List<EndpointRecord> read(byte[] bytes) throws BadList {
-    JsonNode all;
+  private static JsonNode parse(byte[] bytes) throws InvalidEndpointListException {
     try {
-      all = JSON.readTree(bytes);
+      return JSON.readTree(bytes);
     } catch (JsonProcessingException e) {
-      throw new BadList(
-          "line "
-              + e.getLocation().getLineNr()
-              + ": it is no well-formed JSON: "
-              + e.getOriginalMessage().split("\n")[0]);
-    } catch (java.io.IOException e) {
-      throw new BadList("it can't be read: " + e.getMessage());
-    }
-    if (all == null || !all.isArray() || all.size() > ENTRIES_MOST) {
-      throw new BadList("it is no JSON array of at most " + ENTRIES_MOST + " tasks");
+      throw new InvalidEndpointListException(
+          "line " + e.getLocation().getLineNr(), "it is no well-formed JSON: " + firstLine(e));
+    } catch (IOException e) {
+      throw new InvalidEndpointListException("it can't be read: " + e.getMessage());
     }
-    TreeMap<String, EndpointRecord> listed = new TreeMap<>();
-    for (int i = 0; i < all.size(); i++) {
-      EndpointRecord listing = listing("entry " + i, all.get(i));
-      if (listed.put(listing.endpoint().name(), listing) != null) {
-        throw new BadList("entry " + i + ": " + listing.endpoint().name() + " comes twice");
-      }
-    }
-    return new ArrayList<>(listed.values());
   }
 
-  private EndpointRecord listing(String where, JsonNode node) throws BadList {
+  /** The first line of a parser's message; the others quote its source. */
+  static String firstLine(JsonProcessingException e) {
+    return e.getOriginalMessage().split("\n")[0];
+  }
+
+  private EndpointRecord readEndpoint(String place, JsonNode node)
+      throws InvalidEndpointListException {
     if (!node.isObject()) {
-      throw new BadList(where + ": it is no object");
-    }
-    EndpointId id = id(where, node.path("id").asText(), node.path("address").asText());
-    EndpointRecord.State state =
-        switch (node.path("state").asText("ready")) {
-          case "ready" -> EndpointRecord.State.READY;
-          case "draining" -> EndpointRecord.State.DRAINING;
-          default -> throw new BadList(where + ": field 'state' is neither ready nor draining");
-        };
-    JsonNode weight = node.path("weight");
-    if (!weight.isMissingNode()
-        && !(weight.isNumber() && weight.asDouble() > 0 && weight.asDouble() < 1e6)) {
-      throw new BadList(where + ": field 'weight' is no number above 0");
+      throw new InvalidEndpointListException(place, "it is no object");
     }
+    EndpointId id =
+        EndpointFields.endpointId(place, node.path("id").asText(), node.path("address").asText());
+    EndpointRecord.State state = readState(place, node.path("state"));
+    double weight = readWeight(place, node.path("weight"));
     return new EndpointRecord(
         id,
-        zone(where, node.path("zone").asText()),
-        weight.asDouble(1),
+        fields.zone(place, node.path("zone").asText()),
+        weight,
         state,
-        startedAt(node.path("started_ms").asLong(0)));
+        fields.startedAt(node.path("started_ms").asLong(0)));
   }
 
-  public byte[] write(List<EndpointRecord> list) {
-    ArrayNode all = JSON.createArrayNode();
-    for (EndpointRecord listing : list) {
-      ObjectNode node = all.addObject();
-      String name = listing.endpoint().name();
-      int at = name.lastIndexOf('@');
-      node.put("id", name.substring(0, at)).put("address", name.substring(at + 1));
-      node.put("zone", zones.get(listing.zone().index())).put("weight", listing.weight());
-      node.put("state", listing.state() == EndpointRecord.State.DRAINING ? "draining" : "ready");
-      if (listing.startedAt() > 0) {
-        node.put("started_ms", (listing.startedAt() + unixOffset) / 10);
-      }
+  private static EndpointRecord.State readState(String place, JsonNode node)
+      throws InvalidEndpointListException {
+    return switch (node.asText("ready")) {
+      case "ready" -> EndpointRecord.State.READY;
+      case "draining" -> EndpointRecord.State.DRAINING;
+      default ->
+          throw new InvalidEndpointListException(place, "state", "is neither ready nor draining");
+    };
+  }
+
+  private static double readWeight(String place, JsonNode node)
+      throws InvalidEndpointListException {
+    if (!node.isMissingNode()
+        && !(node.isNumber() && node.asDouble() > 0 && node.asDouble() < MAX_WEIGHT)) {
+      throw new InvalidEndpointListException(place, "weight", "is no number above 0");
+    }
+    return node.asDouble(1);
+  }
+
+  /** Writes a list so that {@link #read} returns it. */
+  public byte[] write(List<EndpointRecord> endpoints) {
+    ArrayNode list = JSON.createArrayNode();
+    for (EndpointRecord endpoint : endpoints) {
+      writeEndpoint(list.addObject(), endpoint);
+    }
+    return list.toString().getBytes(StandardCharsets.UTF_8);
+  }
+
+  private void writeEndpoint(ObjectNode node, EndpointRecord endpoint) {
+    String id = endpoint.endpoint().name();
+    int separator = id.lastIndexOf(ADDRESS_SEPARATOR);
+    node.put("id", id.substring(0, separator));
+    node.put("address", id.substring(separator + 1));
+    node.put("zone", fields.zones().get(endpoint.zone().index()));
+    node.put("weight", endpoint.weight());
+    node.put("state", endpoint.state() == EndpointRecord.State.DRAINING ? "draining" : "ready");
+    if (endpoint.startedAt() > 0) {
+      node.put("started_ms", fields.unixMillis(endpoint.startedAt()));
     }
-    return all.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
 }
--- a/src/main/java/stonespring/discovery/EndpointListDiff.java
+++ b/src/main/java/stonespring/discovery/EndpointListDiff.java
@@ -2,53 +2,69 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.TreeMap;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
-/** Whole lists in, events out: the first as a whole, each later one as what changed. */
+/**
+ * Turns consecutive whole lists into updates: the first into a snapshot, each later one into a
+ * delta. Not thread-safe.
+ */
 final class EndpointListDiff {
-  private TreeMap<String, EndpointRecord> last;
+  /** The last list by id, sorted; empty before the first one and after a {@link #reset}. */
+  private Optional<TreeMap<String, EndpointRecord>> last = Optional.empty();
 
-  /** The event that a new list makes; null where nothing changed. */
-  Event.EndpointListUpdate next(List<EndpointRecord> whole) {
-    TreeMap<String, EndpointRecord> now = new TreeMap<>();
-    whole.forEach(listing -> now.put(listing.endpoint().name(), listing));
-    TreeMap<String, EndpointRecord> before = last;
-    last = now;
-    if (before == null) {
-      return new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, List.copyOf(now.values()));
+  /** Takes the next list; empty if nothing changed. */
+  Optional<Event.EndpointListUpdate> next(List<EndpointRecord> endpoints) {
+    TreeMap<String, EndpointRecord> current = new TreeMap<>();
+    for (EndpointRecord endpoint : endpoints) {
+      current.put(endpoint.endpoint().name(), endpoint);
     }
+    Optional<TreeMap<String, EndpointRecord>> previous = last;
+    last = Optional.of(current);
+    if (previous.isEmpty()) {
+      return Optional.of(
+          new Event.EndpointListUpdate(
+              Event.ListUpdateKind.SNAPSHOT, List.copyOf(current.values())));
+    }
+    List<EndpointRecord> changes = changes(previous.get(), current);
+    return changes.isEmpty()
+        ? Optional.empty()
+        : Optional.of(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, changes));
+  }
+
+  /** Changed and added endpoints, then removed ones, each sorted by id. */
+  private static List<EndpointRecord> changes(
+      TreeMap<String, EndpointRecord> previous, TreeMap<String, EndpointRecord> current) {
     List<EndpointRecord> changes = new ArrayList<>();
-    now.forEach(
-        (name, listing) -> {
-          if (!listing.equals(before.get(name))) {
-            changes.add(listing);
+    current.forEach(
+        (id, endpoint) -> {
+          if (!endpoint.equals(previous.get(id))) {
+            changes.add(endpoint);
           }
         });
-    before.forEach(
-        (name, listing) -> {
-          if (!now.containsKey(name)) {
-            changes.add(
-                new EndpointRecord(
-                    listing.endpoint(),
-                    listing.zone(),
-                    listing.weight(),
-                    EndpointRecord.State.REMOVED,
-                    0));
+    previous.forEach(
+        (id, endpoint) -> {
+          if (!current.containsKey(id)) {
+            changes.add(removed(endpoint));
           }
         });
-    return changes.isEmpty()
-        ? null
-        : new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, changes);
+    return changes;
+  }
+
+  private static EndpointRecord removed(EndpointRecord endpoint) {
+    return new EndpointRecord(
+        endpoint.endpoint(), endpoint.zone(), endpoint.weight(), EndpointRecord.State.REMOVED, 0);
   }
 
+  /** The last list, sorted by id; empty if there is none. */
   List<EndpointRecord> list() {
-    return last == null ? List.of() : List.copyOf(last.values());
+    return last.map(endpoints -> List.copyOf(endpoints.values())).orElse(List.of());
   }
 
-  /** What was missed is not known any more: the next list counts as a whole. */
-  void lost() {
-    last = null;
+  /** Forgets the last list, as changes may have been missed: the next one is a snapshot again. */
+  void reset() {
+    last = Optional.empty();
   }
 }
--- a/src/main/java/stonespring/discovery/EndpointSource.java
+++ b/src/main/java/stonespring/discovery/EndpointSource.java
@@ -5,19 +5,29 @@
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
-/** Where the list of tasks comes from. Events are handed over from a thread of the source's own. */
+/**
+ * A source of the endpoint list. Its methods may be called from any thread; listeners are called on
+ * the source's own event loop, one call at a time.
+ */
 public interface EndpointSource {
-  /** Starts; {@code list} hears the whole list after each change. */
-  void start(Consumer<Event.EndpointListUpdate> told, Consumer<List<EndpointRecord>> list);
+  /**
+   * Sets the listeners; must be called once, before any other method.
+   *
+   * @param updates receives each update, failures included
+   * @param lists receives the whole list after each update that may have changed it
+   */
+  void start(Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists);
 
   /**
-   * Follows the list or stops to; one event answers, good or bad. A source that pushes by itself
-   * passes it over.
+   * Starts a watch of the list, in place of one that is under way, or ends it. A started watch is
+   * answered by at least one update, {@link Event.ListUpdateKind#FETCH_FAILED} once it has failed;
+   * it is then started again only by another call. A source that always watches ignores this.
    */
-  void follow(boolean on);
+  void watch(boolean enabled);
 
-  /** Asks for the whole list once. */
+  /** Requests the whole list once; answered by a snapshot or by a failure. */
   void fetch();
 
+  /** Ends what is under way and frees connections and timers. */
   void stop();
 }
--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -4,6 +4,7 @@
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
@@ -15,84 +16,91 @@
 import stonespring.model.Event;
 
 /**
- * The list in a file, looked at again and again: a file system's own notices differ between systems
- * and get lost. A file that can't be read, or not as a list, changes nothing: the last good one
- * holds, and one line says so.
+ * The endpoint list in a file that is polled, as change notifications of file systems differ
+ * between systems and can be lost. A file that can't be read, or holds no valid list, changes
+ * nothing and is logged once. State lives on the event loop.
  */
 public final class FileEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(FileEndpointSource.class);
-  private static final long LOOK_MILLIS = 200; // ms; well under any grace
-  private static final long BYTES_MOST =
-      64L << 20; // of the file; far above the most tasks of a list
+  private static final long POLL_INTERVAL_MILLIS = 200;
+  private static final long MAX_FILE_BYTES = 64L << 20;
 
   private final Path path;
-  private final EndpointListCodec entries;
+  private final EndpointListCodec codec;
   private final EventLoop loop;
   private final EndpointListDiff diff = new EndpointListDiff();
-  private Consumer<Event.EndpointListUpdate> told;
-  private Consumer<List<EndpointRecord>> list;
-  private byte[] last = new byte[0];
-  private String lastFault = "";
-  private Future<?> looks;
+  private Consumer<Event.EndpointListUpdate> updates;
+  private Consumer<List<EndpointRecord>> lists;
+  private byte[] lastContent = new byte[0];
+  private String lastError = "";
+  private Future<?> polling;
 
-  public FileEndpointSource(Path path, EndpointListCodec entries, EventLoop loop) {
+  /** Creates a source that polls on the given event loop once started. */
+  public FileEndpointSource(Path path, EndpointListCodec codec, EventLoop loop) {
     this.path = path;
-    this.entries = entries;
+    this.codec = codec;
     this.loop = loop;
   }
 
   @Override
-  public void start(Consumer<Event.EndpointListUpdate> to, Consumer<List<EndpointRecord>> listTo) {
-    told = to;
-    list = listTo;
-    looks = loop.scheduleWithFixedDelay(this::look, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+  public void start(
+      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
+    this.updates = updates;
+    this.lists = lists;
+    polling =
+        loop.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void look() {
+  private void poll() {
     try {
-      if (Files.size(path) > BYTES_MOST) {
-        throw new IOException("it is over " + BYTES_MOST + " bytes");
+      readIfChanged();
+      lastError = "";
+    } catch (IOException | InvalidEndpointListException e) {
+      if (!lastError.equals(e.toString())) {
+        LOG.warn("endpoint list file {}: keeping the last list: {}", path, describe(e));
       }
-      byte[] bytes = Files.readAllBytes(path);
-      if (!Arrays.equals(bytes, last)) {
-        Event.EndpointListUpdate event = diff.next(entries.read(bytes));
-        last = bytes;
-        if (event != null) {
-          told.accept(event);
-          list.accept(diff.list());
-        }
-      }
-      lastFault = "";
-    } catch (IOException | EndpointListCodec.BadList e) {
-      if (!lastFault.equals(e.toString())) {
-        LOG.warn(
-            "list file {}: the last list holds: {}",
-            path,
-            e instanceof java.nio.file.NoSuchFileException
-                ? "there is no such file"
-                : e.getMessage());
-      }
-      lastFault = e.toString();
+      lastError = e.toString();
+    }
+  }
+
+  private void readIfChanged() throws IOException, InvalidEndpointListException {
+    if (Files.size(path) > MAX_FILE_BYTES) {
+      throw new IOException("it is over " + MAX_FILE_BYTES + " bytes");
     }
+    byte[] content = Files.readAllBytes(path);
+    if (Arrays.equals(content, lastContent)) {
+      return;
+    }
+    var update = diff.next(codec.read(content));
+    lastContent = content;
+    if (update.isPresent()) {
+      updates.accept(update.get());
+      lists.accept(diff.list());
+    }
+  }
+
+  private static String describe(Exception e) {
+    return e instanceof NoSuchFileException ? "there is no such file" : e.getMessage();
   }
 
   @Override
-  public void follow(boolean on) {
-    // It is looked at in any case.
+  public void watch(boolean enabled) {
+    // The file is polled in any case.
   }
 
   @Override
   public void fetch() {
     loop.execute(
-        () ->
-            told.accept(
-                diff.list().isEmpty()
-                    ? new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of())
-                    : new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, diff.list())));
+        () -> {
+          List<EndpointRecord> list = diff.list();
+          Event.ListUpdateKind kind =
+              list.isEmpty() ? Event.ListUpdateKind.FETCH_FAILED : Event.ListUpdateKind.SNAPSHOT;
+          updates.accept(new Event.EndpointListUpdate(kind, list));
+        });
   }
 
   @Override
   public void stop() {
-    looks.cancel(false);
+    polling.cancel(false);
   }
 }
--- a/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -1,178 +1,165 @@
 package stonespring.discovery;
 
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import stonespring.model.EndpointId;
 import stonespring.model.EndpointRecord;
-import stonespring.model.Event;
 import stonespring.model.ZoneId;
 
 /**
- * The platform's list of tasks: an object that holds a version, whether it is the whole list, and
- * entries. An entry with a bad field is left out, and the one held of that task stays; what can't
- * be read as an object at all is refused.
+ * Reads the platform's endpoint list: JSON objects with a version ({@code seq}), whether they are
+ * the whole list ({@code whole}), and entries ({@code hosts}). The only place that knows the
+ * platform's names. Immutable.
  */
 public final class PlatformEndpointCodec {
-  /** One object of the list. */
-  record Told(boolean whole, List<EndpointRecord> entries, long version) {
-    Event.EndpointListUpdate event() {
-      return new Event.EndpointListUpdate(
-          whole ? Event.ListUpdateKind.SNAPSHOT : Event.ListUpdateKind.DELTA, entries);
-    }
-  }
+  private static final int MAX_NESTING_DEPTH = 16;
+  private static final int MAX_STRING_CHARS = 4096;
+  private static final ObjectMapper JSON =
+      new ObjectMapper(
+          JsonFactory.builder()
+              .streamReadConstraints(
+                  StreamReadConstraints.builder()
+                      .maxNestingDepth(MAX_NESTING_DEPTH)
+                      .maxStringLength(MAX_STRING_CHARS)
+                      .build())
+              .build());
+
+  private static final double MAX_WEIGHT = 1e6;
 
-  private static final double WEIGHT_MOST =
-      1e6; // a unitless number; more is a fault of whoever wrote it
-  private static final long UNIX_MOST = 1L << 53; // ms; exact in any JSON reader
+  /** Exact in any JSON reader. */
+  private static final long MAX_UNIX_MILLIS = 1L << 53;
 
-  private final List<String> zones;
-  private final long unixOffset;
-  private final Map<EndpointId, EndpointRecord> held = new HashMap<>();
-  private long version;
-  private long history;
-  private long leftOut;
+  /** Printable ASCII but for comma and colon: ids stand unaltered in the lines to proxies. */
+  private static final String ENDPOINT_ID_PATTERN = "[!-+\\--9;-~]{1,200}";
+
+  private final EndpointFields fields;
 
   /**
-   * @param zones the settings' zones
-   * @param unixOffset what is taken off a time of the wall clock, in tenths of a millisecond, for
-   *     the instance's clock
+   * Creates a codec for one instance.
+   *
+   * @param zones the names of the configured zones
+   * @param unixOffset Unix time minus the instance's clock, {@link stonespring.model.DeciMillis}
    */
   public PlatformEndpointCodec(List<String> zones, long unixOffset) {
-    this.zones = zones;
-    this.unixOffset = unixOffset;
+    this.fields = new EndpointFields(zones, unixOffset);
   }
 
-  /** Reads one object of nobody's telling, as the configuration has it. */
-  Told read(JsonNode node) throws EndpointListCodec.BadList {
-    return read(node, version, true);
+  /** Reads one message from its bytes; otherwise as {@link #read(JsonNode, Map)}. */
+  PlatformListMessage read(byte[] bytes, Map<EndpointId, EndpointRecord> held)
+      throws InvalidEndpointListException {
+    JsonNode message;
+    try {
+      message = JSON.readTree(bytes);
+    } catch (IOException e) {
+      throw new InvalidEndpointListException("a message is no well-formed JSON");
+    }
+    return read(message, held);
   }
 
   /**
-   * Reads one object and holds what it says; one that can't be used changes nothing held. Two who
-   * tell overtake each other: an answer under way while the watch told more, or an old address that
-   * goes on while the new one is asked. What is older than the list held, but no older than what
-   * was asked from, is old news: changes say nothing, and a whole list that was asked for once is
-   * answered by what is held. A watch's whole list always holds, since what it tells next follows
-   * on that. What is older than what was asked from is of another history.
+   * Reads one message. An entry with an invalid field costs that entry alone.
    *
-   * @param since the version that whoever tells this was asked from, or told last
-   * @param watch whether more follows on this
+   * @param message may be null, which is invalid
+   * @param held the endpoints held before this message, which stand in for invalid entries
    */
-  Told read(JsonNode node, long since, boolean watch) throws EndpointListCodec.BadList {
-    if (node == null || !node.isObject()) {
-      throw new EndpointListCodec.BadList("it is no object");
+  PlatformListMessage read(JsonNode message, Map<EndpointId, EndpointRecord> held)
+      throws InvalidEndpointListException {
+    if (message == null || !message.isObject()) {
+      throw new InvalidEndpointListException("a message is no object");
     }
-    JsonNode version = node.path("seq");
-    JsonNode whole = node.path("whole");
-    JsonNode hosts = node.path("hosts");
+    JsonNode version = message.path("seq");
     if (!version.isIntegralNumber() || version.asLong() < 0) {
-      throw new EndpointListCodec.BadList("field 'seq' is no version");
+      throw InvalidEndpointListException.ofField("seq", "is no version");
     }
-    if (!whole.isBoolean()) {
-      throw new EndpointListCodec.BadList("field 'whole' is neither true nor false");
-    }
-    if (!hosts.isArray() || hosts.size() > EndpointListCodec.ENTRIES_MOST) {
-      throw new EndpointListCodec.BadList(
-          "field 'hosts' is no list of at most " + EndpointListCodec.ENTRIES_MOST + " entries");
-    }
-    if (version.asLong() < since) {
-      history++;
-      if (!whole.asBoolean()) {
-        this.version = 0; // only the whole list of another history tells what was missed
-        throw new EndpointListCodec.BadList("its version goes back to " + version.asLong());
-      }
-    } else if (version.asLong() < this.version && !(watch && whole.asBoolean())) {
-      return new Told(whole.asBoolean(), whole.asBoolean() ? list() : List.of(), version.asLong());
-    }
-    this.version = version.asLong();
-    Map<EndpointId, EndpointRecord> before = whole.asBoolean() ? new HashMap<>(held) : held;
-    List<EndpointRecord> read = new ArrayList<>();
-    for (JsonNode host : hosts) {
-      EndpointRecord listing = listing(host);
-      if (listing == null) {
-        leftOut++;
-        listing = before.get(new EndpointId(host.path("host").asText()));
-      }
-      if (listing != null) {
-        read.add(listing);
-      }
+    JsonNode snapshot = message.path("whole");
+    if (!snapshot.isBoolean()) {
+      throw InvalidEndpointListException.ofField("whole", "is neither true nor false");
     }
-    if (whole.asBoolean()) {
-      held.clear();
+    JsonNode entries = message.path("hosts");
+    if (!entries.isArray() || entries.size() > EndpointListCodec.MAX_ENDPOINTS) {
+      throw InvalidEndpointListException.ofField(
+          "hosts", "is no list of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
     }
-    for (EndpointRecord listing : read) {
-      if (listing.state() == EndpointRecord.State.REMOVED) {
-        held.remove(listing.endpoint());
+    return readEntries(version.asLong(), snapshot.asBoolean(), entries, held);
+  }
+
+  private PlatformListMessage readEntries(
+      long version, boolean snapshot, JsonNode entries, Map<EndpointId, EndpointRecord> held) {
+    List<EndpointRecord> endpoints = new ArrayList<>();
+    int invalidEntries = 0;
+    for (JsonNode entry : entries) {
+      EndpointRecord heldRecord = held.get(new EndpointId(entry.path("host").asText()));
+      Optional<EndpointRecord> endpoint = readEntry(entry, heldRecord);
+      if (endpoint.isPresent()) {
+        endpoints.add(endpoint.get());
       } else {
-        held.put(listing.endpoint(), listing);
+        invalidEntries++;
+        if (heldRecord != null) {
+          endpoints.add(heldRecord);
+        }
       }
     }
-    return new Told(whole.asBoolean(), read, this.version);
-  }
-
-  /** The version of what is held; 0 where only a whole list will do. */
-  long version() {
-    return version;
+    return new PlatformListMessage(version, snapshot, endpoints, invalidEntries);
   }
 
   /**
-   * Changes whenever versions start over: what was asked before can't be compared with what is held
-   * now.
+   * Reads one entry; empty if it is invalid.
+   *
+   * @param held the record held of the same endpoint; null if there is none
    */
-  long history() {
-    return history;
+  private Optional<EndpointRecord> readEntry(JsonNode entry, EndpointRecord held) {
+    JsonNode id = entry.path("host");
+    JsonNode weight = entry.path("share");
+    JsonNode startedUnixMillis = entry.path("born_ms");
+    Optional<EndpointRecord.State> state = readState(entry.path("health"));
+    Optional<ZoneId> zone = readZone(entry.path("site"), state, held);
+    if (!id.isTextual()
+        || !id.asText().matches(ENDPOINT_ID_PATTERN)
+        || state.isEmpty()
+        || zone.isEmpty()
+        || !isAbsentOrWithin(weight, MAX_WEIGHT)
+        || !isAbsentOrWithin(startedUnixMillis, MAX_UNIX_MILLIS)) {
+      return Optional.empty();
+    }
+    return Optional.of(
+        new EndpointRecord(
+            new EndpointId(id.asText()),
+            zone.get(),
+            weight.asDouble(1),
+            state.get(),
+            fields.startedAt((long) startedUnixMillis.asDouble(0))));
   }
 
-  /** What is held now. */
-  List<EndpointRecord> list() {
-    return List.copyOf(held.values());
+  private static Optional<EndpointRecord.State> readState(JsonNode health) {
+    return switch (health.asText()) {
+      case "Ready" -> Optional.of(EndpointRecord.State.READY);
+      case "Terminating" -> Optional.of(EndpointRecord.State.DRAINING);
+      case "Gone" -> Optional.of(EndpointRecord.State.REMOVED);
+      default -> Optional.empty();
+    };
   }
 
-  /** How many entries were left out for a bad field, ever. */
-  public long leftOut() {
-    return leftOut;
+  /** Reads the zone; an entry of a removed endpoint may come without one. */
+  private Optional<ZoneId> readZone(
+      JsonNode site, Optional<EndpointRecord.State> state, EndpointRecord held) {
+    int index = fields.zones().indexOf(site.asText());
+    if (index >= 0) {
+      return Optional.of(new ZoneId(index));
+    }
+    boolean removed = state.isPresent() && state.get() == EndpointRecord.State.REMOVED;
+    return removed && held != null ? Optional.of(held.zone()) : Optional.empty();
   }
 
-  private EndpointRecord listing(JsonNode host) {
-    String name = host.path("host").isTextual() ? host.path("host").asText() : "";
-    EndpointRecord.State state =
-        switch (host.path("health").asText()) {
-          case "Ready" -> EndpointRecord.State.READY;
-          case "Terminating" -> EndpointRecord.State.DRAINING;
-          case "Gone" -> EndpointRecord.State.REMOVED;
-          default -> null;
-        };
-    int zone = zones.indexOf(host.path("site").asText());
-    JsonNode weight = host.path("share");
-    JsonNode born = host.path("born_ms");
-    boolean bornWell =
-        born.isMissingNode()
-            || born.isNull()
-            || born.isNumber() && born.asDouble() >= 0 && born.asDouble() < UNIX_MOST;
-    boolean weighsWell =
-        weight.isMissingNode()
-            || weight.isNull()
-            || weight.isNumber() && weight.asDouble() >= 0 && weight.asDouble() < WEIGHT_MOST;
-    // Names go into orders as they are: what would break a line of the protocol is no name.
-    if (!name.matches("[!-+\\--9;-~]{1,200}") || state == null || !bornWell || !weighsWell) {
-      return null;
-    }
-    if (zone < 0) {
-      // What is gone may come without the rest.
-      EndpointRecord last = held.get(new EndpointId(name));
-      if (state != EndpointRecord.State.REMOVED || last == null) {
-        return null;
-      }
-      zone = last.zone().index();
-    }
-    return new EndpointRecord(
-        new EndpointId(name),
-        new ZoneId(zone),
-        weight.asDouble(1),
-        state,
-        EndpointListCodec.startedAt((long) born.asDouble(0), unixOffset));
+  private static boolean isAbsentOrWithin(JsonNode node, double limit) {
+    return node.isMissingNode()
+        || node.isNull()
+        || node.isNumber() && node.asDouble() >= 0 && node.asDouble() < limit;
   }
 }
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -1,13 +1,7 @@
 package stonespring.discovery;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
-import io.netty.util.concurrent.Future;
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -17,291 +11,247 @@
 import stonespring.http.Dialer;
 import stonespring.http.HttpClient;
 import stonespring.http.HttpMessage;
-import stonespring.http.HttpWatch;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
 /**
- * The platform's list of tasks: asked for whole, or watched by an answer that stays open and holds
- * an object a line. A watch that breaks, ends, goes silent or says what can't be read is told as
- * failed, and the decisions say when to ask again. The address may move: the new one is asked
- * before the old one is closed. All of it lives on one event loop.
+ * The platform's endpoint list, fetched or watched. Its address may change: the new one is watched
+ * before the old watch is cancelled. State lives on the event loop.
  */
 public final class PlatformEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformEndpointSource.class);
   private static final String PATH = "/registry/instances";
-  private static final int CONNECT_MILLIS = 1_000; // ms; discovery is near
-  private static final int ANSWER_MILLIS =
-      2_500; // ms; discovery gives a call that waits up well before
-  private static final long SILENCE_MILLIS =
-      3_200; // ms; a quiet watch says an empty line every 2 s
-  // ms; an object that comes by pieces without end is silence too. What it has to tell counts as
-  // told 6 s after it
-  // changed, whether or not it came whole: by then it must be asked for again.
-  private static final long OBJECT_MILLIS = 5_000;
-  private static final int LINE_MOST =
-      16 << 20; // bytes of an object; far above the most tasks of a list
-  private static final long MOVE_AGAIN_MILLIS =
-      300; // ms; the old address lasts no longer than a few of these
-  private static final ObjectMapper JSON =
-      new ObjectMapper(
-          JsonFactory.builder()
-              .streamReadConstraints(
-                  StreamReadConstraints.builder().maxNestingDepth(16).maxStringLength(4096).build())
-              .build());
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final int FETCH_TIMEOUT_MILLIS = 2_500;
+  private static final int NO_IDLE_CONNECTIONS = 0;
 
-  private final PlatformEndpointCodec entries;
+  /** The old address lasts no longer than a few of these. */
+  private static final long MOVE_RETRY_MILLIS = 300;
+
+  private final PlatformEndpointList list;
   private final EventLoop loop;
   private final Dialer dialer;
   private final HttpClient client;
+  private final PlatformEndpointWatch.Listener watchListener = new WatchListener();
   private InetSocketAddress address;
-  private Consumer<Event.EndpointListUpdate> told;
-  private Consumer<List<EndpointRecord>> list;
-  private boolean following;
-  private Watch watch;
-  private Watch moving;
+  private Consumer<Event.EndpointListUpdate> updates;
+  private Consumer<List<EndpointRecord>> lists;
+  private boolean watching;
+
+  /** The watch that the list follows; null if there is none. */
+  private PlatformEndpointWatch currentWatch;
+
+  /** The watch of a new address that has not responded yet; null if there is none. */
+  private PlatformEndpointWatch successorWatch;
 
+  /** Creates a source; nothing is sent before {@link #watch} or {@link #fetch}. */
   public PlatformEndpointSource(
-      InetSocketAddress address, PlatformEndpointCodec entries, EventLoop loop) {
-    this(address, entries, new Dialer(loop));
+      InetSocketAddress address, PlatformEndpointCodec codec, EventLoop loop) {
+    this(address, new PlatformEndpointList(codec), new Dialer(loop));
   }
 
-  PlatformEndpointSource(InetSocketAddress address, PlatformEndpointCodec entries, Dialer dialer) {
+  PlatformEndpointSource(InetSocketAddress address, PlatformEndpointList list, Dialer dialer) {
     this.address = address;
-    this.entries = entries;
+    this.list = list;
     this.loop = dialer.loop();
     this.dialer = dialer;
-    this.client = new HttpClient(dialer, CONNECT_MILLIS, LINE_MOST, 0);
+    this.client =
+        new HttpClient(
+            dialer,
+            CONNECT_TIMEOUT_MILLIS,
+            PlatformEndpointWatch.MAX_MESSAGE_BYTES,
+            NO_IDLE_CONNECTIONS);
   }
 
-  /** Takes a list in the platform's form, as last had before the start; a bad one is none. */
-  public Event.EndpointListUpdate lastSeen(JsonNode known) {
+  /**
+   * Takes the list that the configuration came with, before any other is known.
+   *
+   * @param known in the platform's form, or null; an invalid one counts as empty
+   * @return a cached list
+   */
+  public Event.EndpointListUpdate loadCached(JsonNode known) {
+    List<EndpointRecord> endpoints = List.of();
     if (known != null) {
       try {
-        return new Event.EndpointListUpdate(
-            Event.ListUpdateKind.CACHED, entries.read(known).entries());
-      } catch (EndpointListCodec.BadList e) {
-        LOG.warn("the list known before the start is not used: {}", e.getMessage());
+        endpoints = list.applyKnown(known);
+      } catch (InvalidEndpointListException e) {
+        LOG.warn("the configuration's endpoint list is ignored: {}", e.getMessage());
       }
     }
-    return new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.of());
+    return new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, endpoints);
   }
 
-  /** What is held now. */
-  public List<EndpointRecord> held() {
-    return entries.list();
+  /** The endpoints held now; on the event loop. */
+  public List<EndpointRecord> endpoints() {
+    return list.endpoints();
   }
 
   @Override
-  public void start(Consumer<Event.EndpointListUpdate> to, Consumer<List<EndpointRecord>> listTo) {
-    told = to;
-    list = listTo;
+  public void start(
+      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
+    this.updates = updates;
+    this.lists = lists;
   }
 
   @Override
-  public void follow(boolean on) {
+  public void watch(boolean enabled) {
     loop.execute(
         () -> {
-          following = on;
-          cancel();
-          if (on) {
-            watch = new Watch(address);
+          watching = enabled;
+          cancelWatches();
+          if (enabled) {
+            currentWatch = startWatch();
           }
         });
   }
 
-  private void cancel() {
-    for (Watch some : new Watch[] {watch, moving}) {
-      if (some != null) {
-        some.cancel();
-      }
+  private PlatformEndpointWatch startWatch() {
+    return new PlatformEndpointWatch(address, PATH, list, dialer, watchListener);
+  }
+
+  private void cancelWatches() {
+    cancelCurrentWatch();
+    cancelSuccessorWatch();
+  }
+
+  private void cancelCurrentWatch() {
+    if (currentWatch != null) {
+      currentWatch.cancel();
+      currentWatch = null;
+    }
+  }
+
+  private void cancelSuccessorWatch() {
+    if (successorWatch != null) {
+      successorWatch.cancel();
+      successorWatch = null;
     }
-    watch = null;
-    moving = null;
   }
 
-  /** Discovery has another address from now on. */
-  public void moveTo(InetSocketAddress to) {
+  /** Changes the address; a watch under way goes on until the new address responds. */
+  public void moveTo(InetSocketAddress newAddress) {
     loop.execute(
         () -> {
-          if (to.equals(address)) {
+          if (newAddress.equals(address)) {
             return;
           }
-          LOG.info("discovery moves from {} to {}", address, to);
-          address = to;
-          if (moving != null) {
-            moving.cancel();
-            moving = null;
-          }
-          if (watch != null) {
-            moving = new Watch(to);
+          LOG.info("discovery moves from {} to {}", address, newAddress);
+          address = newAddress;
+          cancelSuccessorWatch();
+          if (currentWatch != null) {
+            successorWatch = startWatch();
           }
         });
   }
 
-  /** The one answer to what the decisions asked last. */
-  private void failed(String cause) {
-    LOG.warn("discovery {}: the list held stays: {}", address, cause);
-    told.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
+  private void scheduleMoveRetry() {
+    loop.schedule(
+        () -> {
+          boolean moved = currentWatch != null && currentWatch.address().equals(address);
+          if (currentWatch != null && successorWatch == null && !moved) {
+            successorWatch = startWatch();
+          }
+        },
+        MOVE_RETRY_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
-  private final class Watch implements HttpWatch.Listener {
-    private final InetSocketAddress to;
-    private final HttpWatch call;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private long seen = entries.version();
-    private Future<?> unfinished;
-    private boolean over;
-
-    Watch(InetSocketAddress to) {
-      this.to = to;
-      this.call =
-          new HttpWatch(
-              dialer,
-              to,
-              HttpMessage.get(to, PATH + "?stream=1&index=" + entries.version()),
-              ANSWER_MILLIS,
-              SILENCE_MILLIS,
-              LINE_MOST,
-              this);
-    }
+  private void reportFailure(String cause) {
+    LOG.warn("discovery {}: keeping the last endpoint list: {}", address, cause);
+    updates.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
+  }
 
+  /** Decides between the current watch and its successor. */
+  private final class WatchListener implements PlatformEndpointWatch.Listener {
     @Override
-    public void bytes(byte[] bytes) {
-      if (this == moving) {
-        LOG.info("discovery {} answers: the old address is closed", to);
-        if (watch != null) {
-          watch.cancel();
-        }
-        watch = this;
-        moving = null;
-      }
-      for (int from = 0; from < bytes.length && !over; ) {
-        int end = from;
-        while (end < bytes.length && bytes[end] != '\n') {
-          end++;
-        }
-        line.write(bytes, from, end - from);
-        if (line.size() > LINE_MOST) {
-          broken("an object is over " + LINE_MOST + " bytes");
-          return;
-        }
-        if (end < bytes.length) {
-          whole();
-          object(line.toByteArray());
-          line.reset();
-        } else if (unfinished == null) {
-          unfinished =
-              loop.schedule(
-                  () -> broken("an object has not come whole within " + OBJECT_MILLIS + " ms"),
-                  OBJECT_MILLIS,
-                  TimeUnit.MILLISECONDS);
-        }
-        from = end + 1;
+    public void watchResponded(PlatformEndpointWatch watch) {
+      if (watch == successorWatch) {
+        LOG.info("discovery {} answers: the watch of the old address is closed", watch.address());
+        cancelCurrentWatch();
+        currentWatch = watch;
+        successorWatch = null;
       }
     }
 
-    private void object(byte[] bytes) {
-      if (new String(bytes, java.nio.charset.StandardCharsets.ISO_8859_1).isBlank()) {
-        return; // a sign of life
-      }
-      try {
-        PlatformEndpointCodec.Told object = entries.read(JSON.readTree(bytes), seen, true);
-        seen = object.version();
-        told.accept(object.event());
-        list.accept(entries.list());
-      } catch (EndpointListCodec.BadList e) {
-        broken(e.getMessage());
-      } catch (IOException e) {
-        broken("an object is no well-formed JSON");
-      }
-    }
-
-    /** The object that was begun is whole, or nobody waits for it any more. */
-    private void whole() {
-      if (unfinished != null) {
-        unfinished.cancel(false);
-        unfinished = null;
-      }
-    }
-
-    /** Ends it without a word. */
-    private void cancel() {
-      over = true;
-      whole();
-      call.cancel();
-    }
-
-    private void broken(String cause) {
-      call.cancel();
-      ended(cause);
+    @Override
+    public void listUpdated(Event.EndpointListUpdate update) {
+      updates.accept(update);
+      lists.accept(list.endpoints());
     }
 
     @Override
-    public void ended(String cause) {
-      over = true;
-      whole();
-      if (this == moving) {
-        moving = null;
-        if (watch == null) {
-          failed(cause);
+    public void watchFailed(PlatformEndpointWatch watch, String cause) {
+      if (watch == successorWatch) {
+        successorWatch = null;
+        if (currentWatch == null) {
+          reportFailure(cause);
         } else {
-          loop.schedule(
-              () -> {
-                if (watch != null && moving == null && !watch.to.equals(address)) {
-                  moving = new Watch(address);
-                }
-              },
-              MOVE_AGAIN_MILLIS,
-              TimeUnit.MILLISECONDS);
+          scheduleMoveRetry();
+        }
+      } else if (watch == currentWatch) {
+        currentWatch = null;
+        // A successor under way answers in its place, by a message or by its own failure.
+        if (successorWatch == null && watching) {
+          reportFailure(cause);
         }
-      } else if (this == watch) {
-        watch = null;
-        if (moving == null && following) {
-          failed(cause);
-        } // else the new address will answer, one way or the other
       }
     }
   }
 
   @Override
   public void fetch() {
-    loop.execute(() -> fetch(entries.version(), entries.history()));
+    loop.execute(
+        () -> {
+          long version = list.version();
+          long epoch = list.epoch();
+          client.call(
+              address,
+              HttpMessage.get(address, PATH),
+              FETCH_TIMEOUT_MILLIS,
+              (response, failure) -> fetchEnded(version, epoch, response, failure));
+        });
   }
 
-  private void fetch(long since, long history) {
-    client.call(
-        address,
-        HttpMessage.get(address, PATH),
-        ANSWER_MILLIS,
-        (answer, failure) -> {
-          try {
-            if (history != entries.history()) {
-              throw new EndpointListCodec.BadList("its versions started over while it was asked");
-            }
-            if (answer == null || answer.status() != 200) {
-              throw new EndpointListCodec.BadList(
-                  answer == null ? "the ask failed: " + failure : "it answers " + answer.status());
-            }
-            told.accept(
-                new Event.EndpointListUpdate(
-                    Event.ListUpdateKind.SNAPSHOT,
-                    entries.read(JSON.readTree(answer.body()), since, false).entries()));
-            list.accept(entries.list());
-          } catch (EndpointListCodec.BadList e) {
-            failed(e.getMessage());
-          } catch (IOException e) {
-            failed("its answer is no well-formed JSON");
-          }
-        });
+  /**
+   * Ends a fetch.
+   *
+   * @param version the held list's version when it was requested
+   * @param epoch the held list's epoch when it was requested
+   */
+  private void fetchEnded(
+      long version, long epoch, HttpMessage response, HttpClient.Failure failure) {
+    try {
+      byte[] body = successfulBody(epoch, response, failure);
+      Event.EndpointListUpdate update =
+          list.apply(list.read(body), version, PlatformEndpointList.Origin.FETCH);
+      updates.accept(
+          new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, update.endpoints()));
+      lists.accept(list.endpoints());
+    } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
+      reportFailure(e.getMessage());
+    }
+  }
+
+  private byte[] successfulBody(long epoch, HttpMessage response, HttpClient.Failure failure)
+      throws EndpointListUnavailableException {
+    if (epoch != list.epoch()) {
+      throw EndpointListUnavailableException.superseded();
+    }
+    if (response == null) {
+      throw EndpointListUnavailableException.callFailed(failure);
+    }
+    if (response.status() != 200) {
+      throw EndpointListUnavailableException.unexpectedStatus(response.status());
+    }
+    return response.body();
   }
 
   @Override
   public void stop() {
     loop.execute(
         () -> {
-          following = false;
-          cancel();
+          watching = false;
+          cancelWatches();
           client.close();
         });
   }
--- a/src/test/java/stonespring/daemon/PlatformTest.java
+++ b/src/test/java/stonespring/daemon/PlatformTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import stonespring.config.PlatformConfig;
-import stonespring.http.CallByHand;
+import stonespring.http.ManualHttpExchange;
 import stonespring.model.Command;
 import stonespring.model.DecisionEngine;
 import stonespring.model.EndpointId;
@@ -146,8 +146,8 @@
     socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private CallByHand watched(ServerSocket server) throws IOException {
-    CallByHand call = new CallByHand(server);
+  private ManualHttpExchange watched(ServerSocket server) throws IOException {
+    ManualHttpExchange call = new ManualHttpExchange(server);
     open.add(call);
     return call;
   }
@@ -163,10 +163,10 @@
     BufferedReader hears = reader(proxy);
     say(proxy, "PING");
     assertEquals("PONG", hears.readLine());
-    CallByHand call = watched(discovery);
-    assertEquals("/registry/instances?stream=1&index=4", call.target);
-    call.raw(CallByHand.CHUNKS)
-        .chunk(list(5, host("s-1", "west"), host("s-2", "east"), host("s-3", "west")) + "\n");
+    ManualHttpExchange call = watched(discovery);
+    assertEquals("/registry/instances?stream=1&index=4", call.target());
+    call.writeRaw(ManualHttpExchange.CHUNKED_HEAD)
+        .writeChunk(list(5, host("s-1", "west"), host("s-2", "east"), host("s-3", "west")) + "\n");
     say(proxy, "SUBSCRIBE id=2 site=west rps=3.0 new=1");
     String table = hears.readLine();
     assertTrue(
@@ -181,13 +181,12 @@
     awaitLog("the new configuration is not used");
     Files.writeString(file, config(moved.getLocalPort()));
     hangUp();
-    CallByHand second = watched(moved);
-    assertEquals("/registry/instances?stream=1&index=5", second.target);
-    second.raw(CallByHand.CHUNKS).chunk(list(6, host("s-1", "west"), host("s-2", "east")) + "\n");
-    assertEquals(
-        -1,
-        call.socket.getInputStream().read(),
-        "the old address is closed once the new one answered");
+    ManualHttpExchange second = watched(moved);
+    assertEquals("/registry/instances?stream=1&index=5", second.target());
+    second
+        .writeRaw(ManualHttpExchange.CHUNKED_HEAD)
+        .writeChunk(list(6, host("s-1", "west"), host("s-2", "east")) + "\n");
+    assertTrue(call.closedByClient(), "the old address is closed once the new one answered");
     String drained = hears.readLine(); // s-3 is gone: its line leaves at once
     assertNotNull(drained);
     say(proxy, "PING");
@@ -217,8 +216,8 @@
   void ofTwoNewConfigurationsTheLaterHolds() throws Exception {
     run(config(discovery.getLocalPort()));
     dial();
-    CallByHand call = watched(discovery);
-    call.raw(CallByHand.CHUNKS).chunk(list(5, host("s-1", "west")) + "\n");
+    ManualHttpExchange call = watched(discovery);
+    call.writeRaw(ManualHttpExchange.CHUNKED_HEAD).writeChunk(list(5, host("s-1", "west")) + "\n");
     ServerSocket older = server();
     ServerSocket newer = server();
     Path file = folder.resolve("config.json");
@@ -235,8 +234,8 @@
     }
     // What was asked first may have been answered or not; the address that is asked in the end is
     // the newer one.
-    CallByHand last = watched(newer);
-    last.raw(CallByHand.CHUNKS).chunk(list(6, host("s-1", "west")) + "\n");
+    ManualHttpExchange last = watched(newer);
+    last.writeRaw(ManualHttpExchange.CHUNKED_HEAD).writeChunk(list(6, host("s-1", "west")) + "\n");
     awaitLog("/127.0.0.1:" + newer.getLocalPort() + " answers");
     awaitLog(
         "discovery moves from /127.0.0.1:"
@@ -281,7 +280,7 @@
       hangUp();
       first.write(config(discovery.getLocalPort()).getBytes(StandardCharsets.UTF_8));
     }
-    assertEquals("/registry/instances?stream=1&index=4", watched(newer).target);
+    assertEquals("/registry/instances?stream=1&index=4", watched(newer).target());
   }
 
   /**
@@ -294,7 +293,10 @@
     runAfter("ulimit -n 96", config(discovery.getLocalPort()));
     Socket early = dial();
     say(early, "SUBSCRIBE id=1 site=west rps=3.0 new=1");
-    watched(discovery).raw(CallByHand.CHUNKS).chunk(list(5, host("s-1", "west")) + "\n").close();
+    watched(discovery)
+        .writeRaw(ManualHttpExchange.CHUNKED_HEAD)
+        .writeChunk(list(5, host("s-1", "west")) + "\n")
+        .close();
     for (int i = 0; i < 160; i++) {
       Socket idle = new Socket();
       open.add(idle);
@@ -303,7 +305,7 @@
     awaitLog("Too many open files");
     assertEquals(
         "/registry/instances?stream=1&index=5",
-        watched(discovery).target,
+        watched(discovery).target(),
         "the list is watched again");
     Socket late = dial();
     say(late, "PING");
@@ -325,13 +327,13 @@
   void aMovedDiscoveryIsFoundWithoutTheSignal() throws Exception {
     run(config(discovery.getLocalPort()));
     dial();
-    CallByHand call = watched(discovery);
-    call.raw(CallByHand.CHUNKS).chunk(list(5, host("s-1", "west")) + "\n");
+    ManualHttpExchange call = watched(discovery);
+    call.writeRaw(ManualHttpExchange.CHUNKED_HEAD).writeChunk(list(5, host("s-1", "west")) + "\n");
     ServerSocket moved = server();
     Files.writeString(folder.resolve("config.json"), config(moved.getLocalPort()));
     discovery.close();
     call.close();
-    assertEquals("/registry/instances?stream=1&index=5", watched(moved).target);
+    assertEquals("/registry/instances?stream=1&index=5", watched(moved).target());
   }
 
   /**
@@ -343,14 +345,14 @@
     runAfter("trap '' HUP", config(discovery.getLocalPort()));
     dial();
     awaitLog("hang-ups are ignored");
-    CallByHand call = watched(discovery);
-    call.raw(CallByHand.CHUNKS).chunk(list(5, host("s-1", "west")) + "\n");
+    ManualHttpExchange call = watched(discovery);
+    call.writeRaw(ManualHttpExchange.CHUNKED_HEAD).writeChunk(list(5, host("s-1", "west")) + "\n");
     ServerSocket moved = server();
     Files.writeString(folder.resolve("config.json"), config(moved.getLocalPort()));
     hangUp();
     discovery.close();
     call.close();
-    assertEquals("/registry/instances?stream=1&index=5", watched(moved).target);
+    assertEquals("/registry/instances?stream=1&index=5", watched(moved).target());
   }
 
   /**
@@ -364,7 +366,7 @@
         file, config(discovery.getLocalPort()).replace("\"on_request\"", "\"pushed\""));
     PlatformDaemon daemon = new PlatformDaemon(PlatformConfig.read(file));
     daemon.start();
-    assertEquals("/registry/instances?stream=1&index=4", watched(discovery).target);
+    assertEquals("/registry/instances?stream=1&index=4", watched(discovery).target());
     daemon.stop();
   }
 
--- /dev/null
+++ b/src/test/java/stonespring/discovery/EndpointListCodecTest.java
@@ -0,0 +1,36 @@
+package stonespring.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+final class EndpointListCodecTest {
+  @Test
+  void invalidListNamesEntryAndField() {
+    for (String[] row :
+        new String[][] {
+          {"{}", "no JSON array"},
+          {"[1]", "entry 0: it is no object"},
+          {"[{\"id\":\"a/b\"}]", "entry 0: field 'id'"},
+          {"[{\"id\":\"a\",\"address\":\"h\"}]", "field 'address'"},
+          {
+            "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"x\"}]",
+            "field 'zone' names no zone of the settings: x"
+          },
+          {
+            "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"state\":\"up\"}]",
+            "field 'state'"
+          },
+          {"[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"weight\":0}]", "field 'weight'"},
+          {"[", "line 1"}
+        }) {
+      InvalidEndpointListException e =
+          assertThrows(
+              InvalidEndpointListException.class,
+              () -> EndpointLists.codec().read(row[0].getBytes(StandardCharsets.UTF_8)));
+      assertTrue(e.getMessage().contains(row[1]), e.getMessage());
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
@@ -0,0 +1,80 @@
+package stonespring.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static stonespring.discovery.PlatformListServer.entry;
+import static stonespring.discovery.PlatformListServer.message;
+
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
+import stonespring.http.ManualHttpExchange;
+import stonespring.model.Event;
+
+/** Fetches of the platform's whole list, also while a watch is under way. */
+final class PlatformEndpointFetchTest {
+  @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
+
+  @Test
+  void fetchesTheWholeListOnce() throws Exception {
+    fixture.source.fetch();
+    ManualHttpExchange fetch = fixture.server.accept();
+    assertEquals("/registry/instances", fetch.target());
+    fetch.writeResponse(message(9, true, entry("s-1", "Ready")));
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    fixture.source.fetch();
+    fixture.server.accept().close();
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed());
+  }
+
+  /** The server holds the fetched list back until the watch has brought a newer message. */
+  @Test
+  void fetchedListOvertakenByTheWatchRevertsNothing() throws Exception {
+    fixture.source.watch(true);
+    ManualHttpExchange watch =
+        fixture.server.acceptWatch().writeChunk(message(41, true, entry("s-1", "Ready")));
+    fixture.updates.next();
+    fixture.source.fetch();
+    ManualHttpExchange overtaken = fixture.server.accept();
+    watch.writeChunk(message(43, false, entry("s-1", "Terminating"), entry("s-2", "Ready")));
+    fixture.updates.next();
+    overtaken.writeResponse(message(42, true, entry("s-1", "Ready")));
+    Event.EndpointListUpdate snapshot = fixture.updates.next();
+    assertEquals(Event.ListUpdateKind.SNAPSHOT, snapshot.kind());
+    assertEquals(
+        Set.of("s-1/DRAINING", "s-2/READY"),
+        snapshot.endpoints().stream()
+            .map(endpoint -> endpoint.endpoint().name() + "/" + endpoint.state())
+            .collect(Collectors.toSet()),
+        "it is answered by the held list");
+    fixture.source.fetch();
+    ManualHttpExchange newer = fixture.server.accept();
+    newer.writeResponse(message(45, true, entry("s-3", "Ready")));
+    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    watch
+        .writeChunk(message(44, false, entry("s-3", "Gone")))
+        .writeChunk(message(46, false, entry("s-4", "Ready")));
+    assertEquals(
+        "DELTA", fixture.updates.nextDescribed(), "outdated message of the watch, which goes on");
+    assertEquals("DELTA s-4/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals(2, fixture.source.endpoints().size());
+  }
+
+  @Test
+  void fetchedListOfAnEarlierEpochIsRefused() throws Exception {
+    fixture.source.watch(true);
+    ManualHttpExchange watch =
+        fixture.server.acceptWatch().writeChunk(message(41, true, entry("s-1", "Ready")));
+    fixture.updates.next();
+    fixture.source.fetch();
+    ManualHttpExchange fetch = fixture.server.accept();
+    watch.writeChunk(message(3, true, entry("s-2", "Ready")));
+    assertEquals(
+        "SNAPSHOT s-2/READY/1/1.5/9500",
+        fixture.updates.nextDescribed(),
+        "versions started over, and the snapshot applies");
+    fetch.writeResponse(message(42, true, entry("s-1", "Ready")));
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed());
+    assertEquals("s-2", fixture.source.endpoints().get(0).endpoint().name());
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
@@ -0,0 +1,31 @@
+package stonespring.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static stonespring.discovery.PlatformListServer.entry;
+import static stonespring.discovery.PlatformListServer.message;
+
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+final class PlatformEndpointListTest {
+  private final PlatformEndpointList list = PlatformSourceFixture.newList();
+
+  private void apply(String message) throws InvalidEndpointListException {
+    list.apply(
+        list.read(message.getBytes(StandardCharsets.UTF_8)),
+        list.version(),
+        PlatformEndpointList.Origin.WATCH);
+  }
+
+  /** Endpoints come and go under new ids for ever. */
+  @Test
+  void holdsNothingOfRemovedEndpoints() throws Exception {
+    for (int i = 0; i < 5_000; i++) {
+      apply(message(i, false, entry("s-" + i, "Ready")));
+      if (i >= 3) {
+        apply(message(i, false, entry("s-" + (i - 3), "Gone")));
+      }
+    }
+    assertEquals(3, list.endpoints().size());
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/discovery/PlatformEndpointMoveTest.java
@@ -0,0 +1,80 @@
+package stonespring.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static stonespring.discovery.PlatformListServer.entry;
+import static stonespring.discovery.PlatformListServer.message;
+import static stonespring.http.ManualHttpExchange.CHUNKED_HEAD;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
+import stonespring.http.ManualHttpExchange;
+import stonespring.model.EndpointRecord;
+
+/** A watch whose server moves to another address. */
+final class PlatformEndpointMoveTest {
+  @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
+  private ManualHttpExchange oldWatch;
+  private PlatformListServer newServer;
+
+  /** Watches at the old address, up to version 5, and moves. */
+  @BeforeEach
+  void watchAndMove() throws Exception {
+    fixture.source.watch(true);
+    oldWatch = fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
+    fixture.updates.next();
+    newServer = fixture.newServer();
+    fixture.source.moveTo(newServer.address());
+  }
+
+  @Test
+  void closesTheOldWatchOnceTheNewAddressResponds() throws Exception {
+    ManualHttpExchange newWatch = newServer.accept();
+    assertEquals("/registry/instances?stream=1&index=5", newWatch.target());
+    oldWatch.writeChunk(message(6, false, entry("s-2", "Ready")));
+    assertEquals(
+        "DELTA s-2/READY/1/1.5/9500",
+        fixture.updates.nextDescribed(),
+        "the old watch is still followed");
+    newWatch.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
+    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertTrue(oldWatch.closedByClient(), "now it is closed");
+    newWatch.close();
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "one failure, of the new watch");
+    fixture.source.watch(true);
+    assertNotNull(newServer.accept());
+  }
+
+  @Test
+  void retriesAFailedMoveWhileTheOldWatchLasts() throws Exception {
+    newServer.accept().writeRaw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    ManualHttpExchange retry = newServer.accept();
+    oldWatch.close(); // while the new address has not responded
+    retry.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
+    assertEquals(
+        "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed(), "and nothing failed");
+  }
+
+  /**
+   * The old watch goes on while the new one, requested at version 5, has yet to bring version 6.
+   */
+  @Test
+  void newWatchOvertakenByTheOldOneRevertsNothingAndStays() throws Exception {
+    ManualHttpExchange newWatch = newServer.accept();
+    oldWatch
+        .writeChunk(message(6, false, entry("s-1", "Ready")))
+        .writeChunk(message(7, false, entry("s-1", "Terminating")));
+    fixture.updates.next();
+    fixture.updates.next();
+    newWatch.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-1", "Ready")));
+    assertEquals("DELTA", fixture.updates.nextDescribed());
+    assertEquals(EndpointRecord.State.DRAINING, fixture.source.endpoints().get(0).state());
+    newWatch
+        .writeChunk(message(7, false, entry("s-1", "Terminating")))
+        .writeChunk(message(8, false, entry("s-2", "Ready")));
+    assertEquals("DELTA s-1/DRAINING/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/discovery/RegistryServer.java
@@ -0,0 +1,73 @@
+package stonespring.discovery;
+
+import io.netty.channel.EventLoopGroup;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import stonespring.http.HttpMessage;
+import stonespring.http.HttpServer;
+
+/** A stand-in for a registry: tests give each response. */
+final class RegistryServer {
+  private static final int MAX_BODY_BYTES = 100;
+
+  private final LinkedBlockingQueue<HttpServer.Exchange> exchanges = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<String> targets = new LinkedBlockingQueue<>();
+  private final HttpServer server;
+
+  RegistryServer(EventLoopGroup loops) throws Exception {
+    server =
+        new HttpServer(
+                (request, exchange) -> {
+                  targets.add(request.second());
+                  exchanges.add(exchange);
+                },
+                MAX_BODY_BYTES)
+            .start(loops, "127.0.0.1", 0);
+  }
+
+  int port() {
+    return server.port();
+  }
+
+  /** Waits for the next request. */
+  HttpServer.Exchange accept() throws InterruptedException {
+    return exchanges.poll(EndpointUpdates.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  /** Waits for the next request and responds to it with an index and entries. */
+  void respond(int index, String... entries) throws InterruptedException {
+    respondBody(index, "[" + String.join(",", entries) + "]");
+  }
+
+  void respondBody(int index, String body) throws InterruptedException {
+    accept().answer(HttpMessage.answer(200, body).with("X-Consul-Index", String.valueOf(index)));
+  }
+
+  void respondWithoutIndex(String body) throws InterruptedException {
+    accept().answer(HttpMessage.answer(200, body));
+  }
+
+  /** Waits for the target of the next request that was not asked for yet. */
+  String nextTarget() throws InterruptedException {
+    return targets.poll(EndpointUpdates.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  void stop() {
+    server.stop();
+  }
+
+  /** An entry in zone east at 127.0.0.1:80, started at 1000 Unix milliseconds. */
+  static String entry(String id, String checks) {
+    return "{\"Node\":{\"Address\":\"10.0.0.9\"},\"Service\":{\"ID\":\""
+        + id
+        + "\",\"Address\":\"127.0.0.1\",\"Port\":80,\"Meta\":"
+        + "{\"zone\":\"east\",\"started_ms\":\"1000\"},\"Weights\":{\"Passing\":3,\"Warning\":1}},"
+        + "\"Checks\":["
+        + checks
+        + "]}";
+  }
+
+  static String check(String id, String status) {
+    return "{\"CheckID\":\"" + id + "\",\"Status\":\"" + status + "\"}";
+  }
+}
