--- a/src/test/java/stonespring/discovery/PlatformEndpointSourceTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointSourceTest.java
@@ -121,7 +121,7 @@
     Event.EndpointListUpdate last =
         source.lastSeen(new ObjectMapper().readTree(object(version, true, host("s-1", "Ready"))));
     assertEquals(
-        "LAST_SEEN s-1/READY/1/1.5/9500",
+        "CACHED s-1/READY/1/1.5/9500",
         words(last),
         "born by the wall clock, told by the instance's");
   }
@@ -139,10 +139,10 @@
         .chunk(first.substring(30))
         .chunk("\n")
         .chunk("\r\n");
-    assertEquals("CHANGES s-1/DRAINING/1/1.5/9500 s-2/READY/1/1.5/9500", words(next()));
+    assertEquals("DELTA s-1/DRAINING/1/1.5/9500 s-2/READY/1/1.5/9500", words(next()));
     watch.chunk(object(44, false, host("s-1", "Gone")) + object(45, true, host("s-3", "Ready")));
-    assertEquals("CHANGES s-1/GONE/1/1.5/9500", words(next()));
-    assertEquals("WHOLE s-3/READY/1/1.5/9500", words(next()));
+    assertEquals("DELTA s-1/REMOVED/1/1.5/9500", words(next()));
+    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", words(next()));
     assertTrue(told.isEmpty(), "a sign of life says nothing");
   }
 
@@ -161,21 +161,21 @@
       source.follow(true);
       CallByHand watch = call(discovery).raw(failure);
       assertEquals("/registry/instances?stream=1&index=41", watch.target);
-      assertEquals("FAILED", words(next()), failure);
+      assertEquals("FETCH_FAILED", words(next()), failure);
     }
     source.follow(true);
     call(discovery).socket.close();
-    assertEquals("FAILED", words(next()), "a reset");
+    assertEquals("FETCH_FAILED", words(next()), "a reset");
     source.follow(true);
     CallByHand half = call(discovery).raw(HEAD).chunk("{\"seq\":50,\"who");
     half.socket.close();
-    assertEquals("FAILED", words(next()), "half an object");
+    assertEquals("FETCH_FAILED", words(next()), "half an object");
     source.follow(true);
     CallByHand back = call(discovery);
     assertEquals(
         "/registry/instances?stream=1&index=41", back.target, "half an object moved nothing");
     back.raw(HEAD).chunk(object(7, false));
-    assertEquals("FAILED", words(next()), "the version went back");
+    assertEquals("FETCH_FAILED", words(next()), "the version went back");
     source.follow(true);
     assertEquals(
         "/registry/instances?stream=1&index=0",
@@ -190,7 +190,7 @@
     source.follow(true);
     call(discovery).raw(HEAD).chunk("\n");
     long began = System.nanoTime();
-    assertEquals("FAILED", words(next()));
+    assertEquals("FETCH_FAILED", words(next()));
     assertTrue(
         System.nanoTime() - began > 2_000_000_000L, "not before it was due to say something");
   }
@@ -211,11 +211,11 @@
         }) {
       watch.chunk(
           object(50, true, host("s-1", "Ready").replace(spoil[0], spoil[1]), host("s-2", "Ready")));
-      assertEquals("WHOLE s-1/READY/1/1.5/9500 s-2/READY/1/1.5/9500", words(next()), spoil[1]);
+      assertEquals("SNAPSHOT s-1/READY/1/1.5/9500 s-2/READY/1/1.5/9500", words(next()), spoil[1]);
     }
     for (String name : new String[] {"\"a b\"", "\"a,b\"", "\"a:b\"", "\"\"", "7"}) {
       watch.chunk(object(51, false, host("s-9", "Ready").replace("\"s-9\"", name)));
-      assertEquals("CHANGES", words(next()), name);
+      assertEquals("DELTA", words(next()), name);
     }
     assertEquals(11, entries.leftOut());
     assertEquals(2, source.held().size());
@@ -231,12 +231,12 @@
     CallByHand moved = call(other);
     assertEquals("/registry/instances?stream=1&index=5", moved.target);
     old.chunk(object(6, false, host("s-2", "Ready")));
-    assertEquals("CHANGES s-2/READY/1/1.5/9500", words(next()), "the old one still tells");
+    assertEquals("DELTA s-2/READY/1/1.5/9500", words(next()), "the old one still tells");
     moved.raw(HEAD).chunk(object(6, false, host("s-2", "Ready")));
-    assertEquals("CHANGES s-2/READY/1/1.5/9500", words(next()));
+    assertEquals("DELTA s-2/READY/1/1.5/9500", words(next()));
     assertEquals(-1, old.socket.getInputStream().read(), "now it is closed");
     moved.socket.close();
-    assertEquals("FAILED", words(next()), "one failure, of the new one");
+    assertEquals("FETCH_FAILED", words(next()), "one failure, of the new one");
     source.follow(true);
     assertNotNull(call(other));
   }
@@ -252,7 +252,7 @@
     CallByHand again = call(other);
     old.socket.close(); // the old one ends while the new one has not answered
     again.raw(HEAD).chunk(object(6, false, host("s-2", "Ready")));
-    assertEquals("CHANGES s-2/READY/1/1.5/9500", words(next()), "and nothing failed");
+    assertEquals("DELTA s-2/READY/1/1.5/9500", words(next()), "and nothing failed");
   }
 
   @Test
@@ -262,10 +262,10 @@
     CallByHand call = call(discovery);
     assertEquals("/registry/instances", call.target);
     call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-    assertEquals("WHOLE s-1/READY/1/1.5/9500", words(next()));
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", words(next()));
     source.fetch();
     call(discovery).socket.close();
-    assertEquals("FAILED", words(next()));
+    assertEquals("FETCH_FAILED", words(next()));
   }
 
   private static String answer(String body) {
@@ -297,12 +297,12 @@
     source.fetch();
     CallByHand newer = call(discovery);
     newer.raw(answer(object(45, true, host("s-3", "Ready"))));
-    assertEquals("WHOLE s-3/READY/1/1.5/9500", words(next()));
+    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", words(next()));
     watch
         .chunk(object(44, false, host("s-3", "Gone")))
         .chunk(object(46, false, host("s-4", "Ready")));
-    assertEquals("CHANGES", words(next()), "old news of the watch, which goes on");
-    assertEquals("CHANGES s-4/READY/1/1.5/9500", words(next()));
+    assertEquals("DELTA", words(next()), "old news of the watch, which goes on");
+    assertEquals("DELTA s-4/READY/1/1.5/9500", words(next()));
     assertEquals(2, source.held().size());
   }
 
@@ -315,11 +315,11 @@
     CallByHand asked = call(discovery);
     watch.chunk(object(3, true, host("s-2", "Ready")));
     assertEquals(
-        "WHOLE s-2/READY/1/1.5/9500",
+        "SNAPSHOT s-2/READY/1/1.5/9500",
         words(next()),
         "discovery started over, and its whole list holds");
     asked.raw(answer(object(42, true, host("s-1", "Ready"))));
-    assertEquals("FAILED", words(next()));
+    assertEquals("FETCH_FAILED", words(next()));
     assertEquals("s-2", source.held().get(0).endpoint().name());
   }
 
@@ -340,13 +340,13 @@
     next();
     next();
     moved.raw(HEAD).chunk(object(6, false, host("s-1", "Ready")));
-    assertEquals("CHANGES", words(next()));
+    assertEquals("DELTA", words(next()));
     assertEquals(EndpointRecord.State.DRAINING, source.held().get(0).state());
     moved
         .chunk(object(7, false, host("s-1", "Terminating")))
         .chunk(object(8, false, host("s-2", "Ready")));
-    assertEquals("CHANGES s-1/DRAINING/1/1.5/9500", words(next()));
-    assertEquals("CHANGES s-2/READY/1/1.5/9500", words(next()));
+    assertEquals("DELTA s-1/DRAINING/1/1.5/9500", words(next()));
+    assertEquals("DELTA s-2/READY/1/1.5/9500", words(next()));
   }
 
   /** The stand-in never says a whole object, and never falls silent either. */
@@ -360,10 +360,10 @@
       event = told.poll(250, TimeUnit.MILLISECONDS);
     }
     assertNotNull(event, "while the pieces still come");
-    assertEquals("FAILED", words(event));
+    assertEquals("FETCH_FAILED", words(event));
     source.follow(true);
     call(discovery).raw(HEAD).chunk(object(5, true, host("s-1", "Ready")));
-    assertEquals("WHOLE s-1/READY/1/1.5/9500", words(next()));
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", words(next()));
   }
 
   /**
@@ -393,12 +393,12 @@
         },
         list -> {});
     starved.follow(true);
-    assertEquals("FAILED", words(next()), "the watch");
+    assertEquals("FETCH_FAILED", words(next()), "the watch");
     starved.fetch();
-    assertEquals("FAILED", words(next()), "the call");
+    assertEquals("FETCH_FAILED", words(next()), "the call");
     starved.follow(true);
     call(discovery).raw(HEAD).chunk(object(5, true, host("s-1", "Ready")));
-    assertEquals("WHOLE s-1/READY/1/1.5/9500", words(next()));
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", words(next()));
     assertEquals(1, tellers.size(), "all of it is told on the event loop");
     starved.stop();
   }
