--- a/src/main/java/stonespring/proxy/routing/Router.java
+++ b/src/main/java/stonespring/proxy/routing/Router.java
@@ -9,6 +9,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.zip.CRC32;
+import stonespring.model.AdmissionLimitKind;
 
 /**
  * What a proxy does with an op: whether it is let in, where it goes, whether it may be tried again.
@@ -244,10 +245,10 @@
   /** Whether one op of this type is let in now. */
   public boolean admit(RequestClassIndex type, long now) {
     Level level = level(type.index());
-    if (level == null || set.levels() == RouterSettings.Levels.NONE) {
+    if (level == null || set.levels() == AdmissionLimitKind.NONE) {
       return true;
     }
-    if (set.levels() == RouterSettings.Levels.SHARE) {
+    if (set.levels() == AdmissionLimitKind.FRACTION) {
       return level.value >= 1 || chance() < level.value;
     }
     int k = type.index();
@@ -375,10 +376,10 @@
     }
     RouterSettings.Type of = set.types().get(type.index());
     return switch (of.repeat()) {
-      case RETRYABLE -> true;
+      case IDEMPOTENT -> true;
       // The repeat must reach the task before it forgets the first try.
-      case DEDUPLICATED -> now - firstAt < of.window();
-      case ONCE_ONLY -> false;
+      case IDEMPOTENCY_KEYED -> now - firstAt < of.window();
+      case NON_IDEMPOTENT -> false;
     };
   }
 
--- a/src/main/java/stonespring/proxy/routing/RouterSettings.java
+++ b/src/main/java/stonespring/proxy/routing/RouterSettings.java
@@ -1,6 +1,8 @@
 package stonespring.proxy.routing;
 
 import java.util.List;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.RetrySafety;
 
 /**
  * What a proxy's routing reads, decoded once. Times in tenths of a millisecond.
@@ -20,9 +22,9 @@
     long shunMost,
     long retryLeast,
     Picks picks,
-    Levels levels) {
+    AdmissionLimitKind levels) {
   /** One op type. */
-  public record Type(String name, Repeat repeat, long window) {}
+  public record Type(String name, RetrySafety repeat, long window) {}
 
   /**
    * How a line is picked: by weight, evenly by weight in turn, or of two drawn the one with fewer
@@ -33,11 +35,4 @@
     ROUND,
     TWO
   }
-
-  /** How a level is meant: a share of the ops, ops a second, or not at all. */
-  public enum Levels {
-    NONE,
-    SHARE,
-    RATE
-  }
 }
--- a/src/main/java/stonespring/testbed/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -32,10 +32,11 @@
 import stonespring.chp.ChpMessage;
 import stonespring.chp.ChpServer;
 import stonespring.config.InstanceSettings;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.RetrySafety;
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
 import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.Repeat;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.zmtp.Wire;
 import stonespring.zmtp.ZmtpLimits;
@@ -124,11 +125,11 @@
   private static ProxySettings settings(InstanceSettings of, int i, int port) {
     List<RouterSettings.Type> types =
         of.opTypeNames().stream()
-            .map(n -> new RouterSettings.Type(n, Repeat.RETRYABLE, 0))
+            .map(n -> new RouterSettings.Type(n, RetrySafety.IDEMPOTENT, 0))
             .toList();
     RouterSettings router =
         new RouterSettings(
-            types, 0, 0, 0, 500, RouterSettings.Picks.TWO, RouterSettings.Levels.SHARE);
+            types, 0, 0, 0, 500, RouterSettings.Picks.TWO, AdmissionLimitKind.FRACTION);
     return new ProxySettings(
         "p" + i,
         of.zones().get(i % of.zones().size()),
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -14,7 +14,6 @@
 import stonespring.discovery.FileEndpointSource;
 import stonespring.model.RequestClass;
 import stonespring.model.Settings;
-import stonespring.proxy.routing.Repeat;
 import stonespring.proxy.routing.RouterSettings;
 
 /** Stand-ins run by themselves, for trying things out by hand. */
@@ -41,8 +40,7 @@
     for (int k = 0; k < s.requestClasses().size(); k++) {
       RequestClass type = s.requestClasses().get(k);
       types.add(
-          new RouterSettings.Type(
-              names.get(k), Repeat.valueOf(type.retrySafety().name()), window.applyAsLong(type)));
+          new RouterSettings.Type(names.get(k), type.retrySafety(), window.applyAsLong(type)));
     }
     return new RouterSettings(
         types,
@@ -51,7 +49,7 @@
         SHUN_MOST,
         RETRY_LEAST,
         RouterSettings.Picks.TWO,
-        RouterSettings.Levels.valueOf(s.admissionLimitKind().name()));
+        s.admissionLimitKind());
   }
 
   /** The settings' op timeouts as proxies take them, milliseconds. */
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -29,7 +29,6 @@
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.Repeat;
 import stonespring.proxy.routing.RequestClassIndex;
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
@@ -53,14 +52,14 @@
   private static final RouterSettings ROUTING =
       new RouterSettings(
           List.of(
-              new RouterSettings.Type("view", Repeat.RETRYABLE, 0),
-              new RouterSettings.Type("extract", Repeat.ONCE_ONLY, 0)),
+              new RouterSettings.Type("view", RetrySafety.IDEMPOTENT, 0),
+              new RouterSettings.Type("extract", RetrySafety.NON_IDEMPOTENT, 0)),
           0,
           0,
           0,
           0,
           RouterSettings.Picks.WEIGHTED,
-          RouterSettings.Levels.SHARE);
+          AdmissionLimitKind.FRACTION);
 
   /** A connection that notes why it was ended. */
   private static final class Line implements ProxyMessageHandler.Origin {
--- a/src/test/java/stonespring/proxy/ProofTest.java
+++ b/src/test/java/stonespring/proxy/ProofTest.java
@@ -21,8 +21,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import stonespring.http.HttpClient;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.RetrySafety;
 import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.Repeat;
 import stonespring.proxy.routing.RequestOutcome;
 import stonespring.proxy.routing.RouterSettings;
 
@@ -60,13 +61,13 @@
   private void start(int... ports) throws Exception {
     RouterSettings routing =
         new RouterSettings(
-            List.of(new RouterSettings.Type("extract", Repeat.ONCE_ONLY, 0)),
+            List.of(new RouterSettings.Type("extract", RetrySafety.NON_IDEMPOTENT, 0)),
             0,
             0,
             0,
             10,
             RouterSettings.Picks.WEIGHTED,
-            RouterSettings.Levels.NONE);
+            AdmissionLimitKind.NONE);
     List<EndpointName> standing =
         java.util.Arrays.stream(ports)
             .mapToObj(p -> new EndpointName("t" + p + "@127.0.0.1:" + p))
--- a/src/test/java/stonespring/proxy/routing/RouterTest.java
+++ b/src/test/java/stonespring/proxy/routing/RouterTest.java
@@ -15,6 +15,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.RetrySafety;
 
 final class RouterTest {
   private static final RequestClassIndex VIEW = new RequestClassIndex(0);
@@ -22,13 +24,13 @@
   private static final RequestClassIndex EXTRACT = new RequestClassIndex(2);
   private static final long SECOND = 10_000;
 
-  private static Router router(RouterSettings.Picks picks, RouterSettings.Levels levels) {
+  private static Router router(RouterSettings.Picks picks, AdmissionLimitKind levels) {
     return new Router(
         new RouterSettings(
             List.of(
-                new RouterSettings.Type("view", Repeat.RETRYABLE, 0),
-                new RouterSettings.Type("sketch", Repeat.DEDUPLICATED, 2 * SECOND),
-                new RouterSettings.Type("extract", Repeat.ONCE_ONLY, 0)),
+                new RouterSettings.Type("view", RetrySafety.IDEMPOTENT, 0),
+                new RouterSettings.Type("sketch", RetrySafety.IDEMPOTENCY_KEYED, 2 * SECOND),
+                new RouterSettings.Type("extract", RetrySafety.NON_IDEMPOTENT, 0)),
             3,
             2 * SECOND,
             4 * SECOND,
@@ -39,7 +41,7 @@
   }
 
   private static Router router() {
-    return router(RouterSettings.Picks.WEIGHTED, RouterSettings.Levels.SHARE);
+    return router(RouterSettings.Picks.WEIGHTED, AdmissionLimitKind.FRACTION);
   }
 
   private static TableSubscriber.Step.Message message(
@@ -73,7 +75,7 @@
   @ParameterizedTest
   @EnumSource(RouterSettings.Picks.class)
   void picksFollowWeights(RouterSettings.Picks picks) {
-    Router router = router(picks, RouterSettings.Levels.NONE);
+    Router router = router(picks, AdmissionLimitKind.NONE);
     router.apply(message("a", true, "bind/view", "1", "line/1/x", "0.75", "line/1/y", "0.25"));
     Map<String, Integer> got = new HashMap<>();
     for (int i = 0; i < 4000; i++) {
@@ -89,7 +91,7 @@
 
   @Test
   void ofTwoTheOneWithFewerOwnOpsOut() {
-    Router router = router(RouterSettings.Picks.TWO, RouterSettings.Levels.NONE);
+    Router router = router(RouterSettings.Picks.TWO, AdmissionLimitKind.NONE);
     router.apply(message("a", true, "bind/view", "1", "line/1/x", "0.5", "line/1/y", "0.5"));
     Map<String, Integer> out = new HashMap<>();
     for (int i = 0; i < 1000; i++) {
@@ -176,7 +178,7 @@
     assertEquals(1000, in, 100, "the lower of the two levels holds");
     assertTrue(
         router.mayTryAgain(VIEW, 1, true, 0, SECOND, 0), "and the table's own way of trying again");
-    Router rates = router(RouterSettings.Picks.WEIGHTED, RouterSettings.Levels.RATE);
+    Router rates = router(RouterSettings.Picks.WEIGHTED, AdmissionLimitKind.RATE);
     rates.apply(
         message("a", true, "level/every/view", "10 never", "level/every/extract", "0 never"));
     in = 0;
