--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -143,7 +143,7 @@
         listener.port(),
         source.endpoints().size(),
         file.facts().settings().fleet().proxies(),
-        listener.limits().unjoined());
+        listener.limits().maxPendingHandshakes());
   }
 
   /**
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -7,149 +7,166 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.DecoderException;
 import io.netty.util.concurrent.Future;
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stonespring.netty.FailStopDecoder;
 
 /**
- * One connection; its state lives on its event loop and all calls come from there. Until it is kept
- * it has not joined: any fault of it is answered by a refusal and a close. The sign of life is
- * answered here, whoever asks.
+ * One connection. Its handshake is complete once it has a session; until then any error is answered
+ * by a refusal before the connection is closed. Keep-alives are answered here. State lives on the
+ * connection's event loop, and all calls come from there.
  */
 public final class LineConnection extends SimpleChannelInboundHandler<LineMessage> {
   private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
-  private static final String REFUSAL = "NACK";
-
-  private final LineServer listener;
-  private final LineHandler events;
+  private static final String KEEP_ALIVE = "PING";
+  private static final String KEEP_ALIVE_RESPONSE = "PONG\r\n";
+  private static final String REFUSAL = "NACK reason=";
+  private static final int MAX_REASON_CHARS = 80;
+
+  private final LineLimits limits;
+  private final PendingHandshakes pendingHandshakes;
+  private final ConnectionCloseLog closeLog;
+  private final LineHandler handler;
   private Channel channel;
-  private long since;
-  private Future<?> unjoinedEnd;
-  private Object keptFor;
-  private boolean over;
-
-  LineConnection(LineServer listener, LineHandler events) {
-    this.listener = listener;
-    this.events = events;
+  private long connectedAtNanos;
+  private Future<?> handshakeTimeout;
+  private Object session;
+  private boolean closed;
+
+  LineConnection(
+      LineLimits limits,
+      PendingHandshakes pendingHandshakes,
+      ConnectionCloseLog closeLog,
+      LineHandler handler) {
+    this.limits = limits;
+    this.pendingHandshakes = pendingHandshakes;
+    this.closeLog = closeLog;
+    this.handler = handler;
   }
 
-  /** What this connection was kept for; null while it has not joined. */
-  public Object keptFor() {
-    return keptFor;
+  /** What {@link #setSession} set; null until then. */
+  public Object session() {
+    return session;
   }
 
-  /** It has joined. */
-  public void keep(Object purpose) {
-    keptFor = purpose;
-    notUnjoined();
+  /**
+   * Sets or replaces the session, which completes the handshake.
+   *
+   * @param session its text names the peer in log lines; not null
+   */
+  public void setSession(Object session) {
+    this.session = session;
+    endHandshake();
   }
 
-  private void notUnjoined() {
-    unjoinedEnd.cancel(false);
-    listener.known(this);
+  private void endHandshake() {
+    handshakeTimeout.cancel(false);
+    pendingHandshakes.remove(this);
   }
 
-  /** Writes text of whole lines, at once. A peer too far behind is cut off. */
+  /** Writes and flushes whole lines. Closes a connection whose peer reads too slowly. */
   public void write(String lines) {
-    if (over) {
+    if (closed) {
       return;
     }
     var buffer = channel.unsafe().outboundBuffer();
-    if (buffer != null && buffer.totalPendingWriteBytes() > listener.limits().pendingBytes()) {
-      // Nothing may be left out of the middle: it joins again and is told anew.
-      end("it reads too slowly: over " + listener.limits().pendingBytes() + " bytes wait for it");
+    if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingWriteBytes()) {
+      // Nothing can be left out of the middle; the peer connects again and gets a snapshot.
+      close("it reads too slowly: over " + limits.maxPendingWriteBytes() + " bytes wait for it");
       return;
     }
-    channel.writeAndFlush(bytes(lines), channel.voidPromise());
+    channel.writeAndFlush(encode(lines), channel.voidPromise());
   }
 
-  private static ByteBuf bytes(String text) {
+  private static ByteBuf encode(String text) {
     return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /**
-   * Ends it with one line in the log; a kept one is told as closed at once, so that nothing of it
-   * lasts longer.
+   * Closes the connection and logs why. With a session, the handler is notified before this
+   * returns; without one, the peer is sent the reason.
    */
-  public void end(String cause) {
-    if (over) {
+  public void close(String reason) {
+    if (closed) {
       return;
     }
-    over = true;
-    listener.ended(this, cause);
-    if (keptFor == null) {
-      notUnjoined();
-      String word = cause.replaceAll("[^A-Za-z0-9]+", "-");
-      ChannelFuture refused =
-          channel.writeAndFlush(
-              bytes(
-                  REFUSAL + " reason=" + word.substring(0, Math.min(80, word.length())) + "\r\n"));
-      if (refused.isDone()) {
-        refused.addListener(ChannelFutureListener.CLOSE);
-      } else {
-        channel
-            .close(); // it reads nothing: a refusal that waits for it would hold its descriptor for
-        // ever
-      }
-      return;
+    closed = true;
+    closeLog.closed(session, reason);
+    if (session == null) {
+      endHandshake();
+      refuse(reason);
+    } else {
+      channel.close();
+      handler.closed(this);
+    }
+  }
+
+  private void refuse(String reason) {
+    String word = reason.replaceAll("[^A-Za-z0-9]+", "-");
+    String shortened = word.substring(0, Math.min(MAX_REASON_CHARS, word.length()));
+    ChannelFuture written = channel.writeAndFlush(encode(REFUSAL + shortened + "\r\n"));
+    if (written.isDone()) {
+      written.addListener(ChannelFutureListener.CLOSE);
+    } else {
+      // The peer reads nothing; waiting for it would hold a descriptor for ever.
+      channel.close();
     }
-    channel.close();
-    events.closed(this);
   }
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    since = System.nanoTime();
-    unjoinedEnd = listener.connected(this);
+    connectedAtNanos = System.nanoTime();
+    handshakeTimeout = pendingHandshakes.add(this);
   }
 
   Channel channel() {
     return channel;
   }
 
-  /** When it connected, by the monotonic clock's nanoseconds. */
-  long since() {
-    return since;
+  /** When the connection was established, by {@link System#nanoTime}. */
+  long connectedAtNanos() {
+    return connectedAtNanos;
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, LineMessage message) {
-    if (over) {
+    if (closed) {
       return;
     }
-    if (message.kind().equals("PING")) {
-      write("PONG\r\n");
-      return;
+    if (message.kind().equals(KEEP_ALIVE)) {
+      write(KEEP_ALIVE_RESPONSE);
+    } else {
+      handler.message(this, message);
     }
-    events.message(this, message);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (over) {
+    if (closed) {
       return;
     }
-    over = true;
-    if (keptFor != null) {
-      events.closed(this);
+    closed = true;
+    if (session == null) {
+      endHandshake();
     } else {
-      notUnjoined();
+      handler.closed(this);
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    Throwable root =
-        cause instanceof DecoderException && cause.getCause() != null ? cause.getCause() : cause;
-    if (!(root instanceof MalformedLineException) && !(root instanceof java.io.IOException)) {
+    Throwable root = FailStopDecoder.unwrap(cause);
+    if (root instanceof MalformedLineException) {
+      close(root.getMessage());
+    } else if (root instanceof IOException) {
+      close("reset");
+    } else {
       LOG.error("a connection's handler failed", root);
+      close("handler failed");
     }
-    end(
-        root instanceof MalformedLineException
-            ? root.getMessage()
-            : root instanceof java.io.IOException ? "reset" : "handler failed");
   }
 }
--- a/src/main/java/stonespring/line/LineDecoder.java
+++ b/src/main/java/stonespring/line/LineDecoder.java
@@ -1,78 +1,70 @@
 package stonespring.line;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.handler.codec.ByteToMessageDecoder;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.CodingErrorAction;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import stonespring.netty.FailStopDecoder;
 
 /**
- * Bytes to {@link LineMessage}s: lines that end in CR LF, of UTF-8 text without control characters,
- * of bounded length.
+ * Decodes bytes to {@link LineMessage}s: lines of UTF-8 text that end in CR LF, hold no control
+ * characters and are of bounded length.
  */
-final class LineDecoder extends ByteToMessageDecoder {
-  private final int bytesMost;
-  private int looked;
-  private boolean dead;
+final class LineDecoder extends FailStopDecoder {
+  private static final int DELETE_CHARACTER = 127;
 
-  LineDecoder(int bytesMost) {
-    this.bytesMost = bytesMost;
-  }
+  private final int maxLineBytes;
 
-  @Override
-  protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-    if (dead) {
-      in.skipBytes(in.readableBytes()); // after a fault nothing that follows has a meaning
-      return;
-    }
-    try {
-      String line = line(in);
-      if (line != null) {
-        out.add(LineMessage.read(line));
-      }
-    } catch (MalformedLineException e) {
-      dead = true;
-      throw e;
-    }
+  /** Bytes of an incomplete line that were searched for its end, so that each is searched once. */
+  private int searchedBytes;
+
+  LineDecoder(int maxLineBytes) {
+    this.maxLineBytes = maxLineBytes;
   }
 
-  private String line(ByteBuf in) {
-    int from = in.readerIndex();
-    int end = in.indexOf(from + looked, in.writerIndex(), (byte) '\n');
-    int length = (end < 0 ? in.writerIndex() : end) - from;
-    if (length > bytesMost) {
-      throw new MalformedLineException("a line is over " + bytesMost + " bytes");
+  @Override
+  protected void decode(ByteBuf in, List<Object> out) {
+    int start = in.readerIndex();
+    int lineFeed = in.indexOf(start + searchedBytes, in.writerIndex(), (byte) '\n');
+    int length = (lineFeed < 0 ? in.writerIndex() : lineFeed) - start;
+    if (length > maxLineBytes) {
+      throw new MalformedLineException("a line is over " + maxLineBytes + " bytes");
     }
-    if (end < 0) {
-      looked = length; // a line that comes byte by byte is searched once, not once for each byte
-      return null;
+    if (lineFeed < 0) {
+      searchedBytes = length;
+      return;
     }
-    looked = 0;
-    if (length < 2 || in.getByte(end - 1) != '\r') {
+    searchedBytes = 0;
+    if (length < 2 || in.getByte(lineFeed - 1) != '\r') {
       throw new MalformedLineException("a line is empty or does not end in CR LF");
     }
     byte[] bytes = new byte[length - 1];
     in.readBytes(bytes);
-    in.skipBytes(2);
-    String line;
+    in.skipBytes("\r\n".length());
+    out.add(LineMessage.parse(text(bytes)));
+  }
+
+  private static String text(byte[] bytes) {
+    String text = decodeUtf8(bytes);
+    for (int i = 0; i < text.length(); i++) {
+      if (text.charAt(i) < ' ' || text.charAt(i) == DELETE_CHARACTER) {
+        throw new MalformedLineException("a line holds a control character");
+      }
+    }
+    return text;
+  }
+
+  private static String decodeUtf8(byte[] bytes) {
     try {
-      line =
-          StandardCharsets.UTF_8
-              .newDecoder()
-              .onMalformedInput(CodingErrorAction.REPORT)
-              .decode(ByteBuffer.wrap(bytes))
-              .toString();
+      return StandardCharsets.UTF_8
+          .newDecoder()
+          .onMalformedInput(CodingErrorAction.REPORT)
+          .decode(ByteBuffer.wrap(bytes))
+          .toString();
     } catch (CharacterCodingException e) {
       throw new MalformedLineException("a line is no text");
     }
-    for (int i = 0; i < line.length(); i++) {
-      if (line.charAt(i) < ' ' || line.charAt(i) == 127) {
-        throw new MalformedLineException("a line holds a control character");
-      }
-    }
-    return line;
   }
 }
--- a/src/main/java/stonespring/line/LineHandler.java
+++ b/src/main/java/stonespring/line/LineHandler.java
@@ -1,9 +1,10 @@
 package stonespring.line;
 
-/** What happens on a listener's connections; all calls come from its event loop. */
+/** Handles what happens on a listener's connections; all calls come from its event loop. */
 public interface LineHandler {
-  void message(LineConnection peer, LineMessage message);
+  /** Handles a message; keep-alives are answered by the connection itself. */
+  void message(LineConnection connection, LineMessage message);
 
-  /** A connection that was {@link LineConnection#keep kept} has ended; told once. */
-  void closed(LineConnection peer);
+  /** A connection with a {@link LineConnection#setSession session} was closed; called once. */
+  void closed(LineConnection connection);
 }
--- a/src/main/java/stonespring/line/LineLimits.java
+++ b/src/main/java/stonespring/line/LineLimits.java
@@ -1,8 +1,16 @@
 package stonespring.line;
 
 /**
- * Bounds of a listener. What gives way: a line over {@code lineBytes} ends its connection; a
- * connection not kept within {@code unjoinedMillis} is closed, and of more than {@code unjoined} of
- * them the oldest; a peer for which over {@code pendingBytes} wait is cut off.
+ * Limits of a listener.
+ *
+ * @param maxLineBytes a longer line ends its connection
+ * @param maxPendingHandshakes at this many connections without a completed handshake accepting
+ *     pauses, and the oldest of them are closed
+ * @param handshakeTimeoutMillis a connection that takes longer is closed
+ * @param maxPendingWriteBytes a connection for which more waits to be written is closed
  */
-public record LineLimits(int lineBytes, int unjoined, int unjoinedMillis, int pendingBytes) {}
+public record LineLimits(
+    int maxLineBytes,
+    int maxPendingHandshakes,
+    int handshakeTimeoutMillis,
+    int maxPendingWriteBytes) {}
--- a/src/main/java/stonespring/line/LineMessage.java
+++ b/src/main/java/stonespring/line/LineMessage.java
@@ -2,35 +2,45 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * One message: its kind and its {@code name=value} words. A flaw says why the words can't be read,
- * where they can't: a reader that knows the kind may then drop this message alone.
+ * One message.
+ *
+ * @param kind its first word
+ * @param fields its {@code name=value} words, in order; incomplete if there is an error
+ * @param error why its fields are invalid; a reader that knows the kind may drop this message alone
  */
-public record LineMessage(String kind, Map<String, String> words, String flaw) {
-  private static final int WORDS_MOST = 64; // of one message; no kind has a tenth of it
+public record LineMessage(String kind, Map<String, String> fields, Optional<String> error) {
+  private static final int MAX_FIELDS = 64;
+  private static final int MAX_PRINTED_CHARS = 60;
 
-  /** Reads a line without its end. */
-  public static LineMessage read(String line) {
-    String[] parts = line.split(" ", -1);
-    Map<String, String> words = new LinkedHashMap<>();
-    if (parts.length - 1 > WORDS_MOST) {
-      return new LineMessage(parts[0], Map.of(), "it has over " + WORDS_MOST + " words");
+  /** Parses a line without its end. */
+  public static LineMessage parse(String line) {
+    String[] words = line.split(" ", -1);
+    String kind = words[0];
+    if (words.length - 1 > MAX_FIELDS) {
+      return new LineMessage(kind, Map.of(), Optional.of("it has over " + MAX_FIELDS + " words"));
     }
-    String flaw = null;
-    for (int i = 1; i < parts.length; i++) {
-      int at = parts[i].indexOf('=');
-      if (at < 1) {
-        flaw = "word " + i + " is not name=value";
-      } else if (words.put(parts[i].substring(0, at), parts[i].substring(at + 1)) != null) {
-        flaw = "'" + printable(parts[i].substring(0, at)) + "' comes twice";
+    Map<String, String> fields = new LinkedHashMap<>();
+    Optional<String> error = Optional.empty();
+    for (int i = 1; i < words.length; i++) {
+      int separator = words[i].indexOf('=');
+      if (separator < 1) {
+        error = Optional.of("word " + i + " is not name=value");
+        continue;
+      }
+      String name = words[i].substring(0, separator);
+      if (fields.put(name, words[i].substring(separator + 1)) != null) {
+        error = Optional.of("'" + printable(name) + "' comes twice");
       }
     }
-    return new LineMessage(parts[0], words, flaw);
+    return new LineMessage(kind, fields, error);
   }
 
-  /** A peer's text as a log line may hold it. */
+  /** A peer's text as a log line may hold it: shortened, and without unprintable characters. */
   public static String printable(String text) {
-    return text.substring(0, Math.min(60, text.length())).replaceAll("[^\\x20-\\x7e]", "?");
+    String shortened = text.substring(0, Math.min(MAX_PRINTED_CHARS, text.length()));
+    return shortened.replaceAll("[^\\x20-\\x7e]", "?");
   }
 }
--- a/src/main/java/stonespring/line/MalformedLineException.java
+++ b/src/main/java/stonespring/line/MalformedLineException.java
@@ -1,10 +1,12 @@
 package stonespring.line;
 
-/** A peer's bytes are no line: nothing that follows on its connection has a meaning. */
-public final class MalformedLineException extends RuntimeException {
+import stonespring.netty.ProtocolViolationException;
+
+/** A peer's bytes are no line of the protocol. The message is sent to it and logged. */
+public final class MalformedLineException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
 
-  public MalformedLineException(String message) {
-    super(message, null, false, false);
+  MalformedLineException(String message) {
+    super(message);
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -55,10 +55,10 @@
   }
 
   private static String word(LineMessage m, String field) {
-    if (m.flaw() != null) {
-      throw new BadWord(m, m.flaw());
+    if (m.error().isPresent()) {
+      throw new BadWord(m, m.error().get());
     }
-    String value = m.words().get(field);
+    String value = m.fields().get(field);
     if (value == null) {
       throw new BadWord(m, field, "is missing");
     }
@@ -156,7 +156,7 @@
   }
 
   private static LoadReport load(LineMessage m) {
-    String pairs = m.words().get("util");
+    String pairs = m.fields().get("util");
     if (pairs == null || pairs.isEmpty()) {
       return LoadReport.NONE;
     }
@@ -186,7 +186,7 @@
   /** A message as a log line may hold it. */
   static String told(LineMessage m) {
     StringBuilder text = new StringBuilder(LineMessage.printable(m.kind()));
-    for (Map.Entry<String, String> word : m.words().entrySet()) {
+    for (Map.Entry<String, String> word : m.fields().entrySet()) {
       text.append(' ')
           .append(LineMessage.printable(word.getKey()))
           .append('=')
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -86,11 +86,11 @@
 
   @Override
   public void message(LineConnection peer, LineMessage message) {
-    Object known = peer.keptFor();
+    Object known = peer.session();
     if (known == null) {
       unjoined(peer, message);
     } else if (!PlatformMessageCodec.KINDS.contains(message.kind())) {
-      peer.end("it goes on with what can't be read: " + LineMessage.printable(message.kind()));
+      peer.close("it goes on with what can't be read: " + LineMessage.printable(message.kind()));
     } else {
       try {
         report(known, message);
@@ -106,10 +106,10 @@
         case PlatformMessageCodec.JOIN -> joined(peer, words.join(message));
         case PlatformMessageCodec.COLLECTOR ->
             collector(peer, new Collector(words.collector(message).index()));
-        default -> peer.end("no joining before " + LineMessage.printable(message.kind()));
+        default -> peer.close("no joining before " + LineMessage.printable(message.kind()));
       }
     } catch (PlatformMessageCodec.BadWord e) {
-      peer.end(e.getMessage());
+      peer.close(e.getMessage());
     }
   }
 
@@ -117,7 +117,7 @@
     int id = hello.proxy().number();
     Stream old = streams.get(id);
     if (old != null) {
-      old.peer.end("it came back on a newer stream"); // which tells that it left
+      old.peer.close("it came back on a newer stream"); // which tells that it left
     }
     ProxyRouteState table =
         new ProxyRouteState(
@@ -127,7 +127,7 @@
             !hello.withoutTables());
     Stream stream = new Stream(hello, peer, table);
     streams.put(id, stream);
-    peer.keep(stream);
+    peer.setSession(stream);
     tables.joined(hello.proxy(), null);
     heard.accept(hello);
   }
@@ -135,10 +135,10 @@
   private void collector(LineConnection peer, Collector collector) {
     LinkedHashSet<LineConnection> ofZone =
         collectors.computeIfAbsent(collector.zone(), z -> new LinkedHashSet<>());
-    peer.keep(collector);
+    peer.setSession(collector);
     ofZone.add(peer);
     if (ofZone.size() > COLLECTORS_A_ZONE) {
-      ofZone.iterator().next().end("newer collectors of its zone came");
+      ofZone.iterator().next().close("newer collectors of its zone came");
     }
   }
 
@@ -192,9 +192,9 @@
 
   @Override
   public void closed(LineConnection peer) {
-    if (peer.keptFor() instanceof Collector collector) {
+    if (peer.session() instanceof Collector collector) {
       collectors.get(collector.zone()).remove(peer);
-    } else if (peer.keptFor() instanceof Stream stream
+    } else if (peer.session() instanceof Stream stream
         && streams.remove(stream.hello.proxy().number(), stream)) {
       tables.left(stream.hello.proxy());
       heard.accept(new Event.ProxyDisconnected(stream.hello.proxy()));
@@ -232,7 +232,7 @@
               old.peer,
               new ProxyRouteState(names.opTypes(), tables, shut.get(entry.getKey()), true));
       entry.setValue(again);
-      old.peer.keep(again);
+      old.peer.setSession(again);
       tables.joined(hello.proxy(), null);
       heard.accept(hello);
     }
--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -71,7 +71,8 @@
                 "stonespring.zmtp..",
                 "stonespring.chp..",
                 "stonespring.http..",
-                "stonespring.line..")
+                "stonespring.line..",
+                "stonespring.netty..")
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
--- a/src/test/java/stonespring/line/LineDecoderTest.java
+++ b/src/test/java/stonespring/line/LineDecoderTest.java
@@ -1,7 +1,6 @@
 package stonespring.line;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,13 +12,14 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
 final class LineDecoderTest {
-  private static final int MOST = 64; // bytes of a line in these tests
+  private static final int MAX_LINE_BYTES = 64;
 
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -34,16 +34,17 @@
   }
 
   private static EmbeddedChannel channel() {
-    return new EmbeddedChannel(new LineDecoder(MOST));
+    return new EmbeddedChannel(new LineDecoder(MAX_LINE_BYTES));
   }
 
   @Test
-  void everySplitOfTwoMessagesIsTheSame() {
+  void decodesTheSameMessagesHoweverTheBytesAreCut() {
     byte[] all = bytes("ACK id=17 seq=905 ms=310.4\r\nPING\r\n");
     List<LineMessage> whole =
         List.of(
-            new LineMessage("ACK", Map.of("id", "17", "seq", "905", "ms", "310.4"), null),
-            new LineMessage("PING", Map.of(), null));
+            new LineMessage(
+                "ACK", Map.of("id", "17", "seq", "905", "ms", "310.4"), Optional.empty()),
+            new LineMessage("PING", Map.of(), Optional.empty()));
     for (int cut = 0; cut <= all.length; cut++) {
       EmbeddedChannel channel = channel();
       channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOf(all, cut)));
@@ -51,60 +52,65 @@
       assertEquals(whole, read(channel), "cut at " + cut);
     }
     EmbeddedChannel channel = channel();
-    for (byte one : all) {
-      channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {one}));
+    for (byte single : all) {
+      channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {single}));
     }
     assertEquals(whole, read(channel), "byte by byte");
   }
 
   @Test
-  void whatIsNoLineEndsTheConnection() {
-    for (String bad :
+  void rejectsMalformedLines() {
+    for (String malformed :
         new String[] {
-          "PING\n", "\r\n", "x".repeat(MOST + 1), "A \u0000\r\n", "A b=\u007f\r\n", "A \tb\r\n"
+          "PING\n",
+          "\r\n",
+          "x".repeat(MAX_LINE_BYTES + 1),
+          "A \u0000\r\n",
+          "A b=\u007f\r\n",
+          "A \tb\r\n"
         }) {
       DecoderException e =
           assertThrows(
               DecoderException.class,
-              () -> channel().writeInbound(Unpooled.wrappedBuffer(bytes(bad))),
-              bad);
-      assertTrue(e.getCause() instanceof MalformedLineException, bad);
+              () -> channel().writeInbound(Unpooled.wrappedBuffer(bytes(malformed))),
+              malformed);
+      assertTrue(e.getCause() instanceof MalformedLineException, malformed);
     }
-    byte[] noText = {'A', ' ', (byte) 0xC3, '(', '\r', '\n'};
+    byte[] notUtf8 = {'A', ' ', (byte) 0xC3, '(', '\r', '\n'};
     assertThrows(
-        DecoderException.class, () -> channel().writeInbound(Unpooled.wrappedBuffer(noText)));
+        DecoderException.class, () -> channel().writeInbound(Unpooled.wrappedBuffer(notUtf8)));
   }
 
   @Test
-  void wordsThatCantBeReadAreAFlawOfThatMessageAlone() {
+  void invalidFieldsAreAnErrorOfTheirMessageAlone() {
     EmbeddedChannel channel = channel();
     channel.writeInbound(
         Unpooled.wrappedBuffer(bytes("LOAD a=1 b\r\nLOAD a=1 a=2\r\nLOAD =1\r\nLOAD a=\r\n")));
     List<LineMessage> read = read(channel);
-    assertEquals("word 2 is not name=value", read.get(0).flaw());
-    assertEquals("'a' comes twice", read.get(1).flaw());
-    assertEquals("word 1 is not name=value", read.get(2).flaw());
-    assertNull(read.get(3).flaw());
-    assertEquals("", read.get(3).words().get("a"));
+    assertEquals(Optional.of("word 2 is not name=value"), read.get(0).error());
+    assertEquals(Optional.of("'a' comes twice"), read.get(1).error());
+    assertEquals(Optional.of("word 1 is not name=value"), read.get(2).error());
+    assertEquals(Optional.empty(), read.get(3).error());
+    assertEquals("", read.get(3).fields().get("a"));
   }
 
   @Property(tries = 300)
-  void anyBytesAreLinesOrOneFault(
-      @ForAll @Size(max = 300) byte[] some, @ForAll @Size(max = 8) int[] cuts) {
+  void arbitraryBytesAreLinesOrOneViolation(
+      @ForAll @Size(max = 300) byte[] input, @ForAll @Size(max = 8) int[] cuts) {
     EmbeddedChannel channel = channel();
     int from = 0;
     try {
       for (int cut : cuts) {
-        int to = from + Math.floorMod(cut, some.length - from + 1);
-        channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(some, from, to)));
+        int to = from + Math.floorMod(cut, input.length - from + 1);
+        channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(input, from, to)));
         from = to;
       }
-      channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(some, from, some.length)));
+      channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(input, from, input.length)));
     } catch (DecoderException e) {
       assertTrue(e.getCause() instanceof MalformedLineException, String.valueOf(e.getCause()));
       read(channel);
       channel.writeInbound(Unpooled.wrappedBuffer(bytes("PING\r\n")));
-      assertEquals(List.of(), read(channel), "nothing has a meaning after a fault");
+      assertEquals(List.of(), read(channel), "nothing is decoded after a violation");
     }
     channel.releaseInbound();
   }
