--- a/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
+++ b/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
@@ -1,6 +1,7 @@
 package stonespring.discovery;
 
-import stonespring.http.HttpClient;
+import stonespring.http.HttpCallResult;
+import stonespring.http.HttpResponse;
 
 /** The server of an endpoint list could not be reached or did not respond with a list. */
 final class EndpointListUnavailableException extends Exception {
@@ -10,12 +11,20 @@
     super(message, null, false, false);
   }
 
-  static EndpointListUnavailableException callFailed(HttpClient.Failure failure) {
-    return new EndpointListUnavailableException("the request failed: " + failure);
-  }
-
-  static EndpointListUnavailableException unexpectedStatus(int status) {
-    return new EndpointListUnavailableException("unexpected status " + status);
+  /**
+   * The response of a call that succeeded.
+   *
+   * @throws EndpointListUnavailableException if the call failed, or its status is not 200
+   */
+  static HttpResponse requireOk(HttpCallResult result) throws EndpointListUnavailableException {
+    if (result instanceof HttpCallResult.Failed failed) {
+      throw new EndpointListUnavailableException("the request failed: " + failed.failure());
+    }
+    HttpResponse response = ((HttpCallResult.Completed) result).response();
+    if (response.status() != 200) {
+      throw new EndpointListUnavailableException("unexpected status " + response.status());
+    }
+    return response;
   }
 
   static EndpointListUnavailableException superseded() {
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -8,9 +8,10 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.http.Dialer;
+import stonespring.http.Connector;
+import stonespring.http.HttpCallResult;
 import stonespring.http.HttpClient;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
@@ -30,7 +31,7 @@
 
   private final PlatformEndpointList list;
   private final EventLoop loop;
-  private final Dialer dialer;
+  private final Connector connector;
   private final HttpClient client;
   private final PlatformEndpointWatch.Listener watchListener = new WatchListener();
   private InetSocketAddress address;
@@ -47,17 +48,18 @@
   /** Creates a source; nothing is sent before {@link #watch} or {@link #fetch}. */
   public PlatformEndpointSource(
       InetSocketAddress address, PlatformEndpointCodec codec, EventLoop loop) {
-    this(address, new PlatformEndpointList(codec), new Dialer(loop));
+    this(address, new PlatformEndpointList(codec), new Connector(loop));
   }
 
-  PlatformEndpointSource(InetSocketAddress address, PlatformEndpointList list, Dialer dialer) {
+  PlatformEndpointSource(
+      InetSocketAddress address, PlatformEndpointList list, Connector connector) {
     this.address = address;
     this.list = list;
-    this.loop = dialer.loop();
-    this.dialer = dialer;
+    this.loop = connector.loop();
+    this.connector = connector;
     this.client =
         new HttpClient(
-            dialer,
+            connector,
             CONNECT_TIMEOUT_MILLIS,
             PlatformEndpointWatch.MAX_MESSAGE_BYTES,
             NO_IDLE_CONNECTIONS);
@@ -106,7 +108,7 @@
   }
 
   private PlatformEndpointWatch startWatch() {
-    return new PlatformEndpointWatch(address, PATH, list, dialer, watchListener);
+    return new PlatformEndpointWatch(address, PATH, list, connector, watchListener);
   }
 
   private void cancelWatches() {
@@ -206,9 +208,9 @@
           long epoch = list.epoch();
           client.call(
               address,
-              HttpMessage.get(address, PATH),
+              HttpRequest.get(address, PATH),
               FETCH_TIMEOUT_MILLIS,
-              (response, failure) -> fetchEnded(version, epoch, response, failure));
+              result -> fetchEnded(version, epoch, result));
         });
   }
 
@@ -218,10 +220,12 @@
    * @param version the held list's version when it was requested
    * @param epoch the held list's epoch when it was requested
    */
-  private void fetchEnded(
-      long version, long epoch, HttpMessage response, HttpClient.Failure failure) {
+  private void fetchEnded(long version, long epoch, HttpCallResult result) {
     try {
-      byte[] body = successfulBody(epoch, response, failure);
+      if (epoch != list.epoch()) {
+        throw EndpointListUnavailableException.superseded();
+      }
+      byte[] body = EndpointListUnavailableException.requireOk(result).body();
       Event.EndpointListUpdate update =
           list.apply(list.read(body), version, PlatformEndpointList.Origin.FETCH);
       updates.accept(
@@ -232,20 +236,6 @@
     }
   }
 
-  private byte[] successfulBody(long epoch, HttpMessage response, HttpClient.Failure failure)
-      throws EndpointListUnavailableException {
-    if (epoch != list.epoch()) {
-      throw EndpointListUnavailableException.superseded();
-    }
-    if (response == null) {
-      throw EndpointListUnavailableException.callFailed(failure);
-    }
-    if (response.status() != 200) {
-      throw EndpointListUnavailableException.unexpectedStatus(response.status());
-    }
-    return response.body();
-  }
-
   @Override
   public void stop() {
     loop.execute(
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import stonespring.http.Dialer;
-import stonespring.http.HttpMessage;
+import stonespring.http.Connector;
+import stonespring.http.HttpRequest;
 import stonespring.http.HttpWatch;
 import stonespring.model.Event;
 
@@ -60,21 +60,20 @@
       InetSocketAddress address,
       String path,
       PlatformEndpointList list,
-      Dialer dialer,
+      Connector connector,
       Listener listener) {
     this.address = address;
     this.list = list;
     this.listener = listener;
-    this.loop = dialer.loop();
+    this.loop = connector.loop();
     this.lastVersion = list.version();
     this.response =
         new HttpWatch(
-            dialer,
+            connector,
             address,
-            HttpMessage.get(address, path + "?stream=1&index=" + lastVersion),
-            RESPONSE_TIMEOUT_MILLIS,
-            SILENCE_TIMEOUT_MILLIS,
-            MAX_MESSAGE_BYTES,
+            HttpRequest.get(address, path + "?stream=1&index=" + lastVersion),
+            new HttpWatch.Limits(
+                RESPONSE_TIMEOUT_MILLIS, SILENCE_TIMEOUT_MILLIS, MAX_MESSAGE_BYTES),
             this);
   }
 
@@ -83,7 +82,7 @@
   }
 
   @Override
-  public void bytes(byte[] bytes) {
+  public void received(byte[] bytes) {
     listener.watchResponded(this);
     int start = 0;
     while (start < bytes.length && !over) {
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -6,8 +6,10 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stonespring.http.HttpCallResult;
 import stonespring.http.HttpClient;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
@@ -95,18 +97,19 @@
     cancelQuery =
         client.call(
             address,
-            HttpMessage.get(address, path + query),
+            HttpRequest.get(address, path + query),
             waitMillis + RESPONSE_TIMEOUT_MILLIS,
-            (response, failure) -> {
+            result -> {
               if (watch == watchNumber && watching) {
-                queryEnded(watch, index, response, failure);
+                queryEnded(watch, index, result);
               }
             });
   }
 
-  private void queryEnded(int watch, long index, HttpMessage response, HttpClient.Failure failure) {
+  private void queryEnded(int watch, long index, HttpCallResult result) {
     try {
-      long nextIndex = readIndex(response, failure);
+      HttpResponse response = EndpointListUnavailableException.requireOk(result);
+      long nextIndex = readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
       diff.next(list)
           .ifPresent(
@@ -121,15 +124,7 @@
     }
   }
 
-  /** Checks a response's status and reads its index. */
-  private static long readIndex(HttpMessage response, HttpClient.Failure failure)
-      throws EndpointListUnavailableException, InvalidEndpointListException {
-    if (response == null) {
-      throw EndpointListUnavailableException.callFailed(failure);
-    }
-    if (response.status() != 200) {
-      throw EndpointListUnavailableException.unexpectedStatus(response.status());
-    }
+  private static long readIndex(HttpResponse response) throws InvalidEndpointListException {
     String index = response.header(INDEX_HEADER);
     if (!index.matches("[0-9]{1,18}")) {
       throw new InvalidEndpointListException("header X-Consul-Index is no number");
@@ -143,14 +138,15 @@
         () ->
             client.call(
                 address,
-                HttpMessage.get(address, path),
+                HttpRequest.get(address, path),
                 RESPONSE_TIMEOUT_MILLIS,
                 this::fetchEnded));
   }
 
-  private void fetchEnded(HttpMessage response, HttpClient.Failure failure) {
+  private void fetchEnded(HttpCallResult result) {
     try {
-      readIndex(response, failure);
+      HttpResponse response = EndpointListUnavailableException.requireOk(result);
+      readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
       updates.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list));
       lists.accept(list);
--- a/src/main/java/stonespring/http/HttpClient.java
+++ b/src/main/java/stonespring/http/HttpClient.java
@@ -5,182 +5,219 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.util.concurrent.Future;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 
 /**
- * Calls by HTTP/1.1 with one call at a time on each connection, kept open for the next. All of it
- * lives on one event loop. A call ends once, by an answer or by how it failed; only {@code
- * UNREACHED} proves that it never ran.
+ * An HTTP/1.1 client with one call at a time on each connection; connections are kept for later
+ * calls. State lives on one event loop, and all calls come from there.
  */
 public final class HttpClient {
-  /** How a call failed. */
-  public enum Failure {
-    UNREACHED,
-    BROKEN,
-    TIMED_OUT,
-    GARBLED
-  }
+  private final Connector connector;
+  private final int connectTimeoutMillis;
+  private final int maxBodyBytes;
+  private final int maxIdlePerAddress;
 
-  /** Hears the end of a call on the client's event loop: one of the two is null. */
-  public interface Outcome {
-    void done(HttpMessage answer, Failure failure);
-  }
+  /** Connections without a call by address, the longest idle first. */
+  private final Map<InetSocketAddress, ArrayDeque<Channel>> idleConnections = new HashMap<>();
 
-  private final Dialer dialer;
-  private final int connectMillis;
-  private final int bodyMost;
-  private final int idleMost;
-  private final Map<InetSocketAddress, ArrayDeque<Channel>> idle = new HashMap<>();
-  private long opened;
+  private long openedConnections;
 
-  public HttpClient(EventLoop loop, int connectMillis, int bodyMost, int idleMost) {
-    this(new Dialer(loop), connectMillis, bodyMost, idleMost);
+  /** Creates a client on an event loop. */
+  public HttpClient(
+      EventLoop loop, int connectTimeoutMillis, int maxBodyBytes, int maxIdlePerAddress) {
+    this(new Connector(loop), connectTimeoutMillis, maxBodyBytes, maxIdlePerAddress);
   }
 
-  public HttpClient(Dialer dialer, int connectMillis, int bodyMost, int idleMost) {
-    this.dialer = dialer;
-    this.connectMillis = connectMillis;
-    this.bodyMost = bodyMost;
-    this.idleMost = idleMost;
+  /** Creates a client on the connector's event loop. */
+  public HttpClient(
+      Connector connector, int connectTimeoutMillis, int maxBodyBytes, int maxIdlePerAddress) {
+    this.connector = connector;
+    this.connectTimeoutMillis = connectTimeoutMillis;
+    this.maxBodyBytes = maxBodyBytes;
+    this.maxIdlePerAddress = maxIdlePerAddress;
   }
 
   /** How many connections were opened so far. */
-  public long opened() {
-    return opened;
+  public long openedConnections() {
+    return openedConnections;
   }
 
-  /** Calls; must be on the client's event loop. Returns what gives the call up when run. */
+  /**
+   * Sends a request, on an idle connection if there is one.
+   *
+   * @param listener notified once, on the event loop
+   * @return cancels the call, which then ends as {@link HttpCallFailure#TIMED_OUT}
+   */
   public Runnable call(
-      InetSocketAddress to, HttpMessage request, long timeoutMillis, Outcome outcome) {
-    Call call = new Call(to, request, outcome);
-    call.timer =
-        dialer
-            .loop()
-            .schedule(
-                () -> call.end(null, Failure.TIMED_OUT), timeoutMillis, TimeUnit.MILLISECONDS);
-    ArrayDeque<Channel> free = idle.get(to);
-    Channel channel = null;
-    while (free != null && !free.isEmpty() && (channel == null || !channel.isActive())) {
-      channel = free.pollLast();
-    }
-    if (channel != null && channel.isActive()) {
-      call.on(channel);
+      InetSocketAddress address,
+      HttpRequest request,
+      long timeoutMillis,
+      Consumer<HttpCallResult> listener) {
+    Call call = new Call(address, request, listener);
+    call.timeout = connector.loop().schedule(call::timeOut, timeoutMillis, TimeUnit.MILLISECONDS);
+    Channel idle = takeIdle(address);
+    if (idle != null) {
+      call.sendOn(idle);
     } else {
-      dial(call);
+      call.connect();
+    }
+    return call::timeOut;
+  }
+
+  /**
+   * The connection that was idle for the shortest time and is still open; null if there is none.
+   */
+  private Channel takeIdle(InetSocketAddress address) {
+    ArrayDeque<Channel> idle = idleConnections.get(address);
+    while (idle != null && !idle.isEmpty()) {
+      Channel channel = idle.pollLast();
+      if (channel.isActive()) {
+        return channel;
+      }
     }
-    return () -> call.end(null, Failure.TIMED_OUT);
+    return null;
   }
 
-  private void dial(Call call) {
-    call.channel =
-        dialer.dial(
-            call.to,
-            connectMillis,
-            cause -> {
-              if (cause != null) {
-                call.end(null, Failure.UNREACHED);
-              } else if (!call.over) {
-                opened++;
-                call.on(call.channel);
-              }
-            },
-            new HttpDecoder(false, bodyMost),
-            new Reader());
+  private void addIdle(InetSocketAddress address, Channel channel) {
+    ArrayDeque<Channel> idle = idleConnections.computeIfAbsent(address, key -> new ArrayDeque<>());
+    idle.add(channel);
+    if (idle.size() > maxIdlePerAddress) {
+      idle.poll().close();
+    }
   }
 
-  /** Closes the kept connections to an address that is no longer called. */
-  public void forget(InetSocketAddress address) {
-    ArrayDeque<Channel> free = idle.remove(address);
-    if (free != null) {
-      free.forEach(Channel::close);
+  /** Closes the idle connections to an address. */
+  public void closeIdle(InetSocketAddress address) {
+    ArrayDeque<Channel> idle = idleConnections.remove(address);
+    if (idle != null) {
+      idle.forEach(Channel::close);
     }
   }
 
+  /** Closes all idle connections; calls under way go on. */
   public void close() {
-    for (Iterator<ArrayDeque<Channel>> it = idle.values().iterator(); it.hasNext(); ) {
-      it.next().forEach(Channel::close);
-      it.remove();
+    for (ArrayDeque<Channel> idle : idleConnections.values()) {
+      idle.forEach(Channel::close);
     }
+    idleConnections.clear();
   }
 
-  private final class Call {
-    private final InetSocketAddress to;
-    private final HttpMessage request;
-    private final Outcome outcome;
-    private Future<?> timer;
+  /** One call. */
+  private final class Call implements Connector.Listener {
+    private final InetSocketAddress address;
+    private final HttpRequest request;
+    private final Consumer<HttpCallResult> listener;
+    private Future<?> timeout;
     private Channel channel;
-    private boolean over;
+    private boolean ended;
 
-    Call(InetSocketAddress to, HttpMessage request, Outcome outcome) {
-      this.to = to;
+    Call(InetSocketAddress address, HttpRequest request, Consumer<HttpCallResult> listener) {
+      this.address = address;
       this.request = request;
-      this.outcome = outcome;
+      this.listener = listener;
     }
 
-    void on(Channel on) {
-      channel = on;
-      on.pipeline().get(Reader.class).call = this;
-      on.writeAndFlush(request.bytes(true));
+    void connect() {
+      channel =
+          connector.connect(
+              address,
+              connectTimeoutMillis,
+              this,
+              HttpDecoder.forResponses(maxBodyBytes),
+              new ResponseHandler());
     }
 
-    void end(HttpMessage answer, Failure failure) {
-      if (over) {
-        return;
+    @Override
+    public void connected() {
+      if (!ended) {
+        openedConnections++;
+        sendOn(channel);
       }
-      over = true;
-      timer.cancel(false);
-      Reader reader = channel.pipeline().get(Reader.class);
-      if (reader != null) {
-        reader.call = null;
+    }
+
+    @Override
+    public void connectFailed(Throwable cause) {
+      fail(HttpCallFailure.CONNECT_FAILED);
+    }
+
+    void sendOn(Channel connection) {
+      channel = connection;
+      connection.pipeline().get(ResponseHandler.class).call = this;
+      connection.writeAndFlush(HttpEncoder.encode(request));
+    }
+
+    void timeOut() {
+      fail(HttpCallFailure.TIMED_OUT);
+    }
+
+    void fail(HttpCallFailure failure) {
+      if (!ended) {
+        detach();
+        // The response may still arrive, so the connection can't be used again.
+        Connector.close(channel);
+        listener.accept(new HttpCallResult.Failed(failure));
       }
-      if (answer == null || answer.header("connection").equalsIgnoreCase("close")) {
-        // Its answer may still come: a connection with a call given up is never used again.
-        Dialer.close(channel);
-      } else {
-        keep();
+    }
+
+    void complete(HttpResponse response) {
+      if (!ended) {
+        detach();
+        if (response.header("connection").equalsIgnoreCase("close")) {
+          Connector.close(channel);
+        } else {
+          addIdle(address, channel);
+        }
+        listener.accept(new HttpCallResult.Completed(response));
       }
-      outcome.done(answer, failure);
     }
 
-    private void keep() {
-      ArrayDeque<Channel> free = idle.computeIfAbsent(to, t -> new ArrayDeque<>());
-      free.add(channel);
-      if (free.size() > idleMost) {
-        free.poll().close();
+    private void detach() {
+      ended = true;
+      timeout.cancel(false);
+      ResponseHandler handler = channel.pipeline().get(ResponseHandler.class);
+      if (handler != null) {
+        handler.call = null;
       }
     }
   }
 
-  private final class Reader extends SimpleChannelInboundHandler<HttpMessage> {
+  /** Passes what arrives on a connection to its call. */
+  private static final class ResponseHandler extends SimpleChannelInboundHandler<HttpResponse> {
+    /** The call under way; null while the connection is idle. */
     private Call call;
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, HttpMessage answer) {
+    protected void channelRead0(ChannelHandlerContext ctx, HttpResponse response) {
       if (call == null) {
-        ctx.close(); // it answers what nobody asked
-      } else if (answer.status() >= 200) {
-        call.end(answer, null);
+        ctx.close(); // a response to no request
+      } else if (!response.isInformational()) {
+        call.complete(response);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (call != null) {
-        call.end(null, Failure.BROKEN);
+        call.fail(HttpCallFailure.CONNECTION_LOST);
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      Call over = call;
+      // Closing the connection may end the call as lost.
+      Call failed = call;
       ctx.close();
-      if (over != null) {
-        over.end(null, cause instanceof java.io.IOException ? Failure.BROKEN : Failure.GARBLED);
+      if (failed != null) {
+        failed.fail(
+            cause instanceof IOException
+                ? HttpCallFailure.CONNECTION_LOST
+                : HttpCallFailure.MALFORMED_RESPONSE);
       }
     }
   }
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -1,31 +1,27 @@
 package stonespring.http;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.handler.codec.ByteToMessageDecoder;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
+import stonespring.netty.FailStopDecoder;
 
 /**
- * Bytes to whole {@link HttpMessage}s (RFC 9112); an answer in chunks that is passed on as it comes
- * is its head, with an empty body, then byte arrays, and an {@link #END} if it ends. Forms by which
- * two readers could see different messages are refused: two lengths, a length beside chunks, folded
+ * Decodes bytes to whole {@link HttpMessage}s (RFC 9112). A response in chunks may instead be
+ * passed on as it arrives: its head with an empty body, then {@link StreamPart}s. Forms that two
+ * readers could understand differently are refused: two lengths, a length beside chunks, folded
  * lines, a space before a colon, bare line ends.
  */
-final class HttpDecoder extends ByteToMessageDecoder {
-  private static final int LINE_MOST =
-      8192; // bytes of the first line, a header or a chunk's size line
-  private static final int HEADERS_MOST = 100;
-
-  static final Object END =
-      new Object(); // stands after the last chunk of an answer that was passed on
-
-  private enum At {
-    FIRST,
+final class HttpDecoder extends FailStopDecoder {
+  private static final int MAX_LINE_BYTES = 8192;
+  private static final int DELETE_CHARACTER = 127;
+  private static final String BODY_PLACE = "body";
+  private static final String LENGTH_HEADER = "content-length";
+  private static final String ENCODING_HEADER = "transfer-encoding";
+
+  private enum State {
+    START_LINE,
     HEADERS,
     BODY,
     CHUNK_SIZE,
@@ -35,239 +31,215 @@
   }
 
   private final boolean requests;
-  private final int bodyMost;
-  private final boolean passOn;
-  private At at = At.FIRST;
-  private String first;
-  private String second;
-  private Map<String, String> headers;
-  private int headerLines;
-  private int left;
-  private boolean dead;
+  private final boolean streamed;
+  private final int maxBodyBytes;
+  private State state = State.START_LINE;
+  private StartLine startLine;
+  private HeaderParser headers = new HeaderParser();
   private ByteArrayOutputStream body;
 
-  HttpDecoder(boolean requests, int bodyMost) {
-    this(requests, bodyMost, false);
-  }
+  /** Bytes of the body or the chunk that are yet to come. */
+  private int remainingBytes;
 
-  /**
-   * @param passOn chunks are handed on as they come, and bound alone, since their answer may never
-   *     end
-   */
-  HttpDecoder(boolean requests, int bodyMost, boolean passOn) {
+  private HttpDecoder(boolean requests, boolean streamed, int maxBodyBytes) {
     this.requests = requests;
-    this.bodyMost = bodyMost;
-    this.passOn = passOn;
+    this.streamed = streamed;
+    this.maxBodyBytes = maxBodyBytes;
+  }
+
+  static HttpDecoder forRequests(int maxBodyBytes) {
+    return new HttpDecoder(true, false, maxBodyBytes);
+  }
+
+  static HttpDecoder forResponses(int maxBodyBytes) {
+    return new HttpDecoder(false, false, maxBodyBytes);
+  }
+
+  /** A decoder that passes on chunks; each is bounded alone, as the response may never end. */
+  static HttpDecoder forStreamedResponses(int maxChunkBytes) {
+    return new HttpDecoder(false, true, maxChunkBytes);
   }
 
   @Override
-  protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-    if (dead) {
-      in.skipBytes(in.readableBytes()); // after a fault nothing that follows has a meaning
+  protected void decode(ByteBuf in, List<Object> out) {
+    if (state == State.BODY || state == State.CHUNK) {
+      readBody(in, out);
       return;
     }
-    try {
-      step(in, out);
-    } catch (MalformedHttpException e) {
-      dead = true;
-      throw e;
+    String line = readLine(in);
+    if (line != null) {
+      acceptLine(line, out);
     }
   }
 
-  private void step(ByteBuf in, List<Object> out) {
-    switch (at) {
-      case FIRST -> {
-        String line = line(in);
-        if (line != null) {
-          firstLine(line);
-        }
-      }
-      case HEADERS, TRAILERS -> {
-        String line = line(in);
-        if (line != null) {
-          header(line, out);
-        }
-      }
-      case CHUNK_SIZE -> {
-        String line = line(in);
-        if (line != null) {
-          chunkSize(line);
-        }
-      }
-      case CHUNK_END -> {
-        String line = line(in);
-        if (line != null && !line.isEmpty()) {
-          throw new MalformedHttpException("body: a chunk is longer than its size");
-        }
-        at = line == null ? at : At.CHUNK_SIZE;
-      }
-      case BODY, CHUNK -> bodyBytes(in, out);
-      default -> throw new IllegalStateException(String.valueOf(at));
+  private void acceptLine(String line, List<Object> out) {
+    switch (state) {
+      case START_LINE -> acceptStartLine(line);
+      case HEADERS -> acceptHeader(line, out);
+      case CHUNK_SIZE -> acceptChunkSize(line);
+      case CHUNK_END -> acceptChunkEnd(line);
+      case TRAILERS -> acceptTrailer(line, out);
+      default -> throw new IllegalStateException(String.valueOf(state));
     }
   }
 
-  private String line(ByteBuf in) {
-    int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
-    if (end < 0) {
-      if (in.readableBytes() > LINE_MOST) {
-        throw new MalformedHttpException(place() + ": a line is over " + LINE_MOST + " bytes");
+  /** Reads a line without its end; null if it is incomplete. */
+  private String readLine(ByteBuf in) {
+    int lineFeed = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
+    if (lineFeed < 0) {
+      if (in.readableBytes() > MAX_LINE_BYTES) {
+        throw new MalformedHttpException(place(), "a line is over " + MAX_LINE_BYTES + " bytes");
       }
       return null;
     }
-    int length = end - in.readerIndex();
-    if (length > LINE_MOST || length == 0 || in.getByte(end - 1) != '\r') {
+    int length = lineFeed - in.readerIndex();
+    if (length > MAX_LINE_BYTES || length == 0 || in.getByte(lineFeed - 1) != '\r') {
       throw new MalformedHttpException(
-          place() + ": a line is over " + LINE_MOST + " bytes or does not end in CR LF");
+          place(), "a line is over " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
     }
     String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.ISO_8859_1);
     in.skipBytes(length + 1);
-    if (line.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127)) {
-      throw new MalformedHttpException(place() + ": a line holds a control character");
+    if (holdsControlCharacter(line)) {
+      throw new MalformedHttpException(place(), "a line holds a control character");
     }
     return line;
   }
 
+  private static boolean holdsControlCharacter(String line) {
+    for (int i = 0; i < line.length(); i++) {
+      char character = line.charAt(i);
+      if (character < ' ' && character != '\t' || character == DELETE_CHARACTER) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Where an error of the next line is reported. */
   private String place() {
-    return at == At.FIRST
-        ? "first line"
-        : at == At.HEADERS ? "header " + (headerLines + 1) : "body";
+    return switch (state) {
+      case START_LINE -> StartLine.PLACE;
+      case HEADERS -> headers.nextPlace();
+      default -> BODY_PLACE;
+    };
   }
 
-  private void firstLine(String line) {
+  private void acceptStartLine(String line) {
     if (line.isEmpty() && requests) {
-      return; // RFC 9112, 2.2: empty lines before a request are passed over
+      return; // RFC 9112, 2.2: empty lines before a request are ignored
     }
-    String[] parts = line.split(" ", 3);
-    if (requests) {
-      if (parts.length != 3
-          || !parts[2].matches("HTTP/1\\.[01]")
-          || !parts[0].matches("[A-Z]{1,20}")
-          || !parts[1].startsWith("/")) {
-        throw new MalformedHttpException("first line: it is no request of HTTP/1.1");
-      }
-      second = parts[1];
-    } else {
-      if (parts.length < 2
-          || !parts[0].matches("HTTP/1\\.[01]")
-          || !parts[1].matches("[1-5][0-9][0-9]")) {
-        throw new MalformedHttpException("first line: it is no answer of HTTP/1.1");
-      }
-      second = parts.length == 3 ? parts[2] : "";
-    }
-    first = requests ? parts[0] : parts[1];
-    headers = new LinkedHashMap<>();
-    headerLines = 0;
+    startLine = requests ? StartLine.Request.parse(line) : StartLine.Response.parse(line);
+    headers = new HeaderParser();
     body = new ByteArrayOutputStream();
-    at = At.HEADERS;
+    state = State.HEADERS;
   }
 
-  private void header(String line, List<Object> out) {
+  private void acceptHeader(String line, List<Object> out) {
     if (line.isEmpty()) {
-      if (at == At.TRAILERS && passOn) {
-        out.add(END);
-        at = At.FIRST;
-      } else if (at == At.TRAILERS) {
-        done(out);
-      } else {
-        headersDone(out);
-      }
+      startBody(out);
+    } else {
+      headers.addHeader(line);
+    }
+  }
+
+  private void startBody(List<Object> out) {
+    Map<String, String> values = headers.headers();
+    String length = values.get(LENGTH_HEADER);
+    String encoding = values.get(ENCODING_HEADER);
+    if (encoding == null) {
+      startBodyOfLength(length, out);
       return;
     }
-    if (++headerLines > HEADERS_MOST) {
+    if (length != null || !encoding.equalsIgnoreCase("chunked")) {
       throw new MalformedHttpException(
-          "header " + headerLines + ": over " + HEADERS_MOST + " of them");
+          headerPlace(ENCODING_HEADER), "it is not 'chunked', or a length stands beside it");
     }
-    int colon = line.indexOf(':');
-    if (colon < 1 || !line.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+")) {
-      throw new MalformedHttpException("header " + headerLines + ": it has no proper name");
-    }
-    if (at == At.TRAILERS) {
-      return; // RFC 9110, 6.5: trailers may be left out
-    }
-    String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
-    String value = line.substring(colon + 1).strip();
-    String before = headers.put(name, value);
-    if (before != null) {
-      if (name.equals("content-length")
-          || name.equals("transfer-encoding")
-          || name.equals("host")) {
-        throw new MalformedHttpException("header " + headerLines + ": '" + name + "' comes twice");
-      }
-      headers.put(name, before + ", " + value);
+    state = State.CHUNK_SIZE;
+    if (streamed) {
+      out.add(message());
     }
   }
 
-  private void headersDone(List<Object> out) {
-    String length = headers.get("content-length");
-    String encoding = headers.get("transfer-encoding");
-    if (encoding != null) {
-      if (length != null || !encoding.equalsIgnoreCase("chunked")) {
-        throw new MalformedHttpException(
-            "header 'transfer-encoding': it is not 'chunked', or a length stands beside it");
-      }
-      at = At.CHUNK_SIZE;
-      if (passOn) {
-        out.add(new HttpMessage(first, second, headers, body.toByteArray()));
-      }
-      return;
-    }
+  private void startBodyOfLength(String length, List<Object> out) {
     if (length != null && !length.matches("[0-9]{1,9}")) {
-      throw new MalformedHttpException("header 'content-length': it is no length");
+      throw new MalformedHttpException(headerPlace(LENGTH_HEADER), "it is no length");
     }
-    boolean bodiless =
-        !requests && (first.startsWith("1") || first.equals("204") || first.equals("304"));
-    if (length == null && !requests && !bodiless) {
+    if (length == null && startLine.requiresLength()) {
       throw new MalformedHttpException(
-          "header 'content-length': it is missing, and no chunks are announced");
+          headerPlace(LENGTH_HEADER), "it is missing, and no chunks are announced");
     }
-    left = length == null || bodiless ? 0 : bounded(Integer.parseInt(length));
-    at = At.BODY;
-    if (left == 0) {
-      done(out);
+    boolean empty = length == null || startLine.excludesBody();
+    remainingBytes = empty ? 0 : checkSize(Integer.parseInt(length));
+    state = State.BODY;
+    if (remainingBytes == 0) {
+      completeMessage(out);
     }
   }
 
-  private int bounded(int size) {
-    if (size > bodyMost - body.size()) {
-      throw new MalformedHttpException("body: over " + bodyMost + " bytes");
+  private static String headerPlace(String name) {
+    return "header '" + name + "'";
+  }
+
+  private int checkSize(int bytes) {
+    if (bytes > maxBodyBytes - body.size()) {
+      throw new MalformedHttpException(BODY_PLACE, "over " + maxBodyBytes + " bytes");
     }
-    return size;
+    return bytes;
   }
 
-  private void chunkSize(String line) {
-    int end = line.indexOf(';');
-    String size = (end < 0 ? line : line.substring(0, end)).strip();
+  private void acceptChunkSize(String line) {
+    int extension = line.indexOf(';');
+    String size = (extension < 0 ? line : line.substring(0, extension)).strip();
     if (!size.matches("[0-9A-Fa-f]{1,7}")) {
-      throw new MalformedHttpException("body: a chunk's size is no number");
+      throw new MalformedHttpException(BODY_PLACE, "a chunk's size is no number");
     }
-    left = bounded(Integer.parseInt(size, 16));
-    at = left == 0 ? At.TRAILERS : At.CHUNK;
+    remainingBytes = checkSize(Integer.parseInt(size, 16));
+    state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
   }
 
-  private void bodyBytes(ByteBuf in, List<Object> out) {
-    int count = Math.min(left, in.readableBytes());
-    byte[] bytes = new byte[count];
-    in.readBytes(bytes);
-    left -= count;
-    if (passOn && at == At.CHUNK) {
-      if (count > 0) {
-        out.add(bytes);
-      }
+  private void acceptChunkEnd(String line) {
+    if (!line.isEmpty()) {
+      throw new MalformedHttpException(BODY_PLACE, "a chunk is longer than its size");
+    }
+    state = State.CHUNK_SIZE;
+  }
+
+  private void acceptTrailer(String line, List<Object> out) {
+    if (!line.isEmpty()) {
+      headers.skipTrailer(line);
+    } else if (streamed) {
+      out.add(new StreamPart.End());
+      state = State.START_LINE;
     } else {
-      body.write(bytes, 0, count);
+      completeMessage(out);
     }
-    if (left > 0) {
+  }
+
+  private void readBody(ByteBuf in, List<Object> out) {
+    byte[] bytes = new byte[Math.min(remainingBytes, in.readableBytes())];
+    in.readBytes(bytes);
+    remainingBytes -= bytes.length;
+    if (!streamed || state == State.BODY) {
+      body.write(bytes, 0, bytes.length);
+    } else if (bytes.length > 0) {
+      out.add(new StreamPart.Bytes(bytes));
+    }
+    if (remainingBytes > 0) {
       return;
     }
-    if (at == At.CHUNK) {
-      at = At.CHUNK_END;
+    if (state == State.CHUNK) {
+      state = State.CHUNK_END;
     } else {
-      done(out);
+      completeMessage(out);
     }
   }
 
-  private void done(List<Object> out) {
-    out.add(new HttpMessage(first, second, headers, body.toByteArray()));
-    at = At.FIRST;
+  private void completeMessage(List<Object> out) {
+    out.add(message());
+    state = State.START_LINE;
+  }
+
+  private HttpMessage message() {
+    return startLine.message(headers.headers(), body.toByteArray());
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/http/HttpRequest.java
@@ -0,0 +1,33 @@
+package stonespring.http;
+
+import java.net.InetSocketAddress;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** A request; see {@link HttpMessage}. */
+public record HttpRequest(String method, String target, Map<String, String> headers, byte[] body)
+    implements HttpMessage {
+  private static final byte[] NO_BODY = new byte[0];
+
+  /** A GET request with the host header of its server. */
+  public static HttpRequest get(InetSocketAddress server, String target) {
+    return withHost("GET", server, target, NO_BODY);
+  }
+
+  /** A POST request with the host header of its server. */
+  public static HttpRequest post(InetSocketAddress server, String target, byte[] body) {
+    return withHost("POST", server, target, body);
+  }
+
+  private static HttpRequest withHost(
+      String method, InetSocketAddress server, String target, byte[] body) {
+    return new HttpRequest(method, target, new LinkedHashMap<>(), body)
+        .setHeader("host", server.getHostString() + ":" + server.getPort());
+  }
+
+  /** Sets a header and returns this request. */
+  public HttpRequest setHeader(String name, String value) {
+    headers.put(HttpMessage.headerKey(name), value);
+    return this;
+  }
+}
--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -7,71 +7,74 @@
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
+import stonespring.netty.FailStopDecoder;
 
 /**
- * One call whose answer comes in chunks and need never end, on a connection of its own. All of it
- * lives on one event loop. It ends once, by {@link Listener#ended}, unless it is cancelled before;
- * after either nothing more is told. Silence of the peer for longer than a bound is its end: a
- * machine that vanished says nothing.
+ * A call whose response arrives in chunks and may never end, on a connection of its own. It ends by
+ * {@link Listener#ended}, once, or by {@link #cancel}; the listener is not called after either. A
+ * silent peer counts as ended, as a machine that vanished sends nothing. State lives on the
+ * connector's event loop, and all calls come from there.
  */
 public final class HttpWatch {
-  /** Hears the answer on the watch's event loop. */
+  /** Observes a response, on the event loop. */
   public interface Listener {
-    void bytes(byte[] bytes);
+    /** Bytes of the body arrived, cut anywhere. */
+    void received(byte[] bytes);
 
+    /** The response ended, or there was none. */
     void ended(String cause);
   }
 
+  /**
+   * Limits of a watch.
+   *
+   * @param responseTimeoutMillis for connecting and the first bytes of the response together
+   * @param silenceTimeoutMillis for each further wait for bytes
+   * @param maxChunkBytes the longest chunk
+   */
+  public record Limits(int responseTimeoutMillis, long silenceTimeoutMillis, int maxChunkBytes) {}
+
   private final EventLoop loop;
+  private final HttpRequest request;
+  private final Limits limits;
   private final Listener listener;
-  private final long silenceMillis;
   private final Channel channel;
-  private Future<?> silence;
+  private Future<?> timeout;
   private boolean over;
 
-  /**
-   * @param answerMillis how long the dial and the answer's first bytes may take together
-   * @param silenceMillis how long the peer may then say nothing
-   * @param chunkMost bytes of one chunk
-   */
+  /** Connects and sends the request. */
   public HttpWatch(
-      Dialer dialer,
-      InetSocketAddress to,
-      HttpMessage request,
-      int answerMillis,
-      long silenceMillis,
-      int chunkMost,
+      Connector connector,
+      InetSocketAddress address,
+      HttpRequest request,
+      Limits limits,
       Listener listener) {
-    this.loop = dialer.loop();
+    this.loop = connector.loop();
+    this.request = request;
+    this.limits = limits;
     this.listener = listener;
-    this.silenceMillis = silenceMillis;
-    silence =
-        loop.schedule(
-            () -> end("no answer within " + answerMillis + " ms"),
-            answerMillis,
-            TimeUnit.MILLISECONDS);
+    timeout =
+        endAfter(
+            limits.responseTimeoutMillis(),
+            "no answer within " + limits.responseTimeoutMillis() + " ms");
     channel =
-        dialer.dial(
-            to,
-            answerMillis,
-            cause -> dialed(cause, request),
-            new HttpDecoder(false, chunkMost, true),
-            new Reader());
+        connector.connect(
+            address,
+            limits.responseTimeoutMillis(),
+            new ConnectListener(),
+            HttpDecoder.forStreamedResponses(limits.maxChunkBytes()),
+            new ResponseHandler());
   }
 
-  private void dialed(Throwable cause, HttpMessage request) {
-    if (cause != null) {
-      end("it can't be reached: " + cause.getMessage());
-    } else if (!over) {
-      channel.writeAndFlush(request.bytes(true));
-    }
+  private Future<?> endAfter(long millis, String cause) {
+    return loop.schedule(() -> end(cause), millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends it without a word. */
+  /** Ends the watch; the listener is not called any more. */
   public void cancel() {
     over = true;
-    silence.cancel(false);
-    Dialer.close(channel);
+    timeout.cancel(false);
+    Connector.close(channel);
   }
 
   private void end(String cause) {
@@ -81,26 +84,46 @@
     }
   }
 
-  private final class Reader extends ChannelInboundHandlerAdapter {
+  private final class ConnectListener implements Connector.Listener {
+    @Override
+    public void connected() {
+      if (!over) {
+        channel.writeAndFlush(HttpEncoder.encode(request));
+      }
+    }
+
+    @Override
+    public void connectFailed(Throwable cause) {
+      end("it can't be reached: " + cause.getMessage());
+    }
+  }
+
+  private final class ResponseHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object part) {
       if (over) {
         return;
       }
-      silence.cancel(false);
-      silence =
-          loop.schedule(
-              () -> end("it has said nothing for " + silenceMillis + " ms"),
-              silenceMillis,
-              TimeUnit.MILLISECONDS);
-      if (part instanceof HttpMessage answer && answer.status() != 200) {
-        end("it answers " + answer.status());
-      } else if (part instanceof HttpMessage answer && answer.body().length > 0) {
-        listener.bytes(answer.body());
-      } else if (part instanceof byte[] bytes) {
-        listener.bytes(bytes);
-      } else if (part == HttpDecoder.END) {
-        end("its answer ended");
+      timeout.cancel(false);
+      timeout =
+          endAfter(
+              limits.silenceTimeoutMillis(),
+              "it was silent for " + limits.silenceTimeoutMillis() + " ms");
+      if (part instanceof HttpResponse response) {
+        acceptHead(response);
+      } else if (part instanceof StreamPart.Bytes chunk) {
+        listener.received(chunk.bytes());
+      } else if (part instanceof StreamPart.End) {
+        end("its response ended");
+      }
+    }
+
+    /** A head, or a whole response if it was not in chunks. */
+    private void acceptHead(HttpResponse response) {
+      if (response.status() != 200) {
+        end("unexpected status " + response.status());
+      } else if (response.body().length > 0) {
+        listener.received(response.body());
       }
     }
 
@@ -111,11 +134,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      Throwable root =
-          cause instanceof io.netty.handler.codec.DecoderException && cause.getCause() != null
-              ? cause.getCause()
-              : cause;
-      end(String.valueOf(root.getMessage()));
+      end(String.valueOf(FailStopDecoder.unwrap(cause).getMessage()));
     }
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/http/StartLine.java
@@ -0,0 +1,77 @@
+package stonespring.http;
+
+import java.util.Map;
+
+/** The first line of a message. */
+sealed interface StartLine {
+  /** Where errors of the first line are reported. */
+  String PLACE = "first line";
+
+  /** Whether a message with this first line never has a body, whatever its headers say. */
+  boolean excludesBody();
+
+  /** Whether a message with this first line must announce its body's length. */
+  boolean requiresLength();
+
+  /** The message of this first line. */
+  HttpMessage message(Map<String, String> headers, byte[] body);
+
+  /** The first line of a request. */
+  record Request(String method, String target) implements StartLine {
+    static Request parse(String line) {
+      String[] parts = line.split(" ", 3);
+      if (parts.length != 3
+          || !isVersion(parts[2])
+          || !parts[0].matches("[A-Z]{1,20}")
+          || !parts[1].startsWith("/")) {
+        throw new MalformedHttpException(PLACE, "it is no request of HTTP/1.1");
+      }
+      return new Request(parts[0], parts[1]);
+    }
+
+    @Override
+    public boolean excludesBody() {
+      return false;
+    }
+
+    @Override
+    public boolean requiresLength() {
+      return false;
+    }
+
+    @Override
+    public HttpRequest message(Map<String, String> headers, byte[] body) {
+      return new HttpRequest(method, target, headers, body);
+    }
+  }
+
+  /** The first line of a response. */
+  record Response(int status, String reason) implements StartLine {
+    static Response parse(String line) {
+      String[] parts = line.split(" ", 3);
+      if (parts.length < 2 || !isVersion(parts[0]) || !parts[1].matches("[1-5][0-9][0-9]")) {
+        throw new MalformedHttpException(PLACE, "it is no answer of HTTP/1.1");
+      }
+      return new Response(Integer.parseInt(parts[1]), parts.length == 3 ? parts[2] : "");
+    }
+
+    @Override
+    public boolean excludesBody() {
+      return status < 200 || status == 204 || status == 304;
+    }
+
+    @Override
+    public boolean requiresLength() {
+      return !excludesBody();
+    }
+
+    @Override
+    public HttpResponse message(Map<String, String> headers, byte[] body) {
+      return new HttpResponse(status, reason, headers, body);
+    }
+  }
+
+  private static boolean isVersion(String word) {
+    return word.matches("HTTP/1\\.[01]");
+  }
+}
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -7,8 +7,11 @@
 import java.util.ArrayDeque;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
+import stonespring.http.HttpCallFailure;
+import stonespring.http.HttpCallResult;
 import stonespring.http.HttpClient;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
 import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RequestClassIndex;
@@ -115,18 +118,18 @@
     for (String task : new TreeSet<>(connected)) {
       if (!named.contains(task)) {
         connected.remove(task);
-        client.forget(ProxySettings.address(new EndpointName(task)));
+        client.closeIdle(ProxySettings.address(new EndpointName(task)));
       }
     }
   }
 
-  private void take(HttpMessage request, HttpServer.Exchange exchange) {
+  private void take(HttpRequest request, HttpServer.Exchange exchange) {
     int k = -1;
     for (int i = 0; i < set.router().types().size(); i++) {
-      k = request.second().equals("/op/" + set.router().types().get(i).name()) ? i : k;
+      k = request.target().equals("/op/" + set.router().types().get(i).name()) ? i : k;
     }
-    if (k < 0 || !request.first().equals("POST") || request.header("x-op").isEmpty()) {
-      exchange.answer(HttpMessage.answer(404, "POST /op/TYPE with header x-op\n"));
+    if (k < 0 || !request.method().equals("POST") || request.header("x-op").isEmpty()) {
+      exchange.respond(HttpResponse.of(404, "POST /op/TYPE with header x-op\n"));
       return;
     }
     Op op = new Op(new RequestClassIndex(k), request, exchange);
@@ -135,28 +138,45 @@
     } else if (held.size() < IN_HAND_MOST) {
       held.add(op::start);
     } else {
-      exchange.answer(refusal(503, "full"));
+      exchange.respond(refusal(503, "full"));
     }
   }
 
-  private static HttpMessage refusal(int status, String why) {
-    return HttpMessage.answer(status, why + "\n")
-        .with("retry-after", "1")
-        .with(NOT_RUN, "1")
-        .with("x-reason", why);
+  private static HttpResponse refusal(int status, String why) {
+    return HttpResponse.of(status, why + "\n")
+        .setHeader("retry-after", "1")
+        .setHeader(NOT_RUN, "1")
+        .setHeader("x-reason", why);
+  }
+
+  private static RequestOutcome outcome(HttpCallResult result) {
+    if (result instanceof HttpCallResult.Completed completed) {
+      HttpResponse response = completed.response();
+      return RequestOutcome.answered(response.status(), response.header(NOT_RUN).equals("1"));
+    }
+    return outcome(((HttpCallResult.Failed) result).failure());
+  }
+
+  static RequestOutcome outcome(HttpCallFailure failure) {
+    return switch (failure) {
+      case CONNECT_FAILED -> RequestOutcome.UNREACHED;
+      case CONNECTION_LOST -> RequestOutcome.BROKEN;
+      case TIMED_OUT -> RequestOutcome.TIMED_OUT;
+      case MALFORMED_RESPONSE -> RequestOutcome.GARBLED;
+    };
   }
 
   /** One op on its way. */
   private final class Op {
     private final RequestClassIndex type;
-    private final HttpMessage request;
+    private final HttpRequest request;
     private final HttpServer.Exchange exchange;
     private final long until;
     private int tries;
     private boolean proven = true;
     private long firstAt;
 
-    Op(RequestClassIndex type, HttpMessage request, HttpServer.Exchange exchange) {
+    Op(RequestClassIndex type, HttpRequest request, HttpServer.Exchange exchange) {
       this.type = type;
       this.request = request;
       this.exchange = exchange;
@@ -169,11 +189,11 @@
     void start() {
       tally.came(type);
       if (link.now() >= until) {
-        exchange.answer(refusal(504, "timeout")); // it waited here for longer than its client does
+        exchange.respond(refusal(504, "timeout")); // it waited here for longer than its client does
       } else if (inHand >= IN_HAND_MOST) {
-        exchange.answer(refusal(503, "full"));
+        exchange.respond(refusal(503, "full"));
       } else if (!router.admit(type, link.now())) {
-        exchange.answer(refusal(429, "level"));
+        exchange.respond(refusal(429, "level"));
       } else {
         inHand++;
         send(null);
@@ -192,24 +212,21 @@
       connected.add(task.name());
       InetSocketAddress to = ProxySettings.address(task);
       long left = Math.max(1, (until - began) / 10);
-      HttpMessage call =
-          new HttpMessage("POST", request.second(), new java.util.LinkedHashMap<>(), request.body())
-              .with("host", to.getHostString() + ":" + to.getPort())
-              .with("x-op", request.header("x-op"))
-              .with("x-proxy", set.name())
-              .with("x-zone", set.zone())
-              .with("x-try", String.valueOf(tries))
-              .with("x-op-timeout-ms", String.valueOf(left));
-      client.call(to, call, left, (answer, failure) -> ended(task, began, answer, failure));
+      HttpRequest call =
+          HttpRequest.post(to, request.target(), request.body())
+              .setHeader("x-op", request.header("x-op"))
+              .setHeader("x-proxy", set.name())
+              .setHeader("x-zone", set.zone())
+              .setHeader("x-try", String.valueOf(tries))
+              .setHeader("x-op-timeout-ms", String.valueOf(left));
+      client.call(to, call, left, result -> ended(task, began, result));
     }
 
-    private void ended(
-        EndpointName task, long began, HttpMessage answer, HttpClient.Failure failure) {
+    private void ended(EndpointName task, long began, HttpCallResult result) {
       long now = link.now();
-      RequestOutcome ending =
-          answer != null
-              ? RequestOutcome.answered(answer.status(), answer.header(NOT_RUN).equals("1"))
-              : RequestOutcome.valueOf(failure.name());
+      HttpResponse answer =
+          result instanceof HttpCallResult.Completed completed ? completed.response() : null;
+      RequestOutcome ending = outcome(result);
       boolean good = ending == RequestOutcome.GOOD;
       router.ended(task, good, now);
       tally.met(
@@ -218,33 +235,32 @@
           now - began,
           answer == null ? null : LoadHeader.read(answer.header(LoadHeader.NAME)));
       if (good) {
-        finish(HttpMessage.answer(200, answer.text()));
+        finish(HttpResponse.of(200, answer.text()));
         return;
       }
       proven &= ending.neverRan();
       if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
         send(task);
       } else {
-        finish(
-            failure == HttpClient.Failure.TIMED_OUT
-                ? failed(504, "timeout")
-                : failed(503, "failed"));
+        finish(ending == RequestOutcome.TIMED_OUT ? failed(504, "timeout") : failed(503, "failed"));
       }
     }
 
-    private HttpMessage failed(int status, String why) {
+    private HttpResponse failed(int status, String why) {
       if (proven) {
         return refusal(status, why);
       }
-      return HttpMessage.answer(status, why + "\n").with("retry-after", "1").with("x-reason", why);
+      return HttpResponse.of(status, why + "\n")
+          .setHeader("retry-after", "1")
+          .setHeader("x-reason", why);
     }
 
-    private void finish(HttpMessage answer) {
+    private void finish(HttpResponse answer) {
       inHand--;
       if (answer.status() != 200) {
         tally.unanswered(type);
       }
-      exchange.answer(answer);
+      exchange.respond(answer);
     }
   }
 }
--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -6,8 +6,11 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import stonespring.http.HttpCallFailure;
+import stonespring.http.HttpCallResult;
 import stonespring.http.HttpClient;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.proxy.Proxy;
 
 /**
@@ -109,23 +112,26 @@
 
   private void attempt(Asked type, String op, double askedAt, int again) {
     double left = askedAt + type.timeoutMillis() * patience - evidence.now();
-    HttpMessage request =
-        new HttpMessage(
-                "POST", "/op/" + type.opType(), new java.util.LinkedHashMap<>(), new byte[0])
-            .with("host", "127.0.0.1:" + port)
-            .with("x-op", op)
-            .with("x-op-timeout-ms", String.valueOf((long) Math.max(1, left)))
-            .with("content-length", "0");
+    InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
+    HttpRequest request =
+        HttpRequest.post(address, "/op/" + type.opType(), new byte[0])
+            .setHeader("x-op", op)
+            .setHeader("x-op-timeout-ms", String.valueOf((long) Math.max(1, left)))
+            .setHeader("content-length", "0");
     client.call(
-        new InetSocketAddress("127.0.0.1", port),
+        address,
         request,
         (long) Math.max(1, left),
-        (answer, failure) -> {
+        result -> {
+          HttpResponse answer =
+              result instanceof HttpCallResult.Completed completed ? completed.response() : null;
+          HttpCallFailure failure =
+              result instanceof HttpCallResult.Failed failed ? failed.failure() : null;
           boolean good = answer != null && answer.status() == 200;
           boolean notRun =
               answer != null
                   ? answer.header(Proxy.NOT_RUN).equals("1")
-                  : failure == HttpClient.Failure.UNREACHED;
+                  : failure == HttpCallFailure.CONNECT_FAILED;
           double rest = askedAt + type.timeoutMillis() * patience - evidence.now();
           if (!good
               && again < AGAIN_MOST
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -8,7 +8,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
 import stonespring.model.EndpointRecord;
 
@@ -129,7 +130,7 @@
     all.forEach(Runnable::run);
   }
 
-  private void take(HttpMessage request, HttpServer.Exchange exchange) {
+  private void take(HttpRequest request, HttpServer.Exchange exchange) {
     if (dead) {
       exchange.channel().close();
       return;
@@ -137,9 +138,9 @@
     java.util.regex.Matcher query =
         java.util.regex.Pattern.compile(
                 "/v1/health/service/tasks(?:\\?index=([0-9]+)&wait=([0-9]+)s)?")
-            .matcher(request.second());
+            .matcher(request.target());
     if (!query.matches()) {
-      exchange.answer(HttpMessage.answer(404, "no such path\n"));
+      exchange.respond(HttpResponse.of(404, "no such path\n"));
       return;
     }
     long asked = query.group(1) == null ? 0 : Long.parseLong(query.group(1));
@@ -205,9 +206,9 @@
     }
     lastTold.clear();
     lastTold.putAll(told);
-    HttpMessage answer =
-        HttpMessage.answer(200, json.append("]").toString())
-            .with("x-consul-index", String.valueOf(index));
-    exchange.answer(answer.with("content-type", "application/json"));
+    HttpResponse answer =
+        HttpResponse.of(200, json.append("]").toString())
+            .setHeader("x-consul-index", String.valueOf(index));
+    exchange.respond(answer.setHeader("content-type", "application/json"));
   }
 }
--- a/src/main/java/stonespring/testbed/TaskStandIn.java
+++ b/src/main/java/stonespring/testbed/TaskStandIn.java
@@ -12,7 +12,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
 import stonespring.proxy.LoadHeader;
 import stonespring.proxy.Proxy;
@@ -117,12 +118,12 @@
         new HttpServer(
                 new HttpServer.Handler() {
                   @Override
-                  public void request(HttpMessage request, HttpServer.Exchange exchange) {
+                  public void handle(HttpRequest request, HttpServer.Exchange exchange) {
                     loop.execute(() -> take(request, exchange));
                   }
 
                   @Override
-                  public boolean opened(Channel channel) {
+                  public boolean accept(Channel channel) {
                     if (open.incrementAndGet() > make.connections()) {
                       open.decrementAndGet();
                       return false;
@@ -207,12 +208,12 @@
     return age >= 1 ? 1 : make.coldShare() + (1 - make.coldShare()) * Math.max(0, age);
   }
 
-  private void take(HttpMessage request, HttpServer.Exchange exchange) {
+  private void take(HttpRequest request, HttpServer.Exchange exchange) {
     if (!up || silent || cutZones.contains(request.header("x-zone"))) {
       return; // nothing comes back; whoever asked waits in vain
     }
     double now = evidence.now();
-    String type = request.second().substring(request.second().lastIndexOf('/') + 1);
+    String type = request.target().substring(request.target().lastIndexOf('/') + 1);
     int tryNumber = whole(request.header("x-try"), 1);
     String op = request.header("x-op");
     evidence.add(new Evidence.Arrival(now, id(), request.header("x-proxy"), op, type, tryNumber));
@@ -222,9 +223,9 @@
       return;
     }
     if (random.nextDouble() < errorShare || type.equals(failingType)) {
-      answer(exchange, HttpMessage.answer(500, "failed\n"));
+      answer(exchange, HttpResponse.of(500, "failed\n"));
     } else if (queue.size() >= make.queue()) {
-      answer(exchange, HttpMessage.answer(503, "full\n").with(Proxy.NOT_RUN, "1"));
+      answer(exchange, HttpResponse.of(503, "full\n").setHeader(Proxy.NOT_RUN, "1"));
     } else {
       double until = now + whole(request.header("x-op-timeout-ms"), Integer.MAX_VALUE);
       queue.add(new Job(op, type, tryNumber, work, until, exchange));
@@ -291,7 +292,7 @@
       Job job = queue.poll();
       double now = evidence.now();
       if (now > job.until()) {
-        answer(job.exchange(), HttpMessage.answer(504, "too late\n").with(Proxy.NOT_RUN, "1"));
+        answer(job.exchange(), HttpResponse.of(504, "too late\n").setHeader(Proxy.NOT_RUN, "1"));
         continue;
       }
       running++;
@@ -306,7 +307,7 @@
               return;
             }
             running--;
-            answer(job.exchange(), HttpMessage.answer(200, "done " + job.op() + "\n"));
+            answer(job.exchange(), HttpResponse.of(200, "done " + job.op() + "\n"));
             next();
           });
     }
@@ -330,7 +331,7 @@
     evidence.add(new Evidence.Effect(now, id(), job.op(), job.opType(), job.tryNumber()));
   }
 
-  private void answer(HttpServer.Exchange exchange, HttpMessage answer) {
+  private void answer(HttpServer.Exchange exchange, HttpResponse answer) {
     if (answer.status() == 200 && random.nextDouble() < lostShare) {
       exchange.channel().close();
       return;
@@ -341,8 +342,8 @@
         busySpans.stream()
             .mapToDouble(s -> Math.min(now, s[0] + s[1]) - Math.max(now - 500, s[0]))
             .sum();
-    exchange.answer(
-        answer.with(
+    exchange.respond(
+        answer.setHeader(
             LoadHeader.NAME,
             String.format(
                 Locale.ROOT,
--- a/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
-import stonespring.http.Dialer;
+import stonespring.http.Connector;
 import stonespring.http.ManualHttpExchange;
 import stonespring.model.Event;
 
@@ -144,7 +144,7 @@
         new PlatformEndpointSource(
             fixture.server.address(),
             fixture.list,
-            new Dialer(
+            new Connector(
                 fixture.loop(),
                 () -> {
                   if (failuresLeft.getAndDecrement() > 0) {
--- a/src/test/java/stonespring/discovery/PlatformSourceFixture.java
+++ b/src/test/java/stonespring/discovery/PlatformSourceFixture.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.extension.AfterEachCallback;
 import org.junit.jupiter.api.extension.BeforeEachCallback;
 import org.junit.jupiter.api.extension.ExtensionContext;
-import stonespring.http.Dialer;
+import stonespring.http.Connector;
 
 /** A platform source before a stand-in list server, and what it reports. */
 final class PlatformSourceFixture implements BeforeEachCallback, AfterEachCallback {
@@ -37,7 +37,7 @@
   @Override
   public void beforeEach(ExtensionContext context) throws IOException {
     server = newServer();
-    source = new PlatformEndpointSource(server.address(), list, new Dialer(loop()));
+    source = new PlatformEndpointSource(server.address(), list, new Connector(loop()));
     source.start(updates, EndpointUpdates::ignoreList);
   }
 
--- a/src/test/java/stonespring/discovery/RegistryServer.java
+++ b/src/test/java/stonespring/discovery/RegistryServer.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoopGroup;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
 
 /** A stand-in for a registry: tests give each response. */
@@ -18,7 +18,7 @@
     server =
         new HttpServer(
                 (request, exchange) -> {
-                  targets.add(request.second());
+                  targets.add(request.target());
                   exchanges.add(exchange);
                 },
                 MAX_BODY_BYTES)
@@ -40,11 +40,11 @@
   }
 
   void respondBody(int index, String body) throws InterruptedException {
-    accept().answer(HttpMessage.answer(200, body).with("X-Consul-Index", String.valueOf(index)));
+    accept().respond(HttpResponse.of(200, body).setHeader("X-Consul-Index", String.valueOf(index)));
   }
 
   void respondWithoutIndex(String body) throws InterruptedException {
-    accept().answer(HttpMessage.answer(200, body));
+    accept().respond(HttpResponse.of(200, body));
   }
 
   /** Waits for the target of the next request that was not asked for yet. */
--- a/src/test/java/stonespring/http/HttpDecoderTest.java
+++ b/src/test/java/stonespring/http/HttpDecoderTest.java
@@ -17,8 +17,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 final class HttpDecoderTest {
-  private static List<String> decode(byte[] bytes, boolean requests, SplittableRandom cuts) {
-    EmbeddedChannel channel = new EmbeddedChannel(new HttpDecoder(requests, 1000));
+  private static final int MAX_BODY_BYTES = 1000;
+
+  private static List<String> decodeRequests(byte[] bytes, SplittableRandom cuts) {
+    return decode(HttpDecoder.forRequests(MAX_BODY_BYTES), bytes, cuts);
+  }
+
+  private static List<String> decodeResponses(String text) {
+    return decode(HttpDecoder.forResponses(MAX_BODY_BYTES), bytes(text), null);
+  }
+
+  /**
+   * Decodes bytes and describes messages and violations.
+   *
+   * @param cuts cuts the bytes into pieces; null for one piece
+   */
+  private static List<String> decode(HttpDecoder decoder, byte[] bytes, SplittableRandom cuts) {
+    EmbeddedChannel channel = new EmbeddedChannel(decoder);
     List<String> all = new ArrayList<>();
     try {
       for (int at = 0; at < bytes.length; ) {
@@ -29,16 +44,24 @@
     } catch (DecoderException e) {
       assertTrue(
           e.getCause() instanceof MalformedHttpException,
-          () -> "a fault that is not the peer's: " + e);
-      all.add("fault " + e.getCause().getMessage());
+          () -> "an exception that is no violation: " + e);
+      all.add("violation " + e.getCause().getMessage());
     }
-    for (HttpMessage m = channel.readInbound(); m != null; m = channel.readInbound()) {
-      all.add(m.first() + " " + m.second() + " " + m.text());
+    for (HttpMessage next = channel.readInbound(); next != null; next = channel.readInbound()) {
+      all.add(describe(next));
     }
     channel.finishAndReleaseAll();
     return all;
   }
 
+  private static String describe(HttpMessage message) {
+    if (message instanceof HttpRequest request) {
+      return request.method() + " " + request.target() + " " + request.text();
+    }
+    HttpResponse response = (HttpResponse) message;
+    return response.status() + " " + response.reason() + " " + response.text();
+  }
+
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
@@ -48,20 +71,20 @@
           + "POST /c HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n4;x=1\r\nwiki\r\n0\r\ntrailer: t\r\n\r\n";
 
   @Property(tries = 100, seed = "1")
-  void pipelinedAndSplitRequestsMeanTheSame(@ForAll long seed) {
+  void decodesPipelinedRequestsHoweverTheBytesAreCut(@ForAll long seed) {
     assertEquals(
         List.of("POST /a abc", "GET /b ", "POST /c wiki"),
-        decode(bytes(PIPELINED), true, new SplittableRandom(seed)));
+        decodeRequests(bytes(PIPELINED), new SplittableRandom(seed)));
   }
 
   @Property(tries = 300, seed = "1")
-  void changedBytesAreAFaultOfThePeerAtMost(@ForAll long seed) {
+  void alteredBytesAreAViolationAtMost(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     byte[] bytes = bytes(PIPELINED);
     for (int i = 0; i < 3; i++) {
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
     }
-    decode(bytes, true, random);
+    decodeRequests(bytes, random);
   }
 
   /** Forms by which two readers could see different messages. */
@@ -81,41 +104,36 @@
         "content-length: 1001\r\n\r\n",
         "host: a\r\nhost: b\r\n\r\n"
       })
-  void smuggledFormsAreRefused(String rest) {
-    List<String> all = decode(bytes("POST / HTTP/1.1\r\n" + rest), true, null);
-    assertTrue(all.size() == 1 && all.get(0).startsWith("fault "), all.toString());
+  void refusesFormsUsedForRequestSmuggling(String rest) {
+    List<String> all = decodeRequests(bytes("POST / HTTP/1.1\r\n" + rest), null);
+    assertTrue(all.size() == 1 && all.get(0).startsWith("violation "), all.toString());
   }
 
   @Test
-  void anAnswerWithoutALengthIsRefused() {
+  void refusesAResponseWithoutLength() {
     assertEquals(
-        List.of("200 OK hi"),
-        decode(bytes("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi"), false, null));
-    assertTrue(
-        decode(bytes("HTTP/1.1 200 OK\r\n\r\n"), false, null).get(0).contains("content-length"));
+        List.of("200 OK hi"), decodeResponses("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi"));
+    assertTrue(decodeResponses("HTTP/1.1 200 OK\r\n\r\n").get(0).contains("content-length"));
   }
 
-  /**
-   * An answer that never ends is handed on as it comes, cut where it will; its end, if any, is
-   * told.
-   */
+  /** A response that may never end, cut anywhere. */
   @Test
-  void chunksArePassedOnAsTheyCome() {
+  void passesOnChunksAsTheyArrive() {
     byte[] bytes =
         bytes(
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n5\r\ndefgh\r\n0\r\n\r\n");
     for (int cut = 0; cut <= bytes.length; cut++) {
-      EmbeddedChannel channel = new EmbeddedChannel(new HttpDecoder(false, 10, true));
+      EmbeddedChannel channel = new EmbeddedChannel(HttpDecoder.forStreamedResponses(10));
       channel.writeInbound(Unpooled.wrappedBuffer(bytes, 0, cut));
       channel.writeInbound(Unpooled.wrappedBuffer(bytes, cut, bytes.length - cut));
-      assertEquals(200, ((HttpMessage) channel.readInbound()).status());
+      assertEquals(200, ((HttpResponse) channel.readInbound()).status());
       StringBuilder body = new StringBuilder();
       Object next = channel.readInbound();
-      for (; next instanceof byte[] some; next = channel.readInbound()) {
-        body.append(new String(some, StandardCharsets.US_ASCII));
+      for (; next instanceof StreamPart.Bytes part; next = channel.readInbound()) {
+        body.append(new String(part.bytes(), StandardCharsets.US_ASCII));
       }
       assertEquals("abcdefgh", body.toString(), "cut at " + cut);
-      assertEquals(HttpDecoder.END, next);
+      assertEquals(new StreamPart.End(), next);
     }
   }
 }
--- a/src/test/java/stonespring/proxy/ProofTest.java
+++ b/src/test/java/stonespring/proxy/ProofTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import stonespring.http.HttpClient;
+import stonespring.http.HttpCallFailure;
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.RetrySafety;
 import stonespring.proxy.routing.EndpointName;
@@ -239,10 +239,8 @@
    */
   @Test
   void everyFailureOfACallIsInTheList() {
-    for (HttpClient.Failure failure : HttpClient.Failure.values()) {
-      assertEquals(
-          failure == HttpClient.Failure.UNREACHED,
-          RequestOutcome.valueOf(failure.name()).neverRan());
+    for (HttpCallFailure failure : HttpCallFailure.values()) {
+      assertEquals(failure == HttpCallFailure.CONNECT_FAILED, Proxy.outcome(failure).neverRan());
     }
     assertEquals(RequestOutcome.GOOD, RequestOutcome.answered(200, true));
     assertTrue(RequestOutcome.answered(503, true).neverRan());
