--- a/src/main/java/stonespring/proxy/AssignerLink.java
+++ b/src/main/java/stonespring/proxy/AssignerLink.java
@@ -15,7 +15,8 @@
 import org.slf4j.LoggerFactory;
 import stonespring.chp.ChpClient;
 import stonespring.chp.ChpMessage;
-import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.model.LoadReport;
+import stonespring.model.RequestClassId;
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.TableSubscriber;
@@ -120,7 +121,7 @@
                 String name = update.key().substring(subtree.length());
                 boolean commits = name.equals("commit") && update.value().length > 0;
                 act(
-                    follower.update(
+                    follower.keyChanged(
                         name,
                         update.value().length == 0 ? null : text(update.value()),
                         commits ? CommitLog.read(update.value()) : null));
@@ -162,7 +163,7 @@
     if (step instanceof TableSubscriber.Step.Resync resync) {
       LOG.warn("proxy {}: snapshot asked anew: {}", set.name(), resync.cause());
       client.resync();
-    } else if (step instanceof TableSubscriber.Step.Message message) {
+    } else if (step instanceof TableSubscriber.Step.Update message) {
       long came = now();
       // A proxy halts for each line that it takes in; a message is applied whole after that.
       loop.schedule(
@@ -172,7 +173,7 @@
     }
   }
 
-  private void apply(TableSubscriber.Step.Message message, long came) {
+  private void apply(TableSubscriber.Step.Update message, long came) {
     try {
       router.apply(message);
     } catch (IllegalArgumentException e) {
@@ -180,11 +181,11 @@
       return;
     }
     applied++;
-    if (message.mark() >= 0 && client != null) {
+    if (message.ackId() >= 0 && client != null) {
       ObjectNode answer = JSON.createObjectNode();
       answer
-          .put("origin", message.origin())
-          .put("mark", message.mark())
+          .put("origin", message.stream())
+          .put("mark", message.ackId())
           .put("took", (now() - came) / 1e4);
       set("/up/" + set.name() + "/answer", Map.of(), answer);
     }
@@ -209,8 +210,8 @@
         .put("stream", stream)
         .put("zone", set.zone())
         .put("ops", set.usualOps());
-    hello.put("fresh", router.fresh());
-    var held = router.named();
+    hello.put("fresh", router.isWithoutTables());
+    var held = router.namedEndpoints();
     if (held.size() <= HOLDS_MOST) {
       ArrayNode holds = hello.putArray("holds");
       held.forEach(holds::add);
@@ -223,37 +224,41 @@
       return; // what was met meanwhile is told with the next report
     }
     ObjectNode report = JSON.createObjectNode();
-    report.put("span", tally.span(now()) / 1e4);
+    report.put("span", tally.interval(now()) / 1e4);
     ArrayNode tasks = report.putArray("tasks");
-    for (RequestStatistics.Met met : tally.met()) {
+    for (RequestStatistics.EndpointObservation met : tally.observations()) {
       ArrayNode row = tasks.addArray();
-      long good = met.tries() - met.bad();
-      row.add(met.task())
-          .add(met.tries())
-          .add(met.bad())
-          .add(good == 0 ? 0 : met.goodTime() / 1e4 / good);
+      long good = met.attempts() - met.failures();
+      row.add(met.endpoint())
+          .add(met.attempts())
+          .add(met.failures())
+          .add(good == 0 ? 0 : met.successTime() / 1e4 / good);
       load(row, met.load());
     }
     ArrayNode ops = report.putArray("ops");
-    for (int k = 0; k < set.router().types().size(); k++) {
-      RequestClassIndex type = new RequestClassIndex(k);
+    for (int k = 0; k < set.router().requestClasses().size(); k++) {
+      RequestClassId type = new RequestClassId(k);
       ops.addArray()
-          .add(set.router().types().get(k).name())
-          .add(tally.ops(type))
-          .add(tally.unansweredOps(type));
+          .add(set.router().requestClasses().get(k).name())
+          .add(tally.requests(type))
+          .add(tally.unanswered(type));
     }
     if (set("/up/" + set.name() + "/report", Map.of(), report)) {
-      tally.clear(now());
+      tally.reset(now());
     }
   }
 
-  private static void load(ArrayNode row, RequestStatistics.Load load) {
+  private static void load(ArrayNode row, LoadReport load) {
     if (load == null) {
       return;
     }
     ObjectNode node = row.addObject();
     double[] figures = {
-      load.busy(), load.waiting(), load.inHand(), load.workMs(), load.opsPerSecond()
+      load.utilization(),
+      load.queueLength(),
+      load.inFlight(),
+      load.serviceTimeMillis(),
+      load.requestsPerSecond()
     };
     String[] names = {"busy", "waiting", "in_hand", "work_ms", "ops_per_s"};
     for (int i = 0; i < names.length; i++) {
--- a/src/main/java/stonespring/proxy/LoadHeader.java
+++ b/src/main/java/stonespring/proxy/LoadHeader.java
@@ -1,6 +1,6 @@
 package stonespring.proxy;
 
-import stonespring.proxy.routing.RequestStatistics;
+import stonespring.model.LoadReport;
 
 /**
  * A task's load as it stands in an answer's {@code endpoint-load-metrics} header, in the text form
@@ -13,7 +13,7 @@
   private LoadHeader() {}
 
   /** The load that a header tells; null where it is none that is understood. */
-  static RequestStatistics.Load read(String header) {
+  static LoadReport read(String header) {
     if (!header.startsWith("TEXT ")) {
       return null;
     }
@@ -40,6 +40,6 @@
         }
       }
     }
-    return new RequestStatistics.Load(figures[0], figures[1], figures[2], figures[3], figures[4]);
+    return new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4]);
   }
 }
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -10,9 +10,10 @@
 import stonespring.http.HttpClient;
 import stonespring.http.HttpMessage;
 import stonespring.http.HttpServer;
-import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.model.EndpointId;
+import stonespring.model.RequestClassId;
 import stonespring.proxy.routing.RequestOutcome;
+import stonespring.proxy.routing.RequestProgress;
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
 
@@ -50,8 +51,8 @@
     this.set = settings;
     this.loop = loop;
     this.router = new Router(settings.router(), settings.seed());
-    this.router.standing(settings.standing());
-    this.tally = new RequestStatistics(settings.router().types().size(), 0);
+    this.router.useBootstrapRoutes(settings.standing());
+    this.tally = new RequestStatistics(settings.router().requestClasses().size(), 0);
     this.link = new AssignerLink(settings, loop, router, tally);
     this.client = new HttpClient(loop, CONNECT_MILLIS, BODY_MOST, IDLE_MOST);
     this.server =
@@ -111,25 +112,25 @@
   }
 
   private void closeUnused() {
-    TreeSet<String> named = router.named();
+    TreeSet<String> named = router.namedEndpoints();
     for (String task : new TreeSet<>(connected)) {
       if (!named.contains(task)) {
         connected.remove(task);
-        client.forget(ProxySettings.address(new EndpointName(task)));
+        client.forget(ProxySettings.address(new EndpointId(task)));
       }
     }
   }
 
   private void take(HttpMessage request, HttpServer.Exchange exchange) {
     int k = -1;
-    for (int i = 0; i < set.router().types().size(); i++) {
-      k = request.second().equals("/op/" + set.router().types().get(i).name()) ? i : k;
+    for (int i = 0; i < set.router().requestClasses().size(); i++) {
+      k = request.second().equals("/op/" + set.router().requestClasses().get(i).name()) ? i : k;
     }
     if (k < 0 || !request.first().equals("POST") || request.header("x-op").isEmpty()) {
       exchange.answer(HttpMessage.answer(404, "POST /op/TYPE with header x-op\n"));
       return;
     }
-    Op op = new Op(new RequestClassIndex(k), request, exchange);
+    Op op = new Op(new RequestClassId(k), request, exchange);
     if (!still) {
       op.start();
     } else if (held.size() < IN_HAND_MOST) {
@@ -139,6 +140,16 @@
     }
   }
 
+  /** The outcome of a call that brought no answer. */
+  static RequestOutcome outcome(HttpClient.Failure failure) {
+    return switch (failure) {
+      case UNREACHED -> RequestOutcome.NOT_CONNECTED;
+      case BROKEN -> RequestOutcome.CONNECTION_BROKEN;
+      case TIMED_OUT -> RequestOutcome.TIMED_OUT;
+      case GARBLED -> RequestOutcome.MALFORMED_ANSWER;
+    };
+  }
+
   private static HttpMessage refusal(int status, String why) {
     return HttpMessage.answer(status, why + "\n")
         .with("retry-after", "1")
@@ -148,7 +159,7 @@
 
   /** One op on its way. */
   private final class Op {
-    private final RequestClassIndex type;
+    private final RequestClassId type;
     private final HttpMessage request;
     private final HttpServer.Exchange exchange;
     private final long until;
@@ -156,7 +167,7 @@
     private boolean proven = true;
     private long firstAt;
 
-    Op(RequestClassIndex type, HttpMessage request, HttpServer.Exchange exchange) {
+    Op(RequestClassId type, HttpMessage request, HttpServer.Exchange exchange) {
       this.type = type;
       this.request = request;
       this.exchange = exchange;
@@ -167,7 +178,7 @@
     }
 
     void start() {
-      tally.came(type);
+      tally.requestReceived(type);
       if (link.now() >= until) {
         exchange.answer(refusal(504, "timeout")); // it waited here for longer than its client does
       } else if (inHand >= IN_HAND_MOST) {
@@ -180,8 +191,8 @@
       }
     }
 
-    private void send(EndpointName not) {
-      EndpointName task = router.pick(type, not, link.now());
+    private void send(EndpointId not) {
+      EndpointId task = router.pick(type, not, link.now()).orElse(null);
       if (task == null) {
         finish(not == null ? refusal(503, "no-task") : failed(503, "failed"));
         return;
@@ -204,15 +215,15 @@
     }
 
     private void ended(
-        EndpointName task, long began, HttpMessage answer, HttpClient.Failure failure) {
+        EndpointId task, long began, HttpMessage answer, HttpClient.Failure failure) {
       long now = link.now();
       RequestOutcome ending =
           answer != null
-              ? RequestOutcome.answered(answer.status(), answer.header(NOT_RUN).equals("1"))
-              : RequestOutcome.valueOf(failure.name());
-      boolean good = ending == RequestOutcome.GOOD;
-      router.ended(task, good, now);
-      tally.met(
+              ? RequestOutcome.ofAnswer(answer.status(), answer.header(NOT_RUN).equals("1"))
+              : outcome(failure);
+      boolean good = ending == RequestOutcome.SUCCEEDED;
+      router.attemptEnded(task, good, now);
+      tally.attemptEnded(
           task,
           good,
           now - began,
@@ -221,8 +232,8 @@
         finish(HttpMessage.answer(200, answer.text()));
         return;
       }
-      proven &= ending.neverRan();
-      if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
+      proven &= ending.provesNotExecuted();
+      if (router.mayRetry(type, new RequestProgress(tries, proven, firstAt, until), now)) {
         send(task);
       } else {
         finish(
@@ -242,7 +253,7 @@
     private void finish(HttpMessage answer) {
       inHand--;
       if (answer.status() != 200) {
-        tally.unanswered(type);
+        tally.requestUnanswered(type);
       }
       exchange.answer(answer);
     }
--- a/src/main/java/stonespring/proxy/ProxySettings.java
+++ b/src/main/java/stonespring/proxy/ProxySettings.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import stonespring.proxy.routing.EndpointName;
+import stonespring.model.EndpointId;
 import stonespring.proxy.routing.RouterSettings;
 
 /**
@@ -24,7 +24,7 @@
     long seed,
     RouterSettings router,
     List<Long> opTimeouts,
-    List<EndpointName> standing,
+    List<EndpointId> standing,
     List<Ports> assigners,
     double usualOps,
     int lineMicros,
@@ -36,7 +36,7 @@
   /** An assigner's three ports; a link between may have moved each of them. */
   public record Ports(String host, int snapshots, int updates, int collector) {}
 
-  static InetSocketAddress address(EndpointName task) {
+  static InetSocketAddress address(EndpointId task) {
     String text = task.name().substring(task.name().lastIndexOf('@') + 1);
     int colon = text.lastIndexOf(':');
     return new InetSocketAddress(
--- /dev/null
+++ b/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
@@ -0,0 +1,55 @@
+package stonespring.proxy.routing;
+
+import java.util.Arrays;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.DeciMillis;
+
+/** Admits requests as limits say: a fraction at random, or a rate by a token bucket. */
+final class AdmissionLimiter {
+  /** How much of a rate may be saved up while few requests arrive, seconds. */
+  private static final double BURST_SECONDS = 1;
+
+  private final AdmissionLimitKind kind;
+  private final SeededRandom random;
+  private final double[] tokens;
+  private final long[] filledAt;
+
+  AdmissionLimiter(AdmissionLimitKind kind, int requestClasses, SeededRandom random) {
+    this.kind = kind;
+    this.random = random;
+    this.tokens = new double[requestClasses];
+    this.filledAt = new long[requestClasses];
+    Arrays.fill(tokens, Double.NaN);
+  }
+
+  /**
+   * Whether one request is admitted.
+   *
+   * @param limit the limit that holds, or null for none
+   */
+  boolean admit(int requestClass, AdmissionLimit limit, long now) {
+    if (limit == null || kind == AdmissionLimitKind.NONE) {
+      return true;
+    }
+    if (kind == AdmissionLimitKind.FRACTION) {
+      return limit.value() >= 1 || random.next() < limit.value();
+    }
+    return takeToken(requestClass, limit.value(), now);
+  }
+
+  private boolean takeToken(int requestClass, double requestsPerSecond, long now) {
+    double capacity = Math.max(1, requestsPerSecond * BURST_SECONDS);
+    double sinceSeconds = (now - filledAt[requestClass]) / (double) DeciMillis.SECOND;
+    double filled =
+        Double.isNaN(tokens[requestClass])
+            ? capacity
+            : tokens[requestClass] + sinceSeconds * requestsPerSecond;
+    tokens[requestClass] = Math.min(capacity, filled);
+    filledAt[requestClass] = now;
+    if (tokens[requestClass] < 1 || requestsPerSecond == 0) {
+      return false;
+    }
+    tokens[requestClass]--;
+    return true;
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/proxy/routing/EndpointPicker.java
@@ -0,0 +1,109 @@
+package stonespring.proxy.routing;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Picks an endpoint from a table's routes. Ejected endpoints are passed over unless nothing else is
+ * left: an attempt that may fail is better than none.
+ */
+final class EndpointPicker {
+  /** One route of a table that holds for a request class. */
+  static final class Route {
+    private final int endpoint;
+    private final double weight;
+    private double credit;
+
+    Route(int endpoint, double weight) {
+      this.endpoint = endpoint;
+      this.weight = weight;
+    }
+
+    int endpoint() {
+      return endpoint;
+    }
+
+    double weight() {
+      return weight;
+    }
+  }
+
+  private final RouterSettings.Picking picking;
+  private final EndpointStates endpoints;
+  private final SeededRandom random;
+
+  EndpointPicker(RouterSettings.Picking picking, EndpointStates endpoints, SeededRandom random) {
+    this.picking = picking;
+    this.endpoints = endpoints;
+    this.random = random;
+  }
+
+  /**
+   * Picks an endpoint.
+   *
+   * @param avoided an endpoint to leave out, or {@link EndpointStates#NONE}
+   * @return the endpoint's index, or {@link EndpointStates#NONE} if no route is left
+   */
+  int pick(List<Route> routes, int avoided, long now) {
+    List<Route> candidates = candidates(routes, avoided, now);
+    if (candidates.isEmpty()) {
+      return EndpointStates.NONE;
+    }
+    Route route =
+        switch (picking) {
+          case WEIGHTED -> draw(candidates);
+          case ROUND_ROBIN -> next(candidates);
+          case TWO_CHOICES -> lessLoaded(draw(candidates), draw(candidates));
+        };
+    return route.endpoint;
+  }
+
+  private List<Route> candidates(List<Route> routes, int avoided, long now) {
+    List<Route> admissible = new ArrayList<>();
+    List<Route> all = new ArrayList<>();
+    for (Route route : routes) {
+      if (route.endpoint == avoided) {
+        continue;
+      }
+      all.add(route);
+      if (!endpoints.isEjected(route.endpoint, now)) {
+        admissible.add(route);
+      }
+    }
+    return admissible.isEmpty() ? all : admissible;
+  }
+
+  private Route lessLoaded(Route first, Route second) {
+    boolean secondHasFewer =
+        endpoints.inFlight(second.endpoint) < endpoints.inFlight(first.endpoint);
+    return secondHasFewer ? second : first;
+  }
+
+  private Route draw(List<Route> candidates) {
+    double total = 0;
+    for (Route route : candidates) {
+      total += route.weight;
+    }
+    double remaining = random.next() * total;
+    for (Route route : candidates) {
+      remaining -= route.weight;
+      if (remaining < 0) {
+        return route;
+      }
+    }
+    return candidates.get(candidates.size() - 1);
+  }
+
+  /** Smooth weighted round robin: each route earns its weight, the richest pays for all. */
+  private static Route next(List<Route> candidates) {
+    double total = 0;
+    Route richest = null;
+    for (Route route : candidates) {
+      route.credit += route.weight;
+      total += route.weight;
+      richest = richest == null || route.credit > richest.credit ? route : richest;
+    }
+    richest.credit -= total;
+    return richest;
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/proxy/routing/EndpointStates.java
@@ -0,0 +1,75 @@
+package stonespring.proxy.routing;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import stonespring.model.EndpointId;
+
+/** What a proxy knows of each endpoint by its own attempts, under a dense index. */
+final class EndpointStates {
+  /** The index of no endpoint. */
+  static final int NONE = -1;
+
+  private static final int INITIAL_CAPACITY = 16;
+
+  private final Map<String, Integer> indexByName = new HashMap<>();
+  private final List<EndpointId> endpoints = new ArrayList<>();
+  private int[] inFlight = new int[INITIAL_CAPACITY];
+  private int[] consecutiveFailures = new int[INITIAL_CAPACITY];
+  private long[] ejectedUntil = new long[INITIAL_CAPACITY];
+
+  /** The index of an endpoint, given out at its first use. */
+  int index(String name) {
+    Integer known = indexByName.get(name);
+    if (known != null) {
+      return known;
+    }
+    int index = endpoints.size();
+    indexByName.put(name, index);
+    endpoints.add(new EndpointId(name));
+    if (index == inFlight.length) {
+      inFlight = Arrays.copyOf(inFlight, 2 * index);
+      consecutiveFailures = Arrays.copyOf(consecutiveFailures, 2 * index);
+      ejectedUntil = Arrays.copyOf(ejectedUntil, 2 * index);
+    }
+    return index;
+  }
+
+  /** The index of an endpoint, {@link #NONE} if it has none yet. */
+  int indexIfKnown(String name) {
+    return indexByName.getOrDefault(name, NONE);
+  }
+
+  EndpointId endpoint(int index) {
+    return endpoints.get(index);
+  }
+
+  int inFlight(int index) {
+    return inFlight[index];
+  }
+
+  void attemptStarted(int index) {
+    inFlight[index]++;
+  }
+
+  void attemptEnded(int index) {
+    inFlight[index] = Math.max(0, inFlight[index] - 1);
+  }
+
+  /** Counts an attempt's outcome; returns the failures in a row that it makes. */
+  int countOutcome(int index, boolean succeeded) {
+    consecutiveFailures[index] = succeeded ? 0 : consecutiveFailures[index] + 1;
+    return consecutiveFailures[index];
+  }
+
+  boolean isEjected(int index, long now) {
+    return ejectedUntil[index] > now;
+  }
+
+  void eject(int index, long until) {
+    consecutiveFailures[index] = 0;
+    ejectedUntil[index] = until;
+  }
+}
--- a/src/main/java/stonespring/proxy/routing/RequestOutcome.java
+++ b/src/main/java/stonespring/proxy/routing/RequestOutcome.java
@@ -1,52 +1,62 @@
 package stonespring.proxy.routing;
 
 /**
- * How a try at a task ended, and whether that proves that the op never ran there. Only proof lets a
- * once-only op be tried again. The list is whole: every end that HTTP/1.1 (RFC 9112) and a socket
- * can show is one of these, and what is in doubt is no proof.
+ * How an attempt at an endpoint ended, and whether that proves that the request was not executed
+ * there. Only proof lets a non-idempotent request be repeated. The list is complete: every end that
+ * HTTP/1.1 (RFC 9112) and a socket can show is one of these, and what is in doubt is no proof.
  */
 public enum RequestOutcome {
   /** An answer with status 200. */
-  GOOD(false),
+  SUCCEEDED(false),
   /**
-   * No connection was made: refused, unreachable, or not accepted in time. No byte of the op was
-   * sent.
+   * No connection was made: refused, unreachable, or not accepted in time. No byte of the request
+   * was sent.
    */
-  UNREACHED(true),
+  NOT_CONNECTED(true),
   /**
-   * The task's word, with its answer, that it refused the op before reading it or dropped it before
-   * it began.
+   * The endpoint's own statement, with its answer, that it refused the request before reading it or
+   * dropped it before it began.
    */
-  REFUSED_UNREAD(true),
+  REJECTED_UNREAD(true),
   /**
-   * Any other answer: 4xx or 5xx alone does not say how far the task came (RFC 9110, section
+   * Any other answer: 4xx or 5xx alone does not say how far the endpoint came (RFC 9110, section
    * 9.2.2).
    */
   FAILED(false),
   /**
-   * Reset, closed or half-closed before a whole answer, at whatever byte of the op or the answer.
-   * What was sent may lie in the task's buffers and be read after the break, and a kept connection
-   * that breaks as the op goes out looks the same.
+   * Reset, closed or half-closed before a whole answer, at whatever byte of the request or the
+   * answer. What was sent may lie in the endpoint's buffers and be read after the break, and a kept
+   * connection that breaks as the request goes out looks the same.
    */
-  BROKEN(false),
+  CONNECTION_BROKEN(false),
   /** Bytes that are no answer: who sends such may have done anything. */
-  GARBLED(false),
-  /** No answer in time, a connection on its way included. */
+  MALFORMED_ANSWER(false),
+  /** No answer in time, a connection that was being made included. */
   TIMED_OUT(false);
 
-  private final boolean proof;
+  /** The status of a successful answer. */
+  private static final int OK = 200;
 
-  RequestOutcome(boolean proof) {
-    this.proof = proof;
+  private final boolean provesNotExecuted;
+
+  RequestOutcome(boolean provesNotExecuted) {
+    this.provesNotExecuted = provesNotExecuted;
   }
 
-  /** An answer came. */
-  public static RequestOutcome answered(int status, boolean saysNotRun) {
-    return status == 200 ? GOOD : saysNotRun ? REFUSED_UNREAD : FAILED;
+  /**
+   * The outcome of an answer.
+   *
+   * @param saysNotExecuted whether the answer states that the request was not executed
+   */
+  public static RequestOutcome ofAnswer(int status, boolean saysNotExecuted) {
+    if (status == OK) {
+      return SUCCEEDED;
+    }
+    return saysNotExecuted ? REJECTED_UNREAD : FAILED;
   }
 
-  /** Whether the op certainly never ran. */
-  public boolean neverRan() {
-    return proof;
+  /** Whether it is certain that the request was not executed. */
+  public boolean provesNotExecuted() {
+    return provesNotExecuted;
   }
 }
--- a/src/main/java/stonespring/proxy/routing/RequestStatistics.java
+++ b/src/main/java/stonespring/proxy/routing/RequestStatistics.java
@@ -4,85 +4,101 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
+import stonespring.model.EndpointId;
+import stonespring.model.LoadReport;
+import stonespring.model.RequestClassId;
 
 /**
- * What a proxy met since it last reported; one figure for each task and op type, however much
- * comes.
+ * What a proxy observed since its last report: one figure for each endpoint and request class,
+ * however many requests there are. Times are in {@link stonespring.model.DeciMillis}.
  */
 public final class RequestStatistics {
-  /** A task's account of its load; NaN where it does not say. */
-  public record Load(
-      double busy, double waiting, double inHand, double workMs, double opsPerSecond) {}
-
   /**
-   * What was met at one task; {@code goodTime} is the good tries' time together, tenths of a
-   * millisecond.
+   * What was observed at one endpoint.
+   *
+   * @param successTime the successful attempts' durations added up
+   * @param load the latest load report, or null
    */
-  public record Met(String task, long tries, long bad, long goodTime, Load load) {}
+  public record EndpointObservation(
+      String endpoint, long attempts, long failures, long successTime, LoadReport load) {}
 
-  private static final class Cell {
-    private long tries;
-    private long bad;
-    private long goodTime;
-    private Load load;
+  private static final class EndpointCounters {
+    private long attempts;
+    private long failures;
+    private long successTime;
+    private LoadReport load;
   }
 
-  private final TreeMap<String, Cell> cells = new TreeMap<>();
-  private final long[] ops;
+  private final TreeMap<String, EndpointCounters> countersByEndpoint = new TreeMap<>();
+  private final long[] requests;
   private final long[] unanswered;
   private long since;
 
-  public RequestStatistics(int types, long now) {
-    this.ops = new long[types];
-    this.unanswered = new long[types];
+  /** Starts an interval at {@code now}. */
+  public RequestStatistics(int requestClasses, long now) {
+    this.requests = new long[requestClasses];
+    this.unanswered = new long[requestClasses];
     this.since = now;
   }
 
-  public void came(RequestClassIndex type) {
-    ops[type.index()]++;
+  /** A request was received. */
+  public void requestReceived(RequestClassId requestClass) {
+    requests[requestClass.index()]++;
   }
 
-  public void unanswered(RequestClassIndex type) {
-    unanswered[type.index()]++;
+  /** An admitted request ended without a successful answer. */
+  public void requestUnanswered(RequestClassId requestClass) {
+    unanswered[requestClass.index()]++;
   }
 
-  /** A try ended; {@code load} null where the answer told none. */
-  public void met(EndpointName task, boolean good, long took, Load load) {
-    Cell cell = cells.computeIfAbsent(task.name(), n -> new Cell());
-    cell.tries++;
-    if (good) {
-      cell.goodTime += took;
+  /**
+   * An attempt ended.
+   *
+   * @param load null if the answer brought none
+   */
+  public void attemptEnded(EndpointId endpoint, boolean succeeded, long duration, LoadReport load) {
+    EndpointCounters counters =
+        countersByEndpoint.computeIfAbsent(endpoint.name(), name -> new EndpointCounters());
+    counters.attempts++;
+    if (succeeded) {
+      counters.successTime += duration;
     } else {
-      cell.bad++;
+      counters.failures++;
     }
     if (load != null) {
-      cell.load = load;
+      counters.load = load;
     }
   }
 
-  public List<Met> met() {
-    List<Met> all = new ArrayList<>();
-    cells.forEach((task, c) -> all.add(new Met(task, c.tries, c.bad, c.goodTime, c.load)));
-    return all;
+  /** What was observed at each endpoint, by name. */
+  public List<EndpointObservation> observations() {
+    List<EndpointObservation> observations = new ArrayList<>();
+    countersByEndpoint.forEach(
+        (endpoint, c) ->
+            observations.add(
+                new EndpointObservation(endpoint, c.attempts, c.failures, c.successTime, c.load)));
+    return observations;
   }
 
-  public long ops(RequestClassIndex type) {
-    return ops[type.index()];
+  /** Requests of a class that were received. */
+  public long requests(RequestClassId requestClass) {
+    return requests[requestClass.index()];
   }
 
-  public long unansweredOps(RequestClassIndex type) {
-    return unanswered[type.index()];
+  /** Requests of a class that were admitted and ended without a successful answer. */
+  public long unanswered(RequestClassId requestClass) {
+    return unanswered[requestClass.index()];
   }
 
-  /** The time that the figures stand for, tenths of a millisecond. */
-  public long span(long now) {
+  /** The time that the figures stand for; at least 1. */
+  public long interval(long now) {
     return Math.max(1, now - since);
   }
 
-  /** Starts anew: what was gathered is reported. */
-  public void clear(long now) {
-    cells.clear();
-    Arrays.fill(ops, 0);
+  /** Starts the next interval: what was gathered is reported. */
+  public void reset(long now) {
+    countersByEndpoint.clear();
+    Arrays.fill(requests, 0);
     Arrays.fill(unanswered, 0);
     since = now;
   }
--- /dev/null
+++ b/src/main/java/stonespring/proxy/routing/RetryRule.java
@@ -0,0 +1,47 @@
+package stonespring.proxy.routing;
+
+import stonespring.model.RetryPolicy;
+
+/**
+ * Whether a request may be sent again. A request that may have been executed is repeated only if
+ * the retry policy in force allows it and its class is safe to repeat.
+ */
+final class RetryRule {
+  private final RouterSettings settings;
+
+  RetryRule(RouterSettings settings) {
+    this.settings = settings;
+  }
+
+  /**
+   * Whether another attempt may be made.
+   *
+   * @param limit the limit that holds for the class and names the retry policy; null for the
+   *     default, a retry if it is proven that nothing was executed
+   */
+  boolean mayRetry(int requestClass, RequestProgress request, AdmissionLimit limit, long now) {
+    RetryPolicy policy = limit == null ? RetryPolicy.IF_NOT_EXECUTED : limit.retryPolicy();
+    boolean timeIsLeft = request.deadline() - now >= settings.minRetryTime();
+    if (policy == RetryPolicy.NEVER || !timeIsLeft || request.attempts() > maxRetries(policy)) {
+      return false;
+    }
+    if (request.provenNotExecuted()) {
+      return true;
+    }
+    return policy != RetryPolicy.IF_NOT_EXECUTED && isSafeToRepeat(requestClass, request, now);
+  }
+
+  private static int maxRetries(RetryPolicy policy) {
+    return policy == RetryPolicy.TWICE_ON_FAILURE ? 2 : 1;
+  }
+
+  private boolean isSafeToRepeat(int requestClass, RequestProgress request, long now) {
+    RouterSettings.ClassSettings of = settings.requestClasses().get(requestClass);
+    return switch (of.retrySafety()) {
+      case IDEMPOTENT -> true;
+      // The repeat must arrive before the endpoints forget the key of the first attempt.
+      case IDEMPOTENCY_KEYED -> now - request.firstAttemptAt() < of.deduplicationWindow();
+      case NON_IDEMPOTENT -> false;
+    };
+  }
+}
--- a/src/main/java/stonespring/proxy/routing/RouterSettings.java
+++ b/src/main/java/stonespring/proxy/routing/RouterSettings.java
@@ -5,34 +5,42 @@
 import stonespring.model.RetrySafety;
 
 /**
- * What a proxy's routing reads, decoded once. Times in tenths of a millisecond.
+ * What a proxy's routing is configured with. Durations are in {@link stonespring.model.DeciMillis}.
  *
- * @param window how long the tasks drop a repeat of a deduplicated op, from the first try that
- *     might have run
- * @param shunAfter a task is kept away from after so many of the proxy's own tries there in a row
- *     failed; 0: never
- * @param shunLeast the shortest time that it is kept away from; the time is drawn between this and
- *     {@code shunMost}
- * @param retryLeast the time that must be left before the op timeout for a further try
+ * @param requestClasses the request classes; a {@link stonespring.model.RequestClassId} is a
+ *     position among them
+ * @param ejectAfterConsecutiveFailures failures in a row of the proxy's own attempts after which it
+ *     ejects an endpoint; 0 for never
+ * @param minEjectionTime the shortest ejection; its time is drawn between this and {@code
+ *     maxEjectionTime}
+ * @param minRetryTime the time that must be left before the deadline for another attempt
+ * @param picking how an endpoint is picked from a table
+ * @param limitKind what the number of an admission limit means
  */
 public record RouterSettings(
-    List<Type> types,
-    int shunAfter,
-    long shunLeast,
-    long shunMost,
-    long retryLeast,
-    Picks picks,
-    AdmissionLimitKind levels) {
-  /** One op type. */
-  public record Type(String name, RetrySafety repeat, long window) {}
-
+    List<ClassSettings> requestClasses,
+    int ejectAfterConsecutiveFailures,
+    long minEjectionTime,
+    long maxEjectionTime,
+    long minRetryTime,
+    Picking picking,
+    AdmissionLimitKind limitKind) {
   /**
-   * How a line is picked: by weight, evenly by weight in turn, or of two drawn the one with fewer
-   * own ops out.
+   * One request class.
+   *
+   * @param name its name in published keys
+   * @param deduplicationWindow how long endpoints recognise a repeat by its key, from the first
+   *     attempt that might have been executed
    */
-  public enum Picks {
+  public record ClassSettings(String name, RetrySafety retrySafety, long deduplicationWindow) {}
+
+  /** How an endpoint is picked from the routes of a table. */
+  public enum Picking {
+    /** At random, by weight. */
     WEIGHTED,
-    ROUND,
-    TWO
+    /** In turn, by weight. */
+    ROUND_ROBIN,
+    /** Of two drawn by weight, the one with fewer of the proxy's own requests in flight. */
+    TWO_CHOICES
   }
 }
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -4,95 +4,124 @@
 import java.util.Map;
 
 /**
- * Keys to whole messages: gathers what comes until a commit says that a message is whole, and tells
- * at once when one is missing. It does no I/O; the keys that it is given are relative to the
- * proxy's subtree, an absent value is null.
+ * Turns published keys into whole updates: gathers what arrives until a commit says that an update
+ * is complete, and notices at once when something is missing. It does no I/O; keys are relative to
+ * the proxy's subtree, and the value of a deleted key is null.
  *
- * <p>A commit names its stream ({@code origin}), counts the stream's messages ({@code at}) and says
- * how many keys the message changed ({@code keys}). A message out of count, or with other keys than
- * it says, means that something was lost: nothing of it takes effect and the snapshot is to be
- * asked anew.
+ * <p>A commit names its stream, counts the stream's updates and says how many keys the update
+ * changed. An update out of sequence, or with another number of keys, means that something was
+ * lost: nothing of it takes effect, and the snapshot has to be requested.
  */
 public final class TableSubscriber {
+  /** The key that ends an update. */
+  public static final String COMMIT_KEY = "commit";
+
+  /** An update with more keys is no route table. */
+  private static final int MAX_KEYS = 100_000;
+
   /** What a key led to. */
   public sealed interface Step {
     /** Nothing yet. */
     record Gathered() implements Step {}
 
     /**
-     * A whole message; with {@code whole} it is all that the stream ordered so far. {@code mark}
-     * -1: none.
+     * A whole update.
+     *
+     * @param stream the stream that it belongs to
+     * @param wholeState whether it is all that the stream has sent so far
+     * @param changes values by key, in the order of arrival; null for a deleted key
+     * @param ackId the number to acknowledge, or {@link Commit#NO_ACK}
      */
-    record Message(String origin, boolean whole, Map<String, String> changes, int mark)
+    record Update(String stream, boolean wholeState, Map<String, String> changes, int ackId)
         implements Step {}
 
     /** Something is missing. */
     record Resync(String cause) implements Step {}
 
-    /** The stream ended at the assigner; what is held stands. */
+    /** The stream ended at the instance; what is held stands. */
     record Ended() implements Step {}
   }
 
-  /** A commit as it came. */
-  public record Commit(String origin, int at, int keys, int mark) {}
+  /**
+   * A commit.
+   *
+   * @param stream the stream of updates that it belongs to
+   * @param sequence counts the stream's updates, from 1
+   * @param keys how many keys the update changed
+   * @param ackId the number to acknowledge, or {@link #NO_ACK}
+   */
+  public record Commit(String stream, int sequence, int keys, int ackId) {
+    /** In place of a number where no acknowledgement is requested. */
+    public static final int NO_ACK = -1;
+  }
 
   private static final Step GATHERED = new Step.Gathered();
-  private static final int KEYS_MOST = 100_000; // keys of one message; more is no table
 
   private final LinkedHashMap<String, String> gathered = new LinkedHashMap<>();
-  private String origin = "";
-  private int at;
+  private String stream = "";
+  private int sequence;
 
-  /** One update; {@code commit} is set where the key is the commit. */
-  public Step update(String key, String value, Commit commit) {
-    if (!key.equals("commit")) {
-      if (gathered.size() >= KEYS_MOST) {
-        gathered.clear();
-        return new Step.Resync("over " + KEYS_MOST + " keys came without a commit");
-      }
-      gathered.remove(key);
-      gathered.put(key, value);
-      return GATHERED;
+  /**
+   * One key changed.
+   *
+   * @param value null if it was deleted
+   * @param commit the decoded value if the key is {@link #COMMIT_KEY}, else null
+   */
+  public Step keyChanged(String key, String value, Commit commit) {
+    if (!key.equals(COMMIT_KEY)) {
+      return gather(key, value);
     }
     if (value == null) {
       gathered.clear();
       return new Step.Ended();
     }
+    return complete(commit);
+  }
+
+  private Step gather(String key, String value) {
+    if (gathered.size() >= MAX_KEYS) {
+      gathered.clear();
+      return new Step.Resync("over " + MAX_KEYS + " keys came without a commit");
+    }
+    gathered.remove(key);
+    gathered.put(key, value);
+    return GATHERED;
+  }
+
+  private Step complete(Commit commit) {
     LinkedHashMap<String, String> changes = new LinkedHashMap<>(gathered);
     gathered.clear();
-    int expected = commit.origin().equals(origin) ? at + 1 : 1;
-    if (commit.at() != expected || commit.keys() != changes.size()) {
-      return new Step.Resync(
-          "message "
-              + commit.at()
-              + " of "
-              + commit.origin()
-              + " with "
-              + changes.size()
-              + " of "
-              + commit.keys()
-              + " keys came where message "
-              + expected
-              + " was due");
+    int expected = commit.stream().equals(stream) ? sequence + 1 : 1;
+    if (commit.sequence() != expected || commit.keys() != changes.size()) {
+      return new Step.Resync(gap(commit, changes.size(), expected));
     }
-    origin = commit.origin();
-    at = commit.at();
-    return new Step.Message(origin, at == 1, changes, commit.mark());
+    stream = commit.stream();
+    sequence = commit.sequence();
+    return new Step.Update(stream, sequence == 1, changes, commit.ackId());
+  }
+
+  private static String gap(Commit commit, int keys, int expected) {
+    return String.format(
+        "update %d of %s with %d of %d keys came where update %d was due",
+        commit.sequence(), commit.stream(), keys, commit.keys(), expected);
   }
 
-  /** A whole snapshot; without a commit nothing was ordered yet. */
+  /**
+   * A whole snapshot.
+   *
+   * @param commit null if the stream has sent nothing yet
+   */
   public Step snapshot(Map<String, String> keys, Commit commit) {
     gathered.clear();
     if (commit == null) {
       return GATHERED;
     }
-    boolean news = !commit.origin().equals(origin) || commit.at() != at;
-    origin = commit.origin();
-    at = commit.at();
+    boolean isNew = !commit.stream().equals(stream) || commit.sequence() != sequence;
+    stream = commit.stream();
+    sequence = commit.sequence();
     Map<String, String> changes = new LinkedHashMap<>(keys);
-    changes.remove("commit");
-    // What the mark asks is answered from the snapshot too: the message that carried it may never
-    // come.
-    return news ? new Step.Message(origin, true, changes, commit.mark()) : GATHERED;
+    changes.remove(COMMIT_KEY);
+    // The snapshot is acknowledged too: the update that asked for it may never arrive.
+    return isNew ? new Step.Update(stream, true, changes, commit.ackId()) : GATHERED;
   }
 }
--- a/src/main/java/stonespring/testbed/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -33,10 +33,10 @@
 import stonespring.chp.ChpServer;
 import stonespring.config.InstanceSettings;
 import stonespring.model.AdmissionLimitKind;
+import stonespring.model.EndpointId;
 import stonespring.model.RetrySafety;
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
-import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.zmtp.Wire;
 import stonespring.zmtp.ZmtpLimits;
@@ -123,20 +123,20 @@
   }
 
   private static ProxySettings settings(InstanceSettings of, int i, int port) {
-    List<RouterSettings.Type> types =
+    List<RouterSettings.ClassSettings> types =
         of.opTypeNames().stream()
-            .map(n -> new RouterSettings.Type(n, RetrySafety.IDEMPOTENT, 0))
+            .map(n -> new RouterSettings.ClassSettings(n, RetrySafety.IDEMPOTENT, 0))
             .toList();
     RouterSettings router =
         new RouterSettings(
-            types, 0, 0, 0, 500, RouterSettings.Picks.TWO, AdmissionLimitKind.FRACTION);
+            types, 0, 0, 0, 500, RouterSettings.Picking.TWO_CHOICES, AdmissionLimitKind.FRACTION);
     return new ProxySettings(
         "p" + i,
         of.zones().get(i % of.zones().size()),
         i,
         router,
         StandIns.opTimeouts(of),
-        List.of(new EndpointName("m1@127.0.0.1:9101")),
+        List.of(new EndpointId("m1@127.0.0.1:9101")),
         List.of(new ProxySettings.Ports("127.0.0.1", port, port + 1, port + 2)),
         2,
         0,
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -23,12 +23,12 @@
 import org.slf4j.LoggerFactory;
 import stonespring.chp.ChpClient;
 import stonespring.chp.ChpMessage;
+import stonespring.model.EndpointId;
 import stonespring.model.RequestClass;
 import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
-import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.recording.Recording;
 import stonespring.zmtp.ZmtpLimits;
@@ -296,15 +296,15 @@
   }
 
   /** Tasks that run and are listed, drawn in the proxy's zone where three are there. */
-  private List<EndpointName> standing(int zone, int most) {
+  private List<EndpointId> standing(int zone, int most) {
     List<TaskStandIn> up = new ArrayList<>(tasks.stream().filter(TaskStandIn::isUp).toList());
     List<TaskStandIn> near =
         new ArrayList<>(
             up.stream().filter(t -> t.zone().equals(day.assigner().zones().get(zone))).toList());
     List<TaskStandIn> from = near.size() >= 3 ? near : up;
-    List<EndpointName> drawn = new ArrayList<>();
+    List<EndpointId> drawn = new ArrayList<>();
     while (drawn.size() < most && !from.isEmpty()) {
-      drawn.add(new EndpointName(from.remove(random.nextInt(from.size())).id()));
+      drawn.add(new EndpointId(from.remove(random.nextInt(from.size())).id()));
     }
     return drawn;
   }
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -36,11 +36,12 @@
   /** The same for settings and the names of their op types. */
   public static RouterSettings routing(
       Settings s, List<String> names, ToLongFunction<RequestClass> window) {
-    List<RouterSettings.Type> types = new ArrayList<>();
+    List<RouterSettings.ClassSettings> types = new ArrayList<>();
     for (int k = 0; k < s.requestClasses().size(); k++) {
       RequestClass type = s.requestClasses().get(k);
       types.add(
-          new RouterSettings.Type(names.get(k), type.retrySafety(), window.applyAsLong(type)));
+          new RouterSettings.ClassSettings(
+              names.get(k), type.retrySafety(), window.applyAsLong(type)));
     }
     return new RouterSettings(
         types,
@@ -48,7 +49,7 @@
         SHUN_LEAST,
         SHUN_MOST,
         RETRY_LEAST,
-        RouterSettings.Picks.TWO,
+        RouterSettings.Picking.TWO_CHOICES,
         s.admissionLimitKind());
   }
 
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -14,7 +14,6 @@
 import stonespring.model.Event;
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
-import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.recording.LoadSample;
 import stonespring.recording.Recording;
@@ -106,13 +105,13 @@
     core.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
     RouterSettings routing = StandIns.routing(settings(), names, type -> DEDUPLICATED_FOR);
     for (Recording.Proxy p : recording.head().proxies()) {
-      List<EndpointName> near =
+      List<EndpointId> near =
           new ArrayList<>(
               listed.stream()
                   .filter(l -> l.zone().index() == p.zone())
-                  .map(l -> new EndpointName(l.endpoint().name()))
+                  .map(l -> new EndpointId(l.endpoint().name()))
                   .toList());
-      List<EndpointName> standing = new ArrayList<>();
+      List<EndpointId> standing = new ArrayList<>();
       while (standing.size() < settings().routing().bootstrapRouteCount() && !near.isEmpty()) {
         standing.add(near.remove(random.nextInt(near.size())));
       }
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -15,8 +15,7 @@
 import stonespring.model.RetrySafety;
 import stonespring.model.ZoneId;
 import stonespring.proxy.CommitLog;
-import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.proxy.routing.RequestProgress;
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
@@ -56,15 +55,15 @@
       VirtualFleet fleet,
       Recording.Proxy proxy,
       RouterSettings routing,
-      List<EndpointName> standing,
+      List<EndpointId> standing,
       long seed) {
     this.fleet = fleet;
     this.proxy = proxy;
     this.agenda = fleet.agenda;
     this.random = new SplittableRandom(seed);
     this.router = new Router(routing, random.nextLong());
-    this.router.standing(standing);
-    this.tally = new RequestStatistics(routing.types().size(), 0);
+    this.router.useBootstrapRoutes(standing);
+    this.tally = new RequestStatistics(routing.requestClasses().size(), 0);
   }
 
   String name() {
@@ -92,7 +91,7 @@
             new ZoneId(proxy.zone()),
             proxy.usualOps(),
             true,
-            router.named().stream().map(EndpointId::new).toList()),
+            router.namedEndpoints().stream().map(EndpointId::new).toList()),
         24 * 3600 * DeciMillis.SECOND,
         this,
         agenda.now());
@@ -102,7 +101,7 @@
     String value =
         update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
     TableSubscriber.Step step =
-        follower.update(
+        follower.keyChanged(
             key,
             value,
             value != null && key.equals("commit") ? CommitLog.read(update.value()) : null);
@@ -110,17 +109,17 @@
       throw new IllegalStateException(
           proxy.name() + " lost a message where none can be: " + resync.cause());
     }
-    if (step instanceof TableSubscriber.Step.Message message) {
+    if (step instanceof TableSubscriber.Step.Update message) {
       router.apply(message);
       fleet.changed(message.changes().keySet().stream().filter(k -> k.startsWith("line/")).count());
-      boolean empty = router.weights(new RequestClassIndex(0)).isEmpty();
+      boolean empty = router.weights(new RequestClassId(0)).isEmpty();
       if (empty != bareSince >= 0) {
         bare += empty ? 0 : (double) (agenda.now() - bareSince) / DeciMillis.SECOND;
         bareSince = empty ? agenda.now() : -1;
       }
-      if (message.mark() >= 0) {
+      if (message.ackId() >= 0) {
         core.answered(
-            proxy.name(), message.origin(), message.mark(), fleet.away(), this, agenda.now());
+            proxy.name(), message.stream(), message.ackId(), fleet.away(), this, agenda.now());
       }
     }
   }
@@ -129,29 +128,25 @@
   void report(
       java.util.function.BiConsumer<List<ReportAggregator.Met>, List<ReportAggregator.Came>> to) {
     List<ReportAggregator.Met> met = new ArrayList<>();
-    for (RequestStatistics.Met m : tally.met()) {
-      long good = m.tries() - m.bad();
-      RequestStatistics.Load l = m.load();
+    for (RequestStatistics.EndpointObservation m : tally.observations()) {
+      long good = m.attempts() - m.failures();
       met.add(
           new ReportAggregator.Met(
-              new EndpointId(m.task()),
-              m.tries(),
-              m.bad(),
-              good == 0 ? 0 : m.goodTime() / good,
-              l == null
-                  ? LoadReport.NONE
-                  : new LoadReport(
-                      l.busy(), l.waiting(), l.inHand(), l.workMs(), l.opsPerSecond())));
+              new EndpointId(m.endpoint()),
+              m.attempts(),
+              m.failures(),
+              good == 0 ? 0 : m.successTime() / good,
+              m.load() == null ? LoadReport.NONE : m.load()));
     }
     List<ReportAggregator.Came> came = new ArrayList<>();
     for (int k = 0; k < fleet.types(); k++) {
       came.add(
           new ReportAggregator.Came(
               new RequestClassId(k),
-              tally.ops(new RequestClassIndex(k)),
-              tally.unansweredOps(new RequestClassIndex(k))));
+              tally.requests(new RequestClassId(k)),
+              tally.unanswered(new RequestClassId(k))));
     }
-    tally.clear(agenda.now());
+    tally.reset(agenda.now());
     to.accept(met, came);
   }
 
@@ -163,7 +158,7 @@
   }
 
   private final class Op {
-    private final RequestClassIndex type;
+    private final RequestClassId type;
     private final RequestClass settings;
     private final long askedAt = agenda.now();
     private final long until;
@@ -172,12 +167,12 @@
     private int tries;
     private boolean proven;
     private long firstAt;
-    private EndpointName open;
+    private EndpointId open;
     private long openSince;
     private boolean done;
 
     Op(int k) {
-      type = new RequestClassIndex(k);
+      type = new RequestClassId(k);
       settings = fleet.settings().requestClasses().get(k);
       until = askedAt + fleet.type(k).opTimeout();
       fleet.asked(askedAt, settings.priorityWeight());
@@ -186,7 +181,7 @@
     }
 
     void come() {
-      tally.came(type);
+      tally.requestReceived(type);
       tries = 0;
       proven = true;
       if (router.admit(type, agenda.now())) {
@@ -198,7 +193,7 @@
 
     private void refused(boolean byLevel) {
       if (!byLevel) {
-        tally.unanswered(type);
+        tally.requestUnanswered(type);
       }
       boolean may = settings.retrySafety() == RetrySafety.IDEMPOTENT || proven;
       if (may && came < AGAIN_MOST && until - agenda.now() > AGAIN_AFTER + AGAIN_LEAST) {
@@ -216,8 +211,8 @@
       }
     }
 
-    private void send(EndpointName not) {
-      EndpointName task = router.pick(type, not, agenda.now());
+    private void send(EndpointId not) {
+      EndpointId task = router.pick(type, not, agenda.now()).orElse(null);
       if (task == null) {
         refused(false);
         return;
@@ -251,25 +246,20 @@
     }
 
     private void ended(
-        int mine,
-        EndpointName task,
-        long began,
-        boolean good,
-        boolean ran,
-        RequestStatistics.Load load) {
+        int mine, EndpointId task, long began, boolean good, boolean ran, LoadReport load) {
       if (mine != life) {
         return; // nobody waits for it any more
       }
       long now = agenda.now();
       open = null;
-      router.ended(task, good, now);
-      tally.met(task, good, now - began, load);
+      router.attemptEnded(task, good, now);
+      tally.attemptEnded(task, good, now - began, load);
       if (good) {
         over(true, false, true);
         return;
       }
       proven &= !ran;
-      if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
+      if (router.mayRetry(type, new RequestProgress(tries, proven, firstAt, until), now)) {
         send(task);
       } else {
         refused(false);
@@ -284,9 +274,9 @@
       life++;
       long now = agenda.now();
       if (open != null) {
-        router.ended(open, false, now);
-        tally.met(open, false, now - openSince, null);
-        tally.unanswered(type);
+        router.attemptEnded(open, false, now);
+        tally.attemptEnded(open, false, now - openSince, null);
+        tally.requestUnanswered(type);
       }
       boolean inTime = good && now - askedAt <= settings.latencyObjective();
       fleet.over(askedAt, inTime ? settings.priorityWeight() : 0, rejected, !answered);
--- a/src/main/java/stonespring/testbed/virtual/VirtualTask.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualTask.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import stonespring.model.DeciMillis;
+import stonespring.model.LoadReport;
 import stonespring.model.Settings;
-import stonespring.proxy.routing.RequestStatistics;
 import stonespring.recording.LoadSample;
 
 /**
@@ -24,7 +24,7 @@
     /**
      * @param ran false where it was refused before it was read
      */
-    void end(boolean good, boolean ran, RequestStatistics.Load load);
+    void end(boolean good, boolean ran, LoadReport load);
   }
 
   private record Job(long work, long until, Ending ending) {}
@@ -166,7 +166,7 @@
     }
   }
 
-  private RequestStatistics.Load load() {
+  private LoadReport load() {
     long now = agenda.now();
     long from = now - LOOK_BACK;
     busy.removeIf(span -> span[1] < from);
@@ -175,7 +175,7 @@
         busy.stream().mapToDouble(s -> Math.min(now, s[1]) - Math.max(from, s[0])).sum()
             / LOOK_BACK
             / Math.max(1, cores);
-    return new RequestStatistics.Load(
+    return new LoadReport(
         Math.min(1, share / claims), queue.size(), Double.NaN, Double.NaN, ended.size());
   }
 }
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -28,8 +28,6 @@
 import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
-import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.RequestClassIndex;
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.proxy.routing.TableSubscriber;
@@ -52,13 +50,13 @@
   private static final RouterSettings ROUTING =
       new RouterSettings(
           List.of(
-              new RouterSettings.Type("view", RetrySafety.IDEMPOTENT, 0),
-              new RouterSettings.Type("extract", RetrySafety.NON_IDEMPOTENT, 0)),
+              new RouterSettings.ClassSettings("view", RetrySafety.IDEMPOTENT, 0),
+              new RouterSettings.ClassSettings("extract", RetrySafety.NON_IDEMPOTENT, 0)),
           0,
           0,
           0,
           0,
-          RouterSettings.Picks.WEIGHTED,
+          RouterSettings.Picking.WEIGHTED,
           AdmissionLimitKind.FRACTION);
 
   /** A connection that notes why it was ended. */
@@ -169,7 +167,7 @@
             update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
         step(
             seat,
-            seat.follower.update(
+            seat.follower.keyChanged(
                 key, value, value != null && key.equals("commit") ? commit(value) : null));
       }
     }
@@ -200,17 +198,17 @@
   }
 
   private void step(Seat seat, TableSubscriber.Step step) {
-    if (step instanceof TableSubscriber.Step.Message message) {
+    if (step instanceof TableSubscriber.Step.Update message) {
       seat.router.apply(message);
-      seat.origin = message.origin();
+      seat.origin = message.stream();
       seat.messages.add(now);
       seat.messages.removeIf(
           at -> now - at > settings.channel().messageWindow() || at < seat.joinedAt);
       assertTrue(
           seat.messages.size() <= settings.channel().maxMessagesPerProxy(),
           "rule 5: messages to " + seat.name);
-      if (message.mark() >= 0) {
-        seat.marks.add(new int[] {message.mark()});
+      if (message.ackId() >= 0) {
+        seat.marks.add(new int[] {message.ackId()});
       }
     } else if (step instanceof TableSubscriber.Step.Resync) {
       resyncs++;
@@ -234,11 +232,11 @@
     boolean fresh = seat.router == null;
     if (fresh) {
       seat.router = new Router(ROUTING, random.nextLong());
-      seat.router.standing(
+      seat.router.useBootstrapRoutes(
           list.values().stream()
               .filter(l -> l.state() == EndpointRecord.State.READY)
               .limit(3)
-              .map(l -> new EndpointName(l.endpoint().name()))
+              .map(l -> new EndpointId(l.endpoint().name()))
               .toList());
     }
     seat.line = new Line();
@@ -257,8 +255,8 @@
             seat.stream,
             new ZoneId(seat.zone),
             10,
-            seat.router.fresh(),
-            seat.router.named().stream().map(EndpointId::new).toList()),
+            seat.router.isWithoutTables(),
+            seat.router.namedEndpoints().stream().map(EndpointId::new).toList()),
         3 * SECOND,
         seat.line,
         now);
@@ -284,7 +282,7 @@
   private void report(Seat seat) {
     List<ReportAggregator.Met> met = new ArrayList<>();
     seat.router
-        .weights(new RequestClassIndex(0))
+        .weights(new RequestClassId(0))
         .forEach(
             (task, weight) -> {
               boolean up = list.containsKey(task);
@@ -319,7 +317,7 @@
         continue;
       }
       for (int k = 0; k < 2; k++) {
-        Map<String, Double> weights = seat.router.weights(new RequestClassIndex(k));
+        Map<String, Double> weights = seat.router.weights(new RequestClassId(k));
         for (String task : weights.keySet()) {
           long told = Math.max(leftAt.getOrDefault(task, Long.MAX_VALUE / 2), seat.joinedAt);
           assertTrue(
@@ -414,14 +412,16 @@
     int compared = 0;
     for (Seat seat : run.seats) {
       Map<String, Double> followed =
-          seat.line == null ? Map.of() : seat.router.weights(new RequestClassIndex(0));
+          seat.line == null ? Map.of() : seat.router.weights(new RequestClassId(0));
       Router late = new Router(ROUTING, 1);
       Seat other = new Seat(seat.name, seat.zone);
       other.router = late;
       other.line = new Line();
       run.snapshot(other);
-      if (!late.fresh() && !late.weights(new RequestClassIndex(0)).isEmpty() && seat.line != null) {
-        assertEquals(followed, late.weights(new RequestClassIndex(0)));
+      if (!late.isWithoutTables()
+          && !late.weights(new RequestClassId(0)).isEmpty()
+          && seat.line != null) {
+        assertEquals(followed, late.weights(new RequestClassId(0)));
         compared++;
       }
     }
--- a/src/test/java/stonespring/proxy/ProofTest.java
+++ b/src/test/java/stonespring/proxy/ProofTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import stonespring.http.HttpClient;
 import stonespring.model.AdmissionLimitKind;
+import stonespring.model.EndpointId;
 import stonespring.model.RetrySafety;
-import stonespring.proxy.routing.EndpointName;
 import stonespring.proxy.routing.RequestOutcome;
 import stonespring.proxy.routing.RouterSettings;
 
@@ -61,16 +61,16 @@
   private void start(int... ports) throws Exception {
     RouterSettings routing =
         new RouterSettings(
-            List.of(new RouterSettings.Type("extract", RetrySafety.NON_IDEMPOTENT, 0)),
+            List.of(new RouterSettings.ClassSettings("extract", RetrySafety.NON_IDEMPOTENT, 0)),
             0,
             0,
             0,
             10,
-            RouterSettings.Picks.WEIGHTED,
+            RouterSettings.Picking.WEIGHTED,
             AdmissionLimitKind.NONE);
-    List<EndpointName> standing =
+    List<EndpointId> standing =
         java.util.Arrays.stream(ports)
-            .mapToObj(p -> new EndpointName("t" + p + "@127.0.0.1:" + p))
+            .mapToObj(p -> new EndpointId("t" + p + "@127.0.0.1:" + p))
             .toList();
     proxy =
         new Proxy(
@@ -241,10 +241,9 @@
   void everyFailureOfACallIsInTheList() {
     for (HttpClient.Failure failure : HttpClient.Failure.values()) {
       assertEquals(
-          failure == HttpClient.Failure.UNREACHED,
-          RequestOutcome.valueOf(failure.name()).neverRan());
+          failure == HttpClient.Failure.UNREACHED, Proxy.outcome(failure).provesNotExecuted());
     }
-    assertEquals(RequestOutcome.GOOD, RequestOutcome.answered(200, true));
-    assertTrue(RequestOutcome.answered(503, true).neverRan());
+    assertEquals(RequestOutcome.SUCCEEDED, RequestOutcome.ofAnswer(200, true));
+    assertTrue(RequestOutcome.ofAnswer(503, true).provesNotExecuted());
   }
 }
