--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -13,9 +13,10 @@
 import stonespring.http.HttpRequest;
 import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
-import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.model.EndpointId;
+import stonespring.model.RequestClassId;
 import stonespring.proxy.routing.RequestOutcome;
+import stonespring.proxy.routing.RequestProgress;
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
 
@@ -53,8 +54,8 @@
     this.set = settings;
     this.loop = loop;
     this.router = new Router(settings.router(), settings.seed());
-    this.router.standing(settings.standing());
-    this.tally = new RequestStatistics(settings.router().types().size(), 0);
+    this.router.useBootstrapRoutes(settings.standing());
+    this.tally = new RequestStatistics(settings.router().requestClasses().size(), 0);
     this.link = new AssignerLink(settings, loop, router, tally);
     this.client = new HttpClient(loop, CONNECT_MILLIS, BODY_MOST, IDLE_MOST);
     this.server =
@@ -114,25 +115,25 @@
   }
 
   private void closeUnused() {
-    TreeSet<String> named = router.named();
+    TreeSet<String> named = router.namedEndpoints();
     for (String task : new TreeSet<>(connected)) {
       if (!named.contains(task)) {
         connected.remove(task);
-        client.closeIdle(ProxySettings.address(new EndpointName(task)));
+        client.closeIdle(ProxySettings.address(new EndpointId(task)));
       }
     }
   }
 
   private void take(HttpRequest request, HttpServer.Exchange exchange) {
     int k = -1;
-    for (int i = 0; i < set.router().types().size(); i++) {
-      k = request.target().equals("/op/" + set.router().types().get(i).name()) ? i : k;
+    for (int i = 0; i < set.router().requestClasses().size(); i++) {
+      k = request.target().equals("/op/" + set.router().requestClasses().get(i).name()) ? i : k;
     }
     if (k < 0 || !request.method().equals("POST") || request.header("x-op").isEmpty()) {
       exchange.respond(HttpResponse.of(404, "POST /op/TYPE with header x-op\n"));
       return;
     }
-    Op op = new Op(new RequestClassIndex(k), request, exchange);
+    Op op = new Op(new RequestClassId(k), request, exchange);
     if (!still) {
       op.start();
     } else if (held.size() < IN_HAND_MOST) {
@@ -142,33 +143,34 @@
     }
   }
 
-  private static HttpResponse refusal(int status, String why) {
-    return HttpResponse.of(status, why + "\n")
-        .setHeader("retry-after", "1")
-        .setHeader(NOT_RUN, "1")
-        .setHeader("x-reason", why);
-  }
-
   private static RequestOutcome outcome(HttpCallResult result) {
     if (result instanceof HttpCallResult.Completed completed) {
       HttpResponse response = completed.response();
-      return RequestOutcome.answered(response.status(), response.header(NOT_RUN).equals("1"));
+      return RequestOutcome.ofAnswer(response.status(), response.header(NOT_RUN).equals("1"));
     }
     return outcome(((HttpCallResult.Failed) result).failure());
   }
 
+  /** The outcome of a call that brought no answer. */
   static RequestOutcome outcome(HttpCallFailure failure) {
     return switch (failure) {
-      case CONNECT_FAILED -> RequestOutcome.UNREACHED;
-      case CONNECTION_LOST -> RequestOutcome.BROKEN;
+      case CONNECT_FAILED -> RequestOutcome.NOT_CONNECTED;
+      case CONNECTION_LOST -> RequestOutcome.CONNECTION_BROKEN;
       case TIMED_OUT -> RequestOutcome.TIMED_OUT;
-      case MALFORMED_RESPONSE -> RequestOutcome.GARBLED;
+      case MALFORMED_RESPONSE -> RequestOutcome.MALFORMED_ANSWER;
     };
   }
 
+  private static HttpResponse refusal(int status, String why) {
+    return HttpResponse.of(status, why + "\n")
+        .setHeader("retry-after", "1")
+        .setHeader(NOT_RUN, "1")
+        .setHeader("x-reason", why);
+  }
+
   /** One op on its way. */
   private final class Op {
-    private final RequestClassIndex type;
+    private final RequestClassId type;
     private final HttpRequest request;
     private final HttpServer.Exchange exchange;
     private final long until;
@@ -176,7 +178,7 @@
     private boolean proven = true;
     private long firstAt;
 
-    Op(RequestClassIndex type, HttpRequest request, HttpServer.Exchange exchange) {
+    Op(RequestClassId type, HttpRequest request, HttpServer.Exchange exchange) {
       this.type = type;
       this.request = request;
       this.exchange = exchange;
@@ -187,7 +189,7 @@
     }
 
     void start() {
-      tally.came(type);
+      tally.requestReceived(type);
       if (link.now() >= until) {
         exchange.respond(refusal(504, "timeout")); // it waited here for longer than its client does
       } else if (inHand >= IN_HAND_MOST) {
@@ -200,8 +202,8 @@
       }
     }
 
-    private void send(EndpointName not) {
-      EndpointName task = router.pick(type, not, link.now());
+    private void send(EndpointId not) {
+      EndpointId task = router.pick(type, not, link.now()).orElse(null);
       if (task == null) {
         finish(not == null ? refusal(503, "no-task") : failed(503, "failed"));
         return;
@@ -222,14 +224,14 @@
       client.call(to, call, left, result -> ended(task, began, result));
     }
 
-    private void ended(EndpointName task, long began, HttpCallResult result) {
+    private void ended(EndpointId task, long began, HttpCallResult result) {
       long now = link.now();
       HttpResponse answer =
           result instanceof HttpCallResult.Completed completed ? completed.response() : null;
       RequestOutcome ending = outcome(result);
-      boolean good = ending == RequestOutcome.GOOD;
-      router.ended(task, good, now);
-      tally.met(
+      boolean good = ending == RequestOutcome.SUCCEEDED;
+      router.attemptEnded(task, good, now);
+      tally.attemptEnded(
           task,
           good,
           now - began,
@@ -238,8 +240,8 @@
         finish(HttpResponse.of(200, answer.text()));
         return;
       }
-      proven &= ending.neverRan();
-      if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
+      proven &= ending.provesNotExecuted();
+      if (router.mayRetry(type, new RequestProgress(tries, proven, firstAt, until), now)) {
         send(task);
       } else {
         finish(ending == RequestOutcome.TIMED_OUT ? failed(504, "timeout") : failed(503, "failed"));
@@ -258,7 +260,7 @@
     private void finish(HttpResponse answer) {
       inHand--;
       if (answer.status() != 200) {
-        tally.unanswered(type);
+        tally.requestUnanswered(type);
       }
       exchange.respond(answer);
     }
