--- a/src/main/java/stonespring/chp/ChpBackend.java
+++ b/src/main/java/stonespring/chp/ChpBackend.java
@@ -1,6 +1,6 @@
 package stonespring.chp;
 
-import stonespring.zmtp.ZmtpPeer;
+import stonespring.zmtp.ZmtpConnection;
 
 /**
  * What stands behind a server's three ports. Calls come on the server's event loop and must not
@@ -8,11 +8,11 @@
  */
 public interface ChpBackend {
   /** A client asks for a subtree; the answer is its KVSYNCs and one KTHXBAI. */
-  void snapshotAsked(ZmtpPeer peer, String subtree);
+  void snapshotAsked(ZmtpConnection peer, String subtree);
 
   /** A client sets a key. A {@link ChpException} ends its connection. */
-  void keySet(ZmtpPeer peer, ChpMessage.KvSet set);
+  void keySet(ZmtpConnection peer, ChpMessage.KvSet set);
 
   /** A collector's connection ended. */
-  void collectorClosed(ZmtpPeer peer);
+  void collectorClosed(ZmtpConnection peer);
 }
--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import stonespring.zmtp.SocketType;
-import stonespring.zmtp.ZmtpEvents;
+import stonespring.zmtp.ZmtpConnection;
 import stonespring.zmtp.ZmtpLimits;
-import stonespring.zmtp.ZmtpPeer;
+import stonespring.zmtp.ZmtpListener;
 import stonespring.zmtp.ZmtpSockets;
 
 /**
@@ -42,9 +42,9 @@
   private final long silenceMillis;
   private final Listener listener;
   private final List<ChannelFuture> dials = new ArrayList<>();
-  private ZmtpPeer snapshots;
-  private ZmtpPeer updates;
-  private ZmtpPeer collector;
+  private ZmtpConnection snapshots;
+  private ZmtpConnection updates;
+  private ZmtpConnection collector;
   private boolean live;
   private boolean asked;
   private boolean synced;
@@ -89,9 +89,9 @@
     loop.schedule(this::watch, silenceMillis / 2, TimeUnit.MILLISECONDS);
   }
 
-  private void one(SocketType type, String host, int port, ZmtpLimits limits, ZmtpEvents events) {
+  private void one(SocketType type, String host, int port, ZmtpLimits limits, ZmtpListener events) {
     ChannelFuture dial =
-        ZmtpSockets.dial(loop, type, new InetSocketAddress(host, port), limits, events);
+        ZmtpSockets.connect(loop, type, new InetSocketAddress(host, port), limits, events);
     dials.add(dial);
     dial.addListener(
         f -> {
@@ -165,15 +165,15 @@
     listener.ended(cause);
   }
 
-  private final class Snapshots implements ZmtpEvents {
+  private final class Snapshots implements ZmtpListener {
     @Override
-    public void opened(ZmtpPeer peer) {
+    public void opened(ZmtpConnection peer) {
       snapshots = peer;
       ask();
     }
 
     @Override
-    public void message(ZmtpPeer peer, List<byte[]> frames) {
+    public void message(ZmtpConnection peer, List<byte[]> frames) {
       try {
         take(ChpMessage.readSync(frames));
       } catch (ChpException e) {
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void closed(ZmtpPeer peer) {
+    public void closed(ZmtpConnection peer) {
       end("the snapshot port's connection ended");
     }
   }
@@ -214,9 +214,9 @@
     }
   }
 
-  private final class Updates implements ZmtpEvents {
+  private final class Updates implements ZmtpListener {
     @Override
-    public void opened(ZmtpPeer peer) {
+    public void opened(ZmtpConnection peer) {
       updates = peer;
       peer.subscribe(ChpMessage.bytes(subtree));
       // Asked for last: once it is heard, the subtree's subscription is in force.
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void message(ZmtpPeer peer, List<byte[]> frames) {
+    public void message(ZmtpConnection peer, List<byte[]> frames) {
       lastHeard = System.nanoTime();
       try {
         ChpMessage message = ChpMessage.readUpdate(frames);
@@ -247,26 +247,26 @@
     }
 
     @Override
-    public void closed(ZmtpPeer peer) {
+    public void closed(ZmtpConnection peer) {
       end("the update port's connection ended");
     }
   }
 
-  private final class Collector implements ZmtpEvents {
+  private final class Collector implements ZmtpListener {
     @Override
-    public void opened(ZmtpPeer peer) {
+    public void opened(ZmtpConnection peer) {
       collector = peer;
     }
 
     @Override
-    public void subscription(ZmtpPeer peer, byte[] prefix, boolean on) {
+    public void subscription(ZmtpConnection peer, byte[] prefix, boolean on) {
       // A publisher's messages before this would go nowhere.
       collectorListens = on;
       ask();
     }
 
     @Override
-    public void closed(ZmtpPeer peer) {
+    public void closed(ZmtpConnection peer) {
       end("the collector's connection ended");
     }
   }
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import stonespring.zmtp.SocketType;
-import stonespring.zmtp.ZmtpEvents;
+import stonespring.zmtp.ZmtpConnection;
 import stonespring.zmtp.ZmtpLimits;
-import stonespring.zmtp.ZmtpPeer;
+import stonespring.zmtp.ZmtpListener;
 import stonespring.zmtp.ZmtpSockets;
 
 /**
@@ -82,7 +82,7 @@
             .scheduleAtFixedRate(publisher::beat, BEAT_MILLIS, BEAT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void bind(SocketType type, String host, int at, ZmtpEvents events)
+  private void bind(SocketType type, String host, int at, ZmtpListener events)
       throws IOException, InterruptedException {
     SocketAddress address = new InetSocketAddress(host, at);
     ChannelFuture bound =
@@ -127,21 +127,21 @@
   }
 
   /** Passes on, and remembers which connections are open. */
-  private final class Noted implements ZmtpEvents {
-    private final ZmtpEvents to;
+  private final class Noted implements ZmtpListener {
+    private final ZmtpListener to;
 
-    Noted(ZmtpEvents to) {
+    Noted(ZmtpListener to) {
       this.to = to;
     }
 
     @Override
-    public void opened(ZmtpPeer peer) {
+    public void opened(ZmtpConnection peer) {
       open.add(peer.channel());
       to.opened(peer);
     }
 
     @Override
-    public void message(ZmtpPeer peer, List<byte[]> frames) {
+    public void message(ZmtpConnection peer, List<byte[]> frames) {
       try {
         to.message(peer, frames);
       } catch (ChpException e) {
@@ -150,36 +150,36 @@
     }
 
     @Override
-    public void subscription(ZmtpPeer peer, byte[] prefix, boolean on) {
+    public void subscription(ZmtpConnection peer, byte[] prefix, boolean on) {
       to.subscription(peer, prefix, on);
     }
 
     @Override
-    public void closed(ZmtpPeer peer) {
+    public void closed(ZmtpConnection peer) {
       to.closed(peer);
     }
   }
 
-  private final class Snapshots implements ZmtpEvents {
+  private final class Snapshots implements ZmtpListener {
     @Override
-    public void message(ZmtpPeer peer, List<byte[]> frames) {
+    public void message(ZmtpConnection peer, List<byte[]> frames) {
       backend.snapshotAsked(peer, ChpMessage.readAsk(frames).subtree());
     }
   }
 
-  private final class Collector implements ZmtpEvents {
+  private final class Collector implements ZmtpListener {
     @Override
-    public void opened(ZmtpPeer peer) {
+    public void opened(ZmtpConnection peer) {
       peer.subscribe(new byte[0]);
     }
 
     @Override
-    public void message(ZmtpPeer peer, List<byte[]> frames) {
+    public void message(ZmtpConnection peer, List<byte[]> frames) {
       backend.keySet(peer, ChpMessage.readSet(frames));
     }
 
     @Override
-    public void closed(ZmtpPeer peer) {
+    public void closed(ZmtpConnection peer) {
       backend.collectorClosed(peer);
     }
   }
--- a/src/main/java/stonespring/chp/Publisher.java
+++ b/src/main/java/stonespring/chp/Publisher.java
@@ -13,30 +13,30 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import stonespring.zmtp.Wire;
-import stonespring.zmtp.ZmtpEvents;
-import stonespring.zmtp.ZmtpPeer;
+import stonespring.zmtp.ZmtpConnection;
+import stonespring.zmtp.ZmtpEncoder;
+import stonespring.zmtp.ZmtpListener;
 
 /**
  * The updates' port: who wants which prefix, and sending. All state lives on one event loop. A
  * topic is looked up by its own prefixes, so that an update for one proxy costs its key's length
  * and not a look at every subscriber.
  */
-final class Publisher implements ZmtpEvents {
+final class Publisher implements ZmtpListener {
   private final EventLoop loop;
-  private final Map<String, Map<ZmtpPeer, Integer>> wanted = new HashMap<>();
+  private final Map<String, Map<ZmtpConnection, Integer>> wanted = new HashMap<>();
   private final TreeMap<Integer, Integer> lengths = new TreeMap<>();
-  private final Map<ZmtpPeer, Set<String>> byPeer = new HashMap<>();
-  private final Set<ZmtpPeer> writtenSinceBeat = new HashSet<>();
+  private final Map<ZmtpConnection, Set<String>> byPeer = new HashMap<>();
+  private final Set<ZmtpConnection> writtenSinceBeat = new HashSet<>();
 
   Publisher(EventLoop loop) {
     this.loop = loop;
   }
 
   @Override
-  public void subscription(ZmtpPeer peer, byte[] prefixBytes, boolean on) {
+  public void subscription(ZmtpConnection peer, byte[] prefixBytes, boolean on) {
     String prefix = new String(prefixBytes, StandardCharsets.ISO_8859_1);
-    Map<ZmtpPeer, Integer> peers = wanted.get(prefix);
+    Map<ZmtpConnection, Integer> peers = wanted.get(prefix);
     if (on) {
       if (peers == null) {
         wanted.put(prefix, peers = new LinkedHashMap<>());
@@ -60,8 +60,8 @@
     }
   }
 
-  private void remove(ZmtpPeer peer, String prefix) {
-    Map<ZmtpPeer, Integer> peers = wanted.get(prefix);
+  private void remove(ZmtpConnection peer, String prefix) {
+    Map<ZmtpConnection, Integer> peers = wanted.get(prefix);
     if (peers == null || peers.remove(peer) == null || !peers.isEmpty()) {
       return;
     }
@@ -72,7 +72,7 @@
   }
 
   @Override
-  public void closed(ZmtpPeer peer) {
+  public void closed(ZmtpConnection peer) {
     writtenSinceBeat.remove(peer);
     Set<String> prefixes = byPeer.remove(peer);
     if (prefixes != null) {
@@ -91,7 +91,7 @@
    */
   void beat() {
     List<byte[]> hugz = new ChpMessage.Hugz().frames();
-    for (ZmtpPeer peer : wanted.getOrDefault("HUGZ", Map.of()).keySet()) {
+    for (ZmtpConnection peer : wanted.getOrDefault("HUGZ", Map.of()).keySet()) {
       if (!writtenSinceBeat.contains(peer)) {
         peer.sendNow(hugz);
       }
@@ -104,18 +104,18 @@
    * together.
    */
   private void send(List<? extends ChpMessage> updates) {
-    Map<ZmtpPeer, ByteBuf> pieces = new LinkedHashMap<>();
-    List<ZmtpPeer> peers = new ArrayList<>();
+    Map<ZmtpConnection, ByteBuf> pieces = new LinkedHashMap<>();
+    List<ZmtpConnection> peers = new ArrayList<>();
     for (ChpMessage update : updates) {
       List<byte[]> frames = update.frames();
       peers.clear();
       wanting(new String(frames.get(0), StandardCharsets.ISO_8859_1), peers);
-      for (ZmtpPeer peer : peers) {
+      for (ZmtpConnection peer : peers) {
         ByteBuf piece = pieces.get(peer);
         if (piece == null) {
           pieces.put(peer, piece = PooledByteBufAllocator.DEFAULT.buffer());
         }
-        Wire.append(piece, frames);
+        ZmtpEncoder.append(piece, frames);
       }
     }
     pieces.forEach(
@@ -127,20 +127,20 @@
   }
 
   /** Adds every peer that wants this topic, each once. */
-  private void wanting(String topic, List<ZmtpPeer> peers) {
-    Set<ZmtpPeer> seen = null;
+  private void wanting(String topic, List<ZmtpConnection> peers) {
+    Set<ZmtpConnection> seen = null;
     for (int length : lengths.keySet()) {
       if (length > topic.length()) {
         break;
       }
-      Map<ZmtpPeer, Integer> some = wanted.get(topic.substring(0, length));
+      Map<ZmtpConnection, Integer> some = wanted.get(topic.substring(0, length));
       if (some == null) {
         continue;
       }
       if (!peers.isEmpty() && seen == null) {
         seen = new LinkedHashSet<>(peers);
       }
-      for (ZmtpPeer peer : some.keySet()) {
+      for (ZmtpConnection peer : some.keySet()) {
         if (seen == null || seen.add(peer)) {
           peers.add(peer);
         }
--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/Daemon.java
@@ -52,15 +52,15 @@
     this.settings = settings;
     InstanceSettings.Bounds bounds = settings.bounds();
     this.loop = new EventLoopThread(clock, bounds.inbox(), bounds.momentMillis());
-    ZmtpLimits usual = ZmtpLimits.USUAL;
+    ZmtpLimits usual = ZmtpLimits.DEFAULT;
     ZmtpLimits limits =
         new ZmtpLimits(
-            usual.frameBytes(),
-            usual.messageBytes(),
-            usual.frames(),
+            usual.maxFrameBytes(),
+            usual.maxMessageBytes(),
+            usual.maxFrames(),
             bounds.pendingBytes(),
-            usual.subscriptions(),
-            usual.handshakeMillis(),
+            usual.maxSubscriptions(),
+            usual.handshakeTimeoutMillis(),
             bounds.connections());
     this.server =
         new ChpServer(
--- a/src/main/java/stonespring/proxy/AssignerLink.java
+++ b/src/main/java/stonespring/proxy/AssignerLink.java
@@ -141,7 +141,7 @@
               }
             });
     client = mine[0];
-    client.dial(to.host(), to.snapshots(), to.updates(), to.collector(), ZmtpLimits.USUAL);
+    client.dial(to.host(), to.snapshots(), to.updates(), to.collector(), ZmtpLimits.DEFAULT);
   }
 
   private void lost(String cause) {
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -13,7 +13,7 @@
 import stonespring.proxyapi.ProxyMessageHandler;
 import stonespring.state.KeyUpdate;
 import stonespring.state.ProxyHello;
-import stonespring.zmtp.ZmtpPeer;
+import stonespring.zmtp.ZmtpConnection;
 
 /**
  * The pub-sub front: the published state as CHP messages, and what proxies set at the collector as
@@ -28,7 +28,7 @@
   private static final int TTL_MOST = 3600; // s; longer, a dead proxy would hold its name for hours
 
   /** One collector connection. */
-  private record Source(ZmtpPeer peer) implements ProxyMessageHandler.Origin {
+  private record Source(ZmtpConnection peer) implements ProxyMessageHandler.Origin {
     @Override
     public void end(String cause) {
       peer.close(cause);
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public void snapshotAsked(ZmtpPeer peer, String subtree) {
+  public void snapshotAsked(ZmtpConnection peer, String subtree) {
     AtomicInteger asks = peer.channel().attr(ASKS).get();
     if (asks == null) {
       peer.channel().attr(ASKS).set(asks = new AtomicInteger());
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void keySet(ZmtpPeer peer, ChpMessage.KvSet set) {
+  public void keySet(ZmtpConnection peer, ChpMessage.KvSet set) {
     Source source = peer.channel().attr(SOURCE).get();
     if (source == null) {
       peer.channel().attr(SOURCE).set(source = new Source(peer));
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public void collectorClosed(ZmtpPeer peer) {
+  public void collectorClosed(ZmtpConnection peer) {
     Source source = peer.channel().attr(SOURCE).get();
     if (source != null) {
       intake.closed(source);
--- a/src/main/java/stonespring/testbed/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -38,9 +38,9 @@
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
 import stonespring.proxy.routing.RouterSettings;
-import stonespring.zmtp.Wire;
+import stonespring.zmtp.ZmtpConnection;
+import stonespring.zmtp.ZmtpEncoder;
 import stonespring.zmtp.ZmtpLimits;
-import stonespring.zmtp.ZmtpPeer;
 
 /**
  * Measurements of a running assigner, in a process of its own, and of the channel beside bare
@@ -168,7 +168,7 @@
                 // the assigner is stopped at the end
               }
             })
-        .dial("127.0.0.1", port, false, ZmtpLimits.USUAL);
+        .dial("127.0.0.1", port, false, ZmtpLimits.DEFAULT);
   }
 
   /**
@@ -207,18 +207,18 @@
   private static double published(int updates) throws Exception {
     MultiThreadIoEventLoopGroup loops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    ZmtpLimits usual = ZmtpLimits.USUAL;
+    ZmtpLimits usual = ZmtpLimits.DEFAULT;
     ChpServer server =
         new ChpServer(
             loops,
             new ZmtpLimits(
-                usual.frameBytes(),
-                usual.messageBytes(),
-                usual.frames(),
+                usual.maxFrameBytes(),
+                usual.maxMessageBytes(),
+                usual.maxFrames(),
                 1 << 30,
-                usual.subscriptions(),
-                usual.handshakeMillis(),
-                usual.connections()),
+                usual.maxSubscriptions(),
+                usual.handshakeTimeoutMillis(),
+                usual.maxConnections()),
             new Nothing());
     server.start("127.0.0.1", 0);
     long expected = 0;
@@ -299,7 +299,7 @@
     List<byte[]> messages = new ArrayList<>();
     long expected = 0;
     for (int i = 0; i < updates; i++) {
-      ByteBuf bytes = Wire.message(PooledByteBufAllocator.DEFAULT, update(i).frames());
+      ByteBuf bytes = ZmtpEncoder.message(PooledByteBufAllocator.DEFAULT, update(i).frames());
       byte[] copy = new byte[bytes.readableBytes()];
       bytes.readBytes(copy);
       bytes.release();
@@ -376,12 +376,12 @@
   /** A server with nothing behind it. */
   private static final class Nothing implements ChpBackend {
     @Override
-    public void snapshotAsked(ZmtpPeer peer, String subtree) {}
+    public void snapshotAsked(ZmtpConnection peer, String subtree) {}
 
     @Override
-    public void keySet(ZmtpPeer peer, ChpMessage.KvSet set) {}
+    public void keySet(ZmtpConnection peer, ChpMessage.KvSet set) {}
 
     @Override
-    public void collectorClosed(ZmtpPeer peer) {}
+    public void collectorClosed(ZmtpConnection peer) {}
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/zmtp/FrameDecoder.java
@@ -0,0 +1,112 @@
+package stonespring.zmtp;
+
+import io.netty.buffer.ByteBuf;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Decodes frames to commands and whole messages (RFC 37, "Formal Grammar"). */
+final class FrameDecoder {
+  private static final String PLACE = "frame";
+  private static final int SHORT_HEADER_BYTES = 2;
+  private static final int LONG_HEADER_BYTES = 9;
+
+  private final ZmtpLimits limits;
+
+  /** The frames of an incomplete message. */
+  private List<byte[]> frames = new ArrayList<>();
+
+  private long messageBytes;
+
+  FrameDecoder(ZmtpLimits limits) {
+    this.limits = limits;
+  }
+
+  /** Decodes the next frame, if it is complete. */
+  void decode(ByteBuf in, List<Object> out) {
+    if (!in.isReadable()) {
+      return;
+    }
+    int flags = in.getUnsignedByte(in.readerIndex());
+    checkFlags(flags);
+    boolean isLong = FrameFlags.has(flags, FrameFlags.LONG);
+    int headerBytes = isLong ? LONG_HEADER_BYTES : SHORT_HEADER_BYTES;
+    if (in.readableBytes() < headerBytes) {
+      return;
+    }
+    int sizeIndex = in.readerIndex() + 1;
+    long size = isLong ? in.getLong(sizeIndex) : in.getUnsignedByte(sizeIndex);
+    checkSize(size);
+    if (in.readableBytes() < headerBytes + size) {
+      return;
+    }
+    in.skipBytes(headerBytes);
+    byte[] body = new byte[(int) size];
+    in.readBytes(body);
+    if (FrameFlags.has(flags, FrameFlags.COMMAND)) {
+      out.add(command(body));
+    } else {
+      addFrame(body);
+      if (!FrameFlags.has(flags, FrameFlags.MORE)) {
+        out.add(completeMessage());
+      }
+    }
+  }
+
+  private void checkFlags(int flags) {
+    if (!FrameFlags.areValid(flags)) {
+      throw new ZmtpProtocolException(
+          PLACE, "flags 0x" + Integer.toHexString(flags) + " are not allowed");
+    }
+    if (FrameFlags.has(flags, FrameFlags.COMMAND) && !frames.isEmpty()) {
+      throw new ZmtpProtocolException(PLACE, "a command stands inside a message");
+    }
+  }
+
+  private void checkSize(long size) {
+    if (size < 0 || size > limits.maxFrameBytes()) {
+      throw new ZmtpProtocolException(
+          PLACE,
+          "size "
+              + Long.toUnsignedString(size)
+              + " is over the limit of "
+              + limits.maxFrameBytes()
+              + " bytes");
+    }
+  }
+
+  private void addFrame(byte[] body) {
+    frames.add(body);
+    messageBytes += body.length;
+    if (frames.size() > limits.maxFrames() || messageBytes > limits.maxMessageBytes()) {
+      throw new ZmtpProtocolException(
+          "message",
+          "over the limit of "
+              + limits.maxFrames()
+              + " frames or "
+              + limits.maxMessageBytes()
+              + " bytes");
+    }
+  }
+
+  private ZmtpPart.Message completeMessage() {
+    ZmtpPart.Message message = new ZmtpPart.Message(frames);
+    frames = new ArrayList<>();
+    messageBytes = 0;
+    return message;
+  }
+
+  private static ZmtpPart.Command command(byte[] body) {
+    int nameLength = body.length == 0 ? 0 : Byte.toUnsignedInt(body[0]);
+    int dataIndex = 1 + nameLength;
+    if (nameLength == 0 || dataIndex > body.length) {
+      throw new ZmtpProtocolException(
+          "command",
+          "its name's length " + nameLength + " does not fit its " + body.length + " bytes");
+    }
+    String name = new String(body, 1, nameLength, StandardCharsets.US_ASCII);
+    byte[] data = new byte[body.length - dataIndex];
+    System.arraycopy(body, dataIndex, data, 0, data.length);
+    return new ZmtpPart.Command(name, data);
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/zmtp/GreetingDecoder.java
@@ -0,0 +1,79 @@
+package stonespring.zmtp;
+
+import io.netty.buffer.ByteBuf;
+import java.util.Optional;
+
+/**
+ * Decodes a greeting. Each byte is checked as it arrives, so that a peer that speaks another
+ * protocol is rejected at its first byte.
+ */
+final class GreetingDecoder {
+  /** The size of a greeting. */
+  static final int GREETING_BYTES = 64;
+
+  private static final String PLACE = "greeting";
+  private static final int SIGNATURE_END = 9;
+  private static final int MAJOR_VERSION = 10;
+  private static final int MINOR_VERSION = 11;
+  private static final int MECHANISM = 12;
+  private static final int AS_SERVER = 32;
+  private static final int MIN_MAJOR_VERSION = 3;
+
+  private int checkedBytes;
+
+  /** Decodes the greeting; empty while it is incomplete. */
+  Optional<ZmtpPart.Greeting> decode(ByteBuf in) {
+    int start = in.readerIndex();
+    int available = Math.min(GREETING_BYTES, in.readableBytes());
+    while (checkedBytes < available) {
+      check(checkedBytes, in.getUnsignedByte(start + checkedBytes));
+      checkedBytes++;
+    }
+    if (checkedBytes < GREETING_BYTES) {
+      return Optional.empty();
+    }
+    ZmtpPart.Greeting greeting =
+        new ZmtpPart.Greeting(
+            in.getUnsignedByte(start + MINOR_VERSION),
+            mechanism(in, start),
+            in.getByte(start + AS_SERVER) == 1);
+    in.skipBytes(GREETING_BYTES);
+    return Optional.of(greeting);
+  }
+
+  private static void check(int index, int value) {
+    boolean valid =
+        switch (index) {
+          case 0 -> value == 0xFF;
+          case SIGNATURE_END -> value == 0x7F;
+          case MAJOR_VERSION -> value >= MIN_MAJOR_VERSION;
+          case AS_SERVER -> value <= 1;
+          default -> index < MECHANISM || index > AS_SERVER || isMechanismCharacter(value);
+        };
+    if (!valid) {
+      String problem = "byte " + index + " is 0x" + Integer.toHexString(value);
+      if (index == MAJOR_VERSION) {
+        problem += ": versions before 3.0 are not spoken";
+      }
+      throw new ZmtpProtocolException(PLACE, problem);
+    }
+  }
+
+  private static boolean isMechanismCharacter(int value) {
+    return value == 0
+        || value >= 'A' && value <= 'Z'
+        || value >= '0' && value <= '9'
+        || "-_.+".indexOf(value) >= 0;
+  }
+
+  private static String mechanism(ByteBuf in, int start) {
+    StringBuilder mechanism = new StringBuilder();
+    for (int i = MECHANISM; i < AS_SERVER; i++) {
+      char character = (char) in.getUnsignedByte(start + i);
+      if (character != 0) {
+        mechanism.append(character);
+      }
+    }
+    return mechanism.toString();
+  }
+}
--- a/src/main/java/stonespring/zmtp/SocketType.java
+++ b/src/main/java/stonespring/zmtp/SocketType.java
@@ -1,12 +1,8 @@
 package stonespring.zmtp;
 
-import java.util.EnumSet;
-import java.util.Set;
+import java.util.Optional;
 
-/**
- * The socket types spoken here, and which of them may talk to each other (RFC 37, section "The
- * Socket Semantics").
- */
+/** The supported socket types, by their names on the wire (RFC 37, "The Socket Semantics"). */
 public enum SocketType {
   PUB,
   SUB,
@@ -15,26 +11,32 @@
   DEALER,
   ROUTER;
 
-  private Set<SocketType> peers() {
+  /** Whether sockets of this type may be connected to sockets of the other. */
+  public boolean isCompatibleWith(SocketType other) {
     return switch (this) {
-      case PUB, XPUB -> EnumSet.of(SUB, XSUB);
-      case SUB, XSUB -> EnumSet.of(PUB, XPUB);
-      case DEALER -> EnumSet.of(ROUTER);
-      case ROUTER -> EnumSet.of(DEALER);
+      case PUB, XPUB -> other.subscribes();
+      case SUB, XSUB -> other.publishes();
+      case DEALER -> other == ROUTER;
+      case ROUTER -> other == DEALER;
     };
   }
 
-  public boolean talksTo(SocketType peer) {
-    return peers().contains(peer);
+  /** Whether it sends messages to those who subscribed to them. */
+  boolean publishes() {
+    return this == PUB || this == XPUB;
   }
 
-  /** The type with that name on the wire; null where it is none that is spoken here. */
-  static SocketType named(String name) {
+  private boolean subscribes() {
+    return this == SUB || this == XSUB;
+  }
+
+  /** The type of that name; empty if it is not supported. */
+  static Optional<SocketType> ofName(String name) {
     for (SocketType type : values()) {
       if (type.name().equals(name)) {
-        return type;
+        return Optional.of(type);
       }
     }
-    return null;
+    return Optional.empty();
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -0,0 +1,255 @@
+package stonespring.zmtp;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import java.io.IOException;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import stonespring.netty.FailStopDecoder;
+
+/**
+ * One connection. Its state lives on its event loop; {@code send}, {@code sendNow}, {@code write},
+ * {@code flush} and {@code close} may be called from any thread. A violation by the peer, or an
+ * exception of its listener, closes this connection alone and is logged once.
+ */
+public final class ZmtpConnection extends SimpleChannelInboundHandler<ZmtpPart> {
+  private static final Logger LOG = LoggerFactory.getLogger(ZmtpConnection.class);
+
+  /** The first byte of a subscription in the form of version 3.0, a message. */
+  private static final int SUBSCRIBE = 1;
+
+  private static final int CANCEL = 0;
+  private static final int PING_TTL_BYTES = 2;
+  private static final int MAX_PING_CONTEXT_BYTES = 16;
+  private static final int MAX_PRINTED_CHARS = 80;
+
+  private final SocketType type;
+  private final boolean asServer;
+  private final ZmtpLimits limits;
+  private final ZmtpListener listener;
+  private Channel channel;
+  private String name = "?";
+  private int peerMinorVersion;
+  private boolean greeted;
+  private boolean ready;
+  private boolean closedReported;
+  private int subscriptions;
+
+  ZmtpConnection(SocketType type, boolean asServer, ZmtpLimits limits, ZmtpListener listener) {
+    this.type = type;
+    this.asServer = asServer;
+    this.limits = limits;
+    this.listener = listener;
+  }
+
+  /** The peer's address, as log lines have it. */
+  public String name() {
+    return name;
+  }
+
+  /** The connection's channel. */
+  public Channel channel() {
+    return channel;
+  }
+
+  /** Sends one message with the next {@link #flush}. */
+  public void send(List<byte[]> frames) {
+    write(ZmtpEncoder.message(channel.alloc(), frames));
+  }
+
+  /** Sends one message, and all that waits, at once. */
+  public void sendNow(List<byte[]> frames) {
+    send(frames);
+    flush();
+  }
+
+  /**
+   * Writes encoded messages with the next {@link #flush}, and takes over the reference. Closes the
+   * connection of a peer that reads too slowly.
+   */
+  public void write(ByteBuf messages) {
+    var buffer = channel.unsafe().outboundBuffer();
+    if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingBytes()) {
+      messages.release();
+      // Nothing can be left out of the middle; the peer connects again and gets a snapshot.
+      close("it reads too slowly: over " + limits.maxPendingBytes() + " bytes wait for it");
+      return;
+    }
+    channel.write(messages, channel.voidPromise());
+  }
+
+  /** Sends what was written. */
+  public void flush() {
+    channel.flush();
+  }
+
+  /** Subscribes to the publisher's messages that start with a prefix. */
+  public void subscribe(byte[] prefix) {
+    if (peerMinorVersion >= 1) {
+      channel.writeAndFlush(ZmtpEncoder.command("SUBSCRIBE", prefix));
+    } else {
+      byte[] frame = new byte[prefix.length + 1];
+      frame[0] = SUBSCRIBE;
+      System.arraycopy(prefix, 0, frame, 1, prefix.length);
+      sendNow(List.of(frame));
+    }
+  }
+
+  /** Closes the connection and logs why. */
+  public void close(String cause) {
+    if (channel.isOpen()) {
+      LOG.warn("zmtp {} peer {}: connection ended: {}", type, name, cause);
+    }
+    channel.close();
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext ctx) {
+    channel = ctx.channel();
+    name = String.valueOf(channel.remoteAddress());
+    ctx.writeAndFlush(ZmtpEncoder.greeting(asServer));
+    ctx.executor()
+        .schedule(this::closeUnlessReady, limits.handshakeTimeoutMillis(), TimeUnit.MILLISECONDS);
+  }
+
+  private void closeUnlessReady() {
+    if (!ready && channel.isOpen()) {
+      close("no handshake within " + limits.handshakeTimeoutMillis() + " ms");
+    }
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext ctx, ZmtpPart part) {
+    if (part instanceof ZmtpPart.Greeting greeting) {
+      acceptGreeting(ctx, greeting);
+    } else if (!greeted) {
+      throw new ZmtpProtocolException("greeting", "it is missing");
+    } else if (part instanceof ZmtpPart.Command command) {
+      acceptCommand(ctx, command);
+    } else if (part instanceof ZmtpPart.Message message) {
+      acceptMessage(message.frames());
+    }
+  }
+
+  private void acceptGreeting(ChannelHandlerContext ctx, ZmtpPart.Greeting greeting) {
+    if (!greeting.mechanism().equals("NULL")) {
+      throw new ZmtpProtocolException(
+          "greeting", "mechanism '" + greeting.mechanism() + "' is not spoken, NULL is");
+    }
+    greeted = true;
+    peerMinorVersion = greeting.minorVersion();
+    ctx.writeAndFlush(ReadyCommand.encode(type));
+  }
+
+  private void acceptCommand(ChannelHandlerContext ctx, ZmtpPart.Command command) {
+    String commandName = command.name();
+    if (!ready
+        && !commandName.equals(ReadyCommand.NAME)
+        && !commandName.equals(ErrorCommand.NAME)) {
+      throw new ZmtpProtocolException("command " + commandName, "it comes before READY");
+    }
+    byte[] data = command.data();
+    switch (commandName) {
+      case ReadyCommand.NAME -> acceptReady(data);
+      case ErrorCommand.NAME ->
+          throw new ZmtpProtocolException(
+              "it says ERROR", printable(ErrorCommand.decodeReason(data)));
+      case "SUBSCRIBE" -> acceptSubscription(data, true);
+      case "CANCEL" -> acceptSubscription(data, false);
+      case "PING" -> acceptPing(ctx, data);
+      case "PONG" -> {
+        // No PING is sent, so none awaits it.
+      }
+      default ->
+          throw new ZmtpProtocolException(
+              "command '" + printable(commandName) + "'", "it is not known");
+    }
+  }
+
+  private void acceptReady(byte[] data) {
+    if (ready) {
+      throw new ZmtpProtocolException(ReadyCommand.NAME, "it comes twice");
+    }
+    Optional<String> peerType = ReadyCommand.decodeSocketType(data);
+    boolean compatible =
+        peerType.flatMap(SocketType::ofName).filter(type::isCompatibleWith).isPresent();
+    if (!compatible) {
+      String problem =
+          "socket type "
+              + peerType
+                  .map(word -> printable(word) + " can't talk to " + type)
+                  .orElse("is missing");
+      ZmtpProtocolException incompatible = new ZmtpProtocolException(ReadyCommand.NAME, problem);
+      channel.writeAndFlush(ErrorCommand.encode(incompatible.getMessage()));
+      throw incompatible;
+    }
+    ready = true;
+    listener.opened(this);
+  }
+
+  private void acceptPing(ChannelHandlerContext ctx, byte[] data) {
+    if (data.length < PING_TTL_BYTES || data.length > PING_TTL_BYTES + MAX_PING_CONTEXT_BYTES) {
+      throw new ZmtpProtocolException("PING", data.length + " bytes of data");
+    }
+    byte[] context = Arrays.copyOfRange(data, PING_TTL_BYTES, data.length);
+    ctx.writeAndFlush(ZmtpEncoder.command("PONG", context));
+  }
+
+  private void acceptMessage(List<byte[]> frames) {
+    if (!ready) {
+      throw new ZmtpProtocolException("message", "it comes before READY");
+    }
+    if (!type.publishes()) {
+      listener.message(this, frames);
+      return;
+    }
+    byte[] first = frames.get(0);
+    if (frames.size() > 1 || first.length == 0 || first[0] != SUBSCRIBE && first[0] != CANCEL) {
+      throw new ZmtpProtocolException("message", "a subscriber may send subscriptions alone");
+    }
+    acceptSubscription(Arrays.copyOfRange(first, 1, first.length), first[0] == SUBSCRIBE);
+  }
+
+  private void acceptSubscription(byte[] prefix, boolean subscribed) {
+    if (!type.publishes()) {
+      throw new ZmtpProtocolException("subscription", "this socket does not publish");
+    }
+    subscriptions += subscribed ? 1 : -1;
+    if (subscriptions > limits.maxSubscriptions()) {
+      throw new ZmtpProtocolException(
+          "subscription", "over the limit of " + limits.maxSubscriptions());
+    }
+    listener.subscription(this, prefix, subscribed);
+  }
+
+  /** A peer's text as a log line may hold it. */
+  private static String printable(String text) {
+    String shortened = text.substring(0, Math.min(MAX_PRINTED_CHARS, text.length()));
+    return shortened.replaceAll("[^\\x20-\\x7e]", "?");
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    if (!closedReported) {
+      closedReported = true;
+      listener.closed(this);
+    }
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    Throwable root = FailStopDecoder.unwrap(cause);
+    if (root instanceof ZmtpProtocolException || root instanceof IOException) {
+      close(String.valueOf(root.getMessage()));
+    } else {
+      LOG.error("zmtp {} peer {}: connection ended: its handler failed", type, name, root);
+      ctx.close();
+    }
+  }
+}
--- a/src/main/java/stonespring/zmtp/ZmtpLimits.java
+++ b/src/main/java/stonespring/zmtp/ZmtpLimits.java
@@ -1,26 +1,26 @@
 package stonespring.zmtp;
 
 /**
- * Bounds of one connection. What gives way: a frame, message or backlog over its bound, and a
- * handshake that takes longer, end the connection; a connection over {@code connections} at one
- * listener is closed before its greeting.
+ * Limits of a connection. One that exceeds them, or takes longer for its handshake, is closed.
  *
- * @param frameBytes the longest frame taken
- * @param messageBytes the longest message taken, all frames together
- * @param frames the most frames of a message
- * @param pendingBytes the most bytes that wait to be written to one peer
- * @param subscriptions the most prefixes that one peer subscribes to
- * @param handshakeMillis how long a handshake may take, milliseconds
- * @param connections the most connections at one listener
+ * @param maxFrameBytes the longest frame
+ * @param maxMessageBytes the longest message, all frames together
+ * @param maxFrames the most frames of a message
+ * @param maxPendingBytes the most bytes that may wait to be written
+ * @param maxSubscriptions the most prefixes that a peer may subscribe to
+ * @param handshakeTimeoutMillis how long a handshake may take
+ * @param maxConnections the most connections of one listener; further ones are closed before their
+ *     greeting
  */
 public record ZmtpLimits(
-    int frameBytes,
-    int messageBytes,
-    int frames,
-    int pendingBytes,
-    int subscriptions,
-    long handshakeMillis,
-    int connections) {
-  public static final ZmtpLimits USUAL =
+    int maxFrameBytes,
+    int maxMessageBytes,
+    int maxFrames,
+    int maxPendingBytes,
+    int maxSubscriptions,
+    long handshakeTimeoutMillis,
+    int maxConnections) {
+  /** The limits of clients and, but for the number of connections, of servers. */
+  public static final ZmtpLimits DEFAULT =
       new ZmtpLimits(1 << 20, 2 << 20, 64, 8 << 20, 256, 10_000, 10_000);
 }
--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -16,76 +16,91 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Listening and dialling sockets with the NULL mechanism. */
+/** Opens listening and connecting sockets. Thread-safe. */
 public final class ZmtpSockets {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpSockets.class);
-  private static final int LISTEN_BACKLOG =
-      2048; // connections; a whole fleet redials within a second
-  private static final int CONNECT_MILLIS =
-      3_000; // ms; loopback and neighbouring data centres answer in a few
+
+  /** A whole fleet may connect again within a second. */
+  private static final int ACCEPT_BACKLOG = 2048;
+
+  private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
   private ZmtpSockets() {}
 
+  /** Begins to listen; the future is done once it does, or can't. */
   public static ChannelFuture listen(
       EventLoopGroup loops,
-      SocketType own,
+      SocketType type,
       SocketAddress address,
       ZmtpLimits limits,
-      ZmtpEvents events) {
-    AtomicInteger open = new AtomicInteger();
+      ZmtpListener listener) {
     return new ServerBootstrap()
         .group(loops)
         .channel(NioServerSocketChannel.class)
-        .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
+        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(
-            new ChannelInitializer<SocketChannel>() {
-              @Override
-              protected void initChannel(SocketChannel child) {
-                if (open.incrementAndGet() > limits.connections()) {
-                  LOG.warn(
-                      "zmtp {} peer {}: refused: over {} connections",
-                      own,
-                      child.remoteAddress(),
-                      limits.connections());
-                  open.decrementAndGet();
-                  child.close();
-                  return;
-                }
-                child.closeFuture().addListener(f -> open.decrementAndGet());
-                fill(child, new ZmtpPeer(own, true, limits, events), limits);
-              }
-            })
+        .childHandler(new AcceptedInitializer(type, limits, listener))
         .bind(address);
   }
 
-  public static ChannelFuture dial(
+  /** Begins to connect; the future is done once the TCP connection is established, or can't be. */
+  public static ChannelFuture connect(
       EventLoopGroup loops,
-      SocketType own,
+      SocketType type,
       SocketAddress address,
       ZmtpLimits limits,
-      ZmtpEvents events) {
+      ZmtpListener listener) {
     return new Bootstrap()
         .group(loops)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .handler(
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel channel) {
-                fill(channel, new ZmtpPeer(own, false, limits, events), limits);
+                init(channel, new ZmtpConnection(type, false, limits, listener), limits);
               }
             })
         .connect(address);
   }
 
-  private static void fill(Channel channel, ZmtpPeer peer, ZmtpLimits limits) {
+  private static void init(Channel channel, ZmtpConnection connection, ZmtpLimits limits) {
+    int maxPendingBytes = limits.maxPendingBytes();
     channel
         .config()
-        .setWriteBufferWaterMark(
-            new WriteBufferWaterMark(limits.pendingBytes() / 2, limits.pendingBytes()));
-    channel.pipeline().addLast(new ZmtpDecoder(limits), peer);
+        .setWriteBufferWaterMark(new WriteBufferWaterMark(maxPendingBytes / 2, maxPendingBytes));
+    channel.pipeline().addLast(new ZmtpDecoder(limits), connection);
+  }
+
+  /** Counts the connections of one listener, and closes those over its limit. */
+  private static final class AcceptedInitializer extends ChannelInitializer<SocketChannel> {
+    private final SocketType type;
+    private final ZmtpLimits limits;
+    private final ZmtpListener listener;
+    private final AtomicInteger connections = new AtomicInteger();
+
+    AcceptedInitializer(SocketType type, ZmtpLimits limits, ZmtpListener listener) {
+      this.type = type;
+      this.limits = limits;
+      this.listener = listener;
+    }
+
+    @Override
+    protected void initChannel(SocketChannel accepted) {
+      if (connections.incrementAndGet() > limits.maxConnections()) {
+        LOG.warn(
+            "zmtp {} peer {}: refused: over {} connections",
+            type,
+            accepted.remoteAddress(),
+            limits.maxConnections());
+        connections.decrementAndGet();
+        accepted.close();
+        return;
+      }
+      accepted.closeFuture().addListener(future -> connections.decrementAndGet());
+      init(accepted, new ZmtpConnection(type, true, limits, listener), limits);
+    }
   }
 }
--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -210,7 +210,7 @@
                   heard.add("ended " + cause);
                 }
               });
-      client.dial("127.0.0.1", at, updatesAt, collectorAt, ZmtpLimits.USUAL);
+      client.dial("127.0.0.1", at, updatesAt, collectorAt, ZmtpLimits.DEFAULT);
       assertArrayEquals(
           bytes("\u0001/x/"),
           publisher.recv(),
--- a/src/test/java/stonespring/daemon/StopTest.java
+++ b/src/test/java/stonespring/daemon/StopTest.java
@@ -84,7 +84,7 @@
     Large large = new Large();
     ChpServer server =
         new ChpServer(
-            loops, ZmtpLimits.USUAL, new ChpProxyApi(large, new NameTable(List.of(), List.of())));
+            loops, ZmtpLimits.DEFAULT, new ChpProxyApi(large, new NameTable(List.of(), List.of())));
     server.start("127.0.0.1", 0);
     try (Socket socket = new Socket()) {
       socket.setReceiveBufferSize(1 << 16);
@@ -140,7 +140,7 @@
       ChpServer server =
           new ChpServer(
               loops,
-              ZmtpLimits.USUAL,
+              ZmtpLimits.DEFAULT,
               new ChpProxyApi(new Large(), new NameTable(List.of(), List.of())));
       IOException e =
           assertThrows(IOException.class, () -> server.start("127.0.0.1", taken.getLocalPort()));
--- a/src/test/java/stonespring/zmtp/ZmtpPeerTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
@@ -19,14 +19,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A publisher met by peers that speak the protocol byte for byte as its specification has it. */
-final class ZmtpPeerTest {
-  private static final int WAIT = 10_000; // ms; an upper bound, every wait ends with its event
+/** A publisher, and peers that write the protocol byte by byte as its specification has it. */
+final class ZmtpConnectionTest {
+  /** An upper bound: every wait ends with its event. */
+  private static final int TIMEOUT_MILLIS = 10_000;
+
   private static final ZmtpLimits LIMITS = new ZmtpLimits(1000, 2000, 8, 1 << 16, 2, 300, 2);
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
-  private final LinkedBlockingQueue<ZmtpPeer> peers = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<ZmtpConnection> opened = new LinkedBlockingQueue<>();
   private Channel listener;
 
   @BeforeEach
@@ -37,23 +39,25 @@
                 SocketType.PUB,
                 new InetSocketAddress("127.0.0.1", 0),
                 LIMITS,
-                new ZmtpEvents() {
+                new ZmtpListener() {
                   @Override
-                  public void opened(ZmtpPeer peer) {
-                    peers.add(peer);
+                  public void opened(ZmtpConnection connection) {
+                    opened.add(connection);
                   }
 
                   @Override
-                  public void subscription(ZmtpPeer peer, byte[] prefix, boolean on) {
-                    heard.add((on ? "+" : "-") + new String(prefix, StandardCharsets.US_ASCII));
+                  public void subscription(
+                      ZmtpConnection connection, byte[] prefix, boolean subscribed) {
+                    events.add(
+                        (subscribed ? "+" : "-") + new String(prefix, StandardCharsets.US_ASCII));
                     if (prefix.length == 4) {
-                      throw new IllegalStateException("a handler that fails");
+                      throw new IllegalStateException("a listener that fails");
                     }
                   }
 
                   @Override
-                  public void closed(ZmtpPeer peer) {
-                    heard.add("closed");
+                  public void closed(ZmtpConnection connection) {
+                    events.add("closed");
                   }
                 })
             .sync()
@@ -74,21 +78,21 @@
   private static final String READY_SUB =
       "04 19 05 5245414459 0B 536F636B65742D54797065 00000003 535542";
 
-  private Socket dial(String minor) throws IOException {
+  private Socket connect(String minor) throws IOException {
     Socket socket =
         new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort());
-    socket.setSoTimeout(WAIT);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     socket.getOutputStream().write(hex(String.format(GREETING, minor)));
     return socket;
   }
 
   private String next() throws InterruptedException {
-    return heard.poll(WAIT, TimeUnit.MILLISECONDS);
+    return events.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   @Test
-  void theGreetingSubscriptionsInBothFormsAndPing() throws Exception {
-    try (Socket socket = dial("01")) {
+  void handlesGreetingSubscriptionsOfBothVersionsAndPing() throws Exception {
+    try (Socket socket = connect("01")) {
       DataInputStream in = new DataInputStream(socket.getInputStream());
       byte[] greeting = new byte[64];
       in.readFully(greeting);
@@ -114,7 +118,9 @@
       byte[] pong = new byte[10];
       in.readFully(pong);
       assertArrayEquals(hex("04 08 04 504F4E47 636F6E"), pong);
-      peers.poll(WAIT, TimeUnit.MILLISECONDS).sendNow(List.of(new byte[] {'a'}, new byte[300]));
+      opened
+          .poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+          .sendNow(List.of(new byte[] {'a'}, new byte[300]));
       byte[] message = new byte[3 + 9 + 300];
       in.readFully(message);
       assertArrayEquals(hex("01 01 61 02 000000000000012C"), java.util.Arrays.copyOf(message, 12));
@@ -123,8 +129,8 @@
   }
 
   @Test
-  void aGreetingThatCreepsInByteByByte() throws Exception {
-    try (Socket socket = dial("00")) {
+  void handlesAHandshakeByteByByte() throws Exception {
+    try (Socket socket = connect("00")) {
       for (byte b : hex(READY_SUB)) {
         socket.getOutputStream().write(b);
       }
@@ -133,10 +139,10 @@
     }
   }
 
-  private void ends(Socket socket) throws IOException {
+  private static void awaitClosed(Socket socket) throws IOException {
     try {
       while (socket.getInputStream().read() >= 0) {
-        // what it says before the end does not matter here
+        // what is sent before does not matter here
       }
     } catch (java.net.SocketTimeoutException e) {
       throw new AssertionError("the connection still stands", e);
@@ -146,45 +152,45 @@
   }
 
   @Test
-  void halfAGreetingEndsWithTheHandshakesTime() throws Exception {
+  void closesAnIncompleteHandshakeAfterItsTimeout() throws Exception {
     try (Socket socket =
         new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort())) {
-      socket.setSoTimeout(WAIT);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.getOutputStream().write(hex("FF 0000000000000000 7F 03"));
-      ends(socket);
+      awaitClosed(socket);
     }
     assertEquals("closed", next());
   }
 
   @Test
-  void limitsAndAHandlerThatFailsEndOneConnectionOnly() throws Exception {
-    try (Socket good = dial("00");
-        Socket bad = dial("00");
-        Socket third = dial("00")) {
-      ends(third); // one over the most connections
+  void limitsAndAFailingListenerCloseOneConnectionAlone() throws Exception {
+    try (Socket good = connect("00");
+        Socket bad = connect("00");
+        Socket third = connect("00")) {
+      awaitClosed(third); // one connection over the limit
       good.getOutputStream().write(hex(READY_SUB));
       bad.getOutputStream().write(hex(READY_SUB + "00 05 01 626F6F6D"));
       assertEquals("+boom", next());
-      ends(bad);
+      awaitClosed(bad);
       assertEquals("closed", next());
       good.getOutputStream().write(hex("00 02 01 61 00 02 01 62"));
       assertEquals("+a", next());
       assertEquals("+b", next());
       good.getOutputStream().write(hex("00 02 01 63"));
-      ends(good); // one over the most subscriptions
+      awaitClosed(good); // one subscription over the limit
     }
   }
 
-  /** Nothing is left out of the middle: who does not read is cut off once too much waits for it. */
+  /** Nothing is left out of the middle: the connection is closed once too much waits. */
   @Test
-  void aPeerThatNeverReadsIsCutOff() throws Exception {
-    try (Socket socket = dial("00")) {
+  void closesTheConnectionOfAPeerThatNeverReads() throws Exception {
+    try (Socket socket = connect("00")) {
       socket.getOutputStream().write(hex(READY_SUB));
-      ZmtpPeer peer = peers.poll(WAIT, TimeUnit.MILLISECONDS);
-      for (int i = 0; i < 1_000_000 && peer.channel().isOpen(); i++) {
-        peer.send(List.of(new byte[1000]));
+      ZmtpConnection connection = opened.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      for (int i = 0; i < 1_000_000 && connection.channel().isOpen(); i++) {
+        connection.send(List.of(new byte[1000]));
         if (i % 100 == 0) {
-          peer.flush();
+          connection.flush();
         }
       }
       assertEquals("closed", next());
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 
 final class ZmtpDecoderTest {
-  private static final ZmtpLimits SMALL = new ZmtpLimits(1000, 2000, 8, 10_000, 4, 100, 10);
+  private static final ZmtpLimits LIMITS = new ZmtpLimits(1000, 2000, 8, 10_000, 4, 100, 10);
 
   private static List<String> decode(byte[] bytes, SplittableRandom cuts) {
-    EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(SMALL));
+    EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(LIMITS));
     List<String> parts = new ArrayList<>();
     try {
       for (int at = 0; at < bytes.length; ) {
@@ -31,29 +31,35 @@
       }
     } catch (DecoderException e) {
       assertTrue(
-          e.getCause() instanceof ZmtpException, () -> "a fault that is not the peer's: " + e);
-      parts.add("fault " + e.getCause().getMessage());
+          e.getCause() instanceof ZmtpProtocolException,
+          () -> "an exception that is no violation: " + e);
+      parts.add("violation " + e.getCause().getMessage());
     }
     for (Object part = channel.readInbound(); part != null; part = channel.readInbound()) {
-      parts.add(
-          part instanceof Part.Message m
-              ? "message of " + m.frames().stream().map(f -> f.length).toList()
-              : part instanceof Part.Command c ? "command " + c.name() : part.toString());
+      parts.add(describe((ZmtpPart) part));
     }
     channel.finishAndReleaseAll();
     return parts;
   }
 
+  private static String describe(ZmtpPart part) {
+    if (part instanceof ZmtpPart.Message message) {
+      return "message of " + message.frames().stream().map(frame -> frame.length).toList();
+    }
+    return part instanceof ZmtpPart.Command command ? "command " + command.name() : part.toString();
+  }
+
+  /** A greeting, READY and five messages. */
   private static byte[] stream(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ByteBuf out = Unpooled.buffer();
-    out.writeBytes(Wire.greeting(false)).writeBytes(Wire.ready(SocketType.DEALER));
+    out.writeBytes(ZmtpEncoder.greeting(false)).writeBytes(ReadyCommand.encode(SocketType.DEALER));
     for (int i = 0; i < 5; i++) {
       List<byte[]> frames = new ArrayList<>();
       for (int f = 0; f <= random.nextInt(4); f++) {
         frames.add(new byte[random.nextInt(400)]);
       }
-      ByteBuf message = Wire.message(UnpooledByteBufAllocator.DEFAULT, frames);
+      ByteBuf message = ZmtpEncoder.message(UnpooledByteBufAllocator.DEFAULT, frames);
       out.writeBytes(message);
       message.release();
     }
@@ -63,7 +69,7 @@
   }
 
   @Property(tries = 200, seed = "1")
-  void bytesMeanTheSameHoweverTheyAreCut(@ForAll long seed) {
+  void decodesTheSamePartsHoweverTheBytesAreCut(@ForAll long seed) {
     byte[] bytes = stream(seed);
     List<String> whole = decode(bytes, null);
     assertEquals(7, whole.size());
@@ -71,7 +77,7 @@
   }
 
   @Property(tries = 500, seed = "1")
-  void aByteChangedAnywhereIsAFaultOfThePeerAtMost(@ForAll long seed) {
+  void alteredBytesAreAViolationAtMost(@ForAll long seed) {
     byte[] bytes = stream(seed);
     SplittableRandom random = new SplittableRandom(seed ^ 7);
     for (int i = 0; i < 3; i++) {
@@ -81,35 +87,36 @@
   }
 
   @Property(tries = 500, seed = "1")
-  void garbageIsAFaultAtItsFirstByte(@ForAll @Size(min = 1, max = 300) byte[] bytes) {
+  void rejectsOtherProtocolsAtTheirFirstByte(@ForAll @Size(min = 1, max = 300) byte[] bytes) {
     List<String> parts = decode(bytes, null);
     if (bytes[0] != (byte) 0xFF) {
       assertEquals(1, parts.size());
-      assertTrue(parts.get(0).startsWith("fault greeting: byte 0"), parts.get(0));
+      assertTrue(parts.get(0).startsWith("violation greeting: byte 0"), parts.get(0));
     }
   }
 
-  private static String fault(int... afterGreeting) {
-    ByteBuf out = Wire.greeting(false);
+  private static String violation(int... afterGreeting) {
+    ByteBuf out = ZmtpEncoder.greeting(false);
     for (int b : afterGreeting) {
       out.writeByte(b);
     }
-    EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(SMALL));
+    EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(LIMITS));
     return assertThrows(DecoderException.class, () -> channel.writeInbound(out))
         .getCause()
         .getMessage();
   }
 
   @Test
-  void framesThatTheProtocolForbids() {
-    assertTrue(fault(8, 0).contains("flags 0x8"));
-    assertTrue(fault(5, 0).contains("flags 0x5"), "a command is never one of several frames");
-    assertTrue(fault(1, 0, 4, 0).contains("command stands inside a message"));
-    assertTrue(fault(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
+  void rejectsFramesThatTheProtocolForbids() {
+    assertTrue(violation(8, 0).contains("flags 0x8"));
+    assertTrue(violation(5, 0).contains("flags 0x5"), "a command is never one of several frames");
+    assertTrue(violation(1, 0, 4, 0).contains("command stands inside a message"));
+    assertTrue(violation(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
     assertTrue(
-        fault(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"),
+        violation(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"),
         "a size below 0 as a signed number");
-    assertTrue(fault(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0).contains("8 frames"));
-    assertTrue(fault(4, 1, 5).contains("name's length"));
+    assertTrue(
+        violation(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0).contains("8 frames"));
+    assertTrue(violation(4, 1, 5).contains("name's length"));
   }
 }
