--- a/src/main/java/stonespring/chp/ChpBackend.java
+++ b/src/main/java/stonespring/chp/ChpBackend.java
@@ -3,16 +3,20 @@
 import stonespring.zmtp.ZmtpConnection;
 
 /**
- * What stands behind a server's three ports. Calls come on the server's event loop and must not
- * block; what is sent back may be sent from any thread.
+ * What a server serves. Calls come from the server's event loop and must not block; messages may be
+ * sent on a connection from any thread. An {@link InvalidChpMessageException} closes the
+ * connection.
  */
 public interface ChpBackend {
-  /** A client asks for a subtree; the answer is its KVSYNCs and one KTHXBAI. */
-  void snapshotAsked(ZmtpConnection peer, String subtree);
+  /**
+   * A client requests a snapshot of a subtree; it is answered by {@link ChpMessage.KvSync}s and one
+   * {@link ChpMessage.Kthxbai}.
+   */
+  void snapshotRequested(ZmtpConnection connection, String subtree);
 
-  /** A client sets a key. A {@link ChpException} ends its connection. */
-  void keySet(ZmtpConnection peer, ChpMessage.KvSet set);
+  /** A client sets a key. */
+  void keySet(ZmtpConnection connection, ChpMessage.KvSet set);
 
-  /** A collector's connection ended. */
-  void collectorClosed(ZmtpConnection peer);
+  /** A connection to the collector was closed. */
+  void collectorClosed(ZmtpConnection connection);
 }
--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -3,7 +3,6 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -14,142 +13,153 @@
 import stonespring.zmtp.ZmtpSockets;
 
 /**
- * One session of a client with one server: it subscribes, waits for a first sign of the publisher,
- * takes the snapshot and then follows. All of it lives on one event loop. A session that loses one
- * of its connections, or hears nothing for a while, ends whole; whoever holds it dials a new one.
+ * One session of a client with a server: it subscribes, waits until its subscription is in force,
+ * requests the snapshot and then follows the updates. A session that loses one of its connections,
+ * or whose server is silent for too long, ends as a whole. State lives on one event loop, and all
+ * calls come from there, {@code connect} excepted.
  */
 public final class ChpClient {
-  /** What a session tells; calls come on its event loop. */
+  /** Observes a session, on its event loop. */
   public interface Listener {
-    /** The snapshot is whole; later updates follow. Comes again after each {@link #resync}. */
+    /** The snapshot is complete, and updates follow; called again after each {@link #resync}. */
     void snapshot(List<ChpMessage.KvSync> keys, long sequence);
 
+    /** A key was changed or deleted. */
     void update(ChpMessage.KvPub update);
 
-    /** All three connections stand and the collector listens. */
+    /** There is a snapshot, and the server reads the collector's connection, if there is one. */
     default void ready() {}
 
-    /** The session is over; comes once. */
+    /** The session is over; called once. */
     void ended(String cause);
   }
 
-  private static final int HELD_MOST =
-      100_000; // updates held back during a snapshot; more end the session
-  private static final int SYNC_MOST = 1_000_000; // keys of a snapshot; more end the session
+  private static final int NO_COLLECTOR = 0;
 
   private final EventLoop loop;
   private final String subtree;
-  private final long silenceMillis;
+  private final long silenceTimeoutMillis;
   private final Listener listener;
-  private final List<ChannelFuture> dials = new ArrayList<>();
+  private final SubtreeReplica replica;
+  private final List<ChannelFuture> connects = new ArrayList<>();
+
+  /** The connections; null until their handshakes are complete. */
   private ZmtpConnection snapshots;
+
   private ZmtpConnection updates;
   private ZmtpConnection collector;
-  private boolean live;
-  private boolean asked;
-  private boolean synced;
+
+  /** The publisher sent something, so that the subscription is in force. */
+  private boolean subscribed;
+
+  private boolean collectorSubscribed;
+  private boolean readyReported;
   private boolean ended;
-  private boolean readyTold;
-  private boolean collectorListens;
-  private long sequence = Long.MIN_VALUE;
-  private long lastHeard = System.nanoTime();
-  private List<ChpMessage.KvSync> syncing = new ArrayList<>();
-  private final ArrayDeque<ChpMessage.KvPub> held = new ArrayDeque<>();
+  private long lastReceivedNanos = System.nanoTime();
 
   /**
-   * @param silenceMillis how long the publisher may be silent, HUGZ included, before the session
-   *     ends
+   * Creates a session; it is not connected yet.
+   *
+   * @param subtree what keys start with; begins and ends with a slash, or is empty for all keys
+   * @param silenceTimeoutMillis how long the server may send nothing, not even heartbeats
    */
-  public ChpClient(EventLoop loop, String subtree, long silenceMillis, Listener listener) {
+  public ChpClient(EventLoop loop, String subtree, long silenceTimeoutMillis, Listener listener) {
     this.loop = loop;
     this.subtree = subtree;
-    this.silenceMillis = silenceMillis;
+    this.silenceTimeoutMillis = silenceTimeoutMillis;
     this.listener = listener;
+    this.replica = new SubtreeReplica(listener);
   }
 
   /**
-   * Dials the server's snapshot port, the port above it and, with {@code tells}, the one above
-   * that.
+   * Connects to a server's three ports in a row.
+   *
+   * @param withCollector whether to connect to the collector too
    */
-  public void dial(String host, int port, boolean tells, ZmtpLimits limits) {
-    dial(host, port, port + 1, tells ? port + 2 : 0, limits);
+  public void connect(String host, int snapshotPort, boolean withCollector, ZmtpLimits limits) {
+    int collectorPort = withCollector ? snapshotPort + 2 : NO_COLLECTOR;
+    connect(host, snapshotPort, snapshotPort + 1, collectorPort, limits);
   }
 
   /**
-   * Dials three ports that need not stand in a row: a link between may have given each one of its
-   * own.
+   * Connects to three ports, which may be those of a relay.
+   *
+   * @param collectorPort 0 for no collector
    */
-  public void dial(
+  public void connect(
       String host, int snapshotPort, int updatePort, int collectorPort, ZmtpLimits limits) {
-    one(SocketType.DEALER, host, snapshotPort, limits, new Snapshots());
-    one(SocketType.SUB, host, updatePort, limits, new Updates());
-    if (collectorPort != 0) {
-      one(SocketType.PUB, host, collectorPort, limits, new Collector());
+    connect(SocketType.DEALER, host, snapshotPort, limits, new SnapshotListener());
+    connect(SocketType.SUB, host, updatePort, limits, new UpdateListener());
+    if (collectorPort != NO_COLLECTOR) {
+      connect(SocketType.PUB, host, collectorPort, limits, new CollectorListener());
     }
-    loop.schedule(this::watch, silenceMillis / 2, TimeUnit.MILLISECONDS);
+    loop.schedule(this::checkSilence, silenceTimeoutMillis / 2, TimeUnit.MILLISECONDS);
   }
 
-  private void one(SocketType type, String host, int port, ZmtpLimits limits, ZmtpListener events) {
-    ChannelFuture dial =
-        ZmtpSockets.connect(loop, type, new InetSocketAddress(host, port), limits, events);
-    dials.add(dial);
-    dial.addListener(
-        f -> {
-          if (!f.isSuccess()) {
-            end("can't reach " + host + ":" + port + ": " + f.cause().getMessage());
+  private void connect(
+      SocketType type, String host, int port, ZmtpLimits limits, ZmtpListener zmtpListener) {
+    ChannelFuture connect =
+        ZmtpSockets.connect(loop, type, new InetSocketAddress(host, port), limits, zmtpListener);
+    connects.add(connect);
+    connect.addListener(
+        future -> {
+          if (!future.isSuccess()) {
+            end("can't reach " + host + ":" + port + ": " + future.cause().getMessage());
           }
         });
   }
 
-  private void watch() {
+  private void checkSilence() {
     if (ended) {
       return;
     }
-    if (System.nanoTime() - lastHeard > TimeUnit.MILLISECONDS.toNanos(silenceMillis)) {
-      end("nothing heard for " + silenceMillis + " ms");
+    long silenceNanos = System.nanoTime() - lastReceivedNanos;
+    if (silenceNanos > TimeUnit.MILLISECONDS.toNanos(silenceTimeoutMillis)) {
+      end("nothing received for " + silenceTimeoutMillis + " ms");
     } else {
-      loop.schedule(this::watch, silenceMillis / 4, TimeUnit.MILLISECONDS);
+      loop.schedule(this::checkSilence, silenceTimeoutMillis / 4, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Asks for the snapshot anew: the follower saw that something is missing. */
+  /** Requests a new snapshot, as an update was missed. */
   public void resync() {
-    if (synced) {
-      synced = false;
-      asked = false;
-      ask();
+    if (replica.isInSync()) {
+      replica.reset();
+      advance();
     }
   }
 
-  private void ask() {
-    if (live && snapshots != null && !asked) {
-      asked = true;
-      syncing = new ArrayList<>();
+  /** Takes the session's next step, if its conditions are met. */
+  private void advance() {
+    if (subscribed && snapshots != null && !replica.isRequested()) {
+      replica.snapshotRequested();
       snapshots.sendNow(new ChpMessage.IcanHaz(subtree).frames());
     }
-    if (synced && !readyTold && (collector == null || collectorListens)) {
-      readyTold = true;
+    boolean collectorReady = collector == null || collectorSubscribed;
+    if (replica.isInSync() && !readyReported && collectorReady) {
+      readyReported = true;
       listener.ready();
     }
   }
 
-  /** Sets a key at the server; false where the collector's connection does not stand. */
+  /** Sets a key at the server; false if the collector is not ready. */
   public boolean set(ChpMessage.KvSet set) {
-    if (collector == null || !collectorListens || ended) {
+    if (collector == null || !collectorSubscribed || ended) {
       return false;
     }
     collector.sendNow(set.frames());
     return true;
   }
 
-  /** Reads nothing more from the publisher until told to: a proxy that stands still. */
-  public void reading(boolean on) {
-    lastHeard = System.nanoTime();
+  /** Pauses or resumes reading from the publisher. */
+  public void setReading(boolean enabled) {
+    lastReceivedNanos = System.nanoTime();
     if (updates != null) {
-      updates.channel().config().setAutoRead(on);
+      updates.channel().config().setAutoRead(enabled);
     }
   }
 
+  /** Ends the session. */
   public void close() {
     end("closed");
   }
@@ -159,114 +169,90 @@
       return;
     }
     ended = true;
-    for (ChannelFuture dial : dials) {
-      dial.channel().close();
+    replica.stop();
+    for (ChannelFuture connect : connects) {
+      connect.channel().close();
     }
     listener.ended(cause);
   }
 
-  private final class Snapshots implements ZmtpListener {
+  private final class SnapshotListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection peer) {
-      snapshots = peer;
-      ask();
+    public void opened(ZmtpConnection connection) {
+      snapshots = connection;
+      advance();
     }
 
     @Override
-    public void message(ZmtpConnection peer, List<byte[]> frames) {
+    public void message(ZmtpConnection connection, List<byte[]> frames) {
       try {
-        take(ChpMessage.readSync(frames));
-      } catch (ChpException e) {
+        accept(ChpDecoder.decodeSnapshot(frames));
+      } catch (InvalidChpMessageException e) {
         end("snapshot: " + e.getMessage());
       }
     }
 
-    private void take(ChpMessage message) {
-      lastHeard = System.nanoTime();
-      if (message instanceof ChpMessage.KvSync sync) {
-        if (syncing.size() >= SYNC_MOST) {
-          throw new ChpException("over " + SYNC_MOST + " keys");
-        }
-        syncing.add(sync);
-      } else if (message instanceof ChpMessage.Kthxbai end && asked && !synced) {
-        synced = true;
-        sequence = end.sequence();
-        List<ChpMessage.KvSync> keys = syncing;
-        syncing = new ArrayList<>();
-        listener.snapshot(keys, sequence);
-        while (!held.isEmpty() && synced && !ended) {
-          follow(held.poll());
-        }
-        ask();
+    private void accept(ChpMessage message) {
+      lastReceivedNanos = System.nanoTime();
+      if (message instanceof ChpMessage.KvSync key) {
+        replica.addKey(key);
+      } else if (message instanceof ChpMessage.Kthxbai end && replica.complete(end.sequence())) {
+        advance();
       }
     }
 
     @Override
-    public void closed(ZmtpConnection peer) {
+    public void closed(ZmtpConnection connection) {
       end("the snapshot port's connection ended");
     }
   }
 
-  private void follow(ChpMessage.KvPub update) {
-    if (update.sequence() > sequence) {
-      sequence = update.sequence();
-      listener.update(update);
-    }
-  }
-
-  private final class Updates implements ZmtpListener {
+  private final class UpdateListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection peer) {
-      updates = peer;
-      peer.subscribe(ChpMessage.bytes(subtree));
-      // Asked for last: once it is heard, the subtree's subscription is in force.
-      peer.subscribe(ChpMessage.HUGZ_TOPIC);
+    public void opened(ZmtpConnection connection) {
+      updates = connection;
+      connection.subscribe(ChpMessage.bytes(subtree));
+      // The last one: its first heartbeat shows that the subtree's subscription is in force.
+      connection.subscribe(ChpMessage.bytes(ChpMessage.HUGZ));
     }
 
     @Override
-    public void message(ZmtpConnection peer, List<byte[]> frames) {
-      lastHeard = System.nanoTime();
+    public void message(ZmtpConnection connection, List<byte[]> frames) {
+      lastReceivedNanos = System.nanoTime();
       try {
-        ChpMessage message = ChpMessage.readUpdate(frames);
-        if (message instanceof ChpMessage.KvPub update) {
-          if (synced) {
-            follow(update);
-          } else if (held.size() < HELD_MOST) {
-            held.add(update);
-          } else {
-            end("over " + HELD_MOST + " updates came before the snapshot ended");
-          }
+        if (ChpDecoder.decodeUpdate(frames) instanceof ChpMessage.KvPub update) {
+          replica.update(update);
         }
-      } catch (ChpException e) {
+      } catch (InvalidChpMessageException e) {
         end("update: " + e.getMessage());
       }
-      if (!live) {
-        live = true;
-        ask();
+      if (!subscribed) {
+        subscribed = true;
+        advance();
       }
     }
 
     @Override
-    public void closed(ZmtpConnection peer) {
+    public void closed(ZmtpConnection connection) {
       end("the update port's connection ended");
     }
   }
 
-  private final class Collector implements ZmtpListener {
+  private final class CollectorListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection peer) {
-      collector = peer;
+    public void opened(ZmtpConnection connection) {
+      collector = connection;
     }
 
     @Override
-    public void subscription(ZmtpConnection peer, byte[] prefix, boolean on) {
-      // A publisher's messages before this would go nowhere.
-      collectorListens = on;
-      ask();
+    public void subscription(ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
+      // Messages sent before the server subscribed would be dropped.
+      collectorSubscribed = isSubscribed;
+      advance();
     }
 
     @Override
-    public void closed(ZmtpConnection peer) {
+    public void closed(ZmtpConnection connection) {
       end("the collector's connection ended");
     }
   }
--- /dev/null
+++ b/src/main/java/stonespring/chp/ChpDecoder.java
@@ -0,0 +1,148 @@
+package stonespring.chp;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.CharacterCodingException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Decodes frames to commands, by the port at which they arrive. */
+final class ChpDecoder {
+  private static final String ICANHAZ = "ICANHAZ";
+  private static final String KVSYNC = "KVSYNC";
+  private static final String KVPUB = "KVPUB";
+  private static final String KVSET = "KVSET";
+
+  private static final int REQUEST_FRAMES = 2;
+
+  /** Of all other commands: key, sequence, UUID, properties, value. */
+  private static final int KEY_VALUE_FRAMES = 5;
+
+  private static final int UUID_BYTES = 16;
+  private static final int MAX_KEY_CHARS = 255;
+
+  private ChpDecoder() {}
+
+  /** Decodes what a client sent to the snapshot port. */
+  static ChpMessage.IcanHaz decodeRequest(List<byte[]> frames) {
+    checkCount(ICANHAZ, frames, REQUEST_FRAMES);
+    if (!text(ICANHAZ, "command", frames.get(0)).equals(ChpMessage.ICANHAZ)) {
+      throw new InvalidChpMessageException("snapshot port", "a command other than ICANHAZ?");
+    }
+    return new ChpMessage.IcanHaz(subtree(text(ICANHAZ, "subtree", frames.get(1))));
+  }
+
+  /** Decodes what a client sent to the collector. */
+  static ChpMessage.KvSet decodeSet(List<byte[]> frames) {
+    checkCount(KVSET, frames, KEY_VALUE_FRAMES);
+    sequence(KVSET, frames.get(1));
+    return new ChpMessage.KvSet(
+        key(KVSET, frames.get(0)),
+        uuid(KVSET, frames.get(2)),
+        properties(frames.get(3)),
+        frames.get(4));
+  }
+
+  /** Decodes what a publisher sent: an update or a heartbeat. */
+  static ChpMessage decodeUpdate(List<byte[]> frames) {
+    checkCount(KVPUB, frames, KEY_VALUE_FRAMES);
+    long sequence = sequence(KVPUB, frames.get(1));
+    if (isHeartbeatKey(frames.get(0))) {
+      return new ChpMessage.Hugz();
+    }
+    properties(frames.get(3));
+    return new ChpMessage.KvPub(
+        key(KVPUB, frames.get(0)),
+        sequence,
+        uuid(KVPUB, frames.get(2)),
+        frames.get(3),
+        frames.get(4));
+  }
+
+  /** Decodes what a server sent from the snapshot port: a key or the end. */
+  static ChpMessage decodeSnapshot(List<byte[]> frames) {
+    checkCount(KVSYNC, frames, KEY_VALUE_FRAMES);
+    long sequence = sequence(KVSYNC, frames.get(1));
+    if (text(KVSYNC, "key", frames.get(0)).equals(ChpMessage.KTHXBAI)) {
+      String subtree = subtree(text(ChpMessage.KTHXBAI, "subtree", frames.get(4)));
+      return new ChpMessage.Kthxbai(sequence, subtree);
+    }
+    return new ChpMessage.KvSync(key(KVSYNC, frames.get(0)), sequence, frames.get(4));
+  }
+
+  private static boolean isHeartbeatKey(byte[] frame) {
+    return new String(frame, StandardCharsets.ISO_8859_1).equals(ChpMessage.HUGZ);
+  }
+
+  private static void checkCount(String command, List<byte[]> frames, int expected) {
+    if (frames.size() != expected) {
+      throw new InvalidChpMessageException(command, frames.size() + " frames, not " + expected);
+    }
+  }
+
+  private static String text(String command, String field, byte[] frame) {
+    try {
+      return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(frame)).toString();
+    } catch (CharacterCodingException e) {
+      throw new InvalidChpMessageException(command, field + " is not UTF-8");
+    }
+  }
+
+  private static String key(String command, byte[] frame) {
+    String key = text(command, "key", frame);
+    if (key.length() < 2
+        || key.length() > MAX_KEY_CHARS
+        || key.charAt(0) != '/'
+        || key.endsWith("/")
+        || key.contains("//")
+        || key.chars().anyMatch(character -> character <= ' ')) {
+      throw new InvalidChpMessageException(
+          command, "key is not a slash and segments of up to 255 characters");
+    }
+    return key;
+  }
+
+  private static String subtree(String text) {
+    boolean valid = text.length() <= MAX_KEY_CHARS && text.startsWith("/") && text.endsWith("/");
+    if (!text.isEmpty() && !valid) {
+      throw new InvalidChpMessageException("subtree is neither empty nor segments between slashes");
+    }
+    return text;
+  }
+
+  private static byte[] uuid(String command, byte[] frame) {
+    if (frame.length != 0 && frame.length != UUID_BYTES) {
+      throw new InvalidChpMessageException(
+          command, "uuid has " + frame.length + " bytes, not 16 or none");
+    }
+    return frame;
+  }
+
+  private static long sequence(String command, byte[] frame) {
+    if (frame.length != Long.BYTES) {
+      throw new InvalidChpMessageException(
+          command, "sequence has " + frame.length + " bytes, not 8");
+    }
+    return ByteBuffer.wrap(frame).getLong();
+  }
+
+  private static Map<String, String> properties(byte[] frame) {
+    Map<String, String> properties = new TreeMap<>();
+    String lines = text(KVSET, "properties", frame);
+    if (lines.isEmpty()) {
+      return properties;
+    }
+    if (!lines.endsWith("\n")) {
+      throw new InvalidChpMessageException("properties", "the last line has no end");
+    }
+    for (String line : lines.split("\n")) {
+      int separator = line.indexOf('=');
+      if (separator < 1) {
+        throw new InvalidChpMessageException("properties", "a line is not name=value");
+      }
+      properties.put(line.substring(0, separator), line.substring(separator + 1));
+    }
+    return properties;
+  }
+}
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -1,14 +1,17 @@
 package stonespring.chp;
 
+import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
+import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.group.ChannelGroup;
 import io.netty.channel.group.DefaultChannelGroup;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.SocketAddress;
+import java.net.ServerSocket;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -19,90 +22,119 @@
 import stonespring.zmtp.ZmtpSockets;
 
 /**
- * A server of the Clustered Hashmap Protocol: snapshots at a port P, updates at P+1, the collector
- * at P+2. It carries messages; what they mean is its {@link ChpBackend}'s.
+ * A server: snapshots at a port P, updates at P+1, the collector at P+2. What messages mean is its
+ * {@link ChpBackend}'s.
  */
 public final class ChpServer {
-  private static final long BEAT_MILLIS = 1_000; // ms; the specification's "about once a second"
-  private static final int FREE_TRIES = 50; // tries to find three free ports in a row
+  /** RFC 12 asks for a heartbeat about once a second. */
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
+
+  private static final int MAX_FREE_PORT_ATTEMPTS = 50;
+  private static final int MAX_SNAPSHOT_PORT = 65_533;
+  private static final long MIN_CLOSE_WAIT_MILLIS = 100;
 
   private final EventLoopGroup loops;
   private final ZmtpLimits limits;
   private final ChpBackend backend;
-  private final Publisher publisher;
-  private final ChannelGroup open;
+  private final UpdatePublisher publisher;
+  private final ChannelGroup connections;
   private final List<Channel> listeners = new ArrayList<>();
-  private Future<?> beats;
+  private Future<?> heartbeats;
   private int port;
 
-  /** {@code loops} must have one event loop: subscriptions of all peers live on it. */
+  /**
+   * Creates a server; it does not listen yet.
+   *
+   * @param loops must have one event loop, on which the subscriptions of all connections live
+   */
   public ChpServer(EventLoopGroup loops, ZmtpLimits limits, ChpBackend backend) {
     this.loops = loops;
     this.limits = limits;
     this.backend = backend;
-    var loop = loops.next();
-    this.publisher = new Publisher(loop);
-    this.open = new DefaultChannelGroup(loop);
+    EventLoop loop = loops.next();
+    this.publisher = new UpdatePublisher(loop);
+    this.connections = new DefaultChannelGroup(loop);
   }
 
   /**
-   * Listens; port 0 takes any three free ports in a row. Names the port that is taken in the error.
+   * Listens, and waits until it does.
+   *
+   * @param snapshotPort the first of three, or 0 for any three free ports in a row
+   * @throws IOException if a port is taken; names it
    */
-  public void start(String host, int wanted) throws IOException, InterruptedException {
-    for (int i = 0; wanted == 0 && i < FREE_TRIES; i++) {
-      try (var probe = new java.net.ServerSocket(0, 1, java.net.InetAddress.getByName(host))) {
+  public void start(String host, int snapshotPort) throws IOException, InterruptedException {
+    if (snapshotPort == 0 && listenAtFreePorts(host)) {
+      return;
+    }
+    port = snapshotPort;
+    try {
+      listen(host);
+    } catch (IOException e) {
+      stopListening();
+      throw e;
+    }
+  }
+
+  private boolean listenAtFreePorts(String host) throws IOException, InterruptedException {
+    for (int attempt = 0; attempt < MAX_FREE_PORT_ATTEMPTS; attempt++) {
+      try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(host))) {
         port = probe.getLocalPort();
       }
       try {
         listen(host);
-        return;
+        return true;
       } catch (IOException e) {
         stopListening();
       }
     }
-    port = wanted;
-    try {
-      listen(host);
-    } catch (IOException e) {
-      stopListening();
-      throw e;
-    }
+    return false;
   }
 
   private void listen(String host) throws IOException, InterruptedException {
-    if (port < 1 || port > 65533) {
+    if (port < 1 || port > MAX_SNAPSHOT_PORT) {
       throw new IOException("no three ports in a row at port " + port);
     }
-    bind(SocketType.ROUTER, host, port, new Snapshots());
+    bind(SocketType.ROUTER, host, port, new SnapshotListener());
     bind(SocketType.PUB, host, port + 1, publisher);
-    bind(SocketType.SUB, host, port + 2, new Collector());
-    beats =
+    bind(SocketType.SUB, host, port + 2, new CollectorListener());
+    heartbeats =
         loops
             .next()
-            .scheduleAtFixedRate(publisher::beat, BEAT_MILLIS, BEAT_MILLIS, TimeUnit.MILLISECONDS);
+            .scheduleAtFixedRate(
+                publisher::sendHeartbeats,
+                HEARTBEAT_INTERVAL_MILLIS,
+                HEARTBEAT_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
   }
 
-  private void bind(SocketType type, String host, int at, ZmtpListener events)
+  private void bind(SocketType type, String host, int bindPort, ZmtpListener listener)
       throws IOException, InterruptedException {
-    SocketAddress address = new InetSocketAddress(host, at);
-    ChannelFuture bound =
-        ZmtpSockets.listen(loops, type, address, limits, new Noted(events)).await();
-    if (!bound.isSuccess()) {
+    ChannelFuture bind =
+        ZmtpSockets.listen(
+                loops,
+                type,
+                new InetSocketAddress(host, bindPort),
+                limits,
+                new TrackingListener(listener))
+            .await();
+    if (!bind.isSuccess()) {
       throw new IOException(
-          "can't listen at " + host + ":" + at + ": " + bound.cause().getMessage());
+          "can't listen at " + host + ":" + bindPort + ": " + bind.cause().getMessage());
     }
-    listeners.add(bound.channel());
+    listeners.add(bind.channel());
   }
 
+  /** The snapshot port, once it listens. */
   public int port() {
     return port;
   }
 
+  /** Sends updates to their subscribers, in order; from any thread. */
   public void publish(List<? extends ChpMessage> updates) {
     publisher.publish(updates);
   }
 
-  /** No new connections from now on; those that are open go on. */
+  /** Accepts no new connections from now on; those that are open stay. */
   public void stopListening() throws InterruptedException {
     for (Channel listener : listeners) {
       listener.close().await();
@@ -110,77 +142,81 @@
     listeners.clear();
   }
 
-  /** Writes out what waits, up to the given time, then closes every connection. */
-  public void stop(long millis) throws InterruptedException {
+  /**
+   * Writes out what waits, then closes all connections.
+   *
+   * @param writeTimeoutMillis how long to wait for the writes of all connections together
+   */
+  public void stop(long writeTimeoutMillis) throws InterruptedException {
     stopListening();
-    if (beats != null) {
-      beats.cancel(false);
+    if (heartbeats != null) {
+      heartbeats.cancel(false);
     }
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    for (Channel channel : open) {
-      long left = until - System.nanoTime();
-      channel
-          .writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
-          .await(Math.max(1, left / 1_000_000));
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(writeTimeoutMillis);
+    for (Channel connection : connections) {
+      long remainingNanos = deadlineNanos - System.nanoTime();
+      connection
+          .writeAndFlush(Unpooled.EMPTY_BUFFER)
+          .await(Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos)));
     }
-    open.close().await(Math.max(100, millis));
+    connections.close().await(Math.max(MIN_CLOSE_WAIT_MILLIS, writeTimeoutMillis));
   }
 
-  /** Passes on, and remembers which connections are open. */
-  private final class Noted implements ZmtpListener {
-    private final ZmtpListener to;
+  /** Keeps track of open connections, and closes those that send invalid messages. */
+  private final class TrackingListener implements ZmtpListener {
+    private final ZmtpListener delegate;
 
-    Noted(ZmtpListener to) {
-      this.to = to;
+    TrackingListener(ZmtpListener delegate) {
+      this.delegate = delegate;
     }
 
     @Override
-    public void opened(ZmtpConnection peer) {
-      open.add(peer.channel());
-      to.opened(peer);
+    public void opened(ZmtpConnection connection) {
+      connections.add(connection.channel());
+      delegate.opened(connection);
     }
 
     @Override
-    public void message(ZmtpConnection peer, List<byte[]> frames) {
+    public void message(ZmtpConnection connection, List<byte[]> frames) {
       try {
-        to.message(peer, frames);
-      } catch (ChpException e) {
-        peer.close(e.getMessage());
+        delegate.message(connection, frames);
+      } catch (InvalidChpMessageException e) {
+        connection.close(e.getMessage());
       }
     }
 
     @Override
-    public void subscription(ZmtpConnection peer, byte[] prefix, boolean on) {
-      to.subscription(peer, prefix, on);
+    public void subscription(ZmtpConnection connection, byte[] prefix, boolean subscribed) {
+      delegate.subscription(connection, prefix, subscribed);
     }
 
     @Override
-    public void closed(ZmtpConnection peer) {
-      to.closed(peer);
+    public void closed(ZmtpConnection connection) {
+      delegate.closed(connection);
     }
   }
 
-  private final class Snapshots implements ZmtpListener {
+  private final class SnapshotListener implements ZmtpListener {
     @Override
-    public void message(ZmtpConnection peer, List<byte[]> frames) {
-      backend.snapshotAsked(peer, ChpMessage.readAsk(frames).subtree());
+    public void message(ZmtpConnection connection, List<byte[]> frames) {
+      backend.snapshotRequested(connection, ChpDecoder.decodeRequest(frames).subtree());
     }
   }
 
-  private final class Collector implements ZmtpListener {
+  private final class CollectorListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection peer) {
-      peer.subscribe(new byte[0]);
+    public void opened(ZmtpConnection connection) {
+      connection.subscribe(ChpMessage.NONE);
     }
 
     @Override
-    public void message(ZmtpConnection peer, List<byte[]> frames) {
-      backend.keySet(peer, ChpMessage.readSet(frames));
+    public void message(ZmtpConnection connection, List<byte[]> frames) {
+      backend.keySet(connection, ChpDecoder.decodeSet(frames));
     }
 
     @Override
-    public void closed(ZmtpConnection peer) {
-      backend.collectorClosed(peer);
+    public void closed(ZmtpConnection connection) {
+      backend.collectorClosed(connection);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/chp/UpdatePublisher.java
@@ -0,0 +1,81 @@
+package stonespring.chp;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.PooledByteBufAllocator;
+import io.netty.channel.EventLoop;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import stonespring.zmtp.ZmtpConnection;
+import stonespring.zmtp.ZmtpEncoder;
+import stonespring.zmtp.ZmtpListener;
+
+/** Sends updates and heartbeats to subscribers. State lives on one event loop. */
+final class UpdatePublisher implements ZmtpListener {
+  private final EventLoop loop;
+  private final SubscriptionIndex subscriptions = new SubscriptionIndex();
+  private final Set<ZmtpConnection> writtenSinceHeartbeat = new HashSet<>();
+
+  UpdatePublisher(EventLoop loop) {
+    this.loop = loop;
+  }
+
+  @Override
+  public void subscription(ZmtpConnection connection, byte[] prefixBytes, boolean subscribed) {
+    String prefix = SubscriptionIndex.text(prefixBytes);
+    if (!subscribed) {
+      subscriptions.remove(connection, prefix);
+      return;
+    }
+    subscriptions.add(connection, prefix);
+    if (prefix.equals(ChpMessage.HUGZ)) {
+      // Tells the subscriber that its earlier subscriptions are in force, so that it can request
+      // its snapshot.
+      connection.sendNow(new ChpMessage.Hugz().frames());
+    }
+  }
+
+  @Override
+  public void closed(ZmtpConnection connection) {
+    writtenSinceHeartbeat.remove(connection);
+    subscriptions.remove(connection);
+  }
+
+  /** Sends updates to their subscribers, in order; from any thread. */
+  void publish(List<? extends ChpMessage> updates) {
+    loop.execute(() -> send(updates));
+  }
+
+  /** Sends a heartbeat to each subscriber of them that got nothing else since the last one. */
+  void sendHeartbeats() {
+    List<byte[]> heartbeat = new ChpMessage.Hugz().frames();
+    for (ZmtpConnection connection : subscriptions.subscribersOfPrefix(ChpMessage.HUGZ)) {
+      if (!writtenSinceHeartbeat.contains(connection)) {
+        connection.sendNow(heartbeat);
+      }
+    }
+    writtenSinceHeartbeat.clear();
+  }
+
+  /** Sends all updates for one connection by one write, as a write costs more than an update. */
+  private void send(List<? extends ChpMessage> updates) {
+    Map<ZmtpConnection, ByteBuf> buffers = new LinkedHashMap<>();
+    for (ChpMessage update : updates) {
+      List<byte[]> frames = update.frames();
+      String key = SubscriptionIndex.text(frames.get(0));
+      for (ZmtpConnection connection : subscriptions.subscribers(key)) {
+        ByteBuf buffer =
+            buffers.computeIfAbsent(connection, unused -> PooledByteBufAllocator.DEFAULT.buffer());
+        ZmtpEncoder.append(buffer, frames);
+      }
+    }
+    buffers.forEach(
+        (connection, buffer) -> {
+          connection.write(buffer);
+          connection.flush();
+          writtenSinceHeartbeat.add(connection);
+        });
+  }
+}
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -76,7 +76,7 @@
                 end.complete(cause);
               }
             });
-    client.dial(host, port, false, ZmtpLimits.DEFAULT);
+    client.connect(host, port, false, ZmtpLimits.DEFAULT);
     try {
       String cause = follow ? end.get() : end.get(2 * SILENCE_MILLIS, TimeUnit.MILLISECONDS);
       return cause.isEmpty() ? Exit.GOOD : Exit.fail(Exit.FAILED, "snapshot: " + cause);
--- a/src/main/java/stonespring/proxy/AssignerLink.java
+++ b/src/main/java/stonespring/proxy/AssignerLink.java
@@ -87,7 +87,7 @@
   /** Stands still, or goes on: nothing is read from the assigner meanwhile. */
   void reading(boolean on) {
     if (client != null) {
-      client.reading(on);
+      client.setReading(on);
     }
   }
 
@@ -141,7 +141,7 @@
               }
             });
     client = mine[0];
-    client.dial(to.host(), to.snapshots(), to.updates(), to.collector(), ZmtpLimits.DEFAULT);
+    client.connect(to.host(), to.snapshots(), to.updates(), to.collector(), ZmtpLimits.DEFAULT);
   }
 
   private void lost(String cause) {
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import stonespring.chp.ChpBackend;
-import stonespring.chp.ChpException;
 import stonespring.chp.ChpMessage;
+import stonespring.chp.InvalidChpMessageException;
 import stonespring.model.DeciMillis;
 import stonespring.proxyapi.NameTable;
 import stonespring.proxyapi.ProxyMessageCodec;
@@ -54,13 +54,14 @@
   }
 
   @Override
-  public void snapshotAsked(ZmtpConnection peer, String subtree) {
+  public void snapshotRequested(ZmtpConnection peer, String subtree) {
     AtomicInteger asks = peer.channel().attr(ASKS).get();
     if (asks == null) {
       peer.channel().attr(ASKS).set(asks = new AtomicInteger());
     }
     if (asks.incrementAndGet() > ASKS_MOST) {
-      throw new ChpException("ICANHAZ: over " + ASKS_MOST + " snapshots asked at once");
+      throw new InvalidChpMessageException(
+          "ICANHAZ: over " + ASKS_MOST + " snapshots asked at once");
     }
     AtomicInteger waiting = asks;
     boolean taken =
@@ -74,7 +75,7 @@
               waiting.decrementAndGet();
             });
     if (!taken) {
-      throw new ChpException("too much waits to be looked at; come again");
+      throw new InvalidChpMessageException("too much waits to be looked at; come again");
     }
   }
 
@@ -89,10 +90,10 @@
     try {
       taken = taken(segments, set, source);
     } catch (ProxyMessageCodec.BadWord e) {
-      throw new ChpException("KVSET " + set.key() + ": " + e.getMessage());
+      throw new InvalidChpMessageException("KVSET " + set.key() + ": " + e.getMessage());
     }
     if (!taken) {
-      throw new ChpException("too much waits to be looked at; come again");
+      throw new InvalidChpMessageException("too much waits to be looked at; come again");
     }
   }
 
@@ -110,12 +111,14 @@
         return intake.answered(segments[1], answer.stream(), answer.mark(), answer.took(), source);
       }
     }
-    throw new ChpException("KVSET: key " + set.key() + " is not one that clients set");
+    throw new InvalidChpMessageException(
+        "KVSET: key " + set.key() + " is not one that clients set");
   }
 
   private boolean presence(String proxy, ChpMessage.KvSet set, Source source) {
     if (set.value().length == 0) {
-      throw new ChpException("KVSET " + set.key() + ": presence ends by its ttl or its connection");
+      throw new InvalidChpMessageException(
+          "KVSET " + set.key() + ": presence ends by its ttl or its connection");
     }
     ProxyHello hello = words.hello(set.value());
     return intake.hello(proxy, hello, ttl(set.properties()) * DeciMillis.SECOND, source);
@@ -126,7 +129,7 @@
     if (!word.matches("[0-9]{1,6}")
         || Integer.parseInt(word) < 1
         || Integer.parseInt(word) > TTL_MOST) {
-      throw new ChpException(
+      throw new InvalidChpMessageException(
           "presence: property 'ttl' is not a number of seconds from 1 to " + TTL_MOST);
     }
     return Integer.parseInt(word);
--- a/src/main/java/stonespring/testbed/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -168,7 +168,7 @@
                 // the assigner is stopped at the end
               }
             })
-        .dial("127.0.0.1", port, false, ZmtpLimits.DEFAULT);
+        .connect("127.0.0.1", port, false, ZmtpLimits.DEFAULT);
   }
 
   /**
@@ -376,7 +376,7 @@
   /** A server with nothing behind it. */
   private static final class Nothing implements ChpBackend {
     @Override
-    public void snapshotAsked(ZmtpConnection peer, String subtree) {}
+    public void snapshotRequested(ZmtpConnection peer, String subtree) {}
 
     @Override
     public void keySet(ZmtpConnection peer, ChpMessage.KvSet set) {}
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -335,7 +335,7 @@
                 }
               }
             });
-    client.dial("127.0.0.1", assigner.port(), false, ZmtpLimits.DEFAULT);
+    client.connect("127.0.0.1", assigner.port(), false, ZmtpLimits.DEFAULT);
   }
 
   private void at(double millis, Act act) {
--- /dev/null
+++ b/src/test/java/stonespring/chp/ChpClientTest.java
@@ -0,0 +1,135 @@
+package stonespring.chp;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static stonespring.chp.StockMessages.TIMEOUT_MILLIS;
+import static stonespring.chp.StockMessages.publish;
+import static stonespring.chp.StockMessages.reply;
+import static stonespring.chp.StockMessages.text;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.zeromq.SocketType;
+import org.zeromq.ZContext;
+import org.zeromq.ZMQ;
+import org.zeromq.ZMsg;
+import stonespring.zmtp.ZmtpLimits;
+
+/** A client against a server on an independent ZeroMQ library. */
+final class ChpClientTest {
+  private final MultiThreadIoEventLoopGroup loops =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
+  private final ZContext context = new ZContext();
+  private ZMQ.Socket router;
+  private ZMQ.Socket publisher;
+  private ZMQ.Socket collector;
+  private ChpClient client;
+
+  /** Writes down what it is notified of. */
+  private final class RecordingListener implements ChpClient.Listener {
+    @Override
+    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+      events.add("snapshot " + keys.size() + " at " + sequence);
+    }
+
+    @Override
+    public void update(ChpMessage.KvPub update) {
+      events.add(update.key() + "=" + new String(update.value(), StandardCharsets.UTF_8));
+    }
+
+    @Override
+    public void ready() {
+      events.add("ready");
+    }
+
+    @Override
+    public void ended(String cause) {
+      events.add("ended " + cause);
+    }
+  }
+
+  @BeforeEach
+  void connect() {
+    router = socket(SocketType.ROUTER);
+    publisher = socket(SocketType.XPUB);
+    collector = socket(SocketType.SUB);
+    int snapshotPort = router.bindToRandomPort("tcp://127.0.0.1");
+    int updatePort = publisher.bindToRandomPort("tcp://127.0.0.1");
+    int collectorPort = collector.bindToRandomPort("tcp://127.0.0.1");
+    collector.subscribe("");
+    client =
+        new ChpClient((EventLoop) loops.next(), "/x/", TIMEOUT_MILLIS, new RecordingListener());
+    client.connect("127.0.0.1", snapshotPort, updatePort, collectorPort, ZmtpLimits.DEFAULT);
+  }
+
+  private ZMQ.Socket socket(SocketType type) {
+    ZMQ.Socket socket = context.createSocket(type);
+    socket.setReceiveTimeOut(TIMEOUT_MILLIS);
+    return socket;
+  }
+
+  @AfterEach
+  void stop() {
+    context.close();
+    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
+
+  @Test
+  void followsAServerOnAStockLibrary() throws Exception {
+    assertArrayEquals(
+        bytes("\u0001/x/"), publisher.recv(), "a subscription as this library's version takes it");
+    assertArrayEquals(bytes("\u0001HUGZ"), publisher.recv());
+    publish(publisher, "/x/early", 5, "dropped, the snapshot holds it");
+    publish(publisher, "/x/late", 8, "kept");
+    ZMsg request = ZMsg.recvMsg(router);
+    byte[] sender = request.pop().getData();
+    assertEquals("ICANHAZ?", request.popString());
+    assertEquals("/x/", request.popString());
+    reply(router, sender, "/x/a", 7, "1");
+    reply(router, sender, "KTHXBAI", 7, "/x/");
+    assertEquals("snapshot 1 at 7", nextEvent());
+    assertEquals("/x/late=kept", nextEvent());
+    assertEquals("ready", awaitCollectorReady());
+    loops
+        .next()
+        .execute(
+            () ->
+                client.set(
+                    new ChpMessage.KvSet(
+                        "/up/x", ChpMessage.NONE, Map.of("ttl", "3"), bytes("v"))));
+    ZMsg set = ZMsg.recvMsg(collector);
+    assertEquals("/up/x", text(set, 0));
+    assertEquals("ttl=3\n", text(set, 3));
+    assertEquals("v", text(set, 4));
+    loops.next().execute(client::close);
+    assertEquals("ended closed", nextEvent());
+  }
+
+  /** The library greets new peers only while its socket is called. */
+  private String awaitCollectorReady() throws InterruptedException {
+    String event = null;
+    for (int i = 0; i < 200 && event == null; i++) {
+      collector.recv(ZMQ.DONTWAIT);
+      event = events.poll(50, TimeUnit.MILLISECONDS);
+    }
+    return event;
+  }
+
+  private String nextEvent() throws InterruptedException {
+    return events.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
+}
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -216,7 +216,7 @@
                 got.complete("ended: " + cause);
               }
             });
-    client.dial("127.0.0.1", daemon.port(), false, ZmtpLimits.DEFAULT);
+    client.connect("127.0.0.1", daemon.port(), false, ZmtpLimits.DEFAULT);
     String keys = got.get(WAIT, TimeUnit.MILLISECONDS);
     loops.next().execute(client::close);
     return keys;
