--- /dev/null
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -0,0 +1,313 @@
+package stonespring.decision;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.List;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.stream.IntStream;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.Event;
+import stonespring.model.RequestClass;
+import stonespring.model.RetryPolicy;
+import stonespring.model.Settings;
+
+/**
+ * Sheds load: admits the fraction of requests that the listed endpoints can serve, by request
+ * class. Capacity is read from normal operation and may be read too high, so that it is scaled by a
+ * confidence that overload reduces and normal operation restores.
+ */
+final class AdmissionController {
+  /** Share of capacity; at more of it queues grow beyond the latency objectives. */
+  private static final double TARGET_FILL = 0.9;
+
+  /** Utilization above which the fraction is limited whatever the estimates say. */
+  private static final double HIGH_UTILIZATION = 0.8;
+
+  /** Share of attempts that fail or are late under overload. */
+  private static final double OVERLOAD_TROUBLE_SHARE = 0.2;
+
+  /** Share of capacity that must be in trouble for overload. */
+  private static final double OVERLOAD_CAPACITY_SHARE = 0.5;
+
+  /** Share of capacity; trouble at less of it is a matter of a few endpoints. */
+  private static final double LOCAL_TROUBLE_CAPACITY_SHARE = 0.25;
+
+  /** Factor of the confidence at the first reduction, when all is admitted. */
+  private static final double FIRST_REDUCTION = 0.5;
+
+  /** Factor of the confidence at each further reduction. */
+  private static final double REDUCTION = 0.7;
+
+  /** DeciMillis between reductions; the last one shows in reports by then. */
+  private static final long REDUCTION_INTERVAL = 20_000;
+
+  private static final double MIN_CONFIDENCE = 0.4;
+
+  /** Least confidence while endpoints report spare capacity: the failures may have other causes. */
+  private static final double MIN_CONFIDENCE_IF_IDLE = 0.5;
+
+  /** Least confidence while reports are delayed: the overload that they show may be over. */
+  private static final double MIN_CONFIDENCE_IF_DELAYED = 0.7;
+
+  /** Confidence that normal operation restores at once. */
+  private static final double RECOVERED_CONFIDENCE = 0.7;
+
+  private static final double MAX_CONFIDENCE = 2;
+  private static final double CONFIDENCE_STEP_PER_SECOND = 0.04;
+
+  /** Least admitted fraction; some requests must show whether endpoints work. */
+  private static final double MIN_FRACTION = 0.05;
+
+  /** Relative change of the fraction that is worth a message to every proxy. */
+  private static final double MIN_CHANGE = 0.05;
+
+  /** Least fraction of any class, as a multiple of the worst class's weight in the objective. */
+  private static final double CLASS_FLOOR_MULTIPLE = 3;
+
+  /** Requests per second at a proxy; stands for no limit. */
+  private static final double UNLIMITED_RATE = 1e6;
+
+  private final Settings settings;
+  private final EngineClock clock;
+  private final EndpointRegistry endpoints;
+  private final ProxyRegistry proxies;
+  private final Estimates estimates;
+  private final CommandBatch batch;
+  private final ChannelBudget budget;
+  private double fraction = 1;
+  private double confidence = 1;
+  private long lastReductionAt = EngineClock.NEVER;
+  private double roundAttempts;
+  private double roundTroubled;
+
+  /**
+   * What is seen of the load at an update.
+   *
+   * @param servable capacity over offered requests
+   * @param utilization mean utilization of the endpoints that report one, by capacity
+   * @param troubledCapacity share of the capacity where more than usual fails or is late
+   * @param troubledAttempts share of the attempts since the last round that failed or were late
+   */
+  private record Load(
+      double servable, double utilization, double troubledCapacity, double troubledAttempts) {
+    boolean isOverloaded() {
+      return troubledAttempts > OVERLOAD_TROUBLE_SHARE
+          && troubledCapacity > OVERLOAD_CAPACITY_SHARE;
+    }
+
+    boolean isNormal() {
+      return troubledAttempts < EndpointStatistics.NORMAL_TROUBLE_SHARE
+          || troubledCapacity < LOCAL_TROUBLE_CAPACITY_SHARE;
+    }
+
+    boolean isPressed() {
+      return servable < 1
+          || utilization > HIGH_UTILIZATION
+          || troubledAttempts > EndpointStatistics.NORMAL_TROUBLE_SHARE
+              && troubledCapacity > OVERLOAD_CAPACITY_SHARE;
+    }
+  }
+
+  AdmissionController(
+      Settings settings,
+      EngineClock clock,
+      EndpointRegistry endpoints,
+      ProxyRegistry proxies,
+      Estimates estimates,
+      CommandBatch batch,
+      ChannelBudget budget) {
+    this.settings = settings;
+    this.clock = clock;
+    this.endpoints = endpoints;
+    this.proxies = proxies;
+    this.estimates = estimates;
+    this.batch = batch;
+    this.budget = budget;
+  }
+
+  /** Counts attempts that failed or were late until the next round. */
+  void recordOutcomes(Event.EndpointOutcomes outcomes) {
+    double lateShare = estimates.latency().lateShare(outcomes.successLatency());
+    long successes = outcomes.attempts() - outcomes.failures();
+    roundAttempts += outcomes.attempts();
+    roundTroubled += outcomes.failures() + successes * lateShare;
+  }
+
+  /** The part of the offered traffic that proxies pass on, where they limit it by a fraction. */
+  double admittedTraffic() {
+    return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? fraction : 1;
+  }
+
+  /** Has new proxies admit all requests; sent once, with the first batch. */
+  void publishInitialLimits() {
+    double[] fractions = new double[settings.requestClasses().size()];
+    Arrays.fill(fractions, 1);
+    publish(1, fractions);
+  }
+
+  /**
+   * Admits what the listed endpoints can serve. Between rounds the fraction follows the endpoint
+   * list alone; the confidence changes in rounds.
+   */
+  void update(boolean inRound) {
+    if (estimates.traffic().offeredRate() <= 0) {
+      return;
+    }
+    Load load = observe();
+    if (inRound) {
+      adjustConfidence(load);
+      roundAttempts = 0;
+      roundTroubled = 0;
+    }
+    boolean limited = fraction < 1 || load.isPressed();
+    double admissible = limited ? TARGET_FILL * load.servable() * confidence : 1;
+    double wanted = Math.max(MIN_FRACTION, Math.min(1, admissible));
+    boolean changed =
+        wanted == 1 ? fraction < 1 : Math.abs(wanted - fraction) > MIN_CHANGE * fraction;
+    if (changed && budget.hasRoomForAdmissionLimits()) {
+      if (wanted == 1) {
+        log("Endpoints have spare capacity: all requests are admitted again.");
+      }
+      fraction = wanted;
+      publish(fraction, fractionsByClass());
+    }
+  }
+
+  /** An endpoint that fails more than the rest counts less: one that fails all serves nothing. */
+  private Load observe() {
+    TrafficEstimator traffic = estimates.traffic();
+    double totalCapacity = Math.max(1e-9, estimates.capacity().totalCapacity());
+    double meanSuccess =
+        endpoints.sumOverReady(
+                endpoint -> endpoint.capacity() * endpoint.statistics().successShare())
+            / totalCapacity;
+    double servable =
+        traffic.offeredShare()
+            / traffic.offeredRate()
+            * endpoints.sumOverReady(endpoint -> servedCapacity(endpoint, meanSuccess));
+    double reportingCapacity =
+        endpoints.sumOverReady(
+            endpoint -> endpoint.statistics().utilization() >= 0 ? endpoint.capacity() : 0);
+    double utilization =
+        reportingCapacity > 0
+            ? endpoints.sumOverReady(AdmissionController::busyCapacity) / reportingCapacity
+            : 0;
+    double troubledCapacity =
+        endpoints.sumOverReady(AdmissionController::troubledCapacity) / totalCapacity;
+    double troubledAttempts =
+        roundTroubled / Math.max(EndpointStatistics.PRIOR_ATTEMPTS, roundAttempts);
+    return new Load(servable, utilization, troubledCapacity, troubledAttempts);
+  }
+
+  private static double servedCapacity(EndpointState endpoint, double meanSuccess) {
+    double relativeSuccess = endpoint.statistics().successShare() / (meanSuccess + 1e-9);
+    return endpoint.capacity() * Math.min(1, relativeSuccess);
+  }
+
+  private static double busyCapacity(EndpointState endpoint) {
+    double utilization = endpoint.statistics().utilization();
+    return utilization >= 0 ? endpoint.capacity() * utilization : 0;
+  }
+
+  private static double troubledCapacity(EndpointState endpoint) {
+    double trouble = endpoint.statistics().troubleShare();
+    return trouble > EndpointStatistics.NORMAL_TROUBLE_SHARE ? endpoint.capacity() : 0;
+  }
+
+  private void adjustConfidence(Load load) {
+    long delay = estimates.cadence().delay();
+    double step = CONFIDENCE_STEP_PER_SECOND * settings.reportInterval() / DeciMillis.SECOND;
+    if (load.isOverloaded() && clock.since(lastReductionAt) > REDUCTION_INTERVAL + delay) {
+      if (confidence == 1) {
+        log("Overload: endpoints fail requests, admission limits are lowered.");
+      }
+      double floorIfIdle =
+          delay > settings.reportInterval() ? MIN_CONFIDENCE_IF_DELAYED : MIN_CONFIDENCE_IF_IDLE;
+      double floor =
+          load.utilization() > HIGH_UTILIZATION
+              ? MIN_CONFIDENCE
+              : Math.min(confidence, floorIfIdle);
+      double factor = fraction == 1 ? FIRST_REDUCTION : REDUCTION;
+      confidence = Math.max(floor, confidence * factor);
+      lastReductionAt = clock.now();
+    } else if (load.isNormal() && load.utilization() < TARGET_FILL) {
+      double limit = fraction < 1 ? MAX_CONFIDENCE : 1;
+      confidence = Math.min(limit, Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step)));
+    } else if (load.utilization() > TARGET_FILL) {
+      confidence = Math.max(Math.min(1, confidence), confidence * (1 - step));
+    }
+  }
+
+  /**
+   * Divides the admitted requests among the classes, those of most value for their work first.
+   * Nothing reports the work of a class; its latency objective stands for it. No class falls below
+   * a floor, which is higher the more the worst served class counts in the objective.
+   */
+  private double[] fractionsByClass() {
+    List<RequestClass> classes = settings.requestClasses();
+    double[] rates = ratesByClass();
+    double floor =
+        fraction * Math.min(1, CLASS_FLOOR_MULTIPLE * settings.routing().worstClassWeight());
+    double remaining = (fraction - floor) * Arrays.stream(rates).sum();
+    double[] fractions = new double[rates.length];
+    Arrays.fill(fractions, fraction);
+    List<Integer> byValue = new ArrayList<>(IntStream.range(0, rates.length).boxed().toList());
+    byValue.sort(Comparator.comparingDouble(index -> -valueForWork(classes.get(index))));
+    for (int index : byValue) {
+      double added = Math.max(0, Math.min(remaining, (1 - floor) * rates[index]));
+      if (fraction < 1 && rates[index] > 0) {
+        fractions[index] = floor + added / rates[index];
+      }
+      remaining -= added;
+    }
+    return fractions;
+  }
+
+  private static double valueForWork(RequestClass requestClass) {
+    return requestClass.priorityWeight() / requestClass.latencyObjective();
+  }
+
+  /** Requests per second of the connected proxies, by class. */
+  private double[] ratesByClass() {
+    double[] rates = new double[settings.requestClasses().size()];
+    for (ProxyState proxy : proxies.all()) {
+      if (proxy.isConnected()) {
+        for (int index = 0; index < rates.length; index++) {
+          rates[index] += proxy.requestRate().averageRate(index);
+        }
+      }
+    }
+    return rates;
+  }
+
+  /**
+   * Sends the limits, one for all classes of equal fraction. Proxies retry only while all requests
+   * are admitted, and then only what was proven not to be executed.
+   */
+  private void publish(double overall, double[] fractions) {
+    RetryPolicy retryPolicy = overall < 1 ? RetryPolicy.NEVER : RetryPolicy.IF_NOT_EXECUTED;
+    SortedMap<Double, Integer> maskByLimit = new TreeMap<>();
+    for (int index = 0; index < fractions.length; index++) {
+      boolean byRate = settings.admissionLimitKind() == AdmissionLimitKind.RATE;
+      double limit = byRate ? UNLIMITED_RATE : fractions[index];
+      maskByLimit.merge(limit, 1 << index, Integer::sum);
+    }
+    maskByLimit.forEach(
+        (limit, mask) ->
+            batch.addRestriction(
+                new Command.LimitAdmission(Command.ALL_TABLES, mask, retryPolicy, limit)));
+    for (ProxyState proxy : proxies.all()) {
+      if (proxy.isConnected()) {
+        batch.countEntries(proxy, maskByLimit.size());
+      }
+    }
+  }
+
+  private void log(String text) {
+    batch.addLocal(new Command.Log(text));
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -0,0 +1,191 @@
+package stonespring.decision;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalDouble;
+import stonespring.model.AckId;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.Settings;
+
+/**
+ * Estimates the backlog of the channel to the proxies, and decides which updates it has room for.
+ * Acknowledgements tell how far the channel is, at whatever pace; without them it is taken to be
+ * much slower than configured. A position counts the entries sent since the start.
+ */
+final class ChannelBudget {
+  /** DeciMillis between urgent updates, or exclusion notices, that may wait for each other. */
+  static final long BATCH_INTERVAL = 6_000;
+
+  /** DeciMillis; a message's way, a report interval and its delay. */
+  private static final long ACKNOWLEDGEMENTS_CURRENT_FOR = 30_000;
+
+  /** Times slower than configured, while nothing is acknowledged. */
+  private static final double ASSUMED_SLOWDOWN = 5;
+
+  // Shares of the backlog's limit up to which updates go out; the rest is left to what follows.
+  private static final double ROUTINE_BACKLOG = 0.3;
+  private static final double FIRST_TABLE_BACKLOG = 0.35;
+  private static final double EXCLUSION_BACKLOG = 0.6;
+  private static final double URGENT_BACKLOG = 0.85;
+
+  /** Share of a proxy's messages up to which routine updates go out. */
+  private static final double ROUTINE_MESSAGES = 0.33;
+
+  /** Share of a proxy's messages up to which admission limits go out. */
+  private static final double ADMISSION_MESSAGES = 2 * ROUTINE_MESSAGES;
+
+  private static final double UNLIMITED_MESSAGES = 1e9;
+
+  /** Messages of a proxy that are left to exclusion notices. */
+  private static final int RESERVED_MESSAGES = 2;
+
+  /** Acknowledgement numbers before they start over; about an hour's batches. */
+  private static final int ACK_NUMBERS = 4_000;
+
+  /** What was sent in one batch. */
+  private record SentBatch(double start, double entries, int messages) {
+    double end() {
+      return start + entries;
+    }
+  }
+
+  private final Settings.ChannelLimits limits;
+  private final EngineClock clock;
+  private final ProxyRegistry proxies;
+  private final CommandBatch batch;
+  private final Map<Integer, SentBatch> sentBatches = new HashMap<>();
+  private int nextAck = 1;
+  private double sentPosition;
+  private double acknowledgedPosition;
+  private long assumedEmptyAt;
+  private long lastAcknowledgedAt = EngineClock.NEVER;
+
+  ChannelBudget(
+      Settings.ChannelLimits limits, EngineClock clock, ProxyRegistry proxies, CommandBatch batch) {
+    this.limits = limits;
+    this.clock = clock;
+    this.proxies = proxies;
+    this.batch = batch;
+  }
+
+  /** The position at which the current batch starts. */
+  double sentPosition() {
+    return sentPosition;
+  }
+
+  /** Ends the batch: books its entries and returns its commands with an acknowledgement request. */
+  List<Command> endBatch() {
+    List<Command> commands = batch.takeCommands();
+    if (!batch.proxies().isEmpty()) {
+      commands.add(new Command.RequestAck(new AckId(nextAck), false));
+      book();
+    }
+    batch.clearEntries();
+    return commands;
+  }
+
+  private void book() {
+    int messages = batch.proxies().size();
+    sentBatches.put(nextAck, new SentBatch(sentPosition, batch.entries(), messages));
+    nextAck = nextAck % ACK_NUMBERS + 1;
+    sentPosition += batch.entries();
+    double assumedTime =
+        batch.entries() * DeciMillis.SECOND * ASSUMED_SLOWDOWN / limits.entriesPerSecond();
+    assumedEmptyAt = Math.max(assumedEmptyAt, clock.now()) + (long) assumedTime;
+    for (ProxyState proxy : batch.proxies()) {
+      int entries = batch.messageOverhead() + batch.entriesFor(proxy);
+      proxy.channel().sent(entries, sentPosition, acknowledgedPosition, clock.now());
+    }
+  }
+
+  /**
+   * Notes that a proxy applied a batch: all earlier batches left the channel, and its own message.
+   *
+   * @return the position at which the batch started; empty if it is unknown
+   */
+  OptionalDouble acknowledged(ProxyState proxy, AckId ack) {
+    SentBatch sent = sentBatches.get(ack.number());
+    if (sent == null) {
+      return OptionalDouble.empty();
+    }
+    lastAcknowledgedAt = clock.now();
+    double reached =
+        Math.max(acknowledgedPosition, sent.start()) + sent.entries() / sent.messages();
+    acknowledgedPosition = Math.max(acknowledgedPosition, Math.min(reached, sent.end()));
+    proxy.channel().acknowledged(sent.end());
+    return OptionalDouble.of(sent.start());
+  }
+
+  /** Takes off what waits for a connection that ended: it is lost and never acknowledged. */
+  void disconnected(ProxyState proxy) {
+    double lost = proxy.channel().disconnected(acknowledgedPosition);
+    acknowledgedPosition = Math.min(sentPosition, acknowledgedPosition + lost);
+  }
+
+  /** Entries that wait, with those of the current batch. */
+  private double backlog() {
+    double slowest =
+        Math.max(0, assumedEmptyAt - clock.now())
+            * limits.entriesPerSecond()
+            / ASSUMED_SLOWDOWN
+            / DeciMillis.SECOND;
+    boolean current = clock.since(lastAcknowledgedAt) < ACKNOWLEDGEMENTS_CURRENT_FOR;
+    double unacknowledged = sentPosition - acknowledgedPosition;
+    return batch.entries() + Math.min(current ? sentPosition : slowest, unacknowledged);
+  }
+
+  /**
+   * Whether all unknown tables can be told of exclusions. Otherwise first tables say the same for
+   * fewer entries.
+   */
+  boolean hasRoomForExclusions(long unknownTables, long exclusions) {
+    double entries = backlog() + unknownTables * (batch.messageOverhead() + exclusions);
+    return entries <= EXCLUSION_BACKLOG * limits.maxBacklogEntries();
+  }
+
+  /**
+   * Whether an update may go out that cannot wait for a round. Once a proxy had many messages, its
+   * urgent updates are batched; first tables can wait for the backlog.
+   *
+   * @param exclusionsCrowdedOut whether first tables go out in place of exclusion notices
+   */
+  boolean hasRoomForUrgent(ProxyState proxy, boolean exclusionsCrowdedOut) {
+    double firstTable = exclusionsCrowdedOut ? EXCLUSION_BACKLOG : FIRST_TABLE_BACKLOG;
+    double share = proxy.isTableAssigned() ? URGENT_BACKLOG : firstTable;
+    if (backlog() > share * limits.maxBacklogEntries()) {
+      return false;
+    }
+    if (hasRoutineMessages(proxy)) {
+      return true;
+    }
+    return recentMessages(proxy) < limits.maxMessagesPerProxy() - RESERVED_MESSAGES
+        && clock.since(proxy.channel().lastMessageAt()) >= BATCH_INTERVAL;
+  }
+
+  /** Whether a routine update leaves enough of the channel to drains and empty tables. */
+  boolean hasRoomForRoutine(ProxyState proxy) {
+    return backlog() < ROUTINE_BACKLOG * limits.maxBacklogEntries() && hasRoutineMessages(proxy);
+  }
+
+  /** Whether admission limits may go out to all proxies. */
+  boolean hasRoomForAdmissionLimits() {
+    double maxMessages =
+        limits.maxMessagesPerProxy() == 0
+            ? UNLIMITED_MESSAGES
+            : ADMISSION_MESSAGES * limits.maxMessagesPerProxy();
+    return backlog() < FIRST_TABLE_BACKLOG * limits.maxBacklogEntries()
+        && proxies.all().stream()
+            .allMatch(proxy -> !proxy.isConnected() || recentMessages(proxy) < maxMessages);
+  }
+
+  private boolean hasRoutineMessages(ProxyState proxy) {
+    return limits.maxMessagesPerProxy() == 0
+        || recentMessages(proxy) < ROUTINE_MESSAGES * limits.maxMessagesPerProxy();
+  }
+
+  private int recentMessages(ProxyState proxy) {
+    return proxy.channel().recentMessages(clock.now(), limits.messageWindow());
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -0,0 +1,200 @@
+package stonespring.decision;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Predicate;
+import java.util.function.ToDoubleFunction;
+import java.util.stream.Stream;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.Settings;
+
+/** All known endpoints, under dense indexes, and how updates of the endpoint list change them. */
+final class EndpointRegistry {
+  /** DeciMillis; longer than any proxy keeps a table that names a removed endpoint. */
+  private static final long FORGET_AFTER = 6_000_000;
+
+  /** Share of failures that confirms a removal; more than overloaded endpoints show. */
+  private static final double REMOVAL_CONFIRMED_FAILURE_SHARE = 0.8;
+
+  private final Settings settings;
+  private final EngineClock clock;
+  private final LatencyModel latencyModel;
+  private final List<EndpointState> endpoints = new ArrayList<>();
+  private final List<EndpointState> endpointsView = Collections.unmodifiableList(endpoints);
+  private final ArrayDeque<EndpointState> reusable = new ArrayDeque<>();
+  private final Map<EndpointId, EndpointState> byId = new HashMap<>();
+  private final List<EndpointState> entrants = new ArrayList<>();
+  private boolean departed;
+
+  EndpointRegistry(Settings settings, EngineClock clock, LatencyModel latencyModel) {
+    this.settings = settings;
+    this.clock = clock;
+    this.latencyModel = latencyModel;
+  }
+
+  /** All endpoints by index, including forgotten ones, which are not ready. */
+  List<EndpointState> all() {
+    return endpointsView;
+  }
+
+  int size() {
+    return endpoints.size();
+  }
+
+  Optional<EndpointState> find(EndpointId id) {
+    return Optional.ofNullable(byId.get(id));
+  }
+
+  Stream<EndpointState> notReady() {
+    return endpoints.stream().filter(endpoint -> !endpoint.isReady());
+  }
+
+  /** Sums a figure over the endpoints that are ready, in the order of their indexes. */
+  double sumOverReady(ToDoubleFunction<EndpointState> figure) {
+    double sum = 0;
+    for (EndpointState endpoint : endpoints) {
+      if (endpoint.isReady()) {
+        sum += figure.applyAsDouble(endpoint);
+      }
+    }
+    return sum;
+  }
+
+  /** The share of its capacity that an endpoint has at least while it warms up. */
+  double warmUpFraction(EndpointState endpoint) {
+    return settings.slowStart().warmUpFraction(endpoint.startedAt(), clock.now());
+  }
+
+  boolean isWarm(EndpointState endpoint) {
+    return warmUpFraction(endpoint) >= 1;
+  }
+
+  /** Whether an endpoint left, or an unlisted one was reported, since the last call. */
+  boolean takeDeparture() {
+    boolean taken = departed;
+    departed = false;
+    return taken;
+  }
+
+  /** Removes and returns the endpoints that became ready or restarted since the last call. */
+  List<EndpointState> takeEntrants() {
+    List<EndpointState> taken = new ArrayList<>(entrants);
+    entrants.clear();
+    return taken;
+  }
+
+  /** Takes a list, or the part of it that changed. */
+  void applyUpdate(Event.EndpointListUpdate update) {
+    boolean[] listed = new boolean[endpoints.size() + update.endpoints().size()];
+    for (EndpointRecord entry : update.endpoints()) {
+      EndpointState endpoint = findOrAdd(entry.endpoint());
+      listed[endpoint.index()] = true;
+      applyEntry(endpoint, entry);
+    }
+    if (update.kind() != Event.ListUpdateKind.SNAPSHOT) {
+      return;
+    }
+    for (EndpointState endpoint : endpoints) {
+      if (!listed[endpoint.index()] && endpoint.state() != EndpointRecord.State.REMOVED) {
+        stopUsing(endpoint, EndpointRecord.State.REMOVED);
+      }
+    }
+  }
+
+  private void applyEntry(EndpointState endpoint, EndpointRecord entry) {
+    endpoint.describe(entry);
+    if (entry.state() != EndpointRecord.State.READY) {
+      stopUsing(endpoint, entry.state());
+      return;
+    }
+    boolean restarted = entry.startedAt() > endpoint.startedAt();
+    if (restarted || !endpoint.isReady()) {
+      entrants.add(endpoint);
+    }
+    if (restarted) {
+      endpoint.statistics().reset();
+    }
+    endpoint.markReady(entry.startedAt());
+  }
+
+  /**
+   * A list may lack endpoints that serve. Where the settings allow it, a removed one is used until
+   * its attempts fail too.
+   */
+  private void stopUsing(EndpointState endpoint, EndpointRecord.State newState) {
+    if (settings.endpointList().removedEndpointsKeepServing()
+        && newState == EndpointRecord.State.REMOVED
+        && endpoint.isReady()) {
+      endpoint.markRemovalPending();
+      return;
+    }
+    leave(endpoint, newState);
+  }
+
+  private void leave(EndpointState endpoint, EndpointRecord.State newState) {
+    endpoint.markLeft(newState, clock.now());
+    departed = true;
+  }
+
+  /**
+   * Adds observed outcomes. An endpoint that is not listed was removed before this instance
+   * started, as proxies still try it; it is ignored where removed endpoints may keep serving.
+   */
+  void recordOutcomes(Event.EndpointOutcomes outcomes) {
+    EndpointState endpoint = findOrAdd(outcomes.endpoint());
+    endpoint.statistics().record(outcomes, clock.now());
+    double failureShare = 1 - endpoint.statistics().successShare();
+    if (endpoint.isRemovalPending() && failureShare > REMOVAL_CONFIRMED_FAILURE_SHARE) {
+      leave(endpoint, EndpointRecord.State.REMOVED);
+    }
+  }
+
+  /** Whether outcomes of an endpoint are taken. */
+  boolean accepts(EndpointId id) {
+    return !settings.endpointList().removedEndpointsKeepServing() || byId.containsKey(id);
+  }
+
+  private EndpointState findOrAdd(EndpointId id) {
+    EndpointState known = byId.get(id);
+    if (known != null) {
+      return known;
+    }
+    EndpointState added = reusable.isEmpty() ? append() : reusable.poll();
+    added.assign(id, clock.now());
+    byId.put(id, added);
+    departed = true;
+    return added;
+  }
+
+  private EndpointState append() {
+    EndpointStatistics statistics = new EndpointStatistics(latencyModel, settings.fleet().zones());
+    EndpointState endpoint = new EndpointState(endpoints.size(), statistics);
+    endpoints.add(endpoint);
+    return endpoint;
+  }
+
+  /**
+   * Brings all statistics up to date at the start of a round, and forgets what was removed long ago
+   * and is in no route table.
+   */
+  void settle(Predicate<EndpointState> inTable) {
+    for (EndpointState endpoint : endpoints) {
+      if (!endpoint.isForgotten()
+          && endpoint.state() == EndpointRecord.State.REMOVED
+          && clock.since(endpoint.leftAt()) > FORGET_AFTER
+          && !inTable.test(endpoint)) {
+        byId.remove(endpoint.id());
+        endpoint.markForgotten();
+        reusable.add(endpoint);
+      }
+      endpoint.statistics().settle(clock.now(), settings.reportInterval());
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/EntrantSelector.java
@@ -0,0 +1,109 @@
+package stonespring.decision;
+
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Decides which proxies take in an endpoint that is new, has returned or is idle: each does so with
+ * a chance by its number of routes, and gives up the route to its most loaded endpoint.
+ */
+final class EntrantSelector {
+  /** Factor of the chance at proxies of the endpoint's zone; divides it at the others. */
+  private static final double SAME_ZONE_FACTOR = 2;
+
+  /** Share of the mean fill below which an endpoint is idle; normal variation stays above it. */
+  private static final double IDLE_FILL = 0.6;
+
+  /** DeciMillis between entries of an endpoint; the last one shows in reports by then. */
+  private static final long REENTRY_INTERVAL = 50_000;
+
+  private final EngineClock clock;
+  private final DeterministicRandom random;
+  private final EndpointRegistry endpoints;
+  private final ProxyRegistry proxies;
+  private final CapacityEstimator capacity;
+  private final ExclusionNotifier exclusions;
+
+  EntrantSelector(
+      EngineClock clock,
+      DeterministicRandom random,
+      EndpointRegistry endpoints,
+      ProxyRegistry proxies,
+      CapacityEstimator capacity,
+      ExclusionNotifier exclusions) {
+    this.clock = clock;
+    this.random = random;
+    this.endpoints = endpoints;
+    this.proxies = proxies;
+    this.capacity = capacity;
+    this.exclusions = exclusions;
+  }
+
+  /**
+   * Lets all entrants in, unless a table is unknown: it may name an endpoint that has returned and
+   * warms up, which must stay excluded there.
+   */
+  void admitEntrants() {
+    if (proxies.withUnknownTable().findAny().isPresent()) {
+      return;
+    }
+    List<EndpointState> entrants = endpoints.takeEntrants();
+    idlest().filter(idle -> !entrants.contains(idle)).ifPresent(entrants::add);
+    for (EndpointState entrant : entrants) {
+      if (entrant.isReady()) {
+        enter(entrant);
+      }
+    }
+  }
+
+  private void enter(EndpointState entrant) {
+    exclusions.setExcluded(entrant, false);
+    entrant.markEntered(clock.now());
+    for (ProxyState proxy : proxies.all()) {
+      if (proxy.isTableAssigned() && !proxy.table().holds(entrant)) {
+        offer(proxy, entrant);
+      }
+    }
+  }
+
+  private void offer(ProxyState proxy, EndpointState entrant) {
+    int routeCount = 0;
+    EndpointState mostLoaded = null;
+    for (Route route : proxy.table().routes()) {
+      EndpointState endpoint = route.endpoint();
+      if (!endpoint.isReady() || !route.isApplied()) {
+        continue;
+      }
+      routeCount++;
+      boolean replaceable = !proxy.replacements().containsKey(endpoint);
+      if (replaceable
+          && (mostLoaded == null || capacity.fill(endpoint) > capacity.fill(mostLoaded))) {
+        mostLoaded = endpoint;
+      }
+    }
+    boolean sameZone = entrant.zone() == proxy.zone();
+    double zoneFactor = sameZone ? SAME_ZONE_FACTOR : 1 / SAME_ZONE_FACTOR;
+    double chance = zoneFactor * routeCount * entrant.listedWeight() / capacity.listedWeight();
+    // A number is drawn only where a route can be replaced.
+    if (mostLoaded != null && random.nextDouble() < chance) {
+      proxy.replacements().put(mostLoaded, entrant);
+    }
+  }
+
+  /** The idlest of the healthy endpoints that random selection left out of most tables. */
+  private Optional<EndpointState> idlest() {
+    return endpoints.all().stream()
+        .filter(this::isIdle)
+        .min(Comparator.comparingDouble(capacity::fill));
+  }
+
+  private boolean isIdle(EndpointState endpoint) {
+    double failureShare = 1 - endpoint.statistics().successShare();
+    return endpoint.isReady()
+        && endpoints.isWarm(endpoint)
+        && clock.since(endpoint.enteredAt()) > REENTRY_INTERVAL
+        && failureShare < EndpointStatistics.NORMAL_TROUBLE_SHARE
+        && capacity.fill(endpoint) < IDLE_FILL * capacity.meanFill();
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -0,0 +1,99 @@
+package stonespring.decision;
+
+import stonespring.model.Command;
+import stonespring.model.Settings;
+
+/**
+ * Tells proxies with unknown tables which endpoints to exclude. A table that this instance knows
+ * loses such endpoints by its own routes.
+ */
+final class ExclusionNotifier {
+  private final Settings settings;
+  private final EngineClock clock;
+  private final EndpointRegistry endpoints;
+  private final ProxyRegistry proxies;
+  private final CommandBatch batch;
+  private final ChannelBudget budget;
+  private boolean pending;
+  private long lastNotifiedAt = EngineClock.NEVER;
+
+  ExclusionNotifier(
+      Settings settings,
+      EngineClock clock,
+      EndpointRegistry endpoints,
+      ProxyRegistry proxies,
+      CommandBatch batch,
+      ChannelBudget budget) {
+    this.settings = settings;
+    this.clock = clock;
+    this.endpoints = endpoints;
+    this.proxies = proxies;
+    this.batch = batch;
+    this.budget = budget;
+  }
+
+  /** Asks for notices, as a proxy connected with tables that may name what left. */
+  void request() {
+    pending = true;
+  }
+
+  /** Whether notices wait for their time. */
+  boolean isPending() {
+    return pending;
+  }
+
+  /** Whether the channel can take notices of all endpoints that left, at all unknown tables. */
+  boolean hasRoom() {
+    long excluded = endpoints.notReady().limit(maxRoutesOfUnknownTable()).count();
+    return budget.hasRoomForExclusions(proxies.withUnknownTable().count(), excluded);
+  }
+
+  /**
+   * Sends notices if an endpoint left or a proxy connected. All are repeated in one batch: an
+   * earlier notice did not reach a proxy that connected later, and a batch for each would use up
+   * the messages of all proxies.
+   *
+   * @param possible whether any endpoint left and the channel has room
+   */
+  void notifyIfDue(boolean possible) {
+    pending |= endpoints.takeDeparture();
+    pending &= possible;
+    if (pending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL) {
+      endpoints.notReady().forEach(endpoint -> setExcluded(endpoint, true));
+      pending = false;
+      lastNotifiedAt = clock.now();
+    }
+  }
+
+  /** Excludes an endpoint, if any unknown table may name it, or allows an excluded one again. */
+  void setExcluded(EndpointState endpoint, boolean excluded) {
+    if (endpoint.isForgotten()) {
+      return;
+    }
+    boolean needed =
+        excluded ? proxies.withUnknownTable().findAny().isPresent() : endpoint.isExcluded();
+    if (!needed) {
+      return;
+    }
+    endpoint.setExcluded(excluded);
+    batch.addRestriction(new Command.ExcludeEndpoint(endpoint.id(), excluded));
+    for (ProxyState proxy : proxies.all()) {
+      if (proxy.isConnected() && reaches(proxy, endpoint)) {
+        batch.countEntries(proxy, 1);
+      }
+    }
+  }
+
+  /** Whether a notice counts at a proxy: its table names the endpoint, or may do so. */
+  private boolean reaches(ProxyState proxy, EndpointState endpoint) {
+    return proxy.isTableAssigned()
+        ? proxy.table().holds(endpoint)
+        : batch.entriesFor(proxy) < maxRoutesOfUnknownTable();
+  }
+
+  private int maxRoutesOfUnknownTable() {
+    return settings.channel().proxyTablesUnknown()
+        ? endpoints.size()
+        : settings.routing().bootstrapRouteCount();
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -0,0 +1,86 @@
+package stonespring.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Moves that were sent and that reports do not show yet: what room they take and what they free.
+ */
+final class InFlightMoves {
+  /** DeciMillis; a message's way, a report interval and its delay. */
+  static final long VISIBLE_AFTER = 30_000;
+
+  /** DeciMillis after which freed room counts without acknowledgement; the paper's 2 s. */
+  private static final long CREDIT_TIMEOUT = 20_000;
+
+  /** One move; rate changes are in requests per second, below 0 where it takes load away. */
+  private static final class InFlightMove {
+    private final ProxyState proxy;
+    private final double position;
+    private final long sentAt;
+    private final Map<EndpointState, Double> rateChanges;
+    private boolean acknowledged;
+
+    InFlightMove(
+        ProxyState proxy, double position, long sentAt, Map<EndpointState, Double> rateChanges) {
+      this.proxy = proxy;
+      this.position = position;
+      this.sentAt = sentAt;
+      this.rateChanges = rateChanges;
+    }
+  }
+
+  private final EngineClock clock;
+  private final List<InFlightMove> moves = new ArrayList<>();
+
+  InFlightMoves(EngineClock clock) {
+    this.clock = clock;
+  }
+
+  /** Adds a move of the batch that starts at a position of the channel. */
+  void add(ProxyState proxy, double position, Map<EndpointState, Double> rateChanges) {
+    moves.add(new InFlightMove(proxy, position, clock.now(), rateChanges));
+  }
+
+  /** Notes that a proxy applied all updates up to the batch that starts at a position. */
+  void acknowledged(ProxyState proxy, double position) {
+    for (InFlightMove move : moves) {
+      move.acknowledged |= move.proxy == proxy && move.position <= position;
+    }
+  }
+
+  /** Notes that a proxy is gone, and with it the load that its moves took away. */
+  void disconnected(ProxyState proxy) {
+    for (InFlightMove move : moves) {
+      move.acknowledged |= move.proxy == proxy;
+    }
+  }
+
+  /** Drops moves that reports show by now. */
+  void removeVisible() {
+    moves.removeIf(move -> clock.since(move.sentAt) > VISIBLE_AFTER);
+  }
+
+  /** Whether a move's freed room may still be acknowledged. */
+  boolean isAwaitingCredit() {
+    return moves.stream().anyMatch(move -> !isCredited(move));
+  }
+
+  private boolean isCredited(InFlightMove move) {
+    return move.acknowledged || clock.since(move.sentAt) >= CREDIT_TIMEOUT;
+  }
+
+  /** Takes what the moves add from the room, and adds what they free once it is credited. */
+  void applyTo(double[] roomByIndex) {
+    for (InFlightMove move : moves) {
+      boolean credited = isCredited(move);
+      move.rateChanges.forEach(
+          (endpoint, change) -> {
+            if (change > 0 || credited) {
+              roomByIndex[endpoint.index()] -= change;
+            }
+          });
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/ProxyChannel.java
@@ -0,0 +1,51 @@
+package stonespring.decision;
+
+import java.util.ArrayDeque;
+
+/**
+ * What was sent to one proxy: its recent messages and its part of the backlog. Positions count the
+ * entries that this instance has sent to all proxies since it started.
+ */
+final class ProxyChannel {
+  private final ArrayDeque<Long> messagesSentAt = new ArrayDeque<>();
+  private double unacknowledgedEntries;
+  private double lastPosition;
+
+  /** Starts anew for a new connection; what the old one had in the backlog still counts. */
+  void connected() {
+    messagesSentAt.clear();
+  }
+
+  /** Books a message of so many entries that ends at a position. */
+  void sent(double entries, double position, double acknowledgedPosition, long now) {
+    messagesSentAt.add(now);
+    double waiting = lastPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
+    unacknowledgedEntries = waiting + entries;
+    lastPosition = position;
+  }
+
+  /** Nothing waits once all up to the last message is acknowledged. */
+  void acknowledged(double position) {
+    if (position >= lastPosition) {
+      unacknowledgedEntries = 0;
+    }
+  }
+
+  /** Drops what waits for a connection that ended, and returns how many entries that were. */
+  double disconnected(double acknowledgedPosition) {
+    double lost = lastPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
+    unacknowledgedEntries = 0;
+    return lost;
+  }
+
+  /** Messages within the window up to now; older ones are dropped. */
+  int recentMessages(long now, long window) {
+    messagesSentAt.removeIf(sentAt -> now - sentAt > window);
+    return messagesSentAt.size();
+  }
+
+  /** When the last message was sent; there must be a recent one. */
+  long lastMessageAt() {
+    return messagesSentAt.getLast();
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/ProxyRegistry.java
@@ -0,0 +1,48 @@
+package stonespring.decision;
+
+import java.util.Collection;
+import java.util.Collections;
+import java.util.Optional;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+import stonespring.model.ProxyId;
+
+/** All proxies that ever connected to this instance, by number. */
+final class ProxyRegistry {
+  private final int requestClassCount;
+  private final SortedMap<Integer, ProxyState> proxies = new TreeMap<>();
+  private final Collection<ProxyState> proxiesView =
+      Collections.unmodifiableCollection(proxies.values());
+
+  ProxyRegistry(int requestClassCount) {
+    this.requestClassCount = requestClassCount;
+  }
+
+  ProxyState findOrAdd(ProxyId id) {
+    return proxies.computeIfAbsent(id.number(), number -> new ProxyState(id, requestClassCount));
+  }
+
+  Optional<ProxyState> find(ProxyId id) {
+    return Optional.ofNullable(proxies.get(id.number()));
+  }
+
+  /** All proxies, connected or not, by number. */
+  Collection<ProxyState> all() {
+    return proxiesView;
+  }
+
+  Stream<ProxyState> withUnknownTable() {
+    return proxies.values().stream().filter(ProxyState::hasUnknownTable);
+  }
+
+  /** Whether any proxy's table has a route to an endpoint, applied or wanted. */
+  boolean isInTable(EndpointState endpoint) {
+    for (ProxyState proxy : proxies.values()) {
+      if (proxy.table().find(endpoint).isPresent()) {
+        return true;
+      }
+    }
+    return false;
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/RequestRateEstimator.java
@@ -0,0 +1,86 @@
+package stonespring.decision;
+
+import java.util.Arrays;
+import java.util.stream.IntStream;
+import stonespring.model.DeciMillis;
+import stonespring.model.Event;
+
+/** Estimates the requests per second that a proxy receives, by request class. */
+final class RequestRateEstimator {
+  /** Weight that older reports keep in the mean number of requests per report. */
+  private static final double REPORT_RETENTION = 0.8;
+
+  private static final int FIXED_POINT_ITERATIONS = 20;
+  private static final double MIN_REPORTED_SHARE = 0.05;
+
+  /** Share of intervals with requests above which no correction is needed. */
+  private static final double MAX_CORRECTED_SHARE = 0.99;
+
+  private final double[] averageRates; // NaN until reported
+  private final double[] latestRates;
+  private final double[] requestsPerReport; // NaN until reported
+  private double averageRate;
+  private double latestRate;
+
+  RequestRateEstimator(int requestClassCount) {
+    averageRates = new double[requestClassCount];
+    latestRates = new double[requestClassCount];
+    requestsPerReport = new double[requestClassCount];
+    Arrays.fill(averageRates, Double.NaN);
+    Arrays.fill(requestsPerReport, Double.NaN);
+  }
+
+  /** Takes the rate that a proxy states as it connects, unless reports of it are known. */
+  void proxyConnected(double statedRate) {
+    if (averageRate <= 0) {
+      averageRate = statedRate;
+    }
+    latestRate = averageRate;
+  }
+
+  /** Adds a report. Until all classes are reported, the stated rate is the least estimate. */
+  void record(Event.ProxyRequestRate report) {
+    int index = report.requestClass().index();
+    double sampledRate =
+        report.requests() * (double) DeciMillis.SECOND / Math.max(1, report.interval());
+    double retention = ExponentialAverage.retentionOver(report.interval());
+    requestsPerReport[index] =
+        ExponentialAverage.update(requestsPerReport[index], report.requests(), REPORT_RETENTION);
+    latestRates[index] = sampledRate * emptyIntervalCorrection(requestsPerReport[index]);
+    averageRates[index] = ExponentialAverage.update(averageRates[index], sampledRate, retention);
+    double sum = IntStream.range(0, averageRates.length).mapToDouble(this::averageRate).sum();
+    boolean allReported = Arrays.stream(averageRates).noneMatch(Double::isNaN);
+    averageRate = allReported ? sum : Math.max(averageRate, sum);
+    latestRate = allReported ? Arrays.stream(latestRates).sum() : averageRate;
+  }
+
+  /** Smoothed requests per second of all classes. */
+  double averageRate() {
+    return averageRate;
+  }
+
+  /** Smoothed requests per second of one class; 0 until reported. */
+  double averageRate(int requestClass) {
+    return Double.isNaN(averageRates[requestClass]) ? 0 : averageRates[requestClass];
+  }
+
+  /** Requests per second of all classes by the latest reports, corrected for empty intervals. */
+  double latestRate() {
+    return latestRate;
+  }
+
+  /**
+   * The factor for the rate of the latest report. A proxy reports only intervals with requests, and
+   * a rate stands until the next report: its mean is too high by -ln(s) / (1 - s), where s is the
+   * share of intervals with requests. Half of it, the root, is corrected: under overload the
+   * requests that come next are more than the mean.
+   */
+  private static double emptyIntervalCorrection(double meanRequestsPerReport) {
+    double meanPerInterval = meanRequestsPerReport;
+    for (int i = 0; i < FIXED_POINT_ITERATIONS; i++) {
+      meanPerInterval = meanRequestsPerReport * (1 - Math.exp(-meanPerInterval));
+    }
+    double share = Math.max(MIN_REPORTED_SHARE, 1 - Math.exp(-meanPerInterval));
+    return share > MAX_CORRECTED_SHARE ? 1 : Math.sqrt((share - 1) / Math.log(share));
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -0,0 +1,196 @@
+package stonespring.decision;
+
+import java.util.Map;
+import java.util.Optional;
+import stonespring.model.Settings;
+
+/**
+ * Selects the endpoints of a proxy's table: it keeps its routes, replaces those to endpoints that
+ * left, and grows until its endpoints can carry the proxy's requests. Weights are set by the {@link
+ * WeightOptimizer} afterwards.
+ */
+final class RouteSelector {
+  /** With fewer routes, one bad endpoint gets a third of a proxy's requests. */
+  private static final int MIN_ROUTES = 4;
+
+  /** Share of the capacity of its endpoints that one proxy may use. */
+  private static final double MAX_CAPACITY_SHARE = 0.3;
+
+  /** Factor of the chance of an endpoint in the proxy's zone. */
+  private static final double SAME_ZONE_FACTOR = 4;
+
+  /** Factor of the initial weight of an endpoint in another zone, until loads are reported. */
+  private static final double OTHER_ZONE_INITIAL_WEIGHT = 0.3;
+
+  /** Factor of the chance that remains to an endpoint without free capacity. */
+  private static final double MIN_FREE_FACTOR = 0.1;
+
+  /** The factor of failures is this minus the share that fails: not 0 if all fail. */
+  private static final double FAILURE_FACTOR_BASE = 1.02;
+
+  private final Settings settings;
+  private final DeterministicRandom random;
+  private final EndpointRegistry endpoints;
+  private final Estimates estimates;
+
+  RouteSelector(
+      Settings settings,
+      DeterministicRandom random,
+      EndpointRegistry endpoints,
+      Estimates estimates) {
+    this.settings = settings;
+    this.random = random;
+    this.endpoints = endpoints;
+    this.estimates = estimates;
+  }
+
+  /** Sets the targets of a proxy's table to the routes that it shall have. */
+  void selectRoutes(ProxyState proxy) {
+    RouteTable table = proxy.table();
+    table.removeUnapplied();
+    for (Route route : table.routes()) {
+      route.setTarget(route.endpoint().isReady() ? route.weight() : 0);
+    }
+    double keptWeight = table.targetSum();
+    int routeCount = table.targetedCount();
+    applyReplacements(proxy);
+    if (table.routes().stream().noneMatch(this::isWarmTarget)) {
+      routeCount = addWarmEndpoint(proxy, routeCount);
+    }
+    grow(proxy, routeCount, keptWeight);
+    table.normalizeTargets();
+  }
+
+  private boolean isWarmTarget(Route route) {
+    return route.isTargeted() && endpoints.isWarm(route.endpoint());
+  }
+
+  /** Lets entering endpoints take routes over; while one warms up, both routes stand. */
+  private void applyReplacements(ProxyState proxy) {
+    RouteTable table = proxy.table();
+    proxy
+        .replacements()
+        .entrySet()
+        .removeIf(
+            replacement ->
+                !replacement.getValue().isReady()
+                    || !replacement.getKey().isReady()
+                    || !table.holds(replacement.getKey()));
+    for (Map.Entry<EndpointState, EndpointState> replacement : proxy.replacements().entrySet()) {
+      EndpointState entrant = replacement.getValue();
+      Route replaced = table.find(replacement.getKey()).orElseThrow();
+      double capacityRatio = entrant.capacity() / Math.max(1e-9, replacement.getKey().capacity());
+      double affordable = replaced.target() * Math.min(1, capacityRatio);
+      double present =
+          table.holds(entrant) ? table.find(entrant).orElseThrow().target() : Route.MIN_WEIGHT;
+      Route route = table.setTarget(entrant, Math.max(affordable, present));
+      if (endpoints.isWarm(entrant)) {
+        route.setTarget(Math.max(route.target(), replaced.target()));
+        replaced.setTarget(0);
+      }
+    }
+  }
+
+  /**
+   * A table of warming endpoints alone would overload them, or be empty once they are held back.
+   *
+   * @return the number of routes with the one added
+   */
+  private int addWarmEndpoint(ProxyState proxy, int routeCount) {
+    Optional<EndpointState> drawn = draw(proxy, 1);
+    if (drawn.isEmpty()) {
+      return routeCount;
+    }
+    proxy.table().setTarget(drawn.get(), routeCount == 0 ? drawn.get().capacity() : 1);
+    return routeCount + 1;
+  }
+
+  private void grow(ProxyState proxy, int routeCount, double keptWeight) {
+    // Until reports settle, what a warming endpoint can bear is unknown.
+    double minWarmUp = estimates.cadence().isSettled() ? 0 : 1;
+    int wanted = wantedRoutes(proxy);
+    for (int count = routeCount; count < wanted; count++) {
+      Optional<EndpointState> drawn = draw(proxy, minWarmUp);
+      if (drawn.isEmpty() && count == 0) {
+        drawn = draw(proxy, 0);
+      }
+      if (drawn.isEmpty()) {
+        return;
+      }
+      EndpointState endpoint = drawn.get();
+      double shareOfRest =
+          endpoints.warmUpFraction(endpoint) * (1 - keptWeight) / Math.max(1, wanted - count);
+      double target =
+          keptWeight > 0 ? Math.max(Route.MIN_WEIGHT, shareOfRest) : initialWeight(proxy, endpoint);
+      proxy.table().setTarget(endpoint, target);
+    }
+  }
+
+  private static double initialWeight(ProxyState proxy, EndpointState endpoint) {
+    boolean sameZone = endpoint.zone() == proxy.zone();
+    return endpoint.capacity() * (sameZone ? 1 : OTHER_ZONE_INITIAL_WEIGHT);
+  }
+
+  private int wantedRoutes(ProxyState proxy) {
+    int least = Math.max(MIN_ROUTES, settings.routing().bootstrapRouteCount());
+    double usableCapacity = MAX_CAPACITY_SHARE * estimates.capacity().meanCapacity();
+    return Math.max(least, (int) Math.ceil(proxy.averageRate() / usableCapacity));
+  }
+
+  /**
+   * Draws an endpoint that the proxy has no target for, by listed weight, warm-up, free capacity,
+   * zone and failures.
+   *
+   * @param minWarmUp the least warm-up fraction
+   */
+  private Optional<EndpointState> draw(ProxyState proxy, double minWarmUp) {
+    double[] chances = new double[endpoints.size()];
+    double total = 0;
+    for (EndpointState endpoint : endpoints.all()) {
+      if (isEligible(endpoint, minWarmUp)) {
+        chances[endpoint.index()] = chance(proxy, endpoint);
+        total += chances[endpoint.index()];
+      }
+    }
+    for (Route route : proxy.table().routes()) {
+      if (route.isTargeted()) {
+        total -= chances[route.endpoint().index()];
+        chances[route.endpoint().index()] = 0;
+      }
+    }
+    double remaining = random.nextDouble() * total;
+    for (EndpointState endpoint : endpoints.all()) {
+      double chance = chances[endpoint.index()];
+      if (chance > 0) {
+        remaining -= chance;
+        if (remaining < 0) {
+          return Optional.of(endpoint);
+        }
+      }
+    }
+    return Optional.empty();
+  }
+
+  /**
+   * An excluded endpoint that warms up comes back as an entrant only, once no table is unknown: a
+   * route would allow it at all of them.
+   */
+  private boolean isEligible(EndpointState endpoint, double minWarmUp) {
+    double required = endpoint.isExcluded() ? 1 : minWarmUp;
+    return endpoint.isReady() && endpoints.warmUpFraction(endpoint) >= required;
+  }
+
+  private double chance(ProxyState proxy, EndpointState endpoint) {
+    double usable = endpoint.capacity() * estimates.traffic().share();
+    double free = 1 - endpoint.plannedLoad() / usable;
+    double freeFactor =
+        endpoint.isRemovalPending() ? MIN_FREE_FACTOR : Math.max(MIN_FREE_FACTOR, free);
+    double zoneFactor = endpoint.zone() == proxy.zone() ? SAME_ZONE_FACTOR : 1;
+    double failureShare = endpoint.statistics().failureShare(proxy.zone());
+    return endpoint.listedWeight()
+        * endpoints.warmUpFraction(endpoint)
+        * freeFactor
+        * zoneFactor
+        * (FAILURE_FACTOR_BASE - failureShare);
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -0,0 +1,182 @@
+package stonespring.decision;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.function.ToDoubleFunction;
+import stonespring.model.Settings;
+
+/**
+ * Holds back endpoints that warm up: one fails when it gets a multiple of what it can serve yet. A
+ * proxy that ejects failing endpoints sends their requests to its other routes, whatever the
+ * weights. A route to an endpoint that warms up is therefore allowed only while the requests that
+ * may come to it from all proxies stay within a budget, by the failures that reports show and by
+ * those that may begin before reports show them.
+ */
+final class SlowStartGuard {
+  /** Share of the overload limit that observed failures may use; the rest is for variation. */
+  private static final double OBSERVED_BUDGET = 0.5;
+
+  /** Times the overload limit that the worst case may reach; with less, deployments stall. */
+  private static final double WORST_CASE_BUDGET = 1.6;
+
+  /** The same during a surge, as retries come on top. */
+  private static final double SURGE_BUDGET = 0.8;
+
+  /** Times the mean rate at which the offered requests are a surge. */
+  private static final double SURGE_MULTIPLE = 1.15;
+
+  private static final double MIN_AVAILABLE_WEIGHT = 1e-9;
+
+  private final Settings settings;
+  private final EndpointRegistry endpoints;
+  private final ProxyRegistry proxies;
+  private final TrafficEstimator traffic;
+  private final OutlierEjectionModel ejection;
+  private final AdmissionController admission;
+
+  /** Requests per second that endpoints can still be given, by endpoint index. */
+  private record Budgets(double[] observed, double[] worstCase) {}
+
+  SlowStartGuard(
+      Settings settings,
+      EndpointRegistry endpoints,
+      ProxyRegistry proxies,
+      TrafficEstimator traffic,
+      OutlierEjectionModel ejection,
+      AdmissionController admission) {
+    this.settings = settings;
+    this.endpoints = endpoints;
+    this.proxies = proxies;
+    this.traffic = traffic;
+    this.ejection = ejection;
+    this.admission = admission;
+  }
+
+  /**
+   * Removes the targets of routes that exceed the budgets; a proxy that holds such a route is added
+   * to the urgent updates.
+   */
+  void limit(List<ProxyState> known, UrgentUpdates urgent) {
+    Budgets budgets = budgets();
+    double admitted = admission.admittedTraffic();
+    for (ProxyState proxy : byPriority(known)) {
+      boolean removed = true;
+      while (removed) {
+        removed = removeExcess(proxy, budgets, admitted, urgent);
+      }
+      for (Route route : proxy.table().routes()) {
+        if (isGuarded(route)) {
+          int index = route.endpoint().index();
+          budgets.observed[index] -=
+              possibleRate(proxy, route, admitted, EjectionScenario.OBSERVED);
+          budgets.worstCase[index] -=
+              possibleRate(proxy, route, admitted, EjectionScenario.WORST_CASE);
+        }
+      }
+    }
+  }
+
+  /** Proxies that hold a route to a warming endpoint keep it; among the others small ones lead. */
+  private List<ProxyState> byPriority(List<ProxyState> known) {
+    List<ProxyState> sorted = new ArrayList<>(known);
+    sorted.sort(
+        Comparator.<ProxyState, Boolean>comparing(proxy -> !holdsWarmingEndpoint(proxy))
+            .thenComparingDouble(ProxyState::averageRate));
+    return sorted;
+  }
+
+  private boolean holdsWarmingEndpoint(ProxyState proxy) {
+    return proxy.table().routes().stream()
+        .anyMatch(route -> route.isApplied() && !endpoints.isWarm(route.endpoint()));
+  }
+
+  private Budgets budgets() {
+    double overloadLimit = settings.slowStart().overloadMultiple() * traffic.share();
+    double meanRate =
+        proxies.all().stream()
+            .mapToDouble(proxy -> proxy.isConnected() ? proxy.averageRate() : 0)
+            .sum();
+    boolean surge = traffic.offeredRate() > SURGE_MULTIPLE * meanRate;
+    double worstCaseBudget = surge ? SURGE_BUDGET : WORST_CASE_BUDGET;
+    double[] observed = new double[endpoints.size()];
+    double[] worstCase = new double[endpoints.size()];
+    for (EndpointState endpoint : endpoints.all()) {
+      int index = endpoint.index();
+      observed[index] = OBSERVED_BUDGET * overloadLimit * endpoint.capacity();
+      worstCase[index] = worstCaseBudget * overloadLimit * endpoint.capacity();
+    }
+    return new Budgets(observed, worstCase);
+  }
+
+  /** Returns whether a target was removed; the others then get more, and must be checked again. */
+  private boolean removeExcess(
+      ProxyState proxy, Budgets budgets, double admitted, UrgentUpdates urgent) {
+    boolean removed = false;
+    for (Route route : proxy.table().routes()) {
+      if (isGuarded(route) && !fits(proxy, route, budgets, admitted)) {
+        removed = true;
+        route.setTarget(0);
+        if (route.isApplied()) {
+          urgent.add(proxy);
+        }
+      }
+    }
+    return removed;
+  }
+
+  private boolean isGuarded(Route route) {
+    boolean unwanted = route.target() <= 0;
+    return !unwanted && !endpoints.isWarm(route.endpoint());
+  }
+
+  private boolean fits(ProxyState proxy, Route route, Budgets budgets, double admitted) {
+    int index = route.endpoint().index();
+    return possibleRate(proxy, route, admitted, EjectionScenario.WORST_CASE)
+            <= budgets.worstCase[index]
+        && possibleRate(proxy, route, admitted, EjectionScenario.OBSERVED)
+            <= budgets.observed[index];
+  }
+
+  /**
+   * Requests per second that a proxy may bring to a route, by the table that it holds and by the
+   * one that is wanted: routes that left are removed at once while new ones wait for headroom.
+   */
+  private double possibleRate(
+      ProxyState proxy, Route route, double admitted, EjectionScenario scenario) {
+    double byTarget =
+        route.target() / availableWeight(proxy, route, Route::target, admitted, scenario);
+    double byWeight =
+        route.weight() / availableWeight(proxy, route, Route::weight, admitted, scenario);
+    return admitted * proxy.averageRate() * Math.max(byTarget, byWeight);
+  }
+
+  /**
+   * The weight of a proxy's routes that it may not eject, with the whole weight of the route in
+   * question. In the worst case each route gets an equal share of the attempts, as those of large
+   * routes that were ejected go to the small ones.
+   */
+  private double availableWeight(
+      ProxyState proxy,
+      Route route,
+      ToDoubleFunction<Route> weightOf,
+      double admitted,
+      EjectionScenario scenario) {
+    boolean worstCase = scenario == EjectionScenario.WORST_CASE;
+    double total = 0;
+    for (Route other : proxy.table().routes()) {
+      double weight = weightOf.applyAsDouble(other);
+      total += worstCase ? Math.signum(weight) : weight;
+    }
+    double available = weightOf.applyAsDouble(route);
+    for (Route other : proxy.table().routes()) {
+      double weight = weightOf.applyAsDouble(other);
+      if (other != route && weight > 0) {
+        double trafficShare = admitted * (worstCase ? 1 : weight) / total;
+        double ejected = ejection.ejectedShare(proxy, other.endpoint(), trafficShare, scenario);
+        available += weight * (1 - ejected);
+      }
+    }
+    return Math.max(MIN_AVAILABLE_WEIGHT, available);
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/TableUpdater.java
@@ -0,0 +1,78 @@
+package stonespring.decision;
+
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/** Sends a proxy's table towards its targets, and books the load that this shifts. */
+final class TableUpdater {
+  /** Weights are sent in steps of a thousandth. */
+  private static final double WEIGHT_STEPS = 1000;
+
+  private final EndpointRegistry endpoints;
+  private final CommandBatch batch;
+  private final ChannelBudget budget;
+  private final ExclusionNotifier exclusions;
+  private final InFlightMoves inFlight;
+
+  TableUpdater(
+      EndpointRegistry endpoints,
+      CommandBatch batch,
+      ChannelBudget budget,
+      ExclusionNotifier exclusions,
+      InFlightMoves inFlight) {
+    this.endpoints = endpoints;
+    this.batch = batch;
+    this.budget = budget;
+    this.exclusions = exclusions;
+    this.inFlight = inFlight;
+  }
+
+  /**
+   * Sends a share of the way from weights to targets; routes to endpoints that are not ready go at
+   * once. A proxy with an unknown table is assigned its own.
+   *
+   * @param share 0 to 1
+   */
+  void send(ProxyState proxy, double share) {
+    SortedMap<EndpointState, Double> rateChanges = sendRoutes(proxy, share);
+    proxy.resetRoundsWaited();
+    if (share >= 1) {
+      proxy.replacements().values().removeIf(endpoints::isWarm);
+    }
+    if (proxy.isTableAssigned() && rateChanges.isEmpty()) {
+      return;
+    }
+    if (!proxy.isTableAssigned()) {
+      batch.assignTable(proxy);
+      proxy.markTableAssigned();
+    }
+    inFlight.add(proxy, budget.sentPosition(), rateChanges);
+  }
+
+  private SortedMap<EndpointState, Double> sendRoutes(ProxyState proxy, double share) {
+    SortedMap<EndpointState, Double> rateChanges = new TreeMap<>();
+    for (Route route : proxy.table().routes()) {
+      EndpointState endpoint = route.endpoint();
+      double weight = roundedWeight(route, share);
+      if (!Route.differs(weight, route.weight())) {
+        continue;
+      }
+      batch.setRoute(proxy, endpoint, weight);
+      if (weight > 0) {
+        exclusions.setExcluded(endpoint, false);
+      }
+      double before = proxy.isTableAssigned() ? route.weight() : 0;
+      rateChanges.put(endpoint, proxy.averageRate() * (weight - before));
+      route.setWeight(weight);
+    }
+    return rateChanges;
+  }
+
+  private static double roundedWeight(Route route, double share) {
+    if (!route.endpoint().isReady()) {
+      return 0;
+    }
+    double weight = route.weight() + share * (route.target() - route.weight());
+    return Math.round(weight * WEIGHT_STEPS) / WEIGHT_STEPS;
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -0,0 +1,106 @@
+package stonespring.decision;
+
+import java.util.function.Predicate;
+import stonespring.model.Settings;
+
+/** Estimates the traffic of this instance's proxies, and their part of the whole fleet's. */
+final class TrafficEstimator {
+  /** DeciMillis; half a report interval and the usual delay of reports. */
+  private static final long VISIBLE_AFTER_CONNECT = 10_000;
+
+  /** DeciMillis; by then the endpoint list tells which endpoints a lost zone took with it. */
+  private static final long COUNTED_AFTER_DISCONNECT = 80_000;
+
+  private static final double MIN_SHARE = 0.01;
+
+  private final Settings settings;
+  private final EngineClock clock;
+  private final ProxyRegistry proxies;
+  private boolean visible;
+  private double reportedShare = Double.NaN;
+  private double share = 1;
+  private double connectedRate;
+  private double offeredRate;
+
+  TrafficEstimator(Settings settings, EngineClock clock, ProxyRegistry proxies) {
+    this.settings = settings;
+    this.clock = clock;
+    this.proxies = proxies;
+  }
+
+  /**
+   * Brings the share that reports show up to date at the start of a round. A proxy that connected
+   * shows in them late and gradually.
+   */
+  void settle() {
+    Predicate<ProxyState> inReports =
+        proxy -> proxy.isConnected() && clock.since(proxy.connectedAt()) > VISIBLE_AFTER_CONNECT;
+    visible |= proxies.all().stream().anyMatch(inReports);
+    if (visible) {
+      double retention = ExponentialAverage.retentionOver(settings.reportInterval());
+      reportedShare = ExponentialAverage.update(reportedShare, shareOf(inReports), retention);
+    }
+  }
+
+  /**
+   * Brings the rates up to date. The latest reports count, not their average: over all proxies they
+   * are steady enough, and they show a surge seconds earlier.
+   */
+  void estimate() {
+    connectedRate =
+        proxies.all().stream()
+            .mapToDouble(proxy -> proxy.isConnected() ? proxy.requestRate().latestRate() : 0)
+            .sum();
+    share = shareOf(ProxyState::isConnected);
+    offeredRate =
+        proxies.all().stream()
+            .mapToDouble(proxy -> isCounted(proxy) ? proxy.requestRate().latestRate() : 0)
+            .sum();
+  }
+
+  /** Whether reports can show any proxy's traffic yet. */
+  boolean isVisible() {
+    return visible;
+  }
+
+  /** Requests per second of the connected proxies. */
+  double connectedRate() {
+    return connectedRate;
+  }
+
+  /**
+   * Requests per second of the connected proxies and of those that disconnected just now: their
+   * clients may move to other proxies, and endpoints lost with them are listed a while longer.
+   */
+  double offeredRate() {
+    return offeredRate;
+  }
+
+  /** The connected proxies' share of the fleet's traffic, 0.01 to 1. */
+  double share() {
+    return share;
+  }
+
+  /** The share of the fleet's traffic that reports show, 0.01 to 1. */
+  double reportedShare() {
+    return Double.isNaN(reportedShare) ? share : reportedShare;
+  }
+
+  /** The share of the fleet's traffic behind {@link #offeredRate}, 0.01 to 1. */
+  double offeredShare() {
+    return shareOf(this::isCounted);
+  }
+
+  private boolean isCounted(ProxyState proxy) {
+    return proxy.isConnected() || clock.since(proxy.disconnectedAt()) < COUNTED_AFTER_DISCONNECT;
+  }
+
+  /** The share of the fleet's proxies stands for that of its traffic. */
+  private double shareOf(Predicate<ProxyState> counted) {
+    double count = proxies.all().stream().filter(counted).count();
+    if (settings.fleet().instances() == 1) {
+      return 1;
+    }
+    return Math.max(MIN_SHARE, Math.min(1, count / settings.fleet().proxies()));
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -0,0 +1,262 @@
+package stonespring.decision;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import stonespring.model.DeciMillis;
+import stonespring.model.Settings;
+
+/**
+ * Schedules changes of route tables so that no endpoint gets more than it has headroom for, after
+ * Wu, Liang, Lee, Tseng, <i>Efficient and Consistent Flow Update for Software Defined Networks</i>,
+ * IEEE JSAC 2018. A proxy's table takes the place of a flow, an endpoint that of a link.
+ *
+ * <p>In a round (Algorithm 3), moves are sorted by potential update time (IV-B): a move's own time
+ * in the channel plus that of the deepest chain of moves that wait for what it frees. Each is
+ * admitted if all endpoints that it adds to have headroom; room that it frees counts once it is
+ * acknowledged, or after 2 s. If none can be admitted and none is awaited, the move with the least
+ * yield ratio goes at a reduced rate (Algorithm 4).
+ */
+final class UpdateScheduler {
+  /** Share of its part of the load that an endpoint is filled to: it may take 1.25 times that. */
+  private static final double TARGET_FILL = 0.8;
+
+  /** Potential update time of a move in a cycle, DeciMillis; above that of any chain. */
+  private static final double CYCLE_TIME = 1e9;
+
+  /** Share of a table's requests; a smaller change is within the noise of reports. */
+  private static final double MIN_TABLE_CHANGE = 0.05;
+
+  /** Share of an endpoint's capacity that a large proxy's table may take away for a smaller one. */
+  private static final double MIN_CAPACITY_CHANGE = 0.1;
+
+  private final Settings settings;
+  private final EndpointRegistry endpoints;
+  private final ProxyRegistry proxies;
+  private final Estimates estimates;
+  private final ChannelBudget budget;
+  private final InFlightMoves inFlight;
+  private final TableUpdater updater;
+
+  UpdateScheduler(
+      Settings settings,
+      EndpointRegistry endpoints,
+      ProxyRegistry proxies,
+      Estimates estimates,
+      ChannelBudget budget,
+      InFlightMoves inFlight,
+      TableUpdater updater) {
+    this.settings = settings;
+    this.endpoints = endpoints;
+    this.proxies = proxies;
+    this.estimates = estimates;
+    this.budget = budget;
+    this.inFlight = inFlight;
+    this.updater = updater;
+  }
+
+  /** Runs a round over the tables of these proxies. */
+  void runRound(List<ProxyState> candidates) {
+    inFlight.removeVisible();
+    double[] headroom = headroom();
+    List<PendingMove> moves = new ArrayList<>();
+    Map<EndpointState, List<PendingMove>> waiting = new HashMap<>();
+    for (ProxyState proxy : candidates) {
+      limitTargets(proxy, headroom);
+      if (isWorthMove(proxy)) {
+        PendingMove move = new PendingMove(proxy);
+        moves.add(move);
+        addWaiting(move, headroom, waiting);
+      }
+    }
+    for (PendingMove move : moves) {
+      potentialTime(move, waiting);
+    }
+    moves.sort(
+        Comparator.<PendingMove>comparingDouble(move -> -move.potentialTime())
+            .thenComparingDouble(move -> -move.proxy().averageRate())
+            .thenComparingInt(move -> move.proxy().id().number()));
+    boolean admitted = admit(moves, headroom);
+    if (!admitted && !inFlight.isAwaitingCredit()) {
+      resolveDeadlock(moves, headroom);
+    }
+  }
+
+  /** Requests per second that endpoints can be given by this instance, by endpoint index. */
+  private double[] headroom() {
+    double[] headroom = new double[endpoints.size()];
+    for (EndpointState endpoint : endpoints.all()) {
+      headroom[endpoint.index()] = endpoint.isReady() ? headroom(endpoint) : 0;
+    }
+    for (ProxyState proxy : proxies.all()) {
+      if (proxy.isTableAssigned()) {
+        reserveUnreported(proxy, headroom);
+      }
+    }
+    inFlight.applyTo(headroom);
+    return headroom;
+  }
+
+  private double headroom(EndpointState endpoint) {
+    CapacityEstimator capacity = estimates.capacity();
+    double limit = endpoint.capacity() * capacity.meanFill() / TARGET_FILL;
+    return (limit - capacity.load(endpoint)) * estimates.traffic().share();
+  }
+
+  /** Takes what a table may bring to endpoints whose load no report shows. */
+  private void reserveUnreported(ProxyState proxy, double[] headroom) {
+    double share = estimates.traffic().share();
+    for (Route route : proxy.table().routes()) {
+      EndpointState endpoint = route.endpoint();
+      if (endpoint.statistics().attemptRate() <= 0) {
+        headroom[endpoint.index()] -= proxy.averageRate() * route.weight() * share;
+      }
+    }
+  }
+
+  /**
+   * Leaves the routes to full endpoints as they are, and takes from the others only what the rest
+   * can be given.
+   */
+  private static void limitTargets(ProxyState proxy, double[] headroom) {
+    double added = 0;
+    double removed = 0;
+    for (Route route : proxy.table().routes()) {
+      if (route.target() > route.weight() && headroom[route.endpoint().index()] <= 0) {
+        route.setTarget(route.weight());
+      }
+      added += Math.max(0, route.target() - route.weight());
+      removed += Math.max(0, route.weight() - route.target());
+    }
+    if (removed > added) {
+      for (Route route : proxy.table().routes()) {
+        if (route.target() < route.weight()) {
+          double change = (route.target() - route.weight()) * added / removed;
+          route.setTarget(route.weight() + change);
+        }
+      }
+    }
+  }
+
+  /** Whether a table changes by enough, relieves an endpoint by enough, or takes one in. */
+  private boolean isWorthMove(ProxyState proxy) {
+    List<Route> routes = proxy.table().routes();
+    double change =
+        routes.stream().mapToDouble(route -> Math.abs(route.target() - route.weight()) / 2).sum();
+    boolean negligible = change < MIN_TABLE_CHANGE;
+    return !negligible
+        || routes.stream().anyMatch(route -> relievesEndpoint(proxy, route))
+        || proxy.replacements().values().stream().anyMatch(entrant -> enters(proxy, entrant));
+  }
+
+  private static boolean relievesEndpoint(ProxyState proxy, Route route) {
+    return -proxy.rateChange(route) > MIN_CAPACITY_CHANGE * route.endpoint().capacity();
+  }
+
+  private boolean enters(ProxyState proxy, EndpointState entrant) {
+    return !proxy.table().holds(entrant) || endpoints.isWarm(entrant);
+  }
+
+  /** Enters a move at each endpoint that has no headroom for it. */
+  private static void addWaiting(
+      PendingMove move, double[] headroom, Map<EndpointState, List<PendingMove>> waiting) {
+    for (Route route : move.proxy().table().routes()) {
+      EndpointState endpoint = route.endpoint();
+      if (move.adds(route) && move.proxy().rateChange(route) > headroom[endpoint.index()]) {
+        waiting.computeIfAbsent(endpoint, key -> new ArrayList<>()).add(move);
+      }
+    }
+  }
+
+  /** Potential update time (IV-B), DeciMillis. */
+  private double potentialTime(PendingMove move, Map<EndpointState, List<PendingMove>> waiting) {
+    if (move.isOnPath()) {
+      return CYCLE_TIME;
+    }
+    if (move.isPotentialTimeKnown()) {
+      return move.potentialTime();
+    }
+    move.setOnPath(true);
+    double deepest = 0;
+    for (Route route : move.proxy().table().routes()) {
+      if (move.frees(route)) {
+        for (PendingMove waiter : waiting.getOrDefault(route.endpoint(), List.of())) {
+          deepest = Math.max(deepest, potentialTime(waiter, waiting));
+        }
+      }
+    }
+    move.setOnPath(false);
+    move.setPotentialTime(Math.min(CYCLE_TIME, channelTime(move) + deepest));
+    return move.potentialTime();
+  }
+
+  /** Time that a move's message takes in the channel, DeciMillis. */
+  private double channelTime(PendingMove move) {
+    double entries =
+        settings.channel().messageOverheadEntries()
+            + move.proxy().table().routes().stream()
+                .filter(route -> Route.differs(route.target(), route.weight()))
+                .count();
+    return entries * DeciMillis.SECOND / settings.channel().entriesPerSecond();
+  }
+
+  /** Sends the moves that fit, in order; returns whether there was one. */
+  private boolean admit(List<PendingMove> moves, double[] headroom) {
+    boolean admitted = false;
+    for (PendingMove move : moves) {
+      double yieldRatio = yieldRatio(move, headroom);
+      boolean fits = yieldRatio <= 0 || isStarved(move, yieldRatio, headroom);
+      if (fits && budget.hasRoomForRoutine(move.proxy())) {
+        send(move, 1 - yieldRatio, headroom);
+        admitted = true;
+      } else {
+        move.proxy().waitAnotherRound();
+      }
+    }
+    return admitted;
+  }
+
+  /**
+   * Whether smaller moves have long kept the headroom from one that relieves a full endpoint. It
+   * then goes at a reduced rate although others are admitted.
+   */
+  private boolean isStarved(PendingMove move, double yieldRatio, double[] headroom) {
+    ProxyState proxy = move.proxy();
+    long waited = proxy.roundsWaited() * settings.reportInterval();
+    return yieldRatio < 1
+        && waited >= InFlightMoves.VISIBLE_AFTER
+        && proxy.table().routes().stream()
+            .anyMatch(
+                route -> proxy.rateChange(route) < 0 && headroom[route.endpoint().index()] < 0);
+  }
+
+  private void resolveDeadlock(List<PendingMove> moves, double[] headroom) {
+    moves.stream()
+        .filter(move -> yieldRatio(move, headroom) < 1 && budget.hasRoomForRoutine(move.proxy()))
+        .min(Comparator.comparingDouble(move -> yieldRatio(move, headroom)))
+        .ifPresent(move -> send(move, 1 - yieldRatio(move, headroom), headroom));
+  }
+
+  /** The part of a move that its fullest endpoint has no headroom for; 0 if the move fits. */
+  private static double yieldRatio(PendingMove move, double[] headroom) {
+    double fitting = 1;
+    for (Route route : move.proxy().table().routes()) {
+      if (move.adds(route)) {
+        double ratio = headroom[route.endpoint().index()] / move.proxy().rateChange(route);
+        fitting = Math.min(fitting, ratio);
+      }
+    }
+    return 1 - fitting;
+  }
+
+  /** Sends a share of a move and takes its headroom at once. */
+  private void send(PendingMove move, double share, double[] headroom) {
+    for (Route route : move.proxy().table().routes()) {
+      double change = move.proxy().rateChange(route) * share;
+      headroom[route.endpoint().index()] -= Math.max(0, change);
+    }
+    updater.send(move.proxy(), share);
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -0,0 +1,118 @@
+package stonespring.decision;
+
+import java.util.Comparator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import stonespring.model.Settings;
+
+/**
+ * The proxies whose tables cannot wait for a round: they hold no route, or one to an endpoint that
+ * left, or their table is unknown.
+ */
+final class UrgentUpdates {
+  /** DeciMillis; the time that proxies allow for what left, less a message's way. */
+  private static final long UNKNOWN_TABLE_TIMEOUT = 17_000;
+
+  private final Settings settings;
+  private final EngineClock clock;
+  private final EndpointRegistry endpoints;
+  private final ProxyRegistry proxies;
+  private final ReportCadence cadence;
+  private final ChannelBudget budget;
+  private final ExclusionNotifier exclusions;
+  private final Set<ProxyState> selected = new LinkedHashSet<>();
+  private boolean exclusionsCrowdedOut;
+
+  UrgentUpdates(
+      Settings settings,
+      EngineClock clock,
+      EndpointRegistry endpoints,
+      ProxyRegistry proxies,
+      ReportCadence cadence,
+      ChannelBudget budget,
+      ExclusionNotifier exclusions) {
+    this.settings = settings;
+    this.clock = clock;
+    this.endpoints = endpoints;
+    this.proxies = proxies;
+    this.cadence = cadence;
+    this.budget = budget;
+    this.exclusions = exclusions;
+  }
+
+  /**
+   * Selects the updates that are due and that the channel has room for, and sends the exclusion
+   * notices that are due.
+   *
+   * @return whether an update or a notice was postponed
+   */
+  boolean select() {
+    selected.clear();
+    boolean anyLeft = endpoints.notReady().findAny().isPresent();
+    exclusionsCrowdedOut = anyLeft && !exclusions.hasRoom();
+    boolean postponed = false;
+    for (ProxyState proxy : proxies.all()) {
+      boolean due = isDue(proxy, anyLeft);
+      if (due && hasRoom(proxy)) {
+        selected.add(proxy);
+        continue;
+      }
+      postponed |= due;
+      if (proxy.hasUnknownTable() && !proxy.areExclusionsRequested()) {
+        exclusions.request();
+      }
+      proxy.markExclusionsRequested();
+    }
+    exclusions.notifyIfDue(anyLeft && !exclusionsCrowdedOut);
+    return postponed || exclusions.isPending();
+  }
+
+  /** Tables of shards stand as they are stored. */
+  private boolean isDue(ProxyState proxy, boolean anyLeft) {
+    if (!proxy.isConnected() || settings.fleet().sharded()) {
+      return false;
+    }
+    return proxy.isTableAssigned()
+        ? proxy.table().isBroken()
+        : proxy.isWithoutTables() || cadence.isSettled() || isOverdue(proxy, anyLeft);
+  }
+
+  /**
+   * Tables from before a start stand until reports settle, but not for long: all that one names may
+   * have left, or be about to as this instance's predecessor died, and no list tells of it.
+   */
+  private boolean isOverdue(ProxyState proxy, boolean anyLeft) {
+    long connectedFor = clock.since(proxy.connectedAt());
+    return exclusionsCrowdedOut
+        || anyLeft && connectedFor > settings.routing().maxTimeWithoutEndpoint() / 2
+        || cadence.hasStarted() && connectedFor > UNKNOWN_TABLE_TIMEOUT;
+  }
+
+  private boolean hasRoom(ProxyState proxy) {
+    return budget.hasRoomForUrgent(proxy, exclusionsCrowdedOut);
+  }
+
+  void add(ProxyState proxy) {
+    selected.add(proxy);
+  }
+
+  boolean contains(ProxyState proxy) {
+    return selected.contains(proxy);
+  }
+
+  boolean isEmpty() {
+    return selected.isEmpty();
+  }
+
+  /** Sends the selected tables as far as there is room, those that are in use first. */
+  void send(TableUpdater updater) {
+    List<ProxyState> byUse =
+        selected.stream().sorted(Comparator.comparing(proxy -> !proxy.isTableAssigned())).toList();
+    for (ProxyState proxy : byUse) {
+      if (hasRoom(proxy)) {
+        updater.send(proxy, 1);
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -0,0 +1,128 @@
+package stonespring.decision;
+
+import java.util.List;
+import stonespring.model.Settings;
+
+/**
+ * Sets the weights of routes so that requests go where one more of them loses least. Each route has
+ * a price: the loss at its endpoint's load, failures and late answers there, and crossing zones.
+ * Weights of all tables move together, in small steps towards equal prices.
+ */
+final class WeightOptimizer {
+  private static final int ITERATIONS = 40;
+
+  /** The loss is this power of the fill: half at full load, little at half of it. */
+  private static final double LOSS_EXPONENT = 6;
+
+  /** Fill above which losses are equal; keeps prices bounded. */
+  private static final double MAX_FILL = 1.2;
+
+  /** Price of a failed attempt: the request, and the time that it took. */
+  private static final double FAILURE_PRICE = 1.5;
+
+  /** Least slope of the loss; reports are old, and other instances move the same endpoints. */
+  private static final double MIN_SLOPE = 30;
+
+  /** Readings of the capacity until it may be trusted; the first show less load than there is. */
+  private static final int SETTLING_READINGS = 20;
+
+  private final Settings settings;
+  private final EndpointRegistry endpoints;
+  private final CapacityEstimator capacity;
+  private double[] prices = new double[0];
+  private double[] slopes = new double[0];
+
+  WeightOptimizer(Settings settings, EndpointRegistry endpoints, CapacityEstimator capacity) {
+    this.settings = settings;
+    this.endpoints = endpoints;
+    this.capacity = capacity;
+  }
+
+  /**
+   * Sets the targets of some proxies' routes.
+   *
+   * @param known all proxies whose tables bring load
+   * @param adjustable the proxies among them whose targets may change
+   */
+  void optimize(List<ProxyState> known, List<ProxyState> adjustable) {
+    double[] load = plannedLoad(known);
+    double minSlope = minSlope();
+    for (int iteration = 0; iteration < ITERATIONS; iteration++) {
+      for (ProxyState proxy : adjustable) {
+        adjust(proxy, load, minSlope);
+      }
+    }
+  }
+
+  /** Requests per second by endpoint index: the targets', and what others bring. */
+  private double[] plannedLoad(List<ProxyState> known) {
+    double[] load = new double[endpoints.size()];
+    for (EndpointState endpoint : endpoints.all()) {
+      double othersLoad = capacity.load(endpoint) - endpoint.statistics().attemptRate();
+      load[endpoint.index()] = Math.max(0, othersLoad);
+    }
+    for (ProxyState proxy : known) {
+      for (Route route : proxy.table().routes()) {
+        load[route.endpoint().index()] += proxy.averageRate() * route.target();
+      }
+    }
+    return load;
+  }
+
+  /** Smaller, for larger steps, while the fleet is known to have capacity to spare. */
+  private double minSlope() {
+    if (capacity.readings() < SETTLING_READINGS) {
+      return MIN_SLOPE;
+    }
+    double relativeFill = capacity.meanFill() / CapacityEstimator.TYPICAL_FILL;
+    return MIN_SLOPE * Math.min(1, Math.pow(relativeFill, 4));
+  }
+
+  /** Moves the weights of one table by a step, and its load with them. */
+  private void adjust(ProxyState proxy, double[] load, double minSlope) {
+    List<Route> routes = proxy.table().routes();
+    ensureCapacity(routes.size());
+    double meanPrice = 0;
+    for (int i = 0; i < routes.size(); i++) {
+      Route route = routes.get(i);
+      EndpointState endpoint = route.endpoint();
+      double loss = marginalLoss(endpoint, load[endpoint.index()]);
+      slopes[i] = Math.max(1, Math.max(minSlope, LOSS_EXPONENT * loss));
+      prices[i] =
+          loss
+              + FAILURE_PRICE * endpoint.statistics().failureShare(proxy.zone())
+              + endpoint.statistics().lateShare()
+              + zonePrice(proxy, endpoint);
+      meanPrice += route.target() * prices[i];
+      load[endpoint.index()] -= proxy.averageRate() * route.target();
+    }
+    for (int i = 0; i < routes.size(); i++) {
+      Route route = routes.get(i);
+      if (route.isTargeted()) {
+        double factor = Math.exp((meanPrice - prices[i]) / 2 / slopes[i]);
+        route.setTarget(Math.max(Route.MIN_WEIGHT, route.target() * factor));
+      }
+    }
+    proxy.table().normalizeTargets();
+    for (Route route : routes) {
+      load[route.endpoint().index()] += proxy.averageRate() * route.target();
+    }
+  }
+
+  private double zonePrice(ProxyState proxy, EndpointState endpoint) {
+    return endpoint.zone() == proxy.zone() ? 0 : settings.routing().crossZonePenalty();
+  }
+
+  private void ensureCapacity(int routeCount) {
+    if (prices.length < routeCount) {
+      prices = new double[2 * routeCount];
+      slopes = new double[2 * routeCount];
+    }
+  }
+
+  /** Requests lost for one more at an endpoint. */
+  private static double marginalLoss(EndpointState endpoint, double load) {
+    double fill = endpoint.capacity() > 0 ? Math.min(MAX_FILL, load / endpoint.capacity()) : 0;
+    return (LOSS_EXPONENT + 1) * Math.pow(fill, LOSS_EXPONENT) / 2;
+  }
+}
--- a/src/test/java/stonespring/decision/LongRunTest.java
+++ b/src/test/java/stonespring/decision/LongRunTest.java
@@ -113,10 +113,10 @@
         "the only one left takes all lines");
   }
 
-  /** How many tasks the figures have room for: no order shows what is merely kept. */
+  /** How many endpoints the registry has places for: no command shows what is merely kept. */
   private int places() throws ReflectiveOperationException {
-    java.lang.reflect.Field tasks = AssignmentEngine.class.getDeclaredField("tasks");
-    tasks.setAccessible(true);
-    return tasks.getInt(assigner);
+    java.lang.reflect.Field endpoints = AssignmentEngine.class.getDeclaredField("endpoints");
+    endpoints.setAccessible(true);
+    return ((EndpointRegistry) endpoints.get(assigner)).size();
   }
 }
