--- a/src/main/java/stonespring/decision/RouteTable.java
+++ b/src/main/java/stonespring/decision/RouteTable.java
@@ -1,18 +1,19 @@
 package stonespring.decision;
 
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
 import java.util.Optional;
 
 /** The routes that a proxy holds and those that the current round wants, at most one each. */
 final class RouteTable {
   private final List<Route> routes = new ArrayList<>();
-  private final List<Route> routesView = Collections.unmodifiableList(routes);
 
-  /** All routes, applied or wanted, in the order in which they were added. */
+  /**
+   * All routes, applied or wanted, in the order in which they were added. Callers must not change
+   * the list; it is not wrapped, as the weights of all routes are read many times a round.
+   */
   List<Route> routes() {
-    return routesView;
+    return routes;
   }
 
   /** The route to an endpoint, applied or wanted. */
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -29,7 +29,8 @@
   private final Settings settings;
   private final EndpointRegistry endpoints;
   private final CapacityEstimator capacity;
-  private double[] prices = new double[0];
+  private double[] lateShares = new double[0]; // by endpoint index
+  private double[] prices = new double[0]; // by position in the table that is adjusted
   private double[] slopes = new double[0];
 
   WeightOptimizer(Settings settings, EndpointRegistry endpoints, CapacityEstimator capacity) {
@@ -47,6 +48,10 @@
   void optimize(List<ProxyState> known, List<ProxyState> adjustable) {
     double[] load = plannedLoad(known);
     double minSlope = minSlope();
+    lateShares = new double[endpoints.size()];
+    for (EndpointState endpoint : endpoints.all()) {
+      lateShares[endpoint.index()] = endpoint.statistics().lateShare();
+    }
     for (int iteration = 0; iteration < ITERATIONS; iteration++) {
       for (ProxyState proxy : adjustable) {
         adjust(proxy, load, minSlope);
@@ -91,7 +96,7 @@
       prices[i] =
           loss
               + FAILURE_PRICE * endpoint.statistics().failureShare(proxy.zone())
-              + endpoint.statistics().lateShare()
+              + lateShares[endpoint.index()]
               + zonePrice(proxy, endpoint);
       meanPrice += route.target() * prices[i];
       load[endpoint.index()] -= proxy.averageRate() * route.target();
