--- a/src/test/java/stonespring/decision/AdvisedEngineTest.java
+++ b/src/test/java/stonespring/decision/AdvisedEngineTest.java
@@ -8,122 +8,124 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import stonespring.model.AdmissionLimitKind;
 import stonespring.model.DeciMillis;
 import stonespring.model.EndpointRecord;
 
-/** The module with the solver beside it, seeded; the rules are checked after every step. */
+/** The engine with the weight solver beside it. */
 final class AdvisedEngineTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final double BUSY = 0.04; // busy share for an op a second; a task can do 25
+  private static final double BUSY_PER_REQUEST = 0.04; // utilization for each request per second
 
-  private static Fleet fleet(boolean advised, long seed, int tasks, int proxies, int assigners) {
-    Fleet f = new Fleet(Fleet.settings(assigners, AdmissionLimitKind.FRACTION, 30, 4));
-    f.advised = advised;
+  private static Fleet createFleet(
+      boolean withSolver, long seed, int endpointCount, int proxyCount, int instances) {
+    Fleet fleet = new Fleet(new FleetSettings().instances(instances).build());
+    fleet.withSolver = withSolver;
     SplittableRandom random = new SplittableRandom(seed);
-    for (int i = 0; i < tasks; i++) {
-      f.list.put("t" + i, Fleet.listing("t" + i, i % 2, Fleet.READY, 0));
-      f.cost.put("t" + i, 0.5 + random.nextDouble() * 1.5);
+    for (int i = 0; i < endpointCount; i++) {
+      fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, Fleet.READY, 0));
+      fleet.relativeCost.put("t" + i, 0.5 + random.nextDouble() * 1.5);
     }
-    f.start(seed);
-    for (int p = 0; p < proxies; p++) {
-      f.join(p, p % 2, Math.min(60, 5 * Math.pow(1 - random.nextDouble(), -0.6)), true);
+    fleet.start(seed);
+    for (int p = 0; p < proxyCount; p++) {
+      fleet.connect(p, p % 2, Math.min(60, 5 * Math.pow(1 - random.nextDouble(), -0.6)), true);
     }
-    f.step(1);
-    return f;
+    fleet.step(1);
+    return fleet;
   }
 
-  private static void turn(Fleet f, Map<String, Double> bad) {
-    f.sums(BUSY, bad);
-    f.step(SECOND);
-    f.due.addAll(f.answers);
-    f.answers.clear();
-    f.checkRules("at " + f.now);
+  private static void round(Fleet fleet, Map<String, Double> failureShares) {
+    fleet.report(BUSY_PER_REQUEST, failureShares);
+    fleet.step(SECOND);
+    fleet.acknowledgeAll();
+    fleet.checkInvariants("at " + fleet.now);
   }
 
-  /** Ops lost to lateness, the seventh power of fills. */
-  private static double loss(Fleet f) {
-    return f.list.keySet().stream()
+  /** Requests per second lost to lateness: the seventh power of the fills. */
+  private static double loss(Fleet fleet) {
+    return fleet.endpoints.keySet().stream()
         .mapToDouble(
-            t -> Math.pow(f.load(t) * BUSY * f.cost.get(t), 7) / (BUSY * f.cost.get(t)) / 7)
+            name ->
+                Math.pow(fleet.load(name) * BUSY_PER_REQUEST * fleet.relativeCost.get(name), 7)
+                    / (BUSY_PER_REQUEST * fleet.relativeCost.get(name))
+                    / 7)
         .sum();
   }
 
   /**
-   * Tasks listed alike of which some can do four times as much: with the solver less is lost to
-   * lateness, over six seeds.
+   * Endpoints of equal listed weight, some of which can serve four times as much: with the solver,
+   * less is lost to lateness over six seeds.
    */
   @Test
-  void unlikeTasksAreLoadedByWhatTheyCanDo() {
-    double[] lost = new double[2];
+  void solverLoadsEndpointsByTheirCapacity() {
+    double[] losses = new double[2];
     for (int seed = 1; seed <= 6; seed++) {
-      for (int advised = 0; advised < 2; advised++) {
-        Fleet f = fleet(advised == 1, seed, 16, 16, 1);
+      for (int withSolver = 0; withSolver < 2; withSolver++) {
+        Fleet fleet = createFleet(withSolver == 1, seed, 16, 16, 1);
         for (int i = 0; i < 60; i++) {
-          turn(f, Map.of());
-          lost[advised] += i >= 40 ? loss(f) / 20 : 0;
+          round(fleet, Map.of());
+          losses[withSolver] += i >= 40 ? loss(fleet) / 20 : 0;
         }
       }
     }
-    assertTrue(lost[1] < 0.9 * lost[0], "with the solver " + lost[1] + ", alone " + lost[0]);
+    assertTrue(
+        losses[1] < 0.9 * losses[0], "with the solver " + losses[1] + ", alone " + losses[0]);
   }
 
-  /** Troubles of many kinds, in any order, with one instance and with a part of the proxies. */
+  /** Failures of many kinds, in any order, with one instance and with two. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void noRuleBreaksUnderTroubleWithTheSolver(long seed) {
+  void invariantsHoldInRandomRunsWithTheSolver(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Fleet f = fleet(true, seed, 12, 8, seed % 2 == 0 ? 1 : 2);
-    TreeMap<String, Double> bad = new TreeMap<>();
+    Fleet fleet = createFleet(true, seed, 12, 8, seed % 2 == 0 ? 1 : 2);
+    TreeMap<String, Double> failureShares = new TreeMap<>();
     for (int i = 0; i < 100; i++) {
-      String task = "t" + random.nextInt(14);
+      String endpoint = "t" + random.nextInt(14);
       int kind = random.nextInt(12);
       if (kind == 0) {
-        f.listed(task, random.nextInt(2), Fleet.READY, f.now);
-      } else if (kind == 1 && f.list.size() > 6) {
-        f.listed(
-            task,
+        fleet.updateEndpoint(endpoint, random.nextInt(2), Fleet.READY, fleet.now);
+      } else if (kind == 1 && fleet.endpoints.size() > 6) {
+        fleet.updateEndpoint(
+            endpoint,
             0,
             random.nextBoolean() ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED,
             0);
       } else if (kind == 2) {
-        bad.put(task, random.nextDouble());
+        failureShares.put(endpoint, random.nextDouble());
       } else if (kind == 3) {
-        bad.clear();
+        failureShares.clear();
       } else if (kind == 4) {
-        f.surge = 0.5 + 2 * random.nextDouble();
+        fleet.trafficFactor = 0.5 + 2 * random.nextDouble();
       } else if (kind == 5) {
-        f.cost.put(task, 0.3 + 3 * random.nextDouble());
-      } else if (kind == 6 && f.proxies.get(i % 8).joined) {
-        f.leave(i % 8);
-      } else if (kind == 7 && !f.proxies.get(i % 8).joined) {
-        f.join(i % 8, 0, 5, random.nextBoolean());
+        fleet.relativeCost.put(endpoint, 0.3 + 3 * random.nextDouble());
+      } else if (kind == 6 && fleet.proxies.get(i % 8).connected) {
+        fleet.disconnect(i % 8);
+      } else if (kind == 7 && !fleet.proxies.get(i % 8).connected) {
+        fleet.connect(i % 8, 0, 5, random.nextBoolean());
       } else if (kind == 8) {
-        f.step(3 * SECOND); // sums fail to come
+        fleet.step(3 * SECOND); // reports are missing
       }
-      turn(f, bad);
-      for (EndpointRecord l : f.list.values()) {
-        double warmth =
-            l.startedAt() == 0
+      round(fleet, failureShares);
+      for (EndpointRecord record : fleet.endpoints.values()) {
+        double warmUpFraction =
+            record.startedAt() == 0
                 ? 1
-                : Math.min(1, 0.2 + 0.8 * (f.now - l.startedAt()) / (10.0 * SECOND));
-        double load = f.load(l.endpoint().name()) * f.meanLevel();
+                : Math.min(1, 0.2 + 0.8 * (fleet.now - record.startedAt()) / (10.0 * SECOND));
+        double load = fleet.load(record.endpoint().name()) * fleet.meanLimit();
         assertTrue(
-            warmth >= 1 || load <= 3 * warmth / BUSY,
-            l.endpoint() + " gets " + load + " at warmth " + warmth);
+            warmUpFraction >= 1 || load <= 3 * warmUpFraction / BUSY_PER_REQUEST,
+            record.endpoint() + " gets " + load + " at warm-up fraction " + warmUpFraction);
       }
     }
   }
 
-  /** The same events give the same orders, solver and all. */
   @Test
-  void theSameEventsGiveTheSameOrders() {
-    Fleet one = fleet(true, 3, 16, 16, 1);
-    Fleet two = fleet(true, 3, 16, 16, 1);
+  void equalEventsGiveEqualCommands() {
+    Fleet one = createFleet(true, 3, 16, 16, 1);
+    Fleet two = createFleet(true, 3, 16, 16, 1);
     for (int i = 0; i < 25; i++) {
-      turn(one, Map.of("t1", 0.2));
-      turn(two, Map.of("t1", 0.2));
-      assertTrue(one.last.equals(two.last), "turn " + i);
+      round(one, Map.of("t1", 0.2));
+      round(two, Map.of("t1", 0.2));
+      assertTrue(one.commands.equals(two.commands), "round " + i);
     }
   }
 }
--- /dev/null
+++ b/src/test/java/stonespring/decision/EndpointTurnoverTest.java
@@ -0,0 +1,132 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.lang.reflect.Field;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.ProxyId;
+import stonespring.model.ZoneId;
+
+/** Endpoints are replaced under new names for hours: what left long ago costs nothing any more. */
+final class EndpointTurnoverTest {
+  private static final int ENDPOINTS = 6; // at a time
+  private static final int REPLACED = 2_000;
+  private static final long REPLACEMENT_INTERVAL = 20 * DeciMillis.SECOND;
+
+  private final AssignmentEngine engine = new AssignmentEngine(new FleetSettings().build(), 3, 1);
+  private final Set<String> table = new TreeSet<>();
+  private long now = 1000 * DeciMillis.SECOND;
+
+  private List<Command> handle(Event... events) {
+    for (Event event : events) {
+      engine.handle(now, event);
+    }
+    return engine.endBatch(now);
+  }
+
+  private static EndpointRecord ready(int endpoint, long startedAt) {
+    return Fleet.endpointRecord("t" + endpoint, 0, EndpointRecord.State.READY, startedAt);
+  }
+
+  private static EndpointRecord removed(int endpoint) {
+    return Fleet.endpointRecord("t" + endpoint, 0, EndpointRecord.State.REMOVED, 0);
+  }
+
+  private static Event.EndpointListUpdate delta(EndpointRecord... records) {
+    return new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(records));
+  }
+
+  private static Event.EndpointOutcomes outcomes(int endpoint) {
+    return new Event.EndpointOutcomes(
+        new EndpointId("t" + endpoint),
+        new ZoneId(0),
+        10,
+        0,
+        DeciMillis.SECOND,
+        500,
+        LoadReport.NONE);
+  }
+
+  private static int excluded(List<Command> commands) {
+    return (int)
+        commands.stream()
+            .filter(c -> c instanceof Command.ExcludeEndpoint exclusion && exclusion.excluded())
+            .count();
+  }
+
+  private void start() {
+    List<EndpointRecord> first = new ArrayList<>();
+    for (int i = 0; i < ENDPOINTS; i++) {
+      first.add(ready(i, 0));
+    }
+    handle(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, first));
+    handle(new Event.ProxyConnected(new ProxyId(0), new ZoneId(0), 5, true));
+  }
+
+  /** Adds an endpoint, removes the oldest one and applies the commands to the table. */
+  private void replaceOldestBy(int endpoint) {
+    now += REPLACEMENT_INTERVAL / 2;
+    List<Command> commands =
+        new ArrayList<>(handle(delta(ready(endpoint, now - REPLACEMENT_INTERVAL / 2))));
+    now += REPLACEMENT_INTERVAL / 2;
+    commands.addAll(handle(delta(removed(endpoint - ENDPOINTS)), outcomes(endpoint - 1)));
+    for (Command command : commands) {
+      if (command instanceof Command.SetRoute route && route.weight() > 0) {
+        table.add(route.endpoint().name());
+      } else if (command instanceof Command.SetRoute route) {
+        table.remove(route.endpoint().name());
+      }
+    }
+  }
+
+  @Test
+  void forgetsEndpointsRemovedLongAgoAndReusesTheirIndexes() throws ReflectiveOperationException {
+    start();
+    for (int i = ENDPOINTS; i < REPLACED; i++) {
+      replaceOldestBy(i);
+      assertFalse(table.contains("t" + (i - ENDPOINTS)), "no table names what left");
+      assertFalse(table.isEmpty());
+    }
+    // A proxy with unknown tables is told of what left lately, not of all that ever did.
+    List<Command> commands =
+        new ArrayList<>(handle(new Event.ProxyConnected(new ProxyId(1), new ZoneId(0), 5, false)));
+    now += DeciMillis.SECOND;
+    commands.addAll(handle(outcomes(REPLACED - 1)));
+    int most = (int) (600 * DeciMillis.SECOND / REPLACEMENT_INTERVAL) + 2 * ENDPOINTS;
+    assertTrue(
+        excluded(commands) <= most, excluded(commands) + " of " + REPLACED + " are excluded");
+    assertTrue(registrySize() <= most, registrySize() + " places for " + REPLACED + " endpoints");
+    // A forgotten name that is listed again is an endpoint like any other.
+    handle(delta(ready(3, 0)));
+    EndpointRecord[] rest = new EndpointRecord[ENDPOINTS];
+    for (int i = 0; i < ENDPOINTS; i++) {
+      rest[i] = removed(REPLACED - 1 - i);
+    }
+    assertTrue(
+        handle(delta(rest)).stream()
+            .anyMatch(
+                c ->
+                    c instanceof Command.SetRoute route
+                        && route.weight() > 0
+                        && route.endpoint().name().equals("t3")),
+        "the only one left takes all routes");
+  }
+
+  /** No command shows how many places the registry keeps. */
+  private int registrySize() throws ReflectiveOperationException {
+    Field endpoints = AssignmentEngine.class.getDeclaredField("endpoints");
+    endpoints.setAccessible(true);
+    return ((EndpointRegistry) endpoints.get(engine)).size();
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/decision/EngineRestartTest.java
@@ -0,0 +1,164 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static stonespring.decision.Fleet.READY;
+import static stonespring.decision.Fleet.SECOND;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import stonespring.model.Command;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.ZoneId;
+
+/** A restarted engine, and proxies whose tables it does not know. */
+final class EngineRestartTest {
+  /** An engine that restarted with a list that lacks an endpoint which old tables may name. */
+  private static Fleet restartedWithout(String endpoint) {
+    Fleet fleet = Fleet.create(8, 4);
+    fleet.rounds(5, 0.03, Map.of());
+    fleet.endpoints.remove(endpoint);
+    fleet.restart(9);
+    return fleet;
+  }
+
+  @Test
+  void leavesUnknownTablesAloneUntilReportsArrive() {
+    Fleet fleet = Fleet.create(8, 4);
+    fleet.rounds(3, 0.03, Map.of());
+    fleet.restart(9);
+    fleet.step(10);
+    assertTrue(fleet.commandsOf(Command.AssignRouteTable.class).isEmpty());
+    assertTrue(fleet.commandsOf(Command.ExcludeEndpoint.class).isEmpty());
+    fleet.updateEndpoint("t0", 0, EndpointRecord.State.REMOVED, 0);
+    fleet.step(10);
+    assertEquals(
+        1,
+        fleet.commandsOf(Command.ExcludeEndpoint.class).size(),
+        "exclusions do not wait for reports");
+    List<Command.AssignRouteTable> assignments = new ArrayList<>();
+    for (int i = 0; i < 3; i++) {
+      fleet.events.add(
+          new Event.EndpointOutcomes(
+              new EndpointId("t1"), new ZoneId(0), 10, 0, SECOND, 1000, LoadReport.NONE));
+      fleet.step(SECOND);
+      assignments.addAll(fleet.commandsOf(Command.AssignRouteTable.class));
+    }
+    assertEquals(4, assignments.size());
+  }
+
+  @Test
+  void repeatsExclusionsForLaterProxiesInBatches() {
+    Fleet fleet = Fleet.create(8, 2);
+    fleet.restart(9);
+    fleet.updateEndpoint("t0", 0, EndpointRecord.State.REMOVED, 0);
+    fleet.step(10);
+    int messages = fleet.proxies.get(0).messagesSentAt.size();
+    for (int p = 5; p < 25; p++) {
+      fleet.connect(p, 0, 10, false);
+      fleet.step(200);
+    }
+    fleet.step(SECOND);
+    assertTrue(fleet.proxies.get(24).excluded.contains("t0"));
+    assertTrue(
+        fleet.proxies.get(0).messagesSentAt.size() <= messages + 3,
+        "notices to twenty proxies are batched");
+  }
+
+  /** What left before the restart is in no list; reports are the first to name it. */
+  @Test
+  void excludesUnlistedEndpointsThatReportsName() {
+    Fleet fleet = restartedWithout("t0");
+    fleet.step(10);
+    assertEquals(0, fleet.commandsOf(Command.ExcludeEndpoint.class).size(), "nothing names it yet");
+    fleet.reportOutcomes("t0", 3, 3);
+    fleet.step(SECOND);
+    assertEquals(
+        List.of(new Command.ExcludeEndpoint(new EndpointId("t0"), true)),
+        fleet.commandsOf(Command.ExcludeEndpoint.class));
+    fleet.updateEndpoint("t0", 0, READY, fleet.now);
+    boolean back = false;
+    for (int round = 0; round < 20; round++) {
+      fleet.reportOutcomes("t1", 10, 0);
+      fleet.rounds(1, 0.03, Map.of());
+      back |=
+          fleet
+              .commandsOf(Command.ExcludeEndpoint.class)
+              .contains(new Command.ExcludeEndpoint(new EndpointId("t0"), false));
+    }
+    assertTrue(back, "it is allowed again once a list has it");
+  }
+
+  /** Reports may not show what a proxy of little traffic names. */
+  @Test
+  void replacesUnknownTablesSoonAfterTheFirstReports() {
+    Fleet fleet = restartedWithout("t0");
+    long restartedAt = fleet.now;
+    int assignments = 0;
+    for (int i = 0; fleet.now < restartedAt + 2 * SECOND; i++) {
+      if (i % 10 == 9) {
+        fleet.reportOutcomes("t1", 10, 0);
+      }
+      fleet.step(SECOND / 10);
+      assignments += fleet.commandsOf(Command.AssignRouteTable.class).size();
+      assertTrue(i > 3 || assignments == 0, "left alone until reports arrive");
+    }
+    assertEquals(4, assignments);
+  }
+
+  /** Under overload, requests include what clients repeat; only what succeeds shows capacity. */
+  @Test
+  void doesNotTakeRetriesForCapacityAfterAStartUnderOverload() {
+    Fleet fleet = Fleet.create(8, 8);
+    Map<String, Double> failureShares = new TreeMap<>();
+    fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.8));
+    fleet.rounds(3, 0.1, failureShares);
+    for (int i = 0; i < 6; i++) {
+      fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
+    }
+    fleet.rounds(7, 0.1, failureShares);
+    // Of 80 requests a fifth succeeds, at 14 endpoints; each can serve at least 0.76 of its part.
+    double limit = fleet.meanLimit();
+    double capacity = 0.76 * 80 * 0.2 / 0.6 / 14;
+    for (int i = 0; i < 6; i++) {
+      String entrant = "entrant" + i;
+      double all =
+          fleet.proxies.values().stream()
+              .filter(p -> p.shares().containsKey(entrant))
+              .mapToDouble(
+                  p ->
+                      p.requestRate
+                          * limit
+                          / p.shares().keySet().stream()
+                              .filter(name -> name.startsWith("entrant"))
+                              .count())
+              .sum();
+      assertTrue(
+          all <= 1.5 * 1.3 * capacity, all + " may come to an endpoint that can serve " + capacity);
+    }
+  }
+
+  /** A started engine knows no load, and old tables may name the same endpoints. */
+  @Test
+  void firstTablesNameNoWarmingEndpoint() {
+    Fleet fleet = new Fleet(new FleetSettings().build());
+    for (int i = 0; i < 12; i++) {
+      fleet.endpoints.put(
+          "t" + i, Fleet.endpointRecord("t" + i, i % 2, READY, i < 6 ? 0 : fleet.now - 100));
+    }
+    fleet.start(7);
+    for (int p = 0; p < 8; p++) {
+      fleet.connect(p, p % 2, 10, true);
+    }
+    fleet.step(1);
+    for (int i = 6; i < 12; i++) {
+      assertEquals(0, fleet.load("t" + i));
+    }
+  }
+}
--- a/src/test/java/stonespring/decision/Fleet.java
+++ b/src/test/java/stonespring/decision/Fleet.java
@@ -2,380 +2,414 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.TreeSet;
-import stonespring.model.*;
+import stonespring.model.AckId;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.DecisionEngine;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.ProxyId;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetryPolicy;
+import stonespring.model.Settings;
+import stonespring.model.TimerToken;
+import stonespring.model.ZoneId;
 import stonespring.solver.AdvisedEngine;
 import stonespring.solver.WeightAdvisor;
 
 /**
- * What a test feeds an assigner and what its orders leave behind: lists, tables, withdrawals,
- * messages.
+ * A fleet around an engine: passes it events and keeps what its commands leave behind, such as
+ * tables, exclusions, limits and messages.
  */
 final class Fleet {
   static final long SECOND = DeciMillis.SECOND;
   static final EndpointRecord.State READY = EndpointRecord.State.READY;
-  static final long GRACE =
-      3 * SECOND / 2; // for those that had many messages; the others lose a line at once
-
-  /**
-   * A proxy as the outside knows it; table is null while it holds tables that the assigner doesn't
-   * know.
-   */
-  static final class Seen {
-    final int number;
-    final int zone;
-    final double ops;
-    long joinedAt;
-    long emptySince = -1;
-    boolean joined;
-    boolean fresh;
-    TreeMap<String, Double> table;
-    final TreeSet<String> withdrawn = new TreeSet<>();
-    final ArrayDeque<Long> messages = new ArrayDeque<>();
-
-    Seen(int number, int zone, double ops) {
-      this.number = number;
-      this.zone = zone;
-      this.ops = ops;
-    }
-  }
 
   final Settings settings;
-  final TreeMap<String, EndpointRecord> list = new TreeMap<>();
-  final TreeMap<String, Double> othersLoad = new TreeMap<>();
+
+  /** The endpoint list, by name. */
+  final TreeMap<String, EndpointRecord> endpoints = new TreeMap<>();
+
+  /** Requests per second that other instances' proxies bring, by endpoint. */
+  final TreeMap<String, Double> otherInstancesLoad = new TreeMap<>();
+
   final TreeMap<String, Long> leftAt = new TreeMap<>();
-  final TreeMap<Integer, Seen> proxies = new TreeMap<>();
+  final TreeMap<Integer, FleetProxy> proxies = new TreeMap<>();
   final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
-  final List<Event> due = new ArrayList<>();
-  final List<Event.UpdateAcknowledged> answers = new ArrayList<>();
-  final List<Command> last = new ArrayList<>();
-  final TreeMap<Integer, RetryPolicy> retry = new TreeMap<>();
-  int typesSent = 3;
-  double level = 1;
-  long latency = 1000;
-  long opsSpan = 10 * SECOND;
-  double surge = 1;
-  final double[] levels = {1, 1, 1};
+
+  /** Events of the next step. */
+  final List<Event> events = new ArrayList<>();
+
+  /** What proxies will acknowledge; a test decides when. */
+  final List<Event.UpdateAcknowledged> acknowledgements = new ArrayList<>();
+
+  /** Commands of the last step. */
+  final List<Command> commands = new ArrayList<>();
+
+  final TreeMap<Integer, RetryPolicy> retryPolicies = new TreeMap<>();
+
+  /** Request classes that proxies report, from the first. */
+  int reportedClasses = 3;
+
+  final double[] limits = {1, 1, 1};
+
+  /** The lowest of the limits. */
+  double lowestLimit = 1;
+
+  /** DeciMillis. */
+  long successLatency = 1000;
+
+  /** The time that proxies' reports of requests count over, DeciMillis. */
+  long reportSpan = 10 * SECOND;
+
+  /** Times the usual requests of all proxies. */
+  double trafficFactor = 1;
+
+  /** Cost of a request by endpoint, times the usual; 1 if there is none. */
+  final Map<String, Double> relativeCost = new HashMap<>();
+
   long now = 100 * SECOND;
   final TreeMap<Long, Long> timers = new TreeMap<>();
-  double queued;
-  double ordered; // lines, ever
-  long queuedAt = now;
-  DecisionEngine assigner;
-  boolean advised;
-  final Map<String, Double> cost = new java.util.HashMap<>();
+
+  /** Entries that wait in a channel of a third of the configured pace. */
+  double backlog;
+
+  /** Entries sent since the start. */
+  double sentEntries;
+
+  private long backlogAt = now;
+  DecisionEngine engine;
+
+  /** Whether the weight solver runs beside the engine. */
+  boolean withSolver;
 
   Fleet(Settings settings) {
     this.settings = settings;
   }
 
-  static Settings settings(
-      int assigners, AdmissionLimitKind levels, int messagesMost, int standing) {
-    return settings(assigners, levels, messagesMost, standing, false);
+  /** Warm endpoints and proxies of 10 requests per second, over two zones, after a first step. */
+  static Fleet create(int endpointCount, int proxyCount) {
+    return create(new FleetSettings().build(), endpointCount, proxyCount);
   }
 
-  static Settings settings(
-      int assigners, AdmissionLimitKind levels, int messagesMost, int standing, boolean asks) {
-    return settings(assigners, levels, messagesMost, standing, asks, 3000, 2500, false);
+  static Fleet create(Settings settings, int endpointCount, int proxyCount) {
+    Fleet fleet = new Fleet(settings);
+    for (int i = 0; i < endpointCount; i++) {
+      fleet.endpoints.put("t" + i, endpointRecord("t" + i, i % 2, READY, 0));
+    }
+    fleet.start(7);
+    for (int p = 0; p < proxyCount; p++) {
+      fleet.connect(p, p % 2, 10, true);
+    }
+    fleet.step(1);
+    return fleet;
   }
 
-  static Settings settings(
-      int assigners,
-      AdmissionLimitKind levels,
-      int messagesMost,
-      int standing,
-      boolean asks,
-      int backlog,
-      double pace,
-      boolean droppedStayOpen) {
-    return settings(
-        assigners, levels, messagesMost, standing, asks, backlog, pace, droppedStayOpen, 3);
+  /** Proxies of equal traffic, but for the first; they connect with the next step. */
+  static Fleet createWithLargeProxy(int endpointCount, int proxyCount, double large, double small) {
+    Fleet fleet = create(endpointCount, 0);
+    for (int p = 0; p < proxyCount; p++) {
+      fleet.connect(p, p % 2, p == 0 ? large : small, true);
+    }
+    return fleet;
   }
 
-  static Settings settings(
-      int assigners,
-      AdmissionLimitKind levels,
-      int messagesMost,
-      int standing,
-      boolean asks,
-      int backlog,
-      double pace,
-      boolean droppedStayOpen,
-      int shunAfter) {
-    return new Settings(
-        new Settings.Fleet(assigners, 2, 8, false),
-        List.of(
-            new RequestClass(RetrySafety.IDEMPOTENT, SECOND / 2, 3),
-            new RequestClass(RetrySafety.IDEMPOTENCY_KEYED, SECOND, 3),
-            new RequestClass(RetrySafety.NON_IDEMPOTENT, SECOND, 2)),
-        new Settings.EndpointListRules(asks, droppedStayOpen),
-        levels,
-        new Settings.ChannelLimits(backlog, 10, messagesMost, 10 * SECOND, pace, false),
-        new Settings.RoutingRules(5 * SECOND, standing, 0.1, 0.1, shunAfter),
-        new Settings.SlowStart(10 * SECOND, 0.2, 3),
-        SECOND);
+  static EndpointRecord endpointRecord(
+      String name, int zone, EndpointRecord.State state, long startedAt) {
+    return new EndpointRecord(new EndpointId(name), new ZoneId(zone), 1, state, startedAt);
   }
 
+  /** Starts an engine that knows the endpoint list and no proxy. */
   void start(long seed) {
-    assigner = new AssignmentEngine(settings, seed, now);
-    assigner = advised ? new AdvisedEngine(assigner, new WeightAdvisor(settings)) : assigner;
+    engine = new AssignmentEngine(settings, seed, now);
+    if (withSolver) {
+      engine = new AdvisedEngine(engine, new WeightAdvisor(settings));
+    }
     tables.clear();
-    answers.clear();
-    retry.clear();
+    acknowledgements.clear();
+    retryPolicies.clear();
     timers.clear();
-    level = 1;
-    java.util.Arrays.fill(levels, 1);
-    due.add(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.copyOf(list.values())));
+    lowestLimit = 1;
+    Arrays.fill(limits, 1);
+    events.add(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.copyOf(endpoints.values())));
   }
 
-  static EndpointRecord listing(String task, int zone, EndpointRecord.State state, long startedAt) {
-    return new EndpointRecord(new EndpointId(task), new ZoneId(zone), 1, state, startedAt);
+  /** The engine dies: proxies keep what they hold and connect again, its own tables are gone. */
+  void restart(long seed) {
+    start(seed);
+    for (FleetProxy proxy : proxies.values()) {
+      if (proxy.connected) {
+        connect(proxy.number, proxy.zone, proxy.requestRate, false);
+      }
+    }
   }
 
-  void listed(String task, int zone, EndpointRecord.State state, long startedAt) {
-    EndpointRecord l = listing(task, zone, state, startedAt);
-    if (state != READY && (!list.containsKey(task) || list.get(task).state() == READY)) {
-      leftAt.put(task, now);
+  void updateEndpoint(String name, int zone, EndpointRecord.State state, long startedAt) {
+    EndpointRecord endpoint = endpointRecord(name, zone, state, startedAt);
+    boolean wasReady = !endpoints.containsKey(name) || endpoints.get(name).state() == READY;
+    if (state != READY && wasReady) {
+      leftAt.put(name, now);
     }
     if (state == EndpointRecord.State.REMOVED) {
-      list.remove(task);
+      endpoints.remove(name);
     } else {
-      list.put(task, l);
+      endpoints.put(name, endpoint);
     }
-    due.add(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(l)));
+    events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(endpoint)));
   }
 
-  void join(int number, int zone, double ops, boolean fresh) {
-    Seen p = proxies.computeIfAbsent(number, n -> new Seen(n, zone, ops));
-    p.joined = true;
-    p.fresh = fresh;
-    p.joinedAt = now;
-    p.emptySince = -1;
-    p.table = null;
-    p.messages.clear();
-    if (fresh) {
-      p.withdrawn.clear();
+  /** Connects a proxy; zone and rate of one that was connected before stay. */
+  void connect(int number, int zone, double requestRate, boolean withoutTables) {
+    FleetProxy proxy = proxies.computeIfAbsent(number, n -> new FleetProxy(n, zone, requestRate));
+    proxy.connected = true;
+    proxy.withoutTables = withoutTables;
+    proxy.emptySince = -1;
+    proxy.table = null;
+    proxy.messagesSentAt.clear();
+    if (withoutTables) {
+      proxy.excluded.clear();
     }
-    due.add(new Event.ProxyConnected(new ProxyId(number), new ZoneId(p.zone), p.ops, fresh));
+    events.add(
+        new Event.ProxyConnected(
+            new ProxyId(number), new ZoneId(proxy.zone), proxy.requestRate, withoutTables));
   }
 
-  void leave(int number) {
-    proxies.get(number).joined = false;
-    answers.removeIf(a -> a.proxy().number() == number);
-    due.add(new Event.ProxyDisconnected(new ProxyId(number)));
+  void disconnect(int number) {
+    proxies.get(number).connected = false;
+    acknowledgements.removeIf(a -> a.proxy().number() == number);
+    events.add(new Event.ProxyDisconnected(new ProxyId(number)));
   }
 
   /**
-   * A period's sums: every known table's ops as tries, with the given busy and bad shares; ops by
-   * proxy.
+   * Reports of an interval: all requests of known tables were attempted.
+   *
+   * @param busyPerRequest utilization for each request per second
+   * @param failureShares shares of attempts that failed, by endpoint
    */
-  void sums(double busyPerOp, Map<String, Double> badShares) {
-    TreeMap<String, Double> ops = new TreeMap<>();
-    for (Seen p : proxies.values()) {
-      if (!p.joined) {
-        continue;
-      }
-      lines(p).forEach((task, w) -> ops.merge(p.zone + task, p.ops * w, Double::sum));
-      for (int k = 0; k < typesSent; k++) {
-        long came = Math.round(surge * p.ops * opsSpan / SECOND / 3);
-        due.add(
-            new Event.ProxyRequestRate(
-                new ProxyId(p.number), new RequestClassId(k), came, 0, opsSpan));
+  void report(double busyPerRequest, Map<String, Double> failureShares) {
+    TreeMap<String, Double> rateByZoneAndEndpoint = new TreeMap<>();
+    for (FleetProxy proxy : proxies.values()) {
+      if (proxy.connected) {
+        proxy
+            .shares()
+            .forEach(
+                (endpoint, share) ->
+                    rateByZoneAndEndpoint.merge(
+                        proxy.zone + endpoint, proxy.requestRate * share, Double::sum));
+        reportRequests(proxy);
       }
     }
-    ops.forEach(
-        (key, perSecond) -> {
-          String task = key.substring(1);
-          double all =
-              othersLoad.getOrDefault(task, 0.0)
-                  + ops.getOrDefault("0" + task, 0.0)
-                  + ops.getOrDefault("1" + task, 0.0);
-          long tries = Math.round(perSecond * 10);
-          due.add(
+    rateByZoneAndEndpoint.forEach(
+        (key, rate) -> {
+          String endpoint = key.substring(1);
+          double load =
+              otherInstancesLoad.getOrDefault(endpoint, 0.0)
+                  + rateByZoneAndEndpoint.getOrDefault("0" + endpoint, 0.0)
+                  + rateByZoneAndEndpoint.getOrDefault("1" + endpoint, 0.0);
+          double cost = relativeCost.getOrDefault(endpoint, 1.0);
+          long attempts = Math.round(rate * 10);
+          events.add(
               new Event.EndpointOutcomes(
-                  new EndpointId(task),
+                  new EndpointId(endpoint),
                   new ZoneId(key.charAt(0) - '0'),
-                  tries,
-                  Math.round(tries * badShares.getOrDefault(task, 0.0)),
+                  attempts,
+                  Math.round(attempts * failureShares.getOrDefault(endpoint, 0.0)),
                   10 * SECOND,
-                  latency,
-                  new LoadReport(
-                      Math.min(1, all * busyPerOp * cost.getOrDefault(task, 1.0)),
-                      Double.NaN,
-                      Double.NaN,
-                      Double.NaN,
-                      Double.NaN)));
+                  successLatency,
+                  utilization(Math.min(1, load * busyPerRequest * cost))));
         });
   }
 
-  /** A proxy's shares by task, without what is withdrawn; empty while its tables are unknown. */
-  TreeMap<String, Double> lines(Seen p) {
-    TreeMap<String, Double> lines = new TreeMap<>();
-    if (p.table != null) {
-      double sum =
-          p.table.entrySet().stream()
-              .filter(e -> !p.withdrawn.contains(e.getKey()))
-              .mapToDouble(Map.Entry::getValue)
-              .sum();
-      p.table.forEach(
-          (task, w) -> {
-            if (!p.withdrawn.contains(task)) {
-              lines.put(task, w / sum);
-            }
-          });
+  private void reportRequests(FleetProxy proxy) {
+    for (int k = 0; k < reportedClasses; k++) {
+      long requests = Math.round(trafficFactor * proxy.requestRate * reportSpan / SECOND / 3);
+      events.add(
+          new Event.ProxyRequestRate(
+              new ProxyId(proxy.number), new RequestClassId(k), requests, 0, reportSpan));
+    }
+  }
+
+  private static LoadReport utilization(double utilization) {
+    return new LoadReport(utilization, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+  }
+
+  /** Outcomes of one endpoint over a second, at the proxies of the first zone. */
+  void reportOutcomes(String endpoint, long attempts, long failures) {
+    events.add(
+        new Event.EndpointOutcomes(
+            new EndpointId(endpoint),
+            new ZoneId(0),
+            attempts,
+            failures,
+            SECOND,
+            failures < attempts ? 1000 : 0,
+            LoadReport.NONE));
+  }
+
+  /** Rounds of a second each: reports, a step, and acknowledgements of all that was sent. */
+  void rounds(int count, double busyPerRequest, Map<String, Double> failureShares) {
+    for (int i = 0; i < count; i++) {
+      report(busyPerRequest, failureShares);
+      step(SECOND);
+      acknowledgeAll();
+      checkInvariants("round " + i + " of " + count + ", at " + now);
     }
-    return lines;
   }
 
-  double meanLevel() {
-    return java.util.Arrays.stream(levels).average().getAsDouble();
+  /** Has all that was sent acknowledged with the next step. */
+  void acknowledgeAll() {
+    events.addAll(acknowledgements);
+    acknowledgements.clear();
+  }
+
+  void checkInvariants(String when) {
+    FleetInvariants.check(this, when);
   }
 
-  /** Ops a second that all tables bring a task. */
-  double load(String task) {
+  double meanLimit() {
+    return Arrays.stream(limits).average().getAsDouble();
+  }
+
+  /** A connected or disconnected proxy's shares, as {@link FleetProxy#shares} has them. */
+  TreeMap<String, Double> shares(int proxy) {
+    return proxies.get(proxy).shares();
+  }
+
+  /** Requests per second that all tables bring an endpoint. */
+  double load(String endpoint) {
     return proxies.values().stream()
-        .filter(p -> p.joined)
-        .mapToDouble(p -> p.ops * lines(p).getOrDefault(task, 0.0))
+        .filter(p -> p.connected)
+        .mapToDouble(p -> p.requestRate * p.shares().getOrDefault(endpoint, 0.0))
         .sum();
   }
 
-  List<Command> step(long by) {
-    now += by;
+  /** The share of its capacity that an endpoint has at least. */
+  double warmUpFraction(EndpointRecord endpoint) {
+    return settings.slowStart().warmUpFraction(endpoint.startedAt(), now);
+  }
+
+  <T extends Command> List<T> commandsOf(Class<T> kind) {
+    return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
+  }
+
+  /** Lets time pass, passes all events and carries out what the engine commands. */
+  List<Command> step(long duration) {
+    now += duration;
     timers
         .entrySet()
         .removeIf(
-            e -> e.getValue() <= now && due.add(new Event.TimerFired(new TimerToken(e.getKey()))));
-    List<Event> events = new ArrayList<>(due);
-    due.clear();
-    events.forEach(e -> assigner.handle(now, e));
-    last.clear();
-    if (!events.isEmpty()) {
-      last.addAll(assigner.endBatch(now));
+            e ->
+                e.getValue() <= now
+                    && events.add(new Event.TimerFired(new TimerToken(e.getKey()))));
+    List<Event> batch = new ArrayList<>(events);
+    events.clear();
+    batch.forEach(e -> engine.handle(now, e));
+    commands.clear();
+    if (!batch.isEmpty()) {
+      commands.addAll(engine.endBatch(now));
       apply();
     }
-    return last;
+    return commands;
   }
 
   private void apply() {
-    TreeMap<Integer, Integer> touched = new TreeMap<>();
-    for (Command order : last) {
-      if (order instanceof Command.SetRoute o) {
-        TreeMap<String, Double> table =
-            tables.computeIfAbsent(o.table().number(), n -> new TreeMap<>());
-        if (o.weight() > 0) {
-          table.put(o.endpoint().name(), o.weight());
-        } else {
-          table.remove(o.endpoint().name());
-        }
-        proxies.values().stream()
-            .filter(p -> p.joined && p.table == table)
-            .forEach(p -> touched.merge(p.number, 1, Integer::sum));
-      } else if (order instanceof Command.AssignRouteTable o) {
-        Seen p = proxies.get(o.proxy().number());
-        assertTrue(p.joined, "bound a proxy that isn't joined");
-        p.table = tables.computeIfAbsent(o.table().number(), n -> new TreeMap<>());
-        int letBack = settings.channel().proxyTablesUnknown() && !p.fresh ? p.table.size() : 0;
-        touched.merge(p.number, p.table.size() + 1 + letBack, Integer::sum);
-      } else if (order instanceof Command.ExcludeEndpoint o) {
-        for (Seen p : proxies.values()) {
-          boolean may =
-              p.table == null
-                  ? settings.channel().proxyTablesUnknown()
-                      || touched.getOrDefault(p.number, 0)
-                          < settings.routing().bootstrapRouteCount()
-                  : p.table.containsKey(o.endpoint().name());
-          if (p.joined && may) {
-            touched.merge(p.number, 1, Integer::sum);
-          }
-          if (p.joined && o.excluded()) {
-            p.withdrawn.add(o.endpoint().name());
-          } else if (p.joined) {
-            p.withdrawn.remove(o.endpoint().name());
-          }
+    TreeMap<Integer, Integer> entries = new TreeMap<>();
+    for (Command command : commands) {
+      if (command instanceof Command.SetRoute c) {
+        setRoute(c, entries);
+      } else if (command instanceof Command.AssignRouteTable c) {
+        assignTable(c, entries);
+      } else if (command instanceof Command.ExcludeEndpoint c) {
+        exclude(c, entries);
+      } else if (command instanceof Command.LimitAdmission c) {
+        limit(c, entries);
+      } else if (command instanceof Command.StartTimer c) {
+        timers.put(c.token().value(), now + c.delay());
+      } else if (command instanceof Command.RequestAck c) {
+        for (int proxy : entries.keySet()) {
+          acknowledgements.add(
+              new Event.UpdateAcknowledged(
+                  new ProxyId(proxy), new AckId(c.ack().number()), SECOND / 3));
         }
-      } else if (order instanceof Command.LimitAdmission o) {
-        assertTrue(o.limit() >= 0, "level " + o.limit());
-        for (int k = 0; k < settings.requestClasses().size(); k++) {
-          if (o.requestClassMask() == 0 || (o.requestClassMask() >> k & 1) == 1) {
-            retry.put(k, o.retryPolicy());
-            levels[k] = o.limit();
-          }
-        }
-        level = java.util.Arrays.stream(levels).min().getAsDouble();
-        proxies.values().stream()
-            .filter(p -> p.joined)
-            .forEach(p -> touched.merge(p.number, 1, Integer::sum));
-      } else if (order instanceof Command.StartTimer o) {
-        timers.put(o.token().value(), now + o.delay());
-      } else if (order instanceof Command.RequestAck o) {
-        touched
-            .keySet()
-            .forEach(
-                p ->
-                    answers.add(
-                        new Event.UpdateAcknowledged(
-                            new ProxyId(p), new AckId(o.ack().number()), SECOND / 3)));
       }
     }
-    double rate = settings.channel().entriesPerSecond() / 3;
-    queued = Math.max(0, queued - (now - queuedAt) * rate / SECOND);
-    queuedAt = now;
-    touched.forEach(
-        (number, lines) -> {
-          queued += lines + settings.channel().messageOverheadEntries() + 1;
-          ordered += lines + settings.channel().messageOverheadEntries() + 1;
-          proxies.get(number).messages.add(now);
-        });
+    charge(entries);
   }
 
-  /** The five rules, as far as orders alone show them. */
-  void checkRules(String when) {
-    boolean warm =
-        list.values().stream()
-            .anyMatch(
-                l ->
-                    l.state() == EndpointRecord.State.READY
-                        && now - l.startedAt() >= settings.slowStart().window());
-    for (Seen p : proxies.values()) {
-      if (!p.joined) {
-        continue;
-      }
-      boolean empty = p.table != null && lines(p).isEmpty();
-      p.emptySince = !empty || !warm ? -1 : p.emptySince < 0 ? now : p.emptySince;
-      assertTrue(
-          p.emptySince < 0 || now - p.emptySince <= settings.routing().maxTimeWithoutEndpoint(),
-          when + ": a proxy has no line");
-      for (String task : lines(p).keySet()) {
-        EndpointRecord l = list.get(task);
-        assertTrue(
-            (l == null ? settings.endpointList().removedEndpointsKeepServing() : l.state() == READY)
-                || p.messages.size() >= 8 && now - leftAt.get(task) <= GRACE,
-            when + ": a line names " + task + ", which left");
+  private void setRoute(Command.SetRoute command, TreeMap<Integer, Integer> entries) {
+    TreeMap<String, Double> table =
+        tables.computeIfAbsent(command.table().number(), n -> new TreeMap<>());
+    if (command.weight() > 0) {
+      table.put(command.endpoint().name(), command.weight());
+    } else {
+      table.remove(command.endpoint().name());
+    }
+    proxies.values().stream()
+        .filter(p -> p.connected && p.table == table)
+        .forEach(p -> entries.merge(p.number, 1, Integer::sum));
+  }
+
+  private void assignTable(Command.AssignRouteTable command, TreeMap<Integer, Integer> entries) {
+    FleetProxy proxy = proxies.get(command.proxy().number());
+    assertTrue(proxy.connected, "assigned a table to a proxy that is not connected");
+    proxy.table = tables.computeIfAbsent(command.table().number(), n -> new TreeMap<>());
+    boolean mayExclude = settings.channel().proxyTablesUnknown() && !proxy.withoutTables;
+    int allowedAgain = mayExclude ? proxy.table.size() : 0;
+    entries.merge(proxy.number, proxy.table.size() + 1 + allowedAgain, Integer::sum);
+  }
+
+  private void exclude(Command.ExcludeEndpoint command, TreeMap<Integer, Integer> entries) {
+    for (FleetProxy proxy : proxies.values()) {
+      boolean mayName =
+          proxy.table == null
+              ? settings.channel().proxyTablesUnknown()
+                  || entries.getOrDefault(proxy.number, 0)
+                      < settings.routing().bootstrapRouteCount()
+              : proxy.table.containsKey(command.endpoint().name());
+      if (proxy.connected && mayName) {
+        entries.merge(proxy.number, 1, Integer::sum);
       }
-      while (!p.messages.isEmpty()
-          && now - p.messages.peek() > settings.channel().messageWindow()) {
-        p.messages.poll();
+      if (proxy.connected && command.excluded()) {
+        proxy.excluded.add(command.endpoint().name());
+      } else if (proxy.connected) {
+        proxy.excluded.remove(command.endpoint().name());
       }
-      assertTrue(
-          settings.channel().maxMessagesPerProxy() == 0
-              || p.messages.size() <= settings.channel().maxMessagesPerProxy(),
-          when + ": too many messages to one proxy");
     }
-    assertTrue(
-        queued <= settings.channel().maxBacklogEntries(),
-        when + ": " + queued + " lines wait at a third of the pace");
+  }
+
+  private void limit(Command.LimitAdmission command, TreeMap<Integer, Integer> entries) {
+    assertTrue(command.limit() >= 0, "limit " + command.limit());
     for (int k = 0; k < settings.requestClasses().size(); k++) {
-      RetryPolicy way = retry.getOrDefault(k, RetryPolicy.NEVER);
-      assertTrue(
-          settings.requestClasses().get(k).retrySafety() == RetrySafety.IDEMPOTENT
-              || way == RetryPolicy.NEVER
-              || way == RetryPolicy.IF_NOT_EXECUTED,
-          when + ": an op type may take effect twice");
+      if (command.requestClassMask() == 0 || (command.requestClassMask() >> k & 1) == 1) {
+        retryPolicies.put(k, command.retryPolicy());
+        limits[k] = command.limit();
+      }
     }
+    lowestLimit = Arrays.stream(limits).min().getAsDouble();
+    proxies.values().stream()
+        .filter(p -> p.connected)
+        .forEach(p -> entries.merge(p.number, 1, Integer::sum));
+  }
+
+  private void charge(TreeMap<Integer, Integer> entries) {
+    double pace = settings.channel().entriesPerSecond() / 3;
+    backlog = Math.max(0, backlog - (now - backlogAt) * pace / SECOND);
+    backlogAt = now;
+    entries.forEach(
+        (number, count) -> {
+          int message = count + settings.channel().messageOverheadEntries() + 1;
+          backlog += message;
+          sentEntries += message;
+          proxies.get(number).messagesSentAt.add(now);
+        });
   }
 }
--- /dev/null
+++ b/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
@@ -0,0 +1,237 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.ProxyId;
+import stonespring.model.RequestClass;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetrySafety;
+import stonespring.model.Settings;
+import stonespring.model.ZoneId;
+
+/** Many proxies of a request or two per second: what is estimated of their traffic. */
+final class LowTrafficProxiesTest {
+  private static final long SECOND = DeciMillis.SECOND;
+  private static final int PROXIES = 120;
+  private static final int ENDPOINTS = 12;
+  private static final int CLASSES = 3;
+  private static final double REQUEST_RATE = 0.6; // requests per second of a proxy and class
+
+  private final SplittableRandom random = new SplittableRandom(5);
+  private final long[][] reportedUntil = new long[PROXIES][CLASSES];
+  private final List<Double> limits = new ArrayList<>();
+  private AssignmentEngine engine;
+  private long now = 100 * SECOND;
+
+  private void start(int instances) {
+    engine =
+        new AssignmentEngine(
+            new Settings(
+                new Settings.Fleet(instances, 1, PROXIES, false),
+                List.of(
+                    new RequestClass(RetrySafety.IDEMPOTENT, SECOND / 2, 1),
+                    new RequestClass(RetrySafety.IDEMPOTENCY_KEYED, SECOND, 1),
+                    new RequestClass(RetrySafety.NON_IDEMPOTENT, SECOND, 1)),
+                new Settings.EndpointListRules(false, false),
+                AdmissionLimitKind.FRACTION,
+                new Settings.ChannelLimits(6000, 10, 0, 10 * SECOND, 3000, false),
+                new Settings.RoutingRules(5 * SECOND, 5, 0, 0.1, 3),
+                new Settings.SlowStart(10 * SECOND, 0.2, 3),
+                SECOND),
+            7,
+            now);
+    List<EndpointRecord> list = new ArrayList<>();
+    for (int i = 0; i < ENDPOINTS; i++) {
+      list.add(Fleet.endpointRecord("t" + i, 0, EndpointRecord.State.READY, 0));
+    }
+    engine.handle(now, new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list));
+    endBatch();
+  }
+
+  private void endBatch() {
+    for (Command command : engine.endBatch(now)) {
+      if (command instanceof Command.LimitAdmission a) {
+        limits.add(a.limit());
+      }
+    }
+  }
+
+  private void connect(int proxy, boolean withoutTables) {
+    engine.handle(
+        now,
+        new Event.ProxyConnected(
+            new ProxyId(proxy), new ZoneId(0), REQUEST_RATE * CLASSES, withoutTables));
+    java.util.Arrays.fill(reportedUntil[proxy], now);
+  }
+
+  private int poisson(double mean) {
+    int count = 0;
+    for (double left = Math.exp(-mean), at = random.nextDouble();
+        at > left;
+        at *= random.nextDouble()) {
+      count++;
+    }
+    return count;
+  }
+
+  /** Reports of an interval; what had no request is not reported, and the next report spans it. */
+  private void reports(int from, int to, double utilization) {
+    for (int p = from; p < to; p++) {
+      for (int k = 0; k < CLASSES; k++) {
+        int requests = poisson(REQUEST_RATE);
+        if (requests > 0) {
+          engine.handle(
+              now,
+              new Event.ProxyRequestRate(
+                  new ProxyId(p), new RequestClassId(k), requests, 0, now - reportedUntil[p][k]));
+          reportedUntil[p][k] = now;
+        }
+      }
+    }
+    outcomes((to - from) * REQUEST_RATE * CLASSES, utilization);
+  }
+
+  private void outcomes(double perSecond, double utilization) {
+    outcomes(perSecond, utilization, 0);
+  }
+
+  private void outcomes(double perSecond, double utilization, double failureShare) {
+    for (int i = 0; i < ENDPOINTS; i++) {
+      long attempts = Math.round(perSecond / ENDPOINTS);
+      if (attempts > 0) {
+        engine.handle(
+            now,
+            new Event.EndpointOutcomes(
+                new EndpointId("t" + i),
+                new ZoneId(0),
+                attempts,
+                Math.round(attempts * failureShare),
+                SECOND,
+                SECOND / 10,
+                new LoadReport(utilization, Double.NaN, Double.NaN, Double.NaN, Double.NaN)));
+      }
+    }
+  }
+
+  /** A report right after a request shows a rate that is too high; the mean must be right. */
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2})
+  void estimatesTheMeanRateOfLowTrafficProxies(int instances) {
+    start(instances);
+    int proxyCount = PROXIES / instances;
+    for (int p = 0; p < proxyCount; p++) {
+      connect(p, true);
+    }
+    endBatch();
+    for (int round = 0; round < 40; round++) {
+      now += SECOND;
+      reports(0, proxyCount, 0.72);
+      endBatch();
+    }
+    assertEquals(
+        1, limits.stream().min(Double::compare).orElse(1.0), "nothing is rejected: " + limits);
+  }
+
+  /**
+   * The first reports hold the attempts of the few proxies that connected first, and say nothing of
+   * what endpoints can serve.
+   */
+  @Test
+  void startWhileManyProxiesConnectLimitsNothing() {
+    start(2);
+    int connected = 0;
+    double reportedRate = 0;
+    for (int tenth = 1; tenth <= 80; tenth++) {
+      now += SECOND / 10;
+      if (connected < PROXIES / 2) {
+        connect(connected++, false);
+      }
+      if (tenth % 10 == 0) {
+        outcomes(reportedRate, 0.5);
+        reportedRate =
+            connected * REQUEST_RATE * CLASSES * 0.9; // of those that were connected a second ago
+      }
+      endBatch();
+    }
+    assertTrue(connected == PROXIES / 2);
+    assertEquals(
+        1, limits.stream().min(Double::compare).orElse(1.0), "nothing is rejected: " + limits);
+  }
+
+  /** Half disconnect for long: when they connect again, their traffic counts before they report. */
+  @Test
+  void reconnectedProxiesCountWithTheirEarlierTraffic() {
+    start(1);
+    for (int p = 0; p < PROXIES; p++) {
+      connect(p, true);
+    }
+    for (int round = 0; round < 10; round++) {
+      now += SECOND;
+      reports(0, PROXIES, 0.6);
+      endBatch();
+    }
+    for (int p = 0; p < PROXIES / 2; p++) {
+      engine.handle(now, new Event.ProxyDisconnected(new ProxyId(p)));
+    }
+    for (int round = 0; round < 120; round++) {
+      now += SECOND;
+      reports(PROXIES / 2, PROXIES, 0.6);
+      endBatch();
+    }
+    assertEquals(1, limits.stream().min(Double::compare).orElse(1.0), "half of them fit");
+    for (int p = 0; p < PROXIES / 2; p++) {
+      connect(p, false);
+    }
+    now += SECOND;
+    reports(PROXIES / 2, PROXIES, 0.6);
+    endBatch();
+    assertTrue(
+        limits.stream().min(Double::compare).orElse(1.0) < 1, "all of them don't: " + limits);
+  }
+
+  private double lowestLimitOfARun(boolean delayed) {
+    limits.clear();
+    start(1);
+    for (int p = 0; p < PROXIES; p++) {
+      connect(p, true);
+    }
+    for (int round = 0; round < 15; round++) {
+      now += SECOND;
+      reports(0, PROXIES, 0.6);
+      endBatch();
+    }
+    now += delayed ? 4 * SECOND : 0;
+    for (int round = 0; round < 4; round++) {
+      now += SECOND;
+      outcomes(PROXIES * REQUEST_RATE * CLASSES, 0.6, 0.4);
+      endBatch();
+    }
+    return limits.stream().min(Double::compare).orElse(1.0);
+  }
+
+  /**
+   * Endpoints report spare capacity while attempts fail. While reports are delayed, the overload
+   * that they show may be over.
+   */
+  @Test
+  void limitsLessWhileReportsAreDelayed() {
+    double normal = lowestLimitOfARun(false);
+    double delayed = lowestLimitOfARun(true);
+    assertTrue(normal < 0.5, "normal " + normal);
+    assertTrue(delayed > 0.65, "normal " + normal + ", delayed " + delayed);
+  }
+}
--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -41,7 +41,7 @@
   private static final double CAPACITY = 40; // requests a second of one endpoint
   private static final int SEEDS = 2;
 
-  /** What befalls the fleet before a step. */
+  /** What happens to the fleet before a step. */
   private interface Trouble {
     void before(Run run, int step);
   }
@@ -69,8 +69,8 @@
     private final Fleet fleet;
     private final SplittableRandom random;
     private final RecordedDigests.Recording recording = new RecordedDigests.Recording();
-    private final ArrayDeque<Map.Entry<Long, Event>> late = new ArrayDeque<>();
-    private final Map<String, Double> extraBad = new HashMap<>();
+    private final ArrayDeque<Map.Entry<Long, Event>> delayedReports = new ArrayDeque<>();
+    private final Map<String, Double> extraFailures = new HashMap<>();
     private long delay = SECOND / 5;
     private long seed;
     private int nextEndpoint = ENDPOINTS;
@@ -85,26 +85,27 @@
 
     private void start() {
       fleet.start(seed);
-      fleet.assigner = new Recorder(fleet.assigner, recording);
+      fleet.engine = new Recorder(fleet.engine, recording);
     }
 
     void restart() {
       seed += 100;
       start();
       fleet.proxies.values().stream()
-          .filter(p -> p.joined)
+          .filter(p -> p.connected)
           .map(p -> p.number)
           .toList()
-          .forEach(number -> fleet.join(number, 0, 0, false));
+          .forEach(number -> fleet.connect(number, 0, 0, false));
     }
 
     void setUp() {
       for (int i = 0; i < ENDPOINTS; i++) {
-        fleet.list.put(name(i), Fleet.listing(name(i), i % 2, EndpointRecord.State.READY, 0));
+        fleet.endpoints.put(
+            name(i), Fleet.endpointRecord(name(i), i % 2, EndpointRecord.State.READY, 0));
       }
       start();
       for (int i = 0; i < PROXIES; i++) {
-        fleet.join(i, i % 2, 4 + random.nextInt(45), i % 3 != 2);
+        fleet.connect(i, i % 2, 4 + random.nextInt(45), i % 3 != 2);
       }
     }
 
@@ -113,37 +114,37 @@
     }
 
     void replace(int endpoint, boolean drain) {
-      int zone = fleet.list.get(name(endpoint)).zone().index();
-      fleet.listed(
+      int zone = fleet.endpoints.get(name(endpoint)).zone().index();
+      fleet.updateEndpoint(
           name(endpoint),
           zone,
           drain ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED,
           0);
-      fleet.listed(name(nextEndpoint++), zone, EndpointRecord.State.READY, fleet.now);
+      fleet.updateEndpoint(name(nextEndpoint++), zone, EndpointRecord.State.READY, fleet.now);
     }
 
-    private double warmUp(EndpointRecord l) {
-      return l == null ? 0 : fleet.settings.slowStart().warmUpFraction(l.startedAt(), fleet.now);
+    private double warmUpFraction(EndpointRecord endpoint) {
+      return endpoint == null ? 0 : fleet.warmUpFraction(endpoint);
     }
 
     private void report() {
-      Map<String, Double> bad = new HashMap<>(extraBad);
+      Map<String, Double> failureShares = new HashMap<>(extraFailures);
       double worst = 0;
       for (int i = 0; i < nextEndpoint; i++) {
-        double able = CAPACITY * warmUp(fleet.list.get(name(i)));
-        double load = fleet.surge * fleet.meanLevel() * fleet.load(name(i));
-        double over = load <= 0 ? 0 : Math.max(0, 1 - able / load);
+        double capacity = CAPACITY * warmUpFraction(fleet.endpoints.get(name(i)));
+        double load = fleet.trafficFactor * fleet.meanLimit() * fleet.load(name(i));
+        double over = load <= 0 ? 0 : Math.max(0, 1 - capacity / load);
         worst = Math.max(worst, over);
-        bad.merge(name(i), over, Math::max);
+        failureShares.merge(name(i), over, Math::max);
       }
-      fleet.latency = 800 + (long) (4000 * worst) + random.nextInt(100);
-      int known = fleet.due.size();
-      fleet.sums(fleet.surge / CAPACITY, bad);
-      List<Event> told = fleet.due.subList(known, fleet.due.size());
-      for (Event event : told) {
-        late.add(Map.entry(fleet.now + delay, event));
+      fleet.successLatency = 800 + (long) (4000 * worst) + random.nextInt(100);
+      int known = fleet.events.size();
+      fleet.report(fleet.trafficFactor / CAPACITY, failureShares);
+      List<Event> reports = fleet.events.subList(known, fleet.events.size());
+      for (Event event : reports) {
+        delayedReports.add(Map.entry(fleet.now + delay, event));
       }
-      told.clear();
+      reports.clear();
     }
 
     void play(Trouble trouble) {
@@ -153,12 +154,11 @@
         if (step % 10 == 9) {
           report();
         }
-        while (!late.isEmpty() && late.peek().getKey() <= fleet.now) {
-          fleet.due.add(late.poll().getValue());
+        while (!delayedReports.isEmpty() && delayedReports.peek().getKey() <= fleet.now) {
+          fleet.events.add(delayedReports.poll().getValue());
         }
         if (step % acknowledgeEvery == 0) {
-          fleet.due.addAll(fleet.answers);
-          fleet.answers.clear();
+          fleet.acknowledgeAll();
         }
         commands += fleet.step(STEP).size();
       }
@@ -166,47 +166,23 @@
   }
 
   private static Settings settings(AdmissionLimitKind kind) {
-    return Fleet.settings(1, kind, 30, 5);
+    return new FleetSettings().limitKind(kind).bootstrapRoutes(5).build();
   }
 
   private static Settings sharded() {
-    Settings s = settings(AdmissionLimitKind.FRACTION);
-    return new Settings(
-        new Settings.Fleet(s.fleet().instances(), s.fleet().zones(), s.fleet().proxies(), true),
-        s.requestClasses(),
-        new Settings.EndpointListRules(
-            s.endpointList().watchRequired(), s.endpointList().removedEndpointsKeepServing()),
-        s.admissionLimitKind(),
-        new Settings.ChannelLimits(
-            s.channel().maxBacklogEntries(),
-            s.channel().messageOverheadEntries(),
-            s.channel().maxMessagesPerProxy(),
-            s.channel().messageWindow(),
-            s.channel().entriesPerSecond(),
-            false),
-        new Settings.RoutingRules(
-            s.routing().maxTimeWithoutEndpoint(),
-            s.routing().bootstrapRouteCount(),
-            s.routing().crossZonePenalty(),
-            s.routing().worstClassWeight(),
-            s.routing().ejectAfterConsecutiveFailures()),
-        new Settings.SlowStart(
-            s.slowStart().window(),
-            s.slowStart().initialFraction(),
-            s.slowStart().overloadMultiple()),
-        s.reportInterval());
+    return new FleetSettings().bootstrapRoutes(5).sharded().build();
   }
 
   private static void calm(Run run, int step) {
-    run.fleet.surge = 1 + 0.1 * run.random.nextDouble();
+    run.fleet.trafficFactor = 1 + 0.1 * run.random.nextDouble();
   }
 
   private static void surge(Run run, int step) {
-    run.fleet.surge = step > 80 && step < 220 ? 2.5 : 1;
+    run.fleet.trafficFactor = step > 80 && step < 220 ? 2.5 : 1;
   }
 
   private static void overload(Run run, int step) {
-    run.fleet.surge = step > 60 && step < 200 ? 6 : 1;
+    run.fleet.trafficFactor = step > 60 && step < 200 ? 6 : 1;
   }
 
   private static void drains(Run run, int step) {
@@ -218,24 +194,24 @@
   private static void lostZone(Run run, int step) {
     if (step == 100) {
       run.fleet.proxies.values().stream()
-          .filter(p -> p.joined && p.zone == 0)
+          .filter(p -> p.connected && p.zone == 0)
           .map(p -> p.number)
           .toList()
-          .forEach(run.fleet::leave);
+          .forEach(run.fleet::disconnect);
     }
     for (int i = 0; i < ENDPOINTS; i += 2) {
       if (step == 120) {
-        run.fleet.listed(Run.name(i), 0, EndpointRecord.State.REMOVED, 0);
+        run.fleet.updateEndpoint(Run.name(i), 0, EndpointRecord.State.REMOVED, 0);
       } else if (step == 180) {
-        run.fleet.listed(Run.name(i), 0, EndpointRecord.State.READY, run.fleet.now);
+        run.fleet.updateEndpoint(Run.name(i), 0, EndpointRecord.State.READY, run.fleet.now);
       }
     }
     if (step == 190) {
       run.fleet.proxies.values().stream()
-          .filter(p -> !p.joined)
+          .filter(p -> !p.connected)
           .map(p -> p.number)
           .toList()
-          .forEach(number -> run.fleet.join(number, 0, 0, number % 4 == 0));
+          .forEach(number -> run.fleet.connect(number, 0, 0, number % 4 == 0));
     }
   }
 
@@ -249,15 +225,15 @@
   private static void warmUp(Run run, int step) {
     surge(run, step);
     if (step >= 60 && step < 180 && step % 8 == 0) {
-      run.fleet.listed(
+      run.fleet.updateEndpoint(
           Run.name(run.nextEndpoint++),
           step % 16 == 0 ? 0 : 1,
           EndpointRecord.State.READY,
           run.fleet.now);
     }
     if (step == 150) {
-      run.fleet.listed(
-          Run.name(3), 1, EndpointRecord.State.READY, run.fleet.now); // it started again
+      run.fleet.updateEndpoint(
+          Run.name(3), 1, EndpointRecord.State.READY, run.fleet.now); // it restarted
     }
   }
 
@@ -270,10 +246,10 @@
 
   private static void badEndpoints(Run run, int step) {
     if (step == 70) {
-      run.extraBad.put(Run.name(1), 0.9);
-      run.extraBad.put(Run.name(4), 0.4);
+      run.extraFailures.put(Run.name(1), 0.9);
+      run.extraFailures.put(Run.name(4), 0.4);
     } else if (step == 200) {
-      run.extraBad.clear();
+      run.extraFailures.clear();
     }
   }
 
@@ -286,13 +262,13 @@
         for (int i = p; i < p + 5; i++) {
           shares.add(new Event.WeightsProposed.Share(new EndpointId(Run.name(i % ENDPOINTS)), 0.2));
         }
-        run.fleet.due.add(new Event.WeightsProposed(new ProxyId(p), shares));
+        run.fleet.events.add(new Event.WeightsProposed(new ProxyId(p), shares));
       }
     }
   }
 
   private static void advised(Run run, int step) {
-    run.fleet.advised = true;
+    run.fleet.withSolver = true;
     if (step == 0) {
       run.restart();
     }
@@ -301,66 +277,66 @@
   }
 
   private static void lists(Run run, int step) {
-    List<Event> due = run.fleet.due;
+    List<Event> events = run.fleet.events;
     if (step == 40 || step == 45 || step == 130) {
-      due.add(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
+      events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
     } else if (step == 80 || step == 200) {
-      due.add(
+      events.add(
           new Event.EndpointListUpdate(
-              Event.ListUpdateKind.SNAPSHOT, List.copyOf(run.fleet.list.values())));
+              Event.ListUpdateKind.SNAPSHOT, List.copyOf(run.fleet.endpoints.values())));
     } else if (step == 120) {
-      run.fleet.list.remove(Run.name(2));
-      run.fleet.list.remove(Run.name(5));
-      due.add(
+      run.fleet.endpoints.remove(Run.name(2));
+      run.fleet.endpoints.remove(Run.name(5));
+      events.add(
           new Event.EndpointListUpdate(
-              Event.ListUpdateKind.SNAPSHOT, List.copyOf(run.fleet.list.values())));
+              Event.ListUpdateKind.SNAPSHOT, List.copyOf(run.fleet.endpoints.values())));
     }
   }
 
   private static void wrongList(Run run, int step) {
     if (step == 80) {
       for (int i = 0; i < 4; i++) {
-        run.fleet.listed(Run.name(i), i % 2, EndpointRecord.State.REMOVED, 0);
+        run.fleet.updateEndpoint(Run.name(i), i % 2, EndpointRecord.State.REMOVED, 0);
       }
-      run.extraBad.put(Run.name(1), 1.0);
+      run.extraFailures.put(Run.name(1), 1.0);
     }
   }
 
-  private static void herd(Run run, int step) {
+  private static void massReconnect(Run run, int step) {
     if (step == 100 || step == 140) {
       run.fleet.proxies.values().stream()
-          .filter(p -> p.joined)
+          .filter(p -> p.connected)
           .map(p -> p.number)
           .toList()
-          .forEach(run.fleet::leave);
+          .forEach(run.fleet::disconnect);
     }
     if (step > 100 && step < 140 && step % 3 == 0 || step > 145 && step % 5 == 0) {
       int number = run.random.nextInt(PROXIES + 6);
-      if (!run.fleet.proxies.containsKey(number) || !run.fleet.proxies.get(number).joined) {
-        run.fleet.join(number, number % 2, 10 + number, run.random.nextBoolean());
+      if (!run.fleet.proxies.containsKey(number) || !run.fleet.proxies.get(number).connected) {
+        run.fleet.connect(number, number % 2, 10 + number, run.random.nextBoolean());
       }
     }
     drains(run, step);
   }
 
   private static void shards(Run run, int step) {
-    List<Event> due = run.fleet.due;
+    List<Event> events = run.fleet.events;
     if (step % 25 == 5) {
       RouteTableId shard = new RouteTableId(step / 25);
-      due.add(new Event.ShardOwnership(shard, step % 50 == 5));
-      due.add(new Event.ShardRoute(shard, new EndpointId(Run.name(step / 25 % ENDPOINTS)), 1));
-      due.add(new Event.ShardRequestRate(shard, new RequestClassId(0), 40, 1, SECOND));
+      events.add(new Event.ShardOwnership(shard, step % 50 == 5));
+      events.add(new Event.ShardRoute(shard, new EndpointId(Run.name(step / 25 % ENDPOINTS)), 1));
+      events.add(new Event.ShardRequestRate(shard, new RequestClassId(0), 40, 1, SECOND));
     }
     drains(run, step);
   }
 
   private static void peers(Run run, int step) {
     if (step % 20 == 3) {
-      run.fleet.due.add(new Event.PeerMessage(new PeerId(1), new byte[] {1, 2, (byte) step}));
-      run.fleet.due.add(
+      run.fleet.events.add(new Event.PeerMessage(new PeerId(1), new byte[] {1, 2, (byte) step}));
+      run.fleet.events.add(
           new Event.HealthCheckResult(
               new EndpointId(Run.name(0)), step % 40 == 3, 500, LoadReport.NONE));
-      run.fleet.due.add(
+      run.fleet.events.add(
           new Event.EndpointOutcomes(
               new EndpointId("unlisted" + step % 3),
               new ZoneId(0),
@@ -373,63 +349,76 @@
     restarts(run, step);
   }
 
+  /** All scenarios, in the order of the recording. */
   private static List<Scenario> scenarios() {
-    Settings share = settings(AdmissionLimitKind.FRACTION);
-    Settings narrow = Fleet.settings(1, AdmissionLimitKind.FRACTION, 12, 5, true, 250, 200, false);
-    List<Scenario> all =
-        new ArrayList<>(
-            List.of(
-                new Scenario("calm", share, RecordedCommandsTest::calm),
-                new Scenario("surge", share, RecordedCommandsTest::surge),
-                new Scenario("overload", share, RecordedCommandsTest::overload),
-                new Scenario(
-                    "overload-rates",
-                    settings(AdmissionLimitKind.RATE),
-                    RecordedCommandsTest::overload),
-                new Scenario(
-                    "overload-no-limits",
-                    settings(AdmissionLimitKind.NONE),
-                    RecordedCommandsTest::overload),
-                new Scenario(
-                    "overload-unlimited-messages",
-                    Fleet.settings(1, AdmissionLimitKind.FRACTION, 0, 0),
-                    RecordedCommandsTest::overload),
-                new Scenario("drains", share, RecordedCommandsTest::drains),
-                new Scenario("drains-narrow", narrow, RecordedCommandsTest::drains),
-                new Scenario("drains-on-sockets", share.onPlatform(), RecordedCommandsTest::drains),
-                new Scenario("lost-zone", share, RecordedCommandsTest::lostZone),
-                new Scenario("lost-zone-narrow", narrow, RecordedCommandsTest::lostZone),
-                new Scenario("restarts", share, RecordedCommandsTest::restarts),
-                new Scenario(
-                    "restarts-on-sockets", narrow.onPlatform(), RecordedCommandsTest::restarts),
-                new Scenario("warm-up", share, RecordedCommandsTest::warmUp),
-                new Scenario(
-                    "warm-up-rates",
-                    settings(AdmissionLimitKind.RATE),
-                    RecordedCommandsTest::warmUp),
-                new Scenario("late-reports", share, RecordedCommandsTest::lateReports),
-                new Scenario("late-reports-narrow", narrow, RecordedCommandsTest::lateReports),
-                new Scenario("bad-endpoints", share, RecordedCommandsTest::badEndpoints),
-                new Scenario("proposals", share, RecordedCommandsTest::proposals),
-                new Scenario("advised", share, RecordedCommandsTest::advised),
-                new Scenario(
-                    "lists",
-                    Fleet.settings(1, AdmissionLimitKind.FRACTION, 30, 5, true),
-                    RecordedCommandsTest::lists),
-                new Scenario(
-                    "wrong-list",
-                    Fleet.settings(1, AdmissionLimitKind.FRACTION, 30, 5, false, 3000, 2500, true),
-                    RecordedCommandsTest::wrongList),
-                new Scenario("herd", share, RecordedCommandsTest::herd),
-                new Scenario("herd-on-sockets", narrow.onPlatform(), RecordedCommandsTest::herd),
-                new Scenario("shards", sharded(), RecordedCommandsTest::shards),
-                new Scenario(
-                    "three-instances",
-                    Fleet.settings(3, AdmissionLimitKind.FRACTION, 30, 5),
-                    RecordedCommandsTest::peers)));
+    List<Scenario> all = new ArrayList<>(trafficScenarios());
+    all.addAll(changingFleetScenarios());
+    all.addAll(otherScenarios());
     return all;
   }
 
+  private static Settings narrowChannel() {
+    return new FleetSettings()
+        .maxMessages(12)
+        .bootstrapRoutes(5)
+        .watchRequired()
+        .channel(250, 200)
+        .build();
+  }
+
+  private static List<Scenario> trafficScenarios() {
+    Settings byFraction = settings(AdmissionLimitKind.FRACTION);
+    Settings byRate = settings(AdmissionLimitKind.RATE);
+    Settings unlimited = settings(AdmissionLimitKind.NONE);
+    Settings unlimitedMessages = new FleetSettings().maxMessages(0).bootstrapRoutes(0).build();
+    return List.of(
+        new Scenario("calm", byFraction, RecordedCommandsTest::calm),
+        new Scenario("surge", byFraction, RecordedCommandsTest::surge),
+        new Scenario("overload", byFraction, RecordedCommandsTest::overload),
+        new Scenario("overload-rates", byRate, RecordedCommandsTest::overload),
+        new Scenario("overload-no-limits", unlimited, RecordedCommandsTest::overload),
+        new Scenario(
+            "overload-unlimited-messages", unlimitedMessages, RecordedCommandsTest::overload));
+  }
+
+  private static List<Scenario> changingFleetScenarios() {
+    Settings byFraction = settings(AdmissionLimitKind.FRACTION);
+    Settings byRate = settings(AdmissionLimitKind.RATE);
+    Settings narrow = narrowChannel();
+    Settings onSockets = narrow.onPlatform();
+    return List.of(
+        new Scenario("drains", byFraction, RecordedCommandsTest::drains),
+        new Scenario("drains-narrow", narrow, RecordedCommandsTest::drains),
+        new Scenario("drains-on-sockets", byFraction.onPlatform(), RecordedCommandsTest::drains),
+        new Scenario("lost-zone", byFraction, RecordedCommandsTest::lostZone),
+        new Scenario("lost-zone-narrow", narrow, RecordedCommandsTest::lostZone),
+        new Scenario("restarts", byFraction, RecordedCommandsTest::restarts),
+        new Scenario("restarts-on-sockets", onSockets, RecordedCommandsTest::restarts),
+        new Scenario("warm-up", byFraction, RecordedCommandsTest::warmUp),
+        new Scenario("warm-up-rates", byRate, RecordedCommandsTest::warmUp));
+  }
+
+  private static List<Scenario> otherScenarios() {
+    Settings byFraction = settings(AdmissionLimitKind.FRACTION);
+    Settings narrow = narrowChannel();
+    Settings onSockets = narrow.onPlatform();
+    Settings watched = new FleetSettings().bootstrapRoutes(5).watchRequired().build();
+    Settings keepServing = new FleetSettings().bootstrapRoutes(5).removedKeepServing(true).build();
+    Settings threeInstances = new FleetSettings().instances(3).bootstrapRoutes(5).build();
+    return List.of(
+        new Scenario("late-reports", byFraction, RecordedCommandsTest::lateReports),
+        new Scenario("late-reports-narrow", narrow, RecordedCommandsTest::lateReports),
+        new Scenario("bad-endpoints", byFraction, RecordedCommandsTest::badEndpoints),
+        new Scenario("proposals", byFraction, RecordedCommandsTest::proposals),
+        new Scenario("advised", byFraction, RecordedCommandsTest::advised),
+        new Scenario("lists", watched, RecordedCommandsTest::lists),
+        new Scenario("wrong-list", keepServing, RecordedCommandsTest::wrongList),
+        new Scenario("herd", byFraction, RecordedCommandsTest::massReconnect),
+        new Scenario("herd-on-sockets", onSockets, RecordedCommandsTest::massReconnect),
+        new Scenario("shards", sharded(), RecordedCommandsTest::shards),
+        new Scenario("three-instances", threeInstances, RecordedCommandsTest::peers));
+  }
+
   @Test
   void everyCommandOfSeededRunsIsAsRecorded() throws IOException {
     RecordedDigests digests = new RecordedDigests();
@@ -457,16 +446,16 @@
     for (int second = 0; second < 1500; second++) {
       if (second % 20 == 10) {
         int oldest = second / 20;
-        if (run.fleet.list.containsKey(Run.name(oldest))) {
+        if (run.fleet.endpoints.containsKey(Run.name(oldest))) {
           run.replace(oldest, second % 40 == 10);
         }
       }
-      run.fleet.surge = 1 + 0.5 * Math.sin(second / 30.0);
+      run.fleet.trafficFactor = 1 + 0.5 * Math.sin(second / 30.0);
       run.report();
-      run.late.forEach(e -> run.fleet.due.add(e.getValue()));
-      run.late.clear();
-      run.fleet.due.addAll(run.fleet.answers);
-      run.fleet.answers.clear();
+      run.delayedReports.forEach(e -> run.fleet.events.add(e.getValue()));
+      run.delayedReports.clear();
+      run.fleet.events.addAll(run.fleet.acknowledgements);
+      run.fleet.acknowledgements.clear();
       run.commands += run.fleet.step(SECOND).size();
     }
     digests.put("long (" + run.commands + " commands)", run.recording);
--- /dev/null
+++ b/src/test/java/stonespring/decision/ScaleOutSimulation.java
@@ -0,0 +1,244 @@
+package stonespring.decision;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.ProxyId;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetryPolicy;
+import stonespring.model.Settings;
+import stonespring.model.ZoneId;
+
+/**
+ * A fleet that scales out during a surge: proxies eject failing endpoints, clients repeat, refused
+ * attempts are retried elsewhere, reports are late. Invariants are checked after every step, and
+ * the requests that really come to each endpoint that warms up.
+ */
+final class ScaleOutSimulation {
+  private static final long SECOND = DeciMillis.SECOND;
+  private static final long STEP = SECOND / 10;
+  private static final int PROXIES = 30;
+  private static final int ENDPOINTS = 16;
+
+  private static final double CAPACITY = 20; // requests per second of a warm endpoint
+
+  /** Requests that came to an endpoint in one step. */
+  private record StepLoad(long at, double requests) {}
+
+  private final Fleet fleet = new Fleet(settings());
+  private final SplittableRandom random;
+  private final long reportDelay;
+  private final TreeMap<String, Double> failureShares = new TreeMap<>();
+  private final TreeMap<String, double[]> attemptsByZone = new TreeMap<>();
+  private final TreeMap<String, double[]> failuresByZone = new TreeMap<>();
+  private final Map<String, Long> ejectedUntil = new HashMap<>();
+  private final Map<String, Integer> consecutiveFailures = new HashMap<>();
+  private final TreeMap<String, ArrayDeque<StepLoad>> recentLoads = new TreeMap<>();
+  private final Map<Integer, Double> requestsByProxy = new HashMap<>();
+  private final List<Map.Entry<Long, Event>> delayedReports = new ArrayList<>();
+  private double repeatedShare;
+  private double worst;
+  private String worstWhen = "";
+
+  ScaleOutSimulation(long seed, long reportDelay) {
+    this.random = new SplittableRandom(seed);
+    this.reportDelay = reportDelay;
+  }
+
+  private static Settings settings() {
+    return new FleetSettings().proxies(PROXIES).bootstrapRoutes(5).channel(6000, 6000).build();
+  }
+
+  /** What one step of requests does to endpoints, by the tables that proxies hold now. */
+  private void passTraffic(double surge) {
+    TreeMap<String, Double> load = new TreeMap<>();
+    boolean retries =
+        fleet.retryPolicies.getOrDefault(0, RetryPolicy.IF_NOT_EXECUTED) != RetryPolicy.NEVER;
+    for (FleetProxy proxy : fleet.proxies.values()) {
+      double requests = proxy.requestRate * surge * (1 + 2 * repeatedShare) * STEP / SECOND;
+      requestsByProxy.merge(proxy.number, requests, Double::sum);
+      spread(proxy, requests * fleet.meanLimit(), load, retries);
+    }
+    double failed = 0;
+    double all = 0;
+    for (Map.Entry<String, Double> e : load.entrySet()) {
+      EndpointRecord endpoint = fleet.endpoints.get(e.getKey());
+      double capacity =
+          endpoint == null ? 0 : CAPACITY * fleet.warmUpFraction(endpoint) * STEP / SECOND;
+      double excess = capacity <= 0 ? 1 : Math.max(0, 1 - capacity / e.getValue());
+      failureShares.merge(e.getKey(), excess, (a, b) -> 0.8 * a + 0.2 * b);
+      failed += e.getValue() * failureShares.get(e.getKey());
+      all += e.getValue();
+      if (endpoint != null && fleet.warmUpFraction(endpoint) < 1) {
+        recordWarming(e.getKey(), e.getValue(), capacity);
+      }
+    }
+    if (all > 0) {
+      // Clients repeat once they have waited without success.
+      repeatedShare = 0.95 * repeatedShare + 0.05 * failed / all;
+    }
+  }
+
+  private void spread(
+      FleetProxy proxy, double attempts, TreeMap<String, Double> load, boolean retries) {
+    TreeMap<String, Double> shares = proxy.shares();
+    TreeMap<String, Double> available = new TreeMap<>(shares);
+    available
+        .keySet()
+        .removeIf(name -> ejectedUntil.getOrDefault(proxy.number + name, 0L) > fleet.now);
+    TreeMap<String, Double> used = available.isEmpty() ? shares : available;
+    double sum = used.values().stream().mapToDouble(w -> w).sum();
+    for (Map.Entry<String, Double> e : used.entrySet()) {
+      double part = attempts * e.getValue() / sum;
+      double failureShare = failureShares.getOrDefault(e.getKey(), 0.0);
+      load.merge(e.getKey(), part, Double::sum);
+      attemptsByZone.computeIfAbsent(e.getKey(), n -> new double[2])[proxy.zone] += part;
+      failuresByZone.computeIfAbsent(e.getKey(), n -> new double[2])[proxy.zone] +=
+          part * failureShare;
+      eject(proxy.number + e.getKey(), part, failureShare);
+      if (retries && failureShare > 0) {
+        TreeMap<String, Double> others = new TreeMap<>(available);
+        others.remove(e.getKey());
+        double rest = others.values().stream().mapToDouble(w -> w).sum();
+        others.forEach(
+            (name, w) -> load.merge(name, part * failureShare / 2 * w / rest, Double::sum));
+      }
+    }
+  }
+
+  /** Draws the outcome of each attempt of a proxy at an endpoint. */
+  private void eject(String proxyAndEndpoint, double attempts, double failureShare) {
+    int whole = (int) attempts + (random.nextDouble() < attempts - (int) attempts ? 1 : 0);
+    for (int i = 0; i < whole; i++) {
+      int failures =
+          random.nextDouble() < failureShare
+              ? consecutiveFailures.merge(proxyAndEndpoint, 1, Integer::sum)
+              : 0;
+      consecutiveFailures.put(proxyAndEndpoint, failures);
+      if (failures >= fleet.settings.routing().ejectAfterConsecutiveFailures()) {
+        consecutiveFailures.put(proxyAndEndpoint, 0);
+        ejectedUntil.put(proxyAndEndpoint, fleet.now + 26_000 + random.nextInt(38_000));
+      }
+    }
+  }
+
+  private void recordWarming(String endpoint, double requests, double capacity) {
+    ArrayDeque<StepLoad> recent = recentLoads.computeIfAbsent(endpoint, n -> new ArrayDeque<>());
+    recent.add(new StepLoad(fleet.now, requests));
+    while (fleet.now - recent.peek().at() > 2 * SECOND) {
+      recent.poll();
+    }
+    double overloadLimit =
+        fleet.settings.slowStart().overloadMultiple() * capacity * 2 * SECOND / STEP;
+    double share = recent.stream().mapToDouble(StepLoad::requests).sum() / overloadLimit;
+    if (share > worst) {
+      worst = share;
+      worstWhen = endpoint + " at " + (fleet.now / (double) SECOND - 100) + " s";
+    }
+  }
+
+  /** Reports of an interval, which arrive late. */
+  private void report() {
+    attemptsByZone.forEach(this::reportOutcomes);
+    attemptsByZone.clear();
+    failuresByZone.clear();
+    requestsByProxy.forEach(
+        (proxy, requests) -> {
+          for (int k = 0; k < 3; k++) {
+            delay(
+                new Event.ProxyRequestRate(
+                    new ProxyId(proxy),
+                    new RequestClassId(k),
+                    Math.round(requests / 3),
+                    0,
+                    SECOND));
+          }
+        });
+    requestsByProxy.clear();
+  }
+
+  private void reportOutcomes(String name, double[] attemptsByZone) {
+    EndpointRecord endpoint = fleet.endpoints.get(name);
+    double all = attemptsByZone[0] + attemptsByZone[1];
+    double utilization =
+        endpoint == null
+            ? Double.NaN
+            : Math.min(1, all / (CAPACITY * fleet.warmUpFraction(endpoint)));
+    for (int zone = 0; zone < 2; zone++) {
+      long attempts = Math.round(attemptsByZone[zone]);
+      if (attempts > 0) {
+        delay(
+            new Event.EndpointOutcomes(
+                new EndpointId(name),
+                new ZoneId(zone),
+                attempts,
+                Math.min(attempts, Math.round(failuresByZone.get(name)[zone])),
+                SECOND,
+                (long) (800 * (1 + 5 * failureShares.get(name))),
+                new LoadReport(utilization, Double.NaN, Double.NaN, Double.NaN, Double.NaN)));
+      }
+    }
+  }
+
+  private void delay(Event event) {
+    delayedReports.add(Map.entry(fleet.now + reportDelay, event));
+  }
+
+  /** The endpoint of the worst load, and when it was. */
+  String worstWhen() {
+    return worstWhen;
+  }
+
+  private void setUp() {
+    for (int i = 0; i < ENDPOINTS; i++) {
+      fleet.updateEndpoint("t" + i, i % 2, Fleet.READY, 0);
+    }
+    fleet.start(random.nextLong());
+    for (int i = 0; i < PROXIES; i++) {
+      double size = Math.pow(1 - random.nextDouble(), -0.5);
+      fleet.connect(i, i % 2, Math.min(40, 5 * size), true);
+    }
+  }
+
+  /**
+   * Runs normal operation for a while, then the surge, and two seconds later the growth.
+   *
+   * @param addedAtOnce endpoints that are added each second of the growth
+   * @return the worst load of an endpoint that warms up, as a share of the overload limit
+   */
+  double run(double surge, int addedAtOnce) {
+    setUp();
+    int added = 0;
+    int surgeAt = 20 + random.nextInt(120);
+    for (int step = 0; step < surgeAt + 250; step++) {
+      int inSurge = step - surgeAt;
+      if (inSurge >= 20 && inSurge % 10 == 0 && added < ENDPOINTS) {
+        for (int i = 0; i < addedAtOnce; i++) {
+          fleet.updateEndpoint(
+              "entrant" + added++,
+              random.nextInt(2),
+              Fleet.READY,
+              fleet.now - random.nextInt(5_000));
+        }
+      }
+      passTraffic(inSurge >= 0 ? Math.min(surge, 0.8 + inSurge * (surge - 0.8) / 30) : 0.8);
+      if (step % 10 == 9) {
+        report();
+      }
+      delayedReports.removeIf(e -> e.getKey() <= fleet.now && fleet.events.add(e.getValue()));
+      fleet.acknowledgeAll();
+      fleet.step(STEP);
+      fleet.checkInvariants("step " + step);
+    }
+    return worst;
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -0,0 +1,175 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static stonespring.decision.Fleet.READY;
+import static stonespring.decision.Fleet.SECOND;
+
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.EndpointRecord;
+
+/** What endpoints that warm up get. */
+final class SlowStartTest {
+  @Test
+  void restartedEndpointGetsNoMoreThanItCanServe() {
+    Fleet fleet = Fleet.create(6, 8);
+    fleet.rounds(10, 0.04, Map.of());
+    assertTrue(fleet.load("t2") > 5);
+    fleet.updateEndpoint("t2", 0, EndpointRecord.State.REMOVED, 0);
+    fleet.step(SECOND);
+    fleet.updateEndpoint("t2", 0, READY, fleet.now);
+    for (int i = 0; i < 12; i++) {
+      fleet.rounds(1, 0.04, Map.of());
+      double capacity = Math.min(1, 0.2 + 0.8 * (i + 1) / 10) / 0.04;
+      assertTrue(
+          fleet.load("t2") <= 1.3 * capacity,
+          "round " + i + ": " + fleet.load("t2") + " of " + capacity);
+    }
+    assertTrue(fleet.load("t2") > 5, "it comes back as it warms: " + fleet.load("t2"));
+  }
+
+  /** A proxy that ejects its other endpoints sends all requests to a warming one. */
+  @Test
+  void onlySmallProxiesUseWarmingEndpointsUnderOverload() {
+    Fleet fleet = Fleet.createWithLargeProxy(6, 8, 100, 2);
+    fleet.rounds(10, 0.03, Map.of());
+    Map<String, Double> failureShares = new TreeMap<>();
+    fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.6));
+    fleet.updateEndpoint("entrant0", 0, READY, fleet.now);
+    fleet.updateEndpoint("entrant1", 1, READY, fleet.now);
+    fleet.rounds(5, 0.03, failureShares);
+    assertTrue(fleet.shares(0).keySet().stream().noneMatch(name -> name.startsWith("entrant")));
+    fleet.rounds(15, 0.03, Map.of());
+    assertTrue(
+        fleet.shares(0).keySet().stream().anyMatch(name -> name.startsWith("entrant")),
+        "used once warm");
+  }
+
+  /** A surge that reports do not show yet may make proxies eject all their warm endpoints. */
+  @Test
+  void possibleLoadOfAWarmingEndpointStaysWithinItsBudget() {
+    Fleet fleet = Fleet.create(6, 40);
+    fleet.rounds(10, 0.02, Map.of());
+    for (int i = 0; i < 4; i++) {
+      fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
+    }
+    boolean used = false;
+    for (int round = 0; round < 12; round++) {
+      fleet.rounds(1, 0.02, Map.of());
+      double warmUpFraction =
+          Math.min(
+              1,
+              fleet.settings.slowStart().initialFraction()
+                  + (1 - fleet.settings.slowStart().initialFraction()) * round / 10);
+      for (int i = 0; i < 4 && warmUpFraction < 1; i++) {
+        String entrant = "entrant" + i;
+        double all =
+            fleet.proxies.values().stream()
+                .filter(p -> p.shares().containsKey(entrant))
+                .mapToDouble(p -> p.requestRate)
+                .sum();
+        used |= all > 0;
+        double limit =
+            fleet.settings.slowStart().overloadMultiple() * (warmUpFraction + 0.1) / 0.02;
+        // The budget is 1.6 times the limit; the rest is the error of estimated capacities.
+        assertTrue(
+            all <= 2.4 * limit,
+            "round "
+                + round
+                + ": "
+                + all
+                + " requests may come to "
+                + entrant
+                + ", limit "
+                + limit);
+      }
+    }
+    assertTrue(used, "small proxies use it");
+  }
+
+  /**
+   * A surge without admission limits: larger tables wait for headroom, and proxies send what they
+   * have by the tables that they hold, not by those that they are to get.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {8, 10, 50, 143, 175})
+  void budgetHoldsForTablesThatWaitForHeadroom(long seed) {
+    Fleet fleet =
+        Fleet.create(
+            new FleetSettings()
+                .limitKind(AdmissionLimitKind.NONE)
+                .bootstrapRoutes(5)
+                .channel(6000, 6000)
+                .ejectAfter(8)
+                .build(),
+            12,
+            0);
+    SplittableRandom random = new SplittableRandom(seed);
+    for (int p = 0; p < 12; p++) {
+      fleet.connect(p, p % 2, 2 + 4 * random.nextDouble(), true);
+    }
+    fleet.rounds(10, 0.12, Map.of());
+    fleet.updateEndpoint("entrant0", 0, READY, fleet.now);
+    fleet.updateEndpoint("entrant1", 1, READY, fleet.now);
+    fleet.rounds(3, 0.12, Map.of());
+    Map<String, Double> failureShares = new TreeMap<>();
+    fleet.endpoints.keySet().stream()
+        .filter(name -> name.startsWith("t"))
+        .forEach(name -> failureShares.put(name, 0.95));
+    fleet.trafficFactor = 4;
+    double worst = 0;
+    for (int round = 0; round < 6; round++) {
+      fleet.rounds(1, 0.5, failureShares);
+      double warmUpFraction =
+          fleet.settings.slowStart().initialFraction()
+              + (1 - fleet.settings.slowStart().initialFraction()) * (3 + round) / 10;
+      for (int i = 0; round > 1 && i < 2; i++) {
+        worst =
+            Math.max(
+                worst,
+                fleet.trafficFactor
+                    * rateWithFailingEndpointsEjected(fleet, "entrant" + i, failureShares)
+                    / (fleet.settings.slowStart().overloadMultiple() * warmUpFraction / 0.12));
+      }
+    }
+    assertTrue(worst < 1.6, "a warming endpoint may get " + worst + " times the overload limit");
+  }
+
+  /** Requests per second at an endpoint while all proxies have ejected those that fail. */
+  private static double rateWithFailingEndpointsEjected(
+      Fleet fleet, String endpoint, Map<String, Double> failureShares) {
+    double all = 0;
+    for (FleetProxy proxy : fleet.proxies.values()) {
+      TreeMap<String, Double> shares = proxy.shares();
+      double available =
+          shares.entrySet().stream()
+              .filter(e -> !failureShares.containsKey(e.getKey()))
+              .mapToDouble(Map.Entry::getValue)
+              .sum();
+      all +=
+          shares.containsKey(endpoint) ? proxy.requestRate * shares.get(endpoint) / available : 0;
+    }
+    return all;
+  }
+
+  /** Each of several instances has a part of an entrant's budget; it must suffice for one route. */
+  @Test
+  void entrantsAreUsedWhileProxiesEjectLittle() {
+    Fleet fleet = Fleet.create(new FleetSettings().instances(4).build(), 8, 4);
+    fleet.rounds(10, 0.04, Map.of());
+    Map<String, Double> failureShares = new TreeMap<>();
+    fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.22));
+    for (int i = 0; i < 8; i++) {
+      fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
+    }
+    fleet.rounds(5, 0.04, failureShares);
+    assertTrue(
+        fleet.endpoints.keySet().stream()
+            .anyMatch(name -> name.startsWith("entrant") && fleet.load(name) > 0));
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -0,0 +1,185 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.ProxyId;
+
+/** Proposed weights: fresh and sound ones are followed, within the engine's own limits. */
+final class WeightProposalTest {
+  private static final long SECOND = DeciMillis.SECOND;
+
+  private static Fleet createFleet(int endpointCount, int proxyCount) {
+    Fleet fleet = new Fleet(new FleetSettings().build());
+    for (int i = 0; i < endpointCount; i++) {
+      fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, 0, Fleet.READY, 0));
+    }
+    fleet.start(7);
+    for (int p = 0; p < proxyCount; p++) {
+      fleet.connect(p, 0, 10, true);
+    }
+    fleet.step(1);
+    return fleet;
+  }
+
+  private static Event.WeightsProposed proposed(int proxy, Map<String, Double> weights) {
+    List<Event.WeightsProposed.Share> routes = new ArrayList<>();
+    weights.forEach(
+        (endpoint, weight) ->
+            routes.add(new Event.WeightsProposed.Share(new EndpointId(endpoint), weight)));
+    return new Event.WeightsProposed(new ProxyId(proxy), routes);
+  }
+
+  private static void round(Fleet fleet, Map<String, Double> failureShares) {
+    fleet.report(0.04, failureShares);
+    fleet.step(SECOND);
+    fleet.acknowledgeAll();
+    fleet.checkInvariants("at " + fleet.now);
+  }
+
+  private static double weight(Fleet fleet, int proxy, String endpoint) {
+    return fleet.shares(proxy).getOrDefault(endpoint, 0.0);
+  }
+
+  @Test
+  void followsFreshProposalsAndForgetsOldOnes() {
+    Fleet fleet = createFleet(6, 8);
+    for (int i = 0; i < 10; i++) {
+      round(fleet, Map.of());
+    }
+    String largest = fleet.shares(0).lastKey();
+    double before = weight(fleet, 0, largest);
+    for (int i = 0; i < 10; i++) {
+      fleet.events.add(proposed(0, Map.of(largest, 0.7, fleet.shares(0).firstKey(), 0.3)));
+      round(fleet, Map.of());
+    }
+    double followed = weight(fleet, 0, largest);
+    assertTrue(before < 0.4 && followed > 0.5, before + " before, then " + followed);
+    // Now others load that endpoint: with no proposal since, the engine's own weights come back.
+    fleet.otherInstancesLoad.put(largest, 20.0);
+    for (int i = 0; i < 30; i++) {
+      round(fleet, Map.of());
+    }
+    assertTrue(
+        weight(fleet, 0, largest) < 0.6 * followed,
+        "from " + followed + " to " + weight(fleet, 0, largest));
+  }
+
+  @Test
+  void replacesAnUnwantedRouteByTheMostWantedEndpoint() {
+    Fleet fleet = createFleet(12, 8);
+    for (int i = 0; i < 10; i++) {
+      round(fleet, Map.of());
+    }
+    String wanted =
+        fleet.endpoints.keySet().stream()
+            .filter(name -> weight(fleet, 0, name) == 0)
+            .findFirst()
+            .orElseThrow();
+    int routes = fleet.shares(0).size();
+    String kept = fleet.shares(0).firstKey();
+    for (int i = 0; i < 15; i++) {
+      fleet.events.add(proposed(0, Map.of(wanted, 0.5, kept, 0.5)));
+      round(fleet, Map.of());
+    }
+    assertTrue(
+        weight(fleet, 0, wanted) > 0.05, "no more than its headroom: " + weight(fleet, 0, wanted));
+    assertTrue(
+        fleet.shares(0).size() <= routes + 1,
+        "one is replaced; both stand while it has no headroom");
+  }
+
+  /** Attempts at the endpoint fail, so that its proposed weight is left out. */
+  @Test
+  void ignoresProposalsForFailingEndpoints() {
+    Fleet fleet = createFleet(6, 8);
+    for (int i = 0; i < 10; i++) {
+      round(fleet, Map.of());
+    }
+    String failing = fleet.shares(0).firstKey();
+    double before = weight(fleet, 0, failing);
+    for (int i = 0; i < 10; i++) {
+      for (int p = 0; p < 8; p++) {
+        fleet.events.add(proposed(p, Map.of(failing, 1.0)));
+      }
+      round(fleet, Map.of(failing, 0.5));
+    }
+    assertTrue(
+        weight(fleet, 0, failing) <= before, "from " + before + " to " + weight(fleet, 0, failing));
+  }
+
+  /** All proxies are proposed a single route, to an endpoint that warms up. */
+  @Test
+  void proposalsDoNotOverloadAWarmingEndpoint() {
+    Fleet fleet = createFleet(6, 8);
+    for (int i = 0; i < 10; i++) {
+      round(fleet, Map.of());
+    }
+    fleet.updateEndpoint("entrant", 0, Fleet.READY, fleet.now);
+    for (int i = 0; i < 9; i++) {
+      for (int p = 0; p < 8; p++) {
+        fleet.events.add(proposed(p, Map.of("entrant", 1.0)));
+      }
+      round(fleet, Map.of());
+      double capacity = (0.2 + 0.8 * (i + 1) / 10) / 0.04;
+      assertTrue(
+          fleet.load("entrant") <= 1.3 * capacity,
+          "round " + i + ": " + fleet.load("entrant") + " of " + capacity);
+    }
+  }
+
+  /** Proposals at random, while endpoints come and go. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
+  void randomProposalsBreakNoInvariant(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    Fleet fleet = createFleet(10, 10);
+    for (int i = 0; i < 80; i++) {
+      for (int p = 0; p < 10; p++) {
+        if (random.nextInt(3) == 0) {
+          fleet.events.add(
+              proposed(
+                  random.nextInt(12),
+                  Map.of(
+                      "t" + (3 + random.nextInt(11)),
+                      random.nextDouble() * 9,
+                      "t" + random.nextInt(3),
+                      random.nextInt(2) * 1e-9,
+                      "nobody",
+                      1.0)));
+        }
+      }
+      String endpoint = "t" + (3 + random.nextInt(9));
+      if (random.nextInt(6) == 0) {
+        fleet.updateEndpoint(endpoint, 0, Fleet.READY, fleet.now);
+      } else if (random.nextInt(6) == 0 && fleet.endpoints.size() > 5) {
+        fleet.updateEndpoint(
+            endpoint,
+            0,
+            random.nextBoolean() ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED,
+            0);
+      }
+      round(fleet, Map.of());
+      for (String name : fleet.endpoints.keySet()) {
+        EndpointRecord record = fleet.endpoints.get(name);
+        double warmUpFraction =
+            record.startedAt() == 0
+                ? 1
+                : Math.min(1, 0.2 + 0.8 * (fleet.now - record.startedAt()) / (10.0 * SECOND));
+        assertTrue(
+            warmUpFraction >= 1 || fleet.load(name) <= 3 * warmUpFraction / 0.04,
+            name + " gets " + fleet.load(name) + " at warm-up fraction " + warmUpFraction);
+      }
+    }
+  }
+}
