--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -51,7 +51,7 @@
     double moment = at == null ? end : at;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
     fleet.playTo((long) (moment * DeciMillis.SECOND));
-    Plan plan = fleet.advisor().plan();
+    Plan plan = fleet.advisor().plan().orElse(null);
     if (plan == null) {
       return Exit.fail(
           Exit.FAILED,
@@ -68,7 +68,7 @@
                       "at_s",
                       moment,
                       "plan",
-                      plan,
+                      PlanJson.of(plan),
                       "gap",
                       plan.gap())));
     } else {
@@ -83,26 +83,26 @@
     out.append(
         String.format(
             "ops lost a second %.2f, at least %.2f whatever is done (%.1f%% over); %.1f ops find no task%n",
-            plan.cost(), plan.lowerBound(), 100 * plan.gap(), plan.unplaced()));
+            plan.cost(), plan.lowerBound(), 100 * plan.gap(), plan.unplacedRate()));
     out.append(
         String.format(
             "%d tables, %d new lines, %d lines changed%n%n",
-            plan.tables().size(), plan.newLines(), plan.changed()));
+            plan.tables().size(), plan.newRoutes(), plan.changedRoutes()));
     out.append(
         String.format(
             "%-24s %9s %8s %8s %6s %9s  %s%n",
             "task", "trusted", "gets", "target", "fill", "price", "why"));
-    for (Plan.Share s : plan.shares()) {
+    for (Plan.EndpointShare s : plan.shares()) {
       out.append(
           String.format(
               "%-24s %9.1f %8.1f %8.1f %5.0f%% %9.4f  %s%n",
-              s.task().name(),
+              s.endpoint().name(),
               s.capacity(),
               s.load(),
               s.target(),
               100 * s.load() / s.capacity(),
               s.price(),
-              s.why().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
+              PlanJson.word(s.reason()).toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
     }
     return out.toString();
   }
--- a/src/main/java/stonespring/solver/AdvisedEngine.java
+++ b/src/main/java/stonespring/solver/AdvisedEngine.java
@@ -6,37 +6,37 @@
 import stonespring.model.Event;
 
 /**
- * A decision module with a solver beside it: both are told the same, and when sums came the
- * solver's proposals are told to the module before it decides. What the module orders is what goes
- * out, always.
+ * A decision engine with an advisor beside it: both are notified of the same events, and after
+ * reports the engine is given the advisor's proposals before it decides. The engine alone commands.
  */
 public final class AdvisedEngine implements DecisionEngine {
-  private final DecisionEngine module;
+  private final DecisionEngine engine;
   private final WeightAdvisor advisor;
-  private boolean sumsCame;
+  private boolean hasNewOutcomes;
 
-  public AdvisedEngine(DecisionEngine module, WeightAdvisor advisor) {
-    this.module = module;
+  /** Puts an advisor beside an engine. */
+  public AdvisedEngine(DecisionEngine engine, WeightAdvisor advisor) {
+    this.engine = engine;
     this.advisor = advisor;
   }
 
   @Override
   public void handle(long now, Event event) {
-    sumsCame |= event instanceof Event.EndpointOutcomes;
-    advisor.take(now, event);
-    module.handle(now, event);
+    hasNewOutcomes |= event instanceof Event.EndpointOutcomes;
+    advisor.handle(now, event);
+    engine.handle(now, event);
   }
 
   @Override
   public List<Command> endBatch(long now) {
-    if (sumsCame) {
-      sumsCame = false;
-      for (Event.WeightsProposed proposed : advisor.propose(now)) {
-        module.handle(now, proposed);
+    if (hasNewOutcomes) {
+      hasNewOutcomes = false;
+      for (Event.WeightsProposed proposal : advisor.propose(now)) {
+        engine.handle(now, proposal);
       }
     }
-    List<Command> orders = module.endBatch(now);
-    orders.forEach(advisor::ordered);
-    return orders;
+    List<Command> commands = engine.endBatch(now);
+    commands.forEach(advisor::commanded);
+    return commands;
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -0,0 +1,107 @@
+package stonespring.solver;
+
+import stonespring.model.DeciMillis;
+
+/**
+ * What is known of one endpoint's capacity: its listed weight, claims, and what proxies observed.
+ * Rates are requests per second.
+ */
+final class EndpointCredibility {
+  /** DeciMillis; machines change by the minute at most. */
+  private static final double PROVEN_HALF_LIFE = 600_000;
+
+  /** Share of attempts that failed or were late; some always do. */
+  private static final double CALM = 0.1;
+
+  /** Share of attempts that failed or were late, over the fleet's; more than chance shows. */
+  private static final double TROUBLE = 0.3;
+
+  /** Attempts that are added to those seen; fewer than these say little. */
+  private static final double DOUBT_ATTEMPTS = 4;
+
+  /** Times what arrived; one step too much is under the truth again. */
+  private static final double CUT = 0.7;
+
+  /** Share a second, while all goes well below the ceiling. */
+  private static final double CEILING_RISE = 0.05;
+
+  private double listedWeight;
+  private double provenRate;
+  private double ceiling = Double.POSITIVE_INFINITY;
+  private long observedAt;
+  private final CapacityClaim[] claims =
+      new CapacityClaim[ReportCredibility.Source.values().length];
+
+  EndpointCredibility() {
+    for (int s = 0; s < claims.length; s++) {
+      claims[s] = new CapacityClaim();
+    }
+  }
+
+  void setListedWeight(double weight) {
+    listedWeight = weight;
+  }
+
+  /** The listed weight; 0 if the endpoint is not listed. */
+  double listedWeight() {
+    return listedWeight;
+  }
+
+  /** The highest rate that was answered in time, losing half of itself by and by. */
+  double provenRate() {
+    return provenRate;
+  }
+
+  /** The rate that it is trusted with at most, by what proxies observed. */
+  double ceiling() {
+    return ceiling;
+  }
+
+  CapacityClaim claim(ReportCredibility.Source source) {
+    return claims[source.ordinal()];
+  }
+
+  /** All claims, by source. */
+  CapacityClaim[] claims() {
+    return claims;
+  }
+
+  /**
+   * Takes what proxies observed.
+   *
+   * @param failedOrLate attempts that failed or were answered late
+   * @param otherRate what reaches it besides, from proxies of other instances
+   * @param fleetSuccess the share of all attempts in the fleet that succeed in time
+   */
+  void observe(
+      long attempts,
+      double failedOrLate,
+      long interval,
+      double otherRate,
+      double fleetSuccess,
+      long now) {
+    double trouble = failedOrLate / (attempts + DOUBT_ATTEMPTS);
+    double arrived = attempts * (double) DeciMillis.SECOND / Math.max(1, interval) + otherRate;
+    double succeeded = arrived * (1 - Math.min(1, failedOrLate / Math.max(1, attempts)));
+    double elapsed = Math.max(0, now - observedAt);
+    provenRate *= Math.pow(0.5, elapsed / PROVEN_HALF_LIFE);
+    observedAt = now;
+    if (trouble < CALM) {
+      provenRate = Math.max(provenRate, succeeded);
+      ceiling *= Math.pow(1 + CEILING_RISE, elapsed / DeciMillis.SECOND);
+    } else if (1 - (1 - trouble) / fleetSuccess > TROUBLE) {
+      // In an overload, successes say too little: what arrived is cut again and again.
+      ceiling = Math.min(ceiling, Math.max(succeeded, CUT * arrived));
+      contradictClaimsOver(arrived, now);
+    }
+  }
+
+  /** Who claimed more than arrived when it failed was wrong, be it stale, mistaken or a lie. */
+  private void contradictClaimsOver(double arrived, long now) {
+    for (CapacityClaim claim : claims) {
+      if (claim.force(now) > 0 && claim.capacity() > arrived) {
+        claim.contradict(now);
+      }
+    }
+  }
+}
--- a/src/main/java/stonespring/solver/Flow.java
+++ b/src/main/java/stonespring/solver/Flow.java
@@ -3,26 +3,36 @@
 import java.util.Arrays;
 
 /**
- * The plan without proxies and line limits: how much of each zone's ops each task should get, ops a
- * second. A convex flow, minimum of the tasks' lateness and the lines' prices (Boyd and
+ * The plan without proxies and limits of routes: which rate each endpoint should get from each
+ * zone. A convex flow, minimum of the endpoints' lateness and the routes' costs (Boyd and
  * Vandenberghe, Convex Optimization, section 5.2), solved zone by zone by water filling, each exact
  * while the others stand. The zones' prices give a lower bound of any plan.
  */
 final class Flow {
-  private static final double POWER =
-      6; // lateness rises as fill to this power: little at half, all at full
-  private static final double CLOSE =
-      0.001; // share of the cost; a plan this near to its bound is good enough
-  private static final int SWEEPS_MOST =
-      200; // times over all zones; far more than were ever needed
-  private static final double HIGHEST =
-      1e6; // times the price when just full; beyond it caps alone bind
-  private static final int HALVINGS = 60; // of the price; as fine as a double
-  private static final double EXACT = 1e-9; // share of a zone's ops; sums differ by rounding
+  /** Lateness rises as fill to this power: little at half, everything at full. */
+  private static final double LATENESS_POWER = 6;
+
+  /** Share of the cost; a flow this near to its bound is good enough. */
+  private static final double TOLERANCE = 0.001;
+
+  /** Times over all zones; convergence takes far fewer. */
+  private static final int MAX_SWEEPS = 200;
+
+  /** Times the price of a full endpoint; beyond it only the caps bind. */
+  private static final double MAX_PRICE_MULTIPLE = 1e6;
+
+  /** Halvings of the price bracket; as fine as a double. */
+  private static final int MAX_HALVINGS = 60;
+
+  /** Factor by which the upper end of the bracket grows until it holds the price. */
+  private static final double BRACKET_GROWTH = 4;
+
+  /** Share of a zone's rate; sums differ by rounding. */
+  private static final double ROUNDING_ERROR = 1e-9;
 
   private final Problem problem;
   private final double[] demand;
-  private final double[][] price;
+  private final double[][] routeCost;
   private final double[] load;
   private final double[] zonePrice;
   private final double[][] flow;
@@ -30,178 +40,193 @@
   private double bound;
 
   /**
-   * @param before the flow from which to start, by task name and zone; null to start from nothing
+   * Solves the flow.
+   *
+   * @param previous the flow to start from; null to start from nothing
    */
-  Flow(Problem problem, Flow before) {
+  Flow(Problem problem, Flow previous) {
     this.problem = problem;
-    int tasks = problem.task.length;
-    demand = new double[problem.zones];
-    price = new double[problem.zones][tasks];
-    flow = new double[problem.zones][tasks];
-    zonePrice = new double[problem.zones];
-    load = new double[tasks];
-    for (Problem.Proxy p : problem.proxy) {
-      demand[p.zone().index()] += p.all();
-    }
-    for (int z = 0; z < problem.zones; z++) {
-      for (int t = 0; t < tasks; t++) {
-        price[z][t] = problem.linePrice(z, t);
+    int endpoints = problem.endpointCount();
+    demand = new double[problem.zones()];
+    routeCost = new double[problem.zones()][endpoints];
+    flow = new double[problem.zones()][endpoints];
+    zonePrice = new double[problem.zones()];
+    load = new double[endpoints];
+    for (int p = 0; p < problem.proxyCount(); p++) {
+      demand[problem.zoneOfProxy(p)] += problem.proxy(p).totalRate();
+    }
+    for (int z = 0; z < problem.zones(); z++) {
+      for (int e = 0; e < endpoints; e++) {
+        routeCost[z][e] = problem.routeCost(z, e);
       }
     }
-    if (before != null && before.problem.zones == problem.zones) {
-      startFrom(before);
+    if (previous != null && previous.problem.zones() == problem.zones()) {
+      startFrom(previous);
     }
-    if (tasks > 0) {
+    if (endpoints > 0) {
       solve();
     }
   }
 
-  private void startFrom(Flow before) {
-    System.arraycopy(before.zonePrice, 0, zonePrice, 0, problem.zones);
-    for (int t = 0; t < problem.task.length; t++) {
-      Integer old = before.problem.taskIndex.get(problem.task[t].id());
-      for (int z = 0; old != null && z < problem.zones; z++) {
-        flow[z][t] = Math.min(before.flow[z][old], problem.task[t].most() - load[t]);
-        load[t] += flow[z][t];
+  private void startFrom(Flow previous) {
+    System.arraycopy(previous.zonePrice, 0, zonePrice, 0, problem.zones());
+    for (int e = 0; e < problem.endpointCount(); e++) {
+      Problem.Endpoint endpoint = problem.endpoint(e);
+      int before = previous.problem.indexOf(endpoint.id());
+      for (int z = 0; before != Problem.UNKNOWN && z < problem.zones(); z++) {
+        flow[z][e] = Math.min(previous.flow[z][before], endpoint.maxLoad() - load[e]);
+        load[e] += flow[z][e];
       }
     }
   }
 
   private void solve() {
-    for (int sweep = 0; sweep < SWEEPS_MOST; sweep++) {
-      for (int z = 0; z < problem.zones; z++) {
+    for (int sweep = 0; sweep < MAX_SWEEPS; sweep++) {
+      for (int z = 0; z < problem.zones(); z++) {
         fill(z);
       }
-      cost = cost();
-      bound = bound();
-      if (cost - bound <= CLOSE * Math.abs(cost)) {
+      cost = computeCost();
+      bound = computeBound();
+      if (cost - bound <= TOLERANCE * Math.abs(cost)) {
         return;
       }
     }
   }
 
-  /**
-   * What a task takes in all, ops a second, at the price that the best-paying zone leaves for its
-   * time.
-   */
-  private double takes(int t, double left) {
-    if (left <= 0) {
+  /** The rate that an endpoint takes at what is left of the price after the route's cost. */
+  private double rateAtPrice(int endpoint, double priceLeft) {
+    if (priceLeft <= 0) {
       return 0;
     }
-    double fill =
-        Math.cbrt(Math.sqrt(left / problem.prices.lateness())); // the sixth root, POWER's inverse
-    return Math.min(problem.task[t].most(), problem.task[t].capacity() * fill);
+    // The sixth root: LATENESS_POWER's inverse.
+    double fill = Math.cbrt(Math.sqrt(priceLeft / problem.costs().lateness()));
+    Problem.Endpoint of = problem.endpoint(endpoint);
+    return Math.min(of.maxLoad(), of.capacity() * fill);
   }
 
-  private double poured(int z, double at, double[] others, boolean keep) {
+  /** The rate that a zone places at a price, on top of the other zones' load. */
+  private double placedAtPrice(int zone, double price, double[] othersLoad) {
     double sum = 0;
-    for (int t = 0; t < others.length; t++) {
-      double own = Math.max(0, takes(t, at - price[z][t]) - others[t]);
-      sum += own;
-      if (keep) {
-        flow[z][t] = own;
-        load[t] = others[t] + own;
-      }
+    for (int e = 0; e < othersLoad.length; e++) {
+      sum += Math.max(0, rateAtPrice(e, price - routeCost[zone][e]) - othersLoad[e]);
     }
     return sum;
   }
 
-  /** Pours one zone's ops where the next loses least, while the other zones' stand. */
-  private void fill(int z) {
-    double[] others = new double[load.length];
-    for (int t = 0; t < others.length; t++) {
-      others[t] = Math.max(0, load[t] - flow[z][t]);
+  private void setFlow(int zone, double price, double[] othersLoad) {
+    for (int e = 0; e < othersLoad.length; e++) {
+      double own = Math.max(0, rateAtPrice(e, price - routeCost[zone][e]) - othersLoad[e]);
+      flow[zone][e] = own;
+      load[e] = othersLoad[e] + own;
     }
+  }
+
+  /** Places one zone's rate where the next request loses least, while the other zones' stand. */
+  private void fill(int zone) {
+    double[] othersLoad = new double[load.length];
+    for (int e = 0; e < othersLoad.length; e++) {
+      othersLoad[e] = Math.max(0, load[e] - flow[zone][e]);
+    }
+    zonePrice[zone] = findPrice(zone, othersLoad);
+    setFlow(zone, zonePrice[zone], othersLoad);
+  }
+
+  private double findPrice(int zone, double[] othersLoad) {
     double low = 0;
-    double high = Math.max(1e-6, 2 * zonePrice[z]);
-    while (poured(z, high, others, false) < demand[z]
-        && high < HIGHEST * problem.prices.lateness()) {
+    double high = Math.max(1e-6, 2 * zonePrice[zone]);
+    double highest = MAX_PRICE_MULTIPLE * problem.costs().lateness();
+    while (placedAtPrice(zone, high, othersLoad) < demand[zone] && high < highest) {
       low = high;
-      high *= 4;
+      high *= BRACKET_GROWTH;
     }
-    double guess = zonePrice[z] > low && zonePrice[z] < high ? zonePrice[z] : (low + high) / 2;
-    for (int i = 0; i < HALVINGS; i++) {
-      double sum = poured(z, guess, others, false);
-      if (Math.abs(sum - demand[z]) <= EXACT * demand[z]) {
+    boolean lastPriceFits = zonePrice[zone] > low && zonePrice[zone] < high;
+    double guess = lastPriceFits ? zonePrice[zone] : (low + high) / 2;
+    for (int i = 0; i < MAX_HALVINGS; i++) {
+      double placed = placedAtPrice(zone, guess, othersLoad);
+      if (Math.abs(placed - demand[zone]) <= ROUNDING_ERROR * demand[zone]) {
         break;
       }
-      if (sum < demand[z]) {
+      if (placed < demand[zone]) {
         low = guess;
       } else {
         high = guess;
       }
-      // By the slope of the root that sums follow; halved where that leaves the bracket.
-      double by = sum > 0 ? guess * Math.pow(demand[z] / sum, POWER) : high;
-      guess = by > low && by < high && i < HALVINGS / 2 ? by : (low + high) / 2;
+      // By the slope that sums follow; halved where that leaves the bracket.
+      double bySlope = placed > 0 ? guess * Math.pow(demand[zone] / placed, LATENESS_POWER) : high;
+      boolean useSlope = bySlope > low && bySlope < high && i < MAX_HALVINGS / 2;
+      guess = useSlope ? bySlope : (low + high) / 2;
     }
-    zonePrice[z] = guess;
-    poured(z, guess, others, true);
+    return guess;
   }
 
-  /** Ops lost a second to lateness on all tasks that carry these loads. */
+  /** Requests lost a second to lateness at endpoints that carry these loads. */
   static double lateness(Problem problem, double[] load) {
     double sum = 0;
-    for (int t = 0; t < load.length; t++) {
-      double fill = load[t] / problem.task[t].capacity();
+    for (int e = 0; e < load.length; e++) {
+      double capacity = problem.endpoint(e).capacity();
+      double fill = load[e] / capacity;
       sum +=
-          problem.prices.lateness()
-              * problem.task[t].capacity()
-              * Math.pow(fill, POWER + 1)
-              / (POWER + 1);
+          problem.costs().lateness()
+              * capacity
+              * Math.pow(fill, LATENESS_POWER + 1)
+              / (LATENESS_POWER + 1);
     }
     return sum;
   }
 
-  private double cost() {
+  private double computeCost() {
     double sum = lateness(problem, load);
-    for (int z = 0; z < problem.zones; z++) {
-      for (int t = 0; t < load.length; t++) {
-        sum += flow[z][t] * price[z][t];
+    for (int z = 0; z < problem.zones(); z++) {
+      for (int e = 0; e < load.length; e++) {
+        sum += flow[z][e] * routeCost[z][e];
       }
     }
     return sum;
   }
 
-  /** Lagrange's lower bound at the zones' prices: no plan of any kind costs less. */
-  private double bound() {
+  /** The Lagrangian lower bound at the zones' prices: no plan of any kind costs less. */
+  private double computeBound() {
     double sum = 0;
-    for (int z = 0; z < problem.zones; z++) {
+    for (int z = 0; z < problem.zones(); z++) {
       sum += zonePrice[z] * Math.min(demand[z], Arrays.stream(flow[z]).sum());
     }
-    double[] one = new double[load.length];
-    for (int t = 0; t < load.length; t++) {
-      double best = 0;
-      for (int z = 0; z < problem.zones; z++) {
-        best = Math.max(best, zonePrice[z] - price[z][t]);
+    double[] freeLoad = new double[load.length];
+    for (int e = 0; e < load.length; e++) {
+      double bestPrice = 0;
+      for (int z = 0; z < problem.zones(); z++) {
+        bestPrice = Math.max(bestPrice, zonePrice[z] - routeCost[z][e]);
       }
-      one[t] = takes(t, best);
-      sum -= best * one[t];
+      freeLoad[e] = rateAtPrice(e, bestPrice);
+      sum -= bestPrice * freeLoad[e];
     }
-    return sum + lateness(problem, one);
+    return sum + lateness(problem, freeLoad);
   }
 
-  double target(int z, int t) {
-    return flow[z][t];
+  /** The rate that an endpoint should get from a zone. */
+  double target(int zone, int endpoint) {
+    return flow[zone][endpoint];
   }
 
-  double load(int t) {
-    return load[t];
+  /** The rate that an endpoint should get from all zones. */
+  double load(int endpoint) {
+    return load[endpoint];
   }
 
-  /** What one more op loses at a task that carries a load, in ops. */
-  static double taskPrice(Problem problem, int t, double load) {
-    return problem.prices.lateness() * Math.pow(load / problem.task[t].capacity(), POWER);
+  /** What one more request loses at an endpoint that carries a load, in requests. */
+  static double endpointPrice(Problem problem, int endpoint, double load) {
+    double fill = load / problem.endpoint(endpoint).capacity();
+    return problem.costs().lateness() * Math.pow(fill, LATENESS_POWER);
   }
 
-  /** What an op of a zone loses at a task besides lateness. */
-  double linePrice(int z, int t) {
-    return price[z][t];
+  /** What a request of a zone loses at an endpoint besides lateness. */
+  double routeCost(int zone, int endpoint) {
+    return routeCost[zone][endpoint];
   }
 
-  /** Ops a second that found no task at all, as all are cold and their caps are reached. */
-  double unplaced() {
+  /** The rate that found no endpoint, as all are warming up and their caps are reached. */
+  double unplacedRate() {
     double sum = 0;
-    for (int z = 0; z < problem.zones; z++) {
+    for (int z = 0; z < problem.zones(); z++) {
       sum += Math.max(0, demand[z] - Arrays.stream(flow[z]).sum());
     }
     return sum;
@@ -211,7 +236,7 @@
     return bound;
   }
 
-  double lowestCost() {
+  double cost() {
     return cost;
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -0,0 +1,113 @@
+package stonespring.solver;
+
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.ZoneId;
+
+/** What the advisor has observed of one listed endpoint. */
+final class ObservedEndpoint {
+  /** DeciMillis; as steady as it is quick. */
+  static final double SMOOTHING_HALF_LIFE = 20_000;
+
+  /** DeciMillis; an endpoint's speed changes by the minute, its reports by the second. */
+  private static final double CAPACITY_HALF_LIFE = 20_000;
+
+  /** Times the latency objective, as a mean; then most answers are late. */
+  private static final double LATE_MULTIPLE = 1;
+
+  private ZoneId zone;
+  private boolean ready;
+  private long startedAt;
+  private double attempts;
+  private double failures;
+  private long roundAttempts;
+  private long roundFailedOrLate;
+  private long roundInterval;
+  private double utilization;
+  private double reportedRate;
+  private double capacity = Double.NaN;
+
+  /** Takes its record; returns whether its process started again. */
+  boolean update(EndpointRecord listed) {
+    zone = listed.zone();
+    ready = listed.state() == EndpointRecord.State.READY;
+    boolean restarted = listed.startedAt() > startedAt;
+    if (restarted) {
+      attempts = 0;
+      failures = 0;
+      capacity = Double.NaN;
+      startedAt = listed.startedAt();
+    }
+    return restarted;
+  }
+
+  /**
+   * Takes outcomes. Each zone reports its own part of a round: only all of them together are what
+   * the endpoint received.
+   */
+  void observe(Event.EndpointOutcomes outcomes, long latencyObjective) {
+    double kept = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE);
+    attempts = attempts * kept + outcomes.attempts();
+    failures = failures * kept + outcomes.failures();
+    boolean mostAreLate = outcomes.successLatency() > LATE_MULTIPLE * latencyObjective;
+    roundAttempts += outcomes.attempts();
+    roundFailedOrLate += mostAreLate ? outcomes.attempts() : outcomes.failures();
+    roundInterval = Math.max(roundInterval, outcomes.interval());
+    utilization = outcomes.report().utilization();
+    reportedRate = outcomes.report().requestsPerSecond();
+  }
+
+  /** Takes one estimate of its capacity into the mean; returns the mean. */
+  double smoothCapacity(double estimate) {
+    double kept = Double.isNaN(capacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
+    capacity = kept == 0 ? estimate : kept * capacity + (1 - kept) * estimate;
+    return capacity;
+  }
+
+  void endRound() {
+    roundAttempts = 0;
+    roundFailedOrLate = 0;
+    roundInterval = 0;
+  }
+
+  ZoneId zone() {
+    return zone;
+  }
+
+  boolean isReady() {
+    return ready;
+  }
+
+  long startedAt() {
+    return startedAt;
+  }
+
+  double attempts() {
+    return attempts;
+  }
+
+  double failures() {
+    return failures;
+  }
+
+  long roundAttempts() {
+    return roundAttempts;
+  }
+
+  long roundFailedOrLate() {
+    return roundFailedOrLate;
+  }
+
+  long roundInterval() {
+    return roundInterval;
+  }
+
+  double utilization() {
+    return utilization;
+  }
+
+  /** The rate that it reports itself; NaN if it does not. */
+  double reportedRate() {
+    return reportedRate;
+  }
+}
--- a/src/main/java/stonespring/solver/Plan.java
+++ b/src/main/java/stonespring/solver/Plan.java
@@ -5,65 +5,70 @@
 import stonespring.model.ProxyId;
 
 /**
- * Weights that the fleet should have, and why.
+ * Weights that the fleet should have, and why. Rates are requests per second.
  *
- * @param cost ops lost a second by lateness, crossings and bad tries, if all goes as told
- * @param lowerBound what any plan loses at least, with no limit of lines
- * @param unplaced ops a second for which no task may be used
- * @param newLines lines that no proxy held
- * @param changed lines whose weight differs from the one held, new and dropped ones too
+ * @param cost requests lost a second by lateness, crossings and failures, if all goes as planned
+ * @param lowerBound what any plan loses at least, with no limit of routes
+ * @param unplacedRate the rate for which no endpoint may be used
+ * @param newRoutes routes that no proxy held
+ * @param changedRoutes routes whose weight differs from the one held, new and dropped ones included
  */
 public record Plan(
     List<Table> tables,
-    List<Share> shares,
+    List<EndpointShare> shares,
     double cost,
     double lowerBound,
-    double unplaced,
-    int newLines,
-    int changed) {
-  /** Why a task gets what it gets. */
+    double unplacedRate,
+    int newRoutes,
+    int changedRoutes) {
+  /** Why an endpoint gets what it gets. */
   public enum Reason {
-    /** One more op would lose as much there as anywhere else. */
+    /** One more request would lose as much there as anywhere else. */
     BALANCED,
-    /** It has just started, and all proxies together may bring no more. */
-    COLD_CAP,
-    /** Too many of its tries end badly. */
-    UNFIT,
-    /**
-     * Lines to it don't reach its target yet; those that are missing cost more than they gain so
-     * far.
-     */
-    FEW_LINES
+    /** It is warming up, and all proxies together may bring no more. */
+    WARM_UP_CAP,
+    /** Too many of its attempts fail. */
+    FAILING,
+    /** Routes to it don't reach its target yet; those that are missing cost more than they gain. */
+    FEW_ROUTES
   }
 
-  /** One line: the share of the proxy's ops, and by op type the share of that type's. */
-  public record Line(EndpointId task, double weight, double[] byOpType) {}
+  /**
+   * One route.
+   *
+   * @param weight the share of the proxy's requests
+   * @param weightsByClass by request class, the share of that class's requests
+   */
+  public record Route(EndpointId endpoint, double weight, double[] weightsByClass) {}
 
-  public record Table(ProxyId proxy, List<Line> lines) {
-    /** The lines as a proxy holds them that follows the plan. */
-    public List<Problem.Line> held() {
-      return lines.stream().map(l -> new Problem.Line(l.task(), l.weight())).toList();
+  /** The routes that one proxy should have. */
+  public record Table(ProxyId proxy, List<Route> routes) {
+    /** The routes as a proxy holds them that follows the plan. */
+    public List<Problem.Route> asHeld() {
+      return routes.stream()
+          .map(route -> new Problem.Route(route.endpoint(), route.weight()))
+          .toList();
     }
   }
 
   /**
-   * What one task gets.
+   * What one endpoint gets.
    *
-   * @param load ops a second by this plan
-   * @param target ops a second if lines had no limit and no price
-   * @param price ops lost for one more op
-   * @param unmet plans in a row in which lines were missing
+   * @param load its rate by this plan
+   * @param target its rate if routes had no limit and no cost
+   * @param price requests lost for one more request
+   * @param unmetPlans plans in a row in which routes were missing
    */
-  public record Share(
-      EndpointId task,
+  public record EndpointShare(
+      EndpointId endpoint,
       double capacity,
       double load,
       double target,
       double price,
-      Reason why,
-      int unmet) {}
+      Reason reason,
+      int unmetPlans) {}
 
-  /** Share by which the plan is dearer than the bound. */
+  /** The share by which the plan costs more than the bound. */
   public double gap() {
     return lowerBound > 0 ? cost / lowerBound - 1 : 0;
   }
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -1,6 +1,7 @@
 package stonespring.solver;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -11,103 +12,136 @@
 import stonespring.model.ZoneId;
 
 /**
- * The fleet at one moment, as the solver needs it: parallel arrays under a dense index, tasks in
- * the order of their names and proxies in that of their numbers, so that the order in which they
- * were told never matters.
+ * The fleet as the solver needs it: endpoints in the order of their names and proxies in that of
+ * their numbers, so that the order in which they were given never matters. Rates are requests per
+ * second.
  */
 public final class Problem {
+  /** Figures at or above it are no rates or weights. */
+  private static final double MAX_FIGURE = 1e12;
+
+  /** The index of an endpoint that is not part of the problem. */
+  static final int UNKNOWN = -1;
+
   /**
-   * A ready task.
+   * A ready endpoint.
    *
-   * @param capacity ops a second that it is trusted with
-   * @param most ops a second that it may get at all; infinite for a warm one
-   * @param namedMost ops a second that all proxies naming it may bring in all; infinite for a warm
-   *     one
-   * @param unfit by op type, the share of tries there that end badly
+   * @param capacity the rate that it is trusted with
+   * @param maxLoad the rate that it may get at all; infinite for a warm one
+   * @param maxNamedDemand the rate that all proxies with a route to it may receive together;
+   *     infinite for a warm one
+   * @param failureShares by request class, the share of attempts there that fail
    */
-  public record Task(
-      EndpointId id, ZoneId zone, double capacity, double most, double namedMost, double[] unfit) {
-    public boolean warm() {
-      return most == Double.POSITIVE_INFINITY;
+  public record Endpoint(
+      EndpointId id,
+      ZoneId zone,
+      double capacity,
+      double maxLoad,
+      double maxNamedDemand,
+      double[] failureShares) {
+    /** Whether it has its whole capacity. */
+    public boolean isWarm() {
+      return maxLoad == Double.POSITIVE_INFINITY;
     }
   }
 
-  /** A line that a proxy holds; its connection is open. */
-  public record Line(EndpointId task, double weight) {}
+  /** A route that a proxy holds; its connection is open. */
+  public record Route(EndpointId endpoint, double weight) {}
 
-  /** A proxy: what comes in there, ops a second by op type, and the lines that it holds. */
-  public record Proxy(ProxyId id, ZoneId zone, double[] ops, List<Line> standing) {
-    double all() {
+  /**
+   * A proxy.
+   *
+   * @param requestRates what it receives, by request class
+   * @param routes the routes that it holds
+   */
+  public record Proxy(ProxyId id, ZoneId zone, double[] requestRates, List<Route> routes) {
+    double totalRate() {
       double sum = 0;
-      for (double each : ops) {
-        sum += each;
+      for (double rate : requestRates) {
+        sum += rate;
       }
       return sum;
     }
   }
 
-  final int zones;
-  final int opTypes;
-  final int lineLimit;
-  final CostModel prices;
-  final Task[] task;
-  final Proxy[] proxy;
-  final Map<EndpointId, Integer> taskIndex = new HashMap<>();
+  private final int zones;
+  private final int requestClasses;
+  private final int maxRoutes;
+  private final CostModel costs;
+  private final Endpoint[] endpoints;
+  private final Proxy[] proxies;
+  private final Map<EndpointId, Integer> indexById = new HashMap<>();
 
   /**
-   * @param lineLimit lines that a table may have; large proxies get more where so few tasks can't
-   *     carry them
-   * @throws IllegalArgumentException if an id comes twice, a zone or op type is unknown, or a
+   * States a problem.
+   *
+   * @param maxRoutes routes that a table may have; proxies that so few endpoints can't carry get
+   *     more
+   * @throws IllegalArgumentException if an id comes twice, a zone or request class is unknown, or a
    *     figure is none
    */
   public Problem(
       int zones,
-      int opTypes,
-      int lineLimit,
-      CostModel prices,
-      List<Task> tasks,
+      int requestClasses,
+      int maxRoutes,
+      CostModel costs,
+      List<Endpoint> endpoints,
       List<Proxy> proxies) {
-    if (zones < 1 || opTypes < 1 || lineLimit < 1) {
-      throw new IllegalArgumentException("problem: zones, op types and lines must be at least 1");
+    if (zones < 1 || requestClasses < 1 || maxRoutes < 1) {
+      throw new IllegalArgumentException(
+          "problem: zones, request classes and routes must be at least 1");
     }
     this.zones = zones;
-    this.opTypes = opTypes;
-    this.lineLimit = lineLimit;
-    this.prices = prices;
-    List<Task> byName = new ArrayList<>(tasks);
-    byName.sort((a, b) -> a.id().name().compareTo(b.id().name()));
-    task = byName.toArray(Task[]::new);
+    this.requestClasses = requestClasses;
+    this.maxRoutes = maxRoutes;
+    this.costs = costs;
+    List<Endpoint> byName = new ArrayList<>(endpoints);
+    byName.sort(Comparator.comparing(endpoint -> endpoint.id().name()));
+    this.endpoints = byName.toArray(Endpoint[]::new);
     List<Proxy> byNumber = new ArrayList<>(proxies);
-    byNumber.sort((a, b) -> Integer.compare(a.id().number(), b.id().number()));
-    proxy = byNumber.toArray(Proxy[]::new);
-    for (int t = 0; t < task.length; t++) {
-      Task one = task[t];
-      require(taskIndex.put(one.id(), t) == null, one.id().name() + " comes twice");
-      require(one.zone().index() < zones, one.id().name() + " is in zone " + one.zone().index());
+    byNumber.sort(Comparator.comparingInt(proxy -> proxy.id().number()));
+    this.proxies = byNumber.toArray(Proxy[]::new);
+    checkEndpoints();
+    checkProxies();
+  }
+
+  private void checkEndpoints() {
+    for (int e = 0; e < endpoints.length; e++) {
+      Endpoint endpoint = endpoints[e];
+      String name = endpoint.id().name();
+      require(indexById.put(endpoint.id(), e) == null, name + " comes twice");
+      require(endpoint.zone().index() < zones, name + " is in zone " + endpoint.zone().index());
       require(
-          one.capacity() > 0 && one.capacity() < 1e12,
-          one.id().name() + ": capacity " + one.capacity());
+          endpoint.capacity() > 0 && endpoint.capacity() < MAX_FIGURE,
+          name + ": capacity " + endpoint.capacity());
       require(
-          one.most() > 0 && one.namedMost() > 0,
-          one.id().name() + ": most " + one.most() + ", named " + one.namedMost());
+          endpoint.maxLoad() > 0 && endpoint.maxNamedDemand() > 0,
+          name + ": max load " + endpoint.maxLoad() + ", named " + endpoint.maxNamedDemand());
       require(
-          one.unfit().length == opTypes,
-          one.id().name() + ": unfit for " + one.unfit().length + " op types");
-      for (double unfit : one.unfit()) {
-        require(unfit >= 0 && unfit <= 1, one.id().name() + ": unfit " + unfit);
+          endpoint.failureShares().length == requestClasses,
+          name + ": failure shares of " + endpoint.failureShares().length + " request classes");
+      for (double share : endpoint.failureShares()) {
+        require(share >= 0 && share <= 1, name + ": failure share " + share);
       }
     }
+  }
+
+  private void checkProxies() {
     Set<ProxyId> seen = new HashSet<>();
-    for (Proxy one : proxy) {
-      String name = "proxy " + one.id().number();
-      require(seen.add(one.id()), name + " comes twice");
-      require(one.zone().index() < zones, name + " is in zone " + one.zone().index());
-      require(one.ops().length == opTypes, name + ": ops of " + one.ops().length + " op types");
-      for (double ops : one.ops()) {
-        require(ops >= 0 && ops < 1e12, name + ": ops " + ops);
+    for (Proxy proxy : proxies) {
+      String name = "proxy " + proxy.id().number();
+      require(seen.add(proxy.id()), name + " comes twice");
+      require(proxy.zone().index() < zones, name + " is in zone " + proxy.zone().index());
+      require(
+          proxy.requestRates().length == requestClasses,
+          name + ": rates of " + proxy.requestRates().length + " request classes");
+      for (double rate : proxy.requestRates()) {
+        require(rate >= 0 && rate < MAX_FIGURE, name + ": rate " + rate);
       }
-      for (Line line : one.standing()) {
-        require(line.weight() >= 0 && line.weight() < 1e12, name + ": weight " + line.weight());
+      for (Route route : proxy.routes()) {
+        require(
+            route.weight() >= 0 && route.weight() < MAX_FIGURE,
+            name + ": weight " + route.weight());
       }
     }
   }
@@ -118,19 +152,57 @@
     }
   }
 
-  int zoneOf(int t) {
-    return task[t].zone().index();
+  int zones() {
+    return zones;
+  }
+
+  int requestClasses() {
+    return requestClasses;
+  }
+
+  int maxRoutes() {
+    return maxRoutes;
+  }
+
+  CostModel costs() {
+    return costs;
+  }
+
+  int endpointCount() {
+    return endpoints.length;
+  }
+
+  Endpoint endpoint(int index) {
+    return endpoints[index];
+  }
+
+  /** The index of an endpoint, or {@link #UNKNOWN}. */
+  int indexOf(EndpointId id) {
+    return indexById.getOrDefault(id, UNKNOWN);
+  }
+
+  int proxyCount() {
+    return proxies.length;
+  }
+
+  Proxy proxy(int index) {
+    return proxies[index];
+  }
+
+  /** The zone of a proxy. */
+  int zoneOfProxy(int proxy) {
+    return proxies[proxy].zone().index();
   }
 
   /**
-   * What an op of the mean mix loses at a task besides lateness: a crossing, and tries that end
-   * badly.
+   * What a request of the mean mix loses at an endpoint besides lateness: crossing and failures.
    */
-  double linePrice(int z, int t) {
-    double unfit = 0;
-    for (double each : task[t].unfit()) {
-      unfit += each / opTypes;
+  double routeCost(int zone, int endpoint) {
+    double failures = 0;
+    for (double share : endpoints[endpoint].failureShares()) {
+      failures += share / requestClasses;
     }
-    return unfit + (zoneOf(t) == z ? 0 : prices.crossing());
+    boolean crosses = endpoints[endpoint].zone().index() != zone;
+    return failures + (crosses ? costs.crossing() : 0);
   }
 }
--- a/src/main/java/stonespring/solver/ReportCredibility.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -1,289 +1,230 @@
 package stonespring.solver;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
-import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 
 /**
- * Judges what is said of capacity before it counts. A claim loses force with age and when its
- * source was contradicted; it never lifts a task further above what it is listed with or has proven
- * than one step, and what proxies met there caps it. So a claim three times too high brings a task
- * at most {@code STEP} - 1 of its capacity too much, for about twice the time that sums take to
- * tell of trouble, and nothing once the claim is {@code AGE_MOST} old.
+ * Judges what is said of endpoints' capacity before it counts. No claim lifts an endpoint further
+ * above what it is listed with or has proven than one step, and what proxies observed there caps
+ * it. A claim three times too high so brings an endpoint at most a quarter of its capacity too
+ * much, for about twice the time that reports take to tell of trouble. Instants and durations are
+ * in {@link stonespring.model.DeciMillis}, rates are requests per second.
  */
 public final class ReportCredibility {
-  /** Who says what a task can do. */
+  /** Who says what an endpoint can do. */
   public enum Source {
-    TASK,
+    /** The endpoint's own load reports. */
+    ENDPOINT,
+    /** An operator. */
     OPERATOR
   }
 
-  private static final double STEP =
-      1.25; // times; more than the noise of reports, and a surge less of it hurts little
-  private static final long AGE_HALF =
-      50_000; // 0.1 ms; a few report periods, after which half counts
-  private static final long AGE_MOST = 300_000; // 0.1 ms; a claim this old says nothing
-  private static final long PROVEN_HALF = 600_000; // 0.1 ms; machines change by the minute at most
-  private static final long CREDIT_HALF =
-      200_000; // 0.1 ms; a source that lied is believed again within a minute
-  private static final double CALM = 0.1; // share of tries bad or late; some always are
-  private static final double TROUBLE =
-      0.3; // share of tries bad or late, over the fleet's; more than chance shows
-  private static final double FLEET_LEAST = 0.05; // share of tries that go well; in any jam some do
-  private static final double UNPROVEN =
-      0.7; // times what is listed; machines listed alike differ by so much
-  private static final double DOUBT = 4; // tries; fewer say little
-  private static final double CONTRADICTED = 0.5; // times the credit left, each time
-  private static final double DISAGREE = 1.5; // times; sources this far apart can't both be right
-  private static final double CUT =
-      0.7; // times what came; one step too much is under the truth again
-  private static final double CEILING_LEAST =
-      0.25; // times what is listed; in a jam acks say too little
-  private static final double CEILING_RISE = 0.05; // share a second while all goes well below it
+  /** Times; more than the noise of reports, and a surge less of it hurts little. */
+  private static final double MAX_STEP = 1.25;
+
+  /** Share of attempts that succeed; in any overload some do. */
+  private static final double MIN_FLEET_SUCCESS = 0.05;
+
+  /** Times what is listed; machines listed alike differ by so much. */
+  private static final double UNPROVEN = 0.7;
+
+  /** Times; sources this far apart can't both be right. */
+  private static final double DISAGREEMENT = 1.5;
+
+  /** Times what is listed; in an overload successes say too little. */
+  private static final double MIN_CEILING = 0.25;
+
+  /** Share; a claim with less force doesn't count for the unit of weight. */
+  private static final double MIN_FORCE_FOR_UNIT = 0.5;
+
+  /** Figures at or above it are no capacities. */
+  private static final double MAX_FIGURE = 1e12;
 
   /**
-   * What a task is trusted with.
+   * What an endpoint is trusted with.
    *
-   * @param capacity ops a second when warm
-   * @param claimed the highest claim that counts at all; NaN if none
-   * @param why which of the judgements set the figure
+   * @param capacity its rate when warm
+   * @param claimed the highest claim that counts at all; NaN if there is none
+   * @param reason which of the judgements set the figure
    */
-  public record Judgement(EndpointId task, double capacity, double claimed, Why why) {}
+  public record Judgement(EndpointId endpoint, double capacity, double claimed, Reason reason) {}
 
   /** What set a figure. */
-  public enum Why {
+  public enum Reason {
+    /** The listed weight. */
     LISTED,
+    /** The mean of claims, by their force. */
     CLAIMED,
+    /** The lowest of claims that are too far apart. */
     SOURCES_DISAGREE,
+    /** The highest step above what is listed or proven. */
     ONE_STEP,
-    MET
+    /** What proxies observed. */
+    OBSERVED
   }
 
-  private final TreeMap<String, Integer> index = new TreeMap<>();
-  private final ArrayDeque<Integer> free = new ArrayDeque<>();
-  private EndpointId[] task = new EndpointId[0];
-  private double[] listed = new double[0];
-  private double[] proven = new double[0];
-  private double[] ceiling = new double[0];
-  private long[] metAt = new long[0];
-  private double[][] claim = new double[Source.values().length][0];
-  private double[][] credit = new double[Source.values().length][0];
-  private long[][] madeAt = new long[Source.values().length][0];
-  private long[][] creditAt = new long[Source.values().length][0];
-  private double fleetGood = 1;
+  private final TreeMap<String, EndpointCredibility> byName = new TreeMap<>();
+  private double fleetSuccess = 1;
 
-  /**
-   * @throws IllegalArgumentException if the weight is not above 0
-   */
-  public void listed(EndpointId id, double weight) {
-    require(weight > 0 && weight < 1e12, id, "weight " + weight);
-    int i = of(id); // before the array is read, as it may grow
-    listed[i] = weight;
+  private EndpointCredibility of(EndpointId endpoint) {
+    return byName.computeIfAbsent(endpoint.name(), name -> new EndpointCredibility());
   }
 
-  /** A task that starts anew has proven nothing, and nobody has lied about it. */
-  public void startedAnew(EndpointId id) {
-    Integer i = index.get(id.name());
-    if (i != null) {
-      forget(i);
-    }
-  }
-
-  /** A task left for good: its place is for another. */
-  public void gone(EndpointId id) {
-    Integer i = index.remove(id.name());
-    if (i != null) {
-      free.push(i); // whoever takes the place is forgotten first
+  private static void require(boolean holds, EndpointId endpoint, String what) {
+    if (!holds) {
+      throw new IllegalArgumentException("endpoint " + endpoint.name() + ": " + what);
     }
   }
 
-  private void forget(int i) {
-    listed[i] = proven[i] = 0;
-    ceiling[i] = Double.POSITIVE_INFINITY;
-    metAt[i] = 0;
-    for (int s = 0; s < claim.length; s++) {
-      claim[s][i] = Double.NaN;
-      credit[s][i] = 1;
-      creditAt[s][i] = madeAt[s][i] = 0;
-    }
+  /**
+   * An endpoint is listed.
+   *
+   * @throws IllegalArgumentException if the weight is not above 0
+   */
+  public void listed(EndpointId endpoint, double weight) {
+    require(weight > 0 && weight < MAX_FIGURE, endpoint, "weight " + weight);
+    of(endpoint).setListedWeight(weight);
   }
 
-  private int of(EndpointId id) {
-    Integer known = index.get(id.name());
-    if (known != null) {
-      return known;
-    }
-    int i = free.isEmpty() ? index.size() : free.pop();
-    index.put(id.name(), i);
-    if (i == task.length) {
-      int size = Math.max(32, 2 * i);
-      task = Arrays.copyOf(task, size);
-      listed = Arrays.copyOf(listed, size);
-      proven = Arrays.copyOf(proven, size);
-      ceiling = Arrays.copyOf(ceiling, size);
-      metAt = Arrays.copyOf(metAt, size);
-      for (int s = 0; s < claim.length; s++) {
-        claim[s] = Arrays.copyOf(claim[s], size);
-        credit[s] = Arrays.copyOf(credit[s], size);
-        madeAt[s] = Arrays.copyOf(madeAt[s], size);
-        creditAt[s] = Arrays.copyOf(creditAt[s], size);
-      }
-    }
-    task[i] = id;
-    forget(i);
-    return i;
+  /** An endpoint's process started again: it has proven nothing, and nobody was wrong about it. */
+  public void restarted(EndpointId endpoint) {
+    byName.replace(endpoint.name(), new EndpointCredibility());
   }
 
-  private static void require(boolean holds, EndpointId id, String what) {
-    if (!holds) {
-      throw new IllegalArgumentException("task " + id.name() + ": " + what);
-    }
+  /** An endpoint was removed. */
+  public void removed(EndpointId endpoint) {
+    byName.remove(endpoint.name());
   }
 
   /**
-   * A source says what a task can do when warm, ops a second, as of {@code made}; older than what
-   * it said before is left out.
+   * A source says what an endpoint can do when warm. A claim older than the one held is left out.
    *
    * @throws IllegalArgumentException if the capacity is not above 0
    */
-  public void claimed(EndpointId id, Source source, double capacity, long made) {
-    require(capacity > 0 && capacity < 1e12, id, "capacity " + capacity + " by " + source);
-    int i = of(id);
-    int s = source.ordinal();
-    if (Double.isNaN(claim[s][i]) || made > madeAt[s][i]) {
-      claim[s][i] = capacity;
-      madeAt[s][i] = made;
-    }
+  public void claimed(EndpointId endpoint, Source source, double capacity, long made) {
+    require(
+        capacity > 0 && capacity < MAX_FIGURE, endpoint, "capacity " + capacity + " by " + source);
+    of(endpoint).claim(source).claim(capacity, made);
   }
 
   /**
-   * The share of all tries in the fleet that end badly or late: a jam of all says nothing of one
-   * task.
+   * Sets the share of all attempts in the fleet that fail or are late: an overload of all says
+   * nothing of one endpoint.
    */
-  public void fleetMet(double inVain) {
-    fleetGood = Math.max(FLEET_LEAST, 1 - inVain);
+  public void fleetObserved(double failedOrLateShare) {
+    fleetSuccess = Math.max(MIN_FLEET_SUCCESS, 1 - failedOrLateShare);
   }
 
   /**
-   * What proxies met there in a span: all tries, and those that ended badly or after the target
-   * latency.
+   * What proxies observed at an endpoint in an interval.
    *
-   * @param others ops a second that reach it besides, from proxies of other instances
+   * @param failedOrLate attempts that failed or were answered after the latency objective
+   * @param otherRate what reaches it besides, from proxies of other instances
    */
-  public void met(EndpointId id, long tries, double inVain, long span, double others, long now) {
-    int i = of(id);
-    double trouble = inVain / (tries + DOUBT);
-    double came = tries * (double) DeciMillis.SECOND / Math.max(1, span) + others;
-    double went = came * (1 - Math.min(1, inVain / Math.max(1, tries)));
-    double past = Math.max(0, now - metAt[i]);
-    proven[i] *= Math.pow(0.5, past / PROVEN_HALF);
-    metAt[i] = now;
-    if (trouble < CALM) {
-      proven[i] = Math.max(proven[i], went);
-      ceiling[i] *= Math.pow(1 + CEILING_RISE, past / DeciMillis.SECOND);
-    } else if (1 - (1 - trouble) / fleetGood > TROUBLE) {
-      // In a jam acks in time say too little: what came is cut by a part, again and again until it
-      // goes well.
-      ceiling[i] = Math.min(ceiling[i], Math.max(went, CUT * came));
-      for (int s = 0; s < claim.length; s++) {
-        // Who claimed more than came when it failed was wrong, be it stale, mistaken or a lie.
-        if (force(s, i, now) > 0 && claim[s][i] > came) {
-          credit[s][i] = creditNow(s, i, now) * CONTRADICTED;
-          creditAt[s][i] = now;
-        }
-      }
-    }
-  }
-
-  private double creditNow(int s, int i, long now) {
-    return 1
-        - (1 - credit[s][i])
-            * Math.pow(0.5, (double) Math.max(0, now - creditAt[s][i]) / CREDIT_HALF);
-  }
-
-  /** Share by which a claim counts, by its age and its source's credit. */
-  private double force(int s, int i, long now) {
-    long age = Math.max(0, now - madeAt[s][i]);
-    if (Double.isNaN(claim[s][i]) || age >= AGE_MOST) {
-      return 0;
-    }
-    return creditNow(s, i, now) * Math.pow(0.5, (double) age / AGE_HALF);
+  public void observed(
+      EndpointId endpoint,
+      long attempts,
+      double failedOrLate,
+      long interval,
+      double otherRate,
+      long now) {
+    of(endpoint).observe(attempts, failedOrLate, interval, otherRate, fleetSuccess, now);
   }
 
   /**
-   * What one unit of listed weight does, ops a second: the median of claims and proofs, which half
-   * the fleet must fake.
+   * What one unit of listed weight does: the median of claims and proofs, which half of the fleet
+   * would have to fake. NaN while nothing tells.
    */
-  private double unit(long now) {
-    List<Double> each = new ArrayList<>();
-    for (int i : index.values()) {
-      double best = proven[i];
-      for (int s = 0; s < claim.length; s++) {
-        best = force(s, i, now) > 0.5 ? Math.max(best, Math.min(claim[s][i], ceiling[i])) : best;
+  private double ratePerUnitOfWeight(long now) {
+    List<Double> rates = new ArrayList<>();
+    for (EndpointCredibility endpoint : byName.values()) {
+      double best = endpoint.provenRate();
+      for (CapacityClaim claim : endpoint.claims()) {
+        if (claim.force(now) > MIN_FORCE_FOR_UNIT) {
+          best = Math.max(best, Math.min(claim.capacity(), endpoint.ceiling()));
+        }
       }
-      if (listed[i] > 0 && best > 0) {
-        each.add(best / listed[i]);
+      if (endpoint.listedWeight() > 0 && best > 0) {
+        rates.add(best / endpoint.listedWeight());
       }
     }
-    each.sort(Double::compare);
-    return each.isEmpty()
-        ? Double.NaN
-        : each.get((each.size() - 1) / 2); // of two the lower: the other may lie
+    rates.sort(Double::compare);
+    // Of two the lower: the other may lie.
+    return rates.isEmpty() ? Double.NaN : rates.get((rates.size() - 1) / 2);
   }
 
   /**
-   * What each listed task is trusted with, by name; empty while nothing at all tells what a unit of
+   * What each listed endpoint is trusted with, by name; empty while nothing tells what a unit of
    * weight does.
    */
   public List<Judgement> judge(long now) {
-    List<Judgement> all = new ArrayList<>();
-    double unit = unit(now);
-    for (int i : index.values()) {
-      if (listed[i] > 0 && !Double.isNaN(unit)) {
-        all.add(judge(i, unit * listed[i], now));
+    List<Judgement> judgements = new ArrayList<>();
+    double rate = ratePerUnitOfWeight(now);
+    byName.forEach(
+        (name, endpoint) -> {
+          if (endpoint.listedWeight() > 0 && !Double.isNaN(rate)) {
+            double byList = rate * endpoint.listedWeight();
+            judgements.add(judge(new EndpointId(name), endpoint, byList, now));
+          }
+        });
+    return judgements;
+  }
+
+  /** Claims weighed by their force. */
+  private static final class WeighedClaims {
+    private double forceSum;
+    private double weightedSum;
+    private double lowest = Double.POSITIVE_INFINITY;
+    private double highest;
+    private double strongestForce;
+
+    WeighedClaims(EndpointCredibility endpoint, long now) {
+      for (CapacityClaim claim : endpoint.claims()) {
+        double force = claim.force(now);
+        if (force > 0) {
+          forceSum += force;
+          weightedSum += force * claim.capacity();
+          strongestForce = Math.max(strongestForce, force);
+          lowest = Math.min(lowest, claim.capacity());
+          highest = Math.max(highest, claim.capacity());
+        }
       }
     }
-    return all;
-  }
 
-  private Judgement judge(int i, double byList, long now) {
-    double forces = 0;
-    double mean = 0;
-    double least = Double.POSITIVE_INFINITY;
-    double most = 0;
-    double strongest = 0;
-    for (int s = 0; s < claim.length; s++) {
-      double force = force(s, i, now);
-      if (force > 0) {
-        forces += force;
-        mean += force * claim[s][i];
-        strongest = Math.max(strongest, force);
-        least = Math.min(least, claim[s][i]);
-        most = Math.max(most, claim[s][i]);
-      }
+    boolean any() {
+      return forceSum > 0;
+    }
+
+    boolean disagree() {
+      return highest > DISAGREEMENT * lowest;
+    }
+
+    double capacity() {
+      return disagree() ? lowest : weightedSum / forceSum;
     }
-    Why why = Why.LISTED;
-    double capacity = byList * (proven[i] > 0 ? 1 : UNPROVEN);
-    if (forces > 0) {
-      boolean apart = most > DISAGREE * least;
-      double said = apart ? least : mean / forces;
-      capacity = byList + strongest * (said - byList);
-      why = apart ? Why.SOURCES_DISAGREE : Why.CLAIMED;
+  }
+
+  private static Judgement judge(
+      EndpointId id, EndpointCredibility endpoint, double byList, long now) {
+    WeighedClaims claims = new WeighedClaims(endpoint, now);
+    Reason reason = Reason.LISTED;
+    double capacity = byList * (endpoint.provenRate() > 0 ? 1 : UNPROVEN);
+    if (claims.any()) {
+      capacity = byList + claims.strongestForce * (claims.capacity() - byList);
+      reason = claims.disagree() ? Reason.SOURCES_DISAGREE : Reason.CLAIMED;
     }
-    double step = STEP * Math.max(byList, proven[i]);
-    if (capacity > step) {
-      capacity = step;
-      why = Why.ONE_STEP;
+    double highestStep = MAX_STEP * Math.max(byList, endpoint.provenRate());
+    if (capacity > highestStep) {
+      capacity = highestStep;
+      reason = Reason.ONE_STEP;
     }
-    double cap = Math.max(ceiling[i], CEILING_LEAST * byList);
-    if (capacity > cap) {
-      capacity = cap;
-      why = Why.MET;
+    double ceiling = Math.max(endpoint.ceiling(), MIN_CEILING * byList);
+    if (capacity > ceiling) {
+      capacity = ceiling;
+      reason = Reason.OBSERVED;
     }
-    return new Judgement(task[i], capacity, most > 0 ? most : Double.NaN, why);
+    return new Judgement(id, capacity, claims.highest > 0 ? claims.highest : Double.NaN, reason);
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/solver/WarmUpCap.java
@@ -0,0 +1,64 @@
+package stonespring.solver;
+
+/**
+ * Whatever fitting left: what an endpoint that warms up may not get goes to the warm routes of the
+ * same tables.
+ */
+final class WarmUpCap {
+  private final Problem problem;
+  private final WorkingTables tables;
+
+  WarmUpCap(Problem problem, WorkingTables tables) {
+    this.problem = problem;
+    this.tables = tables;
+  }
+
+  void apply() {
+    for (int e = 0; e < problem.endpointCount(); e++) {
+      double maxLoad = problem.endpoint(e).maxLoad();
+      if (tables.load(e) > maxLoad) {
+        keepShare(e, maxLoad / tables.load(e));
+      }
+    }
+    tables.sumUp();
+  }
+
+  private void keepShare(int endpoint, double share) {
+    for (int p = 0; p < tables.proxyCount(); p++) {
+      double warmRate = warmRate(p);
+      int route = warmRate > 0 ? routeTo(p, endpoint) : Problem.UNKNOWN;
+      if (route != Problem.UNKNOWN) {
+        moveToWarmRoutes(p, route, tables.rate(p, route) * (1 - share), warmRate);
+      }
+    }
+  }
+
+  private double warmRate(int proxy) {
+    double sum = 0;
+    for (int i = 0; i < tables.size(proxy); i++) {
+      sum += isWarm(proxy, i) ? tables.rate(proxy, i) : 0;
+    }
+    return sum;
+  }
+
+  private int routeTo(int proxy, int endpoint) {
+    for (int i = 0; i < tables.size(proxy); i++) {
+      if (tables.endpoint(proxy, i) == endpoint) {
+        return i;
+      }
+    }
+    return Problem.UNKNOWN;
+  }
+
+  private void moveToWarmRoutes(int proxy, int route, double moved, double warmRate) {
+    double[] rates = tables.rates(proxy);
+    rates[route] -= moved;
+    for (int i = 0; i < rates.length; i++) {
+      rates[i] *= isWarm(proxy, i) ? 1 + moved / warmRate : 1;
+    }
+  }
+
+  private boolean isWarm(int proxy, int route) {
+    return problem.endpoint(tables.endpoint(proxy, route)).isWarm();
+  }
+}
--- a/src/main/java/stonespring/solver/WeightAdvisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -4,6 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
@@ -13,266 +14,283 @@
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
+import stonespring.model.RequestClass;
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 
 /**
- * Sees what the decision module is told and what it orders, and proposes weights to it. It never
- * orders anything itself: a proposal is an event of the module's interface, and one that never
- * comes leaves the module as it is.
+ * Sees what the decision engine is notified of and what it commands, and proposes weights to it. It
+ * never commands anything: a proposal is an event of the engine's interface, and one that never
+ * comes leaves the engine as it is.
  */
 public final class WeightAdvisor {
-  private static final double BUSY_LEAST = 0.1; // share; costs read from less are mostly noise
-  private static final double SMOOTH_HALF = 20_000; // 0.1 ms; as steady as it is quick
-  private static final double CLAIM_HALF =
-      20_000; // 0.1 ms; a task's speed changes by the minute, its reports by the second
-  private static final double DOUBT = 4; // tries; fewer say nothing of a bad share
-  private static final double LATE_MOST =
-      1; // times the target latency as a mean; then most are late
-  private static final double NAMED_MOST =
-      0.8; // share of the fall limit, all proxies' ops together
-  private static final double PART_LEAST =
-      0.01; // share of the fleet; fewer proxies still need room
-  private static final int ROUNDS_FIRST =
-      5; // rounds of sums; an instance that started knows little, and tables stand
-  private static final double LATENESS =
-      3.5; // ops lost for one more on a full task: half of its ops are late then, as the module has
-  // it
-  private static final double NEW_LINE =
-      0.1; // ops lost for a connection: a handshake's work, and some
+  /** Utilization; a capacity read from less is mostly noise. */
+  private static final double MIN_UTILIZATION = 0.1;
 
-  private static final class Known {
-    private ZoneId zone;
-    private boolean ready;
-    private long started;
-    private double tries;
-    private double bad;
-    private long turnTries;
-    private long turnVain;
-    private long turnSpan;
-    private double busy;
-    private double told;
-    private double able = Double.NaN;
-  }
+  /** Attempts that are added to those seen; fewer than these say nothing of a failure share. */
+  private static final double DOUBT_ATTEMPTS = 4;
+
+  /** Share of the overload multiple, all proxies' requests together. */
+  private static final double MAX_NAMED_SHARE = 0.8;
+
+  /** Share of the fleet; fewer proxies still need room. */
+  private static final double MIN_FLEET_SHARE = 0.01;
+
+  /** Rounds of reports; an instance that started knows little, and tables stand. */
+  private static final int ROUNDS_BEFORE_FIRST_PROPOSAL = 5;
+
+  /** Requests lost for one more at a full endpoint: half of its answers are late then. */
+  private static final double LATENESS_COST = 3.5;
+
+  /** Requests lost for a connection: a handshake's work, and some. */
+  private static final double NEW_ROUTE_COST = 0.1;
 
-  private static final class Joined {
-    private ZoneId zone;
-    private final double[] ops;
-    private final TreeMap<String, Double> lines = new TreeMap<>();
+  /** A connected proxy: what it receives, and the routes that it holds. */
+  private static final class ConnectedProxy {
+    private final ZoneId zone;
+    private final double[] requestRates;
+    private final TreeMap<String, Double> routes = new TreeMap<>();
 
-    Joined(int opTypes) {
-      ops = new double[opTypes];
+    ConnectedProxy(ZoneId zone, int requestClasses, double requestsPerSecond) {
+      this.zone = zone;
+      this.requestRates = new double[requestClasses];
+      Arrays.fill(requestRates, requestsPerSecond / requestClasses);
     }
   }
 
   private final Settings settings;
-  private final long target;
-  private final ReportCredibility trust = new ReportCredibility();
+  private final long latencyObjective;
+  private final ReportCredibility credibility = new ReportCredibility();
   private final Solver solver = new Solver();
-  private final TreeMap<String, Known> tasks = new TreeMap<>();
-  private final TreeMap<Integer, Joined> proxies = new TreeMap<>();
+  private final TreeMap<String, ObservedEndpoint> endpoints = new TreeMap<>();
+  private final TreeMap<Integer, ConnectedProxy> proxies = new TreeMap<>();
   private Plan plan;
   private int rounds;
 
+  /** Starts without any observation. */
   public WeightAdvisor(Settings settings) {
     this.settings = settings;
-    this.target =
+    this.latencyObjective =
         settings.requestClasses().stream()
-            .mapToLong(type -> type.latencyObjective())
+            .mapToLong(RequestClass::latencyObjective)
             .min()
             .orElse(DeciMillis.SECOND);
   }
 
-  /** What the module is told. */
-  public void take(long now, Event event) {
+  /** Takes an event that the engine is notified of. */
+  public void handle(long now, Event event) {
     if (event instanceof Event.EndpointListUpdate e) {
-      list(e);
+      updateList(e);
     } else if (event instanceof Event.EndpointOutcomes e) {
-      sums(e);
+      ObservedEndpoint endpoint = endpoints.get(e.endpoint().name());
+      if (endpoint != null) {
+        endpoint.observe(e, latencyObjective);
+      }
     } else if (event instanceof Event.ProxyConnected e) {
-      Joined p = new Joined(settings.requestClasses().size());
-      p.zone = e.zone();
-      Arrays.fill(p.ops, e.requestsPerSecond() / p.ops.length);
-      proxies.put(e.proxy().number(), p);
+      int classes = settings.requestClasses().size();
+      proxies.put(e.proxy().number(), new ConnectedProxy(e.zone(), classes, e.requestsPerSecond()));
     } else if (event instanceof Event.ProxyDisconnected e) {
       proxies.remove(e.proxy().number());
-    } else if (event instanceof Event.ProxyRequestRate e
-        && proxies.containsKey(e.proxy().number())) {
-      double[] ops = proxies.get(e.proxy().number()).ops;
-      double keep = Math.pow(0.5, e.interval() / SMOOTH_HALF);
-      double seen = e.requests() * (double) DeciMillis.SECOND / Math.max(1, e.interval());
-      ops[e.requestClass().index()] = keep * ops[e.requestClass().index()] + (1 - keep) * seen;
+    } else if (event instanceof Event.ProxyRequestRate e) {
+      updateRate(e);
+    }
+  }
+
+  private void updateRate(Event.ProxyRequestRate e) {
+    ConnectedProxy proxy = proxies.get(e.proxy().number());
+    if (proxy == null) {
+      return;
     }
+    int k = e.requestClass().index();
+    double kept = Math.pow(0.5, e.interval() / ObservedEndpoint.SMOOTHING_HALF_LIFE);
+    double rate = e.requests() * (double) DeciMillis.SECOND / Math.max(1, e.interval());
+    proxy.requestRates[k] = kept * proxy.requestRates[k] + (1 - kept) * rate;
   }
 
-  private void list(Event.EndpointListUpdate e) {
-    if (e.kind() == Event.ListUpdateKind.FETCH_FAILED) {
+  private void updateList(Event.EndpointListUpdate update) {
+    if (update.kind() == Event.ListUpdateKind.FETCH_FAILED) {
       return;
     }
-    if (e.kind() == Event.ListUpdateKind.SNAPSHOT
-        && !settings.endpointList().removedEndpointsKeepServing()) {
-      Set<String> listed =
-          e.endpoints().stream().map(l -> l.endpoint().name()).collect(Collectors.toSet());
-      tasks.keySet().stream()
-          .filter(name -> !listed.contains(name))
-          .map(EndpointId::new)
-          .forEach(trust::gone);
-      tasks.keySet().retainAll(listed);
+    boolean removedKeepServing = settings.endpointList().removedEndpointsKeepServing();
+    if (update.kind() == Event.ListUpdateKind.SNAPSHOT && !removedKeepServing) {
+      removeUnlisted(update.endpoints());
     }
-    for (EndpointRecord l : e.endpoints()) {
-      if (l.state() == EndpointRecord.State.REMOVED) {
-        if (!settings.endpointList().removedEndpointsKeepServing()) {
-          tasks.remove(
-              l.endpoint()
-                  .name()); // names come and go with each deploy: nothing is kept of the gone
-          trust.gone(l.endpoint());
-        }
-        continue; // where lists call running tasks gone: if it doesn't run on, its tries fail and
-        // its price tells
+    for (EndpointRecord listed : update.endpoints()) {
+      if (listed.state() != EndpointRecord.State.REMOVED) {
+        updateEndpoint(listed);
+      } else if (!removedKeepServing) {
+        // Where removed endpoints may serve, one that stopped fails its attempts, which count.
+        endpoints.remove(listed.endpoint().name());
+        credibility.removed(listed.endpoint());
       }
-      Known t = tasks.computeIfAbsent(l.endpoint().name(), name -> new Known());
-      t.zone = l.zone();
-      t.ready = l.state() == EndpointRecord.State.READY;
-      if (l.startedAt() > t.started) {
-        trust.startedAnew(l.endpoint());
-        t.tries = t.bad = 0;
-        t.able = Double.NaN;
-        t.started = l.startedAt();
+    }
+  }
+
+  private void removeUnlisted(List<EndpointRecord> snapshot) {
+    Set<String> listed =
+        snapshot.stream().map(endpoint -> endpoint.endpoint().name()).collect(Collectors.toSet());
+    for (String name : endpoints.keySet()) {
+      if (!listed.contains(name)) {
+        credibility.removed(new EndpointId(name));
       }
-      trust.listed(l.endpoint(), l.weight() > 0 ? l.weight() : 1);
     }
+    endpoints.keySet().retainAll(listed);
   }
 
-  private void sums(Event.EndpointOutcomes e) {
-    Known t = tasks.get(e.endpoint().name());
-    if (t == null) {
-      return;
+  private void updateEndpoint(EndpointRecord listed) {
+    ObservedEndpoint endpoint =
+        endpoints.computeIfAbsent(listed.endpoint().name(), name -> new ObservedEndpoint());
+    if (endpoint.update(listed)) {
+      credibility.restarted(listed.endpoint());
     }
-    double keep = Math.pow(0.5, e.interval() / SMOOTH_HALF);
-    t.tries = t.tries * keep + e.attempts();
-    t.bad = t.bad * keep + e.failures();
-    // Each zone tells its own part of a turn: only all of them together are what a task got.
-    t.turnTries += e.attempts();
-    t.turnVain += e.successLatency() > LATE_MOST * target ? e.attempts() : e.failures();
-    t.turnSpan = Math.max(t.turnSpan, e.interval());
-    t.busy = e.report().utilization();
-    t.told = e.report().requestsPerSecond();
+    credibility.listed(listed.endpoint(), listed.weight() > 0 ? listed.weight() : 1);
   }
 
-  private void settle(EndpointId id, Known t, long now) {
-    if (t.turnSpan <= 0) {
+  /** Takes a command of the engine: the routes that proxies hold follow from them. */
+  public void commanded(Command command) {
+    if (!(command instanceof Command.SetRoute set)) {
       return;
     }
-    double ours = t.turnTries * (double) DeciMillis.SECOND / t.turnSpan;
-    double all = Double.isNaN(t.told) ? ours / part() : Math.max(t.told, ours);
-    trust.met(id, t.turnTries, t.turnVain, t.turnSpan, all - ours, now);
-    // What a cold task seems to do says little of the warm one: its own claim waits until it is.
-    if (t.busy > BUSY_LEAST
-        && all > 0
-        && settings.slowStart().warmUpFraction(t.started, now) >= 1) {
-      // One report's noise moved weights by a tenth each round: a claim is the mean of some.
-      double keep = Double.isNaN(t.able) ? 0 : Math.pow(0.5, t.turnSpan / CLAIM_HALF);
-      t.able = keep == 0 ? all / t.busy : keep * t.able + (1 - keep) * all / t.busy;
-      trust.claimed(id, ReportCredibility.Source.TASK, t.able, now);
+    ConnectedProxy proxy = proxies.get(set.table().number());
+    if (proxy == null) {
+      return;
     }
-    t.turnTries = t.turnVain = t.turnSpan = 0;
-  }
-
-  /** What the module orders: the lines that proxies hold. */
-  public void ordered(Command order) {
-    if (order instanceof Command.SetRoute o && proxies.containsKey(o.table().number())) {
-      Map<String, Double> lines = proxies.get(o.table().number()).lines;
-      if (o.weight() > 0) {
-        lines.put(o.endpoint().name(), o.weight());
-      } else {
-        lines.remove(o.endpoint().name());
-      }
+    if (set.weight() > 0) {
+      proxy.routes.put(set.endpoint().name(), set.weight());
+    } else {
+      proxy.routes.remove(set.endpoint().name());
     }
   }
 
-  /**
-   * Our part of the fleet's proxies: each has one instance, so the parts never sum to more than 1.
-   */
-  private double part() {
-    return settings.fleet().instances() == 1
-        ? 1
-        : Math.max(
-            PART_LEAST,
-            Math.min(1, (double) proxies.size() / Math.max(1, settings.fleet().proxies())));
+  /** This instance's share of the fleet; those of all instances never sum to more than 1. */
+  private double fleetShare() {
+    if (settings.fleet().instances() == 1) {
+      return 1;
+    }
+    double share = (double) proxies.size() / Math.max(1, settings.fleet().proxies());
+    return Math.max(MIN_FLEET_SHARE, Math.min(1, share));
   }
 
   /**
-   * Called once a round of sums: proposals for all joined proxies; none in the first rounds, or
-   * while no task is ready.
+   * Proposes weights for all connected proxies. To be called once a round of reports.
+   *
+   * @return empty in the first rounds, or while no endpoint is ready
    */
   public List<Event.WeightsProposed> propose(long now) {
-    double tries = tasks.values().stream().mapToDouble(t -> t.turnTries).sum();
-    trust.fleetMet(
-        tasks.values().stream().mapToDouble(t -> t.turnVain).sum() / Math.max(DOUBT, tries));
-    tasks.forEach((name, t) -> settle(new EndpointId(name), t, now));
-    List<Problem.Task> ready = new ArrayList<>();
-    double part = part();
-    for (ReportCredibility.Judgement j : trust.judge(now)) {
-      Known t = tasks.get(j.task().name());
-      if (t == null || !t.ready || !(j.capacity() > 0)) {
-        continue;
-      }
-      double warmth = settings.slowStart().warmUpFraction(t.started, now);
-      double able = j.capacity() * warmth * part;
-      double[] unfit = new double[settings.requestClasses().size()];
-      Arrays.fill(unfit, Math.min(1, t.bad / (t.tries + DOUBT)));
-      boolean cold = warmth < 1;
-      ready.add(
-          new Problem.Task(
-              j.task(),
-              t.zone,
-              able,
-              cold ? able : Double.POSITIVE_INFINITY,
-              cold
-                  ? NAMED_MOST * settings.slowStart().overloadMultiple() * able
-                  : Double.POSITIVE_INFINITY,
-              unfit));
-    }
-    if (rounds++ < ROUNDS_FIRST
-        || ready.isEmpty()
-        || proxies.isEmpty()
-        || settings.fleet().sharded()) {
+    endRound(now);
+    List<Problem.Endpoint> ready = readyEndpoints(now);
+    boolean tooEarly = rounds++ < ROUNDS_BEFORE_FIRST_PROPOSAL;
+    if (tooEarly || ready.isEmpty() || proxies.isEmpty() || settings.fleet().sharded()) {
       plan = null;
       return List.of();
     }
-    List<Problem.Proxy> joined = new ArrayList<>();
+    plan = solver.solve(problem(ready));
+    return proposals(plan);
+  }
+
+  private void endRound(long now) {
+    double attempts = 0;
+    double failedOrLate = 0;
+    for (ObservedEndpoint endpoint : endpoints.values()) {
+      attempts += endpoint.roundAttempts();
+      failedOrLate += endpoint.roundFailedOrLate();
+    }
+    credibility.fleetObserved(failedOrLate / Math.max(DOUBT_ATTEMPTS, attempts));
+    endpoints.forEach((name, endpoint) -> endRound(new EndpointId(name), endpoint, now));
+  }
+
+  private void endRound(EndpointId id, ObservedEndpoint endpoint, long now) {
+    if (endpoint.roundInterval() <= 0) {
+      return;
+    }
+    double ownRate =
+        endpoint.roundAttempts() * (double) DeciMillis.SECOND / endpoint.roundInterval();
+    double totalRate =
+        Double.isNaN(endpoint.reportedRate())
+            ? ownRate / fleetShare()
+            : Math.max(endpoint.reportedRate(), ownRate);
+    credibility.observed(
+        id,
+        endpoint.roundAttempts(),
+        endpoint.roundFailedOrLate(),
+        endpoint.roundInterval(),
+        totalRate - ownRate,
+        now);
+    // What an endpoint seems to do while it warms up says little of the warm one.
+    boolean isWarm = settings.slowStart().warmUpFraction(endpoint.startedAt(), now) >= 1;
+    if (endpoint.utilization() > MIN_UTILIZATION && totalRate > 0 && isWarm) {
+      double capacity = endpoint.smoothCapacity(totalRate / endpoint.utilization());
+      credibility.claimed(id, ReportCredibility.Source.ENDPOINT, capacity, now);
+    }
+    endpoint.endRound();
+  }
+
+  private List<Problem.Endpoint> readyEndpoints(long now) {
+    List<Problem.Endpoint> ready = new ArrayList<>();
+    double share = fleetShare();
+    for (ReportCredibility.Judgement judgement : credibility.judge(now)) {
+      ObservedEndpoint endpoint = endpoints.get(judgement.endpoint().name());
+      if (endpoint != null && endpoint.isReady() && judgement.capacity() > 0) {
+        ready.add(readyEndpoint(judgement, endpoint, share, now));
+      }
+    }
+    return ready;
+  }
+
+  private Problem.Endpoint readyEndpoint(
+      ReportCredibility.Judgement judgement, ObservedEndpoint endpoint, double share, long now) {
+    Settings.SlowStart slowStart = settings.slowStart();
+    double warmUp = slowStart.warmUpFraction(endpoint.startedAt(), now);
+    double capacity = judgement.capacity() * warmUp * share;
+    double[] failureShares = new double[settings.requestClasses().size()];
+    double failureShare = endpoint.failures() / (endpoint.attempts() + DOUBT_ATTEMPTS);
+    Arrays.fill(failureShares, Math.min(1, failureShare));
+    boolean isWarm = warmUp >= 1;
+    double maxNamed = MAX_NAMED_SHARE * slowStart.overloadMultiple() * capacity;
+    return new Problem.Endpoint(
+        judgement.endpoint(),
+        endpoint.zone(),
+        capacity,
+        isWarm ? Double.POSITIVE_INFINITY : capacity,
+        isWarm ? Double.POSITIVE_INFINITY : maxNamed,
+        failureShares);
+  }
+
+  private Problem problem(List<Problem.Endpoint> ready) {
+    List<Problem.Proxy> connected = new ArrayList<>();
     proxies.forEach(
-        (number, p) ->
-            joined.add(
-                new Problem.Proxy(
-                    new ProxyId(number),
-                    p.zone,
-                    p.ops.clone(),
-                    p.lines.entrySet().stream()
-                        .map(l -> new Problem.Line(new EndpointId(l.getKey()), l.getValue()))
-                        .toList())));
-    plan =
-        solver.solve(
-            new Problem(
-                settings.fleet().zones(),
-                settings.requestClasses().size(),
-                Math.max(1, settings.routing().bootstrapRouteCount()),
-                new CostModel(LATENESS, settings.routing().crossZonePenalty(), NEW_LINE),
-                ready,
-                joined));
-    List<Event.WeightsProposed> all = new ArrayList<>();
+        (number, proxy) -> {
+          List<Problem.Route> routes = new ArrayList<>();
+          for (Map.Entry<String, Double> route : proxy.routes.entrySet()) {
+            routes.add(new Problem.Route(new EndpointId(route.getKey()), route.getValue()));
+          }
+          connected.add(
+              new Problem.Proxy(
+                  new ProxyId(number), proxy.zone, proxy.requestRates.clone(), routes));
+        });
+    return new Problem(
+        settings.fleet().zones(),
+        settings.requestClasses().size(),
+        Math.max(1, settings.routing().bootstrapRouteCount()),
+        new CostModel(LATENESS_COST, settings.routing().crossZonePenalty(), NEW_ROUTE_COST),
+        ready,
+        connected);
+  }
+
+  private static List<Event.WeightsProposed> proposals(Plan plan) {
+    List<Event.WeightsProposed> proposals = new ArrayList<>();
     for (Plan.Table table : plan.tables()) {
-      List<Event.WeightsProposed.Share> lines =
-          table.lines().stream()
-              .map(l -> new Event.WeightsProposed.Share(l.task(), l.weight()))
-              .toList();
-      all.add(new Event.WeightsProposed(table.proxy(), lines));
+      List<Event.WeightsProposed.Share> shares = new ArrayList<>();
+      for (Plan.Route route : table.routes()) {
+        shares.add(new Event.WeightsProposed.Share(route.endpoint(), route.weight()));
+      }
+      proposals.add(new Event.WeightsProposed(table.proxy(), shares));
     }
-    return all;
+    return proposals;
   }
 
-  /** The last plan; null if there is none. */
-  public Plan plan() {
-    return plan;
+  /** The last plan; empty if the last round brought none. */
+  public Optional<Plan> plan() {
+    return Optional.ofNullable(plan);
   }
 }
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -28,7 +28,7 @@
   private static final CostModel PRICES = new CostModel(1, 0.06, 0.2);
 
   private final SplittableRandom random;
-  private final List<Problem.Task> tasks = new ArrayList<>();
+  private final List<Problem.Endpoint> tasks = new ArrayList<>();
   private final List<Problem.Proxy> proxies = new ArrayList<>();
 
   /**
@@ -42,7 +42,7 @@
       boolean cold = t % 25 == 24;
       double now = cold ? COLD * capacity : capacity;
       tasks.add(
-          new Problem.Task(
+          new Problem.Endpoint(
               new EndpointId("t" + t),
               new ZoneId(random.nextInt(ZONES)),
               now,
@@ -69,10 +69,10 @@
   Problem problem(Plan held) {
     List<Problem.Proxy> now = new ArrayList<>();
     for (int p = 0; p < proxies.size(); p++) {
-      List<Problem.Line> lines = held == null ? List.of() : held.tables().get(p).held();
+      List<Problem.Route> lines = held == null ? List.of() : held.tables().get(p).asHeld();
       now.add(
           new Problem.Proxy(
-              proxies.get(p).id(), proxies.get(p).zone(), proxies.get(p).ops(), lines));
+              proxies.get(p).id(), proxies.get(p).zone(), proxies.get(p).requestRates(), lines));
     }
     return new Problem(ZONES, OP_TYPES, LINES, PRICES, tasks, now);
   }
@@ -82,17 +82,22 @@
     for (int i = 0; i < Math.max(1, proxies.size() / 100); i++) {
       Problem.Proxy p = proxies.get(random.nextInt(proxies.size()));
       double by = 0.7 + 0.6 * random.nextDouble();
-      double[] ops = java.util.Arrays.stream(p.ops()).map(each -> each * by).toArray();
+      double[] ops = java.util.Arrays.stream(p.requestRates()).map(each -> each * by).toArray();
       proxies.set(p.id().number(), new Problem.Proxy(p.id(), p.zone(), ops, List.of()));
     }
     for (int i = 0; i < Math.max(1, tasks.size() / 100); i++) {
       int at = random.nextInt(tasks.size());
-      Problem.Task t = tasks.get(at);
+      Problem.Endpoint t = tasks.get(at);
       double by = 0.7 + 0.6 * random.nextDouble();
       tasks.set(
           at,
-          new Problem.Task(
-              t.id(), t.zone(), by * t.capacity(), by * t.most(), by * t.namedMost(), t.unfit()));
+          new Problem.Endpoint(
+              t.id(),
+              t.zone(),
+              by * t.capacity(),
+              by * t.maxLoad(),
+              by * t.maxNamedDemand(),
+              t.failureShares()));
     }
   }
 
@@ -118,7 +123,7 @@
         plan = solver.solve(problem);
         if (round >= 0) {
           small.recordValue(System.nanoTime() - from);
-          changed += (double) plan.changed() / rounds / SMALL;
+          changed += (double) plan.changedRoutes() / rounds / SMALL;
           gap = Math.max(gap, plan.gap());
         }
       }
--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -14,9 +14,9 @@
 
 final class ReportCredibilityTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final double TRUE = 10; // ops a second of every task
+  private static final double CAPACITY = 10; // requests per second of every endpoint
 
-  private final ReportCredibility trust = new ReportCredibility();
+  private final ReportCredibility credibility = new ReportCredibility();
   private long now = 1_000 * SECOND;
 
   private static EndpointId id(int i) {
@@ -25,134 +25,145 @@
 
   private void honest(int from, int to) {
     for (int i = from; i < to; i++) {
-      trust.listed(id(i), 1);
-      trust.claimed(id(i), ReportCredibility.Source.TASK, TRUE, now);
+      credibility.listed(id(i), 1);
+      credibility.claimed(id(i), ReportCredibility.Source.ENDPOINT, CAPACITY, now);
     }
   }
 
   private ReportCredibility.Judgement of(int i) {
-    return trust.judge(now).stream().filter(j -> j.task().equals(id(i))).findFirst().orElseThrow();
+    return credibility.judge(now).stream()
+        .filter(j -> j.endpoint().equals(id(i)))
+        .findFirst()
+        .orElseThrow();
   }
 
   /**
-   * A claim of three times the truth, made once and never again, with sums that come late: the load
-   * that follows the judgement is over the truth by no more than a quarter, for no longer than
-   * twice what sums take and 4 s, then by less than a tenth, and in the end not at all.
+   * A claim of three times the truth, made once and never again, with late reports: the load that
+   * follows the judgement is over the truth by no more than a quarter, for no longer than twice the
+   * reports' delay and 4 s, then by less than a tenth, and in the end not at all.
    */
   @Property(tries = 40, seed = "1")
-  void aStaleClaimThreeTimesTooHighMisplacesABoundedPart(
-      @ForAll @IntRange(max = 100_000) int seed, @ForAll @IntRange(min = 1, max = 5) int sumsLate) {
+  void boundsTheEffectOfAStaleClaim(
+      @ForAll @IntRange(max = 100_000) int seed,
+      @ForAll @IntRange(min = 1, max = 5) int reportDelay) {
     SplittableRandom random = new SplittableRandom(seed);
     honest(0, 10);
-    trust.claimed(id(3), ReportCredibility.Source.TASK, 3 * TRUE, now + 1);
+    credibility.claimed(id(3), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now + 1);
     double[] sent = new double[60];
     int over = 0;
     for (int second = 0; second < 60; second++, now += SECOND) {
       for (int i = 0; i < 10; i++) {
         if (i != 3) {
-          trust.claimed(
-              id(i), ReportCredibility.Source.TASK, TRUE * (0.95 + 0.1 * random.nextDouble()), now);
+          credibility.claimed(
+              id(i),
+              ReportCredibility.Source.ENDPOINT,
+              CAPACITY * (0.95 + 0.1 * random.nextDouble()),
+              now);
         }
       }
       sent[second] = of(3).capacity();
-      assertTrue(sent[second] <= 1.25 * 1.06 * TRUE, "second " + second + ": " + sent[second]);
-      over += sent[second] > 1.1 * TRUE ? 1 : 0;
-      if (second >= sumsLate) {
-        double load = 0.98 * sent[second - sumsLate];
-        long tries = Math.round(load * 10);
-        double vain = Math.min(0.9, Math.max(0, 4 * (load / TRUE - 1))) * tries;
-        trust.met(id(3), tries, vain, 10 * SECOND, 0, now);
+      assertTrue(sent[second] <= 1.25 * 1.06 * CAPACITY, "second " + second + ": " + sent[second]);
+      over += sent[second] > 1.1 * CAPACITY ? 1 : 0;
+      if (second >= reportDelay) {
+        double load = 0.98 * sent[second - reportDelay];
+        long attempts = Math.round(load * 10);
+        double failures = Math.min(0.9, Math.max(0, 4 * (load / CAPACITY - 1))) * attempts;
+        credibility.observed(id(3), attempts, failures, 10 * SECOND, 0, now);
       }
     }
     assertTrue(
-        over <= 2 * sumsLate + 4,
-        over + " s a tenth over the truth with sums " + sumsLate + " s late");
-    assertTrue(sent[59] <= 1.05 * TRUE && sent[59] >= 0.5 * TRUE, "in the end " + sent[59]);
+        over <= 2 * reportDelay + 4,
+        over + " s a tenth over the truth with reports " + reportDelay + " s late");
+    assertTrue(sent[59] <= 1.05 * CAPACITY && sent[59] >= 0.5 * CAPACITY, "in the end " + sent[59]);
   }
 
   @Test
-  void whatProxiesMeetCapsWhatATaskClaims() {
+  void capsAClaimByObservations() {
     honest(0, 5);
-    trust.met(id(2), 60, 40, 10 * SECOND, 0, now);
-    assertEquals(ReportCredibility.Why.MET, of(2).why());
-    assertTrue(of(2).capacity() < 0.5 * TRUE, "acked 2 a second: " + of(2).capacity());
+    credibility.observed(id(2), 60, 40, 10 * SECOND, 0, now);
+    assertEquals(ReportCredibility.Reason.OBSERVED, of(2).reason());
+    assertTrue(of(2).capacity() < 0.5 * CAPACITY, "2 a second succeeded: " + of(2).capacity());
     for (int second = 0; second < 60; second++) {
       now += SECOND;
-      trust.met(id(2), 5, 0, SECOND, 0, now);
+      credibility.observed(id(2), 5, 0, SECOND, 0, now);
       honest(0, 5);
     }
     assertTrue(
-        of(2).capacity() > 0.9 * TRUE, "it is trusted again as all goes well: " + of(2).capacity());
+        of(2).capacity() > 0.9 * CAPACITY,
+        "it is trusted again as all goes well: " + of(2).capacity());
   }
 
   @Test
-  void ofSourcesThatContradictEachOtherTheLowerCounts() {
+  void takesTheLowerOfSourcesThatDisagree() {
     honest(0, 5);
-    trust.claimed(id(1), ReportCredibility.Source.OPERATOR, 0.5 * TRUE, now);
-    assertEquals(ReportCredibility.Why.SOURCES_DISAGREE, of(1).why());
-    assertEquals(0.5 * TRUE, of(1).capacity(), 0.01);
+    credibility.claimed(id(1), ReportCredibility.Source.OPERATOR, 0.5 * CAPACITY, now);
+    assertEquals(ReportCredibility.Reason.SOURCES_DISAGREE, of(1).reason());
+    assertEquals(0.5 * CAPACITY, of(1).capacity(), 0.01);
   }
 
   @Test
-  void aTaskThatCanDoMoreRisesStepByStepAsItProvesIt() {
+  void raisesAnEndpointStepByStepAsItProvesItself() {
     honest(0, 5);
     double last = 0;
     for (int second = 0; second < 40; second++) {
       now += SECOND;
       honest(0, 4);
-      trust.listed(id(4), 1);
-      trust.claimed(id(4), ReportCredibility.Source.TASK, 3 * TRUE, now);
+      credibility.listed(id(4), 1);
+      credibility.claimed(id(4), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now);
       double trusted = of(4).capacity();
-      assertTrue(second == 0 || trusted <= 1.26 * Math.max(TRUE, last), trusted + " after " + last);
+      assertTrue(
+          second == 0 || trusted <= 1.26 * Math.max(CAPACITY, last), trusted + " after " + last);
       last = trusted;
-      trust.met(id(4), Math.round(trusted * 10), 0, 10 * SECOND, 0, now);
+      credibility.observed(id(4), Math.round(trusted * 10), 0, 10 * SECOND, 0, now);
     }
-    assertTrue(last > 2.9 * TRUE, "it can do 30 and gets " + last);
+    assertTrue(last > 2.9 * CAPACITY, "it can do 30 and gets " + last);
   }
 
   @Test
-  void aClaimTooOldSaysNothingAndAnOlderOneNeverReplacesANewer() {
+  void ignoresClaimsThatAreTooOldOrOvertaken() {
     honest(0, 5);
-    trust.claimed(id(0), ReportCredibility.Source.TASK, 1.2 * TRUE, now + SECOND);
-    trust.claimed(id(0), ReportCredibility.Source.TASK, 0.1 * TRUE, now - SECOND);
+    credibility.claimed(id(0), ReportCredibility.Source.ENDPOINT, 1.2 * CAPACITY, now + SECOND);
+    credibility.claimed(id(0), ReportCredibility.Source.ENDPOINT, 0.1 * CAPACITY, now - SECOND);
     now += SECOND;
-    assertEquals(1.2 * TRUE, of(0).claimed(), 1e-9);
+    assertEquals(1.2 * CAPACITY, of(0).claimed(), 1e-9);
     now += 31 * SECOND;
     honest(1, 5);
-    assertEquals(ReportCredibility.Why.LISTED, of(0).why());
-    assertEquals(0.7 * TRUE, of(0).capacity(), 0.01, "listed, and nothing proven");
+    assertEquals(ReportCredibility.Reason.LISTED, of(0).reason());
+    assertEquals(0.7 * CAPACITY, of(0).capacity(), 0.01, "listed, and nothing proven");
   }
 
   /**
-   * Names come and go with each deploy: what one proved is not its successor's, and nothing grows.
+   * Names change with each deployment: what one proved is not its successor's, and nothing grows.
    */
   @Test
-  void aTaskThatLeftLeavesItsPlaceAndNothingElse() {
+  void keepsNothingOfRemovedEndpoints() {
     honest(0, 5);
-    int known = trust.judge(now).size();
-    trust.listed(id(10), 1);
-    trust.met(id(10), 500, 0, 10 * SECOND, 0, now);
+    int known = credibility.judge(now).size();
+    credibility.listed(id(10), 1);
+    credibility.observed(id(10), 500, 0, 10 * SECOND, 0, now);
     for (int n = 11; n < 200; n++) {
-      trust.gone(id(n - 1));
-      trust.listed(id(n), 1);
-      assertEquals(ReportCredibility.Why.LISTED, of(n).why());
-      assertEquals(0.7 * TRUE, of(n).capacity(), 0.1 * TRUE);
+      credibility.removed(id(n - 1));
+      credibility.listed(id(n), 1);
+      assertEquals(ReportCredibility.Reason.LISTED, of(n).reason());
+      assertEquals(0.7 * CAPACITY, of(n).capacity(), 0.1 * CAPACITY);
     }
-    assertEquals(known + 1, trust.judge(now).size());
+    assertEquals(known + 1, credibility.judge(now).size());
   }
 
   @Test
-  void whileNothingIsKnownThereIsNoJudgement() {
-    trust.listed(id(0), 1);
-    assertTrue(trust.judge(now).isEmpty());
+  void judgesNothingWhileNothingIsKnown() {
+    credibility.listed(id(0), 1);
+    assertTrue(credibility.judge(now).isEmpty());
     assertEquals(
-        "task t0: weight 0.0",
-        assertThrows(IllegalArgumentException.class, () -> trust.listed(id(0), 0)).getMessage());
+        "endpoint t0: weight 0.0",
+        assertThrows(IllegalArgumentException.class, () -> credibility.listed(id(0), 0))
+            .getMessage());
     assertEquals(
-        "task t0: capacity NaN by TASK",
+        "endpoint t0: capacity NaN by ENDPOINT",
         assertThrows(
                 IllegalArgumentException.class,
-                () -> trust.claimed(id(0), ReportCredibility.Source.TASK, Double.NaN, now))
+                () ->
+                    credibility.claimed(id(0), ReportCredibility.Source.ENDPOINT, Double.NaN, now))
             .getMessage());
   }
 }
--- a/src/test/java/stonespring/solver/WeightAdvisorTest.java
+++ b/src/test/java/stonespring/solver/WeightAdvisorTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.DeciMillis;
@@ -20,7 +21,7 @@
 
 final class WeightAdvisorTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final int FIRST = 5; // rounds of sums before the first proposal
+  private static final int ROUNDS_BEFORE_FIRST_PROPOSAL = 5;
 
   private final Settings settings =
       new Settings(
@@ -35,22 +36,22 @@
   private final WeightAdvisor advisor = new WeightAdvisor(settings);
   private long now = 100 * SECOND;
 
-  private static EndpointRecord listing(String task, EndpointRecord.State state, long started) {
-    return new EndpointRecord(new EndpointId(task), new ZoneId(0), 1, state, started);
+  private static EndpointRecord record(String endpoint, EndpointRecord.State state, long started) {
+    return new EndpointRecord(new EndpointId(endpoint), new ZoneId(0), 1, state, started);
   }
 
-  private void told(EndpointRecord... entries) {
-    advisor.take(now, new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(entries)));
+  private void updateList(EndpointRecord... records) {
+    advisor.handle(now, new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(records)));
   }
 
-  private List<Event.WeightsProposed> round(String... tasks) {
+  private List<Event.WeightsProposed> round(String... endpoints) {
     now += SECOND;
-    for (String task : tasks) {
+    for (String endpoint : endpoints) {
       for (int zone = 0; zone < 2; zone++) {
-        advisor.take(
+        advisor.handle(
             now,
             new Event.EndpointOutcomes(
-                new EndpointId(task),
+                new EndpointId(endpoint),
                 new ZoneId(zone),
                 5,
                 0,
@@ -59,43 +60,48 @@
                 new LoadReport(0.5, Double.NaN, Double.NaN, Double.NaN, Double.NaN)));
       }
     }
-    advisor.take(
+    advisor.handle(
         now, new Event.ProxyRequestRate(new ProxyId(0), new RequestClassId(0), 20, 0, SECOND));
     return advisor.propose(now);
   }
 
-  private void started() {
-    told(listing("a", EndpointRecord.State.READY, 0), listing("b", EndpointRecord.State.READY, 0));
-    advisor.take(now, new Event.ProxyConnected(new ProxyId(0), new ZoneId(0), 20, true));
-    for (int i = 0; i < FIRST; i++) {
+  private void start() {
+    updateList(
+        record("a", EndpointRecord.State.READY, 0), record("b", EndpointRecord.State.READY, 0));
+    advisor.handle(now, new Event.ProxyConnected(new ProxyId(0), new ZoneId(0), 20, true));
+    for (int i = 0; i < ROUNDS_BEFORE_FIRST_PROPOSAL; i++) {
       assertTrue(
-          round("a", "b").isEmpty(),
-          "an instance that started leaves what stands alone, round " + i);
+          round("a", "b").isEmpty(), "a started instance leaves tables as they are, round " + i);
     }
   }
 
-  /** Each zone's sums are a part; read one by one they once halved what a task was trusted with. */
+  /** Each zone's outcomes are a part of what an endpoint received. */
   @Test
-  void aTasksCapacityIsReadFromAllZonesTogether() {
-    started();
+  void readsCapacityFromAllZonesTogether() {
+    start();
     List<Event.WeightsProposed> all = round("a", "b");
     assertEquals(1, all.size());
     assertEquals(2, all.get(0).routes().size());
-    assertEquals(20, advisor.plan().shares().get(0).capacity(), 1, "ten ops a second at half busy");
+    assertEquals(
+        20,
+        advisor.plan().orElseThrow().shares().get(0).capacity(),
+        1,
+        "ten requests a second at a utilization of a half");
   }
 
   @Test
-  void whatLeftOrStartedAnewIsNotAdvisedAsBefore() {
-    started();
-    told(listing("b", EndpointRecord.State.DRAINING, 0));
+  void proposesByWhatIsListedNow() {
+    start();
+    updateList(record("b", EndpointRecord.State.DRAINING, 0));
     assertEquals(
         List.of("a"), round("a").get(0).routes().stream().map(l -> l.endpoint().name()).toList());
-    told(listing("b", EndpointRecord.State.READY, now));
+    updateList(record("b", EndpointRecord.State.READY, now));
     round("a", "b");
-    Plan.Share cold = advisor.plan().shares().get(1);
-    assertTrue(cold.load() <= 0.35 * 25, "a started task gets what it surely can do: " + cold);
-    advisor.take(now, new Event.ProxyDisconnected(new ProxyId(0)));
+    Plan.EndpointShare warmingUp = advisor.plan().orElseThrow().shares().get(1);
+    assertTrue(
+        warmingUp.load() <= 0.35 * 25, "a restarted endpoint gets its warm-up share: " + warmingUp);
+    advisor.handle(now, new Event.ProxyDisconnected(new ProxyId(0)));
     assertTrue(round("a", "b").isEmpty());
-    assertEquals(null, advisor.plan());
+    assertEquals(Optional.empty(), advisor.plan());
   }
 }
