--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -57,10 +57,14 @@
     reportedRate = outcomes.report().requestsPerSecond();
   }
 
-  /** Takes one estimate of its capacity into the mean; returns the mean. */
-  double smoothCapacity(double estimate) {
+  /**
+   * Takes the capacity that a rate at the present utilization stands for into the mean; returns the
+   * mean.
+   */
+  double smoothCapacity(double rate) {
     double kept = Double.isNaN(capacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
-    capacity = kept == 0 ? estimate : kept * capacity + (1 - kept) * estimate;
+    // In this order of operations: another rounds differently, and plans follow it.
+    capacity = kept == 0 ? rate / utilization : kept * capacity + (1 - kept) * rate / utilization;
     return capacity;
   }
 
--- a/src/main/java/stonespring/solver/WeightAdvisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -219,7 +219,7 @@
     // What an endpoint seems to do while it warms up says little of the warm one.
     boolean isWarm = settings.slowStart().warmUpFraction(endpoint.startedAt(), now) >= 1;
     if (endpoint.utilization() > MIN_UTILIZATION && totalRate > 0 && isWarm) {
-      double capacity = endpoint.smoothCapacity(totalRate / endpoint.utilization());
+      double capacity = endpoint.smoothCapacity(totalRate);
       credibility.claimed(id, ReportCredibility.Source.ENDPOINT, capacity, now);
     }
     endpoint.endRound();
--- /dev/null
+++ b/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
@@ -0,0 +1,59 @@
+package stonespring.testbed.virtual;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import stonespring.model.DeciMillis;
+import stonespring.recorded.RecordedDigests;
+import stonespring.solver.Plan;
+
+/**
+ * Holds the weight solver's plans as they are: every number of them, with its full bits, at moments
+ * of drawn loads that are played through the engine, the solver and the proxies' routing.
+ */
+final class RecordedPlansTest {
+  private static final int ENDPOINTS = 12;
+  private static final int PROXIES = 10;
+
+  @Test
+  void everyNumberOfAPlanIsAsRecorded() throws IOException {
+    RecordedDigests digests = new RecordedDigests();
+    for (Loads.Kind kind : List.of(Loads.Kind.SURGE, Loads.Kind.LOST_ZONE, Loads.Kind.DEPLOY)) {
+      VirtualFleet fleet =
+          new VirtualFleet(Loads.draw(kind, 1, ENDPOINTS, PROXIES), Policy.SOLVER, 1);
+      for (long second : new long[] {12, 35}) {
+        fleet.playTo(second * DeciMillis.SECOND);
+        RecordedDigests.Recording recording = new RecordedDigests.Recording();
+        record(recording, fleet.advisor().plan().orElseThrow());
+        digests.put(kind + "/" + second, recording);
+      }
+    }
+    digests.check("plans.sha256");
+  }
+
+  private static void record(RecordedDigests.Recording recording, Plan plan) {
+    for (Plan.Table table : plan.tables()) {
+      for (Plan.Route route : table.routes()) {
+        recording.add(table.proxy().number() + " " + route.endpoint().name());
+        recording.add(bits(route.weight()));
+        recording.add(bits(route.weightsByClass()));
+      }
+    }
+    for (Plan.EndpointShare share : plan.shares()) {
+      recording.add(share.endpoint().name() + " " + share.reason().ordinal());
+      recording.add(bits(share.capacity(), share.load(), share.target(), share.price()));
+      recording.add(bits(share.unmetPlans()));
+    }
+    recording.add(bits(plan.cost(), plan.lowerBound(), plan.unplacedRate()));
+    recording.add(bits(plan.newRoutes(), plan.changedRoutes()));
+  }
+
+  private static byte[] bits(double... numbers) {
+    ByteBuffer bytes = ByteBuffer.allocate(numbers.length * Double.BYTES);
+    for (double number : numbers) {
+      bytes.putDouble(number);
+    }
+    return bytes.array();
+  }
+}
