--- a/src/main/java/stonespring/cli/AssignerCommand.java
+++ b/src/main/java/stonespring/cli/AssignerCommand.java
@@ -2,18 +2,18 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.atomic.AtomicBoolean;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 import stonespring.config.PlatformConfig;
+import stonespring.daemon.ConfigReloader;
 import stonespring.daemon.PlatformDaemon;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
+/** Runs an instance on the operators' platform; a SIGHUP reloads its configuration. */
 @Command(
     name = "assigner",
     mixinStandardHelpOptions = true,
@@ -27,85 +27,31 @@
       description = "The platform's configuration; NODE_CONFIG names it where this is left out.")
   private Path path;
 
-  @Mixin private Logs logs;
-
-  private final AtomicBoolean looking = new AtomicBoolean();
-  private PlatformDaemon daemon;
-  private boolean reloadDue;
+  @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    // Without a handler of ours a hang-up ends the process; one that comes during the start waits
-    // for its end.
-    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reload());
-    logs.set();
-    if (before == SignalHandler.SIG_IGN) {
-      // So it is under nohup and its like, and the virtual machine leaves it so: no handler of ours
-      // is ever told.
+    // First of all: without a handler SIGHUP ends the process.
+    ConfigReloader reloader = new ConfigReloader(path);
+    SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
+    logging.apply();
+    if (previous == SignalHandler.SIG_IGN) {
+      // Ignored by the parent process, as under nohup; the virtual machine then calls no handler.
       LOG.warn(
-          "hang-ups are ignored, as whoever started this process wants it: a new configuration is seen where discovery fails");
+          "SIGHUP is ignored, as the parent process set it: a new configuration is seen when the"
+              + " endpoint list can't be had");
     }
     if (path == null || path.toString().isEmpty()) {
-      return Exit.fail(Exit.USAGE, "NODE_CONFIG: it is not set, and no file is named");
-    }
-    PlatformDaemon started;
-    try {
-      started = new PlatformDaemon(PlatformConfig.read(path));
-    } catch (PlatformConfig.BadFile e) {
-      return Exit.fail(Exit.USAGE, e.getMessage());
-    }
-    started.start();
-    started(started);
-    return Running.untilTold("assigner", started::awaitEnd, started::stop);
-  }
-
-  private synchronized void started(PlatformDaemon by) {
-    daemon = by;
-    if (reloadDue) {
-      reload();
-    }
-    // A hang-up can be lost, or come before its file: an assigner that then asked the old address
-    // of discovery for
-    // good would never hear of a drain again. Where that address fails, the file may name another
-    // one.
-    daemon.whenListFails(
-        () -> {
-          if (looking.compareAndSet(false, true)) {
-            Thread look = new Thread(this::look, "configuration");
-            look.setDaemon(
-                true); // a file that can't be read to its end must not hold up the process's own
-            try {
-              look.start();
-            } catch (OutOfMemoryError e) {
-              looking.set(false); // no thread is to be had now: the next failure looks again
-            }
-          }
-        });
-  }
-
-  private void look() {
-    try {
-      reload();
-    } finally {
-      looking.set(false);
-    }
-  }
-
-  /**
-   * One after the other: each signal has a thread of its own, and the older file must not be
-   * applied last.
-   */
-  private synchronized void reload() {
-    if (daemon == null) {
-      reloadDue = true;
-      return;
+      return ExitCode.fail(ExitCode.USAGE, "NODE_CONFIG: it is not set, and no file is named");
     }
+    PlatformDaemon daemon;
     try {
-      daemon.reloaded(PlatformConfig.read(path));
-    } catch (RejectedExecutionException e) {
-      LOG.info("the new configuration comes after the end");
+      daemon = new PlatformDaemon(PlatformConfig.read(path));
     } catch (PlatformConfig.BadFile e) {
-      LOG.warn("the new configuration is not used, the old one holds: {}", e.getMessage());
+      return ExitCode.fail(ExitCode.USAGE, e.getMessage());
     }
+    daemon.start();
+    reloader.attach(daemon);
+    return InstanceProcess.runUntilStopped("assigner", daemon);
   }
 }
--- a/src/main/java/stonespring/cli/CheckCommand.java
+++ b/src/main/java/stonespring/cli/CheckCommand.java
@@ -29,10 +29,10 @@
               + settings.port()
               + " to "
               + (settings.port() + 2));
-      return Exit.GOOD;
+      return ExitCode.OK;
     } catch (ScriptException e) {
       e.faults().forEach(System.err::println);
-      return Exit.USAGE;
+      return ExitCode.USAGE;
     }
   }
 }
--- a/src/main/java/stonespring/cli/Commands.java
+++ b/src/main/java/stonespring/cli/Commands.java
@@ -48,8 +48,8 @@
           if (e instanceof RuntimeException && !(e.getCause() instanceof java.io.IOException)) {
             e.printStackTrace();
           }
-          return Exit.fail(
-              Exit.FAILED,
+          return ExitCode.fail(
+              ExitCode.FAILED,
               command.getCommandName()
                   + ": "
                   + (e.getMessage() == null ? e.toString() : e.getMessage()));
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -46,9 +46,9 @@
 
   @Override
   public Integer call() throws Exception {
-    Logs.warningsOnly();
+    LoggingOptions.warningsOnly();
     if (seeds < 1 || seeds > 1_000) {
-      return Exit.fail(Exit.USAGE, "compare: --seeds is from 1 to 1000");
+      return ExitCode.fail(ExitCode.USAGE, "compare: --seeds is from 1 to 1000");
     }
     List<Recording> loads = new ArrayList<>();
     try {
@@ -56,7 +56,7 @@
         loads.add(RecordingFile.read(file));
       }
     } catch (RecordingFile.Bad e) {
-      return Exit.fail(Exit.USAGE, "compare: " + e.getMessage());
+      return ExitCode.fail(ExitCode.USAGE, "compare: " + e.getMessage());
     }
     List<Comparison.Row> rows = Comparison.of(loads, policies, seeds);
     System.out.print(
@@ -67,7 +67,7 @@
     if (plots != null) {
       Charts.write(rows, plots).forEach(file -> System.err.println("written: " + file));
     }
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 
   private String text(List<Comparison.Row> rows) {
--- a/src/main/java/stonespring/cli/DayCommand.java
+++ b/src/main/java/stonespring/cli/DayCommand.java
@@ -40,16 +40,16 @@
       description = "Writes the load as it came, for solve and compare.")
   private Path record;
 
-  @Mixin private Logs logs;
+  @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    logs.set();
+    logging.apply();
     Scenario day;
     try {
       day = Scenario.read(file);
     } catch (ScriptException e) {
-      return Exit.fail(Exit.USAGE, "day:\n" + e.getMessage());
+      return ExitCode.fail(ExitCode.USAGE, "day:\n" + e.getMessage());
     }
     Path folder = keep == null ? ScenarioRun.folder() : Files.createDirectories(keep);
     try {
@@ -62,9 +62,9 @@
       }
       System.out.printf("seed %d: ", seed);
       System.out.print(ScenarioRun.report(verdict));
-      return verdict.broken().isEmpty() ? Exit.GOOD : Exit.FAILED;
+      return verdict.broken().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
     } catch (ScenarioRun.Failed e) {
-      return Exit.fail(Exit.FAILED, e.getMessage() + "; logs are in " + folder);
+      return ExitCode.fail(ExitCode.FAILED, e.getMessage() + "; logs are in " + folder);
     }
   }
 }
--- a/src/main/java/stonespring/cli/LoadCommand.java
+++ b/src/main/java/stonespring/cli/LoadCommand.java
@@ -31,9 +31,10 @@
   @Override
   public Integer call() throws Exception {
     if (tasks < 3 || proxies < 1 || tasks > 2_000 || proxies > 2_000) {
-      return Exit.fail(Exit.USAGE, "load: --tasks from 3 to 2000, --proxies from 1 to 2000");
+      return ExitCode.fail(
+          ExitCode.USAGE, "load: --tasks from 3 to 2000, --proxies from 1 to 2000");
     }
     RecordingFile.write(Loads.draw(kind, seed, tasks, proxies), file);
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/cli/LoggingOptions.java
@@ -0,0 +1,68 @@
+package stonespring.cli;
+
+import ch.qos.logback.classic.Level;
+import ch.qos.logback.classic.Logger;
+import ch.qos.logback.classic.LoggerContext;
+import ch.qos.logback.classic.encoder.JsonEncoder;
+import ch.qos.logback.classic.spi.ILoggingEvent;
+import ch.qos.logback.core.ConsoleAppender;
+import org.slf4j.LoggerFactory;
+import picocli.CommandLine.Option;
+import stonespring.daemon.EngineHost;
+import stonespring.proxyapi.platform.PlatformProxyApi;
+
+/** Options of commands that log. */
+final class LoggingOptions {
+  @Option(names = "--log-json", description = "Log JSON lines instead of plain ones.")
+  private boolean json;
+
+  @Option(names = "--log-orders", description = "Log every order of the decisions with its cause.")
+  private boolean logCommands;
+
+  @Option(names = "--quiet", description = "Log warnings and errors only.")
+  private boolean quiet;
+
+  /** Logs warnings and errors only; for commands that run instances in virtual time. */
+  static void warningsOnly() {
+    rootLogger().setLevel(Level.WARN);
+  }
+
+  /** Sets the process's logging to these options. */
+  void apply() {
+    Logger root = rootLogger();
+    if (json) {
+      root.detachAndStopAllAppenders();
+      root.addAppender(jsonAppender(root.getLoggerContext()));
+    }
+    if (quiet) {
+      root.setLevel(Level.WARN);
+    }
+    if (logCommands) {
+      // The classes that log each update of a proxy's route table, one per protocol.
+      root.getLoggerContext().getLogger(EngineHost.class).setLevel(Level.DEBUG);
+      root.getLoggerContext().getLogger(PlatformProxyApi.class).setLevel(Level.DEBUG);
+    }
+  }
+
+  private static Logger rootLogger() {
+    LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
+    return context.getLogger(Logger.ROOT_LOGGER_NAME);
+  }
+
+  private static ConsoleAppender<ILoggingEvent> jsonAppender(LoggerContext context) {
+    JsonEncoder encoder = new JsonEncoder();
+    encoder.setContext(context);
+    encoder.setWithContext(false);
+    encoder.setWithSequenceNumber(false);
+    encoder.setWithFormattedMessage(true);
+    encoder.setWithMessage(false);
+    encoder.setWithArguments(false);
+    encoder.start();
+    ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+    appender.setContext(context);
+    appender.setTarget("System.err");
+    appender.setEncoder(encoder);
+    appender.start();
+    return appender;
+  }
+}
--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -37,8 +37,8 @@
           long seconds)
       throws Exception {
     System.out.print(Measure.fleet(file, proxies, within, seconds, ScenarioRun.folder()));
-    System.exit(Exit.GOOD); // idle proxies' redials would hold the process
-    return Exit.GOOD;
+    System.exit(ExitCode.OK); // idle proxies' redials would hold the process
+    return ExitCode.OK;
   }
 
   @Command(
@@ -56,7 +56,7 @@
           int rounds)
       throws Exception {
     System.out.print(Measure.throughput(updates, rounds));
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 
   @Command(
@@ -75,9 +75,9 @@
       @Option(names = "--rounds", defaultValue = "20", description = "Rounds (${DEFAULT-VALUE}).")
           int rounds) {
     if (tasks < 1 || proxies < 1 || rounds < 1) {
-      return Exit.fail(Exit.USAGE, "--tasks, --proxies and --rounds are at least 1");
+      return ExitCode.fail(ExitCode.USAGE, "--tasks, --proxies and --rounds are at least 1");
     }
     System.out.print(SolverTrial.run(tasks, proxies, rounds));
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 }
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -48,26 +48,26 @@
       description = "Assigners as HOST:PORT, in order (the script's).")
   private List<String> assigners = new ArrayList<>();
 
-  @Mixin private Logs logs;
+  @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    logs.set();
+    logging.apply();
     InstanceSettings of;
     try {
       of = InstanceSettings.read(file);
     } catch (ScriptException e) {
-      return Exit.fail(Exit.USAGE, "settings:\n" + e.getMessage());
+      return ExitCode.fail(ExitCode.USAGE, "settings:\n" + e.getMessage());
     }
     if (!of.zones().contains(zone) || !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
-      return Exit.fail(
-          Exit.USAGE,
+      return ExitCode.fail(
+          ExitCode.USAGE,
           "--zone is one of " + of.zones() + ", --name letters, digits, dots and dashes");
     }
     List<ProxySettings.Ports> ports = new ArrayList<>();
     for (String assigner : assigners.isEmpty() ? List.of(of.host() + ":" + of.port()) : assigners) {
       if (!assigner.matches("[A-Za-z0-9.-]+:[0-9]{1,5}")) {
-        return Exit.fail(Exit.USAGE, "--assigner is HOST:PORT, not " + assigner);
+        return ExitCode.fail(ExitCode.USAGE, "--assigner is HOST:PORT, not " + assigner);
       }
       int at = Integer.parseInt(assigner.substring(assigner.indexOf(':') + 1));
       ports.add(
@@ -96,6 +96,6 @@
     Proxy proxy = new Proxy(settings, (EventLoop) loops.next()).start(loops, port);
     System.out.println("proxy " + name + " 127.0.0.1:" + proxy.port());
     Thread.currentThread().join();
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 }
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -28,13 +28,13 @@
       description = "The zones that the list may name.")
   private java.util.List<String> zones;
 
-  @Mixin private Logs logs;
+  @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    logs.set();
+    logging.apply();
     System.out.println("registry " + StandIns.registry(file, zones, port));
     Thread.currentThread().join();
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 }
--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -32,26 +32,26 @@
       description = "Where the last list is kept, instead of the script's.")
   private Path savedList;
 
-  @Mixin private Logs logs;
+  @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    logs.set();
+    logging.apply();
     InstanceSettings settings;
     try {
       settings = InstanceSettings.read(file);
     } catch (ScriptException e) {
-      return Exit.fail(Exit.USAGE, "settings:\n" + e.getMessage());
+      return ExitCode.fail(ExitCode.USAGE, "settings:\n" + e.getMessage());
     }
     try {
       settings = settings.with(port, registryPort, savedList);
     } catch (IllegalArgumentException e) {
-      return Exit.fail(Exit.USAGE, e.getMessage());
+      return ExitCode.fail(ExitCode.USAGE, e.getMessage());
     }
     Daemon daemon = new Daemon(settings);
     daemon.start();
     System.out.println("serving " + settings.host() + " " + daemon.port());
     System.out.flush();
-    return Running.untilTold("serve", daemon::awaitEnd, daemon::stop);
+    return InstanceProcess.runUntilStopped("serve", daemon);
   }
 }
--- a/src/main/java/stonespring/cli/SimHostCommand.java
+++ b/src/main/java/stonespring/cli/SimHostCommand.java
@@ -16,11 +16,11 @@
   public Integer call() {
     try {
       new SimulatorHost().run(System.in, System.out);
-      return Exit.GOOD;
+      return ExitCode.OK;
     } catch (SimulatorProtocolException e) {
-      return Exit.fail(Exit.FAILED, e.getMessage());
+      return ExitCode.fail(ExitCode.FAILED, e.getMessage());
     } catch (IOException e) {
-      return Exit.fail(Exit.FAILED, "input or output failed: " + e.getMessage());
+      return ExitCode.fail(ExitCode.FAILED, "input or output failed: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -46,7 +46,7 @@
   @Override
   public Integer call() throws InterruptedException {
     if (!subtree.isEmpty() && !(subtree.startsWith("/") && subtree.endsWith("/"))) {
-      return Exit.fail(Exit.USAGE, "--subtree begins and ends with a slash");
+      return ExitCode.fail(ExitCode.USAGE, "--subtree begins and ends with a slash");
     }
     MultiThreadIoEventLoopGroup loops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -79,9 +79,9 @@
     client.dial(host, port, false, ZmtpLimits.USUAL);
     try {
       String cause = follow ? end.get() : end.get(2 * SILENCE_MILLIS, TimeUnit.MILLISECONDS);
-      return cause.isEmpty() ? Exit.GOOD : Exit.fail(Exit.FAILED, "snapshot: " + cause);
+      return cause.isEmpty() ? ExitCode.OK : ExitCode.fail(ExitCode.FAILED, "snapshot: " + cause);
     } catch (ExecutionException | TimeoutException e) {
-      return Exit.fail(Exit.FAILED, "snapshot: no snapshot came");
+      return ExitCode.fail(ExitCode.FAILED, "snapshot: no snapshot came");
     } finally {
       loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -37,24 +37,24 @@
 
   @Override
   public Integer call() throws Exception {
-    Logs.warningsOnly();
+    LoggingOptions.warningsOnly();
     Recording recording;
     try {
       recording = RecordingFile.read(file);
     } catch (RecordingFile.Bad e) {
-      return Exit.fail(Exit.USAGE, "solve: " + e.getMessage());
+      return ExitCode.fail(ExitCode.USAGE, "solve: " + e.getMessage());
     }
     double end = recording.head().length() / (double) DeciMillis.SECOND;
     if (at != null && !(at >= 0 && at <= end)) {
-      return Exit.fail(Exit.USAGE, "solve: --at is outside 0 to " + end);
+      return ExitCode.fail(ExitCode.USAGE, "solve: --at is outside 0 to " + end);
     }
     double moment = at == null ? end : at;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
     fleet.playTo((long) (moment * DeciMillis.SECOND));
     Plan plan = fleet.advisor().plan();
     if (plan == null) {
-      return Exit.fail(
-          Exit.FAILED,
+      return ExitCode.fail(
+          ExitCode.FAILED,
           "solve: no plan yet at " + moment + " s: the first comes after five rounds of sums");
     }
     if (json) {
@@ -74,7 +74,7 @@
     } else {
       System.out.print(text(recording.head().name(), moment, plan));
     }
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 
   private static String text(String name, double moment, Plan plan) {
--- a/src/main/java/stonespring/cli/TaskCommand.java
+++ b/src/main/java/stonespring/cli/TaskCommand.java
@@ -44,13 +44,13 @@
   @Option(names = "--cold", description = "It starts cold, and warms within 10 s.")
   private boolean cold;
 
-  @Mixin private Logs logs;
+  @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    logs.set();
+    logging.apply();
     if (count < 1 || port < 1 || port + count > 65536) {
-      return Exit.fail(Exit.USAGE, "--port and --count do not fit 1 to 65535");
+      return ExitCode.fail(ExitCode.USAGE, "--port and --count do not fit 1 to 65535");
     }
     for (int i = 0; i < count; i++) {
       System.out.println(
@@ -59,6 +59,6 @@
                   "m" + (i + 1), zones.get(i % zones.size()), port + i, cores, workMillis, cold));
     }
     Thread.currentThread().join();
-    return Exit.GOOD;
+    return ExitCode.OK;
   }
 }
--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/Daemon.java
@@ -5,8 +5,8 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stonespring.chp.ChpServer;
@@ -17,7 +17,6 @@
 import stonespring.discovery.EndpointSource;
 import stonespring.discovery.FileEndpointSource;
 import stonespring.discovery.RegistryEndpointSource;
-import stonespring.model.DecisionEngine;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 import stonespring.proxyapi.NameTable;
@@ -28,142 +27,178 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * A running instance: one event loop for its sockets, one thread for its decisions. It starts with
- * the list that was saved last and no tables; it stops orderly by closing its listeners, writing
- * out what waits, snapshots included, and then its connections.
+ * An instance that serves proxies by CHP: one event loop for its sockets, one thread for its
+ * decision engine. It starts with the endpoint list that was saved last and without route tables.
  */
-public final class Daemon {
+public final class Daemon implements Instance {
   private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
-  private static final long STOP_MILLIS =
-      2_000; // ms; what waits for peers that read is out long before
-  private static final int SEQUENCE_SHIFT =
-      20; // bits; room for a million updates in each millisecond of a run
+
+  /** For what waits to be sent; peers that read have it long before. */
+  private static final long STOP_TIMEOUT_MILLIS = 2_000;
+
+  /** Room for a million updates in each millisecond of a run. */
+  private static final int SEQUENCE_BITS_PER_MILLI = 20;
+
+  private static final long NANOS_PER_MICRO = 1_000;
 
   private final InstanceSettings settings;
   private final InstanceClock clock = new InstanceClock();
-  private final MultiThreadIoEventLoopGroup sockets =
+  private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoopThread loop;
+  private final EventLoopThread engineLoop;
   private final ChpServer server;
   private final EndpointSource source;
-  private final CachedEndpointList saved;
+  private final CachedEndpointList savedList;
 
+  /** Creates an instance; {@link #start} starts it. */
   public Daemon(InstanceSettings settings) {
     this.settings = settings;
     InstanceSettings.Bounds bounds = settings.bounds();
-    this.loop = new EventLoopThread(clock, bounds.inbox(), bounds.momentMillis());
-    ZmtpLimits usual = ZmtpLimits.USUAL;
-    ZmtpLimits limits =
-        new ZmtpLimits(
-            usual.frameBytes(),
-            usual.messageBytes(),
-            usual.frames(),
-            bounds.pendingBytes(),
-            usual.subscriptions(),
-            usual.handshakeMillis(),
-            bounds.connections());
+    this.engineLoop = new EventLoopThread(clock, bounds.inbox(), bounds.momentMillis());
+    NameTable names = new NameTable(settings.zones(), settings.opTypeNames());
     this.server =
         new ChpServer(
-            sockets,
-            limits,
-            new ChpProxyApi(loop, new NameTable(settings.zones(), settings.opTypeNames())));
-    EndpointListCodec entries = new EndpointListCodec(settings.zones(), clock.unixOffset());
-    this.source = source(settings.source(), entries, (EventLoop) sockets.next());
-    this.saved = new CachedEndpointList(settings.saved(), entries);
+            eventLoops,
+            connectionLimits(bounds),
+            new ChpProxyApi(new QueuedMessageHandler(engineLoop), names));
+    EndpointListCodec codec = new EndpointListCodec(settings.zones(), clock.unixOffset());
+    this.source = createSource(settings.source(), codec, (EventLoop) eventLoops.next());
+    this.savedList = new CachedEndpointList(settings.saved(), codec);
   }
 
-  private static EndpointSource source(
-      InstanceSettings.Source from, EndpointListCodec entries, EventLoop loop) {
-    if (from instanceof InstanceSettings.Source.FromRegistry r) {
-      return new RegistryEndpointSource(
-          r.host(), r.port(), r.service(), r.waitSeconds(), entries, loop);
-    }
-    return new FileEndpointSource(((InstanceSettings.Source.FromFile) from).path(), entries, loop);
+  private static ZmtpLimits connectionLimits(InstanceSettings.Bounds bounds) {
+    ZmtpLimits usual = ZmtpLimits.USUAL;
+    return new ZmtpLimits(
+        usual.frameBytes(),
+        usual.messageBytes(),
+        usual.frames(),
+        bounds.pendingBytes(),
+        usual.subscriptions(),
+        usual.handshakeMillis(),
+        bounds.connections());
   }
 
-  private DecisionEngine module(long seed) {
-    AssignmentEngine assigner = new AssignmentEngine(settings.settings(), seed, clock.now());
-    return settings.proposals()
-        ? new AdvisedEngine(assigner, new WeightAdvisor(settings.settings()))
-        : assigner;
+  private static EndpointSource createSource(
+      InstanceSettings.Source source, EndpointListCodec codec, EventLoop eventLoop) {
+    if (source instanceof InstanceSettings.Source.FromRegistry registry) {
+      return new RegistryEndpointSource(
+          registry.host(),
+          registry.port(),
+          registry.service(),
+          registry.waitSeconds(),
+          codec,
+          eventLoop);
+    }
+    return new FileEndpointSource(
+        ((InstanceSettings.Source.FromFile) source).path(), codec, eventLoop);
   }
 
-  /** Listens and begins to decide; the error names the port that could not be had. */
+  /**
+   * Listens and starts the decision engine.
+   *
+   * @throws IOException if a port can't be had; the message names it
+   */
   public void start() throws IOException, InterruptedException {
-    long unixMillis = System.currentTimeMillis();
-    String epoch = Long.toString(unixMillis, 36);
-    long seed = unixMillis ^ System.nanoTime();
-    HostEnvironment outside =
-        new HostEnvironment() {
-          @Override
-          public void publish(List<KeyUpdate> updates) {
-            if (!updates.isEmpty()) {
-              server.publish(ChpProxyApi.publications(updates));
-            }
-          }
-
-          @Override
-          public void followList(boolean on) {
-            source.follow(on);
-          }
-
-          @Override
-          public void fetchList() {
-            source.fetch();
-          }
-        };
-    HostLimits usual = HostLimits.USUAL;
-    // Sequences must rise over restarts, or followers would drop what a restarted instance says.
-    EngineHost core =
-        new EngineHost(
-            settings.settings(),
-            settings.opTypeNames(),
-            new HostLimits(settings.bounds().proxies(), usual.reportPairs(), usual.keys()),
-            epoch,
-            unixMillis << SEQUENCE_SHIFT,
-            module(seed),
-            outside,
-            clock.now());
+    EngineHost host = createHost();
     server.start(settings.host(), settings.port());
-    List<EndpointRecord> last = saved.read();
-    loop.start(settings.name(), core);
-    loop.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, last));
-    source.start(loop::listTold, saved::keep);
+    List<EndpointRecord> saved = savedList.read();
+    engineLoop.start(settings.name(), host);
+    onEndpointListUpdate(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, saved));
+    source.start(this::onEndpointListUpdate, savedList::keep);
     LOG.info(
-        "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} tasks of the saved list",
+        "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints of the saved list",
         settings.name(),
         settings.host(),
         port(),
         port() + 1,
         port() + 2,
-        last.size());
+        saved.size());
+  }
+
+  private EngineHost createHost() {
+    long unixMillis = System.currentTimeMillis();
+    long seed = unixMillis ^ System.nanoTime();
+    HostLimits limits =
+        new HostLimits(
+            settings.bounds().proxies(),
+            HostLimits.DEFAULT.reportPairs(),
+            HostLimits.DEFAULT.keys());
+    // Sequences rise over restarts: subscribers drop an update whose sequence is not above the
+    // last.
+    long firstSequence = unixMillis << SEQUENCE_BITS_PER_MILLI;
+    return new EngineHost(
+        settings.settings(),
+        settings.opTypeNames(),
+        limits,
+        Long.toString(unixMillis, Character.MAX_RADIX),
+        firstSequence,
+        engineFactory().create(settings.settings(), seed, clock.now()),
+        new ServerEnvironment(),
+        clock.now());
+  }
+
+  private EngineFactory engineFactory() {
+    if (!settings.proposals()) {
+      return AssignmentEngine::new;
+    }
+    return (engineSettings, seed, now) ->
+        new AdvisedEngine(
+            new AssignmentEngine(engineSettings, seed, now), new WeightAdvisor(engineSettings));
+  }
+
+  private void onEndpointListUpdate(Event.EndpointListUpdate update) {
+    engineLoop.post((host, now) -> host.handleEndpointListUpdate(update, now));
+  }
+
+  /** Publishes by the server, and passes requests on to the endpoint source. */
+  private final class ServerEnvironment implements HostEnvironment {
+    private final EndpointListRequests endpointList = EndpointListRequests.to(source);
+
+    @Override
+    public void publish(List<KeyUpdate> updates) {
+      if (!updates.isEmpty()) {
+        server.publish(ChpProxyApi.publications(updates));
+      }
+    }
+
+    @Override
+    public void watchEndpoints(boolean enabled) {
+      endpointList.watchEndpoints(enabled);
+    }
+
+    @Override
+    public void fetchEndpoints() {
+      endpointList.fetchEndpoints();
+    }
   }
 
+  /** Returns the port of snapshots; those of updates and of the collector follow it. */
   public int port() {
     return server.port();
   }
 
-  /** Waits until the instance ends; what ended it, null where it was stopped. */
-  public Throwable awaitEnd() throws InterruptedException {
-    return loop.awaitEnd();
+  @Override
+  public Optional<Throwable> awaitEnd() throws InterruptedException {
+    return engineLoop.awaitEnd();
   }
 
-  /** Stops orderly; may be called once. */
+  /** Closes the listeners, sends what waits, snapshots included, and closes all connections. */
+  @Override
   public void stop() throws InterruptedException {
     source.stop();
     server.stopListening();
-    loop.stop();
-    server.stop(STOP_MILLIS);
-    saved.stop();
-    Histogram took = loop.moments();
+    engineLoop.stop();
+    server.stop(STOP_TIMEOUT_MILLIS);
+    savedList.stop();
+    DurationHistogram batches = engineLoop.batches();
     LOG.info(
-        "assigner {} stopped: {} moments with decisions, p50 {} us, p99 {} us, most {} us; {} words refused",
+        "assigner {} stopped: {} batches, p50 {} us, p99 {} us, max {} us; {} messages refused",
         settings.name(),
-        took.getTotalCount(),
-        took.getValueAtPercentile(50) / 1000,
-        took.getValueAtPercentile(99) / 1000,
-        took.getMaxValue() / 1000,
-        loop.refused());
-    sockets.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        batches.count(),
+        batches.atPercentile(50) / NANOS_PER_MICRO,
+        batches.atPercentile(99) / NANOS_PER_MICRO,
+        batches.max() / NANOS_PER_MICRO,
+        engineLoop.refusedTasks());
+    eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 }
--- a/src/main/java/stonespring/daemon/EndpointListRequests.java
+++ b/src/main/java/stonespring/daemon/EndpointListRequests.java
@@ -1,12 +1,30 @@
 package stonespring.daemon;
 
+import stonespring.discovery.EndpointSource;
+
 /**
- * What an instance's decisions ask of the list of tasks; calls come from the loop that drives it.
+ * What a decision engine asks of the source of the endpoint list. Called on the thread that drives
+ * the engine; the answers arrive as endpoint list events.
  */
 public interface EndpointListRequests {
-  /** Follows the list of tasks, or stops to; the answer comes as a list event, good or bad. */
-  void followList(boolean on);
+  /** Starts or stops watching the endpoint list. A started watch is answered, also if it fails. */
+  void watchEndpoints(boolean enabled);
+
+  /** Fetches the whole endpoint list once. */
+  void fetchEndpoints();
+
+  /** Passes requests on to an endpoint source. */
+  static EndpointListRequests to(EndpointSource source) {
+    return new EndpointListRequests() {
+      @Override
+      public void watchEndpoints(boolean enabled) {
+        source.follow(enabled);
+      }
 
-  /** Asks for the whole list once. */
-  void fetchList();
+      @Override
+      public void fetchEndpoints() {
+        source.fetch();
+      }
+    };
+  }
 }
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -1,11 +1,7 @@
 package stonespring.daemon;
 
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
-import java.util.TreeSet;
-import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stonespring.model.AckId;
@@ -13,59 +9,72 @@
 import stonespring.model.DeciMillis;
 import stonespring.model.DecisionEngine;
 import stonespring.model.EndpointId;
-import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 import stonespring.model.Settings;
 import stonespring.proxyapi.ProxyMessageHandler;
-import stonespring.state.*;
+import stonespring.state.KeyStore;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
+import stonespring.state.ProxySessions;
+import stonespring.state.ProxyUpdate;
+import stonespring.state.PublishedState;
+import stonespring.state.RateLimitedChannel;
+import stonespring.state.ReportAggregator;
+import stonespring.state.RouteTables;
 
 /**
- * One instance without its thread, clock and sockets: it tells the decision module what happens and
- * carries out what it orders. Time is passed in, tenths of a millisecond, so that a test drives it
- * in virtual time and the loop by the real clock, through the same code. What proxies say is
- * gathered and told once a period, as the module expects it.
+ * An instance without threads, clock and sockets: it passes what proxies and the endpoint list say
+ * to the decision engine, and publishes what the engine commands. Reports of proxies are aggregated
+ * and passed on once per report interval.
+ *
+ * <p>All times and durations are {@link DeciMillis} and are passed in, so that tests drive a host
+ * in virtual time. Not thread-safe. Methods that pass events to the engine throw {@link
+ * DecisionFailedException} if it fails; the host must not be used after that.
  */
 public final class EngineHost {
   private static final Logger LOG = LoggerFactory.getLogger(EngineHost.class);
-  private static final long STATUS_EVERY =
-      DeciMillis.SECOND; // 0.1 ms; a person and a probe look no oftener
-  private static final long ANSWER_MOST =
-      600 * DeciMillis.SECOND; // 0.1 ms; the histogram's end, longer counts as that
-  private static final int CAUSES_MOST = 8; // causes told in one log line
+  private static final long STATUS_INTERVAL = DeciMillis.SECOND;
+  private static final long MAX_ACKNOWLEDGEMENT_DURATION = 600 * DeciMillis.SECOND;
+  private static final int ACKNOWLEDGEMENT_DIGITS = 2;
 
   private final Settings settings;
-  private final HostEnvironment outside;
-  private final EngineRunner decisions;
-  private final ProxySessions presence;
-  private final RouteTables tables;
+  private final HostEnvironment environment;
+  private final EngineRunner engine;
+  private final ProxySessions sessions;
+  private final RouteTables routeTables;
   private final ReportAggregator reports;
   private final RateLimitedChannel channel;
   private final KeyStore keys;
   private final PublishedState published;
-  private final Set<EndpointId> listed = new HashSet<>();
-  private final TreeSet<String> ready = new TreeSet<>();
-  private final Histogram answers = new Histogram(ANSWER_MOST, 2);
-  private final List<String> causes = new ArrayList<>();
-  private int moreCauses;
-  private long reportsAt;
-  private long statusAt;
-  private long unknownReports;
+  private final ListedEndpoints endpoints = new ListedEndpoints();
+  private final DurationHistogram acknowledgements =
+      new DurationHistogram(MAX_ACKNOWLEDGEMENT_DURATION, ACKNOWLEDGEMENT_DIGITS);
+  private final CommandCauses causes = new CommandCauses();
+  private long nextReportsAt;
+  private long nextStatusAt;
+  private long reportsOfUnknownEndpoints;
 
+  /**
+   * Creates a host without proxies and endpoints.
+   *
+   * @param epoch names this start of the instance; unlike that of any other start
+   * @param firstSequence of published keys; above those of earlier starts
+   */
   public EngineHost(
       Settings settings,
-      List<String> opTypeNames,
+      List<String> requestClassNames,
       HostLimits limits,
       String epoch,
       long firstSequence,
-      DecisionEngine module,
-      HostEnvironment outside,
+      DecisionEngine engine,
+      HostEnvironment environment,
       long now) {
     this.settings = settings;
-    this.outside = outside;
-    this.decisions = new EngineRunner(module, outside);
-    this.presence = new ProxySessions(limits.proxies());
-    this.tables = new RouteTables(opTypeNames);
+    this.environment = environment;
+    this.engine = new EngineRunner(engine, environment);
+    this.sessions = new ProxySessions(limits.proxies());
+    this.routeTables = new RouteTables(requestClassNames);
     this.reports = new ReportAggregator(limits.reportPairs());
     this.channel =
         new RateLimitedChannel(
@@ -74,231 +83,245 @@
             settings.channel().maxBacklogEntries(),
             settings.channel().messageWindow());
     this.keys = new KeyStore(firstSequence, limits.keys());
-    this.published = new PublishedState(keys, epoch, presence);
-    this.reportsAt = now + settings.reportInterval();
-    this.statusAt = now;
+    this.published = new PublishedState(keys, epoch, sessions);
+    this.nextReportsAt = now + settings.reportInterval();
+    this.nextStatusAt = now;
   }
 
-  private void tell(long now, Event event, String cause) {
-    because(cause);
-    decisions.tell(now, event);
-  }
-
-  private void because(String cause) {
-    if (causes.size() < CAUSES_MOST) {
-      causes.add(cause);
-    } else {
-      moreCauses++;
-    }
+  private void handle(long now, Event event, String cause) {
+    causes.add(cause);
+    engine.handle(now, event);
   }
 
-  /** A proxy says that it is here, for {@code holds} from now. */
-  public void hello(
-      String proxy, ProxyHello hello, long holds, ProxyMessageHandler.Origin from, long now) {
-    ProxySessions.Verdict verdict = presence.hello(proxy, hello, from, now, now + holds);
+  /**
+   * Opens or renews a proxy's session, or closes its connection if that is refused.
+   *
+   * @param sessionTimeout from now
+   */
+  public void handleHello(
+      String proxy,
+      ProxyHello hello,
+      long sessionTimeout,
+      ProxyMessageHandler.Origin connection,
+      long now) {
+    ProxySessions.Verdict verdict =
+        sessions.hello(proxy, hello, connection, now, now + sessionTimeout);
     if (verdict instanceof ProxySessions.Verdict.Refused refused) {
-      from.end(refused.cause());
+      connection.end(refused.cause());
     } else if (verdict instanceof ProxySessions.Verdict.Joined joined) {
-      ProxyId id = joined.proxy();
       if (joined.before()) {
-        gone(id, "a newer stream of it came", now);
-        if (joined.oldConnection() != from) {
-          ((ProxyMessageHandler.Origin) joined.oldConnection())
-              .end("proxy " + proxy + " came back on a newer stream");
-        }
+        replaceSession(proxy, joined, connection, now);
       }
-      tables.joined(id, hello.holds());
-      tell(
-          now,
-          new Event.ProxyConnected(id, hello.zone(), hello.opsPerSecond(), hello.fresh()),
-          "join " + proxy);
-      outside.publish(published.here(id));
-      LOG.info(
-          "proxy {} joined as {}, stream {}, {}",
-          proxy,
-          id.number(),
-          published.origin(id),
-          hello.fresh() ? "with its standing table" : "with tables of its own");
+      startSession(proxy, joined.proxy(), hello, now);
+    }
+  }
+
+  private void replaceSession(
+      String proxy,
+      ProxySessions.Verdict.Joined joined,
+      ProxyMessageHandler.Origin connection,
+      long now) {
+    endSession(joined.proxy(), "replaced by a newer stream", now);
+    if (joined.oldConnection() != connection) {
+      ((ProxyMessageHandler.Origin) joined.oldConnection())
+          .end("proxy " + proxy + " came back on a newer stream");
     }
   }
 
-  private void gone(ProxyId id, String why, long now) {
-    tables.left(id);
+  private void startSession(String proxy, ProxyId id, ProxyHello hello, long now) {
+    routeTables.joined(id, hello.holds());
+    Event connected =
+        new Event.ProxyConnected(id, hello.zone(), hello.opsPerSecond(), hello.fresh());
+    handle(now, connected, "connect " + proxy);
+    environment.publish(published.here(id));
+    LOG.info(
+        "proxy {} connected as {}, stream {}, {}",
+        proxy,
+        id.number(),
+        published.origin(id),
+        hello.fresh() ? "with its bootstrap table" : "with route tables of its own");
+  }
+
+  private void endSession(ProxyId id, String reason, long now) {
+    routeTables.left(id);
     channel.left(id);
     reports.left(id);
-    outside.publish(published.ended(id));
-    tell(now, new Event.ProxyDisconnected(id), "left " + presence.name(id));
-    LOG.info("proxy {} left: {}", presence.name(id), why);
+    environment.publish(published.ended(id));
+    handle(now, new Event.ProxyDisconnected(id), "disconnect " + sessions.name(id));
+    LOG.info("proxy {} disconnected: {}", sessions.name(id), reason);
   }
 
-  /** A connection ended: whatever spoke on it is gone at once. */
-  public void closed(ProxyMessageHandler.Origin from, long now) {
-    for (ProxyId id : presence.closed(from)) {
-      gone(id, "its connection ended", now);
+  /** Ends the sessions of all proxies on a connection that was closed. */
+  public void handleConnectionClosed(ProxyMessageHandler.Origin connection, long now) {
+    for (ProxyId id : sessions.closed(connection)) {
+      endSession(id, "its connection was closed", now);
     }
   }
 
-  /** What a proxy met; from one that is not here it ends the connection. */
-  public void reported(
+  /**
+   * Takes a proxy's report, or closes the connection if the proxy has no session on it.
+   *
+   * @param interval that the report covers
+   */
+  public void handleReport(
       String proxy,
-      long span,
-      List<ReportAggregator.Met> met,
-      List<ReportAggregator.Came> came,
-      ProxyMessageHandler.Origin from) {
-    ProxyId id = presence.speaking(proxy, from);
+      long interval,
+      List<ReportAggregator.Met> outcomes,
+      List<ReportAggregator.Came> requests,
+      ProxyMessageHandler.Origin connection) {
+    ProxyId id = sessions.speaking(proxy, connection);
     if (id == null) {
-      from.end("report: proxy " + proxy + " never joined on this connection");
+      connection.end("report: proxy " + proxy + " never joined on this connection");
       return;
     }
-    // What its own tables name may be gone from the list since before this start: the decisions
-    // must hear of it.
-    List<EndpointId> holds = presence.hello(id).holds();
-    List<ReportAggregator.Met> known =
-        met.stream()
-            .filter(m -> listed.contains(m.task()) || holds != null && holds.contains(m.task()))
-            .toList();
-    unknownReports += met.size() - known.size();
-    reports.add(id, presence.hello(id).zone(), span, known, came);
+    ProxyHello hello = sessions.hello(id);
+    List<ReportAggregator.Met> known = ofKnownEndpoints(outcomes, hello);
+    reportsOfUnknownEndpoints += outcomes.size() - known.size();
+    reports.add(id, hello.zone(), interval, known, requests);
   }
 
   /**
-   * A proxy has applied a message; a mark that was never set, or another stream's, means nothing.
+   * Selects the outcomes of endpoints that were listed or that the proxy's own route tables name:
+   * those may have left the list before this start, and the engine must know of them.
    */
-  public void answered(
-      String proxy, String stream, int mark, long took, ProxyMessageHandler.Origin from, long now) {
-    ProxyId id = presence.speaking(proxy, from);
-    if (id == null) {
-      from.end("answer: proxy " + proxy + " never joined on this connection");
-    } else if (published.origin(id).equals(stream)) {
-      long orderedAt = published.answer(id, mark);
-      if (orderedAt < 0) {
-        from.end("answer: mark " + mark + " was never set for proxy " + proxy);
-        return;
+  private List<ReportAggregator.Met> ofKnownEndpoints(
+      List<ReportAggregator.Met> outcomes, ProxyHello hello) {
+    List<EndpointId> ownRoutes = hello.holds() == null ? List.of() : hello.holds();
+    List<ReportAggregator.Met> known = new ArrayList<>(outcomes.size());
+    for (ReportAggregator.Met outcome : outcomes) {
+      if (endpoints.wasListed(outcome.task()) || ownRoutes.contains(outcome.task())) {
+        known.add(outcome);
       }
-      answers.recordValue(Math.min(ANSWER_MOST, Math.max(0, now - orderedAt)));
-      tell(now, new Event.UpdateAcknowledged(id, new AckId(mark), took), "answer " + proxy);
     }
+    return known;
   }
 
-  /** What the list of tasks says. */
-  public void listTold(Event.EndpointListUpdate told, long now) {
-    for (EndpointRecord listing : told.endpoints()) {
-      listed.add(listing.endpoint());
+  /**
+   * Takes a proxy's acknowledgement of an update. One for an earlier stream is ignored; one that
+   * was never requested closes the connection.
+   *
+   * @param duration from the command to its effect, as the proxy measured it
+   */
+  public void handleAcknowledgement(
+      String proxy,
+      String stream,
+      int ack,
+      long duration,
+      ProxyMessageHandler.Origin connection,
+      long now) {
+    ProxyId id = sessions.speaking(proxy, connection);
+    if (id == null) {
+      connection.end("answer: proxy " + proxy + " never joined on this connection");
+      return;
     }
-    countReady(told);
-    LOG.info("list {}: {} entries", told.kind(), told.endpoints().size());
-    tell(now, told, "list " + told.kind() + " of " + told.endpoints().size());
-  }
-
-  private void countReady(Event.EndpointListUpdate told) {
-    if (told.kind() == Event.ListUpdateKind.SNAPSHOT) {
-      ready.clear();
+    if (!published.origin(id).equals(stream)) {
+      return;
     }
-    for (EndpointRecord listing : told.endpoints()) {
-      if (listing.state() == EndpointRecord.State.READY) {
-        ready.add(listing.endpoint().name());
-      } else {
-        ready.remove(listing.endpoint().name());
-      }
+    long commandedAt = published.answer(id, ack);
+    if (commandedAt < 0) {
+      connection.end("answer: mark " + ack + " was never set for proxy " + proxy);
+      return;
     }
+    acknowledgements.record(now - commandedAt);
+    handle(now, new Event.UpdateAcknowledged(id, new AckId(ack), duration), "ack " + proxy);
   }
 
+  /** Takes an update of the endpoint list. */
+  public void handleEndpointListUpdate(Event.EndpointListUpdate update, long now) {
+    endpoints.update(update);
+    LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
+    handle(now, update, "list " + update.kind() + " of " + update.endpoints().size());
+  }
+
+  /** Returns the keys below a prefix, with their values. */
   public List<KeyUpdate> snapshot(String subtree) {
     return keys.snapshot(subtree);
   }
 
+  /** Returns the sequence number of the latest key update. */
   public long sequence() {
     return keys.sequence();
   }
 
-  /** Does all that is due by now, and says when something is due next. */
-  public long run(long now) {
-    if (decisions.timersDue(now)) {
-      because("timer");
+  /**
+   * Does all that is due.
+   *
+   * @return when something is due next
+   */
+  public long runDue(long now) {
+    if (engine.fireDueTimers(now)) {
+      causes.add("timer");
     }
-    for (ProxyId id : presence.expire(now)) {
-      gone(id, "its presence was not renewed", now);
+    for (ProxyId id : sessions.expire(now)) {
+      endSession(id, "its session expired", now);
     }
-    if (now >= reportsAt) {
-      List<Event> events = reports.drain();
-      events.forEach(event -> decisions.tell(now, event));
-      if (!events.isEmpty()) {
-        because("sums");
-      }
-      reportsAt =
-          Math.max(reportsAt + settings.reportInterval(), now + settings.reportInterval() / 2);
+    if (now >= nextReportsAt) {
+      passReports(now);
     }
-    if (decisions.pending()) {
-      carryOut(decisions.finish(now), now);
+    if (engine.hasPendingEvents()) {
+      carryOut(engine.endBatch(now), now);
       causes.clear();
-      moreCauses = 0;
     }
-    for (ProxyUpdate message : channel.due(now)) {
-      outside.publish(published.publish(message));
+    for (ProxyUpdate update : channel.due(now)) {
+      environment.publish(published.publish(update));
+    }
+    if (now >= nextStatusAt) {
+      nextStatusAt = now + STATUS_INTERVAL;
+      environment.publish(published.status(status()));
+    }
+    long nextAt = Math.min(Math.min(nextReportsAt, nextStatusAt), channel.nextAt());
+    return Math.min(nextAt, engine.nextTimerAt());
+  }
+
+  private void passReports(long now) {
+    List<Event> aggregated = reports.drain();
+    for (Event event : aggregated) {
+      engine.handle(now, event);
     }
-    if (now >= statusAt) {
-      statusAt = now + STATUS_EVERY;
-      outside.publish(published.status(status()));
+    if (!aggregated.isEmpty()) {
+      causes.add("reports");
     }
-    long next = Math.min(Math.min(reportsAt, statusAt), channel.nextAt());
-    return Math.min(next, decisions.nextTimer());
+    long interval = settings.reportInterval();
+    // After a delay the schedule is resumed, but no two intervals follow closely on each other.
+    nextReportsAt = Math.max(nextReportsAt + interval, now + interval / 2);
   }
 
-  private void carryOut(List<Command> orders, long now) {
-    List<ProxyUpdate> messages = tables.messages(orders, now);
-    channel.offer(messages, now);
-    if (!messages.isEmpty() && LOG.isDebugEnabled()) {
-      String cause =
-          String.join(", ", causes) + (moreCauses > 0 ? " and " + moreCauses + " more" : "");
-      for (ProxyUpdate message : messages) {
+  private void carryOut(List<Command> commands, long now) {
+    List<ProxyUpdate> updates = routeTables.messages(commands, now);
+    channel.offer(updates, now);
+    if (LOG.isDebugEnabled()) {
+      for (ProxyUpdate update : updates) {
         LOG.debug(
-            "order for {}: {} because of {}",
-            presence.name(message.proxy()),
-            message.changes(),
-            cause);
+            "update for {}: {} because of {}",
+            sessions.name(update.proxy()),
+            update.changes(),
+            causes);
       }
     }
-    if (channel.backlog() > settings.channel().maxBacklogEntries()) {
-      LOG.error(
-          "channel: {} lines wait, the limit is {}",
-          channel.backlog(),
-          settings.channel().maxBacklogEntries());
+    int limit = settings.channel().maxBacklogEntries();
+    if (channel.backlog() > limit) {
+      LOG.error("channel: {} entries wait, the limit is {}", channel.backlog(), limit);
     }
   }
 
   private String status() {
-    return "{\"proxies\":"
-        + presence.here()
-        + ",\"tasks_ready\":"
-        + ready.size()
-        + ",\"backlog_lines\":"
-        + channel.backlog()
-        + ",\"backlog_high\":"
-        + channel.backlogHigh()
-        + ",\"backlog_limit\":"
-        + settings.channel().maxBacklogEntries()
-        + ",\"messages_high\":"
-        + channel.messagesHigh()
-        + ",\"messages_limit\":"
-        + settings.channel().maxMessagesPerProxy()
-        + ",\"merged\":"
-        + channel.merged()
-        + ",\"reports_left_out\":"
-        + (reports.leftOut() + unknownReports)
-        + ",\"decisions\":"
-        + decisions.finishes()
-        + ",\"answer_ms_p50\":"
-        + answers.getValueAtPercentile(50) / 10.0
-        + ",\"answer_ms_p99\":"
-        + answers.getValueAtPercentile(99) / 10.0
-        + "}";
+    return HostStatus.toJson(
+        sessions,
+        endpoints,
+        channel,
+        settings.channel(),
+        reports.leftOut() + reportsOfUnknownEndpoints,
+        engine.endedBatches(),
+        acknowledgements);
   }
 
-  public int proxiesHere() {
-    return presence.here();
+  /** Returns the number of connected proxies. */
+  public int connectedProxies() {
+    return sessions.here();
   }
 
-  public long decisions() {
-    return decisions.finishes();
+  /** Returns how many batches the engine has ended. */
+  public long endedBatches() {
+    return engine.endedBatches();
   }
 }
--- a/src/main/java/stonespring/daemon/EngineRunner.java
+++ b/src/main/java/stonespring/daemon/EngineRunner.java
@@ -12,88 +12,117 @@
 import stonespring.model.TimerToken;
 
 /**
- * The decision module with its timers, as every route drives it: events in, a moment finished, what
- * concerns the list and the log carried out, what concerns proxies handed back. Time is passed in,
- * tenths of a millisecond.
+ * A decision engine with its timers, as every instance drives it: events go in, a batch is ended,
+ * commands about the endpoint list, timers and the log are carried out here, and those about
+ * proxies are returned. Time is passed in, {@link stonespring.model.DeciMillis}. Not thread-safe.
  */
 final class EngineRunner {
   private static final Logger LOG = LoggerFactory.getLogger(EngineRunner.class);
 
-  private record Timer(long at, long count, TimerToken token) {}
+  /** {@link #nextTimerAt} where no timer runs. */
+  static final long NO_TIMER = Long.MAX_VALUE;
 
-  private final DecisionEngine module;
-  private final EndpointListRequests list;
+  /** {@code sequence} keeps timers that are due at the same time in the order of their start. */
+  private record Timer(long dueAt, long sequence, TimerToken token) {}
+
+  private final DecisionEngine engine;
+  private final EndpointListRequests endpointList;
   private final PriorityQueue<Timer> timers =
-      new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparing(Timer::count));
-  private long timerCount;
-  private long finishes;
-  private boolean pending;
+      new PriorityQueue<>(Comparator.comparingLong(Timer::dueAt).thenComparing(Timer::sequence));
+  private long startedTimers;
+  private long endedBatches;
+  private boolean eventsPending;
 
-  EngineRunner(DecisionEngine module, EndpointListRequests list) {
-    this.module = module;
-    this.list = list;
+  EngineRunner(DecisionEngine engine, EndpointListRequests endpointList) {
+    this.engine = engine;
+    this.endpointList = endpointList;
   }
 
-  void tell(long now, Event event) {
-    pending = true;
+  /**
+   * Passes an event to the engine.
+   *
+   * @throws DecisionFailedException if the engine throws
+   */
+  void handle(long now, Event event) {
+    eventsPending = true;
     try {
-      module.handle(now, event);
+      engine.handle(now, event);
     } catch (RuntimeException | StackOverflowError e) {
       throw new DecisionFailedException(e);
     }
   }
 
-  /** Tells the timers that are due; whether there were any. */
-  boolean timersDue(long now) {
-    boolean any = false;
-    while (!timers.isEmpty() && timers.peek().at <= now) {
-      tell(now, new Event.TimerFired(timers.poll().token));
-      any = true;
+  /**
+   * Fires the timers that are due.
+   *
+   * @return whether there were any
+   * @throws DecisionFailedException if the engine throws
+   */
+  boolean fireDueTimers(long now) {
+    boolean fired = false;
+    while (!timers.isEmpty() && timers.peek().dueAt <= now) {
+      handle(now, new Event.TimerFired(timers.poll().token));
+      fired = true;
     }
-    return any;
+    return fired;
   }
 
-  /** When the next timer is due; far away if there is none. */
-  long nextTimer() {
-    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
+  /** Returns when the next timer is due, {@link #NO_TIMER} if none runs. */
+  long nextTimerAt() {
+    return timers.isEmpty() ? NO_TIMER : timers.peek().dueAt;
   }
 
-  /** Whether anything was told since the last moment ended. */
-  boolean pending() {
-    return pending;
+  /** Returns whether the engine handled an event since the last batch ended. */
+  boolean hasPendingEvents() {
+    return eventsPending;
   }
 
-  /** Ends the moment; the orders that concern proxies, in order. */
-  List<Command> finish(long now) {
-    pending = false;
-    finishes++;
-    List<Command> orders;
+  /**
+   * Ends the batch and carries out what does not concern proxies.
+   *
+   * @return the commands that concern proxies, in order
+   * @throws DecisionFailedException if the engine throws
+   */
+  List<Command> endBatch(long now) {
+    eventsPending = false;
+    endedBatches++;
+    List<Command> commands;
     try {
-      orders = module.endBatch(now);
+      commands = engine.endBatch(now);
     } catch (RuntimeException | StackOverflowError e) {
       throw new DecisionFailedException(e);
     }
-    List<Command> forProxies = new ArrayList<>();
-    for (Command order : orders) {
-      if (order instanceof Command.StartTimer o) {
-        // Never in the moment that set it: the module could keep the loop busy for ever.
-        timers.add(new Timer(now + Math.max(1, o.delay()), timerCount++, o.token()));
-      } else if (order instanceof Command.FetchEndpoints) {
-        list.fetchList();
-      } else if (order instanceof Command.WatchEndpoints o) {
-        list.followList(o.enabled());
-      } else if (order instanceof Command.Log o) {
-        LOG.info("decision: {}", o.text());
-      } else if (order instanceof Command.HealthCheck || order instanceof Command.SendToPeer) {
-        LOG.warn("decision: {} is not carried out: settings that allow it are not offered", order);
-      } else {
-        forProxies.add(order);
+    List<Command> proxyCommands = new ArrayList<>();
+    for (Command command : commands) {
+      if (!carryOut(command, now)) {
+        proxyCommands.add(command);
       }
     }
-    return forProxies;
+    return proxyCommands;
+  }
+
+  /** Carries a command out; false if it concerns proxies. */
+  private boolean carryOut(Command command, long now) {
+    if (command instanceof Command.StartTimer start) {
+      // Never due in the batch that started it: the engine could keep the thread busy for ever.
+      long delay = Math.max(1, start.delay());
+      timers.add(new Timer(now + delay, startedTimers++, start.token()));
+    } else if (command instanceof Command.FetchEndpoints) {
+      endpointList.fetchEndpoints();
+    } else if (command instanceof Command.WatchEndpoints watch) {
+      endpointList.watchEndpoints(watch.enabled());
+    } else if (command instanceof Command.Log log) {
+      LOG.info("decision: {}", log.text());
+    } else if (command instanceof Command.HealthCheck || command instanceof Command.SendToPeer) {
+      LOG.warn("unsupported command, no setting allows it: {}", command);
+    } else {
+      return false;
+    }
+    return true;
   }
 
-  long finishes() {
-    return finishes;
+  /** Returns how many batches have ended. */
+  long endedBatches() {
+    return endedBatches;
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/daemon/EngineTimer.java
@@ -0,0 +1,45 @@
+package stonespring.daemon;
+
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+
+/** Wakes the event loop when the engine's next timer is due. Confined to the event loop. */
+final class EngineTimer {
+  private final EventLoop eventLoop;
+  private final Runnable onDue;
+  private long scheduledAt = EngineRunner.NO_TIMER;
+  private Future<?> scheduled;
+
+  EngineTimer(EventLoop eventLoop, Runnable onDue) {
+    this.eventLoop = eventLoop;
+    this.onDue = onDue;
+  }
+
+  /**
+   * Schedules the wake-up in place of the one before.
+   *
+   * @param dueAt {@link EngineRunner#NO_TIMER} leaves the one before
+   */
+  void schedule(long dueAt, long now) {
+    if (dueAt == scheduledAt || dueAt == EngineRunner.NO_TIMER) {
+      return;
+    }
+    if (scheduled != null) {
+      scheduled.cancel(false);
+    }
+    scheduledAt = dueAt;
+    long delay = Math.max(0, dueAt - now);
+    scheduled = eventLoop.schedule(this::due, InstanceClock.toMicros(delay), TimeUnit.MICROSECONDS);
+  }
+
+  private void due() {
+    scheduledAt = EngineRunner.NO_TIMER;
+    onDue.run();
+  }
+
+  /** Forgets what is scheduled, so that any time is scheduled anew. */
+  void reset() {
+    scheduledAt = EngineRunner.NO_TIMER;
+  }
+}
--- a/src/main/java/stonespring/daemon/EventLoopThread.java
+++ b/src/main/java/stonespring/daemon/EventLoopThread.java
@@ -1,182 +1,170 @@
 package stonespring.daemon;
 
-import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.BiConsumer;
-import java.util.function.LongConsumer;
-import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.model.Event;
-import stonespring.proxyapi.ProxyMessageHandler;
-import stonespring.state.KeyUpdate;
-import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
 
 /**
- * The one thread that drives an instance's core: words from the sockets wait in an inbox, a
- * moment's worth of them is told together, then the core does what is due. The inbox is bounded:
- * words of proxies are refused at the bound (their connection ends, they come again); lists and
- * ended connections always find room, there are few of them. What goes wrong while one word is
- * taken ends nothing but that word; what goes wrong in the decisions ends the instance.
+ * The thread that drives an {@link EngineHost}: tasks from other threads wait in a queue, those of
+ * one batch are run together, then the host does what is due. A task that fails affects no other; a
+ * failure of the decision engine ends the thread.
+ *
+ * <p>Tasks that are offered are refused when the queue is full; those that are posted are not, so
+ * only tasks that are few may be posted. Methods may be called from any thread.
  */
-public final class EventLoopThread implements ProxyMessageHandler {
+final class EventLoopThread {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoopThread.class);
-  private static final long MOST_NANOS =
-      TimeUnit.MINUTES.toNanos(1); // the histogram's end; longer counts as that
+  private static final long MAX_BATCH_NANOS = TimeUnit.MINUTES.toNanos(1);
+  private static final int BATCH_DIGITS = 3;
+  private static final long STOP_TIMEOUT_SECONDS = 10;
+
+  /** A task on the loop's thread. */
+  @FunctionalInterface
+  interface Task {
+    /**
+     * Runs the task.
+     *
+     * @param now the clock, the same for all tasks of a batch; {@link stonespring.model.DeciMillis}
+     */
+    void run(EngineHost host, long now);
+  }
 
   private final InstanceClock clock;
-  private final int inboxMost;
-  private final int momentMillis;
-  private final LinkedBlockingQueue<LongConsumer> inbox = new LinkedBlockingQueue<>();
-  private final AtomicInteger words = new AtomicInteger();
-  private final AtomicLong refused = new AtomicLong();
-  private final Histogram moments = new Histogram(MOST_NANOS, 3);
+  private final int maxOfferedTasks;
+  private final int batchDelayMillis;
+  private final LinkedBlockingQueue<Task> queue = new LinkedBlockingQueue<>();
+  private final AtomicInteger offeredTasks = new AtomicInteger();
+  private final AtomicLong refusedTasks = new AtomicLong();
   private final CountDownLatch ended = new CountDownLatch(1);
-  private EngineHost core;
   private volatile boolean stopping;
-  private volatile Throwable failure;
+  private volatile Optional<Throwable> failure = Optional.empty();
+
+  /** Nanoseconds; written by the loop's thread, read after its end. */
+  private final DurationHistogram batches = new DurationHistogram(MAX_BATCH_NANOS, BATCH_DIGITS);
 
-  public EventLoopThread(InstanceClock clock, int inboxMost, int momentMillis) {
+  /**
+   * Creates a loop that does not run yet; its queue takes tasks already.
+   *
+   * @param maxOfferedTasks offered tasks that may wait
+   * @param batchDelayMillis how long a batch's first task waits for others
+   */
+  EventLoopThread(InstanceClock clock, int maxOfferedTasks, int batchDelayMillis) {
     this.clock = clock;
-    this.inboxMost = inboxMost;
-    this.momentMillis = momentMillis;
+    this.maxOfferedTasks = maxOfferedTasks;
+    this.batchDelayMillis = batchDelayMillis;
   }
 
-  /** Starts the thread that drives this core. */
-  public void start(String name, EngineHost driven) {
-    core = driven;
-    Thread thread = new Thread(this::drive, name + "-loop");
-    thread.setUncaughtExceptionHandler((t, e) -> LOG.error("loop ended", e));
+  /** Starts the thread. The host must not be used by any other thread from now on. */
+  void start(String name, EngineHost host) {
+    Thread thread = new Thread(() -> run(host), name + "-loop");
+    thread.setUncaughtExceptionHandler((t, e) -> LOG.error("event loop ended", e));
     thread.start();
   }
 
-  private void drive() {
+  private void run(EngineHost host) {
     try {
       long wakeAt = clock.now();
       while (!stopping) {
-        long wait = Math.max(0, wakeAt - clock.now());
-        LongConsumer word = inbox.poll(wait * 100, TimeUnit.MICROSECONDS);
-        if (word != null && momentMillis > 0) {
-          Thread.sleep(momentMillis); // what comes within a moment is told together
-        }
-        long began = System.nanoTime();
-        long now = clock.now();
-        for (; word != null; word = inbox.poll()) {
-          take(word, now);
-        }
-        long decisions = core.decisions();
-        wakeAt = core.run(now);
-        if (core.decisions() > decisions) {
-          moments.recordValue(Math.min(MOST_NANOS, System.nanoTime() - began));
-        }
+        wakeAt = runBatch(host, wakeAt);
       }
     } catch (DecisionFailedException e) {
-      failure = e.getCause();
+      failure = Optional.of(e.getCause());
       LOG.error(
-          "the decisions failed: this instance ends, its proxies go on by their last tables",
+          "the decision engine failed: the instance ends, its proxies keep their route tables",
           e.getCause());
     } catch (InterruptedException e) {
-      failure = e;
+      failure = Optional.of(e);
     } catch (RuntimeException | Error e) {
-      failure = e;
-      LOG.error("the loop failed: this instance ends, its proxies go on by their last tables", e);
+      failure = Optional.of(e);
+      LOG.error("event loop failed: the instance ends, its proxies keep their route tables", e);
     } finally {
       ended.countDown();
     }
   }
 
-  private void take(LongConsumer word, long now) {
+  /** Waits for tasks or the time, and runs a batch; returns when something is due next. */
+  private long runBatch(EngineHost host, long wakeAt) throws InterruptedException {
+    long wait = Math.max(0, wakeAt - clock.now());
+    Task task = queue.poll(InstanceClock.toMicros(wait), TimeUnit.MICROSECONDS);
+    if (task != null && batchDelayMillis > 0) {
+      Thread.sleep(batchDelayMillis); // for tasks that arrive together
+    }
+    long startedNanos = System.nanoTime();
+    long now = clock.now();
+    while (task != null) {
+      runTask(task, host, now);
+      task = queue.poll();
+    }
+    long batchesBefore = host.endedBatches();
+    long nextAt = host.runDue(now);
+    if (host.endedBatches() > batchesBefore) {
+      batches.record(System.nanoTime() - startedNanos);
+    }
+    return nextAt;
+  }
+
+  private static void runTask(Task task, EngineHost host, long now) {
     try {
-      word.accept(now);
+      task.run(host, now);
     } catch (DecisionFailedException e) {
       throw e;
     } catch (RuntimeException e) {
-      LOG.error("a word could not be taken", e);
+      LOG.error("a message could not be processed", e);
     }
   }
 
-  private boolean offer(LongConsumer word) {
-    if (words.incrementAndGet() > inboxMost || stopping) {
-      words.decrementAndGet();
-      refused.incrementAndGet();
+  /** Queues a task; returns false if there is no room or the loop stops. */
+  boolean offer(Task task) {
+    if (offeredTasks.incrementAndGet() > maxOfferedTasks || stopping) {
+      offeredTasks.decrementAndGet();
+      refusedTasks.incrementAndGet();
       return false;
     }
-    inbox.add(
-        now -> {
-          words.decrementAndGet();
-          word.accept(now);
+    queue.add(
+        (host, now) -> {
+          offeredTasks.decrementAndGet();
+          task.run(host, now);
         });
     return true;
   }
 
-  /** Runs on the loop's thread, soon; never refused. */
-  public void post(LongConsumer work) {
-    inbox.add(work);
-  }
-
-  @Override
-  public boolean hello(String proxy, ProxyHello hello, long holds, Origin from) {
-    return offer(now -> core.hello(proxy, hello, holds, from, now));
-  }
-
-  @Override
-  public boolean reported(
-      String proxy,
-      long span,
-      List<ReportAggregator.Met> met,
-      List<ReportAggregator.Came> came,
-      Origin from) {
-    return offer(now -> core.reported(proxy, span, met, came, from));
-  }
-
-  @Override
-  public boolean answered(String proxy, String stream, int mark, long took, Origin from) {
-    return offer(now -> core.answered(proxy, stream, mark, took, from, now));
-  }
-
-  @Override
-  public boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then) {
-    return offer(now -> then.accept(core.snapshot(subtree), core.sequence()));
-  }
-
-  @Override
-  public void closed(Origin from) {
-    post(now -> core.closed(from, now));
-  }
-
-  public void listTold(Event.EndpointListUpdate told) {
-    post(now -> core.listTold(told, now));
+  /** Queues a task, whether or not there is room. */
+  void post(Task task) {
+    queue.add(task);
   }
 
-  /** Ends after the moment in hand. */
-  public void stop() throws InterruptedException {
+  /** Ends the loop after the batch that it runs, and waits for that. */
+  void stop() throws InterruptedException {
     stopping = true;
-    post(now -> {});
-    ended.await(10, TimeUnit.SECONDS);
+    post((host, now) -> {}); // wakes it
+    ended.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   /**
-   * Waits until the loop has ended by itself or was stopped; the failure that ended it, or null.
+   * Waits until the loop has ended.
+   *
+   * @return the failure that ended it, empty if it was stopped
    */
-  public Throwable awaitEnd() throws InterruptedException {
+  Optional<Throwable> awaitEnd() throws InterruptedException {
     ended.await();
     return failure;
   }
 
   /**
-   * How long a moment with decisions took, from its first word to its orders: a copy, in
-   * nanoseconds. Loop ended.
+   * Returns how long batches with events took, from their first task to their last update, in
+   * nanoseconds. To be used after the loop's end.
    */
-  public Histogram moments() {
-    return moments.copy();
+  DurationHistogram batches() {
+    return batches;
   }
 
-  public long refused() {
-    return refused.get();
+  /** Returns how many offered tasks were refused. */
+  long refusedTasks() {
+    return refusedTasks.get();
   }
 }
--- a/src/main/java/stonespring/daemon/HostEnvironment.java
+++ b/src/main/java/stonespring/daemon/HostEnvironment.java
@@ -3,8 +3,11 @@
 import java.util.List;
 import stonespring.state.KeyUpdate;
 
-/** What the core of an instance has done outside; calls come from the loop that drives it. */
+/**
+ * What an {@link EngineHost} has done outside of it. Called on the thread that drives the host;
+ * must not block.
+ */
 public interface HostEnvironment extends EndpointListRequests {
-  /** Tells all fronts. */
+  /** Sends updates of published keys to all subscribers, in order; the list may be empty. */
   void publish(List<KeyUpdate> updates);
 }
--- /dev/null
+++ b/src/main/java/stonespring/daemon/HostStatus.java
@@ -0,0 +1,45 @@
+package stonespring.daemon;
+
+import stonespring.model.Settings;
+import stonespring.state.ProxySessions;
+import stonespring.state.RateLimitedChannel;
+
+/** Writes an instance's status as the JSON object that it publishes; its fields are stable. */
+final class HostStatus {
+  private HostStatus() {}
+
+  static String toJson(
+      ProxySessions sessions,
+      ListedEndpoints endpoints,
+      RateLimitedChannel channel,
+      Settings.ChannelLimits limits,
+      long reportsLeftOut,
+      long batches,
+      DurationHistogram acknowledgements) {
+    return "{\"proxies\":"
+        + sessions.here()
+        + ",\"tasks_ready\":"
+        + endpoints.readyCount()
+        + ",\"backlog_lines\":"
+        + channel.backlog()
+        + ",\"backlog_high\":"
+        + channel.backlogHigh()
+        + ",\"backlog_limit\":"
+        + limits.maxBacklogEntries()
+        + ",\"messages_high\":"
+        + channel.messagesHigh()
+        + ",\"messages_limit\":"
+        + limits.maxMessagesPerProxy()
+        + ",\"merged\":"
+        + channel.merged()
+        + ",\"reports_left_out\":"
+        + reportsLeftOut
+        + ",\"decisions\":"
+        + batches
+        + ",\"answer_ms_p50\":"
+        + InstanceClock.toMillis(acknowledgements.atPercentile(50))
+        + ",\"answer_ms_p99\":"
+        + InstanceClock.toMillis(acknowledgements.atPercentile(99))
+        + "}";
+  }
+}
--- a/src/main/java/stonespring/daemon/InstanceClock.java
+++ b/src/main/java/stonespring/daemon/InstanceClock.java
@@ -1,28 +1,47 @@
 package stonespring.daemon;
 
+import java.util.concurrent.TimeUnit;
+import stonespring.model.DeciMillis;
+
 /**
- * The instance's clock, whole tenths of a millisecond that never go back: it starts at the wall
- * clock's time and then follows the monotonic one, so that a wall clock that is set does not move
- * the instance's time.
+ * An instance's clock, in {@link DeciMillis}. It follows the monotonic clock from the wall clock's
+ * time at its creation, so it never goes back and does not move when the wall clock is set.
+ * Immutable.
  */
 public final class InstanceClock {
-  // 0.1 ms, a day: a task's start before the clock's has a time above 0, which means long ago, and
-  // counts as warm;
-  // with a second here all that had started an hour before an assigner were cold to it.
-  private static final long FIRST = 24L * 3600 * 10_000;
+  /**
+   * The clock's time at its creation: a day, so that an endpoint that started within the day before
+   * has a positive start time, from which its warm-up is computed.
+   */
+  private static final long START = TimeUnit.DAYS.toSeconds(1) * DeciMillis.SECOND;
 
-  private final long nanosAtStart = System.nanoTime();
+  private static final long NANOS_PER_DECI_MILLI = 100_000;
+  private static final long MICROS_PER_DECI_MILLI = 100;
+  private static final long DECI_MILLIS_PER_MILLI = 10;
 
-  /** The wall clock's tenths at which this clock stood at 0, less what it starts with. */
-  private final long unixOffset = System.currentTimeMillis() * 10 - FIRST;
+  private final long createdAtNanos = System.nanoTime();
+  private final long unixOffset = System.currentTimeMillis() * DECI_MILLIS_PER_MILLI - START;
 
   public long now() {
-    return FIRST + (System.nanoTime() - nanosAtStart) / 100_000;
+    return START + (System.nanoTime() - createdAtNanos) / NANOS_PER_DECI_MILLI;
   }
 
-  /**
-   * What is taken off a wall clock's time, in tenths of a millisecond, for a time of this clock.
-   */
+  /** Converts milliseconds to deci-milliseconds. */
+  static long ofMillis(long millis) {
+    return millis * DECI_MILLIS_PER_MILLI;
+  }
+
+  /** Converts deci-milliseconds to microseconds. */
+  static long toMicros(long deciMillis) {
+    return deciMillis * MICROS_PER_DECI_MILLI;
+  }
+
+  /** Converts deci-milliseconds to milliseconds. */
+  static double toMillis(long deciMillis) {
+    return deciMillis / (double) DECI_MILLIS_PER_MILLI;
+  }
+
+  /** Returns what is subtracted from a Unix time in deci-milliseconds to get this clock's time. */
   public long unixOffset() {
     return unixOffset;
   }
--- /dev/null
+++ b/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
@@ -0,0 +1,34 @@
+package stonespring.daemon;
+
+import stonespring.config.PlatformConfig;
+import stonespring.line.LineLimits;
+import stonespring.model.Settings;
+import stonespring.proxyapi.platform.PlatformProxyApi;
+
+/** Derives the limits of connections on the platform from the process's file descriptors. */
+final class PlatformConnectionLimits {
+  private static final int MAX_LINE_BYTES = 16 << 10;
+  private static final int MAX_PENDING_BYTES = 64 << 10;
+
+  /** Half of the time within which a client that never identifies itself must be disconnected. */
+  private static final int IDENTIFICATION_TIMEOUT_MILLIS = 1_500;
+
+  /** Descriptors of the process itself, of the listener and of requests to discovery. */
+  private static final int RESERVED_DESCRIPTORS = 56;
+
+  private static final int MIN_UNIDENTIFIED = 8;
+  private static final int MAX_UNIDENTIFIED = 256;
+
+  private PlatformConnectionLimits() {}
+
+  /** Leaves connections that are not identified yet what proxies and collectors do not need. */
+  static LineLimits of(PlatformConfig config) {
+    Settings.Fleet fleet = config.facts().settings().fleet();
+    // One collector above its zone's bound is accepted before the oldest is closed.
+    int collectors = (PlatformProxyApi.COLLECTORS_A_ZONE + 1) * fleet.zones();
+    int available = config.sockets() - fleet.proxies() - collectors - RESERVED_DESCRIPTORS;
+    int unidentified = Math.max(MIN_UNIDENTIFIED, Math.min(MAX_UNIDENTIFIED, available));
+    return new LineLimits(
+        MAX_LINE_BYTES, unidentified, IDENTIFICATION_TIMEOUT_MILLIS, MAX_PENDING_BYTES);
+  }
+}
--- a/src/main/java/stonespring/daemon/RestartBudget.java
+++ b/src/main/java/stonespring/daemon/RestartBudget.java
@@ -4,22 +4,21 @@
 import stonespring.model.DeciMillis;
 
 /**
- * How often the decisions may fail before the process ends. Counted within a span and not for ever:
- * a process runs for weeks, and ten moments of a bad hour are another matter than ten of a year.
+ * Limits how often the decision engine may be restarted within a sliding window. Time is passed in,
+ * {@link DeciMillis}.
  */
 final class RestartBudget {
-  private static final int MOST = 10; // restarts within the span; more is no passing moment
-  private static final long SPAN =
-      3_600 * DeciMillis.SECOND; // 0.1 ms; whoever looks after it sees a log line of each
+  private static final int MAX_RESTARTS = 10;
+  private static final long WINDOW = 3_600 * DeciMillis.SECOND;
 
-  private final ArrayDeque<Long> spentAt = new ArrayDeque<>();
+  private final ArrayDeque<Long> restartedAt = new ArrayDeque<>();
 
-  /** Spends a restart; whether there was one left. Time is passed in, tenths of a millisecond. */
-  boolean spend(long now) {
-    while (!spentAt.isEmpty() && now - spentAt.peek() > SPAN) {
-      spentAt.poll();
+  /** Counts a restart; returns false if it exceeds the budget. */
+  boolean tryRestart(long now) {
+    while (!restartedAt.isEmpty() && now - restartedAt.peek() > WINDOW) {
+      restartedAt.poll();
     }
-    spentAt.add(now);
-    return spentAt.size() <= MOST;
+    restartedAt.add(now);
+    return restartedAt.size() <= MAX_RESTARTS;
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -76,7 +76,7 @@
         new EngineHost(
             settings(),
             names,
-            HostLimits.USUAL,
+            HostLimits.DEFAULT,
             "e",
             1,
             made.module(),
@@ -93,17 +93,18 @@
               }
 
               @Override
-              public void followList(boolean on) {
+              public void watchEndpoints(boolean enabled) {
                 // The list is told as it was recorded, whoever follows.
               }
 
               @Override
-              public void fetchList() {
+              public void fetchEndpoints() {
                 // As above.
               }
             },
             0);
-    core.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
+    core.handleEndpointListUpdate(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
     RouterSettings routing = StandIns.routing(settings(), names, type -> DEDUPLICATED_FOR);
     for (Recording.Proxy p : recording.head().proxies()) {
       List<EndpointName> near =
@@ -149,7 +150,7 @@
         }
       }
     } else if (moment instanceof LoadSample.Listed m) {
-      core.listTold(
+      core.handleEndpointListUpdate(
           new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing(m))),
           agenda.now());
       pump();
@@ -170,7 +171,7 @@
             agenda.in(
                 REPORT_AWAY + late.by(),
                 () -> {
-                  core.reported(proxy.name(), settings().reportInterval(), met, came, proxy);
+                  core.handleReport(proxy.name(), settings().reportInterval(), met, came, proxy);
                   pump();
                 }));
     agenda.in(settings().reportInterval(), () -> report(proxy));
@@ -179,7 +180,7 @@
   /** Lets the instance do what is due, and comes back when something is due next. */
   private void pump() {
     Object before = advisor == null ? null : advisor.plan();
-    long next = core.run(agenda.now());
+    long next = core.runDue(agenda.now());
     plans += advisor != null && advisor.plan() != null && advisor.plan() != before ? 1 : 0;
     if (next < wake || wake <= agenda.now()) {
       wake = Math.max(next, agenda.now() + 1);
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -84,7 +84,7 @@
   // ---- Its assigner.
 
   void join(EngineHost core) {
-    core.hello(
+    core.handleHello(
         proxy.name(),
         new ProxyHello(
             "life",
@@ -119,7 +119,7 @@
         bareSince = empty ? agenda.now() : -1;
       }
       if (message.mark() >= 0) {
-        core.answered(
+        core.handleAcknowledgement(
             proxy.name(), message.origin(), message.mark(), fleet.away(), this, agenda.now());
       }
     }
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -129,7 +129,7 @@
         new EngineHost(
             settings,
             List.of("view", "extract"),
-            HostLimits.USUAL,
+            HostLimits.DEFAULT,
             "e" + restarts,
             now << 20,
             advised
@@ -144,13 +144,13 @@
               }
 
               @Override
-              public void followList(boolean on) {}
+              public void watchEndpoints(boolean enabled) {}
 
               @Override
-              public void fetchList() {}
+              public void fetchEndpoints() {}
             },
             now);
-    core.listTold(
+    core.handleEndpointListUpdate(
         new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.copyOf(list.values())), now);
     for (Seat seat : seats) {
       if (seat.line != null) {
@@ -251,7 +251,7 @@
   }
 
   private void hello(Seat seat) {
-    core.hello(
+    core.handleHello(
         seat.name,
         new ProxyHello(
             "life-" + seat.name,
@@ -279,7 +279,8 @@
     } else {
       leftAt.putIfAbsent(task, now);
     }
-    core.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing)), now);
+    core.handleEndpointListUpdate(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing)), now);
   }
 
   private void report(Seat seat) {
@@ -297,7 +298,7 @@
                       800,
                       new LoadReport(0.5, 1, Double.NaN, Double.NaN, Double.NaN)));
             });
-    core.reported(
+    core.handleReport(
         seat.name,
         SECOND,
         met,
@@ -363,13 +364,13 @@
         }
         for (int[] mark : seat.marks) {
           if (seat.line != null) {
-            core.answered(seat.name, seat.origin, mark[0], 100, seat.line, now);
+            core.handleAcknowledgement(seat.name, seat.origin, mark[0], 100, seat.line, now);
           }
         }
         seat.marks.clear();
         assertTrue(seat.line == null || seat.line.cause == null, () -> "ended: " + seat.line.cause);
       }
-      core.run(now);
+      core.runDue(now);
       check();
     }
   }
@@ -391,7 +392,7 @@
       if (seat.line != null) {
         Line line = seat.line;
         seat.line = null;
-        core.closed(line, now);
+        core.handleConnectionClosed(line, now);
       }
     } else if (draw < 17) {
       startCore();
@@ -445,23 +446,23 @@
             new EndpointId("a@h:1"), new ZoneId(0), 1, EndpointRecord.State.READY, 0));
     Seat seat = one();
     Line stranger = new Line();
-    core.reported("p0", SECOND, List.of(), List.of(), stranger);
+    core.handleReport("p0", SECOND, List.of(), List.of(), stranger);
     assertTrue(stranger.cause.contains("never joined"));
     join(seat);
     now += STEP;
-    core.run(now);
+    core.runDue(now);
     now += SECOND;
-    core.run(now);
+    core.runDue(now);
     Line thief = new Line();
-    core.hello(
+    core.handleHello(
         "p0", new ProxyHello("another-life", 99, new ZoneId(0), 1, true, null), SECOND, thief, now);
     assertEquals("proxy p0 is here already", thief.cause);
     Line late = new Line();
-    core.answered("p0", seat.origin, 1, 1, late, now);
+    core.handleAcknowledgement("p0", seat.origin, 1, 1, late, now);
     assertTrue(late.cause.contains("never joined on this connection"));
-    core.answered("p0", "some-other-stream", 1, 1, seat.line, now);
+    core.handleAcknowledgement("p0", "some-other-stream", 1, 1, seat.line, now);
     assertEquals(null, seat.line.cause, "an answer to an earlier stream's mark may be on its way");
-    core.answered("p0", seat.origin, 64_999, 1, seat.line, now);
+    core.handleAcknowledgement("p0", seat.origin, 64_999, 1, seat.line, now);
     assertEquals("answer: mark 64999 was never set for proxy p0", seat.line.cause);
   }
 
@@ -478,23 +479,23 @@
     Seat seat = one();
     join(seat);
     now += SECOND;
-    core.run(now);
+    core.runDue(now);
     Line old = seat.line;
     String before = seat.origin;
     join(seat);
     now += SECOND;
-    core.run(now);
+    core.runDue(now);
     assertTrue(old.cause.contains("newer stream"));
-    assertEquals(1, core.proxiesHere());
+    assertEquals(1, core.connectedProxies());
     for (int i = 0; i < 100 && seat.origin.equals(before); i++) {
       now += STEP;
       hello(seat);
       report(seat);
-      core.run(now);
+      core.runDue(now);
     }
     assertTrue(!seat.origin.equals(before), "the new stream gets orders of its own");
     now += 4 * SECOND;
-    core.run(now);
-    assertEquals(0, core.proxiesHere(), "what is not renewed ends");
+    core.runDue(now);
+    assertEquals(0, core.connectedProxies(), "what is not renewed ends");
   }
 }
--- a/src/test/java/stonespring/daemon/PlatformTest.java
+++ b/src/test/java/stonespring/daemon/PlatformTest.java
@@ -342,7 +342,7 @@
   void aProcessThatIgnoresHangUpsSaysSoAndFindsAMovedDiscovery() throws Exception {
     runAfter("trap '' HUP", config(discovery.getLocalPort()));
     dial();
-    awaitLog("hang-ups are ignored");
+    awaitLog("SIGHUP is ignored");
     CallByHand call = watched(discovery);
     call.raw(CallByHand.CHUNKS).chunk(list(5, host("s-1", "west")) + "\n");
     ServerSocket moved = server();
@@ -608,7 +608,7 @@
     Socket proxy = new Socket("127.0.0.1", daemon.port());
     open.add(proxy);
     say(proxy, "SUBSCRIBE id=2 site=west rps=3.0 new=1");
-    assertEquals("as the test wants it", daemon.awaitEnd().getMessage());
+    assertEquals("as the test wants it", daemon.awaitEnd().orElseThrow().getMessage());
     daemon.stop();
   }
 
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -12,11 +12,11 @@
     RestartBudget budget = new RestartBudget();
     long hour = 3_600 * DeciMillis.SECOND;
     for (long week = 0; week < 500; week++) {
-      assertTrue(budget.spend(week * 7 * 24 * hour));
+      assertTrue(budget.tryRestart(week * 7 * 24 * hour));
     }
     int left = 0;
     long now = 500 * 7 * 24 * hour;
-    while (budget.spend(now++)) {
+    while (budget.tryRestart(now++)) {
       left++;
     }
     assertEquals(10, left);
