--- a/src/main/java/stonespring/cli/AssignerCommand.java
+++ b/src/main/java/stonespring/cli/AssignerCommand.java
@@ -42,16 +42,19 @@
               + " endpoint list can't be had");
     }
     if (path == null || path.toString().isEmpty()) {
-      return ExitCode.fail(ExitCode.USAGE, "NODE_CONFIG: it is not set, and no file is named");
+      throw CommandFailedException.usage("NODE_CONFIG: it is not set, and no file is named");
     }
-    PlatformDaemon daemon;
+    PlatformDaemon daemon = new PlatformDaemon(readConfig());
+    daemon.start();
+    reloader.attach(daemon);
+    return ForegroundProcess.runUntilStopped("assigner", daemon);
+  }
+
+  private PlatformConfig readConfig() throws CommandFailedException {
     try {
-      daemon = new PlatformDaemon(PlatformConfig.read(path));
+      return PlatformConfig.read(path);
     } catch (PlatformConfig.BadFile e) {
-      return ExitCode.fail(ExitCode.USAGE, e.getMessage());
+      throw CommandFailedException.usage(e.getMessage(), e);
     }
-    daemon.start();
-    reloader.attach(daemon);
-    return InstanceProcess.runUntilStopped("assigner", daemon);
   }
 }
--- a/src/main/java/stonespring/cli/CheckCommand.java
+++ b/src/main/java/stonespring/cli/CheckCommand.java
@@ -7,6 +7,7 @@
 import stonespring.config.InstanceSettings;
 import stonespring.config.ScriptException;
 
+/** Checks a settings script and prints its errors. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/Commands.java
+++ b/src/main/java/stonespring/cli/Commands.java
@@ -1,9 +1,10 @@
 package stonespring.cli;
 
+import java.io.IOException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line: one program, its parts by name. */
+/** The program with its sub-commands. */
 @Command(
     name = "stonespring",
     mixinStandardHelpOptions = true,
@@ -15,8 +16,8 @@
       AssignerCommand.class,
       CheckCommand.class,
       SnapshotCommand.class,
-      DayCommand.class,
-      TaskCommand.class,
+      ScenarioCommand.class,
+      EndpointCommand.class,
       ProxyCommand.class,
       RegistryCommand.class,
       MeasureCommand.class,
@@ -26,6 +27,9 @@
       SimHostCommand.class
     })
 public final class Commands {
+  private Commands() {}
+
+  /** The version in the jar's manifest. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -34,29 +38,30 @@
     }
   }
 
-  private Commands() {}
-
-  /** Runs one command; returns the exit code. */
+  /** Runs the command that the arguments name; returns its exit code. */
   public static int run(String... args) {
-    return line().execute(args);
+    return commandLine().execute(args);
   }
 
-  static CommandLine line() {
-    CommandLine line = new CommandLine(new Commands()).setCaseInsensitiveEnumValuesAllowed(true);
-    line.setExecutionExceptionHandler(
-        (e, command, result) -> {
-          if (e instanceof RuntimeException && !(e.getCause() instanceof java.io.IOException)) {
-            e.printStackTrace();
-          }
-          return ExitCode.fail(
-              ExitCode.FAILED,
-              command.getCommandName()
-                  + ": "
-                  + (e.getMessage() == null ? e.toString() : e.getMessage()));
-        });
-    line.getSubcommands()
-        .values()
-        .forEach(sub -> sub.getCommandSpec().versionProvider(new Version()));
-    return line;
+  private static CommandLine commandLine() {
+    CommandLine commandLine = new CommandLine(new Commands());
+    commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+    commandLine.setExecutionExceptionHandler((e, command, result) -> report(e, command));
+    for (CommandLine subcommand : commandLine.getSubcommands().values()) {
+      subcommand.getCommandSpec().versionProvider(new Version());
+    }
+    return commandLine;
+  }
+
+  /** Prints what a command threw, with a stack trace if it hints at a defect. */
+  private static int report(Exception e, CommandLine command) {
+    if (e instanceof CommandFailedException failure) {
+      return ExitCode.fail(failure.exitCode(), failure.getMessage());
+    }
+    if (e instanceof RuntimeException && !(e.getCause() instanceof IOException)) {
+      e.printStackTrace();
+    }
+    String message = e.getMessage() == null ? e.toString() : e.getMessage();
+    return ExitCode.fail(ExitCode.FAILED, command.getCommandName() + ": " + message);
   }
 }
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -10,17 +10,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.recording.Recording;
-import stonespring.recording.RecordingFile;
 import stonespring.testbed.virtual.Charts;
 import stonespring.testbed.virtual.Comparison;
 import stonespring.testbed.virtual.Policy;
 
+/** Runs recorded loads in virtual time under several policies and compares them. */
 @Command(
     name = "compare",
     mixinStandardHelpOptions = true,
     description =
         "Plays recorded loads in virtual time under several policies: service with error bars, churn, crossings.")
 final class CompareCommand implements Callable<Integer> {
+  private static final int MAX_SEEDS = 1_000;
+
   @Parameters(paramLabel = "RECORDING", arity = "1..*", description = "Recorded loads.")
   private List<Path> files;
 
@@ -47,30 +49,27 @@
   @Override
   public Integer call() throws Exception {
     LoggingOptions.warningsOnly();
-    if (seeds < 1 || seeds > 1_000) {
-      return ExitCode.fail(ExitCode.USAGE, "compare: --seeds is from 1 to 1000");
+    if (seeds < 1 || seeds > MAX_SEEDS) {
+      throw CommandFailedException.usage("compare: --seeds is from 1 to " + MAX_SEEDS);
     }
     List<Recording> loads = new ArrayList<>();
-    try {
-      for (Path file : files) {
-        loads.add(RecordingFile.read(file));
-      }
-    } catch (RecordingFile.Bad e) {
-      return ExitCode.fail(ExitCode.USAGE, "compare: " + e.getMessage());
+    for (Path file : files) {
+      loads.add(InputFiles.readRecording("compare", file));
     }
     List<Comparison.Row> rows = Comparison.of(loads, policies, seeds);
-    System.out.print(
-        json
-            ? new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(rows)
-                + System.lineSeparator()
-            : text(rows));
+    if (json) {
+      System.out.println(
+          new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(rows));
+    } else {
+      System.out.print(table(rows));
+    }
     if (plots != null) {
       Charts.write(rows, plots).forEach(file -> System.err.println("written: " + file));
     }
     return ExitCode.OK;
   }
 
-  private String text(List<Comparison.Row> rows) {
+  private String table(List<Comparison.Row> rows) {
     StringBuilder out = new StringBuilder();
     out.append(
         String.format(
@@ -88,25 +87,25 @@
             "cross",
             "cold",
             "bare"));
-    for (Comparison.Row r : rows) {
+    for (Comparison.Row row : rows) {
       out.append(
           String.format(
               Locale.ROOT,
               "%-20s %-7s %.4f %.4f..%.4f %+.4f %+.4f..%+.4f %6.3f %6.0f %7.0f %6.2f %5.2f %5.1f%n",
-              r.load(),
-              r.policy().name().toLowerCase(Locale.ROOT),
-              r.service().mean(),
-              r.service().low(),
-              r.service().high(),
-              r.against().mean(),
-              r.against().low(),
-              r.against().high(),
-              r.worstWindow(),
-              r.connections(),
-              r.lines(),
-              r.crossings(),
-              r.coldWorst(),
-              r.bareSeconds()));
+              row.load(),
+              row.policy().name().toLowerCase(Locale.ROOT),
+              row.service().mean(),
+              row.service().low(),
+              row.service().high(),
+              row.against().mean(),
+              row.against().low(),
+              row.against().high(),
+              row.worstWindow(),
+              row.connections(),
+              row.lines(),
+              row.crossings(),
+              row.coldWorst(),
+              row.bareSeconds()));
     }
     return out.toString();
   }
--- a/src/main/java/stonespring/cli/TaskCommand.java
+++ b/src/main/java/stonespring/cli/EndpointCommand.java
@@ -7,12 +7,13 @@
 import picocli.CommandLine.Option;
 import stonespring.testbed.StandIns;
 
+/** Runs stand-in endpoints. */
 @Command(
     name = "task",
     mixinStandardHelpOptions = true,
     description =
         "Runs stand-in tasks: POST /op/TYPE with headers x-op and x-try, a load report in each answer.")
-final class TaskCommand implements Callable<Integer> {
+final class EndpointCommand implements Callable<Integer> {
   @Option(
       names = "--port",
       defaultValue = "9101",
@@ -50,7 +51,7 @@
   public Integer call() throws Exception {
     logging.apply();
     if (count < 1 || port < 1 || port + count > 65536) {
-      return ExitCode.fail(ExitCode.USAGE, "--port and --count do not fit 1 to 65535");
+      throw CommandFailedException.usage("--port and --count do not fit 1 to 65535");
     }
     for (int i = 0; i < count; i++) {
       System.out.println(
@@ -58,7 +59,6 @@
               + StandIns.task(
                   "m" + (i + 1), zones.get(i % zones.size()), port + i, cores, workMillis, cold));
     }
-    Thread.currentThread().join();
-    return ExitCode.OK;
+    return ForegroundProcess.runUntilKilled();
   }
 }
--- a/src/main/java/stonespring/cli/InstanceProcess.java
+++ b/src/main/java/stonespring/cli/ForegroundProcess.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import stonespring.daemon.Instance;
 
-/** Ties an instance to the life of its process: whichever ends first, the other ends in order. */
-final class InstanceProcess {
+/** Keeps the process running for a command that serves until it is stopped. */
+final class ForegroundProcess {
   /** For an instance to stop and this process to exit after a signal. */
   private static final long STOP_TIMEOUT_SECONDS = 10;
 
-  private InstanceProcess() {}
+  private ForegroundProcess() {}
 
   /**
-   * Waits until an instance ends or the process gets a signal to end, and stops the instance.
+   * Runs an instance until it ends or the process gets a signal; either way it is stopped in order.
    *
    * @param command names the command in an error message
    * @param instance has started
@@ -37,6 +37,12 @@
     return ExitCode.fail(ExitCode.FAILED, command + ": " + cause);
   }
 
+  /** Waits for a signal that ends the process; never returns otherwise. */
+  static int runUntilKilled() throws InterruptedException {
+    Thread.currentThread().join();
+    return ExitCode.OK;
+  }
+
   private static void stopOnShutdown(
       Instance instance, AtomicBoolean signalled, CountDownLatch ended) {
     signalled.set(true);
--- /dev/null
+++ b/src/main/java/stonespring/cli/InputFiles.java
@@ -0,0 +1,36 @@
+package stonespring.cli;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import stonespring.config.InstanceSettings;
+import stonespring.config.ScriptException;
+import stonespring.recording.Recording;
+import stonespring.recording.RecordingFile;
+
+/** Reads files that several commands take; one that can't be used is a usage error. */
+final class InputFiles {
+  private InputFiles() {}
+
+  /** Reads a settings script. */
+  static InstanceSettings readSettings(Path file) throws CommandFailedException {
+    try {
+      return InstanceSettings.read(file);
+    } catch (ScriptException e) {
+      throw CommandFailedException.usage("settings:\n" + e.getMessage(), e);
+    }
+  }
+
+  /**
+   * Reads a recorded load.
+   *
+   * @param command names the command in an error message
+   */
+  static Recording readRecording(String command, Path file)
+      throws CommandFailedException, IOException {
+    try {
+      return RecordingFile.read(file);
+    } catch (RecordingFile.Bad e) {
+      throw CommandFailedException.usage(command + ": " + e.getMessage(), e);
+    }
+  }
+}
--- a/src/main/java/stonespring/cli/LoadCommand.java
+++ b/src/main/java/stonespring/cli/LoadCommand.java
@@ -8,11 +8,15 @@
 import stonespring.recording.RecordingFile;
 import stonespring.testbed.virtual.Loads;
 
+/** Generates a recorded load. */
 @Command(
     name = "load",
     mixinStandardHelpOptions = true,
     description = "Draws a load with one kind of trouble and writes it.")
 final class LoadCommand implements Callable<Integer> {
+  private static final int MIN_ENDPOINTS = 3;
+  private static final int MAX_COUNT = 2_000;
+
   @Parameters(paramLabel = "KIND", description = "One of ${COMPLETION-CANDIDATES}.")
   private Loads.Kind kind;
 
@@ -23,18 +27,17 @@
   private long seed;
 
   @Option(names = "--tasks", defaultValue = "24", description = "How many (${DEFAULT-VALUE}).")
-  private int tasks;
+  private int endpoints;
 
   @Option(names = "--proxies", defaultValue = "24", description = "How many (${DEFAULT-VALUE}).")
   private int proxies;
 
   @Override
   public Integer call() throws Exception {
-    if (tasks < 3 || proxies < 1 || tasks > 2_000 || proxies > 2_000) {
-      return ExitCode.fail(
-          ExitCode.USAGE, "load: --tasks from 3 to 2000, --proxies from 1 to 2000");
+    if (endpoints < MIN_ENDPOINTS || endpoints > MAX_COUNT || proxies < 1 || proxies > MAX_COUNT) {
+      throw CommandFailedException.usage("load: --tasks from 3 to 2000, --proxies from 1 to 2000");
     }
-    RecordingFile.write(Loads.draw(kind, seed, tasks, proxies), file);
+    RecordingFile.write(Loads.draw(kind, seed, endpoints, proxies), file);
     return ExitCode.OK;
   }
 }
--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -8,6 +8,7 @@
 import stonespring.testbed.ScenarioRun;
 import stonespring.testbed.SolverTrial;
 
+/** Measures parts of the program; a method for each. */
 @Command(
     name = "measure",
     mixinStandardHelpOptions = true,
@@ -29,15 +30,15 @@
               names = "--within-ms",
               defaultValue = "1000",
               description = "All dial within (${DEFAULT-VALUE}).")
-          long within,
+          long withinMillis,
       @Option(
               names = "--seconds",
               defaultValue = "20",
               description = "Go on for (${DEFAULT-VALUE}).")
           long seconds)
       throws Exception {
-    System.out.print(Measure.fleet(file, proxies, within, seconds, ScenarioRun.folder()));
-    System.exit(ExitCode.OK); // idle proxies' redials would hold the process
+    System.out.print(Measure.fleet(file, proxies, withinMillis, seconds, ScenarioRun.folder()));
+    System.exit(ExitCode.OK); // the idle proxies reconnect and would keep the process running
     return ExitCode.OK;
   }
 
@@ -66,18 +67,19 @@
           "The weight solver by itself: whole solves and small changes by turns, and the distance from the bound.")
   int solver(
       @Option(names = "--tasks", defaultValue = "800", description = "How many (${DEFAULT-VALUE}).")
-          int tasks,
+          int endpoints,
       @Option(
               names = "--proxies",
               defaultValue = "800",
               description = "How many (${DEFAULT-VALUE}).")
           int proxies,
       @Option(names = "--rounds", defaultValue = "20", description = "Rounds (${DEFAULT-VALUE}).")
-          int rounds) {
-    if (tasks < 1 || proxies < 1 || rounds < 1) {
-      return ExitCode.fail(ExitCode.USAGE, "--tasks, --proxies and --rounds are at least 1");
+          int rounds)
+      throws CommandFailedException {
+    if (endpoints < 1 || proxies < 1 || rounds < 1) {
+      throw CommandFailedException.usage("--tasks, --proxies and --rounds are at least 1");
     }
-    System.out.print(SolverTrial.run(tasks, proxies, rounds));
+    System.out.print(SolverTrial.run(endpoints, proxies, rounds));
     return ExitCode.OK;
   }
 }
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -12,19 +12,29 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.config.InstanceSettings;
-import stonespring.config.ScriptException;
 import stonespring.model.RequestClass;
 import stonespring.proxy.Proxy;
 import stonespring.proxy.ProxySettings;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.testbed.StandIns;
 
+/** Runs a proxy of this project that follows an instance. */
 @Command(
     name = "proxy",
     mixinStandardHelpOptions = true,
     description =
         "Runs a plain proxy that follows the assigner of a settings script: POST /op/TYPE with header x-op.")
 final class ProxyCommand implements Callable<Integer> {
+  private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
+  private static final String ADDRESS_PATTERN = "[A-Za-z0-9.-]+:[0-9]{1,5}";
+  private static final long DECI_MILLIS_PER_MILLI = 10;
+  private static final double USUAL_REQUESTS_PER_SECOND = 1;
+  private static final int ROUTE_UPDATE_MICROS = 0;
+  private static final long SILENCE_TIMEOUT_MILLIS = 3_000;
+  private static final int MIN_RECONNECT_MILLIS = 300;
+  private static final int MAX_RECONNECT_MILLIS = 1_500;
+  private static final int SESSION_TIMEOUT_SECONDS = 3;
+
   @Parameters(
       paramLabel = "FILE",
       description = "The assigner's settings script; op types, shunning and ports come from it.")
@@ -53,49 +63,57 @@
   @Override
   public Integer call() throws Exception {
     logging.apply();
-    InstanceSettings of;
-    try {
-      of = InstanceSettings.read(file);
-    } catch (ScriptException e) {
-      return ExitCode.fail(ExitCode.USAGE, "settings:\n" + e.getMessage());
+    InstanceSettings script = InputFiles.readSettings(file);
+    if (!script.zones().contains(zone) || !name.matches(NAME_PATTERN)) {
+      throw CommandFailedException.usage(
+          "--zone is one of " + script.zones() + ", --name letters, digits, dots and dashes");
     }
-    if (!of.zones().contains(zone) || !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
-      return ExitCode.fail(
-          ExitCode.USAGE,
-          "--zone is one of " + of.zones() + ", --name letters, digits, dots and dashes");
+    ProxySettings settings = proxySettings(script);
+    MultiThreadIoEventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    Proxy proxy = new Proxy(settings, (EventLoop) eventLoops.next()).start(eventLoops, port);
+    System.out.println("proxy " + name + " 127.0.0.1:" + proxy.port());
+    return ForegroundProcess.runUntilKilled();
+  }
+
+  private ProxySettings proxySettings(InstanceSettings script) throws CommandFailedException {
+    RouterSettings routing = StandIns.routing(script, RequestClass::latencyObjective);
+    return new ProxySettings(
+        name,
+        zone,
+        System.nanoTime(),
+        routing,
+        StandIns.opTimeouts(script),
+        List.of(),
+        assignerPorts(script),
+        USUAL_REQUESTS_PER_SECOND,
+        ROUTE_UPDATE_MICROS,
+        script.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
+        SILENCE_TIMEOUT_MILLIS,
+        MIN_RECONNECT_MILLIS,
+        MAX_RECONNECT_MILLIS,
+        SESSION_TIMEOUT_SECONDS);
+  }
+
+  private List<ProxySettings.Ports> assignerPorts(InstanceSettings script)
+      throws CommandFailedException {
+    if (assigners.isEmpty()) {
+      return List.of(ports(script.host() + ":" + script.port()));
     }
     List<ProxySettings.Ports> ports = new ArrayList<>();
-    for (String assigner : assigners.isEmpty() ? List.of(of.host() + ":" + of.port()) : assigners) {
-      if (!assigner.matches("[A-Za-z0-9.-]+:[0-9]{1,5}")) {
-        return ExitCode.fail(ExitCode.USAGE, "--assigner is HOST:PORT, not " + assigner);
-      }
-      int at = Integer.parseInt(assigner.substring(assigner.indexOf(':') + 1));
-      ports.add(
-          new ProxySettings.Ports(
-              assigner.substring(0, assigner.indexOf(':')), at, at + 1, at + 2));
+    for (String assigner : assigners) {
+      ports.add(ports(assigner));
     }
-    RouterSettings router = StandIns.routing(of, RequestClass::latencyObjective);
-    ProxySettings settings =
-        new ProxySettings(
-            name,
-            zone,
-            System.nanoTime(),
-            router,
-            StandIns.opTimeouts(of),
-            List.of(),
-            ports,
-            1,
-            0,
-            of.settings().reportInterval() / 10,
-            3_000,
-            300,
-            1_500,
-            3);
-    MultiThreadIoEventLoopGroup loops =
-        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    Proxy proxy = new Proxy(settings, (EventLoop) loops.next()).start(loops, port);
-    System.out.println("proxy " + name + " 127.0.0.1:" + proxy.port());
-    Thread.currentThread().join();
-    return ExitCode.OK;
+    return ports;
+  }
+
+  /** Parses an assigner's address; its ports follow each other. */
+  private static ProxySettings.Ports ports(String assigner) throws CommandFailedException {
+    if (!assigner.matches(ADDRESS_PATTERN)) {
+      throw CommandFailedException.usage("--assigner is HOST:PORT, not " + assigner);
+    }
+    int colon = assigner.indexOf(':');
+    int first = Integer.parseInt(assigner.substring(colon + 1));
+    return new ProxySettings.Ports(assigner.substring(0, colon), first, first + 1, first + 2);
   }
 }
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -1,6 +1,7 @@
 package stonespring.cli;
 
 import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -8,6 +9,7 @@
 import picocli.CommandLine.Parameters;
 import stonespring.testbed.StandIns;
 
+/** Runs a stand-in registry of endpoints. */
 @Command(
     name = "registry",
     mixinStandardHelpOptions = true,
@@ -26,7 +28,7 @@
       split = ",",
       required = true,
       description = "The zones that the list may name.")
-  private java.util.List<String> zones;
+  private List<String> zones;
 
   @Mixin private LoggingOptions logging;
 
@@ -34,7 +36,6 @@
   public Integer call() throws Exception {
     logging.apply();
     System.out.println("registry " + StandIns.registry(file, zones, port));
-    Thread.currentThread().join();
-    return ExitCode.OK;
+    return ForegroundProcess.runUntilKilled();
   }
 }
--- a/src/main/java/stonespring/cli/DayCommand.java
+++ b/src/main/java/stonespring/cli/ScenarioCommand.java
@@ -13,12 +13,14 @@
 import stonespring.testbed.Scenario;
 import stonespring.testbed.ScenarioRun;
 
+/** Runs a scenario with stand-ins on loopback and checks its invariants. */
 @Command(
     name = "day",
+    aliases = "scenario",
     mixinStandardHelpOptions = true,
     description =
         "Plays a scripted day on loopback with stand-ins and judges the five rules by what crossed the sockets.")
-final class DayCommand implements Callable<Integer> {
+final class ScenarioCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "The day's script.")
   private Path file;
 
@@ -32,7 +34,7 @@
       names = "--keep",
       paramLabel = "FOLDER",
       description = "Where logs of the assigners are kept (a temporary folder).")
-  private Path keep;
+  private Path logFolder;
 
   @Option(
       names = "--record",
@@ -45,26 +47,32 @@
   @Override
   public Integer call() throws Exception {
     logging.apply();
-    Scenario day;
+    Scenario scenario = readScenario();
+    Path folder = logFolder == null ? ScenarioRun.folder() : Files.createDirectories(logFolder);
     try {
-      day = Scenario.read(file);
-    } catch (ScriptException e) {
-      return ExitCode.fail(ExitCode.USAGE, "day:\n" + e.getMessage());
-    }
-    Path folder = keep == null ? ScenarioRun.folder() : Files.createDirectories(keep);
-    try {
-      ScenarioRun run = new ScenarioRun(day, file, seed, folder);
+      ScenarioRun run = new ScenarioRun(scenario, file, seed, folder);
       InvariantChecker.Verdict verdict = run.run();
       if (record != null) {
-        RecordingFile.write(
-            run.recording(file.getFileName().toString().replaceAll("\\.[a-z]+$", "") + "-" + seed),
-            record);
+        RecordingFile.write(run.recording(recordingName()), record);
       }
       System.out.printf("seed %d: ", seed);
       System.out.print(ScenarioRun.report(verdict));
       return verdict.broken().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
     } catch (ScenarioRun.Failed e) {
-      return ExitCode.fail(ExitCode.FAILED, e.getMessage() + "; logs are in " + folder);
+      throw CommandFailedException.failed(e.getMessage() + "; logs are in " + folder, e);
+    }
+  }
+
+  private Scenario readScenario() throws CommandFailedException {
+    try {
+      return Scenario.read(file);
+    } catch (ScriptException e) {
+      throw CommandFailedException.usage("day:\n" + e.getMessage(), e);
     }
   }
+
+  private String recordingName() {
+    String scenarioName = file.getFileName().toString().replaceAll("\\.[a-z]+$", "");
+    return scenarioName + "-" + seed;
+  }
 }
--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.config.InstanceSettings;
-import stonespring.config.ScriptException;
 import stonespring.daemon.Daemon;
 
+/** Runs an instance that serves proxies by CHP. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
@@ -37,21 +37,19 @@
   @Override
   public Integer call() throws Exception {
     logging.apply();
-    InstanceSettings settings;
-    try {
-      settings = InstanceSettings.read(file);
-    } catch (ScriptException e) {
-      return ExitCode.fail(ExitCode.USAGE, "settings:\n" + e.getMessage());
-    }
-    try {
-      settings = settings.with(port, registryPort, savedList);
-    } catch (IllegalArgumentException e) {
-      return ExitCode.fail(ExitCode.USAGE, e.getMessage());
-    }
+    InstanceSettings settings = withOptions(InputFiles.readSettings(file));
     Daemon daemon = new Daemon(settings);
     daemon.start();
     System.out.println("serving " + settings.host() + " " + daemon.port());
     System.out.flush();
-    return InstanceProcess.runUntilStopped("serve", daemon);
+    return ForegroundProcess.runUntilStopped("serve", daemon);
+  }
+
+  private InstanceSettings withOptions(InstanceSettings script) throws CommandFailedException {
+    try {
+      return script.with(port, registryPort, savedList);
+    } catch (IllegalArgumentException e) {
+      throw CommandFailedException.usage(e.getMessage(), e);
+    }
   }
 }
--- a/src/main/java/stonespring/cli/SimHostCommand.java
+++ b/src/main/java/stonespring/cli/SimHostCommand.java
@@ -6,6 +6,7 @@
 import stonespring.simulator.SimulatorHost;
 import stonespring.simulator.SimulatorProtocolException;
 
+/** Hosts decision engines for the operators' simulator. */
 @Command(
     name = "simhost",
     mixinStandardHelpOptions = true,
@@ -13,14 +14,14 @@
         "Hosts assigners behind the simulator's wire: events on standard input, orders on standard output.")
 final class SimHostCommand implements Callable<Integer> {
   @Override
-  public Integer call() {
+  public Integer call() throws CommandFailedException {
     try {
       new SimulatorHost().run(System.in, System.out);
       return ExitCode.OK;
     } catch (SimulatorProtocolException e) {
-      return ExitCode.fail(ExitCode.FAILED, e.getMessage());
+      throw CommandFailedException.failed(e.getMessage(), e);
     } catch (IOException e) {
-      return ExitCode.fail(ExitCode.FAILED, "input or output failed: " + e.getMessage());
+      throw CommandFailedException.failed("input or output failed: " + e.getMessage(), e);
     }
   }
 }
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -17,13 +17,15 @@
 import stonespring.chp.ChpMessage;
 import stonespring.zmtp.ZmtpLimits;
 
+/** Prints the keys that a running instance publishes. */
 @Command(
     name = "snapshot",
     mixinStandardHelpOptions = true,
     description =
         "Prints what a running assigner publishes: a key and its value a line, as any CHP client sees it.")
 final class SnapshotCommand implements Callable<Integer> {
-  private static final long SILENCE_MILLIS = 5_000; // ms; HUGZ comes every second
+  private static final long SILENCE_TIMEOUT_MILLIS = 5_000; // a heartbeat comes every second
+  private static final long SNAPSHOT_TIMEOUT_MILLIS = 2 * SILENCE_TIMEOUT_MILLIS;
 
   @Parameters(paramLabel = "PORT", description = "The assigner's snapshot port.")
   private int port;
@@ -44,51 +46,61 @@
   private boolean follow;
 
   @Override
-  public Integer call() throws InterruptedException {
+  public Integer call() throws InterruptedException, CommandFailedException {
     if (!subtree.isEmpty() && !(subtree.startsWith("/") && subtree.endsWith("/"))) {
-      return ExitCode.fail(ExitCode.USAGE, "--subtree begins and ends with a slash");
+      throw CommandFailedException.usage("--subtree begins and ends with a slash");
     }
-    MultiThreadIoEventLoopGroup loops =
+    MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    CompletableFuture<String> end = new CompletableFuture<>();
+    Printer printer = new Printer();
     ChpClient client =
-        new ChpClient(
-            (EventLoop) loops.next(),
-            subtree,
-            SILENCE_MILLIS,
-            new ChpClient.Listener() {
-              @Override
-              public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
-                keys.forEach(key -> print(key.key(), key.value()));
-                System.out.println("# sequence " + sequence);
-                if (!follow) {
-                  end.complete("");
-                }
-              }
-
-              @Override
-              public void update(ChpMessage.KvPub update) {
-                print(update.key(), update.value());
-              }
-
-              @Override
-              public void ended(String cause) {
-                end.complete(cause);
-              }
-            });
+        new ChpClient((EventLoop) eventLoops.next(), subtree, SILENCE_TIMEOUT_MILLIS, printer);
     client.dial(host, port, false, ZmtpLimits.USUAL);
     try {
-      String cause = follow ? end.get() : end.get(2 * SILENCE_MILLIS, TimeUnit.MILLISECONDS);
-      return cause.isEmpty() ? ExitCode.OK : ExitCode.fail(ExitCode.FAILED, "snapshot: " + cause);
+      String error =
+          follow
+              ? printer.ended.get()
+              : printer.ended.get(SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      if (!error.isEmpty()) {
+        throw CommandFailedException.failed("snapshot: " + error);
+      }
+      return ExitCode.OK;
     } catch (ExecutionException | TimeoutException e) {
-      return ExitCode.fail(ExitCode.FAILED, "snapshot: no snapshot came");
+      throw CommandFailedException.failed("snapshot: no snapshot came", e);
     } finally {
-      loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+      eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+  }
+
+  /** Prints keys as they arrive, on the client's event loop. */
+  private final class Printer implements ChpClient.Listener {
+    /** Completed with the cause of the end; empty after a snapshot that is not followed. */
+    private final CompletableFuture<String> ended = new CompletableFuture<>();
+
+    @Override
+    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+      for (ChpMessage.KvSync key : keys) {
+        print(key.key(), key.value());
+      }
+      System.out.println("# sequence " + sequence);
+      if (!follow) {
+        ended.complete("");
+      }
+    }
+
+    @Override
+    public void update(ChpMessage.KvPub update) {
+      print(update.key(), update.value());
+    }
+
+    @Override
+    public void ended(String cause) {
+      ended.complete(cause);
     }
   }
 
   private static void print(String key, byte[] value) {
-    System.out.println(
-        key + (value.length == 0 ? " deleted" : " " + new String(value, StandardCharsets.UTF_8)));
+    String text = value.length == 0 ? "deleted" : new String(value, StandardCharsets.UTF_8);
+    System.out.println(key + " " + text);
   }
 }
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -1,7 +1,9 @@
 package stonespring.cli;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Path;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -9,11 +11,11 @@
 import picocli.CommandLine.Parameters;
 import stonespring.model.DeciMillis;
 import stonespring.recording.Recording;
-import stonespring.recording.RecordingFile;
 import stonespring.solver.Plan;
 import stonespring.testbed.virtual.Policy;
 import stonespring.testbed.virtual.VirtualFleet;
 
+/** Runs a recorded load in virtual time and explains the weight solver's plan. */
 @Command(
     name = "solve",
     mixinStandardHelpOptions = true,
@@ -24,7 +26,7 @@
   private Path file;
 
   @Option(names = "--at", paramLabel = "SECONDS", description = "The moment (the load's end).")
-  private Double at;
+  private Double at; // null for the end
 
   @Option(
       names = "--seed",
@@ -33,53 +35,40 @@
   private long seed;
 
   @Option(names = "--json", description = "The whole plan, with every table, as JSON.")
-  private boolean json;
+  private boolean asJson;
 
   @Override
   public Integer call() throws Exception {
     LoggingOptions.warningsOnly();
-    Recording recording;
-    try {
-      recording = RecordingFile.read(file);
-    } catch (RecordingFile.Bad e) {
-      return ExitCode.fail(ExitCode.USAGE, "solve: " + e.getMessage());
+    Recording recording = InputFiles.readRecording("solve", file);
+    double endSeconds = DeciMillis.toSeconds(recording.head().length());
+    if (at != null && !(at >= 0 && at <= endSeconds)) {
+      throw CommandFailedException.usage("solve: --at is outside 0 to " + endSeconds);
     }
-    double end = recording.head().length() / (double) DeciMillis.SECOND;
-    if (at != null && !(at >= 0 && at <= end)) {
-      return ExitCode.fail(ExitCode.USAGE, "solve: --at is outside 0 to " + end);
-    }
-    double moment = at == null ? end : at;
+    double atSeconds = at == null ? endSeconds : at;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
-    fleet.playTo((long) (moment * DeciMillis.SECOND));
+    fleet.playTo((long) (atSeconds * DeciMillis.SECOND));
     Plan plan = fleet.advisor().plan();
     if (plan == null) {
-      return ExitCode.fail(
-          ExitCode.FAILED,
-          "solve: no plan yet at " + moment + " s: the first comes after five rounds of sums");
-    }
-    if (json) {
-      System.out.println(
-          new ObjectMapper()
-              .writerWithDefaultPrettyPrinter()
-              .writeValueAsString(
-                  Map.of(
-                      "recording",
-                      recording.head().name(),
-                      "at_s",
-                      moment,
-                      "plan",
-                      plan,
-                      "gap",
-                      plan.gap())));
-    } else {
-      System.out.print(text(recording.head().name(), moment, plan));
+      throw CommandFailedException.failed(
+          "solve: no plan yet at " + atSeconds + " s: the first comes after five rounds of sums");
     }
+    String name = recording.head().name();
+    System.out.print(asJson ? json(name, atSeconds, plan) : table(name, atSeconds, plan));
     return ExitCode.OK;
   }
 
-  private static String text(String name, double moment, Plan plan) {
+  private static String json(String name, double atSeconds, Plan plan)
+      throws JsonProcessingException {
+    Map<String, Object> fields =
+        Map.of("recording", name, "at_s", atSeconds, "plan", plan, "gap", plan.gap());
+    return new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(fields)
+        + System.lineSeparator();
+  }
+
+  private static String table(String name, double atSeconds, Plan plan) {
     StringBuilder out = new StringBuilder();
-    out.append(String.format("%s at %.1f s, simulated tasks%n", name, moment));
+    out.append(String.format("%s at %.1f s, simulated tasks%n", name, atSeconds));
     out.append(
         String.format(
             "ops lost a second %.2f, at least %.2f whatever is done (%.1f%% over); %.1f ops find no task%n",
@@ -92,17 +81,17 @@
         String.format(
             "%-24s %9s %8s %8s %6s %9s  %s%n",
             "task", "trusted", "gets", "target", "fill", "price", "why"));
-    for (Plan.Share s : plan.shares()) {
+    for (Plan.Share share : plan.shares()) {
       out.append(
           String.format(
               "%-24s %9.1f %8.1f %8.1f %5.0f%% %9.4f  %s%n",
-              s.task().name(),
-              s.capacity(),
-              s.load(),
-              s.target(),
-              100 * s.load() / s.capacity(),
-              s.price(),
-              s.why().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
+              share.task().name(),
+              share.capacity(),
+              share.load(),
+              share.target(),
+              100 * share.load() / share.capacity(),
+              share.price(),
+              share.why().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
     }
     return out.toString();
   }
