--- /dev/null
+++ b/src/test/java/stonespring/cli/CommandsTest.java
@@ -0,0 +1,143 @@
+package stonespring.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Exit codes and texts of commands that end by themselves. */
+final class CommandsTest {
+  private final ByteArrayOutputStream out = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream err = new ByteArrayOutputStream();
+  private PrintStream systemOut;
+  private PrintStream systemErr;
+  @TempDir private Path folder;
+
+  @BeforeEach
+  void captureOutput() {
+    systemOut = System.out;
+    systemErr = System.err;
+    System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
+    System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
+  }
+
+  @AfterEach
+  void restoreOutput() {
+    System.setOut(systemOut);
+    System.setErr(systemErr);
+  }
+
+  private String printed() {
+    return out.toString(StandardCharsets.UTF_8);
+  }
+
+  private String error() {
+    return err.toString(StandardCharsets.UTF_8);
+  }
+
+  private String unusableFile() throws Exception {
+    return Files.writeString(folder.resolve("unusable"), "no script {").toString();
+  }
+
+  @Test
+  void listsEverySubcommand() {
+    assertEquals(0, Commands.run("--help"));
+    for (String name :
+        List.of(
+            "serve",
+            "assigner",
+            "check",
+            "snapshot",
+            "day",
+            "scenario",
+            "task",
+            "proxy",
+            "registry",
+            "measure",
+            "load",
+            "solve",
+            "compare",
+            "simhost")) {
+      assertTrue(printed().matches("(?s).*\\b" + name + "\\b.*"), name);
+    }
+  }
+
+  @Test
+  void rejectsUnusableSettingsWithTheUsageCode() throws Exception {
+    String file = unusableFile();
+    assertEquals(2, Commands.run("serve", file));
+    assertTrue(error().startsWith("stonespring: settings:\n" + file + ":1"), error());
+    err.reset();
+    assertEquals(2, Commands.run("proxy", "--name", "p", "--zone", "west", file));
+    assertTrue(error().startsWith("stonespring: settings:\n" + file + ":1"), error());
+    err.reset();
+    assertEquals(2, Commands.run("check", file));
+    assertTrue(error().startsWith(file + ":1"), error());
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"day", "scenario"})
+  void rejectsAnUnusableScenarioWithTheUsageCodeUnderBothNames(String name) throws Exception {
+    String file = unusableFile();
+    assertEquals(2, Commands.run(name, file));
+    assertTrue(error().startsWith("stonespring: day:\n" + file + ":1"), error());
+  }
+
+  @Test
+  void rejectsAnUnusablePlatformConfigurationWithOneLine() throws Exception {
+    String file = unusableFile();
+    assertEquals(2, Commands.run("assigner", file));
+    assertTrue(error().startsWith("stonespring: " + file + ": line 1: "), error());
+    assertEquals(1, error().lines().count(), error());
+  }
+
+  @Test
+  void rejectsArgumentsOutOfRangeWithTheUsageCode() throws Exception {
+    String file = folder.resolve("load.rec.gz").toString();
+    assertEquals(2, Commands.run("load", "quiet", file, "--tasks", "2"));
+    assertEquals("stonespring: load: --tasks from 3 to 2000, --proxies from 1 to 2000\n", error());
+    err.reset();
+    assertEquals(2, Commands.run("task", "--port", "65535", "--count", "2"));
+    assertEquals("stonespring: --port and --count do not fit 1 to 65535\n", error());
+    err.reset();
+    assertEquals(2, Commands.run("snapshot", "7000", "--subtree", "proxy"));
+    assertEquals("stonespring: --subtree begins and ends with a slash\n", error());
+    err.reset();
+    assertEquals(2, Commands.run("measure", "solver", "--rounds", "0"));
+    assertEquals("stonespring: --tasks, --proxies and --rounds are at least 1\n", error());
+  }
+
+  @Test
+  void rejectsAnUnreadableRecordingWithTheUsageCodeAndAMissingOneAsFailed() throws Exception {
+    String file = folder.resolve("missing.rec.gz").toString();
+    assertEquals(1, Commands.run("solve", file));
+    assertEquals("stonespring: solve: " + file + "\n", error());
+    err.reset();
+    assertEquals(2, Commands.run("compare", "--seeds", "0", file));
+    assertEquals("stonespring: compare: --seeds is from 1 to 1000\n", error());
+  }
+
+  @Test
+  void generatesALoadAndExplainsThePlanForIt() throws Exception {
+    String file = folder.resolve("load.rec.gz").toString();
+    assertEquals(0, Commands.run("load", "quiet", file, "--tasks", "4", "--proxies", "3"));
+    assertEquals(0, Commands.run("solve", file), error());
+    assertTrue(printed().contains(" simulated tasks"), printed());
+    out.reset();
+    assertEquals(0, Commands.run("solve", file, "--json"), error());
+    assertTrue(printed().startsWith("{") && printed().endsWith("}" + System.lineSeparator()));
+    assertEquals(2, Commands.run("solve", file, "--at", "-1"));
+    assertTrue(error().contains("solve: --at is outside 0 to "), error());
+  }
+}
