--- /dev/null
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -0,0 +1,173 @@
+package stonespring.daemon;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static stonespring.daemon.PlatformFixture.endpoint;
+import static stonespring.daemon.PlatformFixture.endpointList;
+
+import java.io.OutputStream;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import stonespring.config.PlatformConfig;
+
+/** The platform's configuration: at the start, and read again by a SIGHUP or without one. */
+final class PlatformConfigurationTest {
+  @TempDir private Path folder;
+  private PlatformFixture platform;
+
+  @BeforeEach
+  void open() throws Exception {
+    platform = new PlatformFixture(folder);
+  }
+
+  @AfterEach
+  void close() throws Exception {
+    platform.close();
+  }
+
+  private static void write(OutputStream pipe, String text) throws Exception {
+    pipe.write(text.getBytes(StandardCharsets.UTF_8));
+  }
+
+  /** Answers the first watch with a list of version 5. */
+  private EndpointListRequest answerFirstWatch() throws Exception {
+    EndpointListRequest watch = platform.acceptListRequest(platform.discovery());
+    watch.beginWatch(endpointList(5, endpoint("s-1", "west")));
+    return watch;
+  }
+
+  /**
+   * Two signals follow closely, each with a thread of its own. The first one's file is a pipe that
+   * the test holds back, the second one's is newer: what the first reads must not be applied last.
+   */
+  @Test
+  void appliesTheLaterOfTwoReloads() throws Exception {
+    platform.writeConfig(platform.config());
+    PlatformProcess process = platform.startProcess();
+    process.awaitPort();
+    answerFirstWatch();
+    ServerSocket older = platform.listen();
+    ServerSocket newer = platform.listen();
+    platform.replaceConfigByPipe();
+    process.hangUp();
+    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
+      platform.replaceConfig(platform.config(newer));
+      process.hangUp();
+      process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery moves from");
+      write(pipe, platform.config(older));
+    }
+    // The older address may have been asked or not; the one asked in the end is the newer one.
+    EndpointListRequest last = platform.acceptListRequest(newer);
+    last.beginWatch(endpointList(6, endpoint("s-1", "west")));
+    process.awaitLog("/127.0.0.1:" + newer.getLocalPort() + " answers");
+    process.awaitLog(
+        "discovery moves from /127.0.0.1:"
+            + older.getLocalPort()
+            + " to /127.0.0.1:"
+            + newer.getLocalPort());
+  }
+
+  /** The signal arrives while the file is read for the first time, from a pipe held back. */
+  @Test
+  void reloadsAfterTheStartWhereTheSignalArrivesDuringIt() throws Exception {
+    ServerSocket newer = platform.listen();
+    platform.replaceConfigByPipe();
+    PlatformProcess process = platform.startProcess();
+    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
+      platform.replaceConfig(platform.config(newer));
+      process.hangUp();
+      write(pipe, platform.config());
+    }
+    assertEquals(
+        "/registry/instances?stream=1&index=4", platform.acceptListRequest(newer).target());
+  }
+
+  /** The old address ends the watch and accepts nobody; there is no signal. */
+  @Test
+  void findsAMovedDiscoveryWithoutASignal() throws Exception {
+    platform.writeConfig(platform.config());
+    PlatformProcess process = platform.startProcess();
+    process.awaitPort();
+    EndpointListRequest watch = answerFirstWatch();
+    ServerSocket moved = platform.listen();
+    platform.writeConfig(platform.config(moved));
+    platform.discovery().close();
+    watch.close();
+    assertEquals(
+        "/registry/instances?stream=1&index=5", platform.acceptListRequest(moved).target());
+  }
+
+  /** As under nohup, where no handler of the process is called. */
+  @Test
+  void findsAMovedDiscoveryWhereSignalsAreIgnoredAndSaysSo() throws Exception {
+    platform.writeConfig(platform.config());
+    PlatformProcess process = platform.startProcessAfter("trap '' HUP");
+    process.awaitPort();
+    process.awaitLog("SIGHUP is ignored");
+    EndpointListRequest watch = answerFirstWatch();
+    ServerSocket moved = platform.listen();
+    platform.writeConfig(platform.config(moved));
+    process.hangUp();
+    platform.discovery().close();
+    watch.close();
+    assertEquals(
+        "/registry/instances?stream=1&index=5", platform.acceptListRequest(moved).target());
+  }
+
+  /** The settings tell of the simulator's discovery; on the platform a list must be watched. */
+  @Test
+  void watchesTheListWhereSettingsSayThatItIsPushed() throws Exception {
+    platform.writeConfig(platform.config().replace("\"on_request\"", "\"pushed\""));
+    PlatformDaemon daemon = new PlatformDaemon(PlatformConfig.read(platform.configFile()));
+    daemon.start();
+    assertEquals(
+        "/registry/instances?stream=1&index=4",
+        platform.acceptListRequest(platform.discovery()).target());
+    daemon.stop();
+  }
+
+  @Test
+  void rejectsABadConfigurationWithOneLineThatNamesTheField() throws Exception {
+    String good = PlatformFixture.config(1);
+    String[][] rows = {
+      {"{", "line 1"},
+      {"[]", "no JSON object"},
+      {good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "field 'listen'"},
+      {
+        good.replace("\"backlog\":3000", "\"backlog\":\"x\""),
+        "field 'settings': field 'backlog' is not a number"
+      },
+      {good.replace("\"proxyCount\":8", "\"proxyCount\":0"), "field 'proxyCount' has none"},
+      {good.replace("\"roundS\":0.001", "\"roundS\":-1"), "field 'roundS' is not"},
+      {good.replace("\"reportEveryS\":0.5", "\"reportEveryS\":0"), "field 'reportEveryS'"},
+      {good.replace("[\"west\",\"east\"]", "[]"), "field 'zones' has none"},
+      {good.replace("\"pushRate\":1500.0", "\"pushRate\":1e300"), "field 'pushRate' is not"},
+      {good.replace("\"127.0.0.1:1\"", "\"127.0.0.999:1\""), "field 'discovery'"},
+      {good.replace("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"?\""), "field 'seed'"},
+      {good.replace("\"sockets\":256", "\"sockets\":0"), "limits.sockets"}
+    };
+    Path file = folder.resolve("bad.json");
+    for (String[] row : rows) {
+      Files.writeString(file, row[0]);
+      Exception e =
+          assertThrows(
+              PlatformConfig.BadFile.class, () -> PlatformConfig.read(file), "taken: " + row[0]);
+      assertTrue(e.getMessage().contains(row[1]) && !e.getMessage().contains("\n"), e.getMessage());
+    }
+    platform.writeConfig("{}");
+    PlatformProcess process = platform.startProcess();
+    assertEquals(2, process.awaitExitCode());
+    String log = process.log();
+    assertTrue(log.startsWith("stonespring: ") && log.contains("field 'settings' is missing"), log);
+    assertEquals(1, log.lines().count(), log);
+    assertFalse(process.isAlive());
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/daemon/PlatformFixture.java
@@ -0,0 +1,160 @@
+package stonespring.daemon;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import stonespring.config.PlatformConfig;
+
+/**
+ * What tests of an instance on the platform share: a configuration file, a discovery server on
+ * loopback that the test answers for, clients, and the instance's process.
+ */
+final class PlatformFixture {
+  /** An upper bound; every wait ends with its event. */
+  static final int TIMEOUT_MILLIS = 20_000;
+
+  private static final String SETTINGS =
+      """
+            {"balancers":1,"discovery":"on_request","roundS":0.001,"zones":["west","east"],
+             "categories":[{"name":"look","repeat":"free","goalTimeS":0.4,"gain":1.0},
+                           {"name":"buy","repeat":"single_shot","goalTimeS":0.9,"gain":4.0}],
+             "familyInfo":{"levelKind":"share","backlog":3000,"perMessage":5,"pushRate":1500.0,"emptyForS":6.0,
+                           "bootstrap":3,"proxyCount":8,"reportEveryS":0.5},
+             "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1}}""";
+
+  private final Path folder;
+  private final Deque<AutoCloseable> opened = new ArrayDeque<>();
+  private final ServerSocket discovery;
+
+  PlatformFixture(Path folder) throws IOException {
+    this.folder = folder;
+    this.discovery = listen();
+  }
+
+  /** The discovery server that {@link #config()} names. */
+  ServerSocket discovery() {
+    return discovery;
+  }
+
+  /** Where the configuration is. */
+  Path configFile() {
+    return folder.resolve("config.json");
+  }
+
+  /** A port on loopback that this test accepts connections of. */
+  ServerSocket listen() throws IOException {
+    ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    server.setSoTimeout(TIMEOUT_MILLIS);
+    return closeLater(server);
+  }
+
+  <T extends AutoCloseable> T closeLater(T resource) {
+    opened.add(resource);
+    return resource;
+  }
+
+  /** An endpoint that is ready, as discovery writes it. */
+  static String endpoint(String name, String zone) {
+    return "{\"host\":\""
+        + name
+        + "\",\"site\":\""
+        + zone
+        + "\",\"health\":\"Ready\",\"share\":1.0,\"born_ms\":0}";
+  }
+
+  /** A whole endpoint list, as discovery writes it. */
+  static String endpointList(int version, String... endpoints) {
+    return "{\"seq\":"
+        + version
+        + ",\"whole\":true,\"hosts\":["
+        + String.join(",", endpoints)
+        + "]}";
+  }
+
+  /** A configuration with a known list of version 4, and the discovery server of this fixture. */
+  String config() {
+    return config(discovery);
+  }
+
+  String config(ServerSocket discoveryServer) {
+    return config(discoveryServer.getLocalPort());
+  }
+
+  static String config(int discoveryPort) {
+    return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+        + discoveryPort
+        + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":256},\"known\":"
+        + endpointList(4, endpoint("s-1", "west"), endpoint("s-2", "east"))
+        + ",\"settings\":"
+        + SETTINGS
+        + "}";
+  }
+
+  /** Writes the configuration in place. */
+  void writeConfig(String text) throws IOException {
+    Files.writeString(configFile(), text);
+  }
+
+  /** Replaces the configuration file by a new one; whoever reads the old one goes on with it. */
+  void replaceConfig(String text) throws IOException {
+    Path next = Files.writeString(folder.resolve("next.json"), text);
+    Files.move(next, configFile(), StandardCopyOption.REPLACE_EXISTING);
+  }
+
+  /** Puts a pipe in the configuration file's place: its reader waits for what the test writes. */
+  void replaceConfigByPipe() throws Exception {
+    Path pipe = folder.resolve("pipe");
+    int exitCode = new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor();
+    if (exitCode != 0) {
+      throw new IOException("mkfifo ended with " + exitCode);
+    }
+    Files.move(pipe, configFile(), StandardCopyOption.REPLACE_EXISTING);
+  }
+
+  /** Starts an instance as a process, by the configuration file as it is. */
+  PlatformProcess startProcess() throws IOException {
+    return closeLater(PlatformProcess.start(folder, configFile()));
+  }
+
+  /** As {@link #startProcess}, with a shell command first whose effect the process inherits. */
+  PlatformProcess startProcessAfter(String shellCommand) throws IOException {
+    return closeLater(PlatformProcess.startAfter(shellCommand, folder, configFile()));
+  }
+
+  /** Creates an instance inside this process, with engines of the test. */
+  PlatformDaemon createDaemon(EngineFactory engines) throws Exception {
+    writeConfig(config());
+    return new PlatformDaemon(PlatformConfig.read(configFile()), engines);
+  }
+
+  /** Accepts the next connection to a discovery server and reads its request. */
+  EndpointListRequest acceptListRequest(ServerSocket discoveryServer) throws IOException {
+    return closeLater(new EndpointListRequest(discoveryServer));
+  }
+
+  /** Connects a client to an instance. */
+  LineClient connect(int port) throws IOException {
+    Socket socket = closeLater(new Socket("127.0.0.1", port));
+    socket.setSoTimeout(TIMEOUT_MILLIS);
+    return new LineClient(socket);
+  }
+
+  /** Ends the process and closes all that was opened. */
+  void close() throws Exception {
+    // The process first, so that it does not react to the other ends.
+    for (AutoCloseable resource : opened) {
+      if (resource instanceof PlatformProcess) {
+        resource.close();
+      }
+    }
+    for (AutoCloseable resource : opened) {
+      resource.close();
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/daemon/PlatformProcess.java
@@ -0,0 +1,133 @@
+package stonespring.daemon;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+
+/** An instance as a process of its own, started as the platform does. */
+final class PlatformProcess implements AutoCloseable {
+  private static final String SERVES = " serves at 127.0.0.1:";
+
+  private final Process process;
+  private final Path logFile;
+
+  private PlatformProcess(Process process, Path logFile) {
+    this.process = process;
+    this.logFile = logFile;
+  }
+
+  static PlatformProcess start(Path folder, Path configFile) throws IOException {
+    return start(command(), folder, configFile);
+  }
+
+  /** Starts it from a shell, after a command whose effect the process inherits. */
+  static PlatformProcess startAfter(String shellCommand, Path folder, Path configFile)
+      throws IOException {
+    List<String> command =
+        new ArrayList<>(List.of("sh", "-c", shellCommand + "; exec \"$@\"", "sh"));
+    command.addAll(command());
+    return start(command, folder, configFile);
+  }
+
+  private static PlatformProcess start(List<String> command, Path folder, Path configFile)
+      throws IOException {
+    Path logFile = folder.resolve("log");
+    ProcessBuilder builder =
+        new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(logFile.toFile());
+    builder.environment().put("NODE_CONFIG", configFile.toString());
+    return new PlatformProcess(builder.start(), logFile);
+  }
+
+  private static List<String> command() {
+    return List.of(
+        javaTool("java"),
+        "-Xmx64m",
+        "-cp",
+        System.getProperty("java.class.path"),
+        "stonespring.Main",
+        "assigner");
+  }
+
+  private static String javaTool(String name) {
+    return Path.of(System.getProperty("java.home"), "bin", name).toString();
+  }
+
+  String log() throws IOException {
+    return Files.readString(logFile);
+  }
+
+  boolean isAlive() {
+    return process.isAlive();
+  }
+
+  /** Waits until the process has started, and returns the port that it serves. */
+  int awaitPort() throws Exception {
+    awaitLog(SERVES);
+    awaitLog("have not joined");
+    String log = log();
+    String rest = log.substring(log.indexOf(SERVES) + SERVES.length());
+    return Integer.parseInt(rest.substring(0, rest.indexOf(',')));
+  }
+
+  /** Waits until the log contains a text. */
+  void awaitLog(String text) throws Exception {
+    long deadlineNanos = deadlineNanos();
+    while (!log().contains(text)) {
+      assertTrue(System.nanoTime() < deadlineNanos && isAlive(), log());
+      Thread.onSpinWait();
+    }
+  }
+
+  /** Waits until so many threads of a name run, or the log contains a text. */
+  void awaitThreadsOrLog(String name, int count, String text) throws Exception {
+    long deadlineNanos = deadlineNanos();
+    int found = 0;
+    while (found < count && !log().contains(text)) {
+      assertTrue(System.nanoTime() < deadlineNanos && isAlive(), log());
+      found = threadDump().split(name, -1).length - 1;
+    }
+  }
+
+  private static long deadlineNanos() {
+    return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PlatformFixture.TIMEOUT_MILLIS);
+  }
+
+  private String threadDump() throws IOException {
+    Process jstack =
+        new ProcessBuilder(javaTool("jstack"), String.valueOf(process.pid()))
+            .redirectErrorStream(true)
+            .start();
+    return new String(jstack.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+  }
+
+  /** Sends SIGHUP. */
+  void hangUp() throws Exception {
+    String pid = String.valueOf(process.pid());
+    assertEquals(0, new ProcessBuilder("kill", "-HUP", pid).start().waitFor());
+  }
+
+  /** Sends SIGTERM and returns how long the process took to end. */
+  long terminateNanos() throws Exception {
+    process.destroy();
+    long startedNanos = System.nanoTime();
+    assertTrue(process.waitFor(PlatformFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+    return System.nanoTime() - startedNanos;
+  }
+
+  /** Waits for the process to end by itself. */
+  int awaitExitCode() throws InterruptedException {
+    return process.waitFor();
+  }
+
+  @Override
+  public void close() {
+    process.destroyForcibly().onExit().join();
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/daemon/PlatformProcessTest.java
@@ -0,0 +1,111 @@
+package stonespring.daemon;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static stonespring.daemon.PlatformFixture.endpoint;
+import static stonespring.daemon.PlatformFixture.endpointList;
+
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Path;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Life of an instance's process on the platform: start, service, exhaustion, end. */
+final class PlatformProcessTest {
+  @TempDir private Path folder;
+  private PlatformFixture platform;
+
+  @BeforeEach
+  void open() throws Exception {
+    platform = new PlatformFixture(folder);
+  }
+
+  @AfterEach
+  void close() throws Exception {
+    platform.close();
+  }
+
+  /** From the first answer over a route table, reloads and a move of discovery to the end. */
+  @Test
+  void servesThroughReloadsUntilAnOrderlyEnd() throws Exception {
+    platform.writeConfig(platform.config());
+    PlatformProcess process = platform.startProcess();
+    LineClient proxy = platform.connect(process.awaitPort());
+    proxy.send("PING");
+    assertEquals("PONG", proxy.readLine());
+    EndpointListRequest watch = platform.acceptListRequest(platform.discovery());
+    assertEquals("/registry/instances?stream=1&index=4", watch.target());
+    watch.beginWatch(
+        endpointList(5, endpoint("s-1", "west"), endpoint("s-2", "east"), endpoint("s-3", "west")));
+    proxy.send("SUBSCRIBE id=2 site=west rps=3.0 new=1");
+    String table = proxy.readLine();
+    assertTrue(
+        table.matches(
+            "CONFIG replace=1 rows=s-[123]:[0-9.]+(,s-[123]:[0-9.]+)* gate=1 again=1 stamp=[0-9]+"),
+        table);
+
+    ServerSocket moved = platform.listen();
+    platform.writeConfig("{\"name\":");
+    process.hangUp();
+    process.awaitLog("the new configuration is not used");
+    platform.writeConfig(platform.config(moved));
+    process.hangUp();
+    EndpointListRequest second = platform.acceptListRequest(moved);
+    assertEquals("/registry/instances?stream=1&index=5", second.target());
+    second.beginWatch(endpointList(6, endpoint("s-1", "west"), endpoint("s-2", "east")));
+    assertTrue(watch.closedByClient(), "the old address is closed once the new one answered");
+    assertNotNull(proxy.readLine(), "the route to s-3, which is removed, goes at once");
+    proxy.send("PING");
+    assertEquals("PONG", proxy.readLineAfterUpdates(), "the connection stays");
+
+    assertTrue(process.terminateNanos() < TimeUnit.SECONDS.toNanos(5), "it ends soon");
+    String rest = proxy.readRest();
+    assertTrue(rest.isEmpty() || rest.endsWith("\r\n"), "no half message: " + rest);
+  }
+
+  /**
+   * Clients take every descriptor that the process may have, and the watch ends meanwhile: it can't
+   * be opened again before they are gone.
+   */
+  @Test
+  void recoversFromRunningOutOfDescriptors() throws Exception {
+    platform.writeConfig(platform.config());
+    PlatformProcess process = platform.startProcessAfter("ulimit -n 96");
+    LineClient early = platform.connect(process.awaitPort());
+    early.send("SUBSCRIBE id=1 site=west rps=3.0 new=1");
+    EndpointListRequest watch = platform.acceptListRequest(platform.discovery());
+    watch.beginWatch(endpointList(5, endpoint("s-1", "west")));
+    watch.close();
+    for (int i = 0; i < 160; i++) {
+      Socket idle = platform.closeLater(new Socket());
+      idle.connect(
+          new InetSocketAddress("127.0.0.1", early.port()), PlatformFixture.TIMEOUT_MILLIS);
+    }
+    process.awaitLog("Too many open files");
+    assertEquals(
+        "/registry/instances?stream=1&index=5",
+        platform.acceptListRequest(platform.discovery()).target(),
+        "the list is watched again");
+    LineClient late = platform.connect(process.awaitPort());
+    late.send("PING");
+    assertEquals("PONG", late.readLine());
+    early.send("PING");
+    assertEquals("PONG", early.readLineAfterUpdates(), "a connected proxy stays connected");
+  }
+
+  @Test
+  void endsWithOneLineWhereThePortIsInUse() throws Exception {
+    String inUse = "\"listen\":\"127.0.0.1:" + platform.discovery().getLocalPort() + "\"";
+    platform.writeConfig(platform.config().replace("\"listen\":\"127.0.0.1:0\"", inUse));
+    PlatformProcess process = platform.startProcess();
+    assertEquals(1, process.awaitExitCode());
+    String log = process.log();
+    assertTrue(log.contains("stonespring: assigner: ") && !log.contains("\tat "), log);
+  }
+}
