--- /dev/null
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -0,0 +1,337 @@
+package stonespring.daemon;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import stonespring.decision.AssignmentEngine;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.DeciMillis;
+import stonespring.model.DecisionEngine;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.RequestClass;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetrySafety;
+import stonespring.model.Settings;
+import stonespring.model.ZoneId;
+import stonespring.solver.AdvisedEngine;
+import stonespring.solver.WeightAdvisor;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ReportAggregator;
+
+/**
+ * A host with proxies in virtual time, all from one seed. {@link #run} asserts after each step what
+ * a host promises to proxies.
+ */
+final class HostSimulation {
+  static final long SECOND = DeciMillis.SECOND;
+
+  /** Deci-milliseconds of one step. */
+  static final long STEP = 500;
+
+  static final long SESSION_TIMEOUT = 3 * SECOND;
+
+  /** Within which a proxy must have stopped sending to an endpoint that left. */
+  private static final long REMOVAL_GRACE = 3 * SECOND;
+
+  private static final int ZONES = 2;
+  private static final int ENDPOINTS = 8;
+  private static final int PROXIES = 12;
+  private static final int REQUEST_CLASSES = 2;
+  private static final RequestClassId VIEW = new RequestClassId(0);
+  private static final RequestClassId EXTRACT = new RequestClassId(1);
+
+  private final SplittableRandom random;
+  private final boolean advised;
+  private final Settings settings = settings();
+  private final List<SimulatedProxy> proxies = new ArrayList<>();
+  private final TreeMap<String, EndpointRecord> listed = new TreeMap<>();
+  private final Map<String, Long> leftAt = new LinkedHashMap<>();
+  private final Map<SimulatedProxy, Long> withoutEndpointSince = new HashMap<>();
+  private long now = 100 * SECOND;
+  private long lastSequence;
+  private EngineHost host;
+  private int starts;
+
+  /**
+   * Creates a simulation that has no host yet.
+   *
+   * @param advised whether the engine gets advice from the solver
+   */
+  HostSimulation(long seed, boolean advised) {
+    this.random = new SplittableRandom(seed);
+    this.advised = advised;
+  }
+
+  private static Settings settings() {
+    return new Settings(
+        new Settings.Fleet(1, ZONES, PROXIES, false),
+        List.of(
+            new RequestClass(RetrySafety.IDEMPOTENT, SECOND / 2, 3),
+            new RequestClass(RetrySafety.NON_IDEMPOTENT, SECOND, 2)),
+        new Settings.EndpointListRules(false, false),
+        AdmissionLimitKind.FRACTION,
+        new Settings.ChannelLimits(2000, 10, 30, 10 * SECOND, 2000, false),
+        new Settings.RoutingRules(5 * SECOND, 3, 0.1, 0.1, 3),
+        new Settings.SlowStart(10 * SECOND, 0.2, 3),
+        SECOND);
+  }
+
+  EngineHost host() {
+    return host;
+  }
+
+  long now() {
+    return now;
+  }
+
+  List<SimulatedProxy> proxies() {
+    return proxies;
+  }
+
+  /** How often a host was started. */
+  int starts() {
+    return starts;
+  }
+
+  /** How often a proxy lost an update. */
+  int resyncs() {
+    return proxies.stream().mapToInt(SimulatedProxy::resyncs).sum();
+  }
+
+  /** Starts a host in place of the one before; all proxies lose their connections. */
+  void startHost() {
+    starts++;
+    host =
+        new EngineHost(
+            settings,
+            List.of("view", "extract"),
+            HostLimits.DEFAULT,
+            "e" + starts,
+            now << 20,
+            createEngine(),
+            new Environment(),
+            now);
+    host.handleEndpointListUpdate(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.copyOf(listed.values())),
+        now);
+    proxies.forEach(SimulatedProxy::disconnect);
+  }
+
+  private DecisionEngine createEngine() {
+    AssignmentEngine engine = new AssignmentEngine(settings, random.nextLong(), now);
+    return advised ? new AdvisedEngine(engine, new WeightAdvisor(settings)) : engine;
+  }
+
+  private final class Environment implements HostEnvironment {
+    @Override
+    public void publish(List<KeyUpdate> updates) {
+      updates.forEach(HostSimulation.this::keyPublished);
+    }
+
+    @Override
+    public void watchEndpoints(boolean enabled) {}
+
+    @Override
+    public void fetchEndpoints() {}
+  }
+
+  private void keyPublished(KeyUpdate update) {
+    assertTrue(update.sequence() > lastSequence, "sequences rise strictly, over restarts too");
+    lastSequence = update.sequence();
+    for (SimulatedProxy proxy : proxies) {
+      proxy.keyPublished(update, host, now);
+    }
+    if (update.key().equals("/assigner/status")) {
+      JsonNode status = SimulatedProxy.json(new String(update.value(), StandardCharsets.UTF_8));
+      assertTrue(
+          status.path("backlog_high").asInt() <= settings.channel().maxBacklogEntries(),
+          () -> "channel limit: " + status);
+      assertEquals(0, status.path("merged").asInt());
+    }
+  }
+
+  /** Adds an endpoint to the list that the next host starts with. */
+  void list(String name, int zone) {
+    EndpointId endpoint = new EndpointId(name);
+    listed.put(
+        name, new EndpointRecord(endpoint, new ZoneId(zone), 1, EndpointRecord.State.READY, 0));
+  }
+
+  SimulatedProxy addProxy(String name, int zone) {
+    SimulatedProxy proxy = newProxy(name, zone);
+    proxies.add(proxy);
+    return proxy;
+  }
+
+  /** Creates a proxy that the simulation does not drive. */
+  SimulatedProxy newProxy(String name, int zone) {
+    return new SimulatedProxy(name, zone, settings.channel());
+  }
+
+  /** Moves the time on and lets the host do what is due. */
+  void advance(long duration) {
+    now += duration;
+    host.runDue(now);
+  }
+
+  /** Moves the time on, before the host does anything. */
+  void passTime(long duration) {
+    now += duration;
+  }
+
+  void connect(SimulatedProxy proxy) {
+    if (!proxy.hasStarted()) {
+      long seed = random.nextLong();
+      proxy.start(
+          seed,
+          listed.values().stream()
+              .filter(endpoint -> endpoint.state() == EndpointRecord.State.READY)
+              .limit(settings.routing().bootstrapRouteCount())
+              .map(EndpointRecord::endpoint)
+              .toList());
+    }
+    proxy.connect(host, now);
+  }
+
+  /** Sends a report as if requests were spread by the proxy's weights; removed endpoints fail. */
+  void report(SimulatedProxy proxy) {
+    List<ReportAggregator.Met> outcomes = new ArrayList<>();
+    proxy
+        .router()
+        .weights(VIEW)
+        .forEach((endpoint, weight) -> outcomes.add(outcome(endpoint, Math.round(10 * weight))));
+    List<ReportAggregator.Came> requests =
+        List.of(new ReportAggregator.Came(VIEW, 8, 0), new ReportAggregator.Came(EXTRACT, 2, 0));
+    host.handleReport(proxy.name(), SECOND, outcomes, requests, proxy.connection());
+  }
+
+  private ReportAggregator.Met outcome(String endpoint, long attempts) {
+    return new ReportAggregator.Met(
+        new EndpointId(endpoint),
+        attempts,
+        listed.containsKey(endpoint) ? 0 : attempts,
+        800,
+        new LoadReport(0.5, 1, Double.NaN, Double.NaN, Double.NaN));
+  }
+
+  /** Runs a fleet with random restarts, list changes and lost connections, and checks each step. */
+  void run(int steps) {
+    for (int i = 0; i < ENDPOINTS; i++) {
+      list("t" + i + "@h:" + (i + 1), i % ZONES);
+    }
+    for (int i = 0; i < PROXIES; i++) {
+      addProxy("p" + i, i % ZONES);
+    }
+    startHost();
+    for (int i = 0; i < steps; i++) {
+      now += STEP;
+      disturb();
+      proxies.forEach(this::step);
+      host.runDue(now);
+      check();
+    }
+  }
+
+  private void step(SimulatedProxy proxy) {
+    if (!proxy.isConnected() && random.nextInt(12) == 0) {
+      connect(proxy);
+    } else if (proxy.isConnected() && (now / STEP + proxy.name().hashCode()) % 20 == 0) {
+      proxy.sendHello(host, now);
+      report(proxy);
+    }
+    proxy.acknowledge(host, now);
+    if (proxy.isConnected()) {
+      assertNull(proxy.connection().closeReason(), "closed");
+    }
+  }
+
+  private void disturb() {
+    int draw = random.nextInt(400);
+    String name = "t" + random.nextInt(10) + "@h:" + (1 + random.nextInt(10));
+    String known =
+        listed.isEmpty()
+            ? name
+            : new ArrayList<>(listed.keySet()).get(random.nextInt(listed.size()));
+    if (draw < 8) {
+      changeEndpoint(name, EndpointRecord.State.READY, now);
+    } else if (draw < 12 && listed.size() > 3) {
+      boolean drains = random.nextBoolean();
+      changeEndpoint(
+          known, drains ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED, 0);
+    } else if (draw < 16) {
+      SimulatedProxy proxy = proxies.get(random.nextInt(proxies.size()));
+      if (proxy.isConnected()) {
+        host.handleConnectionClosed(proxy.disconnect(), now);
+      }
+    } else if (draw < 17) {
+      startHost();
+    }
+  }
+
+  private void changeEndpoint(String name, EndpointRecord.State state, long startedAt) {
+    ZoneId zone = new ZoneId(Math.abs(name.hashCode()) % ZONES);
+    EndpointRecord changed = new EndpointRecord(new EndpointId(name), zone, 1, state, startedAt);
+    if (state == EndpointRecord.State.REMOVED) {
+      listed.remove(name);
+    } else {
+      listed.put(name, changed);
+    }
+    if (state == EndpointRecord.State.READY) {
+      leftAt.remove(name);
+    } else {
+      leftAt.putIfAbsent(name, now);
+    }
+    host.handleEndpointListUpdate(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(changed)), now);
+  }
+
+  private void check() {
+    boolean anyWarm = listed.values().stream().anyMatch(this::isWarm);
+    for (SimulatedProxy proxy : proxies) {
+      if (!proxy.isConnected()) {
+        withoutEndpointSince.remove(proxy);
+        continue;
+      }
+      for (int requestClass = 0; requestClass < REQUEST_CLASSES; requestClass++) {
+        checkRemovedEndpoints(proxy, new RequestClassId(requestClass));
+      }
+      if (anyWarm && proxy.router().weights(VIEW).isEmpty()) {
+        withoutEndpointSince.putIfAbsent(proxy, now);
+      } else {
+        withoutEndpointSince.remove(proxy);
+      }
+      long since = withoutEndpointSince.getOrDefault(proxy, now);
+      assertTrue(
+          now - since <= settings.routing().maxTimeWithoutEndpoint(),
+          () -> "time without endpoint: " + proxy.name() + " has no route at " + now);
+    }
+  }
+
+  private boolean isWarm(EndpointRecord endpoint) {
+    return endpoint.state() == EndpointRecord.State.READY
+        && now - endpoint.startedAt() >= settings.slowStart().window();
+  }
+
+  private void checkRemovedEndpoints(SimulatedProxy proxy, RequestClassId requestClass) {
+    for (String endpoint : proxy.router().weights(requestClass).keySet()) {
+      long left = leftAt.getOrDefault(endpoint, Long.MAX_VALUE / 2);
+      long notifiedAt = Math.max(left, proxy.connectedAt());
+      assertTrue(
+          now - notifiedAt <= REMOVAL_GRACE,
+          () -> "removed endpoint: " + proxy.name() + " still sends to " + endpoint + " at " + now);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -0,0 +1,209 @@
+package stonespring.daemon;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import stonespring.model.AdmissionLimitKind;
+import stonespring.model.EndpointId;
+import stonespring.model.RetrySafety;
+import stonespring.model.Settings;
+import stonespring.model.ZoneId;
+import stonespring.proxy.routing.Router;
+import stonespring.proxy.routing.RouterSettings;
+import stonespring.proxy.routing.TableSubscriber;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
+
+/** A proxy in virtual time: it follows what a host publishes and routes by it. */
+final class SimulatedProxy {
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final RouterSettings ROUTING =
+      new RouterSettings(
+          List.of(
+              new RouterSettings.ClassSettings("view", RetrySafety.IDEMPOTENT, 0),
+              new RouterSettings.ClassSettings("extract", RetrySafety.NON_IDEMPOTENT, 0)),
+          0,
+          0,
+          0,
+          0,
+          RouterSettings.Picking.WEIGHTED,
+          AdmissionLimitKind.FRACTION);
+
+  private final String name;
+  private final int zone;
+  private final Settings.ChannelLimits limits;
+  private final TableSubscriber subscriber = new TableSubscriber();
+  private final ArrayDeque<Long> updatesAt = new ArrayDeque<>();
+  private final List<Integer> acksDue = new ArrayList<>();
+  private Router router; // null until it first connects
+  private RecordingConnection connection; // null while it is disconnected
+  private long streamNumber;
+  private long connectedAt;
+  private String stream = "";
+  private int resyncs;
+
+  SimulatedProxy(String name, int zone, Settings.ChannelLimits limits) {
+    this.name = name;
+    this.zone = zone;
+    this.limits = limits;
+  }
+
+  String name() {
+    return name;
+  }
+
+  Router router() {
+    return router;
+  }
+
+  boolean isConnected() {
+    return connection != null;
+  }
+
+  RecordingConnection connection() {
+    return connection;
+  }
+
+  long connectedAt() {
+    return connectedAt;
+  }
+
+  /** The stream of the update applied last. */
+  String stream() {
+    return stream;
+  }
+
+  /** How often an update was lost. */
+  int resyncs() {
+    return resyncs;
+  }
+
+  boolean hasStarted() {
+    return router != null;
+  }
+
+  /** Starts with a table of its own. */
+  void start(long seed, List<EndpointId> bootstrapRoutes) {
+    router = new Router(ROUTING, seed);
+    router.useBootstrapRoutes(bootstrapRoutes);
+  }
+
+  /** Starts without any table. */
+  void startEmpty() {
+    router = new Router(ROUTING, 1);
+  }
+
+  /** Opens a connection, on a stream of its own. */
+  void connect(EngineHost host, long now) {
+    connection = new RecordingConnection();
+    streamNumber++;
+    connectedAt = now;
+    updatesAt.clear();
+    applySnapshot(host, now);
+    sendHello(host, now);
+  }
+
+  /** Forgets the connection; the host must be told by the caller, if it is to know. */
+  RecordingConnection disconnect() {
+    RecordingConnection closed = connection;
+    connection = null;
+    return closed;
+  }
+
+  void sendHello(EngineHost host, long now) {
+    ProxyHello hello =
+        new ProxyHello(
+            "life-" + name,
+            streamNumber,
+            new ZoneId(zone),
+            10,
+            router.isWithoutTables(),
+            router.namedEndpoints().stream().map(EndpointId::new).toList());
+    host.handleHello(name, hello, HostSimulation.SESSION_TIMEOUT, connection, now);
+  }
+
+  /** Acknowledges the updates that asked for it since the last call. */
+  void acknowledge(EngineHost host, long now) {
+    for (int ack : acksDue) {
+      if (connection != null) {
+        host.handleAcknowledgement(name, stream, ack, 100, connection, now);
+      }
+    }
+    acksDue.clear();
+  }
+
+  private String subtree() {
+    return "/proxy/" + name + "/";
+  }
+
+  /** Takes a key that the host published, if it is this proxy's and it is connected. */
+  void keyPublished(KeyUpdate update, EngineHost host, long now) {
+    if (connection == null || !update.key().startsWith(subtree())) {
+      return;
+    }
+    String key = update.key().substring(subtree().length());
+    String value = update.value().length == 0 ? null : text(update);
+    boolean committed = value != null && key.equals(TableSubscriber.COMMIT_KEY);
+    apply(subscriber.keyChanged(key, value, committed ? commit(value) : null), host, now);
+  }
+
+  /** Takes all that the host has published for this proxy. */
+  void applySnapshot(EngineHost host, long now) {
+    Map<String, String> keys = new LinkedHashMap<>();
+    TableSubscriber.Commit commit = null;
+    for (KeyUpdate key : host.snapshot(subtree())) {
+      keys.put(key.key().substring(subtree().length()), text(key));
+      commit = key.key().endsWith("/commit") ? commit(text(key)) : commit;
+    }
+    apply(subscriber.snapshot(keys, commit), host, now);
+  }
+
+  private void apply(TableSubscriber.Step step, EngineHost host, long now) {
+    if (step instanceof TableSubscriber.Step.Update update) {
+      router.apply(update);
+      stream = update.stream();
+      countUpdate(now);
+      if (update.ackId() >= 0) {
+        acksDue.add(update.ackId());
+      }
+    } else if (step instanceof TableSubscriber.Step.Resync) {
+      resyncs++;
+      applySnapshot(host, now);
+    }
+  }
+
+  private void countUpdate(long now) {
+    updatesAt.add(now);
+    updatesAt.removeIf(at -> now - at > limits.messageWindow() || at < connectedAt);
+    assertTrue(
+        updatesAt.size() <= limits.maxMessagesPerProxy(), "channel limit: messages to " + name);
+  }
+
+  private static String text(KeyUpdate update) {
+    return new String(update.value(), StandardCharsets.UTF_8);
+  }
+
+  static JsonNode json(String text) {
+    try {
+      return JSON.readTree(text);
+    } catch (java.io.IOException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  private static TableSubscriber.Commit commit(String value) {
+    JsonNode node = json(value);
+    return new TableSubscriber.Commit(
+        node.path("origin").asText(),
+        node.path("at").asInt(),
+        node.path("keys").asInt(),
+        node.path("mark").asInt(TableSubscriber.Commit.NO_ACK));
+  }
+}
