--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -10,6 +10,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -26,14 +27,16 @@
 import stonespring.config.InstanceSettings;
 import stonespring.zmtp.ZmtpLimits;
 
-/**
- * Peers that say what they must not: each loses its own connection, and the instance serves the
- * next one as before.
- */
+/** Peers that violate a protocol: each loses its own connection, and the instance goes on. */
 final class BadPeerTest {
-  private static final int WAIT = 10_000; // ms; an upper bound, every wait ends with its event
+  /** An upper bound; every wait ends with its event. */
+  private static final int TIMEOUT_MILLIS = 10_000;
+
+  private static final byte[] READY_PUB = join(greeting("NULL"), ready("PUB"));
+  private static final String SEQUENCE = "\0".repeat(8);
+
   private static Daemon daemon;
-  private static MultiThreadIoEventLoopGroup loops;
+  private static MultiThreadIoEventLoopGroup eventLoops;
 
   @TempDir private static Path folder;
 
@@ -54,13 +57,13 @@
                 """);
     daemon = new Daemon(InstanceSettings.read(folder.resolve("settings.star")));
     daemon.start();
-    loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   }
 
   @AfterAll
   static void stop() throws InterruptedException {
     daemon.stop();
-    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
   private static byte[] greeting(String mechanism) {
@@ -103,109 +106,113 @@
     return out.toByteArray();
   }
 
-  /** Sends bytes to one of the three ports and waits until the instance ends the connection. */
-  private static void endsTheConnection(int port, byte[] bytes) throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", daemon.port() + port)) {
-      socket.setSoTimeout(WAIT);
+  /** Sends bytes to one of the three ports and waits until the instance closes the connection. */
+  private static void assertCloses(int portOffset, byte[] bytes) throws IOException {
+    try (Socket socket = new Socket("127.0.0.1", daemon.port() + portOffset)) {
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.getOutputStream().write(bytes);
       InputStream in = socket.getInputStream();
-      byte[] rest = new byte[4096];
+      byte[] buffer = new byte[4096];
       try {
-        while (in.read(rest) >= 0) {
-          // what it says before it ends the connection does not matter here
+        while (in.read(buffer) >= 0) {
+          // what was sent before the close does not matter
         }
-      } catch (java.net.SocketTimeoutException e) {
-        throw new AssertionError("the connection still stands", e);
+      } catch (SocketTimeoutException e) {
+        throw new AssertionError("the connection is still open", e);
       } catch (IOException e) {
-        // a reset is an end too
+        // a reset closes it too
       }
     }
   }
 
-  private static final byte[] UP = join(greeting("NULL"), ready("PUB"));
-  private static final String EIGHT = "\0\0\0\0\0\0\0\0";
-
-  private static void set(String key, String uuid, String properties, String value)
+  /** Sets a key at the collector's port, which must close the connection. */
+  private static void rejectsKey(String key, String uuid, String properties, String value)
       throws IOException {
-    endsTheConnection(2, join(UP, message(key, EIGHT, uuid, properties, value)));
+    assertCloses(2, join(READY_PUB, message(key, SEQUENCE, uuid, properties, value)));
   }
 
   @Test
-  void theTransport() throws Exception {
+  void closesConnectionsThatViolateTheTransport() throws Exception {
     for (int port = 0; port < 3; port++) {
-      endsTheConnection(port, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      endsTheConnection(port, greeting("CURVE"));
-      endsTheConnection(port, join(greeting("NULL"), ready("REQ")));
-      endsTheConnection(port, join(greeting("NULL"), ready("PUSH"), message("x")));
-      endsTheConnection(port, join(greeting("NULL"), message("before READY")));
-      endsTheConnection(port, join(greeting("NULL"), new byte[] {2, 0, 0, 0, 1, 0, 0, 0, 0}));
+      assertCloses(port, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+      assertCloses(port, greeting("CURVE"));
+      assertCloses(port, join(greeting("NULL"), ready("REQ")));
+      assertCloses(port, join(greeting("NULL"), ready("PUSH"), message("x")));
+      assertCloses(port, join(greeting("NULL"), message("before READY")));
+      assertCloses(port, join(greeting("NULL"), new byte[] {2, 0, 0, 0, 1, 0, 0, 0, 0}));
     }
-    endsTheConnection(1, join(greeting("NULL"), ready("SUB"), message("not", "a subscription")));
+    assertCloses(1, join(greeting("NULL"), ready("SUB"), message("not", "a subscription")));
     stillServes();
   }
 
   @Test
-  void theChannel() throws Exception {
-    endsTheConnection(0, join(greeting("NULL"), ready("DEALER"), message("WHATIS?", "")));
-    endsTheConnection(
-        0, join(greeting("NULL"), ready("DEALER"), message("ICANHAZ?", "no-slashes")));
-    endsTheConnection(0, join(greeting("NULL"), ready("DEALER"), message("ICANHAZ?")));
-    set("/presence/p", "", "", "{}");
-    set("/presence/p", "", "ttl=0\n", "{}");
-    set("/presence/p", "short", "ttl=3\n", "{}");
-    set("/presence/p", "", "ttl=3", "{}");
-    set("/presence/p", "", "ttl=3\n", "not json");
-    set(
+  void closesConnectionsThatViolateTheChannelProtocol() throws Exception {
+    assertCloses(0, join(greeting("NULL"), ready("DEALER"), message("WHATIS?", "")));
+    assertCloses(0, join(greeting("NULL"), ready("DEALER"), message("ICANHAZ?", "no-slashes")));
+    assertCloses(0, join(greeting("NULL"), ready("DEALER"), message("ICANHAZ?")));
+    rejectsKey("/presence/p", "", "", "{}");
+    rejectsKey("/presence/p", "", "ttl=0\n", "{}");
+    rejectsKey("/presence/p", "short", "ttl=3\n", "{}");
+    rejectsKey("/presence/p", "", "ttl=3", "{}");
+    rejectsKey("/presence/p", "", "ttl=3\n", "not json");
+    rejectsKey(
         "/presence/p",
         "",
         "ttl=3\n",
         "{\"life\":\"l\",\"stream\":1,\"zone\":\"nowhere\",\"ops\":1,\"fresh\":true}");
-    set(
+    rejectsKey(
         "/presence/p",
         "",
         "ttl=3\n",
         "{\"life\":\"l\",\"stream\":1,\"zone\":\"west\",\"ops\":-1,\"fresh\":true}");
-    set("/presence/p", "", "ttl=3\n", "");
-    set("/assigner/status", "", "", "mine now");
-    set("/up/nobody/report", "", "", "{\"span\":1}");
-    set("/up/nobody/answer", "", "", "{\"origin\":\"o\",\"mark\":1,\"took\":0}");
-    set("/up/p/report", "", "", "{\"span\":1,\"tasks\":[[\"a\",1,2,0]]}");
-    set("/up/p/report", "", "", "{\"span\":1,\"ops\":[[\"no such type\",1,0]]}");
-    set("no slash", "", "", "x");
-    endsTheConnection(2, join(UP, message("/presence/p", "short", "", "", "x")));
+    rejectsKey("/presence/p", "", "ttl=3\n", "");
+    rejectsKey("/assigner/status", "", "", "mine now");
+    rejectsKey("/up/nobody/report", "", "", "{\"span\":1}");
+    rejectsKey("/up/nobody/answer", "", "", "{\"origin\":\"o\",\"mark\":1,\"took\":0}");
+    rejectsKey("/up/p/report", "", "", "{\"span\":1,\"tasks\":[[\"a\",1,2,0]]}");
+    rejectsKey("/up/p/report", "", "", "{\"span\":1,\"ops\":[[\"no such type\",1,0]]}");
+    rejectsKey("no slash", "", "", "x");
+    assertCloses(2, join(READY_PUB, message("/presence/p", "short", "", "", "x")));
     stillServes();
   }
 
   @Test
-  void aNameThatIsTaken() throws Exception {
+  void closesTheConnectionThatClaimsAnotherProxysName() throws Exception {
     String hello = "{\"life\":\"%s\",\"stream\":1,\"zone\":\"west\",\"ops\":1,\"fresh\":true}";
     try (Socket first = new Socket("127.0.0.1", daemon.port() + 2)) {
       first
           .getOutputStream()
           .write(
               join(
-                  UP, message("/presence/taken", EIGHT, "", "ttl=9\n", String.format(hello, "a"))));
-      first.setSoTimeout(WAIT);
-      for (int i = 0; i < 500 && !keys("/presence/").contains("/presence/taken"); i++) {
-        Thread.sleep(10);
-      }
-      set("/presence/taken", "", "ttl=9\n", String.format(hello, "b"));
-      assertTrue(keys("/presence/").contains("/presence/taken"), "the first one stays");
+                  READY_PUB,
+                  message("/presence/taken", SEQUENCE, "", "ttl=9\n", String.format(hello, "a"))));
+      first.setSoTimeout(TIMEOUT_MILLIS);
+      awaitPresence("/presence/taken");
+      rejectsKey("/presence/taken", "", "ttl=9\n", String.format(hello, "b"));
+      assertTrue(keys("/presence/").contains("/presence/taken"), "the first proxy keeps the name");
     }
     stillServes();
   }
 
+  private static void awaitPresence(String key) throws Exception {
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
+    while (!keys("/presence/").contains(key)) {
+      assertTrue(System.nanoTime() < deadlineNanos, key + " is not published");
+    }
+  }
+
   private static String keys(String subtree) throws Exception {
-    CompletableFuture<String> got = new CompletableFuture<>();
+    CompletableFuture<String> snapshot = new CompletableFuture<>();
     ChpClient client =
         new ChpClient(
-            (EventLoop) loops.next(),
+            (EventLoop) eventLoops.next(),
             subtree,
-            WAIT,
+            TIMEOUT_MILLIS,
             new ChpClient.Listener() {
               @Override
               public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
-                got.complete(Arrays.toString(keys.stream().map(ChpMessage.KvSync::key).toArray()));
+                snapshot.complete(
+                    Arrays.toString(keys.stream().map(ChpMessage.KvSync::key).toArray()));
               }
 
               @Override
@@ -213,12 +220,12 @@
 
               @Override
               public void ended(String cause) {
-                got.complete("ended: " + cause);
+                snapshot.complete("ended: " + cause);
               }
             });
     client.dial("127.0.0.1", daemon.port(), false, ZmtpLimits.USUAL);
-    String keys = got.get(WAIT, TimeUnit.MILLISECONDS);
-    loops.next().execute(client::close);
+    String keys = snapshot.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    eventLoops.next().execute(client::close);
     return keys;
   }
 
--- /dev/null
+++ b/src/test/java/stonespring/daemon/ChpServerStopTest.java
@@ -0,0 +1,163 @@
+package stonespring.daemon;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.BufferedInputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import org.junit.jupiter.api.Test;
+import stonespring.chp.ChpServer;
+import stonespring.proxyapi.NameTable;
+import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.proxyapi.chp.ChpProxyApi;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyHello;
+import stonespring.state.ReportAggregator;
+import stonespring.zmtp.ZmtpLimits;
+
+/** Start and stop of a server that subscribers read from. */
+final class ChpServerStopTest {
+  /** 7 MB: more than the buffers of both sockets hold, less than a peer may leave unread. */
+  private static final int KEYS = 7_000;
+
+  private static final int TIMEOUT_MILLIS = 10_000;
+
+  /** A greeting without security, and the READY command of a DEALER socket. */
+  private static final String GREETING_AND_READY =
+      "FF 0000000000000000 7F 03 01 4E554C4C 00000000000000000000000000000000 00"
+          + "00".repeat(31)
+          + "04 1C 05 5245414459 0B 536F636B65742D54797065 00000006 4445414C4552";
+
+  /** Answers each request for a snapshot with a large one, at once. */
+  private static final class LargeSnapshotHandler implements ProxyMessageHandler {
+    private final CountDownLatch requested = new CountDownLatch(1);
+
+    @Override
+    public boolean hello(String proxy, ProxyHello hello, long holds, Origin from) {
+      return true;
+    }
+
+    @Override
+    public boolean reported(
+        String proxy,
+        long span,
+        List<ReportAggregator.Met> met,
+        List<ReportAggregator.Came> came,
+        Origin from) {
+      return true;
+    }
+
+    @Override
+    public boolean answered(String proxy, String stream, int mark, long took, Origin from) {
+      return true;
+    }
+
+    @Override
+    public boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then) {
+      List<KeyUpdate> keys = new ArrayList<>();
+      for (int i = 0; i < KEYS; i++) {
+        keys.add(new KeyUpdate("/x/" + i, i + 1, new byte[1000]));
+      }
+      then.accept(keys, (long) KEYS);
+      requested.countDown();
+      return true;
+    }
+
+    @Override
+    public void closed(Origin from) {}
+  }
+
+  private static byte[] hex(String digits) {
+    return HexFormat.of().parseHex(digits.replace(" ", ""));
+  }
+
+  /** The reader gets every key and the command that ends the snapshot. */
+  @Test
+  void sendsASnapshotToItsEndWhenStopped() throws Exception {
+    MultiThreadIoEventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    LargeSnapshotHandler handler = new LargeSnapshotHandler();
+    ChpServer server =
+        new ChpServer(
+            eventLoops,
+            ZmtpLimits.USUAL,
+            new ChpProxyApi(handler, new NameTable(List.of(), List.of())));
+    server.start("127.0.0.1", 0);
+    try (Socket socket = new Socket()) {
+      socket.setReceiveBufferSize(1 << 16);
+      socket.connect(new InetSocketAddress("127.0.0.1", server.port()));
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      DataInputStream in =
+          new DataInputStream(new BufferedInputStream(socket.getInputStream(), 1 << 16));
+      socket.getOutputStream().write(hex(GREETING_AND_READY));
+      socket.getOutputStream().write(new byte[] {1, 8});
+      socket.getOutputStream().write("ICANHAZ?".getBytes(StandardCharsets.US_ASCII));
+      socket.getOutputStream().write(new byte[] {0, 3, '/', 'x', '/'});
+      handler.requested.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      Thread stop = new Thread(() -> stop(server));
+      stop.start();
+      assertEquals(KEYS, readSnapshot(in));
+      stop.join(TIMEOUT_MILLIS);
+      assertTrue(!stop.isAlive());
+    } finally {
+      eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+  }
+
+  private static void stop(ChpServer server) {
+    try {
+      server.stop(5_000);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+
+  /** Reads a greeting and frames up to the end of a snapshot; returns the number of its keys. */
+  private static int readSnapshot(DataInputStream in) throws IOException {
+    in.readFully(new byte[64]);
+    int keys = 0;
+    boolean ended = false;
+    while (!ended) {
+      int flags = in.readUnsignedByte();
+      byte[] body = new byte[(flags & 2) != 0 ? (int) in.readLong() : in.readUnsignedByte()];
+      in.readFully(body);
+      String text = new String(body, StandardCharsets.ISO_8859_1);
+      keys += text.startsWith("/x/") && text.length() > 3 ? 1 : 0;
+      ended = text.equals("KTHXBAI");
+    }
+    return keys;
+  }
+
+  @Test
+  void namesAPortThatIsInUse() throws Exception {
+    MultiThreadIoEventLoopGroup eventLoops =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    try (ServerSocket inUse = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      ChpServer server =
+          new ChpServer(
+              eventLoops,
+              ZmtpLimits.USUAL,
+              new ChpProxyApi(new LargeSnapshotHandler(), new NameTable(List.of(), List.of())));
+      IOException e =
+          assertThrows(IOException.class, () -> server.start("127.0.0.1", inUse.getLocalPort()));
+      assertTrue(e.getMessage().contains(String.valueOf(inUse.getLocalPort())), e.getMessage());
+    } finally {
+      eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+  }
+}
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -6,19 +6,20 @@
 import org.junit.jupiter.api.Test;
 import stonespring.model.DeciMillis;
 
+/** How often the engine may be restarted. */
 final class RestartBudgetTest {
   @Test
-  void failuresOfWeeksAreForgivenAndThoseOfAnHourAreNot() {
+  void limitsRestartsWithinAnHourButNotOverWeeks() {
     RestartBudget budget = new RestartBudget();
     long hour = 3_600 * DeciMillis.SECOND;
     for (long week = 0; week < 500; week++) {
       assertTrue(budget.tryRestart(week * 7 * 24 * hour));
     }
-    int left = 0;
+    int granted = 0;
     long now = 500 * 7 * 24 * hour;
     while (budget.tryRestart(now++)) {
-      left++;
+      granted++;
     }
-    assertEquals(10, left);
+    assertEquals(10, granted);
   }
 }
