--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -12,26 +12,13 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import stonespring.config.PlatformConfig;
 
 /** The platform's configuration: at the start, and read again by a SIGHUP or without one. */
 final class PlatformConfigurationTest {
-  @TempDir private Path folder;
-  private PlatformFixture platform;
-
-  @BeforeEach
-  void open() throws Exception {
-    platform = new PlatformFixture(folder);
-  }
-
-  @AfterEach
-  void close() throws Exception {
-    platform.close();
-  }
+  @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
   private static void write(OutputStream pipe, String text) throws Exception {
     pipe.write(text.getBytes(StandardCharsets.UTF_8));
@@ -154,7 +141,7 @@
       {good.replace("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"?\""), "field 'seed'"},
       {good.replace("\"sockets\":256", "\"sockets\":0"), "limits.sockets"}
     };
-    Path file = folder.resolve("bad.json");
+    Path file = platform.file("bad.json");
     for (String[] row : rows) {
       Files.writeString(file, row[0]);
       Exception e =
--- a/src/test/java/stonespring/daemon/PlatformEngineTest.java
+++ b/src/test/java/stonespring/daemon/PlatformEngineTest.java
@@ -3,15 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import stonespring.model.Command;
@@ -26,18 +23,7 @@
   private static final RouteTableId TABLE = new RouteTableId(1);
   private static final String FAILURE = "as the test wants it";
 
-  @TempDir private Path folder;
-  private PlatformFixture platform;
-
-  @BeforeEach
-  void open() throws Exception {
-    platform = new PlatformFixture(folder);
-  }
-
-  @AfterEach
-  void close() throws Exception {
-    platform.close();
-  }
+  @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
   /** An engine that returns at each batch's end what it queued while it handled events. */
   private abstract static class ScriptedEngine implements DecisionEngine {
--- a/src/test/java/stonespring/daemon/PlatformFixture.java
+++ b/src/test/java/stonespring/daemon/PlatformFixture.java
@@ -9,13 +9,17 @@
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.extension.AfterEachCallback;
+import org.junit.jupiter.api.extension.BeforeEachCallback;
+import org.junit.jupiter.api.extension.ExtensionContext;
 import stonespring.config.PlatformConfig;
 
 /**
  * What tests of an instance on the platform share: a configuration file, a discovery server on
  * loopback that the test answers for, clients, and the instance's process.
  */
-final class PlatformFixture {
+final class PlatformFixture implements BeforeEachCallback, AfterEachCallback {
   /** An upper bound; every wait ends with its event. */
   static final int TIMEOUT_MILLIS = 20_000;
 
@@ -28,13 +32,14 @@
                            "bootstrap":3,"proxyCount":8,"reportEveryS":0.5},
              "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1}}""";
 
-  private final Path folder;
   private final Deque<AutoCloseable> opened = new ArrayDeque<>();
-  private final ServerSocket discovery;
+  private Path folder;
+  private ServerSocket discovery;
 
-  PlatformFixture(Path folder) throws IOException {
-    this.folder = folder;
-    this.discovery = listen();
+  @Override
+  public void beforeEach(ExtensionContext context) throws IOException {
+    folder = Files.createTempDirectory("platform");
+    discovery = listen();
   }
 
   /** The discovery server that {@link #config()} names. */
@@ -96,6 +101,11 @@
         + "}";
   }
 
+  /** A file in a folder of this test's own. */
+  Path file(String name) {
+    return folder.resolve(name);
+  }
+
   /** Writes the configuration in place. */
   void writeConfig(String text) throws IOException {
     Files.writeString(configFile(), text);
@@ -145,8 +155,9 @@
     return new LineClient(socket);
   }
 
-  /** Ends the process and closes all that was opened. */
-  void close() throws Exception {
+  /** Ends the process, closes all that was opened and deletes the files. */
+  @Override
+  public void afterEach(ExtensionContext context) throws Exception {
     // The process first, so that it does not react to the other ends.
     for (AutoCloseable resource : opened) {
       if (resource instanceof PlatformProcess) {
@@ -156,5 +167,11 @@
     for (AutoCloseable resource : opened) {
       resource.close();
     }
+    try (Stream<Path> files = Files.list(folder)) {
+      for (Path file : files.toList()) {
+        Files.delete(file);
+      }
+    }
+    Files.delete(folder);
   }
 }
--- a/src/test/java/stonespring/daemon/PlatformProcessTest.java
+++ b/src/test/java/stonespring/daemon/PlatformProcessTest.java
@@ -9,27 +9,13 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** Life of an instance's process on the platform: start, service, exhaustion, end. */
 final class PlatformProcessTest {
-  @TempDir private Path folder;
-  private PlatformFixture platform;
-
-  @BeforeEach
-  void open() throws Exception {
-    platform = new PlatformFixture(folder);
-  }
-
-  @AfterEach
-  void close() throws Exception {
-    platform.close();
-  }
+  @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
   /** From the first answer over a route table, reloads and a move of discovery to the end. */
   @Test
