--- a/src/main/java/stonespring/cli/CheckCommand.java
+++ b/src/main/java/stonespring/cli/CheckCommand.java
@@ -7,6 +7,7 @@
 import stonespring.config.InstanceSettings;
 import stonespring.config.ScriptException;
 
+/** Checks a settings script and prints its errors. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
@@ -29,10 +30,10 @@
               + settings.port()
               + " to "
               + (settings.port() + 2));
-      return Exit.GOOD;
+      return ExitCode.OK;
     } catch (ScriptException e) {
       e.faults().forEach(System.err::println);
-      return Exit.USAGE;
+      return ExitCode.USAGE;
     }
   }
 }
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -14,7 +14,6 @@
 import stonespring.discovery.FileEndpointSource;
 import stonespring.model.RequestClass;
 import stonespring.model.Settings;
-import stonespring.proxy.routing.Repeat;
 import stonespring.proxy.routing.RouterSettings;
 
 /** Stand-ins run by themselves, for trying things out by hand. */
@@ -37,12 +36,12 @@
   /** The same for settings and the names of their op types. */
   public static RouterSettings routing(
       Settings s, List<String> names, ToLongFunction<RequestClass> window) {
-    List<RouterSettings.Type> types = new ArrayList<>();
+    List<RouterSettings.ClassSettings> types = new ArrayList<>();
     for (int k = 0; k < s.requestClasses().size(); k++) {
       RequestClass type = s.requestClasses().get(k);
       types.add(
-          new RouterSettings.Type(
-              names.get(k), Repeat.valueOf(type.retrySafety().name()), window.applyAsLong(type)));
+          new RouterSettings.ClassSettings(
+              names.get(k), type.retrySafety(), window.applyAsLong(type)));
     }
     return new RouterSettings(
         types,
@@ -50,8 +49,8 @@
         SHUN_LEAST,
         SHUN_MOST,
         RETRY_LEAST,
-        RouterSettings.Picks.TWO,
-        RouterSettings.Levels.valueOf(s.admissionLimitKind().name()));
+        RouterSettings.Picking.TWO_CHOICES,
+        s.admissionLimitKind());
   }
 
   /** The settings' op timeouts as proxies take them, milliseconds. */
