--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -83,7 +83,7 @@
   // ---- Its assigner.
 
   void join(EngineHost core) {
-    core.hello(
+    core.handleHello(
         proxy.name(),
         new ProxyHello(
             "life",
@@ -118,7 +118,7 @@
         bareSince = empty ? agenda.now() : -1;
       }
       if (message.ackId() >= 0) {
-        core.answered(
+        core.handleAcknowledgement(
             proxy.name(), message.stream(), message.ackId(), fleet.away(), this, agenda.now());
       }
     }
