--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -29,8 +30,7 @@
   private final EndpointListCodec codec;
   private final EventLoop loop;
   private final EndpointListDiff diff = new EndpointListDiff();
-  private Consumer<Event.EndpointListUpdate> updates;
-  private Consumer<List<EndpointRecord>> lists;
+  private SourceListeners listeners;
   private byte[] lastContent = new byte[0];
   private String lastError = "";
   private Future<?> polling;
@@ -45,8 +45,7 @@
   @Override
   public void start(
       Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    this.updates = updates;
-    this.lists = lists;
+    listeners = new SourceListeners(updates, lists);
     polling =
         loop.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
@@ -71,12 +70,9 @@
     if (Arrays.equals(content, lastContent)) {
       return;
     }
-    var update = diff.next(codec.read(content));
+    Optional<Event.EndpointListUpdate> update = diff.next(codec.read(content));
     lastContent = content;
-    if (update.isPresent()) {
-      updates.accept(update.get());
-      lists.accept(diff.list());
-    }
+    update.ifPresent(changed -> listeners.updated(changed, diff.list()));
   }
 
   private static String describe(Exception e) {
@@ -93,9 +89,13 @@
     loop.execute(
         () -> {
           List<EndpointRecord> list = diff.list();
-          Event.ListUpdateKind kind =
-              list.isEmpty() ? Event.ListUpdateKind.FETCH_FAILED : Event.ListUpdateKind.SNAPSHOT;
-          updates.accept(new Event.EndpointListUpdate(kind, list));
+          if (list.isEmpty()) {
+            listeners.failed();
+          } else {
+            listeners
+                .updates()
+                .accept(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list));
+          }
         });
   }
 
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -35,8 +35,7 @@
   private final HttpClient client;
   private final PlatformEndpointWatch.Listener watchListener = new WatchListener();
   private InetSocketAddress address;
-  private Consumer<Event.EndpointListUpdate> updates;
-  private Consumer<List<EndpointRecord>> lists;
+  private SourceListeners listeners;
   private boolean watching;
 
   /** The watch that the list follows; null if there is none. */
@@ -91,8 +90,7 @@
   @Override
   public void start(
       Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    this.updates = updates;
-    this.lists = lists;
+    listeners = new SourceListeners(updates, lists);
   }
 
   @Override
@@ -160,7 +158,7 @@
 
   private void reportFailure(String cause) {
     LOG.warn("discovery {}: keeping the last endpoint list: {}", address, cause);
-    updates.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
+    listeners.failed();
   }
 
   /** Decides between the current watch and its successor. */
@@ -177,8 +175,7 @@
 
     @Override
     public void listUpdated(Event.EndpointListUpdate update) {
-      updates.accept(update);
-      lists.accept(list.endpoints());
+      listeners.updated(update, list.endpoints());
     }
 
     @Override
@@ -228,9 +225,9 @@
       byte[] body = EndpointListUnavailableException.requireOk(result).body();
       Event.EndpointListUpdate update =
           list.apply(list.read(body), version, PlatformEndpointList.Origin.FETCH);
-      updates.accept(
-          new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, update.endpoints()));
-      lists.accept(list.endpoints());
+      listeners.updated(
+          new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, update.endpoints()),
+          list.endpoints());
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
       reportFailure(e.getMessage());
     }
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -37,7 +37,7 @@
   /** The platform sends a keep-alive every 2 s. */
   private static final long SILENCE_TIMEOUT_MILLIS = 3_200;
 
-  /** A message that arrives in pieces without end must not pass for a sign of life. */
+  /** A message that arrives in pieces without end must not count as a keep-alive. */
   private static final long MESSAGE_TIMEOUT_MILLIS = 5_000;
 
   private final InetSocketAddress address;
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -38,8 +38,7 @@
   private final EventLoop loop;
   private final HttpClient client;
   private final EndpointListDiff diff = new EndpointListDiff();
-  private Consumer<Event.EndpointListUpdate> updates;
-  private Consumer<List<EndpointRecord>> lists;
+  private SourceListeners listeners;
   private boolean watching;
 
   /** Counts watches, so that the response to a query of an earlier one is ignored. */
@@ -73,8 +72,7 @@
   @Override
   public void start(
       Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    this.updates = updates;
-    this.lists = lists;
+    listeners = new SourceListeners(updates, lists);
   }
 
   @Override
@@ -111,12 +109,7 @@
       HttpResponse response = EndpointListUnavailableException.requireOk(result);
       long nextIndex = readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
-      diff.next(list)
-          .ifPresent(
-              update -> {
-                updates.accept(update);
-                lists.accept(list);
-              });
+      diff.next(list).ifPresent(update -> listeners.updated(update, list));
       query(watch, nextIndex < index ? NO_INDEX : nextIndex);
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
       watching = false;
@@ -148,8 +141,7 @@
       HttpResponse response = EndpointListUnavailableException.requireOk(result);
       readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
-      updates.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list));
-      lists.accept(list);
+      listeners.updated(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list), list);
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
       reportFailure(e);
     }
@@ -157,7 +149,7 @@
 
   private void reportFailure(Exception cause) {
     LOG.warn("registry {}: keeping the last endpoint list: {}", address, cause.getMessage());
-    updates.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
+    listeners.failed();
   }
 
   @Override
--- a/src/main/java/stonespring/http/Connector.java
+++ b/src/main/java/stonespring/http/Connector.java
@@ -15,8 +15,8 @@
 
 /**
  * Opens connections on one event loop; all calls come from there. The outcome is reported on that
- * loop and never before the call that asked for it has returned. Netty alone does not guarantee
- * that: without a free file descriptor it fails at once and reports on a thread of its own.
+ * loop and never before {@link #connect} has returned. Netty alone does not guarantee that: without
+ * a free file descriptor it fails at once and reports on a thread of its own.
  */
 public final class Connector {
   /** Receives the outcome of a connect. */
--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -56,7 +56,7 @@
     timeout =
         endAfter(
             limits.responseTimeoutMillis(),
-            "no answer within " + limits.responseTimeoutMillis() + " ms");
+            "no response within " + limits.responseTimeoutMillis() + " ms");
     channel =
         connector.connect(
             address,
