--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.TreeSet;
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stonespring.model.AckId;
 import stonespring.model.Command;
 import stonespring.model.DeciMillis;
 import stonespring.model.DecisionEngine;
@@ -17,8 +17,20 @@
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 import stonespring.model.Settings;
-import stonespring.proxyapi.ProxyMessageHandler;
-import stonespring.state.*;
+import stonespring.proxyapi.ProxyConnection;
+import stonespring.state.HelloResult;
+import stonespring.state.KeyStore;
+import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyAcknowledgement;
+import stonespring.state.ProxyHello;
+import stonespring.state.ProxyReport;
+import stonespring.state.ProxySessions;
+import stonespring.state.ProxyUpdate;
+import stonespring.state.PublishedKeyCodec;
+import stonespring.state.PublishedState;
+import stonespring.state.RateLimitedChannel;
+import stonespring.state.ReportAggregator;
+import stonespring.state.RouteTables;
 
 /**
  * One instance without its thread, clock and sockets: it tells the decision module what happens and
@@ -37,7 +49,7 @@
   private final Settings settings;
   private final HostEnvironment outside;
   private final EngineRunner decisions;
-  private final ProxySessions presence;
+  private final ProxySessions<ProxyConnection> presence;
   private final RouteTables tables;
   private final ReportAggregator reports;
   private final RateLimitedChannel channel;
@@ -64,17 +76,12 @@
     this.settings = settings;
     this.outside = outside;
     this.decisions = new EngineRunner(module, outside);
-    this.presence = new ProxySessions(limits.proxies());
-    this.tables = new RouteTables(opTypeNames);
+    this.presence = new ProxySessions<>(limits.proxies());
+    this.tables = new RouteTables(opTypeNames.size());
     this.reports = new ReportAggregator(limits.reportPairs());
-    this.channel =
-        new RateLimitedChannel(
-            settings.channel().entriesPerSecond(),
-            settings.channel().messageOverheadEntries(),
-            settings.channel().maxBacklogEntries(),
-            settings.channel().messageWindow());
+    this.channel = new RateLimitedChannel(settings.channel());
     this.keys = new KeyStore(firstSequence, limits.keys());
-    this.published = new PublishedState(keys, epoch, presence);
+    this.published = new PublishedState(keys, new PublishedKeyCodec(opTypeNames), epoch, presence);
     this.reportsAt = now + settings.reportInterval();
     this.statusAt = now;
   }
@@ -93,90 +100,91 @@
   }
 
   /** A proxy says that it is here, for {@code holds} from now. */
-  public void hello(
-      String proxy, ProxyHello hello, long holds, ProxyMessageHandler.Origin from, long now) {
-    ProxySessions.Verdict verdict = presence.hello(proxy, hello, from, now, now + holds);
-    if (verdict instanceof ProxySessions.Verdict.Refused refused) {
-      from.end(refused.cause());
-    } else if (verdict instanceof ProxySessions.Verdict.Joined joined) {
+  public void hello(String proxy, ProxyHello hello, long holds, ProxyConnection from, long now) {
+    HelloResult<ProxyConnection> result = presence.hello(proxy, hello, from, now, now + holds);
+    if (result instanceof HelloResult.Refused<ProxyConnection> refused) {
+      from.close(refused.reason());
+    } else if (result instanceof HelloResult.Connected<ProxyConnection> joined) {
       ProxyId id = joined.proxy();
-      if (joined.before()) {
+      if (joined.replaced().isPresent()) {
         gone(id, "a newer stream of it came", now);
-        if (joined.oldConnection() != from) {
-          ((ProxyMessageHandler.Origin) joined.oldConnection())
-              .end("proxy " + proxy + " came back on a newer stream");
+        if (joined.replaced().get() != from) {
+          joined.replaced().get().close("proxy " + proxy + " came back on a newer stream");
         }
       }
-      tables.joined(id, hello.holds());
+      tables.proxyConnected(id, hello.tableEndpoints());
       tell(
           now,
-          new Event.ProxyConnected(id, hello.zone(), hello.opsPerSecond(), hello.fresh()),
+          new Event.ProxyConnected(
+              id, hello.zone(), hello.requestsPerSecond(), hello.withoutTables()),
           "join " + proxy);
-      outside.publish(published.here(id));
+      outside.publish(published.proxyConnected(id));
       LOG.info(
           "proxy {} joined as {}, stream {}, {}",
           proxy,
           id.number(),
           published.origin(id),
-          hello.fresh() ? "with its standing table" : "with tables of its own");
+          hello.withoutTables() ? "with its standing table" : "with tables of its own");
     }
   }
 
   private void gone(ProxyId id, String why, long now) {
-    tables.left(id);
-    channel.left(id);
-    reports.left(id);
-    outside.publish(published.ended(id));
+    tables.proxyDisconnected(id);
+    channel.proxyDisconnected(id);
+    reports.proxyDisconnected(id);
+    outside.publish(published.proxyDisconnected(id));
     tell(now, new Event.ProxyDisconnected(id), "left " + presence.name(id));
     LOG.info("proxy {} left: {}", presence.name(id), why);
   }
 
   /** A connection ended: whatever spoke on it is gone at once. */
-  public void closed(ProxyMessageHandler.Origin from, long now) {
-    for (ProxyId id : presence.closed(from)) {
+  public void closed(ProxyConnection from, long now) {
+    for (ProxyId id : presence.connectionClosed(from)) {
       gone(id, "its connection ended", now);
     }
   }
 
   /** What a proxy met; from one that is not here it ends the connection. */
-  public void reported(
-      String proxy,
-      long span,
-      List<ReportAggregator.Met> met,
-      List<ReportAggregator.Came> came,
-      ProxyMessageHandler.Origin from) {
-    ProxyId id = presence.speaking(proxy, from);
+  public void reported(String proxy, ProxyReport report, ProxyConnection from) {
+    ProxyId id = presence.find(proxy, from).orElse(null);
     if (id == null) {
-      from.end("report: proxy " + proxy + " never joined on this connection");
+      from.close("report: proxy " + proxy + " never joined on this connection");
       return;
     }
     // What its own tables name may be gone from the list since before this start: the decisions
     // must hear of it.
-    List<EndpointId> holds = presence.hello(id).holds();
-    List<ReportAggregator.Met> known =
-        met.stream()
-            .filter(m -> listed.contains(m.task()) || holds != null && holds.contains(m.task()))
+    List<EndpointId> holds = presence.hello(id).tableEndpoints().orElse(List.of());
+    List<ProxyReport.EndpointObservation> known =
+        report.endpoints().stream()
+            .filter(o -> listed.contains(o.endpoint()) || holds.contains(o.endpoint()))
             .toList();
-    unknownReports += met.size() - known.size();
-    reports.add(id, presence.hello(id).zone(), span, known, came);
+    unknownReports += report.endpoints().size() - known.size();
+    reports.add(
+        id,
+        presence.hello(id).zone(),
+        new ProxyReport(report.interval(), known, report.requests()));
   }
 
   /**
    * A proxy has applied a message; a mark that was never set, or another stream's, means nothing.
    */
-  public void answered(
-      String proxy, String stream, int mark, long took, ProxyMessageHandler.Origin from, long now) {
-    ProxyId id = presence.speaking(proxy, from);
+  public void acknowledged(
+      String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection from, long now) {
+    ProxyId id = presence.find(proxy, from).orElse(null);
     if (id == null) {
-      from.end("answer: proxy " + proxy + " never joined on this connection");
-    } else if (published.origin(id).equals(stream)) {
-      long orderedAt = published.answer(id, mark);
-      if (orderedAt < 0) {
-        from.end("answer: mark " + mark + " was never set for proxy " + proxy);
+      from.close("answer: proxy " + proxy + " never joined on this connection");
+    } else if (published.origin(id).equals(acknowledgement.origin())) {
+      OptionalLong orderedAt = published.acknowledge(id, acknowledgement.ack());
+      if (orderedAt.isEmpty()) {
+        from.close(
+            "answer: mark " + acknowledgement.ack().number() + " was never set for proxy " + proxy);
         return;
       }
-      answers.recordValue(Math.min(ANSWER_MOST, Math.max(0, now - orderedAt)));
-      tell(now, new Event.UpdateAcknowledged(id, new AckId(mark), took), "answer " + proxy);
+      answers.recordValue(Math.min(ANSWER_MOST, Math.max(0, now - orderedAt.getAsLong())));
+      tell(
+          now,
+          new Event.UpdateAcknowledged(id, acknowledgement.ack(), acknowledgement.duration()),
+          "answer " + proxy);
     }
   }
 
@@ -233,19 +241,19 @@
       causes.clear();
       moreCauses = 0;
     }
-    for (ProxyUpdate message : channel.due(now)) {
+    for (ProxyUpdate message : channel.takeDue(now)) {
       outside.publish(published.publish(message));
     }
     if (now >= statusAt) {
       statusAt = now + STATUS_EVERY;
-      outside.publish(published.status(status()));
+      outside.publish(published.publishStatus(status()));
     }
-    long next = Math.min(Math.min(reportsAt, statusAt), channel.nextAt());
+    long next = Math.min(Math.min(reportsAt, statusAt), channel.nextDepartureAt());
     return Math.min(next, decisions.nextTimer());
   }
 
   private void carryOut(List<Command> orders, long now) {
-    List<ProxyUpdate> messages = tables.messages(orders, now);
+    List<ProxyUpdate> messages = tables.apply(orders, now);
     channel.offer(messages, now);
     if (!messages.isEmpty() && LOG.isDebugEnabled()) {
       String cause =
@@ -258,33 +266,33 @@
             cause);
       }
     }
-    if (channel.backlog() > settings.channel().maxBacklogEntries()) {
+    if (channel.backlogEntries() > settings.channel().maxBacklogEntries()) {
       LOG.error(
           "channel: {} lines wait, the limit is {}",
-          channel.backlog(),
+          channel.backlogEntries(),
           settings.channel().maxBacklogEntries());
     }
   }
 
   private String status() {
     return "{\"proxies\":"
-        + presence.here()
+        + presence.connectedCount()
         + ",\"tasks_ready\":"
         + ready.size()
         + ",\"backlog_lines\":"
-        + channel.backlog()
+        + channel.backlogEntries()
         + ",\"backlog_high\":"
-        + channel.backlogHigh()
+        + channel.peakBacklogEntries()
         + ",\"backlog_limit\":"
         + settings.channel().maxBacklogEntries()
         + ",\"messages_high\":"
-        + channel.messagesHigh()
+        + channel.peakMessagesPerProxy()
         + ",\"messages_limit\":"
         + settings.channel().maxMessagesPerProxy()
         + ",\"merged\":"
-        + channel.merged()
+        + channel.mergedUpdates()
         + ",\"reports_left_out\":"
-        + (reports.leftOut() + unknownReports)
+        + (reports.droppedPairs() + unknownReports)
         + ",\"decisions\":"
         + decisions.finishes()
         + ",\"answer_ms_p50\":"
@@ -295,7 +303,7 @@
   }
 
   public int proxiesHere() {
-    return presence.here();
+    return presence.connectedCount();
   }
 
   public long decisions() {
--- a/src/main/java/stonespring/daemon/EventLoopThread.java
+++ b/src/main/java/stonespring/daemon/EventLoopThread.java
@@ -1,21 +1,22 @@
 package stonespring.daemon;
 
-import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stonespring.model.Event;
+import stonespring.proxyapi.ProxyConnection;
 import stonespring.proxyapi.ProxyMessageHandler;
-import stonespring.state.KeyUpdate;
+import stonespring.state.KeySnapshot;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
 /**
  * The one thread that drives an instance's core: words from the sockets wait in an inbox, a
@@ -120,32 +121,28 @@
   }
 
   @Override
-  public boolean hello(String proxy, ProxyHello hello, long holds, Origin from) {
+  public boolean hello(String proxy, ProxyHello hello, long holds, ProxyConnection from) {
     return offer(now -> core.hello(proxy, hello, holds, from, now));
   }
 
   @Override
-  public boolean reported(
-      String proxy,
-      long span,
-      List<ReportAggregator.Met> met,
-      List<ReportAggregator.Came> came,
-      Origin from) {
-    return offer(now -> core.reported(proxy, span, met, came, from));
+  public boolean reported(String proxy, ProxyReport report, ProxyConnection from) {
+    return offer(now -> core.reported(proxy, report, from));
   }
 
   @Override
-  public boolean answered(String proxy, String stream, int mark, long took, Origin from) {
-    return offer(now -> core.answered(proxy, stream, mark, took, from, now));
+  public boolean acknowledged(
+      String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection from) {
+    return offer(now -> core.acknowledged(proxy, acknowledgement, from, now));
   }
 
   @Override
-  public boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then) {
-    return offer(now -> then.accept(core.snapshot(subtree), core.sequence()));
+  public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
+    return offer(now -> receiver.accept(new KeySnapshot(core.snapshot(subtree), core.sequence())));
   }
 
   @Override
-  public void closed(Origin from) {
+  public void connectionClosed(ProxyConnection from) {
     post(now -> core.closed(from, now));
   }
 
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -96,7 +96,7 @@
     Settings settings = file.facts().settings();
     int reserved =
         settings.fleet().proxies()
-            + (PlatformProxyApi.COLLECTORS_A_ZONE + 1) * settings.fleet().zones()
+            + (PlatformProxyApi.MAX_COLLECTORS_PER_ZONE + 1) * settings.fleet().zones()
             + FILES;
     int unjoined = Math.max(UNJOINED_LEAST, Math.min(UNJOINED_MOST, file.sockets() - reserved));
     this.front =
@@ -159,7 +159,7 @@
   }
 
   private void listTold(Event.EndpointListUpdate told) {
-    front.listTold(told);
+    front.endpointListUpdated(told);
     if (told.kind() != Event.ListUpdateKind.DELTA) {
       LOG.info("list {}: {} entries", told.kind(), told.endpoints().size());
     }
@@ -233,7 +233,7 @@
       told.forEach(event -> decisions.tell(now, event));
       if (decisions.pending()) {
         List<Command> orders = decisions.finish(now);
-        front.carryOut(orders, now);
+        front.execute(orders, now);
         long done = clock.now();
         batches.recordValue(Math.min(TOOK_MOST, done - now));
         if (reportsTold >= 0) {
@@ -284,7 +284,7 @@
     decisions = new EngineRunner(module(file.seed() + failures), asks);
     timerAt = Long.MAX_VALUE;
     heard(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.held()));
-    front.restart();
+    front.engineRestarted();
   }
 
   /** The configuration was replaced: discovery may have moved, the rest needs a new start. */
@@ -318,8 +318,8 @@
                     "assigner {} stops: {} proxies, {} messages dropped; batches p50 {} ms, p99 {} ms, most {} ms; from a "
                         + "period's first report to the orders' last byte p50 {} ms, p99 {} ms, most {} ms",
                     file.name(),
-                    front.proxiesHere(),
-                    front.dropped(),
+                    front.connectedProxies(),
+                    front.droppedMessages(),
                     millis(batches, 50),
                     millis(batches, 99),
                     millis(batches, 100),
--- /dev/null
+++ b/src/main/java/stonespring/proxyapi/JsonMessage.java
@@ -0,0 +1,125 @@
+package stonespring.proxyapi;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.core.StreamReadConstraints;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+
+/**
+ * A message that is a JSON object, with checked access to its fields. All methods throw {@link
+ * InvalidMessageException} for what is missing or out of bounds.
+ */
+final class JsonMessage {
+  private static final int MAX_NAME_CHARS = 200;
+  private static final int MAX_LIST_SIZE = 4096;
+  private static final int MAX_NESTING_DEPTH = 8;
+  private static final int MAX_STRING_CHARS = 4096;
+  private static final ObjectMapper JSON =
+      new ObjectMapper(
+          JsonFactory.builder()
+              .streamReadConstraints(
+                  StreamReadConstraints.builder()
+                      .maxNestingDepth(MAX_NESTING_DEPTH)
+                      .maxStringLength(MAX_STRING_CHARS)
+                      .build())
+              .build());
+
+  private final String kind;
+  private final JsonNode root;
+
+  private JsonMessage(String kind, JsonNode root) {
+    this.kind = kind;
+    this.root = root;
+  }
+
+  /** Parses a message; its kind is for the texts of exceptions. */
+  static JsonMessage parse(String kind, byte[] bytes) {
+    try {
+      JsonNode root = JSON.readTree(bytes);
+      if (root == null || !root.isObject()) {
+        throw new InvalidMessageException(kind, "it is no JSON object");
+      }
+      return new JsonMessage(kind, root);
+    } catch (JsonProcessingException e) {
+      throw new InvalidMessageException(
+          kind, "it is no well-formed JSON: " + e.getOriginalMessage().split("\n")[0]);
+    } catch (IOException e) {
+      throw new InvalidMessageException(kind, "it can't be read: " + e.getMessage());
+    }
+  }
+
+  InvalidMessageException invalid(String field, String problem) {
+    return new InvalidMessageException(kind, field, problem);
+  }
+
+  boolean has(String field) {
+    return root.has(field);
+  }
+
+  private JsonNode required(String field) {
+    JsonNode value = root.get(field);
+    if (value == null || value.isNull()) {
+      throw invalid(field, "is missing");
+    }
+    return value;
+  }
+
+  String name(String field) {
+    return name(field, required(field));
+  }
+
+  double number(String field, double max) {
+    return number(field, required(field), max);
+  }
+
+  long wholeNumber(String field, double max) {
+    return wholeNumber(field, required(field), max);
+  }
+
+  boolean flag(String field) {
+    JsonNode value = required(field);
+    if (!value.isBoolean()) {
+      throw invalid(field, "is neither true nor false");
+    }
+    return value.asBoolean();
+  }
+
+  /** The elements of a list; none if the field is missing. */
+  Iterable<JsonNode> list(String field) {
+    JsonNode value = root.path(field);
+    if (!value.isMissingNode() && (!value.isArray() || value.size() > MAX_LIST_SIZE)) {
+      throw invalid(field, "is not a list of at most " + MAX_LIST_SIZE);
+    }
+    return value;
+  }
+
+  /** Reads an element of the field as a name of an endpoint or a proxy. */
+  String name(String field, JsonNode value) {
+    String text = value.isTextual() ? value.asText() : "";
+    if (text.isEmpty()
+        || text.length() > MAX_NAME_CHARS
+        || text.chars().anyMatch(c -> c <= ' ' || c == '/')) {
+      throw invalid(
+          field, "is not a name of 1 to " + MAX_NAME_CHARS + " characters without slash or space");
+    }
+    return text;
+  }
+
+  /** Reads an element of the field as a number from 0. */
+  double number(String field, JsonNode value, double max) {
+    if (!value.isNumber() || !(value.asDouble() >= 0) || value.asDouble() > max) {
+      throw invalid(field, "is not a number from 0 to " + max);
+    }
+    return value.asDouble();
+  }
+
+  /** Reads an element of the field as a whole number from 0. */
+  long wholeNumber(String field, JsonNode value, double max) {
+    if (!value.isIntegralNumber()) {
+      throw invalid(field, "is not a whole number");
+    }
+    return (long) number(field, value, max);
+  }
+}
--- a/src/main/java/stonespring/proxyapi/NameTable.java
+++ b/src/main/java/stonespring/proxyapi/NameTable.java
@@ -1,19 +1,21 @@
 package stonespring.proxyapi;
 
 import java.util.List;
+import java.util.Optional;
 import stonespring.model.RequestClassId;
 import stonespring.model.ZoneId;
 
-/** The settings' names for zones and op types, by position. */
-public record NameTable(List<String> zones, List<String> opTypes) {
-  /** The zone with that name; null where there is none. */
-  public ZoneId zone(String name) {
-    int at = zones.indexOf(name);
-    return at < 0 ? null : new ZoneId(at);
+/** The settings' names of zones and request classes, by position. */
+public record NameTable(List<String> zones, List<String> requestClasses) {
+  /** The zone with that name. */
+  public Optional<ZoneId> zone(String name) {
+    int index = zones.indexOf(name);
+    return index < 0 ? Optional.empty() : Optional.of(new ZoneId(index));
   }
 
-  public RequestClassId opType(String name) {
-    int at = opTypes.indexOf(name);
-    return at < 0 ? null : new RequestClassId(at);
+  /** The request class with that name. */
+  public Optional<RequestClassId> requestClass(String name) {
+    int index = requestClasses.indexOf(name);
+    return index < 0 ? Optional.empty() : Optional.of(new RequestClassId(index));
   }
 }
--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -1,211 +1,169 @@
 package stonespring.proxyapi;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import stonespring.model.AckId;
 import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 import stonespring.model.LoadReport;
 import stonespring.model.RequestClassId;
 import stonespring.model.ZoneId;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
-/** Reads what proxies say, as JSON objects; a fault's text names the message and the field. */
+/**
+ * Reads the messages that proxies send as JSON objects; {@code docs/channel.md} describes them. All
+ * methods throw {@link InvalidMessageException}.
+ */
 public final class ProxyMessageCodec {
-  /** A word that can't be read. */
-  public static final class BadWord extends RuntimeException {
-    private static final long serialVersionUID = 1;
-
-    BadWord(String message) {
-      super(message, null, false, false);
-    }
-  }
-
-  /** What a proxy met since its last report. Span in tenths of a millisecond. */
-  public record Report(
-      long span, List<ReportAggregator.Met> met, List<ReportAggregator.Came> came) {}
-
-  /** A proxy has applied the message that carried this mark. */
-  public record Answer(String stream, int mark, long took) {}
-
-  private static final int NAME_MOST = 200; // characters of a task's or proxy's name
-  private static final int LIST_MOST = 4096; // entries of a list in one word
-  private static final double SPAN_MOST = 3600; // s; a longer one is a fault of the proxy's clock
-  private static final double OPS_MOST = 1e9; // ops; as above
-  private static final ObjectMapper JSON =
-      new ObjectMapper(
-          JsonFactory.builder()
-              .streamReadConstraints(
-                  StreamReadConstraints.builder().maxNestingDepth(8).maxStringLength(4096).build())
-              .build());
+  private static final String PRESENCE = "presence";
+  private static final String ZONE = "zone";
+  private static final String TABLE_ENDPOINTS = "holds";
+  private static final String WITHOUT_TABLES = "fresh";
+  private static final String PROCESS_ID = "life";
+  private static final String CONNECTION_COUNT = "stream";
+  private static final String REQUESTS_PER_SECOND = "ops";
+
+  private static final String REPORT = "report";
+  private static final String INTERVAL = "span";
+  private static final String ENDPOINTS = "tasks";
+  private static final String REQUESTS = "ops";
+  private static final String UTILIZATION = "busy";
+  private static final String QUEUE_LENGTH = "waiting";
+  private static final String IN_FLIGHT = "in_hand";
+  private static final String SERVICE_TIME_MILLIS = "work_ms";
+  private static final String LOAD_REQUESTS_PER_SECOND = "ops_per_s";
+
+  private static final String ACKNOWLEDGEMENT = "answer";
+  private static final String ORIGIN = "origin";
+  private static final String ACK_ID = "mark";
+  private static final String DURATION = "took";
+
+  private static final double MAX_SECONDS = 3600;
+  private static final double MAX_FIGURE = 1e9; // of requests, attempts or any load figure
+  private static final int MAX_ACK_ID = 65_535;
 
   private final NameTable names;
 
+  /** Creates a codec for the settings' names. */
   public ProxyMessageCodec(NameTable names) {
     this.names = names;
   }
 
-  private static JsonNode object(String word, byte[] bytes) {
-    try {
-      JsonNode node = JSON.readTree(bytes);
-      if (node == null || !node.isObject()) {
-        throw new BadWord(word + ": it is no JSON object");
-      }
-      return node;
-    } catch (JsonProcessingException e) {
-      throw new BadWord(
-          word + ": it is no well-formed JSON: " + e.getOriginalMessage().split("\n")[0]);
-    } catch (IOException e) {
-      throw new BadWord(word + ": it can't be read: " + e.getMessage());
-    }
-  }
-
-  private static BadWord bad(String word, String field, String what) {
-    return new BadWord(word + ": field '" + field + "' " + what);
-  }
-
-  private static JsonNode field(String word, JsonNode node, String field) {
-    JsonNode value = node.get(field);
-    if (value == null || value.isNull()) {
-      throw bad(word, field, "is missing");
-    }
-    return value;
+  /** Reads a proxy's announcement of its presence. */
+  public ProxyHello readHello(byte[] bytes) {
+    JsonMessage message = JsonMessage.parse(PRESENCE, bytes);
+    String zoneName = message.name(ZONE);
+    ZoneId zone =
+        names
+            .zone(zoneName)
+            .orElseThrow(() -> message.invalid(ZONE, "names no zone of the settings: " + zoneName));
+    Optional<List<EndpointId>> tableEndpoints = readTableEndpoints(message);
+    boolean withoutTables = message.flag(WITHOUT_TABLES);
+    return new ProxyHello(
+        message.name(PROCESS_ID),
+        message.wholeNumber(CONNECTION_COUNT, Long.MAX_VALUE),
+        zone,
+        message.number(REQUESTS_PER_SECOND, MAX_FIGURE),
+        withoutTables,
+        tableEndpoints);
   }
 
-  private static String name(String word, String field, JsonNode value) {
-    String text = value.isTextual() ? value.asText() : "";
-    if (text.isEmpty()
-        || text.length() > NAME_MOST
-        || text.chars().anyMatch(c -> c <= ' ' || c == '/')) {
-      throw bad(
-          word, field, "is not a name of 1 to " + NAME_MOST + " characters without slash or space");
+  private static Optional<List<EndpointId>> readTableEndpoints(JsonMessage message) {
+    if (!message.has(TABLE_ENDPOINTS)) {
+      return Optional.empty();
     }
-    return text;
-  }
-
-  private static double number(String word, String field, JsonNode value, double most) {
-    if (!value.isNumber() || !(value.asDouble() >= 0) || value.asDouble() > most) {
-      throw bad(word, field, "is not a number from 0 to " + most);
+    List<EndpointId> endpoints = new ArrayList<>();
+    for (JsonNode endpoint : message.list(TABLE_ENDPOINTS)) {
+      endpoints.add(new EndpointId(message.name(TABLE_ENDPOINTS, endpoint)));
     }
-    return value.asDouble();
+    return Optional.of(endpoints);
   }
 
-  private static long whole(String word, String field, JsonNode value, double most) {
-    if (!value.isIntegralNumber()) {
-      throw bad(word, field, "is not a whole number");
+  /** Reads a proxy's report. */
+  public ProxyReport readReport(byte[] bytes) {
+    JsonMessage message = JsonMessage.parse(REPORT, bytes);
+    double seconds = message.number(INTERVAL, MAX_SECONDS);
+    List<ProxyReport.EndpointObservation> endpoints = new ArrayList<>();
+    for (JsonNode row : message.list(ENDPOINTS)) {
+      endpoints.add(readObservation(message, row));
     }
-    return (long) number(word, field, value, most);
-  }
-
-  private static JsonNode list(String word, JsonNode node, String field) {
-    JsonNode value = node.path(field);
-    if (!value.isMissingNode() && (!value.isArray() || value.size() > LIST_MOST)) {
-      throw bad(word, field, "is not a list of at most " + LIST_MOST);
+    List<ProxyReport.RequestCount> requests = new ArrayList<>();
+    for (JsonNode row : message.list(REQUESTS)) {
+      requests.add(readRequestCount(message, row));
     }
-    return value;
+    return new ProxyReport(Math.max(1, DeciMillis.ofSeconds(seconds)), endpoints, requests);
   }
 
-  public ProxyHello hello(byte[] bytes) {
-    JsonNode node = object("presence", bytes);
-    String zoneName = name("presence", "zone", field("presence", node, "zone"));
-    ZoneId zone = names.zone(zoneName);
-    if (zone == null) {
-      throw bad("presence", "zone", "names no zone of the settings: " + zoneName);
-    }
-    List<EndpointId> holds = null;
-    if (node.has("holds")) {
-      holds = new ArrayList<>();
-      for (JsonNode task : list("presence", node, "holds")) {
-        holds.add(new EndpointId(name("presence", "holds", task)));
-      }
+  /** Reads a row of endpoint, attempts, failures, mean seconds of the successful, load report. */
+  private static ProxyReport.EndpointObservation readObservation(
+      JsonMessage message, JsonNode row) {
+    if (!row.isArray() || row.size() < 4) {
+      throw message.invalid(
+          ENDPOINTS,
+          "holds a row that is not a list of endpoint, attempts, failures, seconds, load");
     }
-    JsonNode fresh = field("presence", node, "fresh");
-    if (!fresh.isBoolean()) {
-      throw bad("presence", "fresh", "is neither true nor false");
+    long attempts = message.wholeNumber(ENDPOINTS, row.get(1), MAX_FIGURE);
+    long failures = message.wholeNumber(ENDPOINTS, row.get(2), MAX_FIGURE);
+    if (failures > attempts) {
+      throw message.invalid(ENDPOINTS, "holds more failures than attempts");
     }
-    return new ProxyHello(
-        name("presence", "life", field("presence", node, "life")),
-        whole("presence", "stream", field("presence", node, "stream"), Long.MAX_VALUE),
-        zone,
-        number("presence", "ops", field("presence", node, "ops"), OPS_MOST),
-        fresh.asBoolean(),
-        holds);
+    return new ProxyReport.EndpointObservation(
+        new EndpointId(message.name(ENDPOINTS, row.get(0))),
+        attempts,
+        failures,
+        DeciMillis.ofSeconds(message.number(ENDPOINTS, row.get(3), MAX_SECONDS)),
+        readLoad(message, row.path(4)));
   }
 
-  /**
-   * {@code tasks}: lists of task, tries, bad, mean seconds of the good ones, and a load report or
-   * null.
-   */
-  public Report report(byte[] bytes) {
-    JsonNode node = object("report", bytes);
-    double span = number("report", "span", field("report", node, "span"), SPAN_MOST);
-    List<ReportAggregator.Met> met = new ArrayList<>();
-    for (JsonNode row : list("report", node, "tasks")) {
-      if (!row.isArray() || row.size() < 4) {
-        throw bad(
-            "report", "tasks", "holds a row that is not a list of task, tries, bad, seconds, load");
-      }
-      long tries = whole("report", "tasks", row.get(1), OPS_MOST);
-      long badTries = whole("report", "tasks", row.get(2), OPS_MOST);
-      if (badTries > tries) {
-        throw bad("report", "tasks", "tells more bad tries than tries");
-      }
-      met.add(
-          new ReportAggregator.Met(
-              new EndpointId(name("report", "tasks", row.get(0))),
-              tries,
-              badTries,
-              DeciMillis.ofSeconds(number("report", "tasks", row.get(3), SPAN_MOST)),
-              load(row.path(4))));
-    }
-    List<ReportAggregator.Came> came = new ArrayList<>();
-    for (JsonNode row : list("report", node, "ops")) {
-      if (!row.isArray() || row.size() != 3) {
-        throw bad("report", "ops", "holds a row that is not a list of op type, ops, unanswered");
-      }
-      RequestClassId opType = names.opType(row.get(0).asText());
-      if (opType == null) {
-        throw bad("report", "ops", "names no op type of the settings: " + row.get(0).asText());
-      }
-      came.add(
-          new ReportAggregator.Came(
-              opType,
-              whole("report", "ops", row.get(1), OPS_MOST),
-              whole("report", "ops", row.get(2), OPS_MOST)));
+  /** Reads a row of request class, requests, unanswered requests. */
+  private ProxyReport.RequestCount readRequestCount(JsonMessage message, JsonNode row) {
+    if (!row.isArray() || row.size() != 3) {
+      throw message.invalid(
+          REQUESTS, "holds a row that is not a list of request class, requests, unanswered");
     }
-    return new Report(Math.max(1, DeciMillis.ofSeconds(span)), met, came);
+    String className = row.get(0).asText();
+    RequestClassId requestClass =
+        names
+            .requestClass(className)
+            .orElseThrow(
+                () ->
+                    message.invalid(
+                        REQUESTS, "names no request class of the settings: " + className));
+    return new ProxyReport.RequestCount(
+        requestClass,
+        message.wholeNumber(REQUESTS, row.get(1), MAX_FIGURE),
+        message.wholeNumber(REQUESTS, row.get(2), MAX_FIGURE));
   }
 
-  private static LoadReport load(JsonNode node) {
-    if (!node.isObject()) {
+  private static LoadReport readLoad(JsonMessage message, JsonNode load) {
+    if (!load.isObject()) {
       return LoadReport.NONE;
     }
     return new LoadReport(
-        figure(node, "busy"),
-        figure(node, "waiting"),
-        figure(node, "in_hand"),
-        figure(node, "work_ms"),
-        figure(node, "ops_per_s"));
+        readFigure(message, load, UTILIZATION),
+        readFigure(message, load, QUEUE_LENGTH),
+        readFigure(message, load, IN_FLIGHT),
+        readFigure(message, load, SERVICE_TIME_MILLIS),
+        readFigure(message, load, LOAD_REQUESTS_PER_SECOND));
   }
 
-  private static double figure(JsonNode node, String field) {
-    JsonNode value = node.path(field);
+  private static double readFigure(JsonMessage message, JsonNode load, String field) {
+    JsonNode value = load.path(field);
     return value.isMissingNode() || value.isNull()
         ? Double.NaN
-        : number("report", "tasks." + field, value, OPS_MOST);
+        : message.number(ENDPOINTS + "." + field, value, MAX_FIGURE);
   }
 
-  public Answer answer(byte[] bytes) {
-    JsonNode node = object("answer", bytes);
-    return new Answer(
-        name("answer", "origin", field("answer", node, "origin")),
-        (int) whole("answer", "mark", field("answer", node, "mark"), 65_535),
-        DeciMillis.ofSeconds(number("answer", "took", field("answer", node, "took"), SPAN_MOST)));
+  /** Reads a proxy's acknowledgement of an update. */
+  public ProxyAcknowledgement readAcknowledgement(byte[] bytes) {
+    JsonMessage message = JsonMessage.parse(ACKNOWLEDGEMENT, bytes);
+    return new ProxyAcknowledgement(
+        message.name(ORIGIN),
+        new AckId((int) message.wholeNumber(ACK_ID, MAX_ACK_ID)),
+        DeciMillis.ofSeconds(message.number(DURATION, MAX_SECONDS)));
   }
 }
--- a/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
@@ -1,40 +1,34 @@
 package stonespring.proxyapi;
 
-import java.util.List;
-import java.util.function.BiConsumer;
-import stonespring.state.KeyUpdate;
+import java.util.function.Consumer;
+import stonespring.state.KeySnapshot;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
 /**
- * Where the fronts hand over what proxies say; from any thread. {@code from} stands for the
- * connection that said it. Spans are in tenths of a millisecond. What can't be taken now is refused
- * by false: the front then ends the connection, and its proxy comes again.
+ * Receives the messages of proxies. All methods may be called from any thread. A message is refused
+ * by {@code false} if too many wait; the caller then closes the connection, and its proxy connects
+ * again.
  */
 public interface ProxyMessageHandler {
-  /** A connection as the intake needs it: something to tell it apart by, and to end. */
-  interface Origin {
-    /** Ends it, with one line in the log. */
-    void end(String cause);
-  }
-
-  boolean hello(String proxy, ProxyHello hello, long holds, Origin from);
+  /**
+   * A proxy announced itself.
+   *
+   * @param lease how long the announcement holds, {@link stonespring.model.DeciMillis}
+   */
+  boolean hello(String proxy, ProxyHello hello, long lease, ProxyConnection connection);
 
-  boolean reported(
-      String proxy,
-      long span,
-      List<ReportAggregator.Met> met,
-      List<ReportAggregator.Came> came,
-      Origin from);
+  /** A proxy reported what it observed. */
+  boolean reported(String proxy, ProxyReport report, ProxyConnection connection);
 
-  boolean answered(String proxy, String stream, int mark, long took, Origin from);
+  /** A proxy acknowledged an update. */
+  boolean acknowledged(
+      String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection);
 
-  /**
-   * Hands the subtree's keys and the sequence that they stand at to {@code then}, which must not
-   * block.
-   */
-  boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then);
+  /** Takes a snapshot of a subtree; the receiver is called on another thread, must not block. */
+  boolean snapshot(String subtree, Consumer<KeySnapshot> receiver);
 
-  /** A connection ended; never refused. */
-  void closed(Origin from);
+  /** A connection closed; never refused. */
+  void connectionClosed(ProxyConnection connection);
 }
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -4,139 +4,176 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.regex.Pattern;
 import stonespring.chp.ChpBackend;
 import stonespring.chp.ChpException;
 import stonespring.chp.ChpMessage;
 import stonespring.model.DeciMillis;
+import stonespring.proxyapi.InvalidMessageException;
 import stonespring.proxyapi.NameTable;
+import stonespring.proxyapi.ProxyConnection;
 import stonespring.proxyapi.ProxyMessageCodec;
 import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.state.KeySnapshot;
 import stonespring.state.KeyUpdate;
-import stonespring.state.ProxyHello;
 import stonespring.zmtp.ZmtpPeer;
 
 /**
- * The pub-sub front: the published state as CHP messages, and what proxies set at the collector as
- * words for the intake. Keys that proxies set: {@code /presence/NAME} with a ttl, {@code
- * /up/NAME/report}, {@code /up/NAME/answer}.
+ * Serves proxies over CHP: published keys go out, keys that proxies set are handed to a {@link
+ * ProxyMessageHandler}. Proxies set {@code /presence/NAME} with a ttl, {@code /up/NAME/report} and
+ * {@code /up/NAME/answer}. Calls of one connection come from its event loop; a wrong message is a
+ * {@link ChpException}, which closes the connection.
  */
 public final class ChpProxyApi implements ChpBackend {
-  private static final AttributeKey<Source> SOURCE = AttributeKey.valueOf("stonespring.source");
-  private static final AttributeKey<AtomicInteger> ASKS = AttributeKey.valueOf("stonespring.asks");
-  private static final int ASKS_MOST =
-      4; // snapshots that one peer may wait for; a follower waits for one
-  private static final int TTL_MOST = 3600; // s; longer, a dead proxy would hold its name for hours
-
-  /** One collector connection. */
-  private record Source(ZmtpPeer peer) implements ProxyMessageHandler.Origin {
+  private static final String PRESENCE = "presence";
+  private static final String UPWARDS = "up";
+  private static final String REPORT = "report";
+  private static final String ACKNOWLEDGEMENT = "answer";
+  private static final String LEASE_SECONDS = "ttl";
+  private static final int MAX_LEASE_SECONDS = 3600;
+  private static final Pattern LEASE_FORM = Pattern.compile("[0-9]{1,6}");
+
+  /** Snapshots that one peer may wait for. */
+  private static final int MAX_PENDING_SNAPSHOTS = 4;
+
+  private static final String OVERLOADED = "too many messages wait to be handled; connect again";
+
+  private static final AttributeKey<CollectorConnection> CONNECTION =
+      AttributeKey.valueOf("stonespring.connection");
+  private static final AttributeKey<AtomicInteger> PENDING_SNAPSHOTS =
+      AttributeKey.valueOf("stonespring.pendingSnapshots");
+
+  /** One connection to the collector socket. */
+  private record CollectorConnection(ZmtpPeer peer) implements ProxyConnection {
     @Override
-    public void end(String cause) {
-      peer.close(cause);
+    public void close(String reason) {
+      peer.close(reason);
     }
   }
 
-  private final ProxyMessageHandler intake;
-  private final ProxyMessageCodec words;
+  private final ProxyMessageHandler handler;
+  private final ProxyMessageCodec codec;
 
-  public ChpProxyApi(ProxyMessageHandler intake, NameTable names) {
-    this.intake = intake;
-    this.words = new ProxyMessageCodec(names);
-  }
-
-  /** An update of the state as this front publishes it. */
-  public static ChpMessage.KvPub publication(KeyUpdate update) {
-    return new ChpMessage.KvPub(
-        update.key(), update.sequence(), ChpMessage.NONE, ChpMessage.NONE, update.value());
+  /** Creates the API; messages go to the handler. */
+  public ChpProxyApi(ProxyMessageHandler handler, NameTable names) {
+    this.handler = handler;
+    this.codec = new ProxyMessageCodec(names);
   }
 
+  /** The messages that publish these updates. */
   public static List<ChpMessage.KvPub> publications(List<KeyUpdate> updates) {
     return updates.stream().map(ChpProxyApi::publication).toList();
   }
 
+  private static ChpMessage.KvPub publication(KeyUpdate update) {
+    return new ChpMessage.KvPub(
+        update.key(), update.sequence(), ChpMessage.NONE, ChpMessage.NONE, update.value());
+  }
+
   @Override
   public void snapshotAsked(ZmtpPeer peer, String subtree) {
-    AtomicInteger asks = peer.channel().attr(ASKS).get();
-    if (asks == null) {
-      peer.channel().attr(ASKS).set(asks = new AtomicInteger());
-    }
-    if (asks.incrementAndGet() > ASKS_MOST) {
-      throw new ChpException("ICANHAZ: over " + ASKS_MOST + " snapshots asked at once");
+    AtomicInteger pending = pendingSnapshots(peer);
+    if (pending.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
+      throw new ChpException(
+          "ICANHAZ: over " + MAX_PENDING_SNAPSHOTS + " snapshots are requested at once");
     }
-    AtomicInteger waiting = asks;
-    boolean taken =
-        intake.snapshot(
+    boolean accepted =
+        handler.snapshot(
             subtree,
-            (keys, sequence) -> {
-              for (KeyUpdate key : keys) {
-                peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
-              }
-              peer.sendNow(new ChpMessage.Kthxbai(sequence, subtree).frames());
-              waiting.decrementAndGet();
+            snapshot -> {
+              send(peer, subtree, snapshot);
+              pending.decrementAndGet();
             });
-    if (!taken) {
-      throw new ChpException("too much waits to be looked at; come again");
+    if (!accepted) {
+      throw new ChpException(OVERLOADED);
+    }
+  }
+
+  private static AtomicInteger pendingSnapshots(ZmtpPeer peer) {
+    AtomicInteger pending = peer.channel().attr(PENDING_SNAPSHOTS).get();
+    if (pending == null) {
+      pending = new AtomicInteger();
+      peer.channel().attr(PENDING_SNAPSHOTS).set(pending);
+    }
+    return pending;
+  }
+
+  private static void send(ZmtpPeer peer, String subtree, KeySnapshot snapshot) {
+    for (KeyUpdate key : snapshot.keys()) {
+      peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
     }
+    peer.sendNow(new ChpMessage.Kthxbai(snapshot.sequence(), subtree).frames());
   }
 
   @Override
   public void keySet(ZmtpPeer peer, ChpMessage.KvSet set) {
-    Source source = peer.channel().attr(SOURCE).get();
-    if (source == null) {
-      peer.channel().attr(SOURCE).set(source = new Source(peer));
-    }
-    String[] segments = set.key().substring(1).split("/");
-    boolean taken;
+    boolean accepted;
     try {
-      taken = taken(segments, set, source);
-    } catch (ProxyMessageCodec.BadWord e) {
+      accepted = handle(set, connection(peer));
+    } catch (InvalidMessageException e) {
       throw new ChpException("KVSET " + set.key() + ": " + e.getMessage());
     }
-    if (!taken) {
-      throw new ChpException("too much waits to be looked at; come again");
+    if (!accepted) {
+      throw new ChpException(OVERLOADED);
+    }
+  }
+
+  private static CollectorConnection connection(ZmtpPeer peer) {
+    CollectorConnection connection = peer.channel().attr(CONNECTION).get();
+    if (connection == null) {
+      connection = new CollectorConnection(peer);
+      peer.channel().attr(CONNECTION).set(connection);
     }
+    return connection;
   }
 
-  private boolean taken(String[] segments, ChpMessage.KvSet set, Source source) {
-    if (segments.length == 2 && segments[0].equals("presence")) {
-      return presence(segments[1], set, source);
+  private boolean handle(ChpMessage.KvSet set, CollectorConnection connection) {
+    String[] segments = set.key().substring(1).split("/");
+    if (segments.length == 2 && segments[0].equals(PRESENCE)) {
+      return handlePresence(segments[1], set, connection);
     }
-    if (segments.length == 3 && segments[0].equals("up")) {
-      if (segments[2].equals("report")) {
-        ProxyMessageCodec.Report report = words.report(set.value());
-        return intake.reported(segments[1], report.span(), report.met(), report.came(), source);
+    if (segments.length == 3 && segments[0].equals(UPWARDS)) {
+      if (segments[2].equals(REPORT)) {
+        return handler.reported(segments[1], codec.readReport(set.value()), connection);
       }
-      if (segments[2].equals("answer")) {
-        ProxyMessageCodec.Answer answer = words.answer(set.value());
-        return intake.answered(segments[1], answer.stream(), answer.mark(), answer.took(), source);
+      if (segments[2].equals(ACKNOWLEDGEMENT)) {
+        return handler.acknowledged(
+            segments[1], codec.readAcknowledgement(set.value()), connection);
       }
     }
     throw new ChpException("KVSET: key " + set.key() + " is not one that clients set");
   }
 
-  private boolean presence(String proxy, ChpMessage.KvSet set, Source source) {
+  private boolean handlePresence(
+      String proxy, ChpMessage.KvSet set, CollectorConnection connection) {
     if (set.value().length == 0) {
       throw new ChpException("KVSET " + set.key() + ": presence ends by its ttl or its connection");
     }
-    ProxyHello hello = words.hello(set.value());
-    return intake.hello(proxy, hello, ttl(set.properties()) * DeciMillis.SECOND, source);
+    return handler.hello(
+        proxy,
+        codec.readHello(set.value()),
+        leaseSeconds(set.properties()) * DeciMillis.SECOND,
+        connection);
   }
 
-  private static long ttl(Map<String, String> properties) {
-    String word = properties.getOrDefault("ttl", "");
-    if (!word.matches("[0-9]{1,6}")
-        || Integer.parseInt(word) < 1
-        || Integer.parseInt(word) > TTL_MOST) {
+  private static long leaseSeconds(Map<String, String> properties) {
+    String text = properties.getOrDefault(LEASE_SECONDS, "");
+    int seconds = LEASE_FORM.matcher(text).matches() ? Integer.parseInt(text) : 0;
+    if (seconds < 1 || seconds > MAX_LEASE_SECONDS) {
       throw new ChpException(
-          "presence: property 'ttl' is not a number of seconds from 1 to " + TTL_MOST);
+          "presence: property '"
+              + LEASE_SECONDS
+              + "' is not a number of seconds from 1 to "
+              + MAX_LEASE_SECONDS);
     }
-    return Integer.parseInt(word);
+    return seconds;
   }
 
   @Override
   public void collectorClosed(ZmtpPeer peer) {
-    Source source = peer.channel().attr(SOURCE).get();
-    if (source != null) {
-      intake.closed(source);
+    CollectorConnection connection = peer.channel().attr(CONNECTION).get();
+    if (connection != null) {
+      handler.connectionClosed(connection);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/proxyapi/platform/ListedEndpoints.java
@@ -0,0 +1,36 @@
+package stonespring.proxyapi.platform;
+
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+
+/** The endpoints that the endpoint list named, the latest last; the oldest are forgotten. */
+final class ListedEndpoints {
+  private final int maxEndpoints;
+  private final LinkedHashSet<EndpointId> endpoints = new LinkedHashSet<>();
+
+  ListedEndpoints(int maxEndpoints) {
+    this.maxEndpoints = maxEndpoints;
+  }
+
+  /** Adds the endpoints of an update, and returns those that are forgotten for it. */
+  List<EndpointId> add(List<EndpointRecord> records) {
+    for (EndpointRecord endpoint : records) {
+      endpoints.remove(endpoint.endpoint());
+      endpoints.add(endpoint.endpoint());
+    }
+    List<EndpointId> forgotten = new ArrayList<>();
+    while (endpoints.size() > maxEndpoints) {
+      EndpointId oldest = endpoints.iterator().next();
+      endpoints.remove(oldest);
+      forgotten.add(oldest);
+    }
+    return forgotten;
+  }
+
+  boolean contains(EndpointId endpoint) {
+    return endpoints.contains(endpoint);
+  }
+}
--- /dev/null
+++ b/src/main/java/stonespring/proxyapi/platform/MessageFields.java
@@ -0,0 +1,92 @@
+package stonespring.proxyapi.platform;
+
+import java.util.regex.Pattern;
+import stonespring.line.LineMessage;
+import stonespring.model.DeciMillis;
+import stonespring.proxyapi.InvalidMessageException;
+
+/**
+ * Checked access to the fields of a message. All methods throw {@link InvalidMessageException} for
+ * what is missing or out of bounds.
+ */
+final class MessageFields {
+  private static final Pattern NUMBER =
+      Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?([eE][+-]?[0-9]{1,3})?");
+  private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,18}");
+  private static final double MAX_MILLIS = 600_000; // longer is a fault of the sender's clock
+  private static final int MILLIS_PER_SECOND = 1000;
+
+  private final LineMessage message;
+
+  MessageFields(LineMessage message) {
+    this.message = message;
+  }
+
+  InvalidMessageException invalid(String field, String problem) {
+    return new InvalidMessageException(message.kind(), field, problem);
+  }
+
+  /** A field whose value is wrong; the text holds the value. */
+  InvalidMessageException invalidValue(String field, String problem, String value) {
+    return invalid(field, problem + ": " + LineMessage.printable(value));
+  }
+
+  String text(String field) {
+    if (message.flaw() != null) {
+      throw new InvalidMessageException(message.kind(), message.flaw());
+    }
+    String value = message.words().get(field);
+    if (value == null) {
+      throw invalid(field, "is missing");
+    }
+    return value;
+  }
+
+  /** The text of a field, or the empty text if it is missing. */
+  String optionalText(String field) {
+    return message.words().getOrDefault(field, "");
+  }
+
+  boolean flag(String field) {
+    String value = text(field);
+    if (!value.equals("0") && !value.equals("1")) {
+      throw invalidValue(field, "is neither 0 nor 1", value);
+    }
+    return value.equals("1");
+  }
+
+  double number(String field, double max) {
+    return number(field, text(field), max);
+  }
+
+  /** Reads a part of the field's text as a number from 0. */
+  double number(String field, String value, double max) {
+    double number = NUMBER.matcher(value).matches() ? Double.parseDouble(value) : Double.NaN;
+    if (!(number >= 0 && number <= max)) {
+      throw invalidValue(field, "is not a number from 0 to " + max, value);
+    }
+    return number;
+  }
+
+  long wholeNumber(String field, double max) {
+    String value = text(field);
+    if (!WHOLE_NUMBER.matcher(value).matches()) {
+      throw invalidValue(field, "is not a whole number", value);
+    }
+    return (long) number(field, value, max);
+  }
+
+  /** Reads milliseconds as {@link DeciMillis}. */
+  long duration(String field) {
+    return DeciMillis.ofSeconds(number(field, MAX_MILLIS) / MILLIS_PER_SECOND);
+  }
+
+  /** Reads milliseconds as {@link DeciMillis}, at least one. */
+  long interval(String field) {
+    long interval = duration(field);
+    if (interval < 1) {
+      throw invalid(field, "is no span of time");
+    }
+    return interval;
+  }
+}
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -1,197 +1,303 @@
 package stonespring.proxyapi.platform;
 
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.stream.Collectors;
 import stonespring.line.LineMessage;
-import stonespring.model.*;
+import stonespring.model.AckId;
+import stonespring.model.EndpointId;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.ProxyId;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetryPolicy;
+import stonespring.model.ZoneId;
+import stonespring.proxyapi.InvalidMessageException;
 import stonespring.proxyapi.NameTable;
+import stonespring.state.AdmissionLimit;
+import stonespring.state.PlainDecimal;
+import stonespring.state.ProxyChange;
 
 /**
- * The platform's messages as events. Times come in milliseconds. A fault's text names the message
- * and the field. Load figures go by the platform's names or by those of the settings; what has
- * neither is passed over.
+ * The words of the platform's protocol: reads messages as events and writes updates as messages.
+ * Times are milliseconds on the wire. Reading throws {@link InvalidMessageException}.
  */
 final class PlatformMessageCodec {
-  /** A message that can't be used. */
-  static final class BadWord extends RuntimeException {
-    private static final long serialVersionUID = 1;
+  /** A proxy announces itself on a new stream. */
+  static final String SUBSCRIBE = "SUBSCRIBE";
 
-    BadWord(LineMessage message, String field, String what) {
-      super(message.kind() + ": field '" + field + "' " + what, null, false, false);
-    }
+  /** A zone's collector announces itself. */
+  static final String SOURCE = "SOURCE";
 
-    BadWord(LineMessage message, String what) {
-      super(message.kind() + ": " + what, null, false, false);
-    }
-  }
+  /** What the proxies of a zone observed at an endpoint. */
+  static final String LOAD = "LOAD";
 
-  static final String JOIN = "SUBSCRIBE";
-  static final String COLLECTOR = "SOURCE";
-  static final String SUMS = "LOAD";
-  static final String OPS = "RATE";
-  static final String ANSWER = "ACK";
+  /** Requests that a proxy received. */
+  static final String RATE = "RATE";
 
-  /**
-   * All kinds that the protocol has: a message of one of these is read as one, whoever sends it.
-   */
-  static final Set<String> KINDS =
+  /** A proxy acknowledges an update. */
+  static final String ACK = "ACK";
+
+  /** The answer to a keep-alive. */
+  static final String PONG = "PONG";
+
+  /** An update for a proxy. */
+  private static final String CONFIG = "CONFIG";
+
+  /** The kinds that the protocol has; a connection that sends any other cannot be read. */
+  private static final Set<String> KINDS =
       Set.of(
-          JOIN, COLLECTOR, SUMS, OPS, ANSWER, "CLOSED", "SHARD", "GRANT", "ROW", "PING", "PONG",
-          "CONFIG", "NACK");
+          SUBSCRIBE, SOURCE, LOAD, RATE, ACK, PONG, CONFIG, "CLOSED", "SHARD", "GRANT", "ROW",
+          "PING", "NACK");
+
+  private static final String PROXY = "id";
+  private static final String ZONE = "site";
+  private static final String REQUESTS_PER_SECOND = "rps";
+  private static final String WITHOUT_TABLES = "new";
+  private static final String ACK_ID = "seq";
+  private static final String ACK_DURATION = "ms";
+  private static final String REQUEST_CLASS = "lane";
+  private static final String ENDPOINT = "target";
+  private static final String COUNT = "count";
+  private static final String FAILURES = "fail";
+  private static final String MEAN_LATENCY = "mean";
+  private static final String INTERVAL = "over";
+  private static final String LOAD_FIGURES = "util";
 
-  private static final double COUNT_MOST =
-      1e7; // ops or tries of one sum; far above what a task serves
-  private static final double SPAN_MOST = 600_000; // ms; longer is a fault of its clock
-  private static final double RATE_MOST = 1e7; // ops a second of one proxy; as above
-  private static final double BUSY_MOST = 2; // share; a figure with noise may pass 1
-  private static final double FIGURE_MOST = 1e7; // of any other load figure
+  private static final double MAX_COUNT = 1e7; // of requests or attempts in one report
+  private static final double MAX_REQUESTS_PER_SECOND = 1e7;
+  private static final double MAX_UTILIZATION = 2; // a noisy figure may pass 1
+  private static final double MAX_LOAD_FIGURE = 1e7;
+  private static final int MAX_ACK_ID = 65_535;
+  private static final int MAX_DESCRIPTION_CHARS = 200;
 
   private final NameTable names;
   private final int proxies;
 
+  /**
+   * Creates a codec.
+   *
+   * @param proxies how many proxies the settings have
+   */
   PlatformMessageCodec(NameTable names, int proxies) {
     this.names = names;
     this.proxies = proxies;
   }
 
-  private static String word(LineMessage m, String field) {
-    if (m.flaw() != null) {
-      throw new BadWord(m, m.flaw());
-    }
-    String value = m.words().get(field);
-    if (value == null) {
-      throw new BadWord(m, field, "is missing");
-    }
-    return value;
-  }
-
-  private static BadWord bad(LineMessage m, String field, String what, String value) {
-    return new BadWord(m, field, what + ": " + LineMessage.printable(value));
+  /** Whether the protocol has messages of that kind. */
+  static boolean isKnownKind(String kind) {
+    return KINDS.contains(kind);
   }
 
-  private static double number(LineMessage m, String field, String value, double most) {
-    double number = Double.NaN;
-    if (value.matches("[0-9]{1,18}(\\.[0-9]{1,18})?([eE][+-]?[0-9]{1,3})?")) {
-      number = Double.parseDouble(value);
-    }
-    if (!(number >= 0 && number <= most)) {
-      throw bad(m, field, "is not a number from 0 to " + most, value);
-    }
-    return number;
+  /** Reads the zone of a collector. */
+  ZoneId readSource(LineMessage message) {
+    return zone(new MessageFields(message));
   }
 
-  private static long whole(LineMessage m, String field, double most) {
-    String value = word(m, field);
-    if (!value.matches("[0-9]{1,18}")) {
-      throw bad(m, field, "is not a whole number", value);
-    }
-    return (long) number(m, field, value, most);
+  Event.ProxyConnected readSubscribe(LineMessage message) {
+    MessageFields fields = new MessageFields(message);
+    boolean withoutTables = fields.flag(WITHOUT_TABLES);
+    return new Event.ProxyConnected(
+        proxy(fields),
+        zone(fields),
+        fields.number(REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND),
+        withoutTables);
   }
 
-  private static long time(LineMessage m, String field) {
-    return DeciMillis.ofSeconds(number(m, field, word(m, field), SPAN_MOST) / 1000);
+  Event.UpdateAcknowledged readAck(LineMessage message) {
+    MessageFields fields = new MessageFields(message);
+    return new Event.UpdateAcknowledged(
+        proxy(fields),
+        new AckId((int) fields.wholeNumber(ACK_ID, MAX_ACK_ID)),
+        fields.duration(ACK_DURATION));
   }
 
-  private static long span(LineMessage m) {
-    long span = time(m, "over");
-    if (span < 1) {
-      throw new BadWord(m, "over", "is no span of time");
-    }
-    return span;
+  Event.ProxyRequestRate readRate(LineMessage message) {
+    MessageFields fields = new MessageFields(message);
+    RequestClassId requestClass = requestClass(fields);
+    return new Event.ProxyRequestRate(
+        proxy(fields),
+        requestClass,
+        fields.wholeNumber(COUNT, MAX_COUNT),
+        fields.wholeNumber(FAILURES, MAX_COUNT),
+        fields.interval(INTERVAL));
   }
 
-  private ZoneId zone(LineMessage m) {
-    String name = word(m, "site");
-    ZoneId zone = names.zone(name);
-    if (zone == null) {
-      throw bad(m, "site", "names no zone of the settings", name);
+  Event.EndpointOutcomes readLoad(LineMessage message) {
+    MessageFields fields = new MessageFields(message);
+    long attempts = fields.wholeNumber(COUNT, MAX_COUNT);
+    long failures = fields.wholeNumber(FAILURES, MAX_COUNT);
+    if (failures > attempts) {
+      throw fields.invalid(FAILURES, "is more than '" + COUNT + "'");
     }
-    return zone;
+    return new Event.EndpointOutcomes(
+        new EndpointId(fields.text(ENDPOINT)),
+        zone(fields),
+        attempts,
+        failures,
+        fields.interval(INTERVAL),
+        fields.duration(MEAN_LATENCY),
+        loadReport(fields));
   }
 
-  private ProxyId proxy(LineMessage m) {
-    long id = whole(m, "id", Integer.MAX_VALUE);
-    if (id >= proxies) {
-      throw new BadWord(m, "id", "names no proxy of the settings: " + id);
-    }
-    return new ProxyId((int) id);
+  /** A valid LOAD message about an endpoint that was never listed. */
+  static InvalidMessageException unlistedEndpoint() {
+    return new InvalidMessageException(LOAD, ENDPOINT, "names an endpoint that was never listed");
   }
 
-  ZoneId collector(LineMessage m) {
-    return zone(m);
+  /** A valid message about a proxy that is not connected, or on another stream. */
+  static InvalidMessageException wrongProxy(LineMessage message) {
+    return new InvalidMessageException(
+        message.kind(), PROXY, "names a proxy that is not connected here");
   }
 
-  Event.ProxyConnected join(LineMessage m) {
-    String fresh = word(m, "new");
-    if (!fresh.equals("0") && !fresh.equals("1")) {
-      throw bad(m, "new", "is neither 0 nor 1", fresh);
-    }
-    return new Event.ProxyConnected(
-        proxy(m), zone(m), number(m, "rps", word(m, "rps"), RATE_MOST), fresh.equals("1"));
+  /** A valid ACK message that was not requested. */
+  static InvalidMessageException unrequestedAck() {
+    return new InvalidMessageException(ACK, ACK_ID, "is no acknowledgement that was requested");
   }
 
-  Event.UpdateAcknowledged answer(LineMessage m) {
-    return new Event.UpdateAcknowledged(
-        proxy(m), new AckId((int) whole(m, "seq", 65_535)), time(m, "ms"));
+  private ZoneId zone(MessageFields fields) {
+    String name = fields.text(ZONE);
+    return names
+        .zone(name)
+        .orElseThrow(() -> fields.invalidValue(ZONE, "names no zone of the settings", name));
   }
 
-  Event.ProxyRequestRate ops(LineMessage m) {
-    String name = word(m, "lane");
-    RequestClassId opType = names.opType(name);
-    if (opType == null) {
-      throw bad(m, "lane", "names no op type of the settings", name);
-    }
-    return new Event.ProxyRequestRate(
-        proxy(m), opType, whole(m, "count", COUNT_MOST), whole(m, "fail", COUNT_MOST), span(m));
+  private RequestClassId requestClass(MessageFields fields) {
+    String name = fields.text(REQUEST_CLASS);
+    return names
+        .requestClass(name)
+        .orElseThrow(
+            () ->
+                fields.invalidValue(REQUEST_CLASS, "names no request class of the settings", name));
   }
 
-  Event.EndpointOutcomes sums(LineMessage m) {
-    long tries = whole(m, "count", COUNT_MOST);
-    long bad = whole(m, "fail", COUNT_MOST);
-    if (bad > tries) {
-      throw new BadWord(m, "fail", "is more than 'count'");
+  private ProxyId proxy(MessageFields fields) {
+    long number = fields.wholeNumber(PROXY, Integer.MAX_VALUE);
+    if (number >= proxies) {
+      throw fields.invalid(PROXY, "names no proxy of the settings: " + number);
     }
-    return new Event.EndpointOutcomes(
-        new EndpointId(word(m, "target")), zone(m), tries, bad, span(m), time(m, "mean"), load(m));
+    return new ProxyId((int) number);
   }
 
-  private static LoadReport load(LineMessage m) {
-    String pairs = m.words().get("util");
-    if (pairs == null || pairs.isEmpty()) {
+  /** Reads {@code name:value} pairs by the platform's names or by those of the settings. */
+  private static LoadReport loadReport(MessageFields fields) {
+    String pairs = fields.optionalText(LOAD_FIGURES);
+    if (pairs.isEmpty()) {
       return LoadReport.NONE;
     }
-    double busy = Double.NaN;
-    double waiting = Double.NaN;
-    double inHand = Double.NaN;
-    double workMs = Double.NaN;
-    double opsPerSecond = Double.NaN;
+    double utilization = Double.NaN;
+    double queueLength = Double.NaN;
+    double inFlight = Double.NaN;
+    double serviceTimeMillis = Double.NaN;
+    double requestsPerSecond = Double.NaN;
     for (String pair : pairs.split(",", -1)) {
-      int at = pair.indexOf(':');
-      if (at < 1) {
-        throw bad(m, "util", "holds no name:value", pair);
+      int colon = pair.indexOf(':');
+      if (colon < 1) {
+        throw fields.invalidValue(LOAD_FIGURES, "holds no name:value", pair);
       }
-      String value = pair.substring(at + 1);
-      switch (pair.substring(0, at)) {
-        case "util", "utilization" -> busy = number(m, "util", value, BUSY_MOST);
-        case "queue", "backlog" -> waiting = number(m, "util", value, FIGURE_MOST);
-        case "inflight", "outstanding" -> inHand = number(m, "util", value, FIGURE_MOST);
-        case "latency_ms", "recent_ms" -> workMs = number(m, "util", value, FIGURE_MOST);
-        case "qps", "throughput" -> opsPerSecond = number(m, "util", value, FIGURE_MOST);
-        default -> {} // a figure that the decisions don't read
+      String value = pair.substring(colon + 1);
+      switch (pair.substring(0, colon)) {
+        case "util", "utilization" ->
+            utilization = fields.number(LOAD_FIGURES, value, MAX_UTILIZATION);
+        case "queue", "backlog" -> queueLength = loadFigure(fields, value);
+        case "inflight", "outstanding" -> inFlight = loadFigure(fields, value);
+        case "latency_ms", "recent_ms" -> serviceTimeMillis = loadFigure(fields, value);
+        case "qps", "throughput" -> requestsPerSecond = loadFigure(fields, value);
+        default -> {
+          // A figure that the decisions don't use.
+        }
       }
     }
-    return new LoadReport(busy, waiting, inHand, workMs, opsPerSecond);
+    return new LoadReport(utilization, queueLength, inFlight, serviceTimeMillis, requestsPerSecond);
+  }
+
+  private static double loadFigure(MessageFields fields, String value) {
+    return fields.number(LOAD_FIGURES, value, MAX_LOAD_FIGURE);
+  }
+
+  /** Writes an update as lines, without their ends. */
+  List<String> write(ConfigMessage message) {
+    List<String> lines = new ArrayList<>();
+    for (ConfigMessage.Part part : message.parts()) {
+      lines.add(CONFIG + requestClasses(part.requestClasses()) + tableFields(part));
+    }
+    String common = commonFields(message);
+    if (lines.isEmpty() && !common.isEmpty()) {
+      lines.add(CONFIG);
+    }
+    int last = lines.size() - 1;
+    for (int i = 0; i <= last; i++) {
+      lines.set(i, lines.get(i) + (i < last ? " part=1" : common));
+    }
+    return lines;
+  }
+
+  private String requestClasses(BitSet classes) {
+    List<String> all = names.requestClasses();
+    if (classes.cardinality() == all.size()) {
+      return "";
+    }
+    return " for=" + classes.stream().mapToObj(all::get).collect(Collectors.joining("+"));
+  }
+
+  private static String tableFields(ConfigMessage.Part part) {
+    StringBuilder text = new StringBuilder();
+    if (part.replacesTable()) {
+      text.append(" replace=1");
+    }
+    String separator = " rows=";
+    for (ProxyChange.RouteChange route : part.routes()) {
+      text.append(separator)
+          .append(route.endpoint().name())
+          .append(':')
+          .append(PlainDecimal.format(route.weight()));
+      separator = ",";
+    }
+    part.limit().ifPresent(limit -> text.append(limitFields(limit)));
+    return text.toString();
+  }
+
+  private static String limitFields(AdmissionLimit limit) {
+    return " gate="
+        + PlainDecimal.format(Math.max(0, limit.limit()))
+        + " again="
+        + retryCode(limit.retryPolicy());
+  }
+
+  private static int retryCode(RetryPolicy policy) {
+    return switch (policy) {
+      case NEVER -> 0;
+      case IF_NOT_EXECUTED -> 1;
+      case ONCE_ON_FAILURE -> 2;
+      case TWICE_ON_FAILURE -> 3;
+    };
+  }
+
+  private static String commonFields(ConfigMessage message) {
+    return endpoints(" undrop=", message.exclusions().allowed())
+        + endpoints(" drop=", message.exclusions().excluded())
+        + message.ack().map(ack -> " stamp=" + ack.number()).orElse("");
+  }
+
+  private static String endpoints(String field, Set<EndpointId> endpoints) {
+    return endpoints.isEmpty()
+        ? ""
+        : field + endpoints.stream().map(EndpointId::name).collect(Collectors.joining(","));
   }
 
   /** A message as a log line may hold it. */
-  static String told(LineMessage m) {
-    StringBuilder text = new StringBuilder(LineMessage.printable(m.kind()));
-    for (Map.Entry<String, String> word : m.words().entrySet()) {
+  static String describe(LineMessage message) {
+    StringBuilder text = new StringBuilder(LineMessage.printable(message.kind()));
+    for (Map.Entry<String, String> field : message.words().entrySet()) {
       text.append(' ')
-          .append(LineMessage.printable(word.getKey()))
+          .append(LineMessage.printable(field.getKey()))
           .append('=')
-          .append(LineMessage.printable(word.getValue()));
+          .append(LineMessage.printable(field.getValue()));
     }
-    return text.substring(0, Math.min(200, text.length()));
+    return text.substring(0, Math.min(MAX_DESCRIPTION_CHARS, text.length()));
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -1,282 +1,245 @@
 package stonespring.proxyapi.platform;
 
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
+import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stonespring.line.LineConnection;
 import stonespring.line.LineHandler;
 import stonespring.line.LineMessage;
-import stonespring.model.AckId;
 import stonespring.model.Command;
 import stonespring.model.EndpointId;
-import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
+import stonespring.proxyapi.InvalidMessageException;
 import stonespring.proxyapi.NameTable;
 import stonespring.state.ProxyUpdate;
 import stonespring.state.RouteTables;
 
 /**
- * The platform's side: proxies' streams and zones' collectors in, events out; orders in, messages
- * on the streams out. The platform has the channel, so nothing is paced here: a message leaves as
- * it is ordered. Lives on one event loop.
+ * Serves proxies and zones' collectors on the operators' platform: their messages become events,
+ * commands become messages on the proxies' streams. The platform paces the channel, so messages are
+ * written at once. All calls come from one event loop.
  */
 public final class PlatformProxyApi implements LineHandler {
-  private static final Logger LOG = LoggerFactory.getLogger(PlatformProxyApi.class);
-  public static final int COLLECTORS_A_ZONE =
-      4; // connections; one, and old ones whose end is not seen yet
-  private static final int MARKS_MOST =
-      64; // marks that one stream may still answer; more means it never does
-  private static final int LISTED_MOST =
-      60_000; // tasks; over the most of a list, and of those gone the latest
-  private static final int DROPPED_LOGGED = 50; // messages told in the log; the rest are counted
-
-  /** A proxy's stream. */
-  private static final class Stream {
-    private final Event.ProxyConnected hello;
-    private final LineConnection peer;
-    private final ProxyRouteState table;
-    private final LinkedHashSet<Integer> marks = new LinkedHashSet<>();
+  /** Connections that a zone's collector may have, those that died unnoticed included. */
+  public static final int MAX_COLLECTORS_PER_ZONE = 4;
 
-    Stream(Event.ProxyConnected hello, LineConnection peer, ProxyRouteState table) {
-      this.hello = hello;
-      this.peer = peer;
-      this.table = table;
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformProxyApi.class);
 
-    @Override
-    public String toString() {
-      return "proxy " + hello.proxy().number();
-    }
-  }
+  /** More than a list may hold: the listed endpoints, and of the removed ones the latest. */
+  private static final int MAX_LISTED_ENDPOINTS = 60_000;
 
-  /** A zone's collector. */
-  private record Collector(int zone) {
-    @Override
-    public String toString() {
-      return "the collector of zone " + zone;
-    }
-  }
+  /** Dropped messages that are logged one by one. */
+  private static final int MAX_LOGGED_DROPS = 50;
 
-  private final PlatformMessageCodec words;
-  private final NameTable names;
-  private final Consumer<Event> heard;
-  private final TreeMap<Integer, Stream> streams = new TreeMap<>();
-  private final Map<Integer, TreeSet<String>> shut = new TreeMap<>();
-  private final Map<Integer, LinkedHashSet<LineConnection>> collectors = new LinkedHashMap<>();
-  private final LinkedHashSet<EndpointId> listed = new LinkedHashSet<>();
+  private final PlatformMessageCodec codec;
+  private final int requestClasses;
+  private final Consumer<Event> events;
+  private final TreeMap<Integer, ProxyStream> streams = new TreeMap<>();
+  private final Map<ProxyId, Set<EndpointId>> excludedAtProxy = new HashMap<>();
+  private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
+  private final ListedEndpoints listed = new ListedEndpoints(MAX_LISTED_ENDPOINTS);
   private RouteTables tables;
-  private long dropped;
+  private long droppedMessages;
 
   /**
-   * @param heard takes events, on the event loop
+   * Creates the API without connections.
+   *
+   * @param proxies how many proxies the settings have
+   * @param events takes events, on the event loop
    */
-  public PlatformProxyApi(NameTable names, int proxies, Consumer<Event> heard) {
-    this.words = new PlatformMessageCodec(names, proxies);
-    this.names = names;
-    this.heard = heard;
-    this.tables = new RouteTables(names.opTypes());
+  public PlatformProxyApi(NameTable names, int proxies, Consumer<Event> events) {
+    this.codec = new PlatformMessageCodec(names, proxies);
+    this.requestClasses = names.requestClasses().size();
+    this.events = events;
+    this.tables = new RouteTables(requestClasses);
   }
 
   @Override
-  public void message(LineConnection peer, LineMessage message) {
-    Object known = peer.keptFor();
-    if (known == null) {
-      unjoined(peer, message);
-    } else if (!PlatformMessageCodec.KINDS.contains(message.kind())) {
-      peer.end("it goes on with what can't be read: " + LineMessage.printable(message.kind()));
+  public void message(LineConnection connection, LineMessage message) {
+    if (!(connection.keptFor() instanceof PlatformPeer peer)) {
+      handleFirst(connection, message);
+    } else if (!PlatformMessageCodec.isKnownKind(message.kind())) {
+      connection.end("it sent what can't be read: " + LineMessage.printable(message.kind()));
     } else {
       try {
-        report(known, message);
-      } catch (PlatformMessageCodec.BadWord e) {
-        drop(known, message, e.getMessage());
+        handle(peer, message);
+      } catch (InvalidMessageException e) {
+        drop(peer, message, e.getMessage());
       }
     }
   }
 
-  private void unjoined(LineConnection peer, LineMessage message) {
+  /** Handles a message of a connection that has not said yet who is there. */
+  private void handleFirst(LineConnection connection, LineMessage message) {
     try {
       switch (message.kind()) {
-        case PlatformMessageCodec.JOIN -> joined(peer, words.join(message));
-        case PlatformMessageCodec.COLLECTOR ->
-            collector(peer, new Collector(words.collector(message).index()));
-        default -> peer.end("no joining before " + LineMessage.printable(message.kind()));
+        case PlatformMessageCodec.SUBSCRIBE ->
+            proxyConnected(connection, codec.readSubscribe(message));
+        case PlatformMessageCodec.SOURCE ->
+            collectorConnected(connection, new Collector(codec.readSource(message)));
+        default -> connection.end("no joining before " + LineMessage.printable(message.kind()));
       }
-    } catch (PlatformMessageCodec.BadWord e) {
-      peer.end(e.getMessage());
+    } catch (InvalidMessageException e) {
+      connection.end(e.getMessage());
     }
   }
 
-  private void joined(LineConnection peer, Event.ProxyConnected hello) {
-    int id = hello.proxy().number();
-    Stream old = streams.get(id);
-    if (old != null) {
-      old.peer.end("it came back on a newer stream"); // which tells that it left
+  private void proxyConnected(LineConnection connection, Event.ProxyConnected hello) {
+    ProxyStream earlier = streams.get(hello.proxy().number());
+    if (earlier != null) {
+      // Ends in closed(), which reports that it disconnected.
+      earlier.connection().end("the proxy connected again on a newer stream");
     }
-    ProxyRouteState table =
-        new ProxyRouteState(
-            names.opTypes(),
-            tables,
-            shut.computeIfAbsent(id, i -> new TreeSet<>()),
-            !hello.withoutTables());
-    Stream stream = new Stream(hello, peer, table);
-    streams.put(id, stream);
-    peer.keep(stream);
-    tables.joined(hello.proxy(), null);
-    heard.accept(hello);
+    startStream(connection, hello);
   }
 
-  private void collector(LineConnection peer, Collector collector) {
-    LinkedHashSet<LineConnection> ofZone =
-        collectors.computeIfAbsent(collector.zone(), z -> new LinkedHashSet<>());
-    peer.keep(collector);
-    ofZone.add(peer);
-    if (ofZone.size() > COLLECTORS_A_ZONE) {
-      ofZone.iterator().next().end("newer collectors of its zone came");
-    }
+  private void startStream(LineConnection connection, Event.ProxyConnected hello) {
+    Set<EndpointId> excluded =
+        excludedAtProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
+    ProxyExclusions exclusions = new ProxyExclusions(excluded, !hello.withoutTables());
+    ProxyRouteState routeState = new ProxyRouteState(requestClasses, tables, exclusions);
+    ProxyStream stream = new ProxyStream(hello, connection, routeState);
+    streams.put(hello.proxy().number(), stream);
+    connection.keep(stream);
+    tables.proxyConnected(hello.proxy(), Optional.empty());
+    events.accept(hello);
+  }
+
+  private void collectorConnected(LineConnection connection, Collector collector) {
+    connection.keep(collector);
+    collectors
+        .add(collector.zone(), connection)
+        .ifPresent(oldest -> oldest.end("newer collectors of its zone connected"));
   }
 
-  private void report(Object from, LineMessage message) {
-    boolean collector = from instanceof Collector;
+  private void handle(PlatformPeer sender, LineMessage message) {
     switch (message.kind()) {
-      case PlatformMessageCodec.SUMS -> {
-        if (!collector) {
-          throw new PlatformMessageCodec.BadWord(message, "it is a collector's");
-        }
-        Event.EndpointOutcomes sums = words.sums(message);
-        // A task that no list ever named: a spoilt word, and an order that names it would end
-        // streams.
-        if (!listed.contains(sums.endpoint())) {
-          throw new PlatformMessageCodec.BadWord(
-              message, "target", "names a task that was never listed");
-        }
-        heard.accept(sums);
-      }
-      case PlatformMessageCodec.OPS -> {
-        Event.ProxyRequestRate ops = words.ops(message);
-        Stream stream = streams.get(ops.proxy().number());
-        if (stream == null || !collector && stream != from) {
-          throw new PlatformMessageCodec.BadWord(
-              message, "id", "names a proxy that is not joined here");
-        }
-        heard.accept(ops);
+      case PlatformMessageCodec.LOAD -> handleLoad(sender, message);
+      case PlatformMessageCodec.RATE -> handleRate(sender, message);
+      case PlatformMessageCodec.ACK -> handleAck(sender, message);
+      case PlatformMessageCodec.PONG -> {
+        // A sign of life, no more.
       }
-      case PlatformMessageCodec.ANSWER -> {
-        Event.UpdateAcknowledged answer = words.answer(message);
-        if (collector || ((Stream) from).hello.proxy().number() != answer.proxy().number()) {
-          throw new PlatformMessageCodec.BadWord(message, "id", "is not this stream's");
-        }
-        if (!((Stream) from).marks.remove(answer.ack().number())) {
-          throw new PlatformMessageCodec.BadWord(
-              message, "seq", "is a mark that waits for no answer");
-        }
-        heard.accept(answer);
-      }
-      case "PONG" -> {}
-      default -> throw new PlatformMessageCodec.BadWord(message, "it is not to be sent here");
+      default -> throw new InvalidMessageException(message.kind(), "it is not to be sent here");
     }
   }
 
-  private void drop(Object from, LineMessage message, String cause) {
-    if (dropped++ < DROPPED_LOGGED) {
+  private void handleLoad(PlatformPeer sender, LineMessage message) {
+    if (!(sender instanceof Collector)) {
+      throw new InvalidMessageException(message.kind(), "only collectors send it");
+    }
+    Event.EndpointOutcomes outcomes = codec.readLoad(message);
+    // A command for an endpoint that never existed would make proxies close their streams.
+    if (!listed.contains(outcomes.endpoint())) {
+      throw PlatformMessageCodec.unlistedEndpoint();
+    }
+    events.accept(outcomes);
+  }
+
+  private void handleRate(PlatformPeer sender, LineMessage message) {
+    Event.ProxyRequestRate rate = codec.readRate(message);
+    ProxyStream stream = streams.get(rate.proxy().number());
+    if (stream == null || sender instanceof ProxyStream && sender != stream) {
+      throw PlatformMessageCodec.wrongProxy(message);
+    }
+    events.accept(rate);
+  }
+
+  private void handleAck(PlatformPeer sender, LineMessage message) {
+    Event.UpdateAcknowledged acknowledged = codec.readAck(message);
+    if (!(sender instanceof ProxyStream stream) || !stream.proxy().equals(acknowledged.proxy())) {
+      throw PlatformMessageCodec.wrongProxy(message);
+    }
+    if (!stream.acknowledge(acknowledged.ack())) {
+      throw PlatformMessageCodec.unrequestedAck();
+    }
+    events.accept(acknowledged);
+  }
+
+  private void drop(PlatformPeer sender, LineMessage message, String cause) {
+    if (droppedMessages++ < MAX_LOGGED_DROPS) {
       LOG.warn(
-          "a message of {} is dropped: {} in: {}", from, cause, PlatformMessageCodec.told(message));
+          "a message of {} is dropped: {} in: {}",
+          sender,
+          cause,
+          PlatformMessageCodec.describe(message));
     }
   }
 
   @Override
-  public void closed(LineConnection peer) {
-    if (peer.keptFor() instanceof Collector collector) {
-      collectors.get(collector.zone()).remove(peer);
-    } else if (peer.keptFor() instanceof Stream stream
-        && streams.remove(stream.hello.proxy().number(), stream)) {
-      tables.left(stream.hello.proxy());
-      heard.accept(new Event.ProxyDisconnected(stream.hello.proxy()));
+  public void closed(LineConnection connection) {
+    if (connection.keptFor() instanceof Collector collector) {
+      collectors.remove(collector.zone(), connection);
+    } else if (connection.keptFor() instanceof ProxyStream stream
+        && streams.remove(stream.proxy().number(), stream)) {
+      tables.proxyDisconnected(stream.proxy());
+      events.accept(new Event.ProxyDisconnected(stream.proxy()));
     }
   }
 
-  /** What the list says; only tasks that were listed may be named on a stream. */
-  public void listTold(Event.EndpointListUpdate told) {
-    for (EndpointRecord listing : told.endpoints()) {
-      listed.remove(listing.endpoint()); // the latest told stand last
-      listed.add(listing.endpoint());
-    }
-    while (listed.size() > LISTED_MOST) {
-      EndpointId oldest = listed.iterator().next();
-      listed.remove(oldest);
-      shut.values().forEach(of -> of.remove(oldest.name()));
-      tables.forget(oldest);
+  /** The endpoint list changed: reports about its endpoints are accepted from now on. */
+  public void endpointListUpdated(Event.EndpointListUpdate update) {
+    for (EndpointId forgotten : listed.add(update.endpoints())) {
+      excludedAtProxy.values().forEach(excluded -> excluded.remove(forgotten));
+      tables.forget(forgotten);
     }
   }
 
   /**
-   * The decisions restart: no table, level or withdrawal of theirs stands; who is joined joins
-   * again.
+   * The decisions restarted: no table, limit or exclusion of theirs stands, and each connected
+   * proxy connects anew, with tables that are unknown.
    */
-  public void restart() {
-    tables = new RouteTables(names.opTypes());
-    for (Map.Entry<Integer, Stream> entry : streams.entrySet()) {
-      Stream old = entry.getValue();
-      Event.ProxyConnected hello =
+  public void engineRestarted() {
+    tables = new RouteTables(requestClasses);
+    for (ProxyStream stream : List.copyOf(streams.values())) {
+      Event.ProxyConnected earlier = stream.hello();
+      startStream(
+          stream.connection(),
           new Event.ProxyConnected(
-              old.hello.proxy(), old.hello.zone(), old.hello.requestsPerSecond(), false);
-      Stream again =
-          new Stream(
-              hello,
-              old.peer,
-              new ProxyRouteState(names.opTypes(), tables, shut.get(entry.getKey()), true));
-      entry.setValue(again);
-      old.peer.keep(again);
-      tables.joined(hello.proxy(), null);
-      heard.accept(hello);
+              earlier.proxy(), earlier.zone(), earlier.requestsPerSecond(), false));
     }
   }
 
-  /**
-   * Writes what one reply orders: one message for each proxy concerned, never mixed with the next.
-   */
-  public void carryOut(List<Command> orders, long now) {
-    for (ProxyUpdate message : tables.messages(orders, now)) {
-      Stream stream = streams.get(message.proxy().number());
-      List<String> parts = stream.table.parts(message);
-      if (parts.isEmpty()) {
-        continue;
-      }
-      if (message.mark() != null) {
-        mark(stream, message.mark());
-      }
-      if (LOG.isDebugEnabled()) {
-        LOG.debug(
-            "{}: {} lines: {}", stream, ProxyRouteState.price(parts), String.join(" | ", parts));
-      }
-      stream.peer.write(String.join("\r\n", parts) + "\r\n");
+  /** Carries out the commands of an event batch: one message for each proxy that they concern. */
+  public void execute(List<Command> commands, long now) {
+    for (ProxyUpdate update : tables.apply(commands, now)) {
+      send(update);
     }
   }
 
-  private static void mark(Stream stream, AckId mark) {
-    if (stream.marks.size() >= MARKS_MOST) {
-      stream.marks.remove(stream.marks.iterator().next());
+  private void send(ProxyUpdate update) {
+    ProxyStream stream = streams.get(update.proxy().number());
+    ConfigMessage message = stream.routeState().apply(update);
+    if (message.isEmpty()) {
+      return;
+    }
+    message.ack().ifPresent(stream::request);
+    List<String> lines = codec.write(message);
+    if (LOG.isDebugEnabled()) {
+      LOG.debug("{}: {} lines: {}", stream, message.entries(), String.join(" | ", lines));
     }
-    stream.marks.add(mark.number());
+    stream.connection().write(String.join("\r\n", lines) + "\r\n");
   }
 
-  public int proxiesHere() {
+  /** How many proxies are connected. */
+  public int connectedProxies() {
     return streams.size();
   }
 
-  /** Messages of known peers that were dropped, ever. */
-  public long dropped() {
-    return dropped;
+  /** How many messages of known peers were dropped as invalid, ever. */
+  public long droppedMessages() {
+    return droppedMessages;
   }
 
-  /** Whether a proxy's stream stands here. */
-  boolean here(ProxyId proxy) {
+  boolean isConnected(ProxyId proxy) {
     return streams.containsKey(proxy.number());
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
@@ -0,0 +1,50 @@
+package stonespring.proxyapi.platform;
+
+import java.util.HashSet;
+import java.util.Set;
+import stonespring.model.EndpointId;
+
+/**
+ * Which endpoints a proxy may have excluded. A proxy keeps its exclusions when its stream ends, and
+ * another instance may have added some meanwhile, so an endpoint that this stream has not spoken of
+ * yet is uncertain.
+ */
+final class ProxyExclusions {
+  private final Set<EndpointId> excluded;
+  private final boolean othersMayHaveExcluded;
+  private final Set<EndpointId> certain = new HashSet<>();
+
+  /**
+   * Creates the exclusions of a new stream.
+   *
+   * @param excluded what this instance excluded on earlier streams of the proxy; changed here
+   * @param othersMayHaveExcluded whether the proxy may hold exclusions of other instances
+   */
+  ProxyExclusions(Set<EndpointId> excluded, boolean othersMayHaveExcluded) {
+    this.excluded = excluded;
+    this.othersMayHaveExcluded = othersMayHaveExcluded;
+  }
+
+  /** Applies changes, and drops those that the proxy has made already; exclusion goes first. */
+  void apply(ExclusionChanges changes) {
+    changes.allowed().removeAll(changes.excluded());
+    changes.allowed().removeIf(endpoint -> !mayBeExcluded(endpoint));
+    changes.excluded().removeIf(this::isSurelyExcluded);
+    excluded.removeAll(changes.allowed());
+    excluded.addAll(changes.excluded());
+    certain.addAll(changes.allowed());
+    certain.addAll(changes.excluded());
+  }
+
+  private boolean mayBeExcluded(EndpointId endpoint) {
+    return excluded.contains(endpoint) || isUncertain(endpoint);
+  }
+
+  private boolean isSurelyExcluded(EndpointId endpoint) {
+    return excluded.contains(endpoint) && !isUncertain(endpoint);
+  }
+
+  private boolean isUncertain(EndpointId endpoint) {
+    return othersMayHaveExcluded && !certain.contains(endpoint);
+  }
+}
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -2,263 +2,226 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.BitSet;
+import java.util.Comparator;
+import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
+import stonespring.model.Command;
+import stonespring.model.EndpointId;
+import stonespring.model.RouteTableId;
+import stonespring.state.AdmissionLimit;
+import stonespring.state.ProxyChange;
 import stonespring.state.ProxyUpdate;
-import stonespring.state.RetryPolicyNames;
 import stonespring.state.RouteTables;
 
 /**
- * What one proxy holds, as its stream's orders made it: whole messages of the published state
- * become the platform's orders, at the price that the same orders have elsewhere. Tables there
- * stand for op types and have no number; levels for a table and for all of them become one; and
- * withdrawals outlive the stream, so that a task that the proxy may still shut out is let back when
- * a table names it.
+ * What one proxy holds by the updates on its stream. The platform's protocol has a table for each
+ * request class and no numbers of tables, one limit in place of a table's and that for all tables,
+ * and exclusions that outlive the stream; updates become its messages here, for the same number of
+ * entries.
  */
 final class ProxyRouteState {
-  private static final int ROWS_A_PART =
-      512; // lines; far under the bytes of a message, and no table has so many
-  private static final String ALL = "every";
-  private static final String NONE = "0"; // the weight that takes a line away
+  /** Keeps a line far below the longest that a proxy reads. */
+  private static final int MAX_ROUTES_PER_PART = 512;
 
-  private record Level(double level, int again) {
-    /**
-     * A table's own level and the one for all: the lower counts, and the table's own way of trying
-     * again.
-     */
-    static Level of(Level own, Level all) {
-      return own == null
-          ? all
-          : all == null ? own : new Level(Math.min(own.level, all.level), own.again);
-    }
-  }
-
-  private final List<String> opTypes;
+  private final int requestClasses;
   private final RouteTables tables;
-  private final TreeSet<String> shut;
-  private final boolean unknown;
-  private final TreeSet<String> sure =
-      new TreeSet<>(); // tasks that this stream was told of, out or in
-  private final String[] bound;
-  private final TreeMap<String, TreeMap<String, String>> lines = new TreeMap<>();
-  private final Map<String, Level[]> levels = new LinkedHashMap<>();
-  private final Level[] written;
+  private final ProxyExclusions exclusions;
+  private final RouteTableId[] assigned;
+  private final Map<RouteTableId, TreeMap<EndpointId, ProxyChange.RouteChange>> routes =
+      new HashMap<>();
+  private final Map<RouteTableId, AdmissionLimit[]> limits = new HashMap<>();
+  private final AdmissionLimit[] sentLimits;
+
+  /** The tables that one update touches, in the order of its changes. */
+  private static final class TouchedTables {
+    private final Set<RouteTableId> replaced = new LinkedHashSet<>();
+    private final Map<RouteTableId, List<ProxyChange.RouteChange>> changedRoutes =
+        new LinkedHashMap<>();
+  }
 
   /**
-   * @param tables what this instance ordered: tells which tasks it has withdrawn
-   * @param shut the tasks that this instance had the proxy shut out, over its streams; changed here
-   * @param unknown whether the proxy may shut out other tasks too: it holds what others ordered
+   * Creates the state of a new stream.
+   *
+   * @param tables tells which endpoints are excluded
    */
-  ProxyRouteState(List<String> opTypes, RouteTables tables, TreeSet<String> shut, boolean unknown) {
-    this.opTypes = opTypes;
+  ProxyRouteState(int requestClasses, RouteTables tables, ProxyExclusions exclusions) {
+    this.requestClasses = requestClasses;
     this.tables = tables;
-    this.shut = shut;
-    this.unknown = unknown;
-    this.bound = new String[opTypes.size()];
-    this.written = new Level[opTypes.size()];
+    this.exclusions = exclusions;
+    this.assigned = new RouteTableId[requestClasses];
+    this.sentLimits = new AdmissionLimit[requestClasses];
   }
 
-  /** The parts of one message: each a line without its end; empty where nothing would change. */
-  List<String> parts(ProxyUpdate message) {
-    Set<String> replaced = new LinkedHashSet<>();
-    Map<String, Map<String, String>> changed = new LinkedHashMap<>();
-    Set<String> out = new TreeSet<>();
-    Set<String> in = new TreeSet<>();
-    for (Map.Entry<String, String> change : message.changes().entrySet()) {
-      // An op type's or a task's name may hold a slash itself; only lines and levels have a table
-      // before it.
-      boolean ofTable = change.getKey().startsWith("line/") || change.getKey().startsWith("level/");
-      String[] key = change.getKey().split("/", ofTable ? 3 : 2);
-      String value = change.getValue();
-      switch (key[0]) {
-        case "bind" -> {
-          bound[opTypes.indexOf(key[1])] = value;
-          replaced.add(value);
-        }
-        case "line" -> {
-          TreeMap<String, String> table = lines.computeIfAbsent(key[1], t -> new TreeMap<>());
-          if (value == null) {
-            table.remove(key[2]);
+  /** Applies an update, and returns what is to be sent; empty if the proxy would not change. */
+  ConfigMessage apply(ProxyUpdate update) {
+    ExclusionChanges exclusionChanges = new ExclusionChanges();
+    TouchedTables touched = new TouchedTables();
+    update.changes().forEach(change -> apply(change, touched, exclusionChanges));
+
+    List<ConfigMessage.Part> parts = new ArrayList<>();
+    touched.changedRoutes.forEach(
+        (table, changes) -> {
+          if (touched.replaced.contains(table)) {
+            addReplacement(table, parts, exclusionChanges);
           } else {
-            table.put(key[2], value);
-          }
-          changed
-              .computeIfAbsent(key[1], t -> new LinkedHashMap<>())
-              .put(key[2], value == null ? NONE : value);
-        }
-        case "level" -> {
-          levels.computeIfAbsent(key[1], t -> new Level[opTypes.size()])[opTypes.indexOf(key[2])] =
-              level(value);
-          if (value == null) {
-            replaced.add(key[1]); // nothing else makes a proxy forget a level
+            addRoutes(table, changes, parts, exclusionChanges);
           }
-        }
-        case "out" -> (value == null ? in : out).add(key[1]);
-        default -> throw new IllegalStateException(change.getKey());
+        });
+    for (RouteTableId table : touched.replaced) {
+      if (!touched.changedRoutes.containsKey(table)) {
+        addReplacement(table, parts, exclusionChanges);
       }
     }
-    List<String> parts = new ArrayList<>();
-    changed
-        .keySet()
-        .forEach(
-            table ->
-                tablePart(parts, table, replaced.contains(table), changed.get(table), out, in));
-    replaced.stream()
-        .filter(table -> !changed.containsKey(table))
-        .forEach(table -> tablePart(parts, table, true, Map.of(), out, in));
-    // What changes in a table that the proxy is not bound to is not told: it comes whole when it is
-    // bound again.
-    Set<String> used = new HashSet<>(Arrays.asList(bound));
-    lines.keySet().retainAll(used);
-    levels.keySet().removeIf(table -> !table.equals(ALL) && !used.contains(table));
-    levelParts(parts);
-    in.removeAll(out);
-    in.removeIf(task -> !mayShut(task));
-    out.removeIf(task -> shut.contains(task) && (sure.contains(task) || !unknown));
-    shut.removeAll(in);
-    shut.addAll(out);
-    sure.addAll(in);
-    sure.addAll(out);
-    return ended(parts, out, in, message.mark() == null ? -1 : message.mark().number());
+    forgetUnusedTables();
+    addLimits(parts);
+    exclusions.apply(exclusionChanges);
+    return new ConfigMessage(parts, exclusionChanges, update.ack());
   }
 
-  /** Whether the proxy may shut a task out: by our order, or by another's that we can't know of. */
-  private boolean mayShut(String task) {
-    return shut.contains(task) || unknown && !sure.contains(task);
+  private void apply(ProxyChange change, TouchedTables touched, ExclusionChanges exclusionChanges) {
+    if (change instanceof ProxyChange.TableAssignment assignment) {
+      assigned[assignment.requestClass().index()] = assignment.table();
+      touched.replaced.add(assignment.table());
+    } else if (change instanceof ProxyChange.RouteChange route) {
+      apply(route);
+      touched.changedRoutes.computeIfAbsent(route.table(), id -> new ArrayList<>()).add(route);
+    } else if (change instanceof ProxyChange.AdmissionLimitChange limit) {
+      AdmissionLimit[] ofTable =
+          limits.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClasses]);
+      ofTable[limit.requestClass().index()] = limit.limit().orElse(null);
+      if (limit.limit().isEmpty()) {
+        touched.replaced.add(limit.table()); // nothing else makes a proxy forget a limit
+      }
+    } else if (change instanceof ProxyChange.ExclusionChange exclusion) {
+      exclusionChanges.add(exclusion.endpoint(), exclusion.excluded());
+    }
   }
 
-  private static Level level(String word) {
-    if (word == null) {
-      return null;
+  private void apply(ProxyChange.RouteChange route) {
+    TreeMap<EndpointId, ProxyChange.RouteChange> ofTable =
+        routes.computeIfAbsent(
+            route.table(), id -> new TreeMap<>(Comparator.comparing(EndpointId::name)));
+    if (route.weight() > 0) {
+      ofTable.put(route.endpoint(), route);
+    } else {
+      ofTable.remove(route.endpoint());
     }
-    String[] parts = word.split(" ");
-    return new Level(Double.parseDouble(parts[0]), RetryPolicyNames.policy(parts[1]).ordinal());
   }
 
-  private String types(java.util.function.IntPredicate which) {
-    StringBuilder some = new StringBuilder();
-    boolean all = true;
-    for (int k = 0; k < opTypes.size(); k++) {
-      if (which.test(k)) {
-        some.append(some.isEmpty() ? "" : "+").append(opTypes.get(k));
-      } else {
-        all = false;
-      }
+  /** Adds all routes of a table; the proxy forgets its other routes and its limit. */
+  private void addReplacement(
+      RouteTableId table, List<ConfigMessage.Part> parts, ExclusionChanges exclusionChanges) {
+    BitSet users = classesUsing(table);
+    if (users.isEmpty()) {
+      return;
+    }
+    for (int k = 0; k < requestClasses; k++) {
+      sentLimits[k] = users.get(k) ? null : sentLimits[k];
     }
-    return some.isEmpty() ? null : all ? "" : " for=" + some;
+    List<ProxyChange.RouteChange> all =
+        routes.containsKey(table) ? List.copyOf(routes.get(table).values()) : List.of();
+    addParts(users, true, all, parts);
+    addExclusions(all, exclusionChanges);
   }
 
-  private void tablePart(
-      List<String> parts,
-      String table,
-      boolean replace,
-      Map<String, String> changes,
-      Set<String> out,
-      Set<String> in) {
-    String types = types(k -> table.equals(bound[k]));
-    if (types == null) {
-      return; // no op type goes by it any more
+  /** Adds changed routes of a table; those of an unused one are sent when it is assigned. */
+  private void addRoutes(
+      RouteTableId table,
+      List<ProxyChange.RouteChange> changes,
+      List<ConfigMessage.Part> parts,
+      ExclusionChanges exclusionChanges) {
+    BitSet users = classesUsing(table);
+    if (users.isEmpty()) {
+      return;
     }
-    Map<String, String> rows = replace ? lines.getOrDefault(table, new TreeMap<>()) : changes;
-    if (replace) {
-      for (int k = 0; k < bound.length; k++) {
-        written[k] =
-            table.equals(bound[k]) ? null : written[k]; // a replaced table forgets its levels
-      }
+    addParts(users, false, changes, parts);
+    addExclusions(changes, exclusionChanges);
+  }
+
+  private BitSet classesUsing(RouteTableId table) {
+    BitSet users = new BitSet(requestClasses);
+    for (int k = 0; k < requestClasses; k++) {
+      users.set(k, table.equals(assigned[k]));
     }
-    StringBuilder part = new StringBuilder();
-    int count = 0;
-    for (Map.Entry<String, String> row : rows.entrySet()) {
-      String task = row.getKey();
-      if (!row.getValue().equals(NONE)) {
-        (tables.isWithdrawn(task) ? out : in).add(task);
-      }
-      part.append(part.isEmpty() ? " rows=" : ",").append(task).append(':').append(row.getValue());
-      if (++count % ROWS_A_PART == 0) {
-        parts.add(types + (replace && count == ROWS_A_PART ? " replace=1" : "") + part);
-        part.setLength(0);
+    return users;
+  }
+
+  private static void addParts(
+      BitSet users,
+      boolean replace,
+      List<ProxyChange.RouteChange> changes,
+      List<ConfigMessage.Part> parts) {
+    int from = 0;
+    do {
+      int to = Math.min(from + MAX_ROUTES_PER_PART, changes.size());
+      parts.add(
+          new ConfigMessage.Part(
+              users, replace && from == 0, changes.subList(from, to), Optional.empty()));
+      from = to;
+    } while (from < changes.size());
+  }
+
+  /** A proxy may hold exclusions of its own for the endpoints that it gets a route to. */
+  private void addExclusions(
+      List<ProxyChange.RouteChange> changes, ExclusionChanges exclusionChanges) {
+    for (ProxyChange.RouteChange route : changes) {
+      if (route.weight() > 0) {
+        exclusionChanges.add(route.endpoint(), tables.isExcluded(route.endpoint()));
       }
     }
-    if (!part.isEmpty() || replace && count == 0) {
-      parts.add(types + (replace && count < ROWS_A_PART ? " replace=1" : "") + part);
-    }
   }
 
-  /**
-   * Levels that differ from what was written: one part, and one line of the price, for those that
-   * are alike.
-   */
-  private void levelParts(List<String> parts) {
-    Map<Level, List<Integer>> alike = new LinkedHashMap<>();
-    Level[] all = levels.get(ALL);
-    for (int k = 0; k < bound.length; k++) {
-      Level[] own = bound[k] == null ? null : levels.get(bound[k]);
-      Level want = Level.of(own == null ? null : own[k], all == null ? null : all[k]);
-      if (want != null && !want.equals(written[k])) {
-        written[k] = want;
-        alike.computeIfAbsent(want, l -> new ArrayList<>()).add(k);
+  /** Changes of an unused table are not sent: it is sent whole when it is assigned again. */
+  private void forgetUnusedTables() {
+    Set<RouteTableId> used = new HashSet<>(Arrays.asList(assigned));
+    routes.keySet().retainAll(used);
+    used.add(Command.ALL_TABLES);
+    limits.keySet().retainAll(used);
+  }
+
+  /** Adds the limits that differ from what was sent; classes with equal limits share a part. */
+  private void addLimits(List<ConfigMessage.Part> parts) {
+    Map<AdmissionLimit, BitSet> changed = new LinkedHashMap<>();
+    for (int k = 0; k < requestClasses; k++) {
+      AdmissionLimit limit = effectiveLimit(k);
+      if (limit != null && !limit.equals(sentLimits[k])) {
+        sentLimits[k] = limit;
+        changed.computeIfAbsent(limit, key -> new BitSet(requestClasses)).set(k);
       }
     }
-    alike.forEach(
-        (level, of) -> {
-          String words =
-              " gate=" + RouteTables.weight(Math.max(0, level.level)) + " again=" + level.again;
-          String types = types(of::contains);
-          if (parts.size() == 1
-              && parts.get(0).startsWith(types)
-              && sameTypes(parts.get(0), types)) {
-            parts.set(0, parts.get(0) + words);
+    changed.forEach(
+        (limit, classes) -> {
+          if (parts.size() == 1 && parts.get(0).requestClasses().equals(classes)) {
+            parts.set(0, parts.get(0).withLimit(limit));
           } else {
-            parts.add(types + words);
+            parts.add(ConfigMessage.Part.ofLimit(classes, limit));
           }
         });
   }
 
-  private static boolean sameTypes(String part, String types) {
-    String rest = part.substring(types.length());
-    return !rest.contains(" for=")
-        && !rest.contains(" gate=")
-        && (rest.isEmpty() || rest.startsWith(" "));
-  }
-
-  private static List<String> ended(List<String> parts, Set<String> out, Set<String> in, int mark) {
-    String last =
-        (in.isEmpty() ? "" : " undrop=" + String.join(",", in))
-            + (out.isEmpty() ? "" : " drop=" + String.join(",", out))
-            + (mark < 0 ? "" : " stamp=" + mark);
-    if (!last.isEmpty()) {
-      if (parts.isEmpty()) {
-        parts.add("");
-      }
-      parts.set(parts.size() - 1, parts.get(parts.size() - 1) + last);
-    }
-    List<String> lines = new ArrayList<>();
-    for (int i = 0; i < parts.size(); i++) {
-      lines.add("CONFIG" + parts.get(i) + (i < parts.size() - 1 ? " part=1" : ""));
+  /**
+   * The limit that holds for a request class, or null: the lower one of its table's and that for
+   * all tables, with the table's own retry policy.
+   */
+  private AdmissionLimit effectiveLimit(int requestClass) {
+    AdmissionLimit own = limit(assigned[requestClass], requestClass);
+    AdmissionLimit common = limit(Command.ALL_TABLES, requestClass);
+    if (own == null || common == null) {
+      return own == null ? common : own;
     }
-    return lines;
+    return new AdmissionLimit(Math.min(own.limit(), common.limit()), own.retryPolicy());
   }
 
-  /** Lines that the channel charges for a message's parts, its head not counted. */
-  static int price(List<String> parts) {
-    int lines = 0;
-    for (String part : parts) {
-      for (String word : part.split(" ")) {
-        if (word.startsWith("rows=") || word.startsWith("drop=") || word.startsWith("undrop=")) {
-          lines += word.split(",").length;
-        } else if (word.startsWith("replace=")
-            || word.startsWith("gate=")
-            || word.startsWith("stamp=")) {
-          lines++;
-        }
-      }
-    }
-    return lines;
+  private AdmissionLimit limit(RouteTableId table, int requestClass) {
+    AdmissionLimit[] ofTable = limits.get(table);
+    return ofTable == null ? null : ofTable[requestClass];
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -0,0 +1,72 @@
+package stonespring.state;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import stonespring.model.EndpointId;
+import stonespring.model.ProxyId;
+import stonespring.model.RouteTableId;
+
+/**
+ * What one connected proxy was told: its tables, by request class, and the limits for all tables.
+ */
+final class ConnectedProxy {
+  private final ProxyId id;
+  private final RouteTableId[] assigned;
+  private final AdmissionLimit[] limitsForAllTables;
+  private final Optional<Set<EndpointId>> initialEndpoints;
+
+  /**
+   * Creates a proxy without tables of this instance.
+   *
+   * @param initialEndpoints the endpoints that the tables it brought along name; empty if unknown
+   */
+  ConnectedProxy(ProxyId id, int requestClasses, Optional<List<EndpointId>> initialEndpoints) {
+    this.id = id;
+    this.assigned = new RouteTableId[requestClasses];
+    this.limitsForAllTables = new AdmissionLimit[requestClasses];
+    this.initialEndpoints = initialEndpoints.map(HashSet::new);
+  }
+
+  ProxyId id() {
+    return id;
+  }
+
+  /** The table that it uses for a request class; null for one that it brought along. */
+  RouteTableId assigned(int requestClass) {
+    return assigned[requestClass];
+  }
+
+  void assign(int requestClass, RouteTableId table) {
+    assigned[requestClass] = table;
+  }
+
+  boolean uses(RouteTableId table) {
+    for (RouteTableId used : assigned) {
+      if (table.equals(used)) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Whether it may use the endpoint by a table that it brought along. */
+  boolean mayUseInitially(EndpointId endpoint) {
+    for (RouteTableId used : assigned) {
+      if (used == null) {
+        return initialEndpoints.map(known -> known.contains(endpoint)).orElse(true);
+      }
+    }
+    return false;
+  }
+
+  /** Notes a limit for all tables; false if it was the last one sent already. */
+  boolean noteLimitForAllTables(int requestClass, AdmissionLimit limit) {
+    if (limit.equals(limitsForAllTables[requestClass])) {
+      return false;
+    }
+    limitsForAllTables[requestClass] = limit;
+    return true;
+  }
+}
--- a/src/main/java/stonespring/state/KeyStore.java
+++ b/src/main/java/stonespring/state/KeyStore.java
@@ -4,73 +4,82 @@
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
- * The published keys with their sequences: what a snapshot shows and updates change. Sequences rise
- * strictly. Not safe for several threads.
+ * The published keys with their sequence numbers, which rise strictly. Not safe for several
+ * threads.
  */
 public final class KeyStore {
-  private record Held(byte[] value, long sequence) {}
+  private static final byte[] DELETED = new byte[0];
 
-  private static final byte[] NONE = new byte[0];
+  private record Entry(byte[] value, long sequence) {}
 
-  private final TreeMap<String, Held> keys = new TreeMap<>();
-  private final int keysMost;
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final int maxKeys;
   private long sequence;
 
   /**
-   * @param sequence the highest that an earlier run may have given out; @param keysMost the bound
-   *     on keys
+   * Creates an empty store.
+   *
+   * @param sequence the highest sequence number that an earlier run may have given out
+   * @param maxKeys the most keys that it holds
    */
-  public KeyStore(long sequence, int keysMost) {
+  public KeyStore(long sequence, int maxKeys) {
     this.sequence = sequence;
-    this.keysMost = keysMost;
+    this.maxKeys = maxKeys;
   }
 
-  /** Sets a key; null where there is no room for one key more: then nothing changes. */
-  public KeyUpdate put(String key, byte[] value) {
+  /**
+   * Sets a key; an empty value deletes it.
+   *
+   * @return the update, or empty if the store is full: then nothing changed
+   */
+  public Optional<KeyUpdate> put(String key, byte[] value) {
     if (value.length == 0) {
-      return delete(key);
+      return Optional.of(delete(key));
     }
-    if (!keys.containsKey(key) && keys.size() >= keysMost) {
-      return null;
+    if (!entries.containsKey(key) && entries.size() >= maxKeys) {
+      return Optional.empty();
     }
-    keys.put(key, new Held(value, ++sequence));
-    return new KeyUpdate(key, sequence, value);
+    entries.put(key, new Entry(value, ++sequence));
+    return Optional.of(new KeyUpdate(key, sequence, value));
   }
 
-  /** Deletes a key; the update tells so also where the key did not stand. */
+  /** Deletes a key; there is an update even if the key did not exist. */
   public KeyUpdate delete(String key) {
-    keys.remove(key);
-    return new KeyUpdate(key, ++sequence, NONE);
+    entries.remove(key);
+    return new KeyUpdate(key, ++sequence, DELETED);
   }
 
-  /** Drops a subtree without a word: for keys that nobody follows any more. */
+  /** Drops a subtree without updates: for keys that nobody follows any more. */
   public void forget(String subtree) {
-    under(subtree).clear();
+    entriesOf(subtree).clear();
   }
 
-  /** The keys of a subtree as they stand, by name. */
+  /** The keys of a subtree as they stand, by name; the empty subtree is the whole store. */
   public List<KeyUpdate> snapshot(String subtree) {
-    List<KeyUpdate> all = new ArrayList<>();
-    for (Map.Entry<String, Held> entry : under(subtree).entrySet()) {
-      all.add(new KeyUpdate(entry.getKey(), entry.getValue().sequence, entry.getValue().value));
+    List<KeyUpdate> keys = new ArrayList<>();
+    for (Map.Entry<String, Entry> entry : entriesOf(subtree).entrySet()) {
+      keys.add(
+          new KeyUpdate(entry.getKey(), entry.getValue().sequence(), entry.getValue().value()));
     }
-    return all;
+    return keys;
   }
 
-  private NavigableMap<String, Held> under(String subtree) {
+  private NavigableMap<String, Entry> entriesOf(String subtree) {
     return subtree.isEmpty()
-        ? keys
-        : keys.subMap(subtree, true, subtree + Character.MAX_VALUE, false);
+        ? entries
+        : entries.subMap(subtree, true, subtree + Character.MAX_VALUE, false);
   }
 
-  public boolean has(String key) {
-    return keys.containsKey(key);
+  /** Whether the key has a value. */
+  public boolean contains(String key) {
+    return entries.containsKey(key);
   }
 
-  /** The highest sequence given out. */
+  /** The highest sequence number given out. */
   public long sequence() {
     return sequence;
   }
--- a/src/main/java/stonespring/state/KeyUpdate.java
+++ b/src/main/java/stonespring/state/KeyUpdate.java
@@ -1,4 +1,9 @@
 package stonespring.state;
 
-/** One change of the published state, as any front may tell it; an empty value deletes the key. */
+/**
+ * One change of a published key.
+ *
+ * @param sequence higher than that of every earlier update
+ * @param value the new value; empty if the key is deleted
+ */
 public record KeyUpdate(String key, long sequence, byte[] value) {}
--- /dev/null
+++ b/src/main/java/stonespring/state/ProxyAcknowledgement.java
@@ -0,0 +1,11 @@
+package stonespring.state;
+
+import stonespring.model.AckId;
+
+/**
+ * A proxy's notice that it applied the update that requested this acknowledgement.
+ *
+ * @param origin the session that the update belongs to, as {@link PublishedState#origin} names it
+ * @param duration from the update's arrival to its effect, {@link stonespring.model.DeciMillis}
+ */
+public record ProxyAcknowledgement(String origin, AckId ack, long duration) {}
--- a/src/main/java/stonespring/state/ProxyHello.java
+++ b/src/main/java/stonespring/state/ProxyHello.java
@@ -1,22 +1,34 @@
 package stonespring.state;
 
 import java.util.List;
+import java.util.Optional;
 import stonespring.model.EndpointId;
 import stonespring.model.ZoneId;
 
 /**
- * A proxy's word that it is here.
+ * A proxy's announcement that it is connected.
  *
- * @param life drawn by the proxy at its start, so that another that claims its name is told apart
- * @param stream counts the proxy's dials: the same life on a later stream replaces the earlier one
- * @param opsPerSecond what it usually gets; rough
- * @param fresh it holds only the table that it started with
- * @param holds the tasks that its tables name; null where it does not say
+ * @param processId drawn by the proxy at its start; tells it from another that claims its name
+ * @param connectionCount counts the proxy's connections: a later one of the same process replaces
+ *     the earlier one
+ * @param requestsPerSecond what it usually receives; rough
+ * @param withoutTables whether it holds only the route tables that it started with
+ * @param tableEndpoints the endpoints that its tables name; empty if it does not say
  */
 public record ProxyHello(
-    String life,
-    long stream,
+    String processId,
+    long connectionCount,
     ZoneId zone,
-    double opsPerSecond,
-    boolean fresh,
-    List<EndpointId> holds) {}
+    double requestsPerSecond,
+    boolean withoutTables,
+    Optional<List<EndpointId>> tableEndpoints) {
+  /** Whether this announces a later connection of the same process. */
+  boolean replaces(ProxyHello earlier) {
+    return processId.equals(earlier.processId) && connectionCount > earlier.connectionCount;
+  }
+
+  /** Whether both announce the same connection of the same process. */
+  boolean renews(ProxyHello earlier) {
+    return processId.equals(earlier.processId) && connectionCount == earlier.connectionCount;
+  }
+}
--- a/src/main/java/stonespring/state/ProxySessions.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -3,186 +3,185 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.IdentityHashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import stonespring.model.ProxyId;
 
 /**
- * Which proxies are here: a name is claimed by a word of presence, kept by renewing it, and ends
- * with its time, its connection, or a later stream of the same proxy. Numbers are dense and
- * bounded: when all are used, that of the proxy longest gone is given anew, and where none is gone
- * the newcomer is refused. Time is passed in, tenths of a millisecond. Connections are told apart
- * by identity alone. Not safe for several threads.
+ * Which proxies are connected. A session begins with a hello that claims a name, is kept by
+ * renewing it, and ends with its lease, its connection, or a later connection of the same process.
+ * Proxies' ids are dense and bounded: when all are used, that of the proxy longest disconnected is
+ * reused; if there is none, the newcomer is refused. Instants are passed in as {@link
+ * stonespring.model.DeciMillis}. Not safe for several threads.
+ *
+ * @param <C> stands for a connection; connections are told apart by identity
  */
-public final class ProxySessions {
-  /** What a word of presence led to. */
-  public sealed interface Verdict {
-    /** {@code before} is set where an earlier stream of the same proxy ended by this. */
-    record Joined(ProxyId proxy, boolean before, Object oldConnection) implements Verdict {}
-
-    record Renewed(ProxyId proxy) implements Verdict {}
-
-    record Refused(String cause) implements Verdict {}
-  }
-
-  private static final class Claim {
+public final class ProxySessions<C> {
+  private static final class Session<C> {
     private final String name;
     private final ProxyId id;
     private ProxyHello hello;
-    private Object connection;
-    private long until;
-    private long stream;
+    private C connection;
+    private long expiresAt;
+    private long number;
 
-    Claim(String name, ProxyId id) {
+    Session(String name, ProxyId id) {
       this.name = name;
       this.id = id;
     }
 
-    boolean here() {
+    boolean isConnected() {
       return connection != null;
     }
   }
 
-  private final int most;
-  private final Map<String, Claim> byName = new HashMap<>();
-  private final Map<Integer, Claim> byNumber = new LinkedHashMap<>();
-  private final Map<Object, Set<Claim>> byConnection = new java.util.IdentityHashMap<>();
-  private final LinkedHashSet<Claim> gone = new LinkedHashSet<>();
-  private final ArrayDeque<Claim> renewals = new ArrayDeque<>();
-  private int here;
-  private long streams;
-
-  public ProxySessions(int most) {
-    this.most = most;
+  private final int maxProxies;
+  private final Map<String, Session<C>> byName = new HashMap<>();
+  private final Map<Integer, Session<C>> byId = new LinkedHashMap<>();
+  private final Map<C, Set<Session<C>>> byConnection = new IdentityHashMap<>();
+  private final LinkedHashSet<Session<C>> disconnected = new LinkedHashSet<>();
+  private final ArrayDeque<Session<C>> connected = new ArrayDeque<>();
+  private long sessionsBegun;
+
+  /** Creates an empty set of sessions for at most so many proxies. */
+  public ProxySessions(int maxProxies) {
+    this.maxProxies = maxProxies;
   }
 
-  /** Takes a word of presence that holds until {@code until}. */
-  public Verdict hello(String name, ProxyHello hello, Object connection, long now, long until) {
-    Claim claim = byName.get(name);
-    if (claim != null && claim.here()) {
-      ProxyHello held = claim.hello;
-      if (claim.connection == connection
-          && held.life().equals(hello.life())
-          && held.stream() == hello.stream()) {
-        claim.until = until;
-        claim.hello = hello;
-        return new Verdict.Renewed(claim.id);
-      }
-      // Another process with the same name waits until the first one's time is over; the same
-      // process on a
-      // newer stream knows that its old one is dead, though a half-open link still hides that from
-      // us.
-      if (claim.until > now
-          && !(held.life().equals(hello.life()) && hello.stream() > held.stream())) {
-        return new Verdict.Refused("proxy " + name + " is here already");
-      }
-      Object old = claim.connection;
-      leave(claim);
-      join(claim, hello, connection, until);
-      return new Verdict.Joined(claim.id, true, old);
+  /**
+   * Takes a hello that was received on a connection.
+   *
+   * @param expiresAt when the session ends if it is not renewed
+   */
+  public HelloResult<C> hello(
+      String name, ProxyHello hello, C connection, long now, long expiresAt) {
+    Session<C> session = byName.get(name);
+    if (session != null && session.isConnected()) {
+      return helloAgain(session, hello, connection, now, expiresAt);
     }
-    if (claim == null) {
-      ProxyId id = number();
-      if (id == null) {
-        return new Verdict.Refused("proxy " + name + ": " + most + " proxies are here, the limit");
+    if (session == null) {
+      Optional<ProxyId> id = allocateId();
+      if (id.isEmpty()) {
+        return new HelloResult.Refused<>(
+            "proxy " + name + ": " + maxProxies + " proxies are here, the limit");
       }
-      claim = new Claim(name, id);
-      byName.put(name, claim);
-      byNumber.put(id.number(), claim);
+      session = new Session<>(name, id.get());
+      byName.put(name, session);
+      byId.put(session.id.number(), session);
     }
-    join(claim, hello, connection, until);
-    return new Verdict.Joined(claim.id, false, null);
+    begin(session, hello, connection, expiresAt);
+    return new HelloResult.Connected<>(session.id, Optional.empty());
   }
 
-  private ProxyId number() {
-    if (byNumber.size() < most) {
-      return new ProxyId(byNumber.size());
+  private HelloResult<C> helloAgain(
+      Session<C> session, ProxyHello hello, C connection, long now, long expiresAt) {
+    if (session.connection == connection && hello.renews(session.hello)) {
+      session.expiresAt = expiresAt;
+      session.hello = hello;
+      return new HelloResult.Renewed<>(session.id);
+    }
+    // Another process of the same name waits for the lease to end; the same process on a later
+    // connection knows that its earlier one is dead, even if that is half open here.
+    if (session.expiresAt > now && !hello.replaces(session.hello)) {
+      return new HelloResult.Refused<>("proxy " + session.name + " is here already");
     }
-    if (gone.isEmpty()) {
-      return null;
+    C replaced = session.connection;
+    end(session);
+    begin(session, hello, connection, expiresAt);
+    return new HelloResult.Connected<>(session.id, Optional.of(replaced));
+  }
+
+  private Optional<ProxyId> allocateId() {
+    if (byId.size() < maxProxies) {
+      return Optional.of(new ProxyId(byId.size()));
     }
-    Claim oldest = gone.iterator().next();
-    gone.remove(oldest);
+    if (disconnected.isEmpty()) {
+      return Optional.empty();
+    }
+    Session<C> oldest = disconnected.iterator().next();
+    disconnected.remove(oldest);
     byName.remove(oldest.name);
-    return oldest.id;
+    return Optional.of(oldest.id);
   }
 
-  private void join(Claim claim, ProxyHello hello, Object connection, long until) {
-    gone.remove(claim);
-    claim.hello = hello;
-    claim.connection = connection;
-    claim.until = until;
-    claim.stream = ++streams;
-    here++;
-    byConnection.computeIfAbsent(connection, c -> new LinkedHashSet<>()).add(claim);
-    renewals.add(claim);
+  private void begin(Session<C> session, ProxyHello hello, C connection, long expiresAt) {
+    disconnected.remove(session);
+    session.hello = hello;
+    session.connection = connection;
+    session.expiresAt = expiresAt;
+    session.number = ++sessionsBegun;
+    byConnection.computeIfAbsent(connection, key -> new LinkedHashSet<>()).add(session);
+    connected.add(session);
   }
 
-  private void leave(Claim claim) {
-    Set<Claim> claims = byConnection.get(claim.connection);
-    claims.remove(claim);
-    if (claims.isEmpty()) {
-      byConnection.remove(claim.connection);
+  private void end(Session<C> session) {
+    Set<Session<C>> sessions = byConnection.get(session.connection);
+    sessions.remove(session);
+    if (sessions.isEmpty()) {
+      byConnection.remove(session.connection);
     }
-    claim.connection = null;
-    here--;
-    renewals.remove(claim);
-    gone.add(claim);
+    session.connection = null;
+    connected.remove(session);
+    disconnected.add(session);
   }
 
-  /** A connection ended, and with it all that spoke on it. */
-  public List<ProxyId> closed(Object connection) {
-    List<ProxyId> left = new ArrayList<>();
-    for (Claim claim : List.copyOf(byConnection.getOrDefault(connection, Set.of()))) {
-      leave(claim);
-      left.add(claim.id);
+  /** A connection closed: ends all sessions on it, and returns their proxies. */
+  public List<ProxyId> connectionClosed(C connection) {
+    List<ProxyId> ended = new ArrayList<>();
+    for (Session<C> session : List.copyOf(byConnection.getOrDefault(connection, Set.of()))) {
+      end(session);
+      ended.add(session.id);
     }
-    return left;
+    return ended;
   }
 
-  /** Ends what was not renewed in time. */
+  /** Ends the sessions that were not renewed in time, and returns their proxies. */
   public List<ProxyId> expire(long now) {
-    List<ProxyId> left = new ArrayList<>();
-    for (Claim claim : List.copyOf(renewals)) {
-      if (claim.until <= now) {
-        leave(claim);
-        left.add(claim.id);
+    List<ProxyId> ended = new ArrayList<>();
+    for (Session<C> session : List.copyOf(connected)) {
+      if (session.expiresAt <= now) {
+        end(session);
+        ended.add(session.id);
       }
     }
-    return left;
+    return ended;
   }
 
-  /** The number of a proxy that is here and speaks on this connection, else null. */
-  public ProxyId speaking(String name, Object connection) {
-    Claim claim = byName.get(name);
-    return claim != null && claim.connection == connection ? claim.id : null;
+  /** The proxy of that name, if its session is on this connection. */
+  public Optional<ProxyId> find(String name, C connection) {
+    Session<C> session = byName.get(name);
+    return session != null && session.connection == connection
+        ? Optional.of(session.id)
+        : Optional.empty();
   }
 
-  boolean isHere(ProxyId proxy) {
-    Claim claim = byNumber.get(proxy.number());
-    return claim != null && claim.here();
+  boolean isConnected(ProxyId proxy) {
+    Session<C> session = byId.get(proxy.number());
+    return session != null && session.isConnected();
   }
 
+  /** The name of a proxy that connected at least once. */
   public String name(ProxyId proxy) {
-    return byNumber.get(proxy.number()).name;
+    return byId.get(proxy.number()).name;
   }
 
+  /** The latest hello of a proxy that connected at least once. */
   public ProxyHello hello(ProxyId proxy) {
-    return byNumber.get(proxy.number()).hello;
+    return byId.get(proxy.number()).hello;
   }
 
-  /**
-   * The count of joins at which this proxy's stream began: tells its orders from those of any other
-   * stream.
-   */
-  public long stream(ProxyId proxy) {
-    return byNumber.get(proxy.number()).stream;
+  /** Counts the sessions of all proxies: tells a proxy's session from every other. */
+  public long sessionNumber(ProxyId proxy) {
+    return byId.get(proxy.number()).number;
   }
 
-  public int here() {
-    return here;
+  /** How many proxies are connected. */
+  public int connectedCount() {
+    return connected.size();
   }
 }
--- a/src/main/java/stonespring/state/ProxyUpdate.java
+++ b/src/main/java/stonespring/state/ProxyUpdate.java
@@ -1,16 +1,17 @@
 package stonespring.state;
 
-import java.util.Map;
+import java.util.List;
+import java.util.Optional;
 import stonespring.model.AckId;
 import stonespring.model.ProxyId;
 
 /**
- * What one reply of the decisions orders for one proxy: the keys to set under its subtree (null
- * deletes), which take effect together or not at all.
+ * What one event batch changes for one proxy. The changes take effect together or not at all.
  *
- * @param lines what the channel charges for it, its head not counted
- * @param mark the number to answer, or null
- * @param orderedAt when it was ordered, tenths of a millisecond
+ * @param changes in the order in which they are published, one for each subject
+ * @param entries what the channel charges for it, the overhead of the message not counted
+ * @param ack the acknowledgement that is requested, if any
+ * @param commandedAt when the decisions commanded it, {@link stonespring.model.DeciMillis}
  */
 public record ProxyUpdate(
-    ProxyId proxy, Map<String, String> changes, int lines, AckId mark, long orderedAt) {}
+    ProxyId proxy, List<ProxyChange> changes, int entries, Optional<AckId> ack, long commandedAt) {}
--- /dev/null
+++ b/src/main/java/stonespring/state/PublishedKeyCodec.java
@@ -0,0 +1,86 @@
+package stonespring.state;
+
+import java.util.List;
+import java.util.Optional;
+import stonespring.model.Command;
+import stonespring.model.RequestClassId;
+import stonespring.model.RetryPolicy;
+import stonespring.model.RouteTableId;
+
+/**
+ * Writes changes as published keys, relative to a proxy's subtree: {@code line/TABLE/ENDPOINT},
+ * {@code bind/CLASS}, {@code level/TABLE/CLASS} ({@code every} for all tables) and {@code
+ * out/ENDPOINT}. {@code docs/channel.md} describes them for authors of proxies.
+ */
+public final class PublishedKeyCodec {
+  private static final String ROUTE = "line/";
+  private static final String ASSIGNED_TABLE = "bind/";
+  private static final String LIMIT = "level/";
+  private static final String EXCLUSION = "out/";
+  private static final String ALL_TABLES = "every";
+  private static final String EXCLUDED = "1";
+
+  private final List<String> requestClassNames;
+
+  /**
+   * Creates a codec.
+   *
+   * @param requestClassNames the settings' names, by position
+   */
+  public PublishedKeyCodec(List<String> requestClassNames) {
+    this.requestClassNames = List.copyOf(requestClassNames);
+  }
+
+  /** The key of what is changed, relative to the proxy's subtree. */
+  public String key(ProxyChange.Subject subject) {
+    if (subject instanceof ProxyChange.Subject.Route route) {
+      return ROUTE + route.table().number() + "/" + route.endpoint().name();
+    }
+    if (subject instanceof ProxyChange.Subject.AssignedTable assigned) {
+      return ASSIGNED_TABLE + name(assigned.requestClass());
+    }
+    if (subject instanceof ProxyChange.Subject.Limit limit) {
+      return LIMIT + name(limit.table()) + "/" + name(limit.requestClass());
+    }
+    return EXCLUSION + ((ProxyChange.Subject.Exclusion) subject).endpoint().name();
+  }
+
+  /** The new value of the key, or empty if the key is deleted. */
+  public Optional<String> value(ProxyChange change) {
+    if (change instanceof ProxyChange.RouteChange route) {
+      return route.weight() > 0
+          ? Optional.of(PlainDecimal.format(route.weight()))
+          : Optional.empty();
+    }
+    if (change instanceof ProxyChange.TableAssignment assignment) {
+      return Optional.of(String.valueOf(assignment.table().number()));
+    }
+    if (change instanceof ProxyChange.AdmissionLimitChange limit) {
+      return limit.limit().map(PublishedKeyCodec::text);
+    }
+    return ((ProxyChange.ExclusionChange) change).excluded()
+        ? Optional.of(EXCLUDED)
+        : Optional.empty();
+  }
+
+  private String name(RequestClassId requestClass) {
+    return requestClassNames.get(requestClass.index());
+  }
+
+  private static String name(RouteTableId table) {
+    return table.equals(Command.ALL_TABLES) ? ALL_TABLES : String.valueOf(table.number());
+  }
+
+  private static String text(AdmissionLimit limit) {
+    return PlainDecimal.format(limit.limit()) + " " + name(limit.retryPolicy());
+  }
+
+  private static String name(RetryPolicy policy) {
+    return switch (policy) {
+      case NEVER -> "never";
+      case IF_NOT_EXECUTED -> "on_proof";
+      case ONCE_ON_FAILURE -> "once_on_failure";
+      case TWICE_ON_FAILURE -> "twice_on_failure";
+    };
+  }
+}
--- a/src/main/java/stonespring/state/PublishedState.java
+++ b/src/main/java/stonespring/state/PublishedState.java
@@ -6,134 +6,159 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
+import stonespring.model.AckId;
 import stonespring.model.ProxyId;
 
 /**
- * What the fronts publish, as keys: every proxy's subtree, changed by whole messages and ended by a
- * key that commits; presence; the instance's own status. A snapshot taken between two calls ends at
- * a commit for every proxy. Not safe for several threads.
+ * The published keys: a subtree for each proxy, changed by whole updates that end with a commit
+ * key; presence keys; the instance's status. A snapshot taken between two calls ends at a commit
+ * for every proxy. Not safe for several threads.
  *
- * <p>The commit is a JSON object: {@code origin} names the stream that the orders belong to, {@code
- * at} counts its messages from 1, {@code keys} is how many keys this message changed, {@code mark},
- * where present, is to be answered.
+ * <p>The commit is a JSON object: {@code origin} names the proxy's session, {@code at} counts the
+ * session's updates from 1, {@code keys} is how many keys the update changed, {@code mark}, if
+ * present, is the acknowledgement that is requested.
  */
 public final class PublishedState {
-  public static final String PROXIES = "/proxy/";
-  public static final String PRESENCE = "/presence/";
-  public static final String STATUS = "/assigner/status";
+  private static final String PROXIES = "/proxy/";
+  private static final String PRESENCE = "/presence/";
+  private static final String STATUS = "/assigner/status";
   private static final String COMMIT = "commit";
 
-  private final KeyStore keys;
-  private final String epoch;
-  private final ProxySessions presence;
-  private static final int MARKS_MOST =
-      4096; // marks that one proxy may still answer; more means it never does
+  /** Acknowledgements that one proxy may owe; the oldest beyond are forgotten. */
+  private static final int MAX_PENDING_ACKS = 4096;
 
-  private static final class Stream {
+  /** What was published in one proxy's session. */
+  private static final class Session {
     private int commits;
-    private final LinkedHashMap<Integer, Long> marks = new LinkedHashMap<>();
+    private final LinkedHashMap<AckId, Long> pendingAcks = new LinkedHashMap<>();
+
+    void await(AckId ack, long commandedAt) {
+      if (pendingAcks.size() >= MAX_PENDING_ACKS) {
+        pendingAcks.remove(pendingAcks.keySet().iterator().next());
+      }
+      pendingAcks.put(ack, commandedAt);
+    }
   }
 
-  private final Map<Integer, Stream> streams = new HashMap<>();
+  private final KeyStore keys;
+  private final PublishedKeyCodec codec;
+  private final String epoch;
+  private final ProxySessions<?> proxies;
+  private final Map<Integer, Session> sessions = new HashMap<>();
 
-  public PublishedState(KeyStore keys, String epoch, ProxySessions presence) {
+  /**
+   * Creates a state over a store.
+   *
+   * @param epoch names this start of the instance
+   * @param proxies the names and sessions of the proxies
+   */
+  public PublishedState(
+      KeyStore keys, PublishedKeyCodec codec, String epoch, ProxySessions<?> proxies) {
     this.keys = keys;
+    this.codec = codec;
     this.epoch = epoch;
-    this.presence = presence;
-  }
-
-  private String subtree(ProxyId proxy) {
-    return PROXIES + presence.name(proxy) + "/";
+    this.proxies = proxies;
   }
 
-  /** The stream of a proxy: this instance's start and the count of all joins at which it began. */
+  /** Names a proxy's session: this start of the instance and the number of the session. */
   public String origin(ProxyId proxy) {
-    return epoch + "-" + presence.stream(proxy);
+    return epoch + "-" + proxies.sessionNumber(proxy);
   }
 
   /**
-   * A message left the channel: its keys and then the commit. Empty where there is no room for the
-   * keys.
+   * Publishes an update that left the channel.
+   *
+   * @return its keys and then the commit; empty if the store has no room for them
    */
-  public List<KeyUpdate> publish(ProxyUpdate message) {
-    String subtree = subtree(message.proxy());
-    List<KeyUpdate> updates = new ArrayList<>();
-    for (Map.Entry<String, String> change : message.changes().entrySet()) {
-      KeyUpdate update =
-          change.getValue() == null
-              ? keys.delete(subtree + change.getKey())
-              : keys.put(subtree + change.getKey(), bytes(change.getValue()));
-      if (update == null) {
-        // Without all its keys a message must not commit: the proxy keeps what it has.
+  public List<KeyUpdate> publish(ProxyUpdate update) {
+    String subtree = subtree(update.proxy());
+    List<KeyUpdate> published = new ArrayList<>();
+    for (ProxyChange change : update.changes()) {
+      Optional<KeyUpdate> key = publish(subtree + codec.key(change.subject()), change);
+      if (key.isEmpty()) {
+        // Without all its keys an update must not commit: the proxy keeps what it has.
         return List.of();
       }
-      updates.add(update);
+      published.add(key.get());
     }
-    Stream stream = streams.computeIfAbsent(message.proxy().number(), n -> new Stream());
-    int at = ++stream.commits;
-    if (message.mark() != null) {
-      if (stream.marks.size() >= MARKS_MOST) {
-        stream.marks.remove(stream.marks.keySet().iterator().next());
-      }
-      stream.marks.put(message.mark().number(), message.orderedAt());
-    }
-    String commit =
-        "{\"origin\":\""
-            + origin(message.proxy())
-            + "\",\"at\":"
-            + at
-            + ",\"keys\":"
-            + updates.size()
-            + (message.mark() == null ? "" : ",\"mark\":" + message.mark().number())
-            + "}";
-    KeyUpdate last = keys.put(subtree + COMMIT, bytes(commit));
-    if (last == null) {
+    Session session = sessions.computeIfAbsent(update.proxy().number(), number -> new Session());
+    session.commits++;
+    update.ack().ifPresent(ack -> session.await(ack, update.commandedAt()));
+    String commit = commit(update, session.commits, published.size());
+    Optional<KeyUpdate> last = put(subtree + COMMIT, commit);
+    if (last.isEmpty()) {
       return List.of();
     }
-    updates.add(last);
-    return updates;
+    published.add(last.get());
+    return published;
+  }
+
+  private Optional<KeyUpdate> publish(String key, ProxyChange change) {
+    Optional<String> value = codec.value(change);
+    return value.isPresent() ? put(key, value.get()) : Optional.of(keys.delete(key));
+  }
+
+  private String commit(ProxyUpdate update, int count, int changedKeys) {
+    return "{\"origin\":\""
+        + origin(update.proxy())
+        + "\",\"at\":"
+        + count
+        + ",\"keys\":"
+        + changedKeys
+        + update.ack().map(ack -> ",\"mark\":" + ack.number()).orElse("")
+        + "}";
   }
 
-  /** A proxy's stream began. */
-  public List<KeyUpdate> here(ProxyId proxy) {
-    KeyUpdate update =
-        keys.put(PRESENCE + presence.name(proxy), bytes("{\"origin\":\"" + origin(proxy) + "\"}"));
-    return update == null ? List.of() : List.of(update);
+  /** Publishes that a proxy's session began. */
+  public List<KeyUpdate> proxyConnected(ProxyId proxy) {
+    return put(presenceKey(proxy), "{\"origin\":\"" + origin(proxy) + "\"}").stream().toList();
   }
 
   /**
-   * A proxy's stream ended: its keys mean nothing any more. The deleted commit tells whoever
-   * follows them.
+   * Publishes that a proxy's session ended. Its keys are dropped; the deleted commit notifies
+   * whoever follows them.
    */
-  public List<KeyUpdate> ended(ProxyId proxy) {
+  public List<KeyUpdate> proxyDisconnected(ProxyId proxy) {
     String subtree = subtree(proxy);
-    boolean any = keys.has(subtree + COMMIT);
-    streams.remove(proxy.number());
+    boolean committed = keys.contains(subtree + COMMIT);
+    sessions.remove(proxy.number());
     keys.forget(subtree);
     List<KeyUpdate> updates = new ArrayList<>();
-    if (any) {
+    if (committed) {
       updates.add(keys.delete(subtree + COMMIT));
     }
-    updates.add(keys.delete(PRESENCE + presence.name(proxy)));
+    updates.add(keys.delete(presenceKey(proxy)));
     return updates;
   }
 
   /**
-   * When the message with this mark was ordered; -1 where it was never set for this stream, or
-   * answered already.
+   * Takes an acknowledgement.
+   *
+   * @return when its update was commanded; empty if it was never requested in this session, or
+   *     given already
    */
-  public long answer(ProxyId proxy, int mark) {
-    Stream stream = streams.get(proxy.number());
-    Long orderedAt = stream == null ? null : stream.marks.remove(mark);
-    return orderedAt == null ? -1 : orderedAt;
+  public OptionalLong acknowledge(ProxyId proxy, AckId ack) {
+    Session session = sessions.get(proxy.number());
+    Long commandedAt = session == null ? null : session.pendingAcks.remove(ack);
+    return commandedAt == null ? OptionalLong.empty() : OptionalLong.of(commandedAt);
+  }
+
+  /** Publishes the instance's status, a JSON object. */
+  public List<KeyUpdate> publishStatus(String json) {
+    return put(STATUS, json).stream().toList();
+  }
+
+  private String subtree(ProxyId proxy) {
+    return PROXIES + proxies.name(proxy) + "/";
   }
 
-  public List<KeyUpdate> status(String json) {
-    KeyUpdate update = keys.put(STATUS, bytes(json));
-    return update == null ? List.of() : List.of(update);
+  private String presenceKey(ProxyId proxy) {
+    return PRESENCE + proxies.name(proxy);
   }
 
-  private static byte[] bytes(String text) {
-    return text.getBytes(StandardCharsets.UTF_8);
+  private Optional<KeyUpdate> put(String key, String value) {
+    return keys.put(key, value.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/main/java/stonespring/state/RateLimitedChannel.java
+++ b/src/main/java/stonespring/state/RateLimitedChannel.java
@@ -3,157 +3,166 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.LinkedList;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import stonespring.model.DeciMillis;
 import stonespring.model.ProxyId;
+import stonespring.model.Settings;
 
 /**
- * The channel: messages leave one by one at a steady pace of lines, each with a head's price. It
- * counts what waits and what one proxy was sent. It does not choose what waits: that is the
- * decisions' part, and they keep it under {@code backlogMost}. Should they fail to, a message for a
- * proxy that has one waiting is merged into it from there on (the later value of a key stands), so
- * that no more can wait than one whole table for each proxy. Time is passed in.
+ * The channel to the proxies: updates leave in order, at a steady rate of entries, each with the
+ * overhead of a message. The decisions keep the backlog under its limit. Should they fail to, an
+ * update for a proxy that has one waiting is merged into that one, so that no more can wait than
+ * one whole table for each proxy. Not safe for several threads.
  */
 public final class RateLimitedChannel {
   private static final class Waiting {
-    private ProxyUpdate message;
-    private int price;
+    private ProxyUpdate update;
+    private int cost; // entries, overhead included
+
+    Waiting(ProxyUpdate update, int cost) {
+      this.update = update;
+      this.cost = cost;
+    }
   }
 
-  private final double linesPerSecond;
-  private final int head;
-  private final int backlogMost;
-  private final long messagesOver;
+  private final double entriesPerSecond;
+  private final int messageOverheadEntries;
+  private final int maxBacklogEntries;
+  private final long messageWindow;
   private final LinkedList<Waiting> queue = new LinkedList<>();
-  private final TreeMap<Integer, ArrayDeque<Long>> sent = new TreeMap<>();
-  private long backlog;
-  private long backlogHigh;
-  private int messagesHigh;
-  private long merged;
+  private final TreeMap<Integer, ArrayDeque<Long>> departures = new TreeMap<>();
+  private long backlogEntries;
+  private long peakBacklogEntries;
+  private int peakMessagesPerProxy;
+  private long mergedUpdates;
   private double freeAt;
 
-  public RateLimitedChannel(double linesPerSecond, int head, int backlogMost, long messagesOver) {
-    this.linesPerSecond = linesPerSecond;
-    this.head = head;
-    this.backlogMost = backlogMost;
-    this.messagesOver = messagesOver;
+  /** Creates an idle channel. */
+  public RateLimitedChannel(Settings.ChannelLimits limits) {
+    this.entriesPerSecond = limits.entriesPerSecond();
+    this.messageOverheadEntries = limits.messageOverheadEntries();
+    this.maxBacklogEntries = limits.maxBacklogEntries();
+    this.messageWindow = limits.messageWindow();
   }
 
-  /** Messages of one reply, in order. */
-  public void offer(List<ProxyUpdate> messages, long now) {
-    for (ProxyUpdate message : messages) {
-      int price = message.lines() + head;
-      Waiting before = backlog + price > backlogMost ? last(message.proxy()) : null;
-      if (before != null) {
-        merge(before, message);
+  /** Queues the updates of one event batch, in order. */
+  public void offer(List<ProxyUpdate> updates, long now) {
+    for (ProxyUpdate update : updates) {
+      int cost = update.entries() + messageOverheadEntries;
+      Optional<Waiting> earlier =
+          backlogEntries + cost > maxBacklogEntries
+              ? lastWaiting(update.proxy())
+              : Optional.empty();
+      if (earlier.isPresent()) {
+        merge(earlier.get(), update);
         continue;
       }
-      Waiting waiting = new Waiting();
-      waiting.message = message;
-      waiting.price = price;
       if (queue.isEmpty()) {
         freeAt = Math.max(freeAt, now);
       }
-      queue.add(waiting);
-      backlog += price;
+      queue.add(new Waiting(update, cost));
+      backlogEntries += cost;
     }
-    backlogHigh = Math.max(backlogHigh, backlog);
+    peakBacklogEntries = Math.max(peakBacklogEntries, backlogEntries);
   }
 
-  private Waiting last(ProxyId proxy) {
+  private Optional<Waiting> lastWaiting(ProxyId proxy) {
     for (Iterator<Waiting> it = queue.descendingIterator(); it.hasNext(); ) {
       Waiting waiting = it.next();
-      if (waiting.message.proxy().equals(proxy)) {
-        return waiting;
+      if (waiting.update.proxy().equals(proxy)) {
+        return Optional.of(waiting);
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  private void merge(Waiting before, ProxyUpdate later) {
-    Map<String, String> changes = new LinkedHashMap<>(before.message.changes());
-    later
-        .changes()
-        .forEach(
-            (key, value) -> {
-              changes.remove(key);
-              changes.put(key, value);
-            });
-    int lines = changes.size() + (later.mark() == null ? 0 : 1);
-    backlog += lines + head - before.price;
-    before.price = lines + head;
-    // An earlier mark stays unanswered then: the decisions count its room as free after their own
-    // wait.
-    before.message =
+  private void merge(Waiting earlier, ProxyUpdate later) {
+    ProxyChangeSet changes = new ProxyChangeSet();
+    earlier.update.changes().forEach(changes::putLast);
+    later.changes().forEach(changes::putLast);
+    int entries = changes.size() + (later.ack().isPresent() ? 1 : 0);
+    int cost = entries + messageOverheadEntries;
+    backlogEntries += cost - earlier.cost;
+    earlier.cost = cost;
+    // A replaced acknowledgement is never given: the decisions stop waiting for it by themselves.
+    earlier.update =
         new ProxyUpdate(
             later.proxy(),
-            changes,
-            lines,
-            later.mark() != null ? later.mark() : before.message.mark(),
-            before.message.orderedAt());
-    merged++;
+            changes.toList(),
+            entries,
+            later.ack().or(earlier.update::ack),
+            earlier.update.commandedAt());
+    mergedUpdates++;
   }
 
-  /** Takes out what has left the channel by now, in order. */
-  public List<ProxyUpdate> due(long now) {
-    List<ProxyUpdate> out = new ArrayList<>();
-    while (!queue.isEmpty() && leavesAt() <= now) {
+  /** Removes and returns what has left the channel by now, in order. */
+  public List<ProxyUpdate> takeDue(long now) {
+    List<ProxyUpdate> due = new ArrayList<>();
+    while (!queue.isEmpty() && nextDepartureAt() <= now) {
       Waiting next = queue.removeFirst();
-      freeAt = freeAt + next.price * DeciMillis.SECOND / linesPerSecond;
-      backlog -= next.price;
-      ArrayDeque<Long> times =
-          sent.computeIfAbsent(next.message.proxy().number(), n -> new ArrayDeque<>());
-      times.removeIf(at -> now - at > messagesOver);
-      times.add(now);
-      messagesHigh = Math.max(messagesHigh, times.size());
-      out.add(next.message);
+      freeAt = freeAt + transmissionTime(next);
+      backlogEntries -= next.cost;
+      countDeparture(next.update.proxy(), now);
+      due.add(next.update);
     }
-    return out;
+    return due;
+  }
+
+  private void countDeparture(ProxyId proxy, long now) {
+    ArrayDeque<Long> times =
+        departures.computeIfAbsent(proxy.number(), number -> new ArrayDeque<>());
+    times.removeIf(at -> now - at > messageWindow);
+    times.add(now);
+    peakMessagesPerProxy = Math.max(peakMessagesPerProxy, times.size());
   }
 
-  private long leavesAt() {
-    return (long) Math.ceil(freeAt + queue.getFirst().price * DeciMillis.SECOND / linesPerSecond);
+  private double transmissionTime(Waiting waiting) {
+    return waiting.cost * DeciMillis.SECOND / entriesPerSecond;
   }
 
-  /** When the next message leaves; {@code Long.MAX_VALUE} where none waits. */
-  public long nextAt() {
-    return queue.isEmpty() ? Long.MAX_VALUE : leavesAt();
+  /** When the next update leaves; {@code Long.MAX_VALUE} if none waits. */
+  public long nextDepartureAt() {
+    return queue.isEmpty()
+        ? Long.MAX_VALUE
+        : (long) Math.ceil(freeAt + transmissionTime(queue.getFirst()));
   }
 
-  /** A proxy's stream ended: what waits for it is lost, and it starts to count anew. */
-  public void left(ProxyId proxy) {
+  /** A proxy disconnected: what waits for it is dropped, and its messages are counted anew. */
+  public void proxyDisconnected(ProxyId proxy) {
     for (Iterator<Waiting> it = queue.iterator(); it.hasNext(); ) {
       Waiting waiting = it.next();
-      if (waiting.message.proxy().equals(proxy)) {
-        backlog -= waiting.price;
+      if (waiting.update.proxy().equals(proxy)) {
+        backlogEntries -= waiting.cost;
         it.remove();
       }
     }
-    sent.remove(proxy.number());
+    departures.remove(proxy.number());
   }
 
-  /** Lines that wait, heads included. */
-  public long backlog() {
-    return backlog;
+  /** Entries that wait, overhead included. */
+  public long backlogEntries() {
+    return backlogEntries;
   }
 
-  public long backlogHigh() {
-    return backlogHigh;
+  /** The most entries that ever waited. */
+  public long peakBacklogEntries() {
+    return peakBacklogEntries;
   }
 
-  /** The most messages that left for one proxy within the span that the limit speaks of. */
-  public int messagesHigh() {
-    return messagesHigh;
+  /** The most messages that ever left for one proxy within the window of the limit. */
+  public int peakMessagesPerProxy() {
+    return peakMessagesPerProxy;
   }
 
-  public long merged() {
-    return merged;
+  /** How many updates were merged into earlier ones, ever. */
+  public long mergedUpdates() {
+    return mergedUpdates;
   }
 
+  /** Whether nothing waits. */
   public boolean isEmpty() {
     return queue.isEmpty();
   }
--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -13,120 +13,157 @@
 import stonespring.model.ZoneId;
 
 /**
- * Gathers what proxies report until it is told on: one sum for each task and zone, one for each
- * proxy and op type. It holds no more than one figure for each pair however often proxies report,
- * and at most {@code pairsMost} of them; beyond, a report's further pairs are left out and counted.
- * Not safe for several threads.
+ * Sums the reports of proxies until they are drained: one figure for each pair of endpoint and
+ * zone, one for each pair of proxy and request class, however often proxies report. The number of
+ * pairs is bounded; pairs beyond the bound are dropped and counted. Not safe for several threads.
  */
 public final class ReportAggregator {
-  /**
-   * What one proxy met at one task. Span and latency in tenths of a millisecond; latency is the
-   * good ones' mean.
-   */
-  public record Met(EndpointId task, long tries, long bad, long goodLatency, LoadReport load) {}
+  private static final int REQUEST_CLASS_BITS = 16;
 
-  /** What came to one proxy of one op type. */
-  public record Came(RequestClassId opType, long ops, long unanswered) {}
-
-  private static final class TaskCell {
-    private long tries;
-    private long bad;
-    private double goodTime;
+  /** What the proxies of one zone observed at one endpoint. */
+  private static final class EndpointSum {
+    private final EndpointId endpoint;
+    private final ZoneId zone;
+    private long attempts;
+    private long failures;
+    private double totalSuccessLatency;
     private LoadReport load = LoadReport.NONE;
-    private final Map<Integer, Long> spans = new HashMap<>();
+    private final Map<Integer, Long> intervalsByProxy = new HashMap<>();
+
+    EndpointSum(EndpointId endpoint, ZoneId zone) {
+      this.endpoint = endpoint;
+      this.zone = zone;
+    }
+
+    void add(ProxyId proxy, long interval, ProxyReport.EndpointObservation observation) {
+      long successes = observation.attempts() - observation.failures();
+      attempts += observation.attempts();
+      failures += observation.failures();
+      totalSuccessLatency += (double) observation.successLatency() * successes;
+      intervalsByProxy.merge(proxy.number(), interval, Long::sum);
+      if (observation.load() != LoadReport.NONE) {
+        load = observation.load();
+      }
+    }
+
+    Event.EndpointOutcomes toEvent() {
+      long successes = attempts - failures;
+      long interval = intervalsByProxy.values().stream().mapToLong(s -> s).max().orElse(1);
+      long meanLatency =
+          successes > 0 ? Math.max(1, Math.round(totalSuccessLatency / successes)) : 0;
+      return new Event.EndpointOutcomes(
+          endpoint, zone, attempts, failures, interval, meanLatency, load);
+    }
   }
 
-  private static final class ProxyCell {
-    private long ops;
+  /** What one proxy received of one request class. */
+  private static final class RequestSum {
+    private final ProxyId proxy;
+    private final RequestClassId requestClass;
+    private long requests;
     private long unanswered;
-    private long span;
+    private long interval;
+
+    RequestSum(ProxyId proxy, RequestClassId requestClass) {
+      this.proxy = proxy;
+      this.requestClass = requestClass;
+    }
+
+    void add(long reportInterval, ProxyReport.RequestCount count) {
+      requests += count.requests();
+      unanswered += count.unanswered();
+      interval += reportInterval;
+    }
+
+    Event.ProxyRequestRate toEvent() {
+      return new Event.ProxyRequestRate(proxy, requestClass, requests, unanswered, interval);
+    }
   }
 
-  private final int pairsMost;
-  private final TreeMap<String, TaskCell> byTask = new TreeMap<>();
-  private final Map<String, EndpointId> taskOf = new HashMap<>();
-  private final TreeMap<Long, ProxyCell> byProxy = new TreeMap<>();
-  private long leftOut;
+  private final int maxPairs;
+  // The order of these keys is the order of the events, which decisions depend on.
+  private final TreeMap<String, EndpointSum> endpointSums = new TreeMap<>();
+  private final TreeMap<Long, RequestSum> requestSums = new TreeMap<>();
+  private long droppedPairs;
 
-  public ReportAggregator(int pairsMost) {
-    this.pairsMost = pairsMost;
+  /**
+   * Creates an aggregator that holds nothing.
+   *
+   * @param maxPairs the most pairs of each kind that are held
+   */
+  public ReportAggregator(int maxPairs) {
+    this.maxPairs = maxPairs;
   }
 
-  public void add(ProxyId proxy, ZoneId zone, long span, List<Met> met, List<Came> came) {
-    for (Met m : met) {
-      String key = zone.index() + "|" + m.task().name();
-      TaskCell cell = byTask.get(key);
-      if (cell == null) {
-        if (byTask.size() >= pairsMost) {
-          leftOut++;
-          continue;
-        }
-        byTask.put(key, cell = new TaskCell());
-        taskOf.put(key, m.task());
-      }
-      cell.tries += m.tries();
-      cell.bad += m.bad();
-      cell.goodTime += (double) m.goodLatency() * (m.tries() - m.bad());
-      cell.spans.merge(proxy.number(), span, Long::sum);
-      if (m.load() != LoadReport.NONE) {
-        cell.load = m.load();
+  /** Adds one report of a proxy. */
+  public void add(ProxyId proxy, ZoneId zone, ProxyReport report) {
+    for (ProxyReport.EndpointObservation observation : report.endpoints()) {
+      addObservation(proxy, zone, report.interval(), observation);
+    }
+    for (ProxyReport.RequestCount count : report.requests()) {
+      addCount(proxy, report.interval(), count);
+    }
+  }
+
+  private void addObservation(
+      ProxyId proxy, ZoneId zone, long interval, ProxyReport.EndpointObservation observation) {
+    String key = zone.index() + "|" + observation.endpoint().name();
+    EndpointSum sum = endpointSums.get(key);
+    if (sum == null) {
+      if (endpointSums.size() >= maxPairs) {
+        droppedPairs++;
+        return;
       }
+      sum = new EndpointSum(observation.endpoint(), zone);
+      endpointSums.put(key, sum);
     }
-    for (Came c : came) {
-      long key = (long) proxy.number() << 16 | c.opType().index();
-      if (byProxy.size() >= pairsMost && !byProxy.containsKey(key)) {
-        leftOut++;
-        continue;
+    sum.add(proxy, interval, observation);
+  }
+
+  private void addCount(ProxyId proxy, long interval, ProxyReport.RequestCount count) {
+    long key = firstKey(proxy.number()) | count.requestClass().index();
+    RequestSum sum = requestSums.get(key);
+    if (sum == null) {
+      if (requestSums.size() >= maxPairs) {
+        droppedPairs++;
+        return;
       }
-      ProxyCell cell = byProxy.computeIfAbsent(key, k -> new ProxyCell());
-      cell.ops += c.ops();
-      cell.unanswered += c.unanswered();
-      cell.span += span;
+      sum = new RequestSum(proxy, count.requestClass());
+      requestSums.put(key, sum);
     }
+    sum.add(interval, count);
+  }
+
+  private static long firstKey(long proxyNumber) {
+    return proxyNumber << REQUEST_CLASS_BITS;
   }
 
-  /** A proxy left: what came to it is nobody's demand any more. What it met at tasks stays true. */
-  public void left(ProxyId proxy) {
-    byProxy.subMap((long) proxy.number() << 16, (long) proxy.number() + 1 << 16).clear();
+  /**
+   * A proxy disconnected: what it received is no demand here any more. What it observed at
+   * endpoints stays true.
+   */
+  public void proxyDisconnected(ProxyId proxy) {
+    requestSums.subMap(firstKey(proxy.number()), firstKey(proxy.number() + 1L)).clear();
   }
 
-  /** Tells all that was gathered, and starts anew. */
+  /** Returns all sums as events, and starts anew. */
   public List<Event> drain() {
     List<Event> events = new ArrayList<>();
-    byTask.forEach(
-        (key, cell) -> {
-          ZoneId zone = new ZoneId(Integer.parseInt(key.substring(0, key.indexOf('|'))));
-          long good = cell.tries - cell.bad;
-          long span = cell.spans.values().stream().mapToLong(s -> s).max().orElse(1);
-          if (cell.tries > 0) {
-            events.add(
-                new Event.EndpointOutcomes(
-                    taskOf.get(key),
-                    zone,
-                    cell.tries,
-                    cell.bad,
-                    span,
-                    good > 0 ? Math.max(1, Math.round(cell.goodTime / good)) : 0,
-                    cell.load));
-          }
-        });
-    byProxy.forEach(
-        (key, cell) ->
-            events.add(
-                new Event.ProxyRequestRate(
-                    new ProxyId((int) (key >> 16)),
-                    new RequestClassId((int) (key & 0xFFFF)),
-                    cell.ops,
-                    cell.unanswered,
-                    cell.span)));
-    byTask.clear();
-    taskOf.clear();
-    byProxy.clear();
+    for (EndpointSum sum : endpointSums.values()) {
+      if (sum.attempts > 0) {
+        events.add(sum.toEvent());
+      }
+    }
+    for (RequestSum sum : requestSums.values()) {
+      events.add(sum.toEvent());
+    }
+    endpointSums.clear();
+    requestSums.clear();
     return events;
   }
 
-  /** How many pairs were left out at the bound, ever. */
-  public long leftOut() {
-    return leftOut;
+  /** How many pairs were dropped at the bound, ever. */
+  public long droppedPairs() {
+    return droppedPairs;
   }
 }
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -1,307 +1,291 @@
 package stonespring.state;
 
 import java.util.ArrayList;
-import java.util.Arrays;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import stonespring.model.AckId;
 import stonespring.model.Command;
 import stonespring.model.EndpointId;
 import stonespring.model.ProxyId;
-import stonespring.model.RetryPolicy;
+import stonespring.model.RequestClassId;
 import stonespring.model.RouteTableId;
 
 /**
- * Orders of the decisions as messages to proxies: what each table, level and withdrawal means for
- * each proxy that is joined. It decides nothing; it only works out whom an order concerns and which
- * keys say so. Keys are relative to a proxy's subtree: {@code line/TABLE/TASK}, {@code bind/TYPE},
- * {@code level/TABLE/TYPE} ({@code every} for all tables), {@code out/TASK}. A message's price
- * follows the rule that an order costs a line at each proxy that it concerns.
+ * Turns commands of the decisions into updates for the proxies that they concern. It decides
+ * nothing: it holds the route tables, admission limits and exclusions that were commanded, and
+ * knows which connected proxy uses which table. A command costs one entry at each proxy that it
+ * concerns. Not safe for several threads.
  */
 public final class RouteTables {
-  private static final class Level {
-    private double share;
-    private RetryPolicy retry;
-  }
+  private final int requestClasses;
+  private final TreeMap<Integer, ConnectedProxy> proxies = new TreeMap<>();
+  private final Map<Integer, RouteTable> tables = new TreeMap<>();
+  private final Set<EndpointId> excluded = new HashSet<>();
+  private final AdmissionLimit[] limitsForAllTables;
 
-  private static final class Joined {
-    private final ProxyId id;
-    private final RouteTableId[] bound;
-    private final TreeSet<EndpointId> holds =
-        new TreeSet<>(java.util.Comparator.comparing(EndpointId::name));
-    private final boolean holdsUnknown;
-    private final String[] everyTold;
+  /**
+   * Creates an empty state.
+   *
+   * @param requestClasses how many request classes the settings have
+   */
+  public RouteTables(int requestClasses) {
+    this.requestClasses = requestClasses;
+    this.limitsForAllTables = new AdmissionLimit[requestClasses];
+  }
 
-    Joined(ProxyId id, int opTypes, List<EndpointId> holds) {
-      this.id = id;
-      this.bound = new RouteTableId[opTypes];
-      this.everyTold = new String[opTypes];
-      this.holdsUnknown = holds == null;
-      if (holds != null) {
-        this.holds.addAll(holds);
-      }
-    }
+  /**
+   * A proxy connected; no table is assigned to it yet.
+   *
+   * @param tableEndpoints the endpoints that the tables it brought along name; empty if unknown
+   */
+  public void proxyConnected(ProxyId proxy, Optional<List<EndpointId>> tableEndpoints) {
+    proxyDisconnected(proxy);
+    proxies.put(proxy.number(), new ConnectedProxy(proxy, requestClasses, tableEndpoints));
+  }
 
-    boolean uses(RouteTableId table) {
-      return Arrays.asList(bound).contains(table);
+  /** A proxy's connection ended; unknown proxies are ignored. */
+  public void proxyDisconnected(ProxyId id) {
+    ConnectedProxy proxy = proxies.remove(id.number());
+    if (proxy == null) {
+      return;
     }
-
-    boolean free() {
-      return Arrays.stream(bound).anyMatch(java.util.Objects::isNull);
+    for (int k = 0; k < requestClasses; k++) {
+      if (proxy.assigned(k) != null) {
+        table(proxy.assigned(k)).users().remove(id.number());
+      }
     }
   }
 
-  /** A message while the orders of one reply are read. */
-  private static final class Draft {
-    private final LinkedHashMap<String, String> changes = new LinkedHashMap<>();
-    private int lines;
+  /** Whether an endpoint is excluded now. */
+  public boolean isExcluded(EndpointId endpoint) {
+    return excluded.contains(endpoint);
   }
 
-  private final List<String> opTypes;
-  private final TreeMap<Integer, Joined> proxies = new TreeMap<>();
-  private final TreeMap<Integer, TreeMap<String, Double>> lines = new TreeMap<>();
-  private final TreeMap<Integer, TreeSet<Integer>> users = new TreeMap<>();
-  private final TreeMap<Integer, Level[]> levels = new TreeMap<>();
-  private final TreeSet<String> withdrawn = new TreeSet<>();
-  private final Level[] every;
-
-  public RouteTables(List<String> opTypes) {
-    this.opTypes = List.copyOf(opTypes);
-    this.every = new Level[opTypes.size()];
+  /** Ends the exclusion of an endpoint that no proxy holds any more, without an update. */
+  public void forget(EndpointId endpoint) {
+    excluded.remove(endpoint);
   }
 
   /**
-   * A proxy's stream stands: it is bound to nothing; {@code holds} are the tasks of its tables,
-   * null if unknown.
+   * Applies the commands of an event batch.
+   *
+   * @return an update for each proxy concerned, in the order in which they were reached
    */
-  public void joined(ProxyId proxy, List<EndpointId> holds) {
-    left(proxy);
-    proxies.put(proxy.number(), new Joined(proxy, opTypes.size(), holds));
-  }
-
-  public void left(ProxyId proxy) {
-    Joined gone = proxies.remove(proxy.number());
-    if (gone != null) {
-      for (RouteTableId table : gone.bound) {
-        if (table != null) {
-          users.getOrDefault(table.number(), new TreeSet<>()).remove(proxy.number());
-        }
+  public List<ProxyUpdate> apply(List<Command> commands, long now) {
+    Updates updates = new Updates();
+    Optional<AckId> ack = Optional.empty();
+    boolean ackFromAll = false;
+    for (Command command : commands) {
+      if (command instanceof Command.RequestAck request) {
+        ack = Optional.of(request.ack());
+        ackFromAll = request.everyProxy();
+      } else {
+        apply(command, updates);
       }
     }
+    if (ackFromAll) {
+      proxies.values().forEach(proxy -> updates.of(proxy));
+    }
+    return updates.build(ack, now);
   }
 
-  /**
-   * The messages that a reply's orders make, one for each proxy concerned, by the order in which it
-   * was reached.
-   */
-  public List<ProxyUpdate> messages(List<Command> orders, long now) {
-    Map<Integer, Draft> drafts = new LinkedHashMap<>();
-    AckId mark = null;
-    boolean markAll = false;
-    for (Command order : orders) {
-      if (order instanceof Command.SetRoute o) {
-        setLine(drafts, o);
-      } else if (order instanceof Command.ClearRouteTable o) {
-        clear(drafts, o.table());
-      } else if (order instanceof Command.AssignRouteTable o) {
-        bind(drafts, o);
-      } else if (order instanceof Command.ExcludeEndpoint o) {
-        withdraw(drafts, o);
-      } else if (order instanceof Command.LimitAdmission o) {
-        admit(drafts, o);
-      } else if (order instanceof Command.RequestAck o) {
-        mark = o.ack();
-        markAll = o.everyProxy();
-      }
+  private void apply(Command command, Updates updates) {
+    if (command instanceof Command.SetRoute route) {
+      setRoute(route, updates);
+    } else if (command instanceof Command.ClearRouteTable clear) {
+      clearTable(clear.table(), updates);
+    } else if (command instanceof Command.AssignRouteTable assignment) {
+      assignTable(assignment, updates);
+    } else if (command instanceof Command.ExcludeEndpoint exclusion) {
+      excludeEndpoint(exclusion, updates);
+    } else if (command instanceof Command.LimitAdmission limit) {
+      limitAdmission(limit, updates);
     }
-    if (markAll) {
-      proxies.keySet().forEach(number -> drafts.computeIfAbsent(number, n -> new Draft()));
+  }
+
+  private void setRoute(Command.SetRoute command, Updates updates) {
+    RouteTable table = table(command.table());
+    double weight = command.weight() > 0 ? command.weight() : 0;
+    if (weight > 0) {
+      table.weights().put(command.endpoint(), weight);
+    } else {
+      table.weights().remove(command.endpoint());
     }
-    List<ProxyUpdate> messages = new ArrayList<>();
-    for (Map.Entry<Integer, Draft> entry : drafts.entrySet()) {
-      Draft draft = entry.getValue();
-      Joined proxy = proxies.get(entry.getKey());
-      everyLevels(proxy, draft);
-      int price = draft.lines + (mark == null ? 0 : 1);
-      messages.add(new ProxyUpdate(proxy.id, draft.changes, price, mark, now));
+    for (int user : table.users()) {
+      updates.of(user).charge(routeChange(table, command.endpoint(), weight));
     }
-    return messages;
   }
 
-  private void change(Map<Integer, Draft> drafts, int proxy, String key, String value) {
-    Draft draft = drafts.computeIfAbsent(proxy, n -> new Draft());
-    draft.changes.remove(key); // the later order stands later
-    draft.changes.put(key, value);
-    draft.lines++;
+  private void clearTable(RouteTableId id, Updates updates) {
+    RouteTable table = table(id);
+    List<EndpointId> endpoints = List.copyOf(table.weights().keySet());
+    List<Integer> limited = limitedClasses(table);
+    table.clear();
+    if (endpoints.isEmpty() && limited.isEmpty()) {
+      return; // nothing changes: the table's users get no update
+    }
+    for (int user : table.users()) {
+      ProxyUpdateBuilder update = updates.of(user);
+      endpoints.forEach(endpoint -> update.charge(routeChange(table, endpoint, 0)));
+      limited.forEach(k -> update.charge(table.limitChange(k)));
+    }
   }
 
-  private static String lineKey(RouteTableId table, String task) {
-    return "line/" + table.number() + "/" + task;
+  private void assignTable(Command.AssignRouteTable command, Updates updates) {
+    ConnectedProxy proxy = proxies.get(command.proxy().number());
+    if (proxy == null) {
+      return; // it disconnected before the command
+    }
+    boolean usedBefore = proxy.uses(command.table());
+    ProxyUpdateBuilder update = updates.of(proxy);
+    for (int k = 0; k < requestClasses; k++) {
+      if (masked(command.requestClassMask(), k)) {
+        RouteTableId previous = proxy.assigned(k);
+        proxy.assign(k, command.table());
+        if (previous != null && !proxy.uses(previous)) {
+          dropTable(proxy, table(previous), update);
+        }
+        update.include(new ProxyChange.TableAssignment(new RequestClassId(k), command.table()));
+      }
+    }
+    update.chargeEntry();
+    RouteTable table = table(command.table());
+    table.users().add(proxy.id().number());
+    if (!usedBefore) {
+      sendTable(table, update);
+    }
   }
 
-  /** A weight as the wire has it: plain decimals, never an exponent. */
-  public static String weight(double weight) {
-    return java.math.BigDecimal.valueOf(weight).stripTrailingZeros().toPlainString();
+  private static void dropTable(ConnectedProxy proxy, RouteTable table, ProxyUpdateBuilder update) {
+    table.users().remove(proxy.id().number());
+    for (EndpointId endpoint : table.weights().keySet()) {
+      update.include(routeChange(table, endpoint, 0));
+    }
   }
 
-  private TreeSet<Integer> users(RouteTableId table) {
-    return users.computeIfAbsent(table.number(), n -> new TreeSet<>());
+  private void sendTable(RouteTable table, ProxyUpdateBuilder update) {
+    for (Map.Entry<EndpointId, Double> route : table.weights().entrySet()) {
+      EndpointId endpoint = route.getKey();
+      update.charge(routeChange(table, endpoint, route.getValue()));
+      if (excluded.contains(endpoint)) {
+        update.charge(new ProxyChange.ExclusionChange(endpoint, true));
+      }
+    }
+    limitedClasses(table).forEach(k -> update.charge(table.limitChange(k)));
   }
 
-  private void setLine(Map<Integer, Draft> drafts, Command.SetRoute o) {
-    TreeMap<String, Double> table = lines.computeIfAbsent(o.table().number(), n -> new TreeMap<>());
-    String task = o.endpoint().name();
-    if (o.weight() > 0) {
-      table.put(task, o.weight());
+  private void excludeEndpoint(Command.ExcludeEndpoint command, Updates updates) {
+    EndpointId endpoint = command.endpoint();
+    if (command.excluded()) {
+      excluded.add(endpoint);
     } else {
-      table.remove(task);
+      excluded.remove(endpoint);
     }
-    for (int proxy : users(o.table())) {
-      change(drafts, proxy, lineKey(o.table(), task), o.weight() > 0 ? weight(o.weight()) : null);
+    for (ConnectedProxy proxy : proxies.values()) {
+      if (proxy.mayUseInitially(endpoint) || hasRouteTo(proxy, endpoint)) {
+        updates.of(proxy).charge(new ProxyChange.ExclusionChange(endpoint, command.excluded()));
+      }
     }
   }
 
-  private void clear(Map<Integer, Draft> drafts, RouteTableId id) {
-    TreeMap<String, Double> table = lines.remove(id.number());
-    Level[] own = levels.remove(id.number());
-    for (int proxy : users(id)) {
-      if (table != null) {
-        table.keySet().forEach(task -> change(drafts, proxy, lineKey(id, task), null));
-      }
-      for (int k = 0; own != null && k < own.length; k++) {
-        if (own[k] != null) {
-          change(drafts, proxy, levelKey(id, k), null);
-        }
+  private boolean hasRouteTo(ConnectedProxy proxy, EndpointId endpoint) {
+    for (int k = 0; k < requestClasses; k++) {
+      RouteTableId assigned = proxy.assigned(k);
+      if (assigned != null && table(assigned).hasRouteTo(endpoint)) {
+        return true;
       }
     }
+    return false;
   }
 
-  private boolean concerns(int bits, int opType) {
-    return bits == 0 || (bits >> opType & 1) == 1;
-  }
-
-  private void bind(Map<Integer, Draft> drafts, Command.AssignRouteTable o) {
-    Joined proxy = proxies.get(o.proxy().number());
-    if (proxy == null) {
-      return; // it left before the order
-    }
-    boolean newTable = !proxy.uses(o.table());
-    for (int k = 0; k < proxy.bound.length; k++) {
-      if (!concerns(o.requestClassMask(), k)) {
-        continue;
-      }
-      RouteTableId before = proxy.bound[k];
-      proxy.bound[k] = o.table();
-      if (before != null && !proxy.uses(before)) {
-        dropTable(drafts, proxy, before);
+  private void limitAdmission(Command.LimitAdmission command, Updates updates) {
+    AdmissionLimit limit = new AdmissionLimit(command.limit(), command.retryPolicy());
+    if (command.table().equals(Command.ALL_TABLES)) {
+      for (int k = 0; k < requestClasses; k++) {
+        if (masked(command.requestClassMask(), k)) {
+          limitsForAllTables[k] = limit;
+        }
       }
-      drafts
-          .computeIfAbsent(proxy.id.number(), n -> new Draft())
-          .changes
-          .put("bind/" + opTypes.get(k), String.valueOf(o.table().number()));
-    }
-    drafts.get(proxy.id.number()).lines++;
-    users(o.table()).add(proxy.id.number());
-    if (!newTable) {
+      // The changes themselves are added when the update is built.
+      proxies.values().forEach(proxy -> updates.of(proxy).chargeEntry());
       return;
     }
-    lines
-        .getOrDefault(o.table().number(), new TreeMap<>())
-        .forEach(
-            (task, weight) -> {
-              change(drafts, proxy.id.number(), lineKey(o.table(), task), weight(weight));
-              if (withdrawn.contains(task)) {
-                change(drafts, proxy.id.number(), "out/" + task, "1");
-              }
-            });
-    Level[] own = levels.get(o.table().number());
-    for (int k = 0; own != null && k < own.length; k++) {
-      if (own[k] != null) {
-        change(drafts, proxy.id.number(), levelKey(o.table(), k), word(own[k]));
+    RouteTable table = table(command.table());
+    for (int k = 0; k < requestClasses; k++) {
+      if (masked(command.requestClassMask(), k)) {
+        table.setLimit(k, limit);
       }
     }
-  }
-
-  private void dropTable(Map<Integer, Draft> drafts, Joined proxy, RouteTableId table) {
-    users(table).remove(proxy.id.number());
-    for (String task : lines.getOrDefault(table.number(), new TreeMap<>()).keySet()) {
-      drafts
-          .computeIfAbsent(proxy.id.number(), n -> new Draft())
-          .changes
-          .put(lineKey(table, task), null);
+    for (int user : table.users()) {
+      ProxyUpdateBuilder update = updates.of(user);
+      update.chargeEntry();
+      for (int k = 0; k < requestClasses; k++) {
+        if (masked(command.requestClassMask(), k)) {
+          update.include(table.limitChange(k));
+        }
+      }
     }
   }
 
-  private void withdraw(Map<Integer, Draft> drafts, Command.ExcludeEndpoint o) {
-    String task = o.endpoint().name();
-    if (o.excluded()) {
-      withdrawn.add(task);
-    } else {
-      withdrawn.remove(task);
-    }
-    for (Joined proxy : proxies.values()) {
-      boolean holds = proxy.free() && (proxy.holdsUnknown || proxy.holds.contains(o.endpoint()));
-      for (RouteTableId table : proxy.bound) {
-        holds |=
-            table != null && lines.getOrDefault(table.number(), new TreeMap<>()).containsKey(task);
-      }
-      if (holds) {
-        change(drafts, proxy.id.number(), "out/" + task, o.excluded() ? "1" : null);
+  /** Limits for all tables travel with each update of a proxy that does not have them yet. */
+  private void includeLimitsForAllTables(ConnectedProxy proxy, ProxyUpdateBuilder update) {
+    for (int k = 0; k < requestClasses; k++) {
+      AdmissionLimit limit = limitsForAllTables[k];
+      if (limit != null && proxy.noteLimitForAllTables(k, limit)) {
+        update.include(
+            new ProxyChange.AdmissionLimitChange(
+                Command.ALL_TABLES, new RequestClassId(k), Optional.of(limit)));
       }
     }
   }
 
-  /** Whether a task is withdrawn now. */
-  public boolean isWithdrawn(String task) {
-    return withdrawn.contains(task);
+  private RouteTable table(RouteTableId id) {
+    return tables.computeIfAbsent(id.number(), number -> new RouteTable(id, requestClasses));
   }
 
-  /** A task so long gone that no proxy holds it any more: its withdrawal ends with it. */
-  public void forget(EndpointId task) {
-    withdrawn.remove(task.name());
+  private List<Integer> limitedClasses(RouteTable table) {
+    List<Integer> limited = new ArrayList<>();
+    for (int k = 0; k < requestClasses; k++) {
+      if (table.limit(k).isPresent()) {
+        limited.add(k);
+      }
+    }
+    return limited;
   }
 
-  private String levelKey(RouteTableId table, int opType) {
-    String name = table.equals(Command.ALL_TABLES) ? "every" : String.valueOf(table.number());
-    return "level/" + name + "/" + opTypes.get(opType);
+  private static boolean masked(int requestClassMask, int requestClass) {
+    return requestClassMask == 0 || (requestClassMask >> requestClass & 1) == 1;
   }
 
-  private static String word(Level level) {
-    return weight(level.share) + " " + RetryPolicyNames.name(level.retry);
+  private static ProxyChange routeChange(RouteTable table, EndpointId endpoint, double weight) {
+    return new ProxyChange.RouteChange(table.id(), endpoint, weight);
   }
 
-  private void admit(Map<Integer, Draft> drafts, Command.LimitAdmission o) {
-    boolean all = o.table().equals(Command.ALL_TABLES);
-    Level[] of =
-        all ? every : levels.computeIfAbsent(o.table().number(), n -> new Level[opTypes.size()]);
-    for (int k = 0; k < of.length; k++) {
-      if (concerns(o.requestClassMask(), k)) {
-        of[k] = new Level();
-        of[k].share = o.limit();
-        of[k].retry = o.retryPolicy();
-      }
+  /** The updates of one event batch, by the order in which its proxies were reached. */
+  private final class Updates {
+    private final Map<Integer, ProxyUpdateBuilder> builders = new LinkedHashMap<>();
+
+    ProxyUpdateBuilder of(ConnectedProxy proxy) {
+      return builders.computeIfAbsent(
+          proxy.id().number(), number -> new ProxyUpdateBuilder(proxy.id()));
     }
-    for (int number : all ? proxies.keySet() : users(o.table())) {
-      Draft draft = drafts.computeIfAbsent(number, n -> new Draft());
-      draft.lines++;
-      for (int k = 0; k < of.length && !all; k++) {
-        if (concerns(o.requestClassMask(), k)) {
-          draft.changes.put(levelKey(o.table(), k), word(of[k]));
-        }
-      }
+
+    ProxyUpdateBuilder of(int proxyNumber) {
+      return of(proxies.get(proxyNumber));
     }
-  }
 
-  /** Levels for every table travel with each message to a proxy that was not told them yet. */
-  private void everyLevels(Joined proxy, Draft draft) {
-    for (int k = 0; k < every.length; k++) {
-      if (every[k] != null && !word(every[k]).equals(proxy.everyTold[k])) {
-        proxy.everyTold[k] = word(every[k]);
-        draft.changes.put(levelKey(Command.ALL_TABLES, k), proxy.everyTold[k]);
+    List<ProxyUpdate> build(Optional<AckId> ack, long now) {
+      List<ProxyUpdate> updates = new ArrayList<>();
+      for (Map.Entry<Integer, ProxyUpdateBuilder> entry : builders.entrySet()) {
+        includeLimitsForAllTables(proxies.get(entry.getKey()), entry.getValue());
+        updates.add(entry.getValue().build(ack, now));
       }
+      return updates;
     }
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -20,6 +20,7 @@
 import stonespring.recording.Recording;
 import stonespring.solver.WeightAdvisor;
 import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyReport;
 import stonespring.testbed.StandIns;
 
 /**
@@ -165,14 +166,13 @@
   }
 
   private void report(VirtualProxy proxy) {
-    proxy.report(
-        (met, came) ->
-            agenda.in(
-                REPORT_AWAY + late.by(),
-                () -> {
-                  core.reported(proxy.name(), settings().reportInterval(), met, came, proxy);
-                  pump();
-                }));
+    ProxyReport report = proxy.report(settings().reportInterval());
+    agenda.in(
+        REPORT_AWAY + late.by(),
+        () -> {
+          core.reported(proxy.name(), report, proxy);
+          pump();
+        });
     agenda.in(settings().reportInterval(), () -> report(proxy));
   }
 
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -5,8 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import stonespring.daemon.EngineHost;
+import stonespring.model.AckId;
 import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 import stonespring.model.LoadReport;
@@ -21,17 +23,18 @@
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.proxy.routing.TableSubscriber;
-import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.proxyapi.ProxyConnection;
 import stonespring.recording.Recording;
 import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
 /**
  * A proxy in virtual time: the real routing, what an instance publishes as its keys come, and
  * clients that come again.
  */
-final class VirtualProxy implements ProxyMessageHandler.Origin {
+final class VirtualProxy implements ProxyConnection {
   private static final long IDLE =
       15 * DeciMillis.SECOND; // 0.1 ms after which an unused connection is closed
   private static final long NEAR = 3; // 0.1 ms one way in a zone
@@ -77,7 +80,7 @@
   }
 
   @Override
-  public void end(String cause) {
+  public void close(String cause) {
     throw new IllegalStateException(proxy.name() + " was cut off: " + cause);
   }
 
@@ -92,7 +95,7 @@
             new ZoneId(proxy.zone()),
             proxy.usualOps(),
             true,
-            router.named().stream().map(EndpointId::new).toList()),
+            Optional.of(router.named().stream().map(EndpointId::new).toList())),
         24 * 3600 * DeciMillis.SECOND,
         this,
         agenda.now());
@@ -119,21 +122,23 @@
         bareSince = empty ? agenda.now() : -1;
       }
       if (message.mark() >= 0) {
-        core.answered(
-            proxy.name(), message.origin(), message.mark(), fleet.away(), this, agenda.now());
+        core.acknowledged(
+            proxy.name(),
+            new ProxyAcknowledgement(message.origin(), new AckId(message.mark()), fleet.away()),
+            this,
+            agenda.now());
       }
     }
   }
 
-  /** Hands over what it met since it last did. */
-  void report(
-      java.util.function.BiConsumer<List<ReportAggregator.Met>, List<ReportAggregator.Came>> to) {
-    List<ReportAggregator.Met> met = new ArrayList<>();
+  /** What it met since it last reported. */
+  ProxyReport report(long span) {
+    List<ProxyReport.EndpointObservation> met = new ArrayList<>();
     for (RequestStatistics.Met m : tally.met()) {
       long good = m.tries() - m.bad();
       RequestStatistics.Load l = m.load();
       met.add(
-          new ReportAggregator.Met(
+          new ProxyReport.EndpointObservation(
               new EndpointId(m.task()),
               m.tries(),
               m.bad(),
@@ -143,16 +148,16 @@
                   : new LoadReport(
                       l.busy(), l.waiting(), l.inHand(), l.workMs(), l.opsPerSecond())));
     }
-    List<ReportAggregator.Came> came = new ArrayList<>();
+    List<ProxyReport.RequestCount> came = new ArrayList<>();
     for (int k = 0; k < fleet.types(); k++) {
       came.add(
-          new ReportAggregator.Came(
+          new ProxyReport.RequestCount(
               new RequestClassId(k),
               tally.ops(new RequestClassIndex(k)),
               tally.unansweredOps(new RequestClassIndex(k))));
     }
     tally.clear(agenda.now());
-    to.accept(met, came);
+    return new ProxyReport(span, met, came);
   }
 
   // ---- Ops.
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -11,12 +11,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import stonespring.decision.AssignmentEngine;
+import stonespring.model.AckId;
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
@@ -34,12 +36,13 @@
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.proxy.routing.TableSubscriber;
-import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.proxyapi.ProxyConnection;
 import stonespring.solver.AdvisedEngine;
 import stonespring.solver.WeightAdvisor;
 import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
 /**
  * A whole instance in virtual time, with proxies that follow what it publishes; rules are checked
@@ -63,11 +66,11 @@
           RouterSettings.Levels.SHARE);
 
   /** A connection that notes why it was ended. */
-  private static final class Line implements ProxyMessageHandler.Origin {
+  private static final class Line implements ProxyConnection {
     private String cause;
 
     @Override
-    public void end(String why) {
+    public void close(String why) {
       cause = why;
     }
   }
@@ -259,7 +262,7 @@
             new ZoneId(seat.zone),
             10,
             seat.router.fresh(),
-            seat.router.named().stream().map(EndpointId::new).toList()),
+            Optional.of(seat.router.named().stream().map(EndpointId::new).toList())),
         3 * SECOND,
         seat.line,
         now);
@@ -282,15 +285,19 @@
     core.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing)), now);
   }
 
+  private static ProxyAcknowledgement acknowledgement(String origin, int ack, long duration) {
+    return new ProxyAcknowledgement(origin, new AckId(ack), duration);
+  }
+
   private void report(Seat seat) {
-    List<ReportAggregator.Met> met = new ArrayList<>();
+    List<ProxyReport.EndpointObservation> met = new ArrayList<>();
     seat.router
         .weights(new RequestClassIndex(0))
         .forEach(
             (task, weight) -> {
               boolean up = list.containsKey(task);
               met.add(
-                  new ReportAggregator.Met(
+                  new ProxyReport.EndpointObservation(
                       new EndpointId(task),
                       Math.round(10 * weight),
                       up ? 0 : Math.round(10 * weight),
@@ -299,11 +306,12 @@
             });
     core.reported(
         seat.name,
-        SECOND,
-        met,
-        List.of(
-            new ReportAggregator.Came(new RequestClassId(0), 8, 0),
-            new ReportAggregator.Came(new RequestClassId(1), 2, 0)),
+        new ProxyReport(
+            SECOND,
+            met,
+            List.of(
+                new ProxyReport.RequestCount(new RequestClassId(0), 8, 0),
+                new ProxyReport.RequestCount(new RequestClassId(1), 2, 0))),
         seat.line);
   }
 
@@ -363,7 +371,8 @@
         }
         for (int[] mark : seat.marks) {
           if (seat.line != null) {
-            core.answered(seat.name, seat.origin, mark[0], 100, seat.line, now);
+            core.acknowledged(
+                seat.name, acknowledgement(seat.origin, mark[0], 100), seat.line, now);
           }
         }
         seat.marks.clear();
@@ -445,7 +454,7 @@
             new EndpointId("a@h:1"), new ZoneId(0), 1, EndpointRecord.State.READY, 0));
     Seat seat = one();
     Line stranger = new Line();
-    core.reported("p0", SECOND, List.of(), List.of(), stranger);
+    core.reported("p0", new ProxyReport(SECOND, List.of(), List.of()), stranger);
     assertTrue(stranger.cause.contains("never joined"));
     join(seat);
     now += STEP;
@@ -454,14 +463,18 @@
     core.run(now);
     Line thief = new Line();
     core.hello(
-        "p0", new ProxyHello("another-life", 99, new ZoneId(0), 1, true, null), SECOND, thief, now);
+        "p0",
+        new ProxyHello("another-life", 99, new ZoneId(0), 1, true, Optional.empty()),
+        SECOND,
+        thief,
+        now);
     assertEquals("proxy p0 is here already", thief.cause);
     Line late = new Line();
-    core.answered("p0", seat.origin, 1, 1, late, now);
+    core.acknowledged("p0", acknowledgement(seat.origin, 1, 1), late, now);
     assertTrue(late.cause.contains("never joined on this connection"));
-    core.answered("p0", "some-other-stream", 1, 1, seat.line, now);
+    core.acknowledged("p0", acknowledgement("some-other-stream", 1, 1), seat.line, now);
     assertEquals(null, seat.line.cause, "an answer to an earlier stream's mark may be on its way");
-    core.answered("p0", seat.origin, 64_999, 1, seat.line, now);
+    core.acknowledged("p0", acknowledgement(seat.origin, 64_999, 1), seat.line, now);
     assertEquals("answer: mark 64999 was never set for proxy p0", seat.line.cause);
   }
 
