--- a/src/test/java/stonespring/daemon/StopTest.java
+++ b/src/test/java/stonespring/daemon/StopTest.java
@@ -15,15 +15,18 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import stonespring.chp.ChpServer;
 import stonespring.proxyapi.NameTable;
+import stonespring.proxyapi.ProxyConnection;
 import stonespring.proxyapi.ProxyMessageHandler;
 import stonespring.proxyapi.chp.ChpProxyApi;
+import stonespring.state.KeySnapshot;
 import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 import stonespring.zmtp.ZmtpLimits;
 
 final class StopTest {
@@ -35,38 +38,34 @@
     private final CountDownLatch asked = new CountDownLatch(1);
 
     @Override
-    public boolean hello(String proxy, ProxyHello hello, long holds, Origin from) {
+    public boolean hello(String proxy, ProxyHello hello, long holds, ProxyConnection from) {
       return true;
     }
 
     @Override
-    public boolean reported(
-        String proxy,
-        long span,
-        List<ReportAggregator.Met> met,
-        List<ReportAggregator.Came> came,
-        Origin from) {
+    public boolean reported(String proxy, ProxyReport report, ProxyConnection from) {
       return true;
     }
 
     @Override
-    public boolean answered(String proxy, String stream, int mark, long took, Origin from) {
+    public boolean acknowledged(
+        String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection from) {
       return true;
     }
 
     @Override
-    public boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then) {
+    public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
       List<KeyUpdate> keys = new ArrayList<>();
       for (int i = 0; i < KEYS; i++) {
         keys.add(new KeyUpdate("/x/" + i, i + 1, new byte[1000]));
       }
-      then.accept(keys, (long) KEYS);
+      receiver.accept(new KeySnapshot(keys, KEYS));
       asked.countDown();
       return true;
     }
 
     @Override
-    public void closed(Origin from) {}
+    public void connectionClosed(ProxyConnection from) {}
   }
 
   private static byte[] hex(String hex) {
--- /dev/null
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
@@ -0,0 +1,187 @@
+package stonespring.proxyapi.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.extension.AfterEachCallback;
+import org.junit.jupiter.api.extension.BeforeEachCallback;
+import org.junit.jupiter.api.extension.ExtensionContext;
+import stonespring.line.LineLimits;
+import stonespring.line.LineServer;
+import stonespring.model.Command;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+import stonespring.model.Event;
+import stonespring.model.ProxyId;
+import stonespring.model.RouteTableId;
+import stonespring.model.ZoneId;
+import stonespring.proxyapi.NameTable;
+
+/**
+ * A {@link PlatformProxyApi} on a loopback listener, with zones west and east, request classes look
+ * and buy, ten proxies, and the listed endpoints s-1 and s-2.
+ */
+final class PlatformApiFixture implements BeforeEachCallback, AfterEachCallback {
+  /** How many connections may be open that have not said who is there. */
+  static final int MAX_UNJOINED = 4;
+
+  private static final int WAIT_MILLIS = 10_000; // an upper bound: every wait ends with its event
+  private static final int UNJOINED_MILLIS = 60_000;
+  private static final int LINE_BYTES = 400;
+  private static final int PENDING_BYTES = 4096;
+  private static final String SUBSCRIBE = "SUBSCRIBE id=3 site=east rps=2.5 new=1";
+
+  private final MultiThreadIoEventLoopGroup loops =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoop loop = (EventLoop) loops.next();
+  private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
+  private final List<Client> clients = new ArrayList<>();
+  private PlatformProxyApi api;
+  private LineServer listener;
+
+  /** A peer by a plain socket: shares nothing with what it talks to. */
+  final class Client {
+    private final Socket socket = new Socket();
+    private final BufferedReader in;
+
+    Client() throws IOException {
+      socket.setReceiveBufferSize(4096);
+      socket.connect(new InetSocketAddress("127.0.0.1", listener.port()), WAIT_MILLIS);
+      socket.setSoTimeout(WAIT_MILLIS);
+      in =
+          new BufferedReader(
+              new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+      clients.add(this);
+    }
+
+    Client send(String... lines) throws IOException {
+      out().write((String.join("\r\n", lines) + "\r\n").getBytes(StandardCharsets.UTF_8));
+      return this;
+    }
+
+    OutputStream out() throws IOException {
+      return socket.getOutputStream();
+    }
+
+    /** The next line; null at the end, however it came. */
+    String receive() throws IOException {
+      try {
+        return in.readLine();
+      } catch (SocketException e) {
+        return null;
+      }
+    }
+
+    void assertAlive() throws IOException {
+      send("PING");
+      assertEquals("PONG", receive());
+    }
+
+    void close() throws IOException {
+      socket.close();
+    }
+  }
+
+  @Override
+  public void beforeEach(ExtensionContext context) throws Exception {
+    listen(UNJOINED_MILLIS);
+  }
+
+  /** Starts anew, with so much time for connections to say who is there. */
+  void listen(int unjoinedMillis) throws Exception {
+    if (listener != null) {
+      listener.stop();
+    }
+    api =
+        new PlatformProxyApi(
+            new NameTable(List.of("west", "east"), List.of("look", "buy")), 10, events::add);
+    listener =
+        new LineServer(new LineLimits(LINE_BYTES, MAX_UNJOINED, unjoinedMillis, PENDING_BYTES), api)
+            .start(loops, new InetSocketAddress("127.0.0.1", 0));
+    updateEndpointList(Event.ListUpdateKind.CACHED, List.of(endpoint("s-1"), endpoint("s-2")));
+  }
+
+  @Override
+  public void afterEach(ExtensionContext context) throws Exception {
+    for (Client client : clients) {
+      client.close();
+    }
+    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
+
+  PlatformProxyApi api() {
+    return api;
+  }
+
+  /** Runs on the event loop, and waits until it has run. */
+  void onLoop(Runnable work) throws InterruptedException {
+    loop.submit(work).sync();
+  }
+
+  /** Has the event loop wait for something, and does not wait itself. */
+  void blockLoop(Runnable work) {
+    loop.execute(work);
+  }
+
+  void updateEndpointList(Event.ListUpdateKind kind, List<EndpointRecord> endpoints)
+      throws InterruptedException {
+    onLoop(() -> api.endpointListUpdated(new Event.EndpointListUpdate(kind, endpoints)));
+  }
+
+  void execute(Command... commands) throws InterruptedException {
+    onLoop(() -> api.execute(List.of(commands), 5));
+  }
+
+  /** The next event; null if none comes. */
+  Event nextEvent() throws InterruptedException {
+    return events.poll(WAIT_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  /** The next event if it is there already, or null. */
+  Event eventNow() {
+    return events.poll();
+  }
+
+  boolean hasNoEvents() {
+    return events.isEmpty();
+  }
+
+  Client connect() throws IOException {
+    return new Client();
+  }
+
+  /** Connects proxy 3 of zone east, which holds no tables. */
+  Client connectProxy() throws Exception {
+    Client client = connect().send(SUBSCRIBE);
+    assertEquals(new Event.ProxyConnected(new ProxyId(3), new ZoneId(1), 2.5, true), nextEvent());
+    return client;
+  }
+
+  static EndpointRecord endpoint(String name) {
+    return new EndpointRecord(
+        new EndpointId(name), new ZoneId(1), 1, EndpointRecord.State.READY, 0);
+  }
+
+  static Command.SetRoute route(int table, String endpoint, double weight) {
+    return new Command.SetRoute(new RouteTableId(table), new EndpointId(endpoint), weight);
+  }
+
+  /** Assigns a table to proxy 3 for all request classes. */
+  static Command.AssignRouteTable assign(int table) {
+    return new Command.AssignRouteTable(new RouteTableId(table), new ProxyId(3), 0);
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformJoiningTest.java
@@ -0,0 +1,126 @@
+package stonespring.proxyapi.platform;
+
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
+import stonespring.model.Event;
+import stonespring.model.ProxyId;
+import stonespring.proxyapi.platform.PlatformApiFixture.Client;
+
+/** Connections that have not joined: what they may send, and how long they may stay. */
+final class PlatformJoiningTest {
+  @RegisterExtension final PlatformApiFixture fixture = new PlatformApiFixture();
+
+  @Test
+  void answersKeepAlivesOfEveryPeer() throws Exception {
+    fixture.connect().assertAlive();
+    fixture.connectProxy().assertAlive();
+    Client collector = fixture.connect().send("SOURCE site=west");
+    collector.assertAlive();
+    assertTrue(fixture.hasNoEvents());
+  }
+
+  @Test
+  void refusesAnUnjoinedPeerThatCannotBeRead() throws Exception {
+    for (String bad :
+        new String[] {
+          "GET / HTTP/1.1",
+          "SUBSCRIBE id=10 site=east rps=1 new=1",
+          "SUBSCRIBE id=3 site=mars rps=1 new=1",
+          "SUBSCRIBE id=x site=east rps=1 new=1",
+          "SUBSCRIBE id=3 site=east rps=NaN new=1",
+          "SUBSCRIBE id=3 site=east rps=1",
+          "SUBSCRIBE id=3 site=east rps=1 new=2",
+          "SOURCE site=mars",
+          "LOAD site=west target=s-1 count=1 fail=0 mean=1 over=1000",
+          "CONFIG rows=s-1:1",
+          "\u0001",
+          "x".repeat(500),
+          ""
+        }) {
+      Client client = fixture.connect().send(bad);
+      String answer = client.receive();
+      assertTrue(answer != null && answer.startsWith("NACK reason="), bad + " got " + answer);
+      assertNull(client.receive());
+    }
+    assertTrue(fixture.hasNoEvents());
+  }
+
+  @Test
+  void limitsTheTimeToJoin() throws Exception {
+    fixture.listen(300);
+    Client silent = fixture.connect();
+    Client keepsAlive = fixture.connect();
+    keepsAlive.assertAlive();
+    Client half = fixture.connect();
+    half.out().write("SUBSCR".getBytes(StandardCharsets.US_ASCII));
+    for (Client client : List.of(silent, keepsAlive, half)) {
+      assertTrue(client.receive().startsWith("NACK"));
+      assertNull(client.receive());
+    }
+  }
+
+  /** The oldest unjoined connection is closed, so that a proxy always finds a descriptor. */
+  @Test
+  void joinsAProxyWhileManyUnjoinedConnectionsAreOpen() throws Exception {
+    List<Client> crowd = new ArrayList<>();
+    for (int i = 0; i < 30; i++) {
+      crowd.add(fixture.connect());
+    }
+    Client proxy = fixture.connectProxy();
+    for (int i = 0; i < 30 - PlatformApiFixture.MAX_UNJOINED; i++) {
+      assertTrue(crowd.get(i).receive().startsWith("NACK"), "unjoined " + i);
+    }
+    proxy.assertAlive();
+    assertTrue(fixture.api().isConnected(new ProxyId(3)));
+  }
+
+  /** More proxies connect than may be unjoined, but all have subscribed before any is read. */
+  @Test
+  void keepsAFleetThatSubscribedWhileTheLoopWasBusy() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    fixture.blockLoop(
+        () -> {
+          try {
+            release.await();
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+          }
+        });
+    List<Client> fleet = new ArrayList<>();
+    for (int id = 0; id < 10; id++) {
+      fleet.add(fixture.connect().send("SUBSCRIBE id=" + id + " site=east rps=1 new=1"));
+    }
+    release.countDown();
+    for (int id = 0; id < 10; id++) {
+      assertTrue(fixture.nextEvent() instanceof Event.ProxyConnected);
+    }
+    for (Client proxy : fleet) {
+      proxy.assertAlive();
+    }
+    assertTrue(fixture.hasNoEvents(), "and none disconnected");
+  }
+
+  /** Its answers cannot be written, and neither can a refusal: the descriptor must not wait. */
+  @Test
+  void resetsAnUnjoinedPeerThatReadsNothing() throws Exception {
+    Client client = fixture.connect();
+    byte[] keepAlives = "PING\r\n".repeat(10_000).getBytes(StandardCharsets.US_ASCII);
+    assertThrows(
+        IOException.class,
+        () -> {
+          for (int i = 0; i < 2_000; i++) {
+            client.out().write(keepAlives);
+          }
+        },
+        "a reset, long before 120 MB were taken");
+  }
+}
--- a/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
@@ -5,11 +5,13 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import stonespring.chp.ChpMessage;
 import stonespring.model.AckId;
@@ -19,14 +21,17 @@
 import stonespring.model.RetryPolicy;
 import stonespring.model.RouteTableId;
 import stonespring.model.ZoneId;
+import stonespring.proxyapi.NameTable;
 import stonespring.proxyapi.chp.ChpProxyApi;
 import stonespring.recorded.RecordedDigests;
 import stonespring.simulator.SimulatorHost;
+import stonespring.state.HelloResult;
 import stonespring.state.KeyStore;
 import stonespring.state.KeyUpdate;
 import stonespring.state.ProxyHello;
 import stonespring.state.ProxySessions;
 import stonespring.state.ProxyUpdate;
+import stonespring.state.PublishedKeyCodec;
 import stonespring.state.PublishedState;
 import stonespring.state.RouteTables;
 
@@ -77,34 +82,37 @@
   @Test
   void messagesToPlatformProxiesAreAsRecorded() throws IOException {
     RecordedDigests digests = new RecordedDigests();
+    PlatformMessageCodec codec =
+        new PlatformMessageCodec(new NameTable(List.of(), CLASSES), PROXIES);
     for (long seed = 1; seed <= 4; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      RouteTables tables = new RouteTables(CLASSES);
+      RouteTables tables = new RouteTables(CLASSES.size());
       Map<Integer, ProxyRouteState> streams = new LinkedHashMap<>();
-      Map<Integer, TreeSet<String>> excluded = new LinkedHashMap<>();
+      Map<Integer, Set<EndpointId>> excluded = new LinkedHashMap<>();
       RecordedDigests.Recording recording = new RecordedDigests.Recording();
       for (int step = 0; step < STEPS; step++) {
         int proxy = random.nextInt(PROXIES);
         if (!streams.containsKey(proxy) || random.nextInt(30) == 0) {
-          tables.joined(new ProxyId(proxy), null);
+          tables.proxyConnected(new ProxyId(proxy), Optional.empty());
           streams.put(
               proxy,
               new ProxyRouteState(
-                  CLASSES,
+                  CLASSES.size(),
                   tables,
-                  excluded.computeIfAbsent(proxy, p -> new TreeSet<>()),
-                  random.nextBoolean()));
+                  new ProxyExclusions(
+                      excluded.computeIfAbsent(proxy, p -> new HashSet<>()),
+                      random.nextBoolean())));
         }
-        for (ProxyUpdate message : tables.messages(commands(random, step), step)) {
-          List<String> parts = streams.get(message.proxy().number()).parts(message);
+        for (ProxyUpdate update : tables.apply(commands(random, step), step)) {
+          ConfigMessage message = streams.get(update.proxy().number()).apply(update);
           recording.add(
-              message.proxy().number()
+              update.proxy().number()
                   + " "
-                  + message.lines()
+                  + update.entries()
                   + " "
-                  + ProxyRouteState.price(parts)
+                  + message.entries()
                   + " "
-                  + String.join("\r\n", parts)
+                  + String.join("\r\n", codec.write(message))
                   + "\r\n");
         }
       }
@@ -124,37 +132,41 @@
     RecordedDigests digests = new RecordedDigests();
     for (long seed = 1; seed <= 4; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      RouteTables tables = new RouteTables(CLASSES);
-      ProxySessions presence = new ProxySessions(PROXIES);
-      PublishedState published = new PublishedState(new KeyStore(50, 4000), "e" + seed, presence);
+      RouteTables tables = new RouteTables(CLASSES.size());
+      ProxySessions<String> sessions = new ProxySessions<>(PROXIES);
+      PublishedState published =
+          new PublishedState(
+              new KeyStore(50, 4000), new PublishedKeyCodec(CLASSES), "e" + seed, sessions);
       RecordedDigests.Recording recording = new RecordedDigests.Recording();
       boolean[] here = new boolean[PROXIES];
       for (int step = 0; step < STEPS; step++) {
         int number = random.nextInt(PROXIES);
         if (!here[number] || random.nextInt(30) == 0) {
-          List<EndpointId> holds =
-              random.nextBoolean() ? null : List.of(new EndpointId("s-1"), new EndpointId("s-2"));
-          ProxySessions.Verdict verdict =
-              presence.hello(
+          Optional<List<EndpointId>> endpoints =
+              random.nextBoolean()
+                  ? Optional.empty()
+                  : Optional.of(List.of(new EndpointId("s-1"), new EndpointId("s-2")));
+          HelloResult<String> result =
+              sessions.hello(
                   "p" + number,
-                  new ProxyHello("life", step, new ZoneId(0), 5, random.nextBoolean(), holds),
+                  new ProxyHello("life", step, new ZoneId(0), 5, random.nextBoolean(), endpoints),
                   "connection" + step,
                   step,
                   1L << 40);
-          ProxyId proxy = ((ProxySessions.Verdict.Joined) verdict).proxy();
+          ProxyId proxy = ((HelloResult.Connected<String>) result).proxy();
           if (here[number]) {
-            publish(recording, published.ended(proxy));
-            tables.left(proxy);
+            publish(recording, published.proxyDisconnected(proxy));
+            tables.proxyDisconnected(proxy);
           }
           here[number] = true;
-          tables.joined(proxy, holds);
-          publish(recording, published.here(proxy));
+          tables.proxyConnected(proxy, endpoints);
+          publish(recording, published.proxyConnected(proxy));
         }
-        for (ProxyUpdate message : tables.messages(commands(random, step), step)) {
-          recording.add(message.proxy().number() + " " + message.lines());
-          publish(recording, published.publish(message));
+        for (ProxyUpdate update : tables.apply(commands(random, step), step)) {
+          recording.add(update.proxy().number() + " " + update.entries());
+          publish(recording, published.publish(update));
         }
-        publish(recording, published.status("{\"step\":" + step + "}"));
+        publish(recording, published.publishStatus("{\"step\":" + step + "}"));
       }
       digests.put("published/" + seed, recording);
     }
@@ -170,38 +182,74 @@
             "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1},"scoringMix":{"worstClass":0.2}}"""
           .replace("\n", "");
 
+  private static void addStart(List<String> messages, String settings, int step, double now) {
+    StringBuilder entries = new StringBuilder();
+    for (int i = 0; i < 8; i++) {
+      entries
+          .append(i == 0 ? "" : ",")
+          .append("[\"")
+          .append(i % 2 == 0 ? "west" : "east")
+          .append("\",1,\"std\",\"up\",")
+          .append(i == 7 ? String.valueOf(now) : "null")
+          .append(",0,\"task.")
+          .append(i)
+          .append("\"]");
+    }
+    messages.add("[\"boot\"," + (step + 11) + "," + settings + "]");
+    messages.add("[\"ledger\",0,[" + entries + "]]");
+    messages.add("[\"endpoints\",0,\"stale_copy\",4]");
+    for (int p = 0; p < 6; p++) {
+      messages.add(
+          "[\"joined\","
+              + p
+              + ",\""
+              + (p % 2 == 0 ? "west" : "east")
+              + "\","
+              + (p + 2.5)
+              + ","
+              + (p % 3 == 0)
+              + "]");
+    }
+  }
+
+  private static void addReports(List<String> messages, SplittableRandom random, int step) {
+    messages.add("[\"alarm\"," + (1 + step % 2) + "]");
+    for (int i = 0; i < 8; i++) {
+      int total = 20 + random.nextInt(60);
+      messages.add(
+          "[\"observed\","
+              + random.nextInt(step > 30 && step < 50 ? total : 3)
+              + ","
+              + total
+              + ",0.5,\""
+              + (i % 3 == 0 ? "west" : "east")
+              + "\","
+              + 0.0125 * random.nextInt(1, 40)
+              + ",\"task."
+              + i
+              + "\",{\"utilization\":"
+              + random.nextInt(101) / 100.0
+              + ",\"backlog\":3}]");
+    }
+    for (int p = 0; p < 6; p++) {
+      messages.add(
+          "[\"traffic\","
+              + p
+              + ",\""
+              + (random.nextBoolean() ? "look" : "buy")
+              + "\","
+              + random.nextInt(30)
+              + ",0,0.5]");
+      messages.add("[\"acked\"," + p + "," + (1 + step / 2) + ",0.3]");
+    }
+  }
+
   private static String simulatorBatch(SplittableRandom random, int step) {
     double now = 5 + step * 0.5;
     List<String> messages = new ArrayList<>();
     String settings = SETTINGS.replace("LEVELS", random.nextInt(2) == 0 ? "share" : "rate");
     if (step == 1 || step == 60) {
-      StringBuilder entries = new StringBuilder();
-      for (int i = 0; i < 8; i++) {
-        entries
-            .append(i == 0 ? "" : ",")
-            .append("[\"")
-            .append(i % 2 == 0 ? "west" : "east")
-            .append("\",1,\"std\",\"up\",")
-            .append(i == 7 ? String.valueOf(now) : "null")
-            .append(",0,\"task.")
-            .append(i)
-            .append("\"]");
-      }
-      messages.add("[\"boot\"," + (step + 11) + "," + settings + "]");
-      messages.add("[\"ledger\",0,[" + entries + "]]");
-      messages.add("[\"endpoints\",0,\"stale_copy\",4]");
-      for (int p = 0; p < 6; p++) {
-        messages.add(
-            "[\"joined\","
-                + p
-                + ",\""
-                + (p % 2 == 0 ? "west" : "east")
-                + "\","
-                + (p + 2.5)
-                + ","
-                + (p % 3 == 0)
-                + "]");
-      }
+      addStart(messages, settings, step, now);
     } else if (step == 20) {
       messages.add(
           "[\"ledger\",1,[[\"west\",1,\"std\",\"draining\",null,0,\"task.2\"],[\"east\",2,\"std\",\"removed\",null,0,\"task.3\"]]]");
@@ -212,35 +260,7 @@
       messages.add("[\"heard\",1,\"68692037\"]");
       messages.add("[\"echo\",\"task.1\",503,0.02,null]");
     } else if (step > 1) {
-      messages.add("[\"alarm\"," + (1 + step % 2) + "]");
-      for (int i = 0; i < 8; i++) {
-        int total = 20 + random.nextInt(60);
-        messages.add(
-            "[\"observed\","
-                + random.nextInt(step > 30 && step < 50 ? total : 3)
-                + ","
-                + total
-                + ",0.5,\""
-                + (i % 3 == 0 ? "west" : "east")
-                + "\","
-                + 0.0125 * random.nextInt(1, 40)
-                + ",\"task."
-                + i
-                + "\",{\"utilization\":"
-                + random.nextInt(101) / 100.0
-                + ",\"backlog\":3}]");
-      }
-      for (int p = 0; p < 6; p++) {
-        messages.add(
-            "[\"traffic\","
-                + p
-                + ",\""
-                + (random.nextBoolean() ? "look" : "buy")
-                + "\","
-                + random.nextInt(30)
-                + ",0,0.5]");
-        messages.add("[\"acked\"," + p + "," + (1 + step / 2) + ",0.3]");
-      }
+      addReports(messages, random, step);
     }
     return "{\"tS\":"
         + now
--- a/src/test/java/stonespring/proxyapi/platform/SameCommandsTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SameCommandsTest.java
@@ -4,10 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -20,321 +22,343 @@
 import stonespring.model.ProxyId;
 import stonespring.model.RetryPolicy;
 import stonespring.model.RouteTableId;
+import stonespring.proxyapi.NameTable;
 import stonespring.state.ProxyUpdate;
 import stonespring.state.RouteTables;
 
 /**
- * The same orders, as the simulator's page has them and as the platform's messages say them, leave
- * the same lines, levels and withdrawals at a proxy. Both proxies are written here, from the two
- * pages, and share no code with the front.
+ * The same commands, by the simulator's page and by the platform's messages, leave the same routes,
+ * limits and exclusions at a proxy. Both proxies are written here, from the two pages, and share no
+ * code with what is tested.
  */
 final class SameCommandsTest {
-  private static final List<String> TYPES = List.of("look", "buy", "pay");
+  private static final List<String> CLASSES = List.of("look", "buy", "pay");
   private static final int PROXIES = 4;
-  private static final int TASKS = 7;
+  private static final PlatformMessageCodec CODEC =
+      new PlatformMessageCodec(new NameTable(List.of(), CLASSES), PROXIES);
+  private static final int ENDPOINTS = 7;
 
-  private record Level(double share, int again) {}
+  private record Limit(double share, int retryCode) {}
 
-  /** What an op of each type may go to, and how much of it is let in. */
-  private record View(List<TreeMap<String, Double>> lines, List<Level> levels) {}
+  /** The weights that requests of each class are routed by, and how many are admitted. */
+  private record View(List<TreeMap<String, Double>> weights, List<Limit> limits) {}
 
   /**
-   * A proxy by the simulator's page: tables by number, withdrawals of the instance, a table's level
-   * and one for all.
+   * Proxies by the simulator's page: tables by number, exclusions of the instance, a table's limit
+   * and one for all tables.
    */
-  private static final class Simulated {
+  private static final class SimulatedProxies {
     final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
-    final TreeMap<Integer, Level[]> levels = new TreeMap<>();
-    final Level[] every = new Level[TYPES.size()];
-    final Set<String> out = new HashSet<>();
-    final Map<Integer, Integer[]> bound = new LinkedHashMap<>();
+    final TreeMap<Integer, Limit[]> limits = new TreeMap<>();
+    final Limit[] limitsForAllTables = new Limit[CLASSES.size()];
+    final Set<String> excluded = new HashSet<>();
+    final Map<Integer, Integer[]> assigned = new LinkedHashMap<>();
 
-    void take(Command order) {
-      if (order instanceof Command.SetRoute o) {
+    void apply(Command command) {
+      if (command instanceof Command.SetRoute o) {
         TreeMap<String, Double> table =
             tables.computeIfAbsent(o.table().number(), t -> new TreeMap<>());
         table.remove(o.endpoint().name());
         if (o.weight() > 0) {
           table.put(o.endpoint().name(), o.weight());
         }
-      } else if (order instanceof Command.ClearRouteTable o) {
+      } else if (command instanceof Command.ClearRouteTable o) {
         tables.remove(o.table().number());
-        levels.remove(o.table().number());
-      } else if (order instanceof Command.AssignRouteTable o) {
-        Integer[] of = bound.get(o.proxy().number());
-        for (int k = 0; of != null && k < of.length; k++) {
-          if (o.requestClassMask() == 0 || (o.requestClassMask() >> k & 1) == 1) {
-            of[k] = o.table().number();
+        limits.remove(o.table().number());
+      } else if (command instanceof Command.AssignRouteTable o) {
+        Integer[] tablesOfProxy = assigned.get(o.proxy().number());
+        for (int k = 0; tablesOfProxy != null && k < tablesOfProxy.length; k++) {
+          if (masked(o.requestClassMask(), k)) {
+            tablesOfProxy[k] = o.table().number();
           }
         }
-      } else if (order instanceof Command.ExcludeEndpoint o) {
+      } else if (command instanceof Command.ExcludeEndpoint o) {
         if (o.excluded()) {
-          out.add(o.endpoint().name());
+          excluded.add(o.endpoint().name());
         } else {
-          out.remove(o.endpoint().name());
+          excluded.remove(o.endpoint().name());
         }
-      } else if (order instanceof Command.LimitAdmission o) {
-        Level[] of =
+      } else if (command instanceof Command.LimitAdmission o) {
+        Limit[] ofTable =
             o.table().equals(Command.ALL_TABLES)
-                ? every
-                : levels.computeIfAbsent(o.table().number(), t -> new Level[TYPES.size()]);
-        for (int k = 0; k < of.length; k++) {
-          if (o.requestClassMask() == 0 || (o.requestClassMask() >> k & 1) == 1) {
-            of[k] = new Level(o.limit(), o.retryPolicy().ordinal());
+                ? limitsForAllTables
+                : limits.computeIfAbsent(o.table().number(), t -> new Limit[CLASSES.size()]);
+        for (int k = 0; k < ofTable.length; k++) {
+          if (masked(o.requestClassMask(), k)) {
+            ofTable[k] = new Limit(o.limit(), o.retryPolicy().ordinal());
           }
         }
       }
     }
 
+    private static boolean masked(int mask, int requestClass) {
+      return mask == 0 || (mask >> requestClass & 1) == 1;
+    }
+
     View view(int proxy) {
-      List<TreeMap<String, Double>> lines = new ArrayList<>();
-      List<Level> at = new ArrayList<>();
-      for (int k = 0; k < TYPES.size(); k++) {
-        Integer table = bound.get(proxy)[k];
-        if (table == null) { // by its standing table, whatever that is
-          lines.add(null);
-          at.add(null);
+      List<TreeMap<String, Double>> weightsByClass = new ArrayList<>();
+      List<Limit> limitsByClass = new ArrayList<>();
+      for (int k = 0; k < CLASSES.size(); k++) {
+        Integer table = assigned.get(proxy)[k];
+        if (table == null) { // the table that it brought along, whatever that holds
+          weightsByClass.add(null);
+          limitsByClass.add(null);
           continue;
         }
-        TreeMap<String, Double> of = new TreeMap<>(tables.getOrDefault(table, new TreeMap<>()));
-        of.keySet().removeAll(out);
-        lines.add(of);
-        Level own = levels.containsKey(table) ? levels.get(table)[k] : null;
-        at.add(
+        TreeMap<String, Double> usable = new TreeMap<>(tables.getOrDefault(table, new TreeMap<>()));
+        usable.keySet().removeAll(excluded);
+        weightsByClass.add(usable);
+        Limit own = limits.containsKey(table) ? limits.get(table)[k] : null;
+        limitsByClass.add(
             own == null
-                ? every[k]
-                : every[k] == null
+                ? limitsForAllTables[k]
+                : limitsForAllTables[k] == null
                     ? own
-                    : new Level(Math.min(own.share, every[k].share), own.again));
+                    : new Limit(Math.min(own.share, limitsForAllTables[k].share), own.retryCode));
       }
-      return new View(lines, at);
+      return new View(weightsByClass, limitsByClass);
     }
   }
 
   /**
-   * A proxy by the platform's page: a table for each op type; what it shuts out stays over its
-   * streams.
+   * A proxy by the platform's page: a table for each request class; exclusions outlive its streams.
    */
-  private static final class OnSockets {
-    final List<TreeMap<String, Double>> lines = new ArrayList<>();
-    final Level[] levels = new Level[TYPES.size()];
-    final Set<String> shut = new TreeSet<>();
-    int price;
+  private static final class PlatformProxy {
+    final List<TreeMap<String, Double>> weights = new ArrayList<>();
+    final Limit[] limits = new Limit[CLASSES.size()];
+    final Set<String> excluded = new TreeSet<>();
+    int entries;
 
-    OnSockets() {
-      for (int k = 0; k < TYPES.size(); k++) {
-        lines.add(new TreeMap<>());
+    PlatformProxy() {
+      for (int k = 0; k < CLASSES.size(); k++) {
+        weights.add(new TreeMap<>());
       }
     }
 
-    void take(List<String> parts, boolean marked) {
-      price = 0;
-      for (int i = 0; i < parts.size(); i++) {
-        Map<String, String> words = new LinkedHashMap<>();
-        String[] split = parts.get(i).split(" ");
+    void apply(List<String> lines, boolean ackRequested) {
+      entries = 0;
+      for (int i = 0; i < lines.size(); i++) {
+        Map<String, String> fields = new LinkedHashMap<>();
+        String[] split = lines.get(i).split(" ");
         assertEquals("CONFIG", split[0]);
         for (int w = 1; w < split.length; w++) {
           String[] pair = split[w].split("=", 2);
-          assertEquals(null, words.put(pair[0], pair[1]), parts.get(i));
+          assertEquals(null, fields.put(pair[0], pair[1]), lines.get(i));
         }
         assertEquals(
-            i < parts.size() - 1, "1".equals(words.remove("part")), "all but the last are parts");
-        part(words);
+            i < lines.size() - 1, "1".equals(fields.remove("part")), "all but the last are parts");
+        applyPart(fields);
       }
-      assertTrue(parts.size() <= 64);
+      assertTrue(lines.size() <= 64);
       assertEquals(
-          marked,
-          parts.get(parts.size() - 1).contains(" stamp="),
-          "a mark stands in the last part");
+          ackRequested,
+          lines.get(lines.size() - 1).contains(" stamp="),
+          "the acknowledgement is requested in the last part");
     }
 
-    private void part(Map<String, String> words) {
-      List<Integer> of = new ArrayList<>();
-      for (int k = 0; k < TYPES.size(); k++) {
-        if (!words.containsKey("for")
-            || List.of(words.get("for").split("\\+")).contains(TYPES.get(k))) {
-          of.add(k);
+    private void applyPart(Map<String, String> fields) {
+      List<Integer> classes = new ArrayList<>();
+      for (int k = 0; k < CLASSES.size(); k++) {
+        if (!fields.containsKey("for")
+            || List.of(fields.get("for").split("\\+")).contains(CLASSES.get(k))) {
+          classes.add(k);
         }
       }
-      assertTrue(!of.isEmpty());
-      assertEquals(words.containsKey("gate"), words.containsKey("again"));
-      for (Map.Entry<String, String> word : words.entrySet()) {
-        String value = word.getValue();
-        switch (word.getKey()) {
+      assertTrue(!classes.isEmpty());
+      assertEquals(fields.containsKey("gate"), fields.containsKey("again"));
+      for (Map.Entry<String, String> field : fields.entrySet()) {
+        String value = field.getValue();
+        switch (field.getKey()) {
           case "for", "again" -> {}
           case "replace" -> {
-            price++;
-            of.forEach(k -> lines.get(k).clear());
-            of.forEach(k -> levels[k] = null);
+            entries++;
+            classes.forEach(k -> weights.get(k).clear());
+            classes.forEach(k -> limits[k] = null);
           }
           case "rows" -> {
             for (String row : value.split(",")) {
-              price++;
+              entries++;
               String[] pair = row.split(":");
               assertTrue(pair[1].matches("[0-9]+(\\.[0-9]+)?"), row);
-              for (int k : of) {
-                lines.get(k).remove(pair[0]);
+              for (int k : classes) {
+                weights.get(k).remove(pair[0]);
                 if (Double.parseDouble(pair[1]) > 0) {
-                  lines.get(k).put(pair[0], Double.parseDouble(pair[1]));
+                  weights.get(k).put(pair[0], Double.parseDouble(pair[1]));
                 }
               }
             }
           }
           case "gate" -> {
-            price++;
-            of.forEach(
+            entries++;
+            classes.forEach(
                 k ->
-                    levels[k] =
-                        new Level(Double.parseDouble(value), Integer.parseInt(words.get("again"))));
+                    limits[k] =
+                        new Limit(
+                            Double.parseDouble(value), Integer.parseInt(fields.get("again"))));
           }
           case "drop" -> {
-            shut.addAll(List.of(value.split(",")));
-            price += value.split(",").length;
+            excluded.addAll(List.of(value.split(",")));
+            entries += value.split(",").length;
           }
           case "undrop" -> {
-            shut.removeAll(List.of(value.split(",")));
-            price += value.split(",").length;
+            excluded.removeAll(List.of(value.split(",")));
+            entries += value.split(",").length;
           }
-          case "stamp" -> price++;
-          default -> throw new AssertionError(word);
+          case "stamp" -> entries++;
+          default -> throw new AssertionError(field);
         }
       }
     }
 
     View view() {
-      List<TreeMap<String, Double>> at = new ArrayList<>();
-      for (TreeMap<String, Double> of : lines) {
-        TreeMap<String, Double> open = new TreeMap<>(of);
-        open.keySet().removeAll(shut);
-        at.add(open);
+      List<TreeMap<String, Double>> usableByClass = new ArrayList<>();
+      for (TreeMap<String, Double> ofClass : weights) {
+        TreeMap<String, Double> usable = new TreeMap<>(ofClass);
+        usable.keySet().removeAll(excluded);
+        usableByClass.add(usable);
       }
-      List<Level> level = new ArrayList<>();
-      for (Level l : levels) {
-        level.add(l);
-      }
-      return new View(at, level);
+      return new View(usableByClass, Arrays.asList(limits.clone()));
     }
   }
 
-  private static double round(SplittableRandom random) {
+  private static double weight(SplittableRandom random) {
     return random.nextInt(1, 2000) / 1000.0;
   }
 
-  private static Command order(SplittableRandom random) {
+  private static Command command(SplittableRandom random) {
     RouteTableId table = new RouteTableId(random.nextInt(PROXIES));
-    EndpointId task = new EndpointId("s-" + random.nextInt(TASKS));
-    int bits = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
+    EndpointId endpoint = new EndpointId("s-" + random.nextInt(ENDPOINTS));
+    int mask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
     return switch (random.nextInt(9)) {
-      case 0, 1, 2 -> new Command.SetRoute(table, task, random.nextInt(4) == 0 ? 0 : round(random));
+      case 0, 1, 2 ->
+          new Command.SetRoute(table, endpoint, random.nextInt(4) == 0 ? 0 : weight(random));
       case 3 ->
           random.nextInt(6) == 0
               ? new Command.ClearRouteTable(table)
-              : new Command.SetRoute(table, task, 0.001);
-      case 4, 5 -> new Command.AssignRouteTable(table, new ProxyId(random.nextInt(PROXIES)), bits);
-      case 6 -> new Command.ExcludeEndpoint(task, random.nextBoolean());
+              : new Command.SetRoute(table, endpoint, 0.001);
+      case 4, 5 -> new Command.AssignRouteTable(table, new ProxyId(random.nextInt(PROXIES)), mask);
+      case 6 -> new Command.ExcludeEndpoint(endpoint, random.nextBoolean());
       default ->
           new Command.LimitAdmission(
               random.nextBoolean() ? Command.ALL_TABLES : table,
-              bits,
+              mask,
               RetryPolicy.values()[random.nextInt(4)],
               random.nextInt(5) / 4.0);
     };
   }
 
-  @ParameterizedTest
-  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void seededOrdersLeaveTheSame(long seed) {
-    SplittableRandom random = new SplittableRandom(seed);
-    Simulated simulated = new Simulated();
-    RouteTables tables = new RouteTables(TYPES);
-    Map<Integer, OnSockets> proxies = new TreeMap<>();
-    Map<Integer, ProxyRouteState> streams = new TreeMap<>();
-    Map<Integer, TreeSet<String>> shut = new TreeMap<>();
-    for (int step = 0; step < 400; step++) {
+  /** Both kinds of proxies under the same random connections and commands. */
+  private static final class Run {
+    private final long seed;
+    private final SplittableRandom random;
+    private final SimulatedProxies simulated = new SimulatedProxies();
+    private final RouteTables tables = new RouteTables(CLASSES.size());
+    private final Map<Integer, PlatformProxy> proxies = new TreeMap<>();
+    private final Map<Integer, ProxyRouteState> streams = new TreeMap<>();
+    private final Map<Integer, Set<EndpointId>> excluded = new TreeMap<>();
+
+    Run(long seed) {
+      this.seed = seed;
+      this.random = new SplittableRandom(seed);
+    }
+
+    void step(int step) {
       int number = random.nextInt(PROXIES);
       if (!streams.containsKey(number) || random.nextInt(40) == 0) {
-        boolean fresh = !proxies.containsKey(number) || random.nextInt(3) == 0;
-        OnSockets proxy = fresh ? new OnSockets() : proxies.get(number);
-        if (fresh) {
-          shut.remove(number); // it was started anew
-        } else if (random.nextBoolean()) {
-          proxy.shut.add("s-" + random.nextInt(TASKS)); // by another assigner, meanwhile
-        }
-        proxies.put(number, proxy);
-        simulated.bound.put(number, new Integer[TYPES.size()]);
-        tables.joined(new ProxyId(number), null);
-        streams.put(
-            number,
-            new ProxyRouteState(
-                TYPES, tables, shut.computeIfAbsent(number, n -> new TreeSet<>()), !fresh));
+        connect(number);
       }
-      List<Command> orders = new ArrayList<>();
+      List<Command> commands = new ArrayList<>();
       for (int i = random.nextInt(6); i >= 0; i--) {
-        orders.add(order(random));
+        commands.add(command(random));
       }
-      boolean marked = random.nextBoolean();
-      if (marked) {
-        orders.add(new Command.RequestAck(new AckId(step), false));
+      boolean ackRequested = random.nextBoolean();
+      if (ackRequested) {
+        commands.add(new Command.RequestAck(new AckId(step), false));
       }
-      orders.forEach(simulated::take);
-      for (ProxyUpdate message : tables.messages(orders, 1)) {
-        List<String> parts = streams.get(message.proxy().number()).parts(message);
-        if (!parts.isEmpty()) {
-          OnSockets proxy = proxies.get(message.proxy().number());
-          proxy.take(parts, marked);
-          assertEquals(ProxyRouteState.price(parts), proxy.price, String.valueOf(parts));
-        }
+      commands.forEach(simulated::apply);
+      for (ProxyUpdate update : tables.apply(commands, 1)) {
+        send(update, ackRequested);
       }
-      for (int p : streams.keySet()) {
-        View wanted = simulated.view(p);
-        View seen = proxies.get(p).view();
-        for (int k = 0; k < TYPES.size(); k++) {
-          if (simulated.bound.get(p)[k] != null) { // an unbound table is its own affair
-            String where =
-                "seed "
-                    + seed
-                    + ", step "
-                    + step
-                    + ", proxy "
-                    + p
-                    + ", "
-                    + TYPES.get(k)
-                    + " after "
-                    + orders;
-            assertEquals(wanted.lines.get(k), seen.lines.get(k), where);
-            assertEquals(wanted.levels.get(k), seen.levels.get(k), where);
-          }
+      for (int proxy : streams.keySet()) {
+        assertSame(
+            proxy, "seed " + seed + ", step " + step + ", proxy " + proxy + " after " + commands);
+      }
+    }
+
+    private void connect(int number) {
+      boolean restarted = !proxies.containsKey(number) || random.nextInt(3) == 0;
+      PlatformProxy proxy = restarted ? new PlatformProxy() : proxies.get(number);
+      if (restarted) {
+        excluded.remove(number); // it holds nothing any more
+      } else if (random.nextBoolean()) {
+        proxy.excluded.add("s-" + random.nextInt(ENDPOINTS)); // by another instance, meanwhile
+      }
+      proxies.put(number, proxy);
+      simulated.assigned.put(number, new Integer[CLASSES.size()]);
+      tables.proxyConnected(new ProxyId(number), Optional.empty());
+      ProxyExclusions exclusions =
+          new ProxyExclusions(excluded.computeIfAbsent(number, n -> new HashSet<>()), !restarted);
+      streams.put(number, new ProxyRouteState(CLASSES.size(), tables, exclusions));
+    }
+
+    private void send(ProxyUpdate update, boolean ackRequested) {
+      ConfigMessage message = streams.get(update.proxy().number()).apply(update);
+      List<String> lines = CODEC.write(message);
+      assertEquals(message.isEmpty(), lines.isEmpty());
+      if (!lines.isEmpty()) {
+        PlatformProxy proxy = proxies.get(update.proxy().number());
+        proxy.apply(lines, ackRequested);
+        assertEquals(message.entries(), proxy.entries, String.valueOf(lines));
+      }
+    }
+
+    private void assertSame(int proxy, String where) {
+      View wanted = simulated.view(proxy);
+      View seen = proxies.get(proxy).view();
+      for (int k = 0; k < CLASSES.size(); k++) {
+        // Without an assigned table the class goes by the one that the proxy brought along.
+        if (simulated.assigned.get(proxy)[k] != null) {
+          String whereExactly = CLASSES.get(k) + ", " + where;
+          assertEquals(wanted.weights.get(k), seen.weights.get(k), whereExactly);
+          assertEquals(wanted.limits.get(k), seen.limits.get(k), whereExactly);
         }
       }
     }
   }
 
-  /**
-   * The price of what the decisions usually order: a first table, a change of it, a level, a
-   * withdrawal.
-   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
+  void seededCommandsLeaveTheSame(long seed) {
+    Run run = new Run(seed);
+    for (int step = 0; step < 400; step++) {
+      run.step(step);
+    }
+  }
+
+  /** What the decisions usually command: a first table, a change of it, a limit, an exclusion. */
   @ParameterizedTest
   @ValueSource(ints = {2, 5, 30})
-  void theUsualOrdersHaveTheSimulatorsPrice(int lines) {
-    RouteTables tables = new RouteTables(TYPES);
-    ProxyRouteState stream = new ProxyRouteState(TYPES, tables, new TreeSet<>(), false);
-    tables.joined(new ProxyId(0), null);
+  void usualCommandsCostTheSimulatorsEntries(int routes) {
+    RouteTables tables = new RouteTables(CLASSES.size());
+    ProxyRouteState stream =
+        new ProxyRouteState(CLASSES.size(), tables, new ProxyExclusions(new HashSet<>(), false));
+    tables.proxyConnected(new ProxyId(0), Optional.empty());
     List<Command> first =
         new ArrayList<>(
             List.of(
                 new Command.LimitAdmission(Command.ALL_TABLES, 7, RetryPolicy.IF_NOT_EXECUTED, 1)));
-    for (int i = 0; i < lines; i++) {
+    for (int i = 0; i < routes; i++) {
       first.add(new Command.SetRoute(new RouteTableId(0), new EndpointId("s-" + i), 1));
     }
     first.add(new Command.AssignRouteTable(new RouteTableId(0), new ProxyId(0), 0));
     first.add(new Command.RequestAck(new AckId(1), false));
     assertEquals(
-        1 + lines + 1 + 1,
-        price(tables, stream, first),
-        "the bind, its lines, the level for all, the mark");
+        1 + routes + 1 + 1,
+        entries(tables, stream, first),
+        "the assignment, its routes, the limit for all tables, the acknowledgement");
     assertEquals(
         2,
-        price(
+        entries(
             tables,
             stream,
             List.of(
@@ -342,16 +366,16 @@
                 new Command.SetRoute(new RouteTableId(0), new EndpointId("s-1"), 0))));
     assertEquals(
         2,
-        price(
+        entries(
             tables,
             stream,
             List.of(
                 new Command.LimitAdmission(Command.ALL_TABLES, 1, RetryPolicy.NEVER, 0.5),
                 new Command.LimitAdmission(Command.ALL_TABLES, 6, RetryPolicy.NEVER, 0.25))));
-    assertEquals(1, price(tables, stream, List.of(new Command.RequestAck(new AckId(2), true))));
+    assertEquals(1, entries(tables, stream, List.of(new Command.RequestAck(new AckId(2), true))));
   }
 
-  private static int price(RouteTables tables, ProxyRouteState stream, List<Command> orders) {
-    return ProxyRouteState.price(stream.parts(tables.messages(orders, 1).get(0)));
+  private static int entries(RouteTables tables, ProxyRouteState state, List<Command> commands) {
+    return state.apply(tables.apply(commands, 1).get(0)).entries();
   }
 }
--- /dev/null
+++ b/src/test/java/stonespring/state/ProxySessionsTest.java
@@ -0,0 +1,73 @@
+package stonespring.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static stonespring.state.StateFixture.hello;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import stonespring.model.ProxyId;
+import stonespring.model.ZoneId;
+
+final class ProxySessionsTest {
+  @Test
+  void proxiesAreBoundedAndIdsOfTheDisconnectedAreReused() {
+    ProxySessions<Object> sessions = new ProxySessions<>(2);
+    ProxyHello hello = hello("l", 1);
+    Object connection = new Object();
+    assertInstanceOf(HelloResult.Connected.class, sessions.hello("a", hello, connection, 0, 10));
+    assertInstanceOf(HelloResult.Connected.class, sessions.hello("b", hello, new Object(), 0, 10));
+    assertInstanceOf(HelloResult.Refused.class, sessions.hello("c", hello, new Object(), 0, 10));
+    long before = sessions.sessionNumber(new ProxyId(0));
+    assertEquals(List.of(new ProxyId(0)), sessions.connectionClosed(connection));
+    HelloResult.Connected<Object> connected =
+        (HelloResult.Connected<Object>) sessions.hello("c", hello, new Object(), 1, 10);
+    assertEquals(new ProxyId(0), connected.proxy());
+    assertTrue(
+        sessions.sessionNumber(connected.proxy()) > before, "a reused id is another session");
+    assertEquals(Optional.empty(), sessions.find("a", connection));
+    assertEquals(2, sessions.expire(10).size());
+    assertEquals(0, sessions.connectedCount());
+  }
+
+  /** Random hellos of many proxies: no name is ever connected twice, and the count stays true. */
+  @Test
+  void countMatchesTheConnectedInASeededRun() {
+    SplittableRandom random = new SplittableRandom(4);
+    ProxySessions<Object> sessions = new ProxySessions<>(20);
+    List<Object> connections = new ArrayList<>(List.of(new Object(), new Object(), new Object()));
+    for (int i = 0; i < 20_000; i++) {
+      Object connection = connections.get(random.nextInt(3));
+      switch (random.nextInt(6)) {
+        case 0 -> sessions.connectionClosed(connection);
+        case 1 -> sessions.expire(i);
+        default ->
+            sessions.hello(
+                "p" + random.nextInt(30),
+                new ProxyHello(
+                    "l" + random.nextInt(2),
+                    random.nextInt(3),
+                    new ZoneId(0),
+                    1,
+                    false,
+                    Optional.empty()),
+                connection,
+                i,
+                i + random.nextInt(200));
+      }
+      int connected = 0;
+      for (int number = 0; number < 20; number++) {
+        try {
+          connected += sessions.isConnected(new ProxyId(number)) ? 1 : 0;
+        } catch (RuntimeException e) {
+          throw new AssertionError("number " + number, e);
+        }
+      }
+      assertEquals(connected, sessions.connectedCount());
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/state/StateFixture.java
@@ -0,0 +1,50 @@
+package stonespring.state;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import stonespring.model.EndpointId;
+import stonespring.model.ProxyId;
+import stonespring.model.RouteTableId;
+import stonespring.model.ZoneId;
+
+/** The proxies, endpoints and updates that the tests of this package share. */
+final class StateFixture {
+  static final List<String> REQUEST_CLASSES = List.of("view", "extract");
+  static final ProxyId PROXY = new ProxyId(0);
+  static final ProxyId OTHER_PROXY = new ProxyId(1);
+  static final RouteTableId TABLE = new RouteTableId(7);
+  static final EndpointId ENDPOINT_A = new EndpointId("a@h:1");
+  static final EndpointId ENDPOINT_B = new EndpointId("b@h:2");
+  private static final PublishedKeyCodec CODEC = new PublishedKeyCodec(REQUEST_CLASSES);
+
+  private StateFixture() {}
+
+  /** The published keys that an update changes, in order; a deleted key has the value null. */
+  static Map<String, String> keys(ProxyUpdate update) {
+    Map<String, String> keys = new LinkedHashMap<>();
+    for (ProxyChange change : update.changes()) {
+      keys.put(CODEC.key(change.subject()), CODEC.value(change).orElse(null));
+    }
+    return keys;
+  }
+
+  /** An update of as many routes as it has entries. */
+  static ProxyUpdate update(ProxyId proxy, int entries) {
+    List<ProxyChange> changes = new ArrayList<>();
+    for (int i = 0; i < entries; i++) {
+      changes.add(routeChange("t" + i, 1));
+    }
+    return new ProxyUpdate(proxy, changes, entries, Optional.empty(), 0);
+  }
+
+  static ProxyChange routeChange(String endpoint, double weight) {
+    return new ProxyChange.RouteChange(TABLE, new EndpointId(endpoint), weight);
+  }
+
+  static ProxyHello hello(String processId, long connectionCount) {
+    return new ProxyHello(processId, connectionCount, new ZoneId(0), 1, true, Optional.empty());
+  }
+}
