--- a/src/test/java/stonespring/state/RouteTablesTest.java
+++ b/src/test/java/stonespring/state/RouteTablesTest.java
@@ -104,4 +104,11 @@
             "0.5 never"),
         keys(updates.get(0)));
   }
+
+  @Test
+  void clearingAnEmptyTableCausesNoUpdate() {
+    tables.proxyConnected(PROXY, Optional.empty());
+    tables.apply(List.of(new Command.AssignRouteTable(TABLE, PROXY, 0)), 1);
+    assertEquals(List.of(), tables.apply(List.of(new Command.ClearRouteTable(TABLE)), 2));
+  }
 }
