--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -54,6 +54,7 @@
   private final ReportAggregator reports;
   private final RateLimitedChannel channel;
   private final KeyStore keys;
+  private final PublishedKeyCodec keyCodec;
   private final PublishedState published;
   private final Set<EndpointId> listed = new HashSet<>();
   private final TreeSet<String> ready = new TreeSet<>();
@@ -81,7 +82,8 @@
     this.reports = new ReportAggregator(limits.reportPairs());
     this.channel = new RateLimitedChannel(settings.channel());
     this.keys = new KeyStore(firstSequence, limits.keys());
-    this.published = new PublishedState(keys, new PublishedKeyCodec(opTypeNames), epoch, presence);
+    this.keyCodec = new PublishedKeyCodec(opTypeNames);
+    this.published = new PublishedState(keys, keyCodec, epoch, presence);
     this.reportsAt = now + settings.reportInterval();
     this.statusAt = now;
   }
@@ -262,7 +264,7 @@
         LOG.debug(
             "order for {}: {} because of {}",
             presence.name(message.proxy()),
-            message.changes(),
+            keyCodec.describe(message),
             cause);
       }
     }
--- a/src/main/java/stonespring/state/ConnectedProxy.java
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -9,7 +9,8 @@
 import stonespring.model.RouteTableId;
 
 /**
- * What one connected proxy was told: its tables, by request class, and the limits for all tables.
+ * What was sent to one connected proxy: its tables, by request class, and the limits for all
+ * tables.
  */
 final class ConnectedProxy {
   private final ProxyId id;
--- a/src/main/java/stonespring/state/PublishedKeyCodec.java
+++ b/src/main/java/stonespring/state/PublishedKeyCodec.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
+import java.util.StringJoiner;
 import stonespring.model.Command;
 import stonespring.model.RequestClassId;
 import stonespring.model.RetryPolicy;
@@ -63,6 +64,15 @@
         : Optional.empty();
   }
 
+  /** Writes an update's keys with their new values for a log line; null marks a deleted key. */
+  public String describe(ProxyUpdate update) {
+    StringJoiner text = new StringJoiner(", ", "{", "}");
+    for (ProxyChange change : update.changes()) {
+      text.add(key(change.subject()) + "=" + value(change).orElse(null));
+    }
+    return text.toString();
+  }
+
   private String name(RequestClassId requestClass) {
     return requestClassNames.get(requestClass.index());
   }
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -17,8 +17,7 @@
 import stonespring.model.RetrySafety;
 import stonespring.model.ZoneId;
 import stonespring.proxy.CommitLog;
-import stonespring.proxy.routing.EndpointName;
-import stonespring.proxy.routing.RequestClassIndex;
+import stonespring.proxy.routing.RequestProgress;
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
@@ -59,15 +58,15 @@
       VirtualFleet fleet,
       Recording.Proxy proxy,
       RouterSettings routing,
-      List<EndpointName> standing,
+      List<EndpointId> standing,
       long seed) {
     this.fleet = fleet;
     this.proxy = proxy;
     this.agenda = fleet.agenda;
     this.random = new SplittableRandom(seed);
     this.router = new Router(routing, random.nextLong());
-    this.router.standing(standing);
-    this.tally = new RequestStatistics(routing.types().size(), 0);
+    this.router.useBootstrapRoutes(standing);
+    this.tally = new RequestStatistics(routing.requestClasses().size(), 0);
   }
 
   String name() {
@@ -95,7 +94,7 @@
             new ZoneId(proxy.zone()),
             proxy.usualOps(),
             true,
-            Optional.of(router.named().stream().map(EndpointId::new).toList())),
+            Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList())),
         24 * 3600 * DeciMillis.SECOND,
         this,
         agenda.now());
@@ -105,7 +104,7 @@
     String value =
         update.value().length == 0 ? null : new String(update.value(), StandardCharsets.UTF_8);
     TableSubscriber.Step step =
-        follower.update(
+        follower.keyChanged(
             key,
             value,
             value != null && key.equals("commit") ? CommitLog.read(update.value()) : null);
@@ -113,18 +112,18 @@
       throw new IllegalStateException(
           proxy.name() + " lost a message where none can be: " + resync.cause());
     }
-    if (step instanceof TableSubscriber.Step.Message message) {
+    if (step instanceof TableSubscriber.Step.Update message) {
       router.apply(message);
       fleet.changed(message.changes().keySet().stream().filter(k -> k.startsWith("line/")).count());
-      boolean empty = router.weights(new RequestClassIndex(0)).isEmpty();
+      boolean empty = router.weights(new RequestClassId(0)).isEmpty();
       if (empty != bareSince >= 0) {
         bare += empty ? 0 : (double) (agenda.now() - bareSince) / DeciMillis.SECOND;
         bareSince = empty ? agenda.now() : -1;
       }
-      if (message.mark() >= 0) {
+      if (message.ackId() >= 0) {
         core.acknowledged(
             proxy.name(),
-            new ProxyAcknowledgement(message.origin(), new AckId(message.mark()), fleet.away()),
+            new ProxyAcknowledgement(message.stream(), new AckId(message.ackId()), fleet.away()),
             this,
             agenda.now());
       }
@@ -132,32 +131,28 @@
   }
 
   /** What it met since it last reported. */
-  ProxyReport report(long span) {
+  ProxyReport report(long interval) {
     List<ProxyReport.EndpointObservation> met = new ArrayList<>();
-    for (RequestStatistics.Met m : tally.met()) {
-      long good = m.tries() - m.bad();
-      RequestStatistics.Load l = m.load();
+    for (RequestStatistics.EndpointObservation m : tally.observations()) {
+      long good = m.attempts() - m.failures();
       met.add(
           new ProxyReport.EndpointObservation(
-              new EndpointId(m.task()),
-              m.tries(),
-              m.bad(),
-              good == 0 ? 0 : m.goodTime() / good,
-              l == null
-                  ? LoadReport.NONE
-                  : new LoadReport(
-                      l.busy(), l.waiting(), l.inHand(), l.workMs(), l.opsPerSecond())));
+              new EndpointId(m.endpoint()),
+              m.attempts(),
+              m.failures(),
+              good == 0 ? 0 : m.successTime() / good,
+              m.load() == null ? LoadReport.NONE : m.load()));
     }
     List<ProxyReport.RequestCount> came = new ArrayList<>();
     for (int k = 0; k < fleet.types(); k++) {
       came.add(
           new ProxyReport.RequestCount(
               new RequestClassId(k),
-              tally.ops(new RequestClassIndex(k)),
-              tally.unansweredOps(new RequestClassIndex(k))));
+              tally.requests(new RequestClassId(k)),
+              tally.unanswered(new RequestClassId(k))));
     }
-    tally.clear(agenda.now());
-    return new ProxyReport(span, met, came);
+    tally.reset(agenda.now());
+    return new ProxyReport(interval, met, came);
   }
 
   // ---- Ops.
@@ -168,7 +163,7 @@
   }
 
   private final class Op {
-    private final RequestClassIndex type;
+    private final RequestClassId type;
     private final RequestClass settings;
     private final long askedAt = agenda.now();
     private final long until;
@@ -177,12 +172,12 @@
     private int tries;
     private boolean proven;
     private long firstAt;
-    private EndpointName open;
+    private EndpointId open;
     private long openSince;
     private boolean done;
 
     Op(int k) {
-      type = new RequestClassIndex(k);
+      type = new RequestClassId(k);
       settings = fleet.settings().requestClasses().get(k);
       until = askedAt + fleet.type(k).opTimeout();
       fleet.asked(askedAt, settings.priorityWeight());
@@ -191,7 +186,7 @@
     }
 
     void come() {
-      tally.came(type);
+      tally.requestReceived(type);
       tries = 0;
       proven = true;
       if (router.admit(type, agenda.now())) {
@@ -203,7 +198,7 @@
 
     private void refused(boolean byLevel) {
       if (!byLevel) {
-        tally.unanswered(type);
+        tally.requestUnanswered(type);
       }
       boolean may = settings.retrySafety() == RetrySafety.IDEMPOTENT || proven;
       if (may && came < AGAIN_MOST && until - agenda.now() > AGAIN_AFTER + AGAIN_LEAST) {
@@ -221,8 +216,8 @@
       }
     }
 
-    private void send(EndpointName not) {
-      EndpointName task = router.pick(type, not, agenda.now());
+    private void send(EndpointId not) {
+      EndpointId task = router.pick(type, not, agenda.now()).orElse(null);
       if (task == null) {
         refused(false);
         return;
@@ -256,25 +251,20 @@
     }
 
     private void ended(
-        int mine,
-        EndpointName task,
-        long began,
-        boolean good,
-        boolean ran,
-        RequestStatistics.Load load) {
+        int mine, EndpointId task, long began, boolean good, boolean ran, LoadReport load) {
       if (mine != life) {
         return; // nobody waits for it any more
       }
       long now = agenda.now();
       open = null;
-      router.ended(task, good, now);
-      tally.met(task, good, now - began, load);
+      router.attemptEnded(task, good, now);
+      tally.attemptEnded(task, good, now - began, load);
       if (good) {
         over(true, false, true);
         return;
       }
       proven &= !ran;
-      if (router.mayTryAgain(type, tries, proven, firstAt, until, now)) {
+      if (router.mayRetry(type, new RequestProgress(tries, proven, firstAt, until), now)) {
         send(task);
       } else {
         refused(false);
@@ -289,9 +279,9 @@
       life++;
       long now = agenda.now();
       if (open != null) {
-        router.ended(open, false, now);
-        tally.met(open, false, now - openSince, null);
-        tally.unanswered(type);
+        router.attemptEnded(open, false, now);
+        tally.attemptEnded(open, false, now - openSince, null);
+        tally.requestUnanswered(type);
       }
       boolean inTime = good && now - askedAt <= settings.latencyObjective();
       fleet.over(askedAt, inTime ? settings.priorityWeight() : 0, rejected, !answered);
--- a/src/test/java/stonespring/state/PublishedKeyCodecTest.java
+++ b/src/test/java/stonespring/state/PublishedKeyCodecTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import stonespring.model.Command;
 import stonespring.model.EndpointId;
+import stonespring.model.ProxyId;
 import stonespring.model.RequestClassId;
 import stonespring.model.RetryPolicy;
 import stonespring.model.RouteTableId;
@@ -50,6 +51,20 @@
             new ProxyChange.ExclusionChange(ENDPOINT, true)));
   }
 
+  @Test
+  void describesAnUpdateByItsKeys() {
+    ProxyUpdate update =
+        new ProxyUpdate(
+            new ProxyId(0),
+            List.of(
+                new ProxyChange.RouteChange(TABLE, ENDPOINT, 0.25),
+                new ProxyChange.ExclusionChange(ENDPOINT, false)),
+            2,
+            Optional.empty(),
+            0);
+    assertEquals("{line/3/s/1=0.25, out/s/1=null}", codec.describe(update));
+  }
+
   @Test
   void deletesTheKeysOfWhatIsRemoved() {
     assertEquals(
