--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -92,11 +92,12 @@
     return KINDS.contains(kind);
   }
 
-  /** Reads the zone of a collector. */
+  /** Reads SOURCE: the zone whose collector it is. */
   ZoneId readSource(LineMessage message) {
     return zone(new MessageFields(message));
   }
 
+  /** Reads SUBSCRIBE. The texts of its exceptions are sent to the peer. */
   Event.ProxyConnected readSubscribe(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     boolean withoutTables = fields.flag(WITHOUT_TABLES);
@@ -107,6 +108,7 @@
         withoutTables);
   }
 
+  /** Reads ACK. */
   Event.UpdateAcknowledged readAck(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     return new Event.UpdateAcknowledged(
@@ -115,6 +117,7 @@
         fields.duration(ACK_DURATION));
   }
 
+  /** Reads RATE. */
   Event.ProxyRequestRate readRate(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     RequestClassId requestClass = requestClass(fields);
@@ -126,6 +129,7 @@
         fields.interval(INTERVAL));
   }
 
+  /** Reads LOAD. */
   Event.EndpointOutcomes readLoad(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     long attempts = fields.wholeNumber(COUNT, MAX_COUNT);
@@ -219,7 +223,7 @@
     return fields.number(LOAD_FIGURES, value, MAX_LOAD_FIGURE);
   }
 
-  /** Writes an update as lines, without their ends. */
+  /** Writes an update as CONFIG lines, one for each part, without their ends. */
   List<String> write(ConfigMessage message) {
     List<String> lines = new ArrayList<>();
     for (ConfigMessage.Part part : message.parts()) {
--- a/src/test/java/stonespring/proxyapi/platform/PlatformJoiningTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformJoiningTest.java
@@ -1,5 +1,6 @@
 package stonespring.proxyapi.platform;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,6 +12,8 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 import stonespring.proxyapi.platform.PlatformApiFixture.Client;
@@ -123,4 +126,24 @@
         },
         "a reset, long before 120 MB were taken");
   }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "SUBSCRIBE id=10 site=east rps=1 new=1"
+            + "|SUBSCRIBE-field-id-names-no-proxy-of-the-settings-10",
+        "SUBSCRIBE id=3 site=mars rps=1 new=1"
+            + "|SUBSCRIBE-field-site-names-no-zone-of-the-settings-mars",
+        "SUBSCRIBE id=x site=east rps=1 new=1|SUBSCRIBE-field-id-is-not-a-whole-number-x",
+        "SUBSCRIBE id=3 site=east rps=NaN new=1"
+            + "|SUBSCRIBE-field-rps-is-not-a-number-from-0-to-1-0E7-NaN",
+        "SUBSCRIBE id=3 site=east rps=1|SUBSCRIBE-field-new-is-missing",
+        "SUBSCRIBE id=3 site=east rps=1 new=2|SUBSCRIBE-field-new-is-neither-0-nor-1-2",
+        "SUBSCRIBE id=3 id=3|SUBSCRIBE-id-comes-twice",
+        "CONFIG rows=s-1:1|no-joining-before-CONFIG"
+      })
+  void refusalsNameTheFieldAndTheProblem(String message, String reason) throws Exception {
+    assertEquals("NACK reason=" + reason, fixture.connect().send(message).receive());
+  }
 }
--- a/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
@@ -43,6 +43,14 @@
   private static final List<String> CLASSES = List.of("look", "buy", "pay/now");
   private static final int PROXIES = 4;
   private static final int STEPS = 600;
+  private static final String SETTINGS =
+      """
+            {"balancers":2,"discovery":"on_request","roundS":0.001,"zones":["west","east"],"categories":[
+            {"name":"look","repeat":"free","goalTimeS":0.4,"gain":1.0},{"name":"buy","repeat":"single_shot","goalTimeS":0.9,"gain":4.0}],
+            "familyInfo":{"levelKind":"LEVELS","backlog":3000,"perMessage":5,"reloadsMax":20,"pushRate":1500.0,"emptyForS":6.0,
+            "bootstrap":3,"proxyCount":8,"reportEveryS":0.5,"outlierAfter":3},
+            "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1},"scoringMix":{"worstClass":0.2}}"""
+          .replace("\n", "");
 
   private static Command command(SplittableRandom random) {
     RouteTableId table = new RouteTableId(random.nextInt(PROXIES));
@@ -173,15 +181,6 @@
     digests.check("published-bytes.sha256");
   }
 
-  private static final String SETTINGS =
-      """
-            {"balancers":2,"discovery":"on_request","roundS":0.001,"zones":["west","east"],"categories":[
-            {"name":"look","repeat":"free","goalTimeS":0.4,"gain":1.0},{"name":"buy","repeat":"single_shot","goalTimeS":0.9,"gain":4.0}],
-            "familyInfo":{"levelKind":"LEVELS","backlog":3000,"perMessage":5,"reloadsMax":20,"pushRate":1500.0,"emptyForS":6.0,
-            "bootstrap":3,"proxyCount":8,"reportEveryS":0.5,"outlierAfter":3},
-            "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1},"scoringMix":{"worstClass":0.2}}"""
-          .replace("\n", "");
-
   private static void addStart(List<String> messages, String settings, int step, double now) {
     StringBuilder entries = new StringBuilder();
     for (int i = 0; i < 8; i++) {
--- a/src/test/java/stonespring/proxyapi/platform/SameCommandsTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SameCommandsTest.java
@@ -55,37 +55,37 @@
     final Map<Integer, Integer[]> assigned = new LinkedHashMap<>();
 
     void apply(Command command) {
-      if (command instanceof Command.SetRoute o) {
+      if (command instanceof Command.SetRoute route) {
         TreeMap<String, Double> table =
-            tables.computeIfAbsent(o.table().number(), t -> new TreeMap<>());
-        table.remove(o.endpoint().name());
-        if (o.weight() > 0) {
-          table.put(o.endpoint().name(), o.weight());
+            tables.computeIfAbsent(route.table().number(), t -> new TreeMap<>());
+        table.remove(route.endpoint().name());
+        if (route.weight() > 0) {
+          table.put(route.endpoint().name(), route.weight());
         }
-      } else if (command instanceof Command.ClearRouteTable o) {
-        tables.remove(o.table().number());
-        limits.remove(o.table().number());
-      } else if (command instanceof Command.AssignRouteTable o) {
-        Integer[] tablesOfProxy = assigned.get(o.proxy().number());
+      } else if (command instanceof Command.ClearRouteTable clear) {
+        tables.remove(clear.table().number());
+        limits.remove(clear.table().number());
+      } else if (command instanceof Command.AssignRouteTable assignment) {
+        Integer[] tablesOfProxy = assigned.get(assignment.proxy().number());
         for (int k = 0; tablesOfProxy != null && k < tablesOfProxy.length; k++) {
-          if (masked(o.requestClassMask(), k)) {
-            tablesOfProxy[k] = o.table().number();
+          if (masked(assignment.requestClassMask(), k)) {
+            tablesOfProxy[k] = assignment.table().number();
           }
         }
-      } else if (command instanceof Command.ExcludeEndpoint o) {
-        if (o.excluded()) {
-          excluded.add(o.endpoint().name());
+      } else if (command instanceof Command.ExcludeEndpoint exclusion) {
+        if (exclusion.excluded()) {
+          excluded.add(exclusion.endpoint().name());
         } else {
-          excluded.remove(o.endpoint().name());
+          excluded.remove(exclusion.endpoint().name());
         }
-      } else if (command instanceof Command.LimitAdmission o) {
+      } else if (command instanceof Command.LimitAdmission limit) {
         Limit[] ofTable =
-            o.table().equals(Command.ALL_TABLES)
+            limit.table().equals(Command.ALL_TABLES)
                 ? limitsForAllTables
-                : limits.computeIfAbsent(o.table().number(), t -> new Limit[CLASSES.size()]);
+                : limits.computeIfAbsent(limit.table().number(), t -> new Limit[CLASSES.size()]);
         for (int k = 0; k < ofTable.length; k++) {
-          if (masked(o.requestClassMask(), k)) {
-            ofTable[k] = new Limit(o.limit(), o.retryPolicy().ordinal());
+          if (masked(limit.requestClassMask(), k)) {
+            ofTable[k] = new Limit(limit.limit(), limit.retryPolicy().ordinal());
           }
         }
       }
