--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.config.InstanceSettings;
-import stonespring.config.ScriptException;
 import stonespring.daemon.Daemon;
 
+/** Runs an instance that serves proxies by CHP. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
@@ -32,26 +32,24 @@
       description = "Where the last list is kept, instead of the script's.")
   private Path savedList;
 
-  @Mixin private Logs logs;
+  @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    logs.set();
-    InstanceSettings settings;
-    try {
-      settings = InstanceSettings.read(file);
-    } catch (ScriptException e) {
-      return Exit.fail(Exit.USAGE, "settings:\n" + e.getMessage());
-    }
-    try {
-      settings = settings.with(port, registryPort, savedList);
-    } catch (IllegalArgumentException e) {
-      return Exit.fail(Exit.USAGE, e.getMessage());
-    }
+    logging.apply();
+    InstanceSettings settings = withOptions(InputFiles.readSettings(file));
     Daemon daemon = new Daemon(settings);
     daemon.start();
     System.out.println("serving " + settings.host() + " " + daemon.port());
     System.out.flush();
-    return Running.untilTold("serve", daemon::awaitEnd, daemon::stop);
+    return ForegroundProcess.runUntilStopped("serve", daemon);
+  }
+
+  private InstanceSettings withOptions(InstanceSettings script) throws CommandFailedException {
+    try {
+      return script.with(port, registryPort, savedList);
+    } catch (IllegalArgumentException e) {
+      throw CommandFailedException.usage(e.getMessage(), e);
+    }
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/daemon/QueuedMessageHandler.java
@@ -0,0 +1,52 @@
+package stonespring.daemon;
+
+import java.util.function.Consumer;
+import stonespring.proxyapi.ProxyConnection;
+import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.state.KeySnapshot;
+import stonespring.state.ProxyAcknowledgement;
+import stonespring.state.ProxyHello;
+import stonespring.state.ProxyReport;
+
+/**
+ * Hands messages of proxies over to the thread that drives the {@link EngineHost}. A message that
+ * the thread's queue has no room for is refused, and the proxy connects again; that a connection
+ * was closed is never refused. Thread-safe.
+ */
+final class QueuedMessageHandler implements ProxyMessageHandler {
+  private final EventLoopThread loop;
+
+  QueuedMessageHandler(EventLoopThread loop) {
+    this.loop = loop;
+  }
+
+  @Override
+  public boolean hello(
+      String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection) {
+    return loop.offer(
+        (host, now) -> host.handleHello(proxy, hello, sessionTimeout, connection, now));
+  }
+
+  @Override
+  public boolean reported(String proxy, ProxyReport report, ProxyConnection connection) {
+    return loop.offer((host, now) -> host.handleReport(proxy, report, connection));
+  }
+
+  @Override
+  public boolean acknowledged(
+      String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection) {
+    return loop.offer(
+        (host, now) -> host.handleAcknowledgement(proxy, acknowledgement, connection, now));
+  }
+
+  @Override
+  public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
+    return loop.offer(
+        (host, now) -> receiver.accept(new KeySnapshot(host.snapshot(subtree), host.sequence())));
+  }
+
+  @Override
+  public void connectionClosed(ProxyConnection connection) {
+    loop.post((host, now) -> host.handleConnectionClosed(connection, now));
+  }
+}
--- a/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
@@ -15,9 +15,9 @@
   /**
    * A proxy announced itself.
    *
-   * @param lease how long the announcement holds, {@link stonespring.model.DeciMillis}
+   * @param sessionTimeout how long the announcement holds, {@link stonespring.model.DeciMillis}
    */
-  boolean hello(String proxy, ProxyHello hello, long lease, ProxyConnection connection);
+  boolean hello(String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection);
 
   /** A proxy reported what it observed. */
   boolean reported(String proxy, ProxyReport report, ProxyConnection connection);
--- a/src/main/java/stonespring/proxyapi/platform/ListedEndpoints.java
+++ b/src/main/java/stonespring/proxyapi/platform/KnownEndpoints.java
@@ -7,11 +7,11 @@
 import stonespring.model.EndpointRecord;
 
 /** The endpoints that the endpoint list named, the latest last; the oldest are forgotten. */
-final class ListedEndpoints {
+final class KnownEndpoints {
   private final int maxEndpoints;
   private final LinkedHashSet<EndpointId> endpoints = new LinkedHashSet<>();
 
-  ListedEndpoints(int maxEndpoints) {
+  KnownEndpoints(int maxEndpoints) {
     this.maxEndpoints = maxEndpoints;
   }
 
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -34,7 +34,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(PlatformProxyApi.class);
 
   /** More than a list may hold: the listed endpoints, and of the removed ones the latest. */
-  private static final int MAX_LISTED_ENDPOINTS = 60_000;
+  private static final int MAX_KNOWN_ENDPOINTS = 60_000;
 
   /** Dropped messages that are logged one by one. */
   private static final int MAX_LOGGED_DROPS = 50;
@@ -45,7 +45,7 @@
   private final TreeMap<Integer, ProxyStream> streams = new TreeMap<>();
   private final Map<ProxyId, Set<EndpointId>> excludedAtProxy = new HashMap<>();
   private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
-  private final ListedEndpoints listed = new ListedEndpoints(MAX_LISTED_ENDPOINTS);
+  private final KnownEndpoints knownEndpoints = new KnownEndpoints(MAX_KNOWN_ENDPOINTS);
   private RouteTables tables;
   private long droppedMessages;
 
@@ -138,7 +138,7 @@
     }
     Event.EndpointOutcomes outcomes = codec.readLoad(message);
     // A command for an endpoint that never existed would make proxies close their streams.
-    if (!listed.contains(outcomes.endpoint())) {
+    if (!knownEndpoints.contains(outcomes.endpoint())) {
       throw PlatformMessageCodec.unlistedEndpoint();
     }
     events.accept(outcomes);
@@ -187,7 +187,7 @@
 
   /** The endpoint list changed: reports about its endpoints are accepted from now on. */
   public void endpointListUpdated(Event.EndpointListUpdate update) {
-    for (EndpointId forgotten : listed.add(update.endpoints())) {
+    for (EndpointId forgotten : knownEndpoints.add(update.endpoints())) {
       excludedAtProxy.values().forEach(excluded -> excluded.remove(forgotten));
       tables.forget(forgotten);
     }
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -86,7 +86,7 @@
   // ---- Its assigner.
 
   void join(EngineHost core) {
-    core.hello(
+    core.handleHello(
         proxy.name(),
         new ProxyHello(
             "life",
@@ -121,7 +121,7 @@
         bareSince = empty ? agenda.now() : -1;
       }
       if (message.ackId() >= 0) {
-        core.acknowledged(
+        core.handleAcknowledgement(
             proxy.name(),
             new ProxyAcknowledgement(message.stream(), new AckId(message.ackId()), fleet.away()),
             this,
