--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -1,10 +1,6 @@
 package stonespring.cli;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.file.Path;
-import java.util.Locale;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -35,7 +31,7 @@
   private long seed;
 
   @Option(names = "--json", description = "The whole plan, with every table, as JSON.")
-  private boolean asJson;
+  private boolean json;
 
   @Override
   public Integer call() throws Exception {
@@ -53,46 +49,8 @@
       throw CommandFailedException.failed(
           "solve: no plan yet at " + atSeconds + " s: the first comes after five rounds of sums");
     }
-    String name = recording.head().name();
-    System.out.print(asJson ? json(name, atSeconds, plan) : table(name, atSeconds, plan));
+    PlanReport report = new PlanReport(recording.head().name(), atSeconds, plan);
+    System.out.print(json ? report.toJson() : report.toTable());
     return ExitCode.OK;
   }
-
-  private static String json(String name, double atSeconds, Plan plan)
-      throws JsonProcessingException {
-    Map<String, Object> fields =
-        Map.of("recording", name, "at_s", atSeconds, "plan", plan, "gap", plan.gap());
-    return new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(fields)
-        + System.lineSeparator();
-  }
-
-  private static String table(String name, double atSeconds, Plan plan) {
-    StringBuilder out = new StringBuilder();
-    out.append(String.format("%s at %.1f s, simulated tasks%n", name, atSeconds));
-    out.append(
-        String.format(
-            "ops lost a second %.2f, at least %.2f whatever is done (%.1f%% over); %.1f ops find no task%n",
-            plan.cost(), plan.lowerBound(), 100 * plan.gap(), plan.unplaced()));
-    out.append(
-        String.format(
-            "%d tables, %d new lines, %d lines changed%n%n",
-            plan.tables().size(), plan.newLines(), plan.changed()));
-    out.append(
-        String.format(
-            "%-24s %9s %8s %8s %6s %9s  %s%n",
-            "task", "trusted", "gets", "target", "fill", "price", "why"));
-    for (Plan.Share share : plan.shares()) {
-      out.append(
-          String.format(
-              "%-24s %9.1f %8.1f %8.1f %5.0f%% %9.4f  %s%n",
-              share.task().name(),
-              share.capacity(),
-              share.load(),
-              share.target(),
-              100 * share.load() / share.capacity(),
-              share.price(),
-              share.why().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
-    }
-    return out.toString();
-  }
 }
--- a/src/test/java/stonespring/cli/CommandsTest.java
+++ b/src/test/java/stonespring/cli/CommandsTest.java
@@ -3,12 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -135,9 +139,39 @@
     assertEquals(0, Commands.run("solve", file), error());
     assertTrue(printed().contains(" simulated tasks"), printed());
     out.reset();
-    assertEquals(0, Commands.run("solve", file, "--json"), error());
-    assertTrue(printed().startsWith("{") && printed().endsWith("}" + System.lineSeparator()));
     assertEquals(2, Commands.run("solve", file, "--at", "-1"));
     assertTrue(error().contains("solve: --at is outside 0 to "), error());
   }
+
+  private static List<String> fields(JsonNode node) {
+    List<String> names = new ArrayList<>();
+    node.fieldNames().forEachRemaining(names::add);
+    return names;
+  }
+
+  /** Field names of the plan are stable, whatever its classes are called. */
+  @Test
+  void printsThePlanAsJsonWithStableFields() throws Exception {
+    String file = folder.resolve("load.rec.gz").toString();
+    assertEquals(0, Commands.run("load", "quiet", file, "--tasks", "4", "--proxies", "3"));
+    assertEquals(0, Commands.run("solve", file, "--json"), error());
+    assertTrue(printed().startsWith("{") && printed().endsWith("}" + System.lineSeparator()));
+    JsonNode report = new ObjectMapper().readTree(printed());
+    assertEquals(Set.of("recording", "at_s", "plan", "gap"), Set.copyOf(fields(report)));
+    JsonNode plan = report.path("plan");
+    assertEquals(
+        List.of("tables", "shares", "cost", "lowerBound", "unplaced", "newLines", "changed"),
+        fields(plan));
+    JsonNode table = plan.path("tables").path(0);
+    assertEquals(List.of("proxy", "lines"), fields(table));
+    assertEquals(List.of("number"), fields(table.path("proxy")));
+    JsonNode line = table.path("lines").path(0);
+    assertEquals(List.of("task", "weight", "byOpType"), fields(line));
+    assertEquals(List.of("name"), fields(line.path("task")));
+    JsonNode share = plan.path("shares").path(0);
+    assertEquals(
+        List.of("task", "capacity", "load", "target", "price", "why", "unmet"), fields(share));
+    assertTrue(
+        Set.of("BALANCED", "COLD_CAP", "UNFIT", "FEW_LINES").contains(share.path("why").asText()));
+  }
 }
