--- a/src/main/java/stonespring/cli/EndpointCommand.java
+++ b/src/main/java/stonespring/cli/EndpointCommand.java
@@ -43,7 +43,7 @@
   private double workMillis;
 
   @Option(names = "--cold", description = "It starts cold, and warms within 10 s.")
-  private boolean cold;
+  private boolean warmingUp;
 
   @Mixin private LoggingOptions logging;
 
@@ -57,7 +57,12 @@
       System.out.println(
           "task "
               + StandIns.task(
-                  "m" + (i + 1), zones.get(i % zones.size()), port + i, cores, workMillis, cold));
+                  "m" + (i + 1),
+                  zones.get(i % zones.size()),
+                  port + i,
+                  cores,
+                  workMillis,
+                  warmingUp));
     }
     return ForegroundProcess.runUntilKilled();
   }
