--- /dev/null
+++ b/src/test/java/stonespring/cli/LoggingOptionsTest.java
@@ -0,0 +1,55 @@
+package stonespring.cli;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import ch.qos.logback.classic.Level;
+import ch.qos.logback.classic.Logger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.slf4j.LoggerFactory;
+import picocli.CommandLine;
+import stonespring.daemon.EngineHost;
+import stonespring.proxyapi.platform.PlatformProxyApi;
+
+/** What the options of logging set. */
+final class LoggingOptionsTest {
+  private final Logger root = logger(Logger.ROOT_LOGGER_NAME);
+  private final Level rootLevel = root.getLevel();
+  private final Logger host = logger(EngineHost.class.getName());
+  private final Logger platform = logger(PlatformProxyApi.class.getName());
+
+  private static Logger logger(String name) {
+    return (Logger) LoggerFactory.getLogger(name);
+  }
+
+  @AfterEach
+  void restoreLevels() {
+    root.setLevel(rootLevel);
+    host.setLevel(null);
+    platform.setLevel(null);
+  }
+
+  private static void apply(String... arguments) {
+    LoggingOptions options = new LoggingOptions();
+    new CommandLine(options).parseArgs(arguments);
+    options.apply();
+  }
+
+  @Test
+  void logsCommandsOfBothProtocolsOnRequestOnly() {
+    apply();
+    assertFalse(host.isDebugEnabled());
+    assertFalse(platform.isDebugEnabled());
+    apply("--log-orders");
+    assertTrue(host.isDebugEnabled());
+    assertTrue(platform.isDebugEnabled());
+  }
+
+  @Test
+  void logsWarningsOnlyWhenQuiet() {
+    apply("--quiet");
+    assertTrue(host.isWarnEnabled());
+    assertFalse(host.isInfoEnabled());
+  }
+}
