--- a/src/main/java/stonespring/config/script/BuiltinFunction.java
+++ b/src/main/java/stonespring/config/script/Builtin.java
@@ -1,4 +1,4 @@
 package stonespring.config.script;
 
 /** A function of the language as a value; {@link BuiltinFunctions} has what it does. */
-record BuiltinFunction(String name) {}
+record Builtin(String name) {}
--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -67,7 +67,7 @@
       return scope.globals().get(name);
     }
     if (BuiltinFunctions.names().contains(name)) {
-      return new BuiltinFunction(name);
+      return new Builtin(name);
     }
     Set<String> known = new HashSet<>(scope.locals().keySet());
     known.addAll(scope.globals().keySet());
--- a/src/main/java/stonespring/config/script/FunctionCaller.java
+++ b/src/main/java/stonespring/config/script/FunctionCaller.java
@@ -29,7 +29,7 @@
       Object function,
       List<Object> positional,
       Map<String, Object> named) {
-    if (function instanceof BuiltinFunction builtin) {
+    if (function instanceof Builtin builtin) {
       if (!named.isEmpty()) {
         throw new EvaluationException(location, builtin.name() + " takes no named arguments");
       }
