--- /dev/null
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -0,0 +1,149 @@
+package stonespring.simulator;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import stonespring.model.DeciMillis;
+import stonespring.simulator.WireNames.Batch;
+
+/**
+ * Reads one line of input. It is parsed as a stream, so that one message at a time is in memory.
+ */
+final class BatchReader {
+  private static final long UNSET = -1;
+
+  /** Takes the messages of a batch, in their order. */
+  interface MessageHandler {
+    /**
+     * Takes a message.
+     *
+     * @param now the batch's time, {@link DeciMillis}
+     * @param instance the number of the instance that the message is for
+     */
+    void handle(long now, int instance, SimulatorMessage message);
+  }
+
+  private final ObjectMapper mapper;
+  private final MessageHandler handler;
+  private long now = UNSET;
+  private long sequence = UNSET;
+
+  BatchReader(ObjectMapper mapper, MessageHandler handler) {
+    this.mapper = mapper;
+    this.handler = handler;
+  }
+
+  /** The time of the batch read last, {@link DeciMillis}. */
+  long now() {
+    return now;
+  }
+
+  /** The sequence number of the batch read last. */
+  long sequence() {
+    return sequence;
+  }
+
+  /**
+   * Reads a batch.
+   *
+   * @throws SimulatorProtocolException if the line breaks the wire's form
+   */
+  void read(String line) throws IOException {
+    now = UNSET;
+    sequence = UNSET;
+    try (JsonParser json = mapper.createParser(line)) {
+      expect(json.nextToken(), JsonToken.START_OBJECT, "the batch");
+      boolean hasParts = readFields(json);
+      if (now < 0 || sequence < 0 || !hasParts) {
+        throw new SimulatorProtocolException(
+            "the batch lacks one of its fields '"
+                + Batch.TIME_SECONDS
+                + "', '"
+                + Batch.SEQUENCE
+                + "' and '"
+                + Batch.PARTS
+                + "'");
+      }
+      expect(json.currentToken(), JsonToken.END_OBJECT, "the batch");
+      if (json.nextToken() != null) {
+        throw new SimulatorProtocolException("a line holds more than one value");
+      }
+    }
+  }
+
+  /** Reads the fields of the batch; whether its parts are among them. */
+  private boolean readFields(JsonParser json) throws IOException {
+    boolean hasParts = false;
+    while (json.nextToken() == JsonToken.FIELD_NAME) {
+      String field = json.currentName();
+      json.nextToken();
+      switch (field) {
+        case Batch.TIME_SECONDS -> now = DeciMillis.ofSeconds(number(json, field).asDouble());
+        case Batch.SEQUENCE -> sequence = number(json, field).asLong();
+        case Batch.PARTS -> {
+          hasParts = true;
+          readParts(json);
+        }
+        default -> json.skipChildren();
+      }
+    }
+    return hasParts;
+  }
+
+  private void readParts(JsonParser json) throws IOException {
+    if (now < 0) {
+      throw new SimulatorProtocolException(
+          "the batch's field '"
+              + Batch.TIME_SECONDS
+              + "' is missing or stands after '"
+              + Batch.PARTS
+              + "'");
+    }
+    expect(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.PARTS + "'");
+    while (json.nextToken() != JsonToken.END_ARRAY) {
+      expect(json.currentToken(), JsonToken.START_OBJECT, "an element of '" + Batch.PARTS + "'");
+      readPart(json);
+    }
+  }
+
+  private void readPart(JsonParser json) throws IOException {
+    int instance = (int) UNSET;
+    while (json.nextToken() == JsonToken.FIELD_NAME) {
+      String field = json.currentName();
+      json.nextToken();
+      switch (field) {
+        case Batch.INSTANCE -> instance = number(json, field).asInt();
+        case Batch.MESSAGES -> readMessages(json, instance);
+        default -> json.skipChildren();
+      }
+    }
+  }
+
+  private void readMessages(JsonParser json, int instance) throws IOException {
+    if (instance < 0) {
+      throw new SimulatorProtocolException(
+          "field '" + Batch.INSTANCE + "' is missing or stands after '" + Batch.MESSAGES + "'");
+    }
+    expect(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.MESSAGES + "'");
+    while (json.nextToken() != JsonToken.END_ARRAY) {
+      JsonNode array = json.readValueAsTree();
+      handler.handle(now, instance, SimulatorMessage.of(array));
+    }
+  }
+
+  private static JsonNode number(JsonParser json, String field) throws IOException {
+    JsonNode value = json.readValueAsTree();
+    if (!value.isNumber()) {
+      throw new SimulatorProtocolException("field '" + field + "' is not a number: " + value);
+    }
+    return value;
+  }
+
+  private static void expect(JsonToken found, JsonToken expected, String place) {
+    if (found != expected) {
+      throw new SimulatorProtocolException(place + " is not well-formed: " + found);
+    }
+  }
+}
--- a/src/main/java/stonespring/simulator/CommandWriter.java
+++ b/src/main/java/stonespring/simulator/CommandWriter.java
@@ -5,77 +5,94 @@
 import java.util.HexFormat;
 import stonespring.model.Command;
 import stonespring.model.DeciMillis;
-import stonespring.model.EndpointId;
+import stonespring.simulator.WireNames.CommandName;
 
-/** Writes orders as the wire's actions. */
+/** Writes commands as arrays of a name and of values by position. */
 final class CommandWriter {
   private static final HexFormat HEX = HexFormat.of();
-  private final JsonGenerator out;
+  private final JsonGenerator json;
 
-  CommandWriter(JsonGenerator out) {
-    this.out = out;
+  CommandWriter(JsonGenerator json) {
+    this.json = json;
   }
 
-  void write(Command order) throws IOException {
-    out.writeStartArray();
-    if (order instanceof Command.StartTimer o) {
-      out.writeString("defer");
-      out.writeNumber(DeciMillis.toSeconds(o.delay()));
-      out.writeNumber(o.token().value());
-    } else if (order instanceof Command.FetchEndpoints) {
-      out.writeString("fetch");
-    } else if (order instanceof Command.WatchEndpoints o) {
-      out.writeString("follow");
-      out.writeBoolean(o.enabled());
-    } else if (order instanceof Command.SetRoute o) {
-      out.writeString("setLine");
-      out.writeNumber(o.weight());
-      task(o.endpoint());
-      out.writeNumber(o.table().number());
-    } else if (order instanceof Command.ClearRouteTable o) {
-      out.writeString("blank");
-      out.writeNumber(o.table().number());
-    } else if (order instanceof Command.AssignRouteTable o) {
-      out.writeString("pin");
-      out.writeNumber(o.table().number());
-      out.writeNumber(o.proxy().number());
-      out.writeNumber(o.requestClassMask());
-    } else if (order instanceof Command.ExcludeEndpoint o) {
-      out.writeString("pull");
-      task(o.endpoint());
-      out.writeBoolean(o.excluded());
-    } else if (order instanceof Command.LimitAdmission o) {
-      out.writeString("valve");
-      out.writeNumber(o.requestClassMask());
-      out.writeNumber(o.retryPolicy().ordinal());
-      out.writeNumber(o.table().number());
-      out.writeNumber(o.limit());
-    } else if (order instanceof Command.RequestAck o) {
-      out.writeString("barrier");
-      out.writeNumber(o.ack().number());
-      out.writeBoolean(o.everyProxy());
-    } else if (order instanceof Command.HealthCheck o) {
-      out.writeString("askLoad");
-      task(o.endpoint());
-    } else if (order instanceof Command.SendToPeer o) {
-      out.writeString("writePeer");
-      out.writeNumber(o.peer().number());
-      out.writeString(HEX.formatHex(o.bytes()));
-    } else if (order instanceof Command.Log o) {
-      out.writeString("trace");
-      out.writeString(o.text());
+  void write(Command command) throws IOException {
+    json.writeStartArray();
+    if (command instanceof Command.SetRoute route) {
+      writeSetRoute(route);
+    } else if (command instanceof Command.ClearRouteTable clear) {
+      json.writeString(CommandName.CLEAR_ROUTE_TABLE);
+      json.writeNumber(clear.table().number());
+    } else if (command instanceof Command.AssignRouteTable assignment) {
+      writeAssignRouteTable(assignment);
+    } else if (command instanceof Command.ExcludeEndpoint exclusion) {
+      json.writeString(CommandName.EXCLUDE_ENDPOINT);
+      json.writeString(exclusion.endpoint().name());
+      json.writeBoolean(exclusion.excluded());
+    } else if (command instanceof Command.LimitAdmission limit) {
+      writeLimitAdmission(limit);
+    } else if (command instanceof Command.RequestAck request) {
+      json.writeString(CommandName.REQUEST_ACK);
+      json.writeNumber(request.ack().number());
+      json.writeBoolean(request.everyProxy());
+    } else {
+      writeToOthersThanProxies(command);
     }
-    out.writeEndArray();
+    json.writeEndArray();
   }
 
-  void writeFatal(String text) throws IOException {
-    out.writeStartArray();
-    out.writeString("fatal");
-    out.writeString(text);
-    out.writeEndArray();
+  /** Writes the commands that change nothing at the proxies. */
+  private void writeToOthersThanProxies(Command command) throws IOException {
+    if (command instanceof Command.StartTimer timer) {
+      json.writeString(CommandName.START_TIMER);
+      json.writeNumber(DeciMillis.toSeconds(timer.delay()));
+      json.writeNumber(timer.token().value());
+    } else if (command instanceof Command.FetchEndpoints) {
+      json.writeString(CommandName.FETCH_ENDPOINTS);
+    } else if (command instanceof Command.WatchEndpoints watch) {
+      json.writeString(CommandName.WATCH_ENDPOINTS);
+      json.writeBoolean(watch.enabled());
+    } else if (command instanceof Command.HealthCheck healthCheck) {
+      json.writeString(CommandName.HEALTH_CHECK);
+      json.writeString(healthCheck.endpoint().name());
+    } else if (command instanceof Command.SendToPeer message) {
+      json.writeString(CommandName.SEND_TO_PEER);
+      json.writeNumber(message.peer().number());
+      json.writeString(HEX.formatHex(message.bytes()));
+    } else if (command instanceof Command.Log log) {
+      json.writeString(CommandName.LOG);
+      json.writeString(log.text());
+    }
+  }
+
+  private void writeSetRoute(Command.SetRoute route) throws IOException {
+    json.writeString(CommandName.SET_ROUTE);
+    json.writeNumber(route.weight());
+    json.writeString(route.endpoint().name());
+    json.writeNumber(route.table().number());
+  }
+
+  private void writeAssignRouteTable(Command.AssignRouteTable assignment) throws IOException {
+    json.writeString(CommandName.ASSIGN_ROUTE_TABLE);
+    json.writeNumber(assignment.table().number());
+    json.writeNumber(assignment.proxy().number());
+    json.writeNumber(assignment.requestClassMask());
+  }
+
+  private void writeLimitAdmission(Command.LimitAdmission limit) throws IOException {
+    json.writeString(CommandName.LIMIT_ADMISSION);
+    json.writeNumber(limit.requestClassMask());
+    // The wire numbers the policies in the order of the enum.
+    json.writeNumber(limit.retryPolicy().ordinal());
+    json.writeNumber(limit.table().number());
+    json.writeNumber(limit.limit());
   }
 
-  private void task(EndpointId task) throws IOException {
-    out.writeString(task.name());
+  /** Writes that the instance's engine failed. */
+  void writeFailure(String text) throws IOException {
+    json.writeStartArray();
+    json.writeString(CommandName.FAILURE);
+    json.writeString(text);
+    json.writeEndArray();
   }
 }
--- a/src/main/java/stonespring/simulator/SimulatorMessage.java
+++ b/src/main/java/stonespring/simulator/SimulatorMessage.java
@@ -3,71 +3,102 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import stonespring.model.DeciMillis;
 
-/** One message's values by position, with plain complaints that name the message and the field. */
+/**
+ * One message of the simulator: an array of a name and of values by position. What can't be read is
+ * a {@link SimulatorProtocolException} that names message and field.
+ */
 final class SimulatorMessage {
+  /** The greatest number of a proxy, instance, table or acknowledgement. */
+  private static final int MAX_ID = 65_535;
+
   private final String name;
-  private final JsonNode values;
-  private final int first;
+  private final JsonNode array;
+  private final int firstValue;
 
-  SimulatorMessage(String name, JsonNode values, int first) {
+  private SimulatorMessage(String name, JsonNode array, int firstValue) {
     this.name = name;
-    this.values = values;
-    this.first = first;
+    this.array = array;
+    this.firstValue = firstValue;
+  }
+
+  /** A message as it stands on the wire, with its name first. */
+  static SimulatorMessage of(JsonNode array) {
+    if (!array.isArray() || array.isEmpty() || !array.get(0).isTextual()) {
+      throw new SimulatorProtocolException(
+          "field '"
+              + WireNames.Batch.MESSAGES
+              + "' holds a message that does not start with a name: "
+              + array);
+    }
+    return new SimulatorMessage(array.get(0).asText(), array, 1);
+  }
+
+  /** An entry of an endpoint list, which has no name of its own. */
+  static SimulatorMessage ofListEntry(JsonNode array) {
+    return new SimulatorMessage(WireNames.Message.ENDPOINT_LIST, array, 0);
+  }
+
+  String name() {
+    return name;
   }
 
-  JsonNode at(int position, String field) {
-    JsonNode value = values.get(first + position);
+  JsonNode value(int position, String field) {
+    JsonNode value = array.get(firstValue + position);
     if (value == null) {
-      throw bad(field, "is missing");
+      throw invalid(field, "is missing");
     }
     return value;
   }
 
-  long whole(int position, String field) {
-    JsonNode value = at(position, field);
+  /** A whole number that is not negative. */
+  long wholeNumber(int position, String field) {
+    JsonNode value = value(position, field);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
-      throw bad(field, "is not a whole number: " + value);
+      throw invalid(field, "is not a whole number: " + value);
     }
     return value.asLong();
   }
 
-  int small(int position, String field) {
-    long value = whole(position, field);
-    if (value > 65535) {
-      throw bad(field, "is above 65535: " + value);
+  /** A whole number from 0 to {@link #MAX_ID}. */
+  int id(int position, String field) {
+    long value = wholeNumber(position, field);
+    if (value > MAX_ID) {
+      throw invalid(field, "is above " + MAX_ID + ": " + value);
     }
     return (int) value;
   }
 
   double number(int position, String field) {
-    JsonNode value = at(position, field);
+    JsonNode value = value(position, field);
     if (!value.isNumber()) {
-      throw bad(field, "is not a number: " + value);
+      throw invalid(field, "is not a number: " + value);
     }
     return value.asDouble();
   }
 
-  long time(int position, String field) {
+  /** Seconds as {@link DeciMillis}, rounded down. */
+  long duration(int position, String field) {
     return DeciMillis.ofSeconds(number(position, field));
   }
 
   String text(int position, String field) {
-    JsonNode value = at(position, field);
+    JsonNode value = value(position, field);
     if (!value.isTextual()) {
-      throw bad(field, "is not a text: " + value);
+      throw invalid(field, "is not a text: " + value);
     }
     return value.asText();
   }
 
-  boolean flag(int position, String field) {
-    JsonNode value = at(position, field);
+  boolean bool(int position, String field) {
+    JsonNode value = value(position, field);
     if (!value.isBoolean()) {
-      throw bad(field, "is neither true nor false: " + value);
+      throw invalid(field, "is neither true nor false: " + value);
     }
     return value.asBoolean();
   }
 
-  SimulatorProtocolException bad(String field, String what) {
-    return new SimulatorProtocolException("message '" + name + "': field '" + field + "' " + what);
+  SimulatorProtocolException invalid(String field, String problem) {
+    return new SimulatorProtocolException(
+        "message '" + name + "': field '" + field + "' " + problem);
   }
 }
--- a/src/main/java/stonespring/simulator/SimulatorProtocolException.java
+++ b/src/main/java/stonespring/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
 package stonespring.simulator;
 
-/** Input that breaks the wire's form; the text names the message and the field. */
+/** Input or a command that breaks the wire's form; the text names the message and the field. */
 public final class SimulatorProtocolException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  public SimulatorProtocolException(String text) {
-    super(text);
+  public SimulatorProtocolException(String message) {
+    super(message);
   }
 }
