--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -9,6 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import stonespring.recording.InvalidRecordingException;
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
 import stonespring.testbed.virtual.Charts;
@@ -55,7 +56,7 @@
       for (Path file : files) {
         loads.add(RecordingFile.read(file));
       }
-    } catch (RecordingFile.Bad e) {
+    } catch (InvalidRecordingException e) {
       return Exit.fail(Exit.USAGE, "compare: " + e.getMessage());
     }
     List<Comparison.Row> rows = Comparison.of(loads, policies, seeds);
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -8,6 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.model.DeciMillis;
+import stonespring.recording.InvalidRecordingException;
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
 import stonespring.solver.Plan;
@@ -41,10 +42,10 @@
     Recording recording;
     try {
       recording = RecordingFile.read(file);
-    } catch (RecordingFile.Bad e) {
+    } catch (InvalidRecordingException e) {
       return Exit.fail(Exit.USAGE, "solve: " + e.getMessage());
     }
-    double end = recording.head().length() / (double) DeciMillis.SECOND;
+    double end = recording.head().duration() / (double) DeciMillis.SECOND;
     if (at != null && !(at >= 0 && at <= end)) {
       return Exit.fail(Exit.USAGE, "solve: --at is outside 0 to " + end);
     }
--- a/src/main/java/stonespring/recording/LoadSample.java
+++ b/src/main/java/stonespring/recording/LoadSample.java
@@ -2,31 +2,48 @@
 
 import stonespring.model.EndpointRecord;
 
-/** Something that happened on a recorded day; times in tenths of a millisecond since its start. */
+/**
+ * Something that happened on a recorded day. Times are in {@link stonespring.model.DeciMillis}
+ * since the day's start; zones and proxies are positions in the recording's head.
+ */
 public sealed interface LoadSample {
+  /** When it happened. */
   long at();
 
-  /** Ops that came to a proxy since the head's {@code every} before, by op type. */
-  record Came(long at, int proxy, int[] ops) implements LoadSample {}
+  /**
+   * Requests that arrived at a proxy within the recording's sample interval before.
+   *
+   * @param requests by request class
+   */
+  record Arrivals(long at, int proxy, int[] requests) implements LoadSample {}
 
   /**
-   * What the list told of a task; {@code startedAt} as {@link EndpointRecord} has it, on the
-   * recording's own clock.
+   * An update of the endpoint list.
+   *
+   * @param startedAt as {@link EndpointRecord} has it, on the recording's clock
    */
-  record Listed(
-      long at, String task, int zone, double weight, EndpointRecord.State state, long startedAt)
+  record EndpointListed(
+      long at, String endpoint, int zone, double weight, EndpointRecord.State state, long startedAt)
       implements LoadSample {}
 
   /**
-   * A task's process started, cold or warm, with these cores at this speed (1 is usual), or died: 0
-   * cores.
+   * An endpoint's process started or died.
+   *
+   * @param cores 0 if it died
+   * @param speed relative to a usual core
+   * @param warmingUp whether it has its whole capacity only after a while
    */
-  record Ran(long at, String task, int zone, int cores, double speed, boolean cold)
+  record ProcessChanged(
+      long at, String endpoint, int zone, int cores, double speed, boolean warmingUp)
       implements LoadSample {}
 
-  /** From here a task tells so many times the capacity that it has; 1 is the truth. */
-  record Claimed(long at, String task, double times) implements LoadSample {}
+  /**
+   * From here an endpoint reports a multiple of the capacity that it has.
+   *
+   * @param multiple 1 for a true report
+   */
+  record CapacityClaimed(long at, String endpoint, double multiple) implements LoadSample {}
 
-  /** From here sums come so much later than usual. */
-  record Late(long at, long by) implements LoadSample {}
+  /** From here proxies' reports arrive so much later than usual. */
+  record ReportsDelayed(long at, long delay) implements LoadSample {}
 }
--- a/src/main/java/stonespring/recording/Recording.java
+++ b/src/main/java/stonespring/recording/Recording.java
@@ -4,37 +4,46 @@
 import stonespring.model.Settings;
 
 /**
- * A recorded day. What was decided on it is no part: the same load can be played with any
- * decisions.
+ * The recorded load of a day. What was decided on that day is no part of it.
  *
- * @param moments in the order of their times
+ * @param samples in the order of their times
  */
-public record Recording(Head head, List<LoadSample> moments) {
+public record Recording(Head head, List<LoadSample> samples) {
+  /** The version of the file format that is written and read. */
+  public static final int VERSION = 1;
+
   /**
-   * What holds all day. Times in tenths of a millisecond.
+   * What holds all day. Times are in {@link stonespring.model.DeciMillis}.
    *
-   * @param version of the format; this code writes and reads {@link #VERSION}
-   * @param every the span over which ops that came are counted together
-   * @param length of the day
+   * @param version of the file format
+   * @param zones the zones' names, by position
+   * @param sampleInterval the time over which arrivals are counted together
+   * @param duration length of the day
    */
   public record Head(
       int version,
       String name,
       Settings settings,
       List<String> zones,
-      List<Type> types,
-      List<Proxy> proxies,
-      long every,
-      long length) {}
+      List<RequestClassInfo> requestClasses,
+      List<ProxyInfo> proxies,
+      long sampleInterval,
+      long duration) {}
 
   /**
-   * An op type besides what the settings say of it: its name, when clients give up, its work on a
-   * usual core.
+   * What the settings do not say of a request class. Times are in {@link
+   * stonespring.model.DeciMillis}.
+   *
+   * @param timeout when clients give up
+   * @param serviceTime of a request on a usual core
    */
-  public record Type(String name, long opTimeout, long work) {}
-
-  /** A proxy: its zone by position, and what it usually gets, ops a second. */
-  public record Proxy(String name, int zone, double usualOps) {}
+  public record RequestClassInfo(String name, long timeout, long serviceTime) {}
 
-  public static final int VERSION = 1;
+  /**
+   * A proxy.
+   *
+   * @param zone by position
+   * @param requestsPerSecond what it usually receives
+   */
+  public record ProxyInfo(String name, int zone, double requestsPerSecond) {}
 }
--- /dev/null
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -0,0 +1,138 @@
+package stonespring.recording;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import stonespring.model.DeciMillis;
+
+/** Reads the lines of one recording: the head, then the samples. */
+final class RecordingReader {
+  /** The longest day and the latest time of a sample, {@link DeciMillis}. */
+  static final long MAX_DURATION = 24 * 3600 * DeciMillis.SECOND;
+
+  /** Enough for most of an hour of 800 proxies that are sampled every second. */
+  private static final int MAX_SAMPLES = 5_000_000;
+
+  /** In characters; the head names every proxy. */
+  private static final int MAX_LINE_LENGTH = 4 << 20;
+
+  private static final double MAX_REQUESTS_PER_SECOND = 1e9;
+
+  private final ObjectMapper mapper;
+  private final ReadPosition position;
+
+  RecordingReader(ObjectMapper mapper, Path file) {
+    this.mapper = mapper;
+    this.position = new ReadPosition(file);
+  }
+
+  Recording read(BufferedReader in) throws IOException {
+    String firstLine = readLine(in);
+    Recording.Head head = readHead(firstLine == null ? "" : firstLine);
+    SampleReader sampleReader = new SampleReader(head, position);
+    List<LoadSample> samples = new ArrayList<>();
+    long last = 0;
+    for (String line = readLine(in); line != null; line = readLine(in)) {
+      position.nextLine();
+      position.check(samples.size() < MAX_SAMPLES, "more than " + MAX_SAMPLES + " moments");
+      LoadSample sample = sampleReader.read(parseSample(line));
+      position.check(sample.at() >= last, "at: goes back to " + sample.at());
+      last = sample.at();
+      samples.add(sample);
+    }
+    return new Recording(head, samples);
+  }
+
+  /** A line without its end, of bounded length; null at the end of the file. */
+  private String readLine(BufferedReader in) throws IOException {
+    StringBuilder line = new StringBuilder();
+    int next = in.read();
+    if (next < 0) {
+      return null;
+    }
+    while (next >= 0 && next != '\n') {
+      if (line.length() == MAX_LINE_LENGTH) {
+        throw position.error("is longer than " + MAX_LINE_LENGTH + " characters");
+      }
+      line.append((char) next);
+      next = in.read();
+    }
+    return line.toString();
+  }
+
+  private JsonNode parseSample(String line) throws InvalidRecordingException {
+    try {
+      return mapper.readTree(line);
+    } catch (JsonProcessingException e) {
+      throw position.error("no JSON");
+    }
+  }
+
+  private Recording.Head readHead(String line) throws InvalidRecordingException {
+    Recording.Head head;
+    try {
+      checkVersion(mapper.readTree(line).path("version").asInt(-1));
+      head = mapper.readValue(line, StoredHead.class).toHead();
+    } catch (JsonProcessingException e) {
+      throw position.error(e.getOriginalMessage().lines().findFirst().orElse("no head"));
+    }
+    checkSizes(head);
+    checkProxies(head);
+    checkRequestClasses(head);
+    return head;
+  }
+
+  private void checkVersion(int version) throws InvalidRecordingException {
+    position.check(version >= 0, "version: missing");
+    position.check(
+        version == Recording.VERSION,
+        "version: " + version + ", this program reads " + Recording.VERSION);
+  }
+
+  private void checkSizes(Recording.Head head) throws InvalidRecordingException {
+    int zones = head.settings().fleet().zones();
+    position.check(
+        head.zones().size() == zones,
+        "zones: " + head.zones().size() + ", the settings have " + zones);
+    int requestClasses = head.settings().requestClasses().size();
+    position.check(
+        head.requestClasses().size() == requestClasses && !head.requestClasses().isEmpty(),
+        "types: " + head.requestClasses().size() + ", the settings have " + requestClasses);
+    position.check(
+        head.sampleInterval() > 0 && head.duration() > 0 && head.duration() <= MAX_DURATION,
+        "every, length: " + head.sampleInterval() + ", " + head.duration());
+  }
+
+  private void checkProxies(Recording.Head head) throws InvalidRecordingException {
+    Set<String> names = new HashSet<>();
+    for (Recording.ProxyInfo proxy : head.proxies()) {
+      String problem = "proxies: " + proxy.name();
+      position.check(names.add(proxy.name()), problem + " comes twice");
+      position.check(
+          proxy.zone() >= 0 && proxy.zone() < head.zones().size(),
+          problem + " is in zone " + proxy.zone());
+      double rate = proxy.requestsPerSecond();
+      position.check(rate >= 0 && rate < MAX_REQUESTS_PER_SECOND, problem + " gets " + rate);
+    }
+  }
+
+  private void checkRequestClasses(Recording.Head head) throws InvalidRecordingException {
+    for (Recording.RequestClassInfo requestClass : head.requestClasses()) {
+      position.check(
+          requestClass.serviceTime() > 0 && requestClass.timeout() > 0,
+          "types: "
+              + requestClass.name()
+              + ": work "
+              + requestClass.serviceTime()
+              + ", op timeout "
+              + requestClass.timeout());
+    }
+  }
+}
--- a/src/main/java/stonespring/recording/StoredHead.java
+++ b/src/main/java/stonespring/recording/StoredHead.java
@@ -1,124 +1,40 @@
 package stonespring.recording;
 
 import java.util.List;
-import stonespring.model.AdmissionLimitKind;
-import stonespring.model.RequestClass;
-import stonespring.model.RetrySafety;
-import stonespring.model.Settings;
 
 /**
- * A recording's head in the form that files have: its names and their order are the file format, so
- * that renames elsewhere leave files readable.
+ * A recording's head as files have it: the names and their order are the file format and do not
+ * follow renames of the code.
  */
 record StoredHead(
     int version,
     String name,
     StoredSettings settings,
     List<String> zones,
-    List<Recording.Type> types,
-    List<Recording.Proxy> proxies,
+    List<StoredType> types,
+    List<StoredProxy> proxies,
     long every,
     long length) {
 
-  /** A request class's word for the safety of a retry. */
-  enum StoredRepeat {
-    RETRYABLE,
-    DEDUPLICATED,
-    ONCE_ONLY
-  }
-
-  /** The word for the kind of admission limits. */
-  enum StoredLevelKind {
-    NONE,
-    SHARE,
-    RATE
-  }
-
-  record StoredClass(StoredRepeat repeat, long targetLatency, double benefit) {}
-
-  record StoredSettings(
-      int assigners,
-      int zones,
-      List<StoredClass> opTypes,
-      boolean listOnRequest,
-      StoredLevelKind levelKind,
-      int backlogLines,
-      int messageHead,
-      int messagesMost,
-      long messagesOver,
-      double linesPerSecond,
-      long emptyLimit,
-      int standingLines,
-      int proxies,
-      long sumsEvery,
-      boolean slices,
-      double crossZonePrice,
-      long coldTime,
-      double coldShare,
-      double fallMultiple,
-      double worstTypeWeight,
-      boolean droppedStayOpen,
-      int shunAfter,
-      boolean holdingsUnknown) {
-
-    static StoredSettings of(Settings settings) {
-      return new StoredSettings(
-          settings.fleet().instances(),
-          settings.fleet().zones(),
-          settings.requestClasses().stream().map(StoredSettings::stored).toList(),
-          settings.endpointList().watchRequired(),
-          StoredLevelKind.values()[settings.admissionLimitKind().ordinal()],
-          settings.channel().maxBacklogEntries(),
-          settings.channel().messageOverheadEntries(),
-          settings.channel().maxMessagesPerProxy(),
-          settings.channel().messageWindow(),
-          settings.channel().entriesPerSecond(),
-          settings.routing().maxTimeWithoutEndpoint(),
-          settings.routing().bootstrapRouteCount(),
-          settings.fleet().proxies(),
-          settings.reportInterval(),
-          settings.fleet().sharded(),
-          settings.routing().crossZonePenalty(),
-          settings.slowStart().window(),
-          settings.slowStart().initialFraction(),
-          settings.slowStart().overloadMultiple(),
-          settings.routing().worstClassWeight(),
-          settings.endpointList().removedEndpointsKeepServing(),
-          settings.routing().ejectAfterConsecutiveFailures(),
-          settings.channel().proxyTablesUnknown());
+  /** A request class besides its settings. */
+  record StoredType(String name, long opTimeout, long work) {
+    static StoredType of(Recording.RequestClassInfo info) {
+      return new StoredType(info.name(), info.timeout(), info.serviceTime());
     }
 
-    private static StoredClass stored(RequestClass requestClass) {
-      return new StoredClass(
-          StoredRepeat.values()[requestClass.retrySafety().ordinal()],
-          requestClass.latencyObjective(),
-          requestClass.priorityWeight());
+    Recording.RequestClassInfo toInfo() {
+      return new Recording.RequestClassInfo(name, opTimeout, work);
     }
+  }
 
-    private static RequestClass restored(StoredClass stored) {
-      return new RequestClass(
-          RetrySafety.values()[stored.repeat().ordinal()],
-          stored.targetLatency(),
-          stored.benefit());
+  /** A proxy. */
+  record StoredProxy(String name, int zone, double usualOps) {
+    static StoredProxy of(Recording.ProxyInfo info) {
+      return new StoredProxy(info.name(), info.zone(), info.requestsPerSecond());
     }
 
-    Settings toSettings() {
-      return new Settings(
-          new Settings.Fleet(assigners, zones, proxies, slices),
-          opTypes.stream().map(StoredSettings::restored).toList(),
-          new Settings.EndpointListRules(listOnRequest, droppedStayOpen),
-          AdmissionLimitKind.values()[levelKind.ordinal()],
-          new Settings.ChannelLimits(
-              backlogLines,
-              messageHead,
-              messagesMost,
-              messagesOver,
-              linesPerSecond,
-              holdingsUnknown),
-          new Settings.RoutingRules(
-              emptyLimit, standingLines, crossZonePrice, worstTypeWeight, shunAfter),
-          new Settings.SlowStart(coldTime, coldShare, fallMultiple),
-          sumsEvery);
+    Recording.ProxyInfo toInfo() {
+      return new Recording.ProxyInfo(name, zone, usualOps);
     }
   }
 
@@ -128,14 +44,21 @@
         head.name(),
         StoredSettings.of(head.settings()),
         head.zones(),
-        head.types(),
-        head.proxies(),
-        head.every(),
-        head.length());
+        head.requestClasses().stream().map(StoredType::of).toList(),
+        head.proxies().stream().map(StoredProxy::of).toList(),
+        head.sampleInterval(),
+        head.duration());
   }
 
   Recording.Head toHead() {
     return new Recording.Head(
-        version, name, settings.toSettings(), zones, types, proxies, every, length);
+        version,
+        name,
+        settings.toSettings(),
+        zones,
+        types.stream().map(StoredType::toInfo).toList(),
+        proxies.stream().map(StoredProxy::toInfo).toList(),
+        every,
+        length);
   }
 }
--- a/src/main/java/stonespring/recording/package-info.java
+++ b/src/main/java/stonespring/recording/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A day's load as it came, to be played again: arrivals, what tasks really could do, what was
- * listed and told of them.
+ * The recorded load of a day, to be played again with any decisions: requests that arrived, what
+ * the endpoints could serve, and what the endpoint list and the load reports said of them.
  */
 package stonespring.recording;
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -38,13 +38,13 @@
     return day.assigner().zones().indexOf(name);
   }
 
-  Recording recording(String name, List<Recording.Proxy> proxies) {
+  Recording recording(String name, List<Recording.ProxyInfo> proxies) {
     List<LoadSample> moments = new ArrayList<>();
     Map<String, Integer> zoneOf = new HashMap<>();
     for (Evidence.Life life : evidence.of(Evidence.Life.class)) {
       zoneOf.put(life.task(), zone(life.zone()));
       moments.add(
-          new LoadSample.Ran(
+          new LoadSample.ProcessChanged(
               at(life.at()),
               life.task(),
               zone(life.zone()),
@@ -57,25 +57,28 @@
       // A task that was up before the day is long warm; nothing tells how long.
       long started = told.startedAt() > began ? at(told.startedAt()) : 0;
       moments.add(
-          new LoadSample.Listed(
+          new LoadSample.EndpointListed(
               at(told.at()), told.task(), zoneOf.getOrDefault(told.task(), 0), 1, state, started));
     }
     for (Evidence.Claims claims : evidence.of(Evidence.Claims.class)) {
-      moments.add(new LoadSample.Claimed(at(claims.at()), claims.task(), claims.times()));
+      moments.add(new LoadSample.CapacityClaimed(at(claims.at()), claims.task(), claims.times()));
     }
     for (Scenario.Trouble t : day.troubles()) {
       if (t.kind().equals("late_reports")) {
-        moments.add(new LoadSample.Late(Math.round(t.atMillis() * 10), Math.round(t.size() * 10)));
-        moments.add(new LoadSample.Late(Math.round((t.atMillis() + t.forMillis()) * 10), 0));
+        moments.add(
+            new LoadSample.ReportsDelayed(
+                Math.round(t.atMillis() * 10), Math.round(t.size() * 10)));
+        moments.add(
+            new LoadSample.ReportsDelayed(Math.round((t.atMillis() + t.forMillis()) * 10), 0));
       }
     }
     arrivals(moments, proxies);
     moments.sort(Comparator.comparingLong(LoadSample::at));
-    List<Recording.Type> types = new ArrayList<>();
+    List<Recording.RequestClassInfo> types = new ArrayList<>();
     for (int k = 0; k < day.assigner().requestClasses().names().size(); k++) {
       String type = day.assigner().requestClasses().names().get(k);
       types.add(
-          new Recording.Type(
+          new Recording.RequestClassInfo(
               type,
               day.assigner().requestClasses().timeouts().get(k),
               Math.round(day.workMillis().get(type) * 10)));
@@ -93,7 +96,7 @@
         moments);
   }
 
-  private void arrivals(List<LoadSample> moments, List<Recording.Proxy> proxies) {
+  private void arrivals(List<LoadSample> moments, List<Recording.ProxyInfo> proxies) {
     Map<String, Integer> index = new HashMap<>();
     for (int p = 0; p < proxies.size(); p++) {
       index.put(proxies.get(p).name(), p);
@@ -111,7 +114,7 @@
     counts.forEach(
         (key, ops) ->
             moments.add(
-                new LoadSample.Came(
+                new LoadSample.Arrivals(
                     key / proxies.size() * EVERY, (int) (key % proxies.size()), ops)));
   }
 
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -133,7 +133,7 @@
   public Recording recording(String name) {
     return new ScenarioRecorder(day, evidence, began)
         .recording(
-            name, seats.stream().map(s -> new Recording.Proxy(s.name, s.zone, s.ops)).toList());
+            name, seats.stream().map(s -> new Recording.ProxyInfo(s.name, s.zone, s.ops)).toList());
   }
 
   private InvariantChecker observer() {
--- a/src/main/java/stonespring/testbed/virtual/Loads.java
+++ b/src/main/java/stonespring/testbed/virtual/Loads.java
@@ -95,24 +95,24 @@
       all = 3 * size[0];
     }
     double ops = FILL * able;
-    List<Recording.Proxy> proxies = new ArrayList<>();
+    List<Recording.ProxyInfo> proxies = new ArrayList<>();
     for (int p = 0; p < proxyCount; p++) {
-      proxies.add(new Recording.Proxy("p" + p, p % ZONES, size[p] / all * ops));
+      proxies.add(new Recording.ProxyInfo("p" + p, p % ZONES, size[p] / all * ops));
     }
     arrivals(proxies);
     if (kind == Kind.STALE_REPORTS) {
-      moments.add(new LoadSample.Late(TROUBLE, 2 * DeciMillis.SECOND));
+      moments.add(new LoadSample.ReportsDelayed(TROUBLE, 2 * DeciMillis.SECOND));
     } else if (kind == Kind.DEPLOY) {
       deploy(speed);
     } else if (kind == Kind.LOST_ZONE) {
       loseZone(speed);
     }
     moments.sort(Comparator.comparingLong(LoadSample::at));
-    List<Recording.Type> types =
+    List<Recording.RequestClassInfo> types =
         List.of(
-            new Recording.Type("view", 15_000, WORK[0]),
-            new Recording.Type("sketch", 20_000, WORK[1]),
-            new Recording.Type("extract", 15_000, WORK[2]));
+            new Recording.RequestClassInfo("view", 15_000, WORK[0]),
+            new Recording.RequestClassInfo("sketch", 20_000, WORK[1]),
+            new Recording.RequestClassInfo("extract", 15_000, WORK[2]));
     return new Recording(
         new Recording.Head(
             Recording.VERSION,
@@ -135,22 +135,24 @@
   }
 
   private void started(long at, String task, int zone, double speed, boolean cold, double claims) {
-    moments.add(new LoadSample.Ran(at, task, zone, CORES, speed, cold));
+    moments.add(new LoadSample.ProcessChanged(at, task, zone, CORES, speed, cold));
     if (claims != 1) {
-      moments.add(new LoadSample.Claimed(at, task, claims));
+      moments.add(new LoadSample.CapacityClaimed(at, task, claims));
     }
     long told = at == 0 ? 0 : at + LIST_LATE;
     moments.add(
-        new LoadSample.Listed(told, task, zone, 1, EndpointRecord.State.READY, cold ? at : 0));
+        new LoadSample.EndpointListed(
+            told, task, zone, 1, EndpointRecord.State.READY, cold ? at : 0));
   }
 
   private void died(long at, String task, int zone, long toldAfter) {
-    moments.add(new LoadSample.Ran(at, task, zone, 0, 1, false));
+    moments.add(new LoadSample.ProcessChanged(at, task, zone, 0, 1, false));
     moments.add(
-        new LoadSample.Listed(at + toldAfter, task, zone, 1, EndpointRecord.State.REMOVED, 0));
+        new LoadSample.EndpointListed(
+            at + toldAfter, task, zone, 1, EndpointRecord.State.REMOVED, 0));
   }
 
-  private void arrivals(List<Recording.Proxy> proxies) {
+  private void arrivals(List<Recording.ProxyInfo> proxies) {
     for (long at = EVERY; at < LENGTH; at += EVERY) {
       double times = kind == Kind.SURGE && at >= TROUBLE && at < 2 * TROUBLE ? SURGE : 1;
       for (int p = 0; p < proxies.size(); p++) {
@@ -158,11 +160,16 @@
         boolean any = false;
         for (int k = 0; k < came.length; k++) {
           came[k] =
-              poisson(proxies.get(p).usualOps() * times * SHARE[k] * EVERY / DeciMillis.SECOND);
+              poisson(
+                  proxies.get(p).requestsPerSecond()
+                      * times
+                      * SHARE[k]
+                      * EVERY
+                      / DeciMillis.SECOND);
           any |= came[k] > 0;
         }
         if (any) {
-          moments.add(new LoadSample.Came(at, p, came));
+          moments.add(new LoadSample.Arrivals(at, p, came));
         }
       }
     }
@@ -188,7 +195,7 @@
       long at = TROUBLE + t / batch * 35_000L;
       started(at, "n" + t, t % ZONES, speed[t], true, 1);
       moments.add(
-          new LoadSample.Listed(
+          new LoadSample.EndpointListed(
               at + 20_000, "t" + t, t % ZONES, 1, EndpointRecord.State.DRAINING, 0));
       died(at + 50_000, "t" + t, t % ZONES, LIST_LATE);
     }
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -43,7 +43,7 @@
   private final double[][] windows;
   private EngineHost core;
   private WeightAdvisor advisor;
-  private LoadSample.Late late = new LoadSample.Late(0, 0);
+  private LoadSample.ReportsDelayed late = new LoadSample.ReportsDelayed(0, 0);
   private long wake = Long.MAX_VALUE;
   private long tries;
   private long crossed;
@@ -56,22 +56,23 @@
     this.policy = policy;
     this.seed = seed;
     this.random = new SplittableRandom(seed);
-    this.windows = new double[(int) (recording.head().length() / Played.WINDOW) + 1][5];
+    this.windows = new double[(int) (recording.head().duration() / Played.WINDOW) + 1][5];
     start();
   }
 
   private void start() {
-    List<LoadSample> first = recording.moments().stream().takeWhile(m -> m.at() == 0).toList();
-    List<LoadSample> rest = recording.moments().subList(first.size(), recording.moments().size());
-    first.stream().filter(m -> !(m instanceof LoadSample.Listed)).forEach(this::happen);
+    List<LoadSample> first = recording.samples().stream().takeWhile(m -> m.at() == 0).toList();
+    List<LoadSample> rest = recording.samples().subList(first.size(), recording.samples().size());
+    first.stream().filter(m -> !(m instanceof LoadSample.EndpointListed)).forEach(this::happen);
     List<EndpointRecord> listed =
         first.stream()
-            .filter(LoadSample.Listed.class::isInstance)
-            .map(m -> listing((LoadSample.Listed) m))
+            .filter(LoadSample.EndpointListed.class::isInstance)
+            .map(m -> listing((LoadSample.EndpointListed) m))
             .toList();
     Policy.Made made = policy.make(settings(), random.nextLong(), 0);
     advisor = made.advisor();
-    List<String> names = recording.head().types().stream().map(Recording.Type::name).toList();
+    List<String> names =
+        recording.head().requestClasses().stream().map(Recording.RequestClassInfo::name).toList();
     core =
         new EngineHost(
             settings(),
@@ -105,7 +106,7 @@
             0);
     core.listTold(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
     RouterSettings routing = StandIns.routing(settings(), names, type -> DEDUPLICATED_FOR);
-    for (Recording.Proxy p : recording.head().proxies()) {
+    for (Recording.ProxyInfo p : recording.head().proxies()) {
       List<EndpointName> near =
           new ArrayList<>(
               listed.stream()
@@ -133,33 +134,35 @@
     pump();
   }
 
-  private static EndpointRecord listing(LoadSample.Listed m) {
+  private static EndpointRecord listing(LoadSample.EndpointListed m) {
     return new EndpointRecord(
-        new EndpointId(m.task()), new ZoneId(m.zone()), m.weight(), m.state(), m.startedAt());
+        new EndpointId(m.endpoint()), new ZoneId(m.zone()), m.weight(), m.state(), m.startedAt());
   }
 
   private void happen(LoadSample moment) {
-    if (moment instanceof LoadSample.Came m) {
-      for (int k = 0; k < m.ops().length; k++) {
+    if (moment instanceof LoadSample.Arrivals m) {
+      for (int k = 0; k < m.requests().length; k++) {
         int type = k;
-        for (int i = 0; i < m.ops()[k]; i++) {
+        for (int i = 0; i < m.requests()[k]; i++) {
           // Counted over the span before: spread over the one after, so that time never goes back.
           agenda.in(
-              random.nextLong(recording.head().every()), () -> proxies.get(m.proxy()).ask(type));
+              random.nextLong(recording.head().sampleInterval()),
+              () -> proxies.get(m.proxy()).ask(type));
         }
       }
-    } else if (moment instanceof LoadSample.Listed m) {
+    } else if (moment instanceof LoadSample.EndpointListed m) {
       core.listTold(
           new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing(m))),
           agenda.now());
       pump();
-    } else if (moment instanceof LoadSample.Ran m) {
+    } else if (moment instanceof LoadSample.ProcessChanged m) {
       tasks
-          .computeIfAbsent(m.task(), t -> new VirtualTask(agenda, settings(), random.nextLong()))
+          .computeIfAbsent(
+              m.endpoint(), t -> new VirtualTask(agenda, settings(), random.nextLong()))
           .ran(m);
-    } else if (moment instanceof LoadSample.Claimed m && tasks.containsKey(m.task())) {
-      tasks.get(m.task()).claims(m.times());
-    } else if (moment instanceof LoadSample.Late m) {
+    } else if (moment instanceof LoadSample.CapacityClaimed m && tasks.containsKey(m.endpoint())) {
+      tasks.get(m.endpoint()).claims(m.multiple());
+    } else if (moment instanceof LoadSample.ReportsDelayed m) {
       late = m;
     }
   }
@@ -168,7 +171,7 @@
     proxy.report(
         (met, came) ->
             agenda.in(
-                REPORT_AWAY + late.by(),
+                REPORT_AWAY + late.delay(),
                 () -> {
                   core.reported(proxy.name(), settings().reportInterval(), met, came, proxy);
                   pump();
@@ -201,11 +204,11 @@
   }
 
   int types() {
-    return recording.head().types().size();
+    return recording.head().requestClasses().size();
   }
 
-  Recording.Type type(int k) {
-    return recording.head().types().get(k);
+  Recording.RequestClassInfo type(int k) {
+    return recording.head().requestClasses().get(k);
   }
 
   VirtualTask task(String name) {
@@ -246,7 +249,7 @@
 
   /** Plays on until then, tenths of a millisecond, and no further than the day is long. */
   public void playTo(long until) {
-    agenda.runTo(Math.min(until, recording.head().length()));
+    agenda.runTo(Math.min(until, recording.head().duration()));
   }
 
   /** What the solver last advised; null without one, or before it advised anything. */
@@ -256,11 +259,11 @@
 
   /** Plays to the end, waits for the last op's answer, and tells what became of all. */
   public Played play() {
-    playTo(recording.head().length());
+    playTo(recording.head().duration());
     agenda.runTo(
-        recording.head().length()
-            + recording.head().types().stream()
-                .mapToLong(Recording.Type::opTimeout)
+        recording.head().duration()
+            + recording.head().requestClasses().stream()
+                .mapToLong(Recording.RequestClassInfo::timeout)
                 .max()
                 .orElse(0));
     List<Played.Window> spans = new ArrayList<>();
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -42,7 +42,7 @@
       500; // 0.1 ms; with less time left a client doesn't come again
 
   private final VirtualFleet fleet;
-  private final Recording.Proxy proxy;
+  private final Recording.ProxyInfo proxy;
   private final EventQueue agenda;
   private final SplittableRandom random;
   private final Router router;
@@ -54,7 +54,7 @@
 
   VirtualProxy(
       VirtualFleet fleet,
-      Recording.Proxy proxy,
+      Recording.ProxyInfo proxy,
       RouterSettings routing,
       List<EndpointName> standing,
       long seed) {
@@ -90,7 +90,7 @@
             "life",
             1,
             new ZoneId(proxy.zone()),
-            proxy.usualOps(),
+            proxy.requestsPerSecond(),
             true,
             router.named().stream().map(EndpointId::new).toList()),
         24 * 3600 * DeciMillis.SECOND,
@@ -179,7 +179,7 @@
     Op(int k) {
       type = new RequestClassIndex(k);
       settings = fleet.settings().requestClasses().get(k);
-      until = askedAt + fleet.type(k).opTimeout();
+      until = askedAt + fleet.type(k).timeout();
       fleet.asked(askedAt, settings.priorityWeight());
       // Whatever hangs somewhere then: the client has its answer, and the try counts as bad.
       agenda.at(until, () -> over(false, false, false));
@@ -243,7 +243,7 @@
           connects ? 3 * way : way,
           () ->
               to.take(
-                  fleet.type(type.index()).work(),
+                  fleet.type(type.index()).serviceTime(),
                   until,
                   connects,
                   (good, ran, load) ->
--- a/src/main/java/stonespring/testbed/virtual/VirtualTask.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualTask.java
@@ -54,7 +54,7 @@
     this.random = new SplittableRandom(seed);
   }
 
-  void ran(LoadSample.Ran m) {
+  void ran(LoadSample.ProcessChanged m) {
     life++;
     running = 0;
     queue.clear();
@@ -65,7 +65,7 @@
     cores = m.cores();
     speed = m.speed();
     fell = false;
-    startedAt = m.cold() ? agenda.now() : Long.MIN_VALUE / 2;
+    startedAt = m.warmingUp() ? agenda.now() : Long.MIN_VALUE / 2;
   }
 
   void claims(double times) {
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -107,7 +107,7 @@
         "1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 2900 10 30 100000 2900.0 50000 5 3 10000 false 0.12 80000 0.2"
             + " 3.0 0.3 false 3 false",
         values(day.head().settings()));
-    assertEquals(1098, day.moments().size());
+    assertEquals(1098, day.samples().size());
     assertEquals(3, day.head().proxies().size());
   }
 
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -8,6 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.zip.GZIPInputStream;
@@ -27,7 +28,7 @@
     }
   }
 
-  private Path packed(List<String> lines) throws IOException {
+  private Path compressed(List<String> lines) throws IOException {
     Path file = folder.resolve("b.rec.gz");
     try (GZIPOutputStream out = new GZIPOutputStream(Files.newOutputStream(file))) {
       out.write((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
@@ -35,18 +36,18 @@
     return file;
   }
 
-  private String fault(int line, String with) throws IOException {
+  private String errorAt(int line, String replacement) throws IOException {
     String[] lines = lines();
-    lines[line - 1] = with;
-    Path file = packed(List.of(lines));
+    lines[line - 1] = replacement;
+    Path file = compressed(List.of(lines));
     String message =
-        assertThrows(RecordingFile.Bad.class, () -> RecordingFile.read(file)).getMessage();
+        assertThrows(InvalidRecordingException.class, () -> RecordingFile.read(file)).getMessage();
     assertTrue(message.startsWith(file + ", line " + line + ": "), message);
     return message.substring((file + ", line " + line + ": ").length());
   }
 
   @Test
-  void whatIsWrittenIsRead() throws IOException {
+  void readsWhatItWrote() throws IOException {
     for (Loads.Kind kind : Loads.Kind.values()) {
       Recording drawn = Loads.draw(kind, 5, 9, 4);
       Path file = folder.resolve(kind + ".rec.gz");
@@ -54,50 +55,49 @@
       Recording read = RecordingFile.read(file);
       assertEquals(drawn.head(), read.head());
       assertEquals(
-          drawn.moments().toString().replaceAll("\\[I@[0-9a-f]+", "ops"),
-          read.moments().toString().replaceAll("\\[I@[0-9a-f]+", "ops"));
-      for (int i = 0; i < drawn.moments().size(); i++) {
-        if (drawn.moments().get(i) instanceof LoadSample.Came came) {
+          drawn.samples().toString().replaceAll("\\[I@[0-9a-f]+", "ops"),
+          read.samples().toString().replaceAll("\\[I@[0-9a-f]+", "ops"));
+      for (int i = 0; i < drawn.samples().size(); i++) {
+        if (drawn.samples().get(i) instanceof LoadSample.Arrivals arrivals) {
           assertEquals(
-              List.of(came.ops()[0], came.ops()[1]),
+              List.of(arrivals.requests()[0], arrivals.requests()[1]),
               List.of(
-                  ((LoadSample.Came) read.moments().get(i)).ops()[0],
-                  ((LoadSample.Came) read.moments().get(i)).ops()[1]));
+                  ((LoadSample.Arrivals) read.samples().get(i)).requests()[0],
+                  ((LoadSample.Arrivals) read.samples().get(i)).requests()[1]));
         }
       }
     }
   }
 
   @Test
-  void faultsNameTheLineAndTheField() throws IOException {
-    assertEquals("version: missing", fault(1, "{}"));
-    assertEquals("version: 2, this program reads 1", fault(1, "{\"version\":2}"));
-    assertEquals("no JSON", fault(2, "[\"ran\",0"));
-    assertEquals("kind: \"walked\"", fault(2, "[\"walked\",0]"));
-    assertEquals("zone: 3", fault(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
-    assertEquals("ran: 6 fields, not 7", fault(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
-    assertEquals("ops: -1", fault(2, "[\"came\",0,0,-1,0,0]"));
-    assertEquals("state: \"UP\"", fault(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
-    assertEquals("at: goes back to 5", fault(lines().length, "[\"late\",5,0]"));
+  void errorsNameLineAndField() throws IOException {
+    assertEquals("version: missing", errorAt(1, "{}"));
+    assertEquals("version: 2, this program reads 1", errorAt(1, "{\"version\":2}"));
+    assertEquals("no JSON", errorAt(2, "[\"ran\",0"));
+    assertEquals("kind: \"walked\"", errorAt(2, "[\"walked\",0]"));
+    assertEquals("zone: 3", errorAt(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
+    assertEquals("ran: 6 fields, not 7", errorAt(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
+    assertEquals("ops: -1", errorAt(2, "[\"came\",0,0,-1,0,0]"));
+    assertEquals("state: \"UP\"", errorAt(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
+    assertEquals("at: goes back to 5", errorAt(lines().length, "[\"late\",5,0]"));
   }
 
-  /** Whatever bytes come: a recording, or one plain fault. */
+  /** Whatever bytes come: a recording, or one typed error. */
   @Test
-  void changedAndCutFilesAreAFaultAtMost() throws IOException {
+  void rejectsDamagedFilesWithAnErrorAtMost() throws IOException {
     lines();
     byte[] whole = Files.readAllBytes(folder.resolve("a.rec.gz"));
     SplittableRandom random = new SplittableRandom(4);
     Path file = folder.resolve("c.rec.gz");
     for (int i = 0; i < 300; i++) {
-      byte[] bytes =
-          java.util.Arrays.copyOf(whole, i % 2 == 0 ? random.nextInt(whole.length) : whole.length);
+      byte[] bytes = Arrays.copyOf(whole, i % 2 == 0 ? random.nextInt(whole.length) : whole.length);
       for (int j = 0; j < 2 && bytes.length > 0; j++) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
       Files.write(file, bytes);
       try {
         RecordingFile.read(file);
-      } catch (RecordingFile.Bad e) {
+      } catch (InvalidRecordingException e) {
         assertTrue(e.getMessage().startsWith(file + ", line "), e.getMessage());
       }
     }
