--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -17,30 +17,46 @@
     this.functions = functions;
   }
 
-  /** The value of an expression; null for {@code None}. */
+  /**
+   * The value of an expression; null for {@code None}.
+   *
+   * <p>Chains of operators and nested expressions recurse here: the method is kept to few
+   * variables, so that it needs little stack.
+   */
   Object evaluate(Expression expression, Scope scope) {
     limits.countStep(expression.location());
     if (expression instanceof Expression.Literal literal) {
       return literal.value();
-    } else if (expression instanceof Expression.Name name) {
+    }
+    if (expression instanceof Expression.Name name) {
       return lookUp(name, scope);
-    } else if (expression instanceof Expression.Unary unary) {
+    }
+    if (expression instanceof Expression.Unary unary) {
       return Operators.applyUnary(unary, evaluate(unary.operand(), scope));
-    } else if (expression instanceof Expression.Binary binary) {
-      return evaluateBinary(binary, scope);
-    } else if (expression instanceof Expression.Conditional conditional) {
+    }
+    if (expression instanceof Expression.Binary binary) {
+      Object left = evaluate(binary.left(), scope);
+      return isDecidedBy(binary.operator(), left)
+          ? left
+          : applyBinary(binary, left, evaluate(binary.right(), scope));
+    }
+    if (expression instanceof Expression.Conditional conditional) {
       boolean holds = Values.isTrue(evaluate(conditional.condition(), scope));
       return evaluate(holds ? conditional.whenTrue() : conditional.whenFalse(), scope);
-    } else if (expression instanceof Expression.ListDisplay list) {
-      return evaluateList(list, scope);
-    } else if (expression instanceof Expression.DictDisplay dict) {
-      return evaluateDict(dict, scope);
-    } else if (expression instanceof Expression.Comprehension comprehension) {
-      return evaluateComprehension(comprehension, scope);
-    } else if (expression instanceof Expression.Index index) {
+    }
+    if (expression instanceof Expression.Index index) {
       Object container = evaluate(index.container(), scope);
       return Values.entry(index.location(), container, evaluate(index.index(), scope));
     }
+    if (expression instanceof Expression.Comprehension comprehension) {
+      return evaluateComprehension(comprehension, scope);
+    }
+    if (expression instanceof Expression.ListDisplay list) {
+      return evaluateList(list, scope);
+    }
+    if (expression instanceof Expression.DictDisplay dict) {
+      return evaluateDict(dict, scope);
+    }
     return evaluateCall((Expression.Call) expression, scope);
   }
 
@@ -76,16 +92,20 @@
         reference.location(), "'" + name + "' is not set" + NearestName.hint(name, known));
   }
 
-  private Object evaluateBinary(Expression.Binary binary, Scope scope) {
-    Object left = evaluate(binary.left(), scope);
-    if (binary.operator() == BinaryOperator.AND) {
-      return Values.isTrue(left) ? evaluate(binary.right(), scope) : left;
-    }
-    if (binary.operator() == BinaryOperator.OR) {
-      return Values.isTrue(left) ? left : evaluate(binary.right(), scope);
-    }
-    Object right = evaluate(binary.right(), scope);
-    return Operators.applyBinary(binary.location(), binary.operator(), left, right);
+  /** Whether the left operand is the value of AND or OR, so that the right one is not evaluated. */
+  private static boolean isDecidedBy(BinaryOperator operator, Object left) {
+    return switch (operator) {
+      case AND -> !Values.isTrue(left);
+      case OR -> Values.isTrue(left);
+      default -> false;
+    };
+  }
+
+  private static Object applyBinary(Expression.Binary binary, Object left, Object right) {
+    return switch (binary.operator()) {
+      case AND, OR -> right;
+      default -> Operators.applyBinary(binary.location(), binary.operator(), left, right);
+    };
   }
 
   private ScriptList evaluateList(Expression.ListDisplay display, Scope scope) {
@@ -109,34 +129,32 @@
   }
 
   private Object evaluateComprehension(Expression.Comprehension comprehension, Scope scope) {
-    if (comprehension.key() == null) {
-      ScriptList list = new ScriptList();
-      runClauses(comprehension, 0, scope.nested(), inner -> addItem(comprehension, inner, list));
-      return list;
-    }
-    ScriptDict dict = new ScriptDict();
-    runClauses(comprehension, 0, scope.nested(), inner -> addEntry(comprehension, inner, dict));
-    return dict;
-  }
-
-  /** Takes the names of one turn of a comprehension. */
-  private interface TurnHandler {
-    void handle(Scope scope);
+    Object result = comprehension.key() == null ? new ScriptList() : new ScriptDict();
+    runClauses(comprehension, 0, scope.nested(), result);
+    return result;
   }
 
+  /**
+   * Runs the clauses from one position on, each inside the one before, and adds an item or entry to
+   * the result for each turn of the last one.
+   */
   private void runClauses(
-      Expression.Comprehension comprehension, int first, Scope scope, TurnHandler turns) {
-    if (first == comprehension.clauses().size()) {
-      turns.handle(scope);
-      return;
-    }
-    Expression.ComprehensionClause clause = comprehension.clauses().get(first);
+      Expression.Comprehension comprehension, int position, Scope scope, Object result) {
+    Expression.ComprehensionClause clause = comprehension.clauses().get(position);
+    boolean isLast = position + 1 == comprehension.clauses().size();
     Object iterable = evaluate(clause.iterable(), scope);
     for (Object item : Values.items(clause.location(), iterable)) {
       limits.countStep(clause.location());
       unpack(clause.location(), clause.names(), item, scope);
-      if (clause.condition() == null || Values.isTrue(evaluate(clause.condition(), scope))) {
-        runClauses(comprehension, first + 1, scope, turns);
+      if (clause.condition() != null && !Values.isTrue(evaluate(clause.condition(), scope))) {
+        continue;
+      }
+      if (!isLast) {
+        runClauses(comprehension, position + 1, scope, result);
+      } else if (result instanceof ScriptList list) {
+        addItem(comprehension, scope, list);
+      } else {
+        addEntry(comprehension, scope, (ScriptDict) result);
       }
     }
   }
