--- a/src/main/java/stonespring/config/script/ExecutionLimits.java
+++ b/src/main/java/stonespring/config/script/ExecutionLimits.java
@@ -9,7 +9,7 @@
 
   private int steps;
 
-  /** Counts a statement, an expression or a turn of a loop. */
+  /** Counts a statement, an expression or an iteration of a loop. */
   void countStep(SourceLocation location) {
     if (++steps > MAX_STEPS) {
       throw new EvaluationException(location, "the script takes over " + MAX_STEPS + " steps");
--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -136,7 +136,7 @@
 
   /**
    * Runs the clauses from one position on, each inside the one before, and adds an item or entry to
-   * the result for each turn of the last one.
+   * the result for each iteration of the last one.
    */
   private void runClauses(
       Expression.Comprehension comprehension, int position, Scope scope, Object result) {
--- a/src/main/java/stonespring/simulator/BatchReader.java
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -141,9 +141,9 @@
     return value;
   }
 
-  private static void expect(JsonToken found, JsonToken expected, String place) {
+  private static void expect(JsonToken found, JsonToken expected, String element) {
     if (found != expected) {
-      throw new SimulatorProtocolException(place + " is not well-formed: " + found);
+      throw new SimulatorProtocolException(element + " is not well-formed: " + found);
     }
   }
 }
