--- a/src/test/java/stonespring/config/script/ScriptTest.java
+++ b/src/test/java/stonespring/config/script/ScriptTest.java
@@ -69,7 +69,8 @@
     List<String> all = errors("a = = 1\nwhile True:\n    pass\nb = [1, 2\nc = 3\n");
     assertTrue(all.get(0).startsWith("1:5: a value is missing"), all.toString());
     assertTrue(
-        all.stream().anyMatch(f -> f.startsWith("2:1: 'while' is not part of this language")),
+        all.stream()
+            .anyMatch(error -> error.startsWith("2:1: 'while' is not part of this language")),
         all.toString());
     assertTrue(all.size() >= 3, all.toString());
   }
@@ -78,25 +79,19 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "x = 1 / 0|1:7: division by zero", "x = nam|1:5: 'nam' is not set",
+        "x = 1 / 0|1:7: division by zero",
+        "x = nam|1:5: 'nam' is not set",
         "x = 9223372036854775807 + 1|1:25: the number grows too large",
-            "x = [1][3]|1:8: the index 3 is outside a list of 1",
+        "x = [1][3]|1:8: the index 3 is outside a list of 1",
         "x = {'a': 1, 'a': 2}|1:14: the key a comes twice",
-            "x = 'a' + 1|1:9: '+' does not go with a string and a whole number",
+        "x = 'a' + 1|1:9: '+' does not go with a string and a whole number",
         "x = len(1)|1:5: 'for' goes over a list or a dict",
-            "x = fail('stop here')|1:5: fail: stop here",
-        "x = range(1000000000)|1:5: range:"
+        "x = fail('stop here')|1:5: fail: stop here",
+        "x = range(1000000000)|1:5: range:",
       })
   void reportsTheLocationOfEvaluationErrors(String text, String expected) throws Exception {
-    assertTrue(
-        errors(text).get(0).startsWith(expected),
-        () -> {
-          try {
-            return errors(text).toString();
-          } catch (IOException e) {
-            return e.toString();
-          }
-        });
+    List<String> errors = errors(text);
+    assertTrue(errors.get(0).startsWith(expected), errors.toString());
   }
 
   @Test
