--- a/src/main/java/stonespring/cli/AssignerCommand.java
+++ b/src/main/java/stonespring/cli/AssignerCommand.java
@@ -7,6 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
+import stonespring.config.InvalidConfigException;
 import stonespring.config.PlatformConfig;
 import stonespring.daemon.ConfigReloader;
 import stonespring.daemon.PlatformDaemon;
@@ -53,7 +54,7 @@
   private PlatformConfig readConfig() throws CommandFailedException {
     try {
       return PlatformConfig.read(path);
-    } catch (PlatformConfig.BadFile e) {
+    } catch (InvalidConfigException e) {
       throw CommandFailedException.usage(e.getMessage(), e);
     }
   }
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -37,7 +37,7 @@
   public Integer call() throws Exception {
     LoggingOptions.warningsOnly();
     Recording recording = InputFiles.readRecording("solve", file);
-    double endSeconds = DeciMillis.toSeconds(recording.head().length());
+    double endSeconds = DeciMillis.toSeconds(recording.head().duration());
     if (at != null && !(at >= 0 && at <= endSeconds)) {
       throw CommandFailedException.usage("solve: --at is outside 0 to " + endSeconds);
     }
--- a/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
+++ b/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
@@ -23,7 +23,7 @@
 
   /** Leaves connections that are not identified yet what proxies and collectors do not need. */
   static LineLimits of(PlatformConfig config) {
-    Settings.Fleet fleet = config.facts().settings().fleet();
+    Settings.Fleet fleet = config.settings().settings().fleet();
     // One collector above its zone's bound is accepted before the oldest is closed.
     int collectors = (PlatformProxyApi.MAX_COLLECTORS_PER_ZONE + 1) * fleet.zones();
     int available = config.sockets() - fleet.proxies() - collectors - RESERVED_DESCRIPTORS;
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -56,7 +56,8 @@
     this.source = source;
     this.onGiveUp = onGiveUp;
     this.endpointList = EndpointListRequests.to(source);
-    this.events = new EventBatcher(eventLoop, clock, config.facts().round(), this::runBatch);
+    this.events =
+        new EventBatcher(eventLoop, clock, config.settings().minRoundInterval(), this::runBatch);
     this.reports = new ReportBatcher(eventLoop, clock, this::reportsGathered);
     this.timer = new EngineTimer(eventLoop, events::requestBatch);
   }
@@ -67,7 +68,7 @@
   }
 
   private EngineRunner createRunner(long seed) {
-    DecisionEngine engine = factory.create(config.facts().settings(), seed, clock.now());
+    DecisionEngine engine = factory.create(config.settings().settings(), seed, clock.now());
     return new EngineRunner(engine, endpointList);
   }
 
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -44,7 +44,7 @@
       500; // 0.1 ms; with less time left a client doesn't come again
 
   private final VirtualFleet fleet;
-  private final Recording.Proxy proxy;
+  private final Recording.ProxyInfo proxy;
   private final EventQueue agenda;
   private final SplittableRandom random;
   private final Router router;
@@ -56,7 +56,7 @@
 
   VirtualProxy(
       VirtualFleet fleet,
-      Recording.Proxy proxy,
+      Recording.ProxyInfo proxy,
       RouterSettings routing,
       List<EndpointId> standing,
       long seed) {
@@ -92,7 +92,7 @@
             "life",
             1,
             new ZoneId(proxy.zone()),
-            proxy.usualOps(),
+            proxy.requestsPerSecond(),
             true,
             Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList())),
         24 * 3600 * DeciMillis.SECOND,
@@ -179,7 +179,7 @@
     Op(int k) {
       type = new RequestClassId(k);
       settings = fleet.settings().requestClasses().get(k);
-      until = askedAt + fleet.type(k).opTimeout();
+      until = askedAt + fleet.type(k).timeout();
       fleet.asked(askedAt, settings.priorityWeight());
       // Whatever hangs somewhere then: the client has its answer, and the try counts as bad.
       agenda.at(until, () -> over(false, false, false));
@@ -243,7 +243,7 @@
           connects ? 3 * way : way,
           () ->
               to.take(
-                  fleet.type(type.index()).work(),
+                  fleet.type(type.index()).serviceTime(),
                   until,
                   connects,
                   (good, ran, load) ->
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -14,6 +14,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
+import stonespring.config.InvalidConfigException;
 import stonespring.config.PlatformConfig;
 
 /** The platform's configuration: at the start, and read again by a SIGHUP or without one. */
@@ -146,7 +147,7 @@
       Files.writeString(file, row[0]);
       Exception e =
           assertThrows(
-              PlatformConfig.BadFile.class, () -> PlatformConfig.read(file), "taken: " + row[0]);
+              InvalidConfigException.class, () -> PlatformConfig.read(file), "taken: " + row[0]);
       assertTrue(e.getMessage().contains(row[1]) && !e.getMessage().contains("\n"), e.getMessage());
     }
     platform.writeConfig("{}");
