--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -68,6 +68,9 @@
   /** Least fraction of any class, as a multiple of the worst class's weight in the objective. */
   private static final double CLASS_FLOOR_MULTIPLE = 3;
 
+  /** Keeps the divisor above 0 where all attempts fail. */
+  private static final double MIN_SUCCESS_SHARE = 1e-9;
+
   /** Requests per second at a proxy; stands for no limit. */
   private static final double UNLIMITED_RATE = 1e6;
 
@@ -180,7 +183,8 @@
   /** An endpoint that fails more than the rest counts less: one that fails all serves nothing. */
   private Load observe() {
     TrafficEstimator traffic = estimates.traffic();
-    double totalCapacity = Math.max(1e-9, estimates.capacity().totalCapacity());
+    double totalCapacity =
+        Math.max(CapacityEstimator.MIN_CAPACITY, estimates.capacity().totalCapacity());
     double meanSuccess =
         endpoints.sumOverReady(
                 endpoint -> endpoint.capacity() * endpoint.statistics().successShare())
@@ -204,7 +208,8 @@
   }
 
   private static double servedCapacity(EndpointState endpoint, double meanSuccess) {
-    double relativeSuccess = endpoint.statistics().successShare() / (meanSuccess + 1e-9);
+    double relativeSuccess =
+        endpoint.statistics().successShare() / (meanSuccess + MIN_SUCCESS_SHARE);
     return endpoint.capacity() * Math.min(1, relativeSuccess);
   }
 
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -8,6 +8,12 @@
   /** Utilization below which a report's noise outweighs what it says of capacity. */
   private static final double MIN_UTILIZATION = 0.15;
 
+  /** Requests per second below which an endpoint's load is not read. */
+  private static final double MIN_LOAD = 1;
+
+  /** Replaces a capacity of 0 as divisor. */
+  static final double MIN_CAPACITY = 1e-9;
+
   /** Share of the new reading; the fleet's mean cost of a request is steady, its load is not. */
   private static final double READING_SHARE = 0.03;
 
@@ -49,7 +55,7 @@
   private boolean isReadable(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
     return statistics.utilization() > MIN_UTILIZATION
-        && reportedLoad(endpoint) > 1
+        && reportedLoad(endpoint) > MIN_LOAD
         && endpoints.isWarm(endpoint)
         && statistics.troubleShare() < EndpointStatistics.NORMAL_TROUBLE_SHARE;
   }
@@ -73,7 +79,10 @@
       double warmCapacity =
           unitCapacity > 0
               ? unitCapacity * endpoint.listedWeight()
-              : endpoint.listedWeight() / listedWeight * Math.max(1, assumedLoad) / TYPICAL_FILL;
+              : endpoint.listedWeight()
+                  / listedWeight
+                  * Math.max(MIN_LOAD, assumedLoad)
+                  / TYPICAL_FILL;
       endpoint.setCapacity(
           endpoint.isReady() ? warmCapacity * endpoints.warmUpFraction(endpoint) : 0);
     }
@@ -113,7 +122,7 @@
 
   /** Load over capacity; 1 for an endpoint that is fully used. */
   double fill(EndpointState endpoint) {
-    return load(endpoint) / Math.max(1e-9, endpoint.capacity());
+    return load(endpoint) / Math.max(MIN_CAPACITY, endpoint.capacity());
   }
 
   /** How often the capacity was read from utilizations. */
--- a/src/main/java/stonespring/decision/PendingMove.java
+++ b/src/main/java/stonespring/decision/PendingMove.java
@@ -2,6 +2,9 @@
 
 /** The change of one proxy's table from its weights to its targets, in one scheduling round. */
 final class PendingMove {
+  /** Requests per second; less is a rounding error. */
+  private static final double MIN_RATE_CHANGE = 1e-6;
+
   private static final double UNKNOWN = -1;
 
   private final ProxyState proxy;
@@ -18,12 +21,12 @@
 
   /** Whether it adds more than a rounding error to a route's endpoint. */
   boolean adds(Route route) {
-    return proxy.rateChange(route) > 1e-6;
+    return proxy.rateChange(route) > MIN_RATE_CHANGE;
   }
 
   /** Whether it takes more than a rounding error from a route's endpoint. */
   boolean frees(Route route) {
-    return proxy.rateChange(route) < -1e-6;
+    return proxy.rateChange(route) < -MIN_RATE_CHANGE;
   }
 
   boolean isPotentialTimeKnown() {
--- a/src/main/java/stonespring/decision/Route.java
+++ b/src/main/java/stonespring/decision/Route.java
@@ -5,6 +5,12 @@
   /** Weight of any wanted route: its few attempts show when a failing endpoint recovers. */
   static final double MIN_WEIGHT = 0.01;
 
+  /** Weight; a smaller difference is not sent. */
+  private static final double ABSOLUTE_TOLERANCE = 0.005;
+
+  /** Share of the larger weight; a smaller difference is not sent. */
+  private static final double RELATIVE_TOLERANCE = 0.05;
+
   private final EndpointState endpoint;
   private double weight;
   private double target;
@@ -46,7 +52,7 @@
 
   /** Whether two weights differ by enough to be worth an entry of the channel. */
   static boolean differs(double first, double second) {
-    double tolerance = 0.005 + 0.05 * Math.max(first, second);
+    double tolerance = ABSOLUTE_TOLERANCE + RELATIVE_TOLERANCE * Math.max(first, second);
     return Math.abs(first - second) > tolerance || (first > 0) != (second > 0);
   }
 }
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -79,7 +79,9 @@
     for (Map.Entry<EndpointState, EndpointState> replacement : proxy.replacements().entrySet()) {
       EndpointState entrant = replacement.getValue();
       Route replaced = table.find(replacement.getKey()).orElseThrow();
-      double capacityRatio = entrant.capacity() / Math.max(1e-9, replacement.getKey().capacity());
+      double capacityRatio =
+          entrant.capacity()
+              / Math.max(CapacityEstimator.MIN_CAPACITY, replacement.getKey().capacity());
       double affordable = replaced.target() * Math.min(1, capacityRatio);
       double present =
           table.holds(entrant) ? table.find(entrant).orElseThrow().target() : Route.MIN_WEIGHT;
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -23,6 +23,9 @@
   /** Least slope of the loss; reports are old, and other instances move the same endpoints. */
   private static final double MIN_SLOPE = 30;
 
+  /** Power of the mean fill, over a typical one, by which the least slope falls. */
+  private static final double SPARE_CAPACITY_EXPONENT = 4;
+
   /** Readings of the capacity until it may be trusted; the first show less load than there is. */
   private static final int SETTLING_READINGS = 20;
 
@@ -80,7 +83,7 @@
       return MIN_SLOPE;
     }
     double relativeFill = capacity.meanFill() / CapacityEstimator.TYPICAL_FILL;
-    return MIN_SLOPE * Math.min(1, Math.pow(relativeFill, 4));
+    return MIN_SLOPE * Math.min(1, Math.pow(relativeFill, SPARE_CAPACITY_EXPONENT));
   }
 
   /** Moves the weights of one table by a step, and its load with them. */
