--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -145,7 +145,7 @@
     return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? fraction : 1;
   }
 
-  /** Has new proxies admit all requests; sent once, with the first batch. */
+  /** Admits all requests; sent once, with the first batch. */
   void publishInitialLimits() {
     double[] fractions = new double[settings.requestClasses().size()];
     Arrays.fill(fractions, 1);
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -88,8 +88,7 @@
   }
 
   private void handleOutcomes(Event.EndpointOutcomes outcomes) {
-    if (endpoints.accepts(outcomes.endpoint())) {
-      endpoints.recordOutcomes(outcomes);
+    if (endpoints.recordOutcomes(outcomes)) {
       admission.recordOutcomes(outcomes);
       estimates.cadence().reportReceived();
     }
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -76,7 +76,9 @@
     return warmUpFraction(endpoint) >= 1;
   }
 
-  /** Whether an endpoint left, or an unlisted one was reported, since the last call. */
+  /**
+   * Whether an endpoint left, or a name was added that old tables may hold, since the last call.
+   */
   boolean takeDeparture() {
     boolean taken = departed;
     departed = false;
@@ -144,21 +146,23 @@
   }
 
   /**
-   * Adds observed outcomes. An endpoint that is not listed was removed before this instance
-   * started, as proxies still try it; it is ignored where removed endpoints may keep serving.
+   * Adds observed outcomes. An endpoint that proxies try and no list had was removed before this
+   * instance started; it is ignored where removed endpoints may keep serving.
+   *
+   * @return whether the outcomes count
    */
-  void recordOutcomes(Event.EndpointOutcomes outcomes) {
+  boolean recordOutcomes(Event.EndpointOutcomes outcomes) {
+    if (settings.endpointList().removedEndpointsKeepServing()
+        && !byId.containsKey(outcomes.endpoint())) {
+      return false;
+    }
     EndpointState endpoint = findOrAdd(outcomes.endpoint());
     endpoint.statistics().record(outcomes, clock.now());
     double failureShare = 1 - endpoint.statistics().successShare();
     if (endpoint.isRemovalPending() && failureShare > REMOVAL_CONFIRMED_FAILURE_SHARE) {
       leave(endpoint, EndpointRecord.State.REMOVED);
     }
-  }
-
-  /** Whether outcomes of an endpoint are taken. */
-  boolean accepts(EndpointId id) {
-    return !settings.endpointList().removedEndpointsKeepServing() || byId.containsKey(id);
+    return true;
   }
 
   private EndpointState findOrAdd(EndpointId id) {
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -4,9 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Moves that were sent and that reports do not show yet: what room they take and what they free.
- */
+/** Moves that were sent and that reports do not show yet: the headroom that they take and free. */
 final class InFlightMoves {
   /** DeciMillis; a message's way, a report interval and its delay. */
   static final long VISIBLE_AFTER = 30_000;
@@ -71,14 +69,18 @@
     return move.acknowledged || clock.since(move.sentAt) >= CREDIT_TIMEOUT;
   }
 
-  /** Takes what the moves add from the room, and adds what they free once it is credited. */
-  void applyTo(double[] roomByIndex) {
+  /**
+   * Takes what the moves add from the headroom, and adds what they free once it is credited.
+   *
+   * @param headroom requests per second by endpoint index
+   */
+  void applyTo(double[] headroom) {
     for (InFlightMove move : moves) {
       boolean credited = isCredited(move);
       move.rateChanges.forEach(
           (endpoint, change) -> {
             if (change > 0 || credited) {
-              roomByIndex[endpoint.index()] -= change;
+              headroom[endpoint.index()] -= change;
             }
           });
     }
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -56,18 +56,23 @@
       boolean due = isDue(proxy, anyLeft);
       if (due && hasRoom(proxy)) {
         selected.add(proxy);
-        continue;
+      } else {
+        postponed |= due;
+        requestExclusions(proxy);
       }
-      postponed |= due;
-      if (proxy.hasUnknownTable() && !proxy.areExclusionsRequested()) {
-        exclusions.request();
-      }
-      proxy.markExclusionsRequested();
     }
     exclusions.notifyIfDue(anyLeft && !exclusionsCrowdedOut);
     return postponed || exclusions.isPending();
   }
 
+  /** Has a proxy told, once after it connected, what its unknown table must not use. */
+  private void requestExclusions(ProxyState proxy) {
+    if (proxy.hasUnknownTable() && !proxy.areExclusionsRequested()) {
+      exclusions.request();
+      proxy.markExclusionsRequested();
+    }
+  }
+
   /** Tables of shards stand as they are stored. */
   private boolean isDue(ProxyState proxy, boolean anyLeft) {
     if (!proxy.isConnected() || settings.fleet().sharded()) {
--- /dev/null
+++ b/src/test/java/stonespring/decision/EndpointListWatcherTest.java
@@ -0,0 +1,72 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import stonespring.model.Command;
+import stonespring.model.Event;
+import stonespring.model.Settings;
+
+/** When the watch on the endpoint list is requested, and how often after failures. */
+final class EndpointListWatcherTest {
+  private static final List<Command> WATCH = List.of(new Command.WatchEndpoints(true));
+
+  private final EngineClock clock = new EngineClock(Fleet.SECOND);
+  private final Settings settings = new FleetSettings().watchRequired().build();
+  private final CommandBatch batch = new CommandBatch(settings.channel());
+  private final EndpointListWatcher watcher = createWatcher(settings);
+
+  private EndpointListWatcher createWatcher(Settings settings) {
+    return new EndpointListWatcher(settings, clock, new DeterministicRandom(1), batch);
+  }
+
+  private List<Command> requests() {
+    watcher.ensureWatch();
+    return batch.takeCommands();
+  }
+
+  /** DeciMillis until the next request, in steps of 10 ms. */
+  private long timeToNextRequest() {
+    long start = clock.now();
+    while (requests().isEmpty()) {
+      clock.advanceTo(clock.now() + 100);
+    }
+    return clock.now() - start;
+  }
+
+  @Test
+  void requestsTheWatchOnceAndAgainAfterATimeout() {
+    assertEquals(WATCH, requests());
+    assertEquals(List.of(), requests());
+    assertEquals(9 * Fleet.SECOND, timeToNextRequest());
+  }
+
+  @Test
+  void requestsNothingWhereNoWatchIsRequired() {
+    createWatcher(new FleetSettings().build()).ensureWatch();
+    assertEquals(List.of(), batch.takeCommands());
+  }
+
+  @Test
+  void cachedListIsNoWatch() {
+    watcher.updated(Event.ListUpdateKind.CACHED);
+    assertEquals(WATCH, requests());
+    watcher.updated(Event.ListUpdateKind.SNAPSHOT);
+    clock.advanceTo(clock.now() + 100 * Fleet.SECOND);
+    assertEquals(List.of(), requests());
+  }
+
+  @Test
+  void backoffDoublesWithJitterToALimitAndStartsAnewOnceTheWatchWorks() {
+    for (long backoff : new long[] {5_000, 10_000, 20_000, 40_000, 40_000}) {
+      watcher.updated(Event.ListUpdateKind.FETCH_FAILED);
+      long waited = timeToNextRequest();
+      assertTrue(waited >= backoff && waited <= 2 * backoff + 100, backoff + ": " + waited);
+    }
+    watcher.updated(Event.ListUpdateKind.DELTA);
+    watcher.updated(Event.ListUpdateKind.FETCH_FAILED);
+    assertTrue(timeToNextRequest() <= 10_100);
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/decision/EndpointStatisticsTest.java
@@ -0,0 +1,68 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import stonespring.model.EndpointId;
+import stonespring.model.Event;
+import stonespring.model.LoadReport;
+import stonespring.model.RequestClass;
+import stonespring.model.RetrySafety;
+import stonespring.model.ZoneId;
+
+/** What is kept of the outcomes at one endpoint. */
+final class EndpointStatisticsTest {
+  private static final LatencyModel LATENCY =
+      new LatencyModel(List.of(new RequestClass(RetrySafety.IDEMPOTENT, 1000, 1)));
+
+  private final EndpointStatistics statistics = new EndpointStatistics(LATENCY, 2);
+
+  private void record(int zone, long attempts, long failures, long latency, long now) {
+    statistics.record(
+        new Event.EndpointOutcomes(
+            new EndpointId("e"),
+            new ZoneId(zone),
+            attempts,
+            failures,
+            Fleet.SECOND,
+            latency,
+            LoadReport.NONE),
+        now);
+  }
+
+  @Test
+  void startsWithoutFailures() {
+    assertEquals(1, statistics.successShare());
+    assertEquals(0, statistics.troubleShare());
+    assertEquals(Double.NaN, statistics.utilization());
+  }
+
+  @Test
+  void failuresCountByZoneAndOverAll() {
+    record(0, 8, 8, 0, 1);
+    record(1, 8, 0, 100, 1);
+    assertEquals(0.8, statistics.failureShare(0));
+    assertEquals(0, statistics.failureShare(1));
+    assertEquals(1 - 8.0 / 18, statistics.successShare());
+  }
+
+  @Test
+  void answersAfterTheObjectiveAreTrouble() {
+    record(0, 8, 0, 1000, 1);
+    assertEquals(Math.exp(-1), statistics.lateShare());
+    assertEquals(Math.exp(-1), statistics.troubleShare(), 1e-12);
+  }
+
+  @Test
+  void ratesOfZonesAddUpAndFadeOnceReportsStop() {
+    record(0, 8, 0, 100, 1);
+    record(1, 4, 0, 100, 1);
+    statistics.settle(1, Fleet.SECOND);
+    assertEquals(12, statistics.attemptRate());
+    statistics.settle(1 + 5 * Fleet.SECOND, Fleet.SECOND);
+    assertEquals(12, statistics.attemptRate(), "a report may be five seconds late");
+    statistics.settle(2 + 5 * Fleet.SECOND, Fleet.SECOND);
+    assertEquals(12 * Math.sqrt(0.5), statistics.attemptRate(), 1e-9);
+  }
+}
--- /dev/null
+++ b/src/test/java/stonespring/decision/RouteTableTest.java
@@ -0,0 +1,70 @@
+package stonespring.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import stonespring.model.EndpointId;
+import stonespring.model.EndpointRecord;
+
+/** The routes of one table: held, wanted, or both. */
+final class RouteTableTest {
+  private final RouteTable table = new RouteTable();
+
+  private static EndpointState ready(int index) {
+    EndpointStatistics statistics = new EndpointStatistics(new LatencyModel(List.of()), 2);
+    EndpointState endpoint = new EndpointState(index, statistics);
+    endpoint.assign(new EndpointId("e" + index), 0);
+    endpoint.markReady(0);
+    return endpoint;
+  }
+
+  @Test
+  void wantedRouteIsNotHeldUntilItIsApplied() {
+    EndpointState endpoint = ready(0);
+    Route route = table.setTarget(endpoint, 0.5);
+    assertFalse(table.holds(endpoint));
+    assertTrue(table.isBroken(), "it holds no route");
+    route.setWeight(0.5);
+    assertTrue(table.holds(endpoint));
+    assertFalse(table.isBroken());
+    assertSame(route, table.setTarget(endpoint, 0.7), "one route for each endpoint");
+  }
+
+  @Test
+  void tableThatHoldsAnEndpointThatLeftIsBroken() {
+    EndpointState leaving = ready(0);
+    table.setTarget(ready(1), 0.5).setWeight(0.5);
+    table.setTarget(leaving, 0.5).setWeight(0.5);
+    assertFalse(table.isBroken());
+    leaving.markLeft(EndpointRecord.State.DRAINING, 1);
+    assertTrue(table.isBroken());
+  }
+
+  @Test
+  void targetsAreScaledToASumOfOne() {
+    Route first = table.setTarget(ready(0), 3);
+    Route second = table.setTarget(ready(1), 1);
+    table.normalizeTargets();
+    assertEquals(0.75, first.target());
+    assertEquals(0.25, second.target());
+  }
+
+  @Test
+  void removesRoutesThatWereNeverApplied() {
+    table.setTarget(ready(0), 1);
+    table.setTarget(ready(1), 1).setWeight(1);
+    table.removeUnapplied();
+    assertEquals(1, table.routes().size());
+  }
+
+  @Test
+  void weightsDifferByMoreThanTheTolerance() {
+    assertFalse(Route.differs(0.5, 0.52));
+    assertTrue(Route.differs(0.5, 0.54));
+    assertTrue(Route.differs(0, 0.001), "a route that comes or goes always counts");
+  }
+}
