--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -223,22 +223,15 @@
     return trouble > EndpointStatistics.NORMAL_TROUBLE_SHARE ? endpoint.capacity() : 0;
   }
 
+  /**
+   * Reduces the confidence under overload, at most once an interval; restores it in normal
+   * operation, beyond 1 while requests are limited; lowers it slowly while endpoints are too full.
+   */
   private void adjustConfidence(Load load) {
     long delay = estimates.cadence().delay();
     double step = CONFIDENCE_STEP_PER_SECOND * settings.reportInterval() / DeciMillis.SECOND;
     if (load.isOverloaded() && clock.since(lastReductionAt) > REDUCTION_INTERVAL + delay) {
-      if (confidence == 1) {
-        log("Overload: endpoints fail requests, admission limits are lowered.");
-      }
-      double floorIfIdle =
-          delay > settings.reportInterval() ? MIN_CONFIDENCE_IF_DELAYED : MIN_CONFIDENCE_IF_IDLE;
-      double floor =
-          load.utilization() > HIGH_UTILIZATION
-              ? MIN_CONFIDENCE
-              : Math.min(confidence, floorIfIdle);
-      double factor = fraction == 1 ? FIRST_REDUCTION : REDUCTION;
-      confidence = Math.max(floor, confidence * factor);
-      lastReductionAt = clock.now();
+      reduceConfidence(load, delay > settings.reportInterval());
     } else if (load.isNormal() && load.utilization() < TARGET_FILL) {
       double limit = fraction < 1 ? MAX_CONFIDENCE : 1;
       confidence = Math.min(limit, Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step)));
@@ -247,6 +240,18 @@
     }
   }
 
+  private void reduceConfidence(Load load, boolean reportsDelayed) {
+    if (confidence == 1) {
+      log("Overload: endpoints fail requests, admission limits are lowered.");
+    }
+    double floorIfIdle = reportsDelayed ? MIN_CONFIDENCE_IF_DELAYED : MIN_CONFIDENCE_IF_IDLE;
+    double floor =
+        load.utilization() > HIGH_UTILIZATION ? MIN_CONFIDENCE : Math.min(confidence, floorIfIdle);
+    double factor = fraction == 1 ? FIRST_REDUCTION : REDUCTION;
+    confidence = Math.max(floor, confidence * factor);
+    lastReductionAt = clock.now();
+  }
+
   /**
    * Divides the admitted requests among the classes, those of most value for their work first.
    * Nothing reports the work of a class; its latency objective stands for it. No class falls below
