--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -2,6 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stonespring.model.AckId;
@@ -12,12 +14,16 @@
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 import stonespring.model.Settings;
-import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.proxyapi.ProxyConnection;
+import stonespring.state.HelloResult;
 import stonespring.state.KeyStore;
 import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
+import stonespring.state.ProxyReport;
 import stonespring.state.ProxySessions;
 import stonespring.state.ProxyUpdate;
+import stonespring.state.PublishedKeyCodec;
 import stonespring.state.PublishedState;
 import stonespring.state.RateLimitedChannel;
 import stonespring.state.ReportAggregator;
@@ -41,11 +47,12 @@
   private final Settings settings;
   private final HostEnvironment environment;
   private final EngineRunner engine;
-  private final ProxySessions sessions;
+  private final ProxySessions<ProxyConnection> sessions;
   private final RouteTables routeTables;
   private final ReportAggregator reports;
   private final RateLimitedChannel channel;
   private final KeyStore keys;
+  private final PublishedKeyCodec keyCodec;
   private final PublishedState published;
   private final ListedEndpoints endpoints = new ListedEndpoints();
   private final DurationHistogram acknowledgements =
@@ -73,17 +80,13 @@
     this.settings = settings;
     this.environment = environment;
     this.engine = new EngineRunner(engine, environment);
-    this.sessions = new ProxySessions(limits.proxies());
-    this.routeTables = new RouteTables(requestClassNames);
+    this.sessions = new ProxySessions<>(limits.proxies());
+    this.routeTables = new RouteTables(requestClassNames.size());
     this.reports = new ReportAggregator(limits.reportPairs());
-    this.channel =
-        new RateLimitedChannel(
-            settings.channel().entriesPerSecond(),
-            settings.channel().messageOverheadEntries(),
-            settings.channel().maxBacklogEntries(),
-            settings.channel().messageWindow());
+    this.channel = new RateLimitedChannel(settings.channel());
     this.keys = new KeyStore(firstSequence, limits.keys());
-    this.published = new PublishedState(keys, epoch, sessions);
+    this.keyCodec = new PublishedKeyCodec(requestClassNames);
+    this.published = new PublishedState(keys, keyCodec, epoch, sessions);
     this.nextReportsAt = now + settings.reportInterval();
     this.nextStatusAt = now;
   }
@@ -99,98 +102,85 @@
    * @param sessionTimeout from now
    */
   public void handleHello(
-      String proxy,
-      ProxyHello hello,
-      long sessionTimeout,
-      ProxyMessageHandler.Origin connection,
-      long now) {
-    ProxySessions.Verdict verdict =
+      String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection, long now) {
+    HelloResult<ProxyConnection> result =
         sessions.hello(proxy, hello, connection, now, now + sessionTimeout);
-    if (verdict instanceof ProxySessions.Verdict.Refused refused) {
-      connection.end(refused.cause());
-    } else if (verdict instanceof ProxySessions.Verdict.Joined joined) {
-      if (joined.before()) {
-        replaceSession(proxy, joined, connection, now);
-      }
-      startSession(proxy, joined.proxy(), hello, now);
+    if (result instanceof HelloResult.Refused<ProxyConnection> refused) {
+      connection.close(refused.reason());
+    } else if (result instanceof HelloResult.Connected<ProxyConnection> connected) {
+      ProxyId id = connected.proxy();
+      connected
+          .replaced()
+          .ifPresent(replaced -> replaceSession(proxy, id, replaced, connection, now));
+      startSession(proxy, id, hello, now);
     }
   }
 
   private void replaceSession(
-      String proxy,
-      ProxySessions.Verdict.Joined joined,
-      ProxyMessageHandler.Origin connection,
-      long now) {
-    endSession(joined.proxy(), "replaced by a newer stream", now);
-    if (joined.oldConnection() != connection) {
-      ((ProxyMessageHandler.Origin) joined.oldConnection())
-          .end("proxy " + proxy + " came back on a newer stream");
+      String proxy, ProxyId id, ProxyConnection replaced, ProxyConnection connection, long now) {
+    endSession(id, "replaced by a newer stream", now);
+    if (replaced != connection) {
+      replaced.close("proxy " + proxy + " came back on a newer stream");
     }
   }
 
   private void startSession(String proxy, ProxyId id, ProxyHello hello, long now) {
-    routeTables.joined(id, hello.holds());
+    routeTables.proxyConnected(id, hello.tableEndpoints());
     Event connected =
-        new Event.ProxyConnected(id, hello.zone(), hello.opsPerSecond(), hello.fresh());
+        new Event.ProxyConnected(
+            id, hello.zone(), hello.requestsPerSecond(), hello.withoutTables());
     handle(now, connected, "connect " + proxy);
-    environment.publish(published.here(id));
+    environment.publish(published.proxyConnected(id));
     LOG.info(
         "proxy {} connected as {}, stream {}, {}",
         proxy,
         id.number(),
         published.origin(id),
-        hello.fresh() ? "with its bootstrap table" : "with route tables of its own");
+        hello.withoutTables() ? "with its bootstrap table" : "with route tables of its own");
   }
 
   private void endSession(ProxyId id, String reason, long now) {
-    routeTables.left(id);
-    channel.left(id);
-    reports.left(id);
-    environment.publish(published.ended(id));
+    routeTables.proxyDisconnected(id);
+    channel.proxyDisconnected(id);
+    reports.proxyDisconnected(id);
+    environment.publish(published.proxyDisconnected(id));
     handle(now, new Event.ProxyDisconnected(id), "disconnect " + sessions.name(id));
     LOG.info("proxy {} disconnected: {}", sessions.name(id), reason);
   }
 
   /** Ends the sessions of all proxies on a connection that was closed. */
-  public void handleConnectionClosed(ProxyMessageHandler.Origin connection, long now) {
-    for (ProxyId id : sessions.closed(connection)) {
+  public void handleConnectionClosed(ProxyConnection connection, long now) {
+    for (ProxyId id : sessions.connectionClosed(connection)) {
       endSession(id, "its connection was closed", now);
     }
   }
 
-  /**
-   * Takes a proxy's report, or closes the connection if the proxy has no session on it.
-   *
-   * @param interval that the report covers
-   */
-  public void handleReport(
-      String proxy,
-      long interval,
-      List<ReportAggregator.Met> outcomes,
-      List<ReportAggregator.Came> requests,
-      ProxyMessageHandler.Origin connection) {
-    ProxyId id = sessions.speaking(proxy, connection);
-    if (id == null) {
-      connection.end("report: proxy " + proxy + " never joined on this connection");
+  /** Takes a proxy's report, or closes the connection if the proxy has no session on it. */
+  public void handleReport(String proxy, ProxyReport report, ProxyConnection connection) {
+    Optional<ProxyId> id = sessions.find(proxy, connection);
+    if (id.isEmpty()) {
+      connection.close("report: proxy " + proxy + " never joined on this connection");
       return;
     }
-    ProxyHello hello = sessions.hello(id);
-    List<ReportAggregator.Met> known = ofKnownEndpoints(outcomes, hello);
-    reportsOfUnknownEndpoints += outcomes.size() - known.size();
-    reports.add(id, hello.zone(), interval, known, requests);
+    ProxyHello hello = sessions.hello(id.get());
+    List<ProxyReport.EndpointObservation> known = ofKnownEndpoints(report.endpoints(), hello);
+    reportsOfUnknownEndpoints += report.endpoints().size() - known.size();
+    reports.add(
+        id.get(), hello.zone(), new ProxyReport(report.interval(), known, report.requests()));
   }
 
   /**
-   * Selects the outcomes of endpoints that were listed or that the proxy's own route tables name:
-   * those may have left the list before this start, and the engine must know of them.
+   * Selects the observations of endpoints that were listed or that the proxy's own route tables
+   * name: those may have left the list before this start, and the engine must know of them.
    */
-  private List<ReportAggregator.Met> ofKnownEndpoints(
-      List<ReportAggregator.Met> outcomes, ProxyHello hello) {
-    List<EndpointId> ownRoutes = hello.holds() == null ? List.of() : hello.holds();
-    List<ReportAggregator.Met> known = new ArrayList<>(outcomes.size());
-    for (ReportAggregator.Met outcome : outcomes) {
-      if (endpoints.wasListed(outcome.task()) || ownRoutes.contains(outcome.task())) {
-        known.add(outcome);
+  private List<ProxyReport.EndpointObservation> ofKnownEndpoints(
+      List<ProxyReport.EndpointObservation> observations, ProxyHello hello) {
+    List<EndpointId> ownRoutes = hello.tableEndpoints().orElse(List.of());
+    List<ProxyReport.EndpointObservation> known = new ArrayList<>(observations.size());
+    for (ProxyReport.EndpointObservation observation : observations) {
+      EndpointId endpoint = observation.endpoint();
+      if (endpoints.wasListed(endpoint) || ownRoutes.contains(endpoint)) {
+        known.add(observation);
       }
     }
     return known;
@@ -199,31 +189,26 @@
   /**
    * Takes a proxy's acknowledgement of an update. One for an earlier stream is ignored; one that
    * was never requested closes the connection.
-   *
-   * @param duration from the command to its effect, as the proxy measured it
    */
   public void handleAcknowledgement(
-      String proxy,
-      String stream,
-      int ack,
-      long duration,
-      ProxyMessageHandler.Origin connection,
-      long now) {
-    ProxyId id = sessions.speaking(proxy, connection);
+      String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection, long now) {
+    ProxyId id = sessions.find(proxy, connection).orElse(null);
     if (id == null) {
-      connection.end("answer: proxy " + proxy + " never joined on this connection");
+      connection.close("answer: proxy " + proxy + " never joined on this connection");
       return;
     }
-    if (!published.origin(id).equals(stream)) {
+    if (!published.origin(id).equals(acknowledgement.origin())) {
       return;
     }
-    long commandedAt = published.answer(id, ack);
-    if (commandedAt < 0) {
-      connection.end("answer: mark " + ack + " was never set for proxy " + proxy);
+    AckId ack = acknowledgement.ack();
+    OptionalLong commandedAt = published.acknowledge(id, ack);
+    if (commandedAt.isEmpty()) {
+      connection.close("answer: mark " + ack.number() + " was never set for proxy " + proxy);
       return;
     }
-    acknowledgements.record(now - commandedAt);
-    handle(now, new Event.UpdateAcknowledged(id, new AckId(ack), duration), "ack " + proxy);
+    acknowledgements.record(now - commandedAt.getAsLong());
+    Event acknowledged = new Event.UpdateAcknowledged(id, ack, acknowledgement.duration());
+    handle(now, acknowledged, "ack " + proxy);
   }
 
   /** Takes an update of the endpoint list. */
@@ -262,14 +247,14 @@
       carryOut(engine.endBatch(now), now);
       causes.clear();
     }
-    for (ProxyUpdate update : channel.due(now)) {
+    for (ProxyUpdate update : channel.takeDue(now)) {
       environment.publish(published.publish(update));
     }
     if (now >= nextStatusAt) {
       nextStatusAt = now + STATUS_INTERVAL;
-      environment.publish(published.status(status()));
+      environment.publish(published.publishStatus(status()));
     }
-    long nextAt = Math.min(Math.min(nextReportsAt, nextStatusAt), channel.nextAt());
+    long nextAt = Math.min(Math.min(nextReportsAt, nextStatusAt), channel.nextDepartureAt());
     return Math.min(nextAt, engine.nextTimerAt());
   }
 
@@ -287,20 +272,20 @@
   }
 
   private void carryOut(List<Command> commands, long now) {
-    List<ProxyUpdate> updates = routeTables.messages(commands, now);
+    List<ProxyUpdate> updates = routeTables.apply(commands, now);
     channel.offer(updates, now);
     if (LOG.isDebugEnabled()) {
       for (ProxyUpdate update : updates) {
         LOG.debug(
             "update for {}: {} because of {}",
             sessions.name(update.proxy()),
-            update.changes(),
+            keyCodec.describe(update),
             causes);
       }
     }
     int limit = settings.channel().maxBacklogEntries();
-    if (channel.backlog() > limit) {
-      LOG.error("channel: {} entries wait, the limit is {}", channel.backlog(), limit);
+    if (channel.backlogEntries() > limit) {
+      LOG.error("channel: {} entries wait, the limit is {}", channel.backlogEntries(), limit);
     }
   }
 
@@ -310,14 +295,14 @@
         endpoints,
         channel,
         settings.channel(),
-        reports.leftOut() + reportsOfUnknownEndpoints,
+        reports.droppedPairs() + reportsOfUnknownEndpoints,
         engine.endedBatches(),
         acknowledgements);
   }
 
   /** Returns the number of connected proxies. */
   public int connectedProxies() {
-    return sessions.here();
+    return sessions.connectedCount();
   }
 
   /** Returns how many batches the engine has ended. */
--- a/src/main/java/stonespring/daemon/HostStatus.java
+++ b/src/main/java/stonespring/daemon/HostStatus.java
@@ -9,7 +9,7 @@
   private HostStatus() {}
 
   static String toJson(
-      ProxySessions sessions,
+      ProxySessions<?> sessions,
       ListedEndpoints endpoints,
       RateLimitedChannel channel,
       Settings.ChannelLimits limits,
@@ -17,21 +17,21 @@
       long batches,
       DurationHistogram acknowledgements) {
     return "{\"proxies\":"
-        + sessions.here()
+        + sessions.connectedCount()
         + ",\"tasks_ready\":"
         + endpoints.readyCount()
         + ",\"backlog_lines\":"
-        + channel.backlog()
+        + channel.backlogEntries()
         + ",\"backlog_high\":"
-        + channel.backlogHigh()
+        + channel.peakBacklogEntries()
         + ",\"backlog_limit\":"
         + limits.maxBacklogEntries()
         + ",\"messages_high\":"
-        + channel.messagesHigh()
+        + channel.peakMessagesPerProxy()
         + ",\"messages_limit\":"
         + limits.maxMessagesPerProxy()
         + ",\"merged\":"
-        + channel.merged()
+        + channel.mergedUpdates()
         + ",\"reports_left_out\":"
         + reportsLeftOut
         + ",\"decisions\":"
--- a/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
+++ b/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
@@ -25,7 +25,7 @@
   static LineLimits of(PlatformConfig config) {
     Settings.Fleet fleet = config.facts().settings().fleet();
     // One collector above its zone's bound is accepted before the oldest is closed.
-    int collectors = (PlatformProxyApi.COLLECTORS_A_ZONE + 1) * fleet.zones();
+    int collectors = (PlatformProxyApi.MAX_COLLECTORS_PER_ZONE + 1) * fleet.zones();
     int available = config.sockets() - fleet.proxies() - collectors - RESERVED_DESCRIPTORS;
     int unidentified = Math.max(MIN_UNIDENTIFIED, Math.min(MAX_UNIDENTIFIED, available));
     return new LineLimits(
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -94,7 +94,7 @@
   }
 
   private void onEndpointListUpdate(Event.EndpointListUpdate update) {
-    proxyApi.listTold(update);
+    proxyApi.endpointListUpdated(update);
     if (update.kind() != Event.ListUpdateKind.DELTA) {
       LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
     }
@@ -152,8 +152,8 @@
     LOG.info(
         "assigner {} stops: {} proxies, {} messages dropped; {}",
         config.name(),
-        proxyApi.proxiesHere(),
-        proxyApi.dropped(),
+        proxyApi.connectedProxies(),
+        proxyApi.droppedMessages(),
         engine.statistics());
   }
 }
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -97,7 +97,7 @@
         runner.handle(now, event);
       }
       if (runner.hasPendingEvents()) {
-        proxyApi.carryOut(runner.endBatch(now), now);
+        proxyApi.execute(runner.endBatch(now), now);
         statistics.batchEnded(now, clock.now());
       }
     } catch (DecisionFailedException e) {
@@ -126,7 +126,7 @@
     runner = createRunner(config.seed() + failures);
     timer.reset();
     handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.held()));
-    proxyApi.restart();
+    proxyApi.engineRestarted();
   }
 
   /**
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -9,12 +9,16 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import stonespring.model.AckId;
 import stonespring.model.RequestClassId;
 import stonespring.model.ZoneId;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
+import stonespring.state.ProxyReport;
 
 /** A whole host in virtual time, with proxies that follow what it publishes. */
 final class EngineHostTest {
@@ -54,33 +58,38 @@
     return simulation;
   }
 
+  private static ProxyAcknowledgement acknowledgement(String stream, int ack) {
+    return new ProxyAcknowledgement(stream, new AckId(ack), 1);
+  }
+
   @Test
   void closesTheConnectionOfAFaultyPeerAndNoOther() {
     HostSimulation simulation = simulationOfOneEndpoint();
     EngineHost host = simulation.host();
     SimulatedProxy proxy = simulation.addProxy("p0", 0);
     RecordingConnection stranger = new RecordingConnection();
-    host.handleReport("p0", SECOND, List.of(), List.of(), stranger);
+    host.handleReport("p0", new ProxyReport(SECOND, List.of(), List.of()), stranger);
     assertTrue(stranger.closeReason().contains("never joined"));
 
     simulation.connect(proxy);
     simulation.advance(STEP);
     simulation.advance(SECOND);
     RecordingConnection impostor = new RecordingConnection();
-    ProxyHello otherProcess = new ProxyHello("another-life", 99, new ZoneId(0), 1, true, null);
+    ProxyHello otherProcess =
+        new ProxyHello("another-life", 99, new ZoneId(0), 1, true, Optional.empty());
     host.handleHello("p0", otherProcess, SECOND, impostor, simulation.now());
     assertEquals("proxy p0 is here already", impostor.closeReason());
 
     RecordingConnection late = new RecordingConnection();
-    host.handleAcknowledgement("p0", proxy.stream(), 1, 1, late, simulation.now());
+    host.handleAcknowledgement("p0", acknowledgement(proxy.stream(), 1), late, simulation.now());
     assertTrue(late.closeReason().contains("never joined on this connection"));
 
     host.handleAcknowledgement(
-        "p0", "some-other-stream", 1, 1, proxy.connection(), simulation.now());
+        "p0", acknowledgement("some-other-stream", 1), proxy.connection(), simulation.now());
     assertNull(
         proxy.connection().closeReason(), "one for an earlier stream may have been under way");
     host.handleAcknowledgement(
-        "p0", proxy.stream(), 64_999, 1, proxy.connection(), simulation.now());
+        "p0", acknowledgement(proxy.stream(), 64_999), proxy.connection(), simulation.now());
     assertEquals("answer: mark 64999 was never set for proxy p0", proxy.connection().closeReason());
   }
 
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -10,6 +10,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import stonespring.model.AckId;
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointId;
 import stonespring.model.RetrySafety;
@@ -19,6 +21,7 @@
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.proxy.routing.TableSubscriber;
 import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
 
 /** A proxy in virtual time: it follows what a host publishes and routes by it. */
@@ -125,7 +128,7 @@
             new ZoneId(zone),
             10,
             router.isWithoutTables(),
-            router.namedEndpoints().stream().map(EndpointId::new).toList());
+            Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList()));
     host.handleHello(name, hello, HostSimulation.SESSION_TIMEOUT, connection, now);
   }
 
@@ -133,7 +136,9 @@
   void acknowledge(EngineHost host, long now) {
     for (int ack : acksDue) {
       if (connection != null) {
-        host.handleAcknowledgement(name, stream, ack, 100, connection, now);
+        ProxyAcknowledgement acknowledgement =
+            new ProxyAcknowledgement(stream, new AckId(ack), 100);
+        host.handleAcknowledgement(name, acknowledgement, connection, now);
       }
     }
     acksDue.clear();
