--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/Daemon.java
@@ -53,20 +53,22 @@
   /** Creates an instance; {@link #start} starts it. */
   public Daemon(InstanceSettings settings) {
     this.settings = settings;
-    InstanceSettings.Bounds bounds = settings.bounds();
-    this.engineLoop = new EventLoopThread(clock, bounds.inbox(), bounds.momentMillis());
-    NameTable names = new NameTable(settings.zones(), settings.opTypeNames());
+    InstanceSettings.Limits bounds = settings.limits();
+    this.engineLoop = new EventLoopThread(clock, bounds.inboxMessages(), bounds.batchMillis());
+    NameTable names = new NameTable(settings.zones(), settings.requestClasses().names());
     this.server =
         new ChpServer(
             eventLoops,
             connectionLimits(bounds),
             new ChpProxyApi(new QueuedMessageHandler(engineLoop), names));
     EndpointListCodec codec = new EndpointListCodec(settings.zones(), clock.unixOffset());
-    this.source = createSource(settings.source(), codec, (EventLoop) eventLoops.next());
-    this.savedList = new CachedEndpointList(settings.saved(), codec);
+    this.source =
+        createSource(settings.endpointList().source(), codec, (EventLoop) eventLoops.next());
+    this.savedList =
+        new CachedEndpointList(settings.endpointList().cacheFile().orElse(null), codec);
   }
 
-  private static ZmtpLimits connectionLimits(InstanceSettings.Bounds bounds) {
+  private static ZmtpLimits connectionLimits(InstanceSettings.Limits bounds) {
     ZmtpLimits usual = ZmtpLimits.DEFAULT;
     return new ZmtpLimits(
         usual.maxFrameBytes(),
@@ -100,7 +102,7 @@
    */
   public void start() throws IOException, InterruptedException {
     EngineHost host = createHost();
-    server.start(settings.host(), settings.port());
+    server.start(settings.listen().host(), settings.listen().port());
     List<EndpointRecord> saved = savedList.read();
     engineLoop.start(settings.name(), host);
     onEndpointListUpdate(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, saved));
@@ -108,7 +110,7 @@
     LOG.info(
         "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints of the saved list",
         settings.name(),
-        settings.host(),
+        settings.listen().host(),
         port(),
         port() + 1,
         port() + 2,
@@ -120,7 +122,7 @@
     long seed = unixMillis ^ System.nanoTime();
     HostLimits limits =
         new HostLimits(
-            settings.bounds().proxies(),
+            settings.limits().proxies(),
             HostLimits.DEFAULT.reportPairs(),
             HostLimits.DEFAULT.keys());
     // Sequences rise over restarts: subscribers drop an update whose sequence is not above the
@@ -128,7 +130,7 @@
     long firstSequence = unixMillis << SEQUENCE_BITS_PER_MILLI;
     return new EngineHost(
         settings.settings(),
-        settings.opTypeNames(),
+        settings.requestClasses().names(),
         limits,
         Long.toString(unixMillis, Character.MAX_RADIX),
         firstSequence,
@@ -138,7 +140,7 @@
   }
 
   private EngineFactory engineFactory() {
-    if (!settings.proposals()) {
+    if (!settings.weightProposals()) {
       return AssignmentEngine::new;
     }
     return (engineSettings, seed, now) ->
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -48,14 +48,14 @@
     InstanceClock clock = new InstanceClock();
     this.proxyApi =
         new PlatformProxyApi(
-            new NameTable(config.facts().zones(), config.facts().opTypes()),
-            config.facts().settings().fleet().proxies(),
+            new NameTable(config.settings().zones(), config.settings().requestClassNames()),
+            config.settings().settings().fleet().proxies(),
             this::onProxyEvent);
     this.server = new LineServer(PlatformConnectionLimits.of(config), proxyApi);
     this.source =
         new PlatformEndpointSource(
             config.discovery(),
-            new PlatformEndpointCodec(config.facts().zones(), clock.unixOffset()),
+            new PlatformEndpointCodec(config.settings().zones(), clock.unixOffset()),
             eventLoop);
     this.engine =
         new PlatformEngine(config, factory, eventLoop, clock, proxyApi, source, this::onGiveUp);
@@ -82,19 +82,19 @@
         config.listen().getHostString(),
         server.port(),
         source.endpoints().size(),
-        config.facts().settings().fleet().proxies(),
+        config.settings().settings().fleet().proxies(),
         server.limits().maxPendingHandshakes());
   }
 
   private void startEngine() {
     engine.start();
     source.start(this::onEndpointListUpdate, list -> {});
-    onEndpointListUpdate(source.loadCached(config.known()));
+    onEndpointListUpdate(source.loadCached(config.cachedEndpointList()));
     engine.runBatchNow();
   }
 
   private void onEndpointListUpdate(Event.EndpointListUpdate update) {
-    proxyApi.listTold(update);
+    proxyApi.endpointListUpdated(update);
     if (update.kind() != Event.ListUpdateKind.DELTA) {
       LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
     }
@@ -117,7 +117,7 @@
    * the process, which is logged.
    */
   public void reload(PlatformConfig newConfig) {
-    boolean sameSettings = newConfig.facts().equals(config.facts());
+    boolean sameSettings = newConfig.settings().equals(config.settings());
     if (!sameSettings || !newConfig.listen().equals(config.listen())) {
       LOG.warn(
           "the new configuration changes the settings or the listen address: those need a restart");
@@ -152,8 +152,8 @@
     LOG.info(
         "assigner {} stops: {} proxies, {} messages dropped; {}",
         config.name(),
-        proxyApi.proxiesHere(),
-        proxyApi.dropped(),
+        proxyApi.connectedProxies(),
+        proxyApi.droppedMessages(),
         engine.statistics());
   }
 }
--- a/src/main/java/stonespring/daemon/QueuedMessageHandler.java
+++ b/src/main/java/stonespring/daemon/QueuedMessageHandler.java
@@ -1,11 +1,12 @@
 package stonespring.daemon;
 
-import java.util.List;
-import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import stonespring.proxyapi.ProxyConnection;
 import stonespring.proxyapi.ProxyMessageHandler;
-import stonespring.state.KeyUpdate;
+import stonespring.state.KeySnapshot;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
 /**
  * Hands messages of proxies over to the thread that drives the {@link EngineHost}. A message that
@@ -20,35 +21,32 @@
   }
 
   @Override
-  public boolean hello(String proxy, ProxyHello hello, long sessionTimeout, Origin connection) {
+  public boolean hello(
+      String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection) {
     return loop.offer(
         (host, now) -> host.handleHello(proxy, hello, sessionTimeout, connection, now));
   }
 
   @Override
-  public boolean reported(
-      String proxy,
-      long interval,
-      List<ReportAggregator.Met> outcomes,
-      List<ReportAggregator.Came> requests,
-      Origin connection) {
-    return loop.offer(
-        (host, now) -> host.handleReport(proxy, interval, outcomes, requests, connection));
+  public boolean reported(String proxy, ProxyReport report, ProxyConnection connection) {
+    return loop.offer((host, now) -> host.handleReport(proxy, report, connection));
   }
 
   @Override
-  public boolean answered(String proxy, String stream, int ack, long duration, Origin connection) {
+  public boolean acknowledged(
+      String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection) {
     return loop.offer(
-        (host, now) -> host.handleAcknowledgement(proxy, stream, ack, duration, connection, now));
+        (host, now) -> host.handleAcknowledgement(proxy, acknowledgement, connection, now));
   }
 
   @Override
-  public boolean snapshot(String subtree, BiConsumer<List<KeyUpdate>, Long> then) {
-    return loop.offer((host, now) -> then.accept(host.snapshot(subtree), host.sequence()));
+  public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
+    return loop.offer(
+        (host, now) -> receiver.accept(new KeySnapshot(host.snapshot(subtree), host.sequence())));
   }
 
   @Override
-  public void closed(Origin connection) {
+  public void connectionClosed(ProxyConnection connection) {
     loop.post((host, now) -> host.handleConnectionClosed(connection, now));
   }
 }
--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -68,6 +68,9 @@
   /** Least fraction of any class, as a multiple of the worst class's weight in the objective. */
   private static final double CLASS_FLOOR_MULTIPLE = 3;
 
+  /** Keeps the divisor above 0 where all attempts fail. */
+  private static final double MIN_SUCCESS_SHARE = 1e-9;
+
   /** Requests per second at a proxy; stands for no limit. */
   private static final double UNLIMITED_RATE = 1e6;
 
@@ -142,7 +145,7 @@
     return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? fraction : 1;
   }
 
-  /** Has new proxies admit all requests; sent once, with the first batch. */
+  /** Admits all requests; sent once, with the first batch. */
   void publishInitialLimits() {
     double[] fractions = new double[settings.requestClasses().size()];
     Arrays.fill(fractions, 1);
@@ -180,7 +183,8 @@
   /** An endpoint that fails more than the rest counts less: one that fails all serves nothing. */
   private Load observe() {
     TrafficEstimator traffic = estimates.traffic();
-    double totalCapacity = Math.max(1e-9, estimates.capacity().totalCapacity());
+    double totalCapacity =
+        Math.max(CapacityEstimator.MIN_CAPACITY, estimates.capacity().totalCapacity());
     double meanSuccess =
         endpoints.sumOverReady(
                 endpoint -> endpoint.capacity() * endpoint.statistics().successShare())
@@ -204,7 +208,8 @@
   }
 
   private static double servedCapacity(EndpointState endpoint, double meanSuccess) {
-    double relativeSuccess = endpoint.statistics().successShare() / (meanSuccess + 1e-9);
+    double relativeSuccess =
+        endpoint.statistics().successShare() / (meanSuccess + MIN_SUCCESS_SHARE);
     return endpoint.capacity() * Math.min(1, relativeSuccess);
   }
 
@@ -218,22 +223,15 @@
     return trouble > EndpointStatistics.NORMAL_TROUBLE_SHARE ? endpoint.capacity() : 0;
   }
 
+  /**
+   * Reduces the confidence under overload, at most once an interval; restores it in normal
+   * operation, beyond 1 while requests are limited; lowers it slowly while endpoints are too full.
+   */
   private void adjustConfidence(Load load) {
     long delay = estimates.cadence().delay();
     double step = CONFIDENCE_STEP_PER_SECOND * settings.reportInterval() / DeciMillis.SECOND;
     if (load.isOverloaded() && clock.since(lastReductionAt) > REDUCTION_INTERVAL + delay) {
-      if (confidence == 1) {
-        log("Overload: endpoints fail requests, admission limits are lowered.");
-      }
-      double floorIfIdle =
-          delay > settings.reportInterval() ? MIN_CONFIDENCE_IF_DELAYED : MIN_CONFIDENCE_IF_IDLE;
-      double floor =
-          load.utilization() > HIGH_UTILIZATION
-              ? MIN_CONFIDENCE
-              : Math.min(confidence, floorIfIdle);
-      double factor = fraction == 1 ? FIRST_REDUCTION : REDUCTION;
-      confidence = Math.max(floor, confidence * factor);
-      lastReductionAt = clock.now();
+      reduceConfidence(load, delay > settings.reportInterval());
     } else if (load.isNormal() && load.utilization() < TARGET_FILL) {
       double limit = fraction < 1 ? MAX_CONFIDENCE : 1;
       confidence = Math.min(limit, Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step)));
@@ -242,6 +240,18 @@
     }
   }
 
+  private void reduceConfidence(Load load, boolean reportsDelayed) {
+    if (confidence == 1) {
+      log("Overload: endpoints fail requests, admission limits are lowered.");
+    }
+    double floorIfIdle = reportsDelayed ? MIN_CONFIDENCE_IF_DELAYED : MIN_CONFIDENCE_IF_IDLE;
+    double floor =
+        load.utilization() > HIGH_UTILIZATION ? MIN_CONFIDENCE : Math.min(confidence, floorIfIdle);
+    double factor = fraction == 1 ? FIRST_REDUCTION : REDUCTION;
+    confidence = Math.max(floor, confidence * factor);
+    lastReductionAt = clock.now();
+  }
+
   /**
    * Divides the admitted requests among the classes, those of most value for their work first.
    * Nothing reports the work of a class; its latency objective stands for it. No class falls below
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -4,6 +4,7 @@
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -67,14 +68,14 @@
   /**
    * Takes the list that the configuration came with, before any other is known.
    *
-   * @param known in the platform's form, or null; an invalid one counts as empty
+   * @param known in the platform's form; an invalid one counts as empty
    * @return a cached list
    */
-  public Event.EndpointListUpdate loadCached(JsonNode known) {
+  public Event.EndpointListUpdate loadCached(Optional<JsonNode> known) {
     List<EndpointRecord> endpoints = List.of();
-    if (known != null) {
+    if (known.isPresent()) {
       try {
-        endpoints = list.applyKnown(known);
+        endpoints = list.applyKnown(known.get());
       } catch (InvalidEndpointListException e) {
         LOG.warn("the configuration's endpoint list is ignored: {}", e.getMessage());
       }
--- a/src/main/java/stonespring/testbed/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -124,7 +124,7 @@
 
   private static ProxySettings settings(InstanceSettings of, int i, int port) {
     List<RouterSettings.ClassSettings> types =
-        of.opTypeNames().stream()
+        of.requestClasses().names().stream()
             .map(n -> new RouterSettings.ClassSettings(n, RetrySafety.IDEMPOTENT, 0))
             .toList();
     RouterSettings router =
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -5,8 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import stonespring.daemon.EngineHost;
+import stonespring.model.AckId;
 import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 import stonespring.model.LoadReport;
@@ -20,17 +22,18 @@
 import stonespring.proxy.routing.Router;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.proxy.routing.TableSubscriber;
-import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.proxyapi.ProxyConnection;
 import stonespring.recording.Recording;
 import stonespring.state.KeyUpdate;
+import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
 /**
  * A proxy in virtual time: the real routing, what an instance publishes as its keys come, and
  * clients that come again.
  */
-final class VirtualProxy implements ProxyMessageHandler.Origin {
+final class VirtualProxy implements ProxyConnection {
   private static final long IDLE =
       15 * DeciMillis.SECOND; // 0.1 ms after which an unused connection is closed
   private static final long NEAR = 3; // 0.1 ms one way in a zone
@@ -41,7 +44,7 @@
       500; // 0.1 ms; with less time left a client doesn't come again
 
   private final VirtualFleet fleet;
-  private final Recording.Proxy proxy;
+  private final Recording.ProxyInfo proxy;
   private final EventQueue agenda;
   private final SplittableRandom random;
   private final Router router;
@@ -53,7 +56,7 @@
 
   VirtualProxy(
       VirtualFleet fleet,
-      Recording.Proxy proxy,
+      Recording.ProxyInfo proxy,
       RouterSettings routing,
       List<EndpointId> standing,
       long seed) {
@@ -76,7 +79,7 @@
   }
 
   @Override
-  public void end(String cause) {
+  public void close(String cause) {
     throw new IllegalStateException(proxy.name() + " was cut off: " + cause);
   }
 
@@ -89,9 +92,9 @@
             "life",
             1,
             new ZoneId(proxy.zone()),
-            proxy.usualOps(),
+            proxy.requestsPerSecond(),
             true,
-            router.namedEndpoints().stream().map(EndpointId::new).toList()),
+            Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList())),
         24 * 3600 * DeciMillis.SECOND,
         this,
         agenda.now());
@@ -119,35 +122,37 @@
       }
       if (message.ackId() >= 0) {
         core.handleAcknowledgement(
-            proxy.name(), message.stream(), message.ackId(), fleet.away(), this, agenda.now());
+            proxy.name(),
+            new ProxyAcknowledgement(message.stream(), new AckId(message.ackId()), fleet.away()),
+            this,
+            agenda.now());
       }
     }
   }
 
-  /** Hands over what it met since it last did. */
-  void report(
-      java.util.function.BiConsumer<List<ReportAggregator.Met>, List<ReportAggregator.Came>> to) {
-    List<ReportAggregator.Met> met = new ArrayList<>();
+  /** What it met since it last reported. */
+  ProxyReport report(long interval) {
+    List<ProxyReport.EndpointObservation> met = new ArrayList<>();
     for (RequestStatistics.EndpointObservation m : tally.observations()) {
       long good = m.attempts() - m.failures();
       met.add(
-          new ReportAggregator.Met(
+          new ProxyReport.EndpointObservation(
               new EndpointId(m.endpoint()),
               m.attempts(),
               m.failures(),
               good == 0 ? 0 : m.successTime() / good,
               m.load() == null ? LoadReport.NONE : m.load()));
     }
-    List<ReportAggregator.Came> came = new ArrayList<>();
+    List<ProxyReport.RequestCount> came = new ArrayList<>();
     for (int k = 0; k < fleet.types(); k++) {
       came.add(
-          new ReportAggregator.Came(
+          new ProxyReport.RequestCount(
               new RequestClassId(k),
               tally.requests(new RequestClassId(k)),
               tally.unanswered(new RequestClassId(k))));
     }
     tally.reset(agenda.now());
-    to.accept(met, came);
+    return new ProxyReport(interval, met, came);
   }
 
   // ---- Ops.
@@ -174,7 +179,7 @@
     Op(int k) {
       type = new RequestClassId(k);
       settings = fleet.settings().requestClasses().get(k);
-      until = askedAt + fleet.type(k).opTimeout();
+      until = askedAt + fleet.type(k).timeout();
       fleet.asked(askedAt, settings.priorityWeight());
       // Whatever hangs somewhere then: the client has its answer, and the try counts as bad.
       agenda.at(until, () -> over(false, false, false));
@@ -238,7 +243,7 @@
           connects ? 3 * way : way,
           () ->
               to.take(
-                  fleet.type(type.index()).work(),
+                  fleet.type(type.index()).serviceTime(),
                   until,
                   connects,
                   (good, ran, load) ->
--- a/src/test/java/stonespring/daemon/HostSimulation.java
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -29,7 +29,7 @@
 import stonespring.solver.AdvisedEngine;
 import stonespring.solver.WeightAdvisor;
 import stonespring.state.KeyUpdate;
-import stonespring.state.ReportAggregator;
+import stonespring.state.ProxyReport;
 
 /**
  * A host with proxies in virtual time, all from one seed. {@link #run} asserts after each step what
@@ -208,18 +208,21 @@
 
   /** Sends a report as if requests were spread by the proxy's weights; removed endpoints fail. */
   void report(SimulatedProxy proxy) {
-    List<ReportAggregator.Met> outcomes = new ArrayList<>();
+    List<ProxyReport.EndpointObservation> observations = new ArrayList<>();
     proxy
         .router()
         .weights(VIEW)
-        .forEach((endpoint, weight) -> outcomes.add(outcome(endpoint, Math.round(10 * weight))));
-    List<ReportAggregator.Came> requests =
-        List.of(new ReportAggregator.Came(VIEW, 8, 0), new ReportAggregator.Came(EXTRACT, 2, 0));
-    host.handleReport(proxy.name(), SECOND, outcomes, requests, proxy.connection());
+        .forEach(
+            (endpoint, weight) -> observations.add(observation(endpoint, Math.round(10 * weight))));
+    List<ProxyReport.RequestCount> requests =
+        List.of(
+            new ProxyReport.RequestCount(VIEW, 8, 0), new ProxyReport.RequestCount(EXTRACT, 2, 0));
+    ProxyReport report = new ProxyReport(SECOND, observations, requests);
+    host.handleReport(proxy.name(), report, proxy.connection());
   }
 
-  private ReportAggregator.Met outcome(String endpoint, long attempts) {
-    return new ReportAggregator.Met(
+  private ProxyReport.EndpointObservation observation(String endpoint, long attempts) {
+    return new ProxyReport.EndpointObservation(
         new EndpointId(endpoint),
         attempts,
         listed.containsKey(endpoint) ? 0 : attempts,
--- a/src/test/java/stonespring/daemon/RecordingConnection.java
+++ b/src/test/java/stonespring/daemon/RecordingConnection.java
@@ -1,13 +1,13 @@
 package stonespring.daemon;
 
-import stonespring.proxyapi.ProxyMessageHandler;
+import stonespring.proxyapi.ProxyConnection;
 
 /** A proxy's connection that records why it was closed. */
-final class RecordingConnection implements ProxyMessageHandler.Origin {
+final class RecordingConnection implements ProxyConnection {
   private String closeReason;
 
   @Override
-  public void end(String reason) {
+  public void close(String reason) {
     closeReason = reason;
   }
 
--- a/src/test/java/stonespring/discovery/PlatformSourceFixture.java
+++ b/src/test/java/stonespring/discovery/PlatformSourceFixture.java
@@ -11,6 +11,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.extension.AfterEachCallback;
 import org.junit.jupiter.api.extension.BeforeEachCallback;
@@ -56,7 +57,8 @@
   void loadCached(int version) throws IOException {
     var cached =
         source.loadCached(
-            new ObjectMapper().readTree(message(version, true, entry("s-1", "Ready"))));
+            Optional.of(
+                new ObjectMapper().readTree(message(version, true, entry("s-1", "Ready")))));
     assertEquals(
         "CACHED s-1/READY/1/1.5/9500",
         EndpointUpdates.describe(cached),
--- a/src/test/java/stonespring/proxy/routing/RouterTest.java
+++ b/src/test/java/stonespring/proxy/routing/RouterTest.java
@@ -15,11 +15,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import stonespring.model.AdmissionLimitKind;
+import stonespring.model.Command;
 import stonespring.model.EndpointId;
 import stonespring.model.RequestClassId;
 import stonespring.model.RetryPolicy;
 import stonespring.model.RetrySafety;
-import stonespring.state.RetryPolicyNames;
+import stonespring.state.ProxyChange;
+import stonespring.state.PublishedKeyCodec;
 
 final class RouterTest {
   private static final RequestClassId VIEW = new RequestClassId(0);
@@ -197,12 +199,22 @@
     assertEquals(105, admitted, 10);
   }
 
+  /** A limit as an instance publishes it. */
+  private static String publishedLimit(double limit, RetryPolicy policy) {
+    ProxyChange change =
+        new ProxyChange.AdmissionLimitChange(
+            Command.ALL_TABLES,
+            VIEW,
+            Optional.of(new stonespring.state.AdmissionLimit(limit, policy)));
+    return new PublishedKeyCodec(List.of()).value(change).orElseThrow();
+  }
+
   /** Every answer, by class, policy, proof and number of attempts. */
   @Test
   void retriesAsPolicyAndSafetyAllow() {
     for (RetryPolicy policy : RetryPolicy.values()) {
       Router router = routerWithTables();
-      String word = "1 " + RetryPolicyNames.name(policy);
+      String word = publishedLimit(1, policy);
       router.apply(
           update(
               "a",
