--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/Daemon.java
@@ -64,8 +64,7 @@
     EndpointListCodec codec = new EndpointListCodec(settings.zones(), clock.unixOffset());
     this.source =
         createSource(settings.endpointList().source(), codec, (EventLoop) eventLoops.next());
-    this.savedList =
-        new CachedEndpointList(settings.endpointList().cacheFile().orElse(null), codec);
+    this.savedList = new CachedEndpointList(settings.endpointList().cacheFile(), codec);
   }
 
   private static ZmtpLimits connectionLimits(InstanceSettings.Limits bounds) {
--- a/src/main/java/stonespring/discovery/CachedEndpointList.java
+++ b/src/main/java/stonespring/discovery/CachedEndpointList.java
@@ -8,6 +8,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
@@ -24,7 +25,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(CachedEndpointList.class);
   private static final long STOP_TIMEOUT_SECONDS = 1;
 
-  private final Path path;
+  private final Optional<Path> file;
   private final EndpointListCodec codec;
   private final AtomicReference<List<EndpointRecord>> pending = new AtomicReference<>();
   private final ExecutorService writer =
@@ -33,10 +34,10 @@
   /**
    * Creates a cache; reads nothing yet.
    *
-   * @param path the file, or null for a cache that keeps nothing
+   * @param file empty for a cache that keeps nothing
    */
-  public CachedEndpointList(Path path, EndpointListCodec codec) {
-    this.path = path;
+  public CachedEndpointList(Optional<Path> file, EndpointListCodec codec) {
+    this.file = file;
     this.codec = codec;
   }
 
@@ -48,21 +49,21 @@
 
   /** Reads the stored list; empty if there is none or, with a warning, if it can't be used. */
   public List<EndpointRecord> read() {
-    if (path == null || !Files.exists(path)) {
+    if (file.isEmpty() || !Files.exists(file.get())) {
       return List.of();
     }
     try {
-      return codec.read(Files.readAllBytes(path));
+      return codec.read(Files.readAllBytes(file.get()));
     } catch (IOException | InvalidEndpointListException e) {
-      LOG.warn("cached endpoint list {} is ignored: {}", path, e.getMessage());
+      LOG.warn("cached endpoint list {} is ignored: {}", file.get(), e.getMessage());
       return List.of();
     }
   }
 
   /** Stores a list soon, on the writer's thread; it replaces one that is not written yet. */
   public void store(List<EndpointRecord> endpoints) {
-    if (path != null && pending.getAndSet(endpoints) == null) {
-      writer.execute(() -> write(pending.getAndSet(null)));
+    if (file.isPresent() && pending.getAndSet(endpoints) == null) {
+      writer.execute(() -> write(file.get(), pending.getAndSet(null)));
     }
   }
 
@@ -72,7 +73,7 @@
     writer.awaitTermination(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private void write(List<EndpointRecord> endpoints) {
+  private void write(Path path, List<EndpointRecord> endpoints) {
     Path temporary = path.resolveSibling(path.getFileName() + ".new");
     try {
       writeAndSync(temporary, ByteBuffer.wrap(codec.write(endpoints)));
@@ -84,10 +85,10 @@
     }
   }
 
-  private static void writeAndSync(Path file, ByteBuffer bytes) throws IOException {
+  private static void writeAndSync(Path path, ByteBuffer bytes) throws IOException {
     try (FileChannel out =
         FileChannel.open(
-            file,
+            path,
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
--- a/src/test/java/stonespring/discovery/CachedEndpointListTest.java
+++ b/src/test/java/stonespring/discovery/CachedEndpointListTest.java
@@ -6,6 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import stonespring.model.EndpointRecord;
@@ -14,15 +15,16 @@
   @Test
   void readsWhatWasStoredAndIgnoresAnInvalidFile(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("list.json");
-    CachedEndpointList cache = new CachedEndpointList(file, EndpointLists.codec());
+    CachedEndpointList cache = new CachedEndpointList(Optional.of(file), EndpointLists.codec());
     List<EndpointRecord> list =
         List.of(
             endpoint("a", 3, EndpointRecord.State.DRAINING),
             endpoint("b", 1, EndpointRecord.State.READY));
     cache.store(list);
     cache.stop();
-    assertEquals(list, new CachedEndpointList(file, EndpointLists.codec()).read());
+    assertEquals(list, new CachedEndpointList(Optional.of(file), EndpointLists.codec()).read());
     Files.writeString(file, "[{");
-    assertEquals(List.of(), new CachedEndpointList(file, EndpointLists.codec()).read());
+    assertEquals(
+        List.of(), new CachedEndpointList(Optional.of(file), EndpointLists.codec()).read());
   }
 }
