--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -85,14 +85,15 @@
         routing,
         StandIns.opTimeouts(script),
         List.of(),
-        assignerPorts(script),
         USUAL_REQUESTS_PER_SECOND,
-        ROUTE_UPDATE_MICROS,
-        script.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
-        SILENCE_TIMEOUT_MILLIS,
-        MIN_RECONNECT_MILLIS,
-        MAX_RECONNECT_MILLIS,
-        SESSION_TIMEOUT_SECONDS);
+        new ProxySettings.InstanceLink(
+            assignerPorts(script),
+            ROUTE_UPDATE_MICROS,
+            script.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
+            SILENCE_TIMEOUT_MILLIS,
+            MIN_RECONNECT_MILLIS,
+            MAX_RECONNECT_MILLIS,
+            SESSION_TIMEOUT_SECONDS));
   }
 
   private List<ProxySettings.Ports> assignerPorts(InstanceSettings script)
--- /dev/null
+++ b/src/main/java/stonespring/proxy/CommitReader.java
@@ -0,0 +1,31 @@
+package stonespring.proxy;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import stonespring.proxy.routing.TableSubscriber;
+
+/** Reads the key that completes an update. */
+public final class CommitReader {
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final int INVALID = -1;
+
+  private CommitReader() {}
+
+  /**
+   * Reads a commit. One that can't be read is out of any sequence, so that the snapshot is
+   * requested.
+   */
+  public static TableSubscriber.Commit read(byte[] value) {
+    try {
+      JsonNode node = JSON.readTree(value);
+      return new TableSubscriber.Commit(
+          node.path("origin").asText(),
+          node.path("at").asInt(INVALID),
+          node.path("keys").asInt(INVALID),
+          node.path("mark").asInt(TableSubscriber.Commit.NO_ACK));
+    } catch (IOException e) {
+      return new TableSubscriber.Commit("", INVALID, INVALID, TableSubscriber.Commit.NO_ACK);
+    }
+  }
+}
--- a/src/main/java/stonespring/proxy/ProxySettings.java
+++ b/src/main/java/stonespring/proxy/ProxySettings.java
@@ -8,38 +8,49 @@
 /**
  * What a proxy is started with.
  *
- * @param opTimeouts by op type, milliseconds
- * @param standing the tasks of the table that it starts with
- * @param assigners where assigners may be dialled, in order, each with its three ports
- * @param usualOps ops a second that it usually gets; rough
- * @param lineMicros how long it stands still for each line of a message that it applies,
- *     microseconds
- * @param silenceMillis how long an assigner may be silent before it is given up
- * @param redialLeast the shortest wait before it dials again, milliseconds; the wait is drawn up to
- *     {@code redialMost}
+ * @param seed of its random numbers
+ * @param requestTimeoutsMillis by request class
+ * @param bootstrapEndpoints the endpoints of the table that it starts with
+ * @param usualRequestsPerSecond what it usually receives; rough
  */
 public record ProxySettings(
     String name,
     String zone,
     long seed,
     RouterSettings router,
-    List<Long> opTimeouts,
-    List<EndpointId> standing,
-    List<Ports> assigners,
-    double usualOps,
-    int lineMicros,
-    long reportMillis,
-    long silenceMillis,
-    int redialLeast,
-    int redialMost,
-    int presenceSeconds) {
-  /** An assigner's three ports; a link between may have moved each of them. */
+    List<Long> requestTimeoutsMillis,
+    List<EndpointId> bootstrapEndpoints,
+    double usualRequestsPerSecond,
+    InstanceLink instanceLink) {
+  /**
+   * How it connects to an instance.
+   *
+   * @param instances where instances may be reached, in order
+   * @param changeMicros how long it halts for each change of an update that it applies,
+   *     microseconds
+   * @param reportMillis interval of its reports
+   * @param silenceMillis how long an instance may be silent before the connection is given up
+   * @param minReconnectMillis the shortest wait before it connects again; the wait is drawn up to
+   *     {@code maxReconnectMillis}
+   * @param sessionSeconds how long an instance keeps its session without a renewal
+   */
+  public record InstanceLink(
+      List<Ports> instances,
+      int changeMicros,
+      long reportMillis,
+      long silenceMillis,
+      int minReconnectMillis,
+      int maxReconnectMillis,
+      int sessionSeconds) {}
+
+  /** An instance's three ports; a link in between may have moved each of them. */
   public record Ports(String host, int snapshots, int updates, int collector) {}
 
-  static InetSocketAddress address(EndpointId task) {
-    String text = task.name().substring(task.name().lastIndexOf('@') + 1);
-    int colon = text.lastIndexOf(':');
+  /** The address that an endpoint's id holds. */
+  static InetSocketAddress address(EndpointId endpoint) {
+    String address = endpoint.name().substring(endpoint.name().lastIndexOf('@') + 1);
+    int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
-        text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/proxy/RequestExchange.java
@@ -0,0 +1,171 @@
+package stonespring.proxy;
+
+import stonespring.http.HttpCallFailure;
+import stonespring.http.HttpCallResult;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
+import stonespring.http.HttpServer;
+import stonespring.model.EndpointId;
+import stonespring.model.RequestClassId;
+import stonespring.proxy.routing.RequestOutcome;
+import stonespring.proxy.routing.RequestProgress;
+
+/**
+ * One request on its way: it is admitted, sent to an endpoint, repeated where the routing allows
+ * it, and answered once. Confined to the proxy's event loop.
+ */
+final class RequestExchange {
+  private static final int DECI_MILLIS_PER_MILLI = 10;
+  private static final String REASON_TIMEOUT = "timeout";
+  private static final String REASON_FULL = "full";
+  private static final String REASON_LIMIT = "level";
+  private static final String REASON_NO_ENDPOINT = "no-task";
+  private static final String REASON_FAILED = "failed";
+  private static final String RETRY_AFTER_SECONDS = "1";
+
+  private final Proxy proxy;
+  private final RequestClassId requestClass;
+  private final HttpRequest request;
+  private final HttpServer.Exchange exchange;
+  private final long deadline;
+  private int attempts;
+  private boolean provenNotExecuted = true;
+  private long firstAttemptAt;
+
+  RequestExchange(
+      Proxy proxy, RequestClassId requestClass, HttpRequest request, HttpServer.Exchange exchange) {
+    this.proxy = proxy;
+    this.requestClass = requestClass;
+    this.request = request;
+    this.exchange = exchange;
+    this.deadline = proxy.now() + timeoutMillis() * DECI_MILLIS_PER_MILLI;
+  }
+
+  /** The class's timeout, or the client's if that is shorter. */
+  private long timeoutMillis() {
+    long max = proxy.settings().requestTimeoutsMillis().get(requestClass.index());
+    String wanted = request.header(ProxyHeaders.TIMEOUT_MILLIS);
+    return wanted.matches("[0-9]{1,7}") ? Math.min(max, Long.parseLong(wanted)) : max;
+  }
+
+  /** Admits the request and sends it, or rejects it. */
+  void start() {
+    proxy.statistics().requestReceived(requestClass);
+    if (proxy.now() >= deadline) {
+      // It waited here for longer than its client does.
+      exchange.respond(rejection(504, REASON_TIMEOUT));
+    } else if (proxy.isFull()) {
+      exchange.respond(rejection(503, REASON_FULL));
+    } else if (!proxy.router().admit(requestClass, proxy.now())) {
+      exchange.respond(rejection(429, REASON_LIMIT));
+    } else {
+      proxy.requestStarted();
+      send(null);
+    }
+  }
+
+  /** Rejects the request, which has not been sent to any endpoint. */
+  void rejectAsFull() {
+    exchange.respond(rejection(503, REASON_FULL));
+  }
+
+  private void send(EndpointId avoided) {
+    EndpointId endpoint = proxy.router().pick(requestClass, avoided, proxy.now()).orElse(null);
+    if (endpoint == null) {
+      finish(avoided == null ? rejection(503, REASON_NO_ENDPOINT) : failure(503, REASON_FAILED));
+      return;
+    }
+    long sentAt = proxy.now();
+    attempts++;
+    firstAttemptAt = provenNotExecuted ? sentAt : firstAttemptAt;
+    long leftMillis = Math.max(1, (deadline - sentAt) / DECI_MILLIS_PER_MILLI);
+    HttpRequest attempt =
+        HttpRequest.post(ProxySettings.address(endpoint), request.target(), request.body())
+            .setHeader(ProxyHeaders.REQUEST_ID, request.header(ProxyHeaders.REQUEST_ID))
+            .setHeader(ProxyHeaders.PROXY, proxy.settings().name())
+            .setHeader(ProxyHeaders.ZONE, proxy.settings().zone())
+            .setHeader(ProxyHeaders.ATTEMPT, String.valueOf(attempts))
+            .setHeader(ProxyHeaders.TIMEOUT_MILLIS, String.valueOf(leftMillis));
+    proxy.call(endpoint, attempt, leftMillis, result -> ended(endpoint, sentAt, result));
+  }
+
+  private void ended(EndpointId endpoint, long sentAt, HttpCallResult result) {
+    long now = proxy.now();
+    HttpResponse response =
+        result instanceof HttpCallResult.Completed completed ? completed.response() : null;
+    RequestOutcome outcome = outcome(result);
+    boolean succeeded = outcome == RequestOutcome.SUCCEEDED;
+    proxy.router().attemptEnded(endpoint, succeeded, now);
+    proxy
+        .statistics()
+        .attemptEnded(
+            endpoint,
+            succeeded,
+            now - sentAt,
+            response == null
+                ? null
+                : LoadReportHeader.read(response.header(LoadReportHeader.NAME)));
+    if (succeeded) {
+      finish(HttpResponse.of(200, response.text()));
+      return;
+    }
+    provenNotExecuted &= outcome.provesNotExecuted();
+    retryOrFail(endpoint, outcome, now);
+  }
+
+  private void retryOrFail(EndpointId endpoint, RequestOutcome outcome, long now) {
+    RequestProgress progress =
+        new RequestProgress(attempts, provenNotExecuted, firstAttemptAt, deadline);
+    if (proxy.router().mayRetry(requestClass, progress, now)) {
+      send(endpoint);
+    } else if (outcome == RequestOutcome.TIMED_OUT) {
+      finish(failure(504, REASON_TIMEOUT));
+    } else {
+      finish(failure(503, REASON_FAILED));
+    }
+  }
+
+  private static RequestOutcome outcome(HttpCallResult result) {
+    if (result instanceof HttpCallResult.Completed completed) {
+      HttpResponse response = completed.response();
+      boolean saysNotExecuted = response.header(ProxyHeaders.NOT_EXECUTED).equals(ProxyHeaders.YES);
+      return RequestOutcome.ofAnswer(response.status(), saysNotExecuted);
+    }
+    return outcome(((HttpCallResult.Failed) result).failure());
+  }
+
+  /** The outcome of a call that brought no answer. */
+  static RequestOutcome outcome(HttpCallFailure failure) {
+    return switch (failure) {
+      case CONNECT_FAILED -> RequestOutcome.NOT_CONNECTED;
+      case CONNECTION_LOST -> RequestOutcome.CONNECTION_BROKEN;
+      case TIMED_OUT -> RequestOutcome.TIMED_OUT;
+      case MALFORMED_RESPONSE -> RequestOutcome.MALFORMED_ANSWER;
+    };
+  }
+
+  /** An answer that promises that the request was not executed. */
+  private static HttpResponse rejection(int status, String reason) {
+    return HttpResponse.of(status, reason + "\n")
+        .setHeader(ProxyHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS)
+        .setHeader(ProxyHeaders.NOT_EXECUTED, ProxyHeaders.YES)
+        .setHeader(ProxyHeaders.REASON, reason);
+  }
+
+  private HttpResponse failure(int status, String reason) {
+    if (provenNotExecuted) {
+      return rejection(status, reason);
+    }
+    return HttpResponse.of(status, reason + "\n")
+        .setHeader(ProxyHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS)
+        .setHeader(ProxyHeaders.REASON, reason);
+  }
+
+  private void finish(HttpResponse response) {
+    proxy.requestEnded();
+    if (response.status() != 200) {
+      proxy.statistics().requestUnanswered(requestClass);
+    }
+    exchange.respond(response);
+  }
+}
--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -11,7 +11,7 @@
 import stonespring.http.HttpClient;
 import stonespring.http.HttpRequest;
 import stonespring.http.HttpResponse;
-import stonespring.proxy.Proxy;
+import stonespring.proxy.ProxyHeaders;
 
 /**
  * The clients of one proxy: ops come by chance and do not wait for answers. A client asks again by
@@ -130,7 +130,7 @@
           boolean good = answer != null && answer.status() == 200;
           boolean notRun =
               answer != null
-                  ? answer.header(Proxy.NOT_RUN).equals("1")
+                  ? answer.header(ProxyHeaders.NOT_EXECUTED).equals("1")
                   : failure == HttpCallFailure.CONNECT_FAILED;
           double rest = askedAt + type.timeoutMillis() * patience - evidence.now();
           if (!good
--- a/src/main/java/stonespring/testbed/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -83,7 +83,7 @@
         }
       }
       double dialled = (System.nanoTime() - began) / 1e9;
-      while (all.stream().anyMatch(proxy -> proxy.applied() == 0)) {
+      while (all.stream().anyMatch(proxy -> proxy.appliedUpdates() == 0)) {
         if ((System.nanoTime() - began) / 1e9 > 300) {
           return "not all proxies hold a table after 300 s; status " + status.get();
         }
@@ -137,14 +137,15 @@
         router,
         StandIns.opTimeouts(of),
         List.of(new EndpointId("m1@127.0.0.1:9101")),
-        List.of(new ProxySettings.Ports("127.0.0.1", port, port + 1, port + 2)),
         2,
-        0,
-        of.settings().reportInterval() / 10,
-        10_000,
-        200,
-        400,
-        9);
+        new ProxySettings.InstanceLink(
+            List.of(new ProxySettings.Ports("127.0.0.1", port, port + 1, port + 2)),
+            0,
+            of.settings().reportInterval() / 10,
+            10_000,
+            200,
+            400,
+            9));
   }
 
   private static void follow(int port, EventLoop loop, AtomicReference<String> status) {
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -286,14 +286,15 @@
             router,
             timeouts,
             standing(seat.zone, s.routing().bootstrapRouteCount()),
-            seat.ports,
             seat.ops,
-            50,
-            s.reportInterval() / 10,
-            SILENCE_MILLIS,
-            300,
-            1500,
-            PRESENCE_SECONDS);
+            new ProxySettings.InstanceLink(
+                seat.ports,
+                50,
+                s.reportInterval() / 10,
+                SILENCE_MILLIS,
+                300,
+                1500,
+                PRESENCE_SECONDS));
     seat.proxy = new Proxy(settings, loop()).start(loops, seat.port);
   }
 
@@ -493,8 +494,8 @@
                   proxies.forEach(
                       seat -> {
                         Proxy halted = seat.proxy;
-                        halted.standStill(true);
-                        at(now() + t.size(), () -> halted.standStill(false));
+                        halted.setStalled(true);
+                        at(now() + t.size(), () -> halted.setStalled(false));
                       }));
       case "assigner_stall" ->
           each(
--- a/src/main/java/stonespring/testbed/TaskStandIn.java
+++ b/src/main/java/stonespring/testbed/TaskStandIn.java
@@ -15,8 +15,8 @@
 import stonespring.http.HttpRequest;
 import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
-import stonespring.proxy.LoadHeader;
-import stonespring.proxy.Proxy;
+import stonespring.proxy.LoadReportHeader;
+import stonespring.proxy.ProxyHeaders;
 
 /**
  * A task as the deployments' pages describe one: cores, a queue, cold after a start, open
@@ -225,7 +225,7 @@
     if (random.nextDouble() < errorShare || type.equals(failingType)) {
       answer(exchange, HttpResponse.of(500, "failed\n"));
     } else if (queue.size() >= make.queue()) {
-      answer(exchange, HttpResponse.of(503, "full\n").setHeader(Proxy.NOT_RUN, "1"));
+      answer(exchange, HttpResponse.of(503, "full\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
     } else {
       double until = now + whole(request.header("x-op-timeout-ms"), Integer.MAX_VALUE);
       queue.add(new Job(op, type, tryNumber, work, until, exchange));
@@ -292,7 +292,9 @@
       Job job = queue.poll();
       double now = evidence.now();
       if (now > job.until()) {
-        answer(job.exchange(), HttpResponse.of(504, "too late\n").setHeader(Proxy.NOT_RUN, "1"));
+        answer(
+            job.exchange(),
+            HttpResponse.of(504, "too late\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
         continue;
       }
       running++;
@@ -344,7 +346,7 @@
             .sum();
     exchange.respond(
         answer.setHeader(
-            LoadHeader.NAME,
+            LoadReportHeader.NAME,
             String.format(
                 Locale.ROOT,
                 "TEXT cpu_utilization=%.3f,named_metrics.waiting=%d",
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -16,7 +16,7 @@
 import stonespring.model.RequestClassId;
 import stonespring.model.RetrySafety;
 import stonespring.model.ZoneId;
-import stonespring.proxy.CommitLog;
+import stonespring.proxy.CommitReader;
 import stonespring.proxy.routing.RequestProgress;
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.Router;
@@ -107,7 +107,7 @@
         follower.keyChanged(
             key,
             value,
-            value != null && key.equals("commit") ? CommitLog.read(update.value()) : null);
+            value != null && key.equals("commit") ? CommitReader.read(update.value()) : null);
     if (step instanceof TableSubscriber.Step.Resync resync) {
       throw new IllegalStateException(
           proxy.name() + " lost a message where none can be: " + resync.cause());
--- a/src/test/java/stonespring/proxy/ProofTest.java
+++ b/src/test/java/stonespring/proxy/RequestOutcomeProofTest.java
@@ -28,33 +28,33 @@
 import stonespring.proxy.routing.RouterSettings;
 
 /**
- * What proves that a once-only op never ran, by causing it: two bare sockets for tasks, a real
- * proxy before them.
+ * What proves that a non-idempotent request was not executed, by causing it: two bare sockets as
+ * endpoints, a real proxy before them.
  */
-final class ProofTest {
-  /** What a task does once it has read so many bytes of an op. */
-  private enum Way {
+final class RequestOutcomeProofTest {
+  /** What an endpoint does once it has read so many bytes of a request. */
+  private enum Ending {
     RESET,
     CLOSE,
     HALF_CLOSE
   }
 
-  private interface Act {
+  private interface Behaviour {
     void on(Socket socket) throws IOException;
   }
 
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final AtomicInteger tries = new AtomicInteger();
+  private final AtomicInteger attempts = new AtomicInteger();
   private ServerSocket one;
   private ServerSocket other;
-  private volatile Act act;
+  private volatile Behaviour behaviour;
   private Proxy proxy;
 
   @BeforeEach
   void start() throws Exception {
-    one = task();
-    other = task();
+    one = endpoint();
+    other = endpoint();
     start(one.getLocalPort(), other.getLocalPort());
   }
 
@@ -68,7 +68,7 @@
             10,
             RouterSettings.Picking.WEIGHTED,
             AdmissionLimitKind.NONE);
-    List<EndpointId> standing =
+    List<EndpointId> bootstrapEndpoints =
         java.util.Arrays.stream(ports)
             .mapToObj(p -> new EndpointId("t" + p + "@127.0.0.1:" + p))
             .toList();
@@ -80,15 +80,9 @@
                     1,
                     routing,
                     List.of(5_000L),
-                    standing,
-                    List.of(),
+                    bootstrapEndpoints,
                     1,
-                    0,
-                    1000,
-                    3000,
-                    300,
-                    1500,
-                    3),
+                    new ProxySettings.InstanceLink(List.of(), 0, 1000, 3000, 300, 1500, 3)),
                 (EventLoop) loops.next())
             .start(loops, 0);
   }
@@ -101,15 +95,15 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private ServerSocket task() throws IOException {
+  private ServerSocket endpoint() throws IOException {
     ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread thread =
         new Thread(
             () -> {
               while (!server.isClosed()) {
                 try (Socket socket = server.accept()) {
-                  tries.incrementAndGet();
-                  act.on(socket);
+                  attempts.incrementAndGet();
+                  behaviour.on(socket);
                 } catch (IOException e) {
                   // a cut is what the test is about; a closed server ends it
                 }
@@ -120,8 +114,8 @@
     return server;
   }
 
-  /** Sends one op; the status line of its final answer. */
-  private String ask() throws IOException {
+  /** Sends one request; returns its final answer. */
+  private String request() throws IOException {
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.port())) {
       client.setSoTimeout(10_000);
       client
@@ -135,7 +129,7 @@
     }
   }
 
-  /** The whole head of an op, as the proxy sends it. */
+  /** Reads the whole head of a request, as the proxy sends it; returns its bytes. */
   private static int head(InputStream in) throws IOException {
     int n = 0;
     for (int match = 0; match < 4; n++) {
@@ -157,91 +151,93 @@
                 .getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** However far an op came when its connection broke, it is never sent a second time. */
+  /** However far a request came when its connection broke, it is never sent a second time. */
   @ParameterizedTest
-  @EnumSource(Way.class)
-  void aBreakAtAnyByteIsNoProof(Way way) throws Exception {
+  @EnumSource(Ending.class)
+  void aBreakAtAnyByteProvesNothing(Ending ending) throws Exception {
     AtomicInteger length = new AtomicInteger();
-    act =
+    behaviour =
         socket -> {
           length.set(head(socket.getInputStream()));
           socket.setSoLinger(true, 0);
         };
-    ask();
-    assertTrue(length.get() > 100, "an op has " + length + " bytes");
+    request();
+    assertTrue(length.get() > 100, "a request has " + length + " bytes");
     // From the first byte read on: a reset before it may reach the proxy before it has sent any,
     // which is proof.
     for (int at = 1; at <= length.get(); at++) {
       int bytes = at;
-      tries.set(0);
-      act =
+      attempts.set(0);
+      behaviour =
           socket -> {
             socket.getInputStream().readNBytes(bytes);
-            if (way == Way.RESET) {
+            if (ending == Ending.RESET) {
               socket.setSoLinger(true, 0);
-            } else if (way == Way.HALF_CLOSE) {
+            } else if (ending == Ending.HALF_CLOSE) {
               socket.shutdownOutput();
               socket.getInputStream().readAllBytes();
             }
           };
-      String answer = ask();
+      String answer = request();
       assertTrue(answer.startsWith("HTTP/1.1 503"), "cut after " + at + " bytes: " + answer);
       assertTrue(
-          !answer.contains("x-not-run"), "cut after " + at + " bytes, and yet told as not run");
-      assertEquals(1, tries.get(), "tries of an op cut after " + at + " bytes");
+          !answer.contains("x-not-run"),
+          "cut after " + at + " bytes, and yet answered as not executed");
+      assertEquals(1, attempts.get(), "attempts of a request cut after " + at + " bytes");
     }
   }
 
   @Test
-  void aTasksWordThatItRefusedUnreadIsProof() throws Exception {
-    act = socket -> answer(socket, "HTTP/1.1 503 x\r\nx-not-run: 1");
-    String answer = ask();
-    assertEquals(2, tries.get());
+  void anEndpointsStatementThatItRejectedUnreadIsProof() throws Exception {
+    behaviour = socket -> answer(socket, "HTTP/1.1 503 x\r\nx-not-run: 1");
+    String answer = request();
+    assertEquals(2, attempts.get());
     assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("x-not-run: 1"), answer);
   }
 
   @Test
-  void anErrorAloneIsNoProof() throws Exception {
+  void anErrorStatusAloneProvesNothing() throws Exception {
     for (String status : List.of("400", "404", "408", "429", "500", "502", "503", "504")) {
-      tries.set(0);
-      act = socket -> answer(socket, "HTTP/1.1 " + status + " x");
-      ask();
-      assertEquals(1, tries.get(), "tries after " + status);
+      attempts.set(0);
+      behaviour = socket -> answer(socket, "HTTP/1.1 " + status + " x");
+      request();
+      assertEquals(1, attempts.get(), "attempts after " + status);
     }
   }
 
   @Test
-  void bytesThatAreNoAnswerAreNoProof() throws Exception {
-    act =
+  void malformedAnswersProveNothing() throws Exception {
+    behaviour =
         socket -> {
           head(socket.getInputStream());
           socket
               .getOutputStream()
               .write("x-not-run: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         };
-    ask();
-    assertEquals(1, tries.get());
+    request();
+    assertEquals(1, attempts.get());
   }
 
   @Test
-  void aConnectionNeverMadeIsProof() throws Exception {
+  void aConnectionThatWasNeverMadeIsProof() throws Exception {
     other.close();
-    act = socket -> answer(socket, "HTTP/1.1 200 x");
+    behaviour = socket -> answer(socket, "HTTP/1.1 200 x");
     for (int i = 0; i < 20; i++) {
-      assertTrue(ask().startsWith("HTTP/1.1 200"), "the closed one's ops go to the other");
+      assertTrue(request().startsWith("HTTP/1.1 200"), "the closed one's requests go to the other");
     }
-    assertEquals(20, tries.get());
+    assertEquals(20, attempts.get());
   }
 
   /**
-   * Each end that the client can tell has its place in the list, so that a new one can't pass for
+   * Every failure that the client can report has an outcome, so that a new one can't pass for
    * proof.
    */
   @Test
-  void everyFailureOfACallIsInTheList() {
+  void everyFailureOfACallHasAnOutcome() {
     for (HttpCallFailure failure : HttpCallFailure.values()) {
       assertEquals(
-          failure == HttpCallFailure.CONNECT_FAILED, Proxy.outcome(failure).provesNotExecuted());
+          failure == HttpCallFailure.CONNECT_FAILED,
+          RequestExchange.outcome(failure).provesNotExecuted());
     }
     assertEquals(RequestOutcome.SUCCEEDED, RequestOutcome.ofAnswer(200, true));
     assertTrue(RequestOutcome.ofAnswer(503, true).provesNotExecuted());
