--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -10,8 +10,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.recording.Recording;
-import stonespring.testbed.virtual.Charts;
 import stonespring.testbed.virtual.Comparison;
+import stonespring.testbed.virtual.ComparisonCharts;
+import stonespring.testbed.virtual.ComparisonRow;
 import stonespring.testbed.virtual.Policy;
 
 /** Runs recorded loads in virtual time under several policies and compares them. */
@@ -56,20 +57,22 @@
     for (Path file : files) {
       loads.add(InputFiles.readRecording("compare", file));
     }
-    List<Comparison.Row> rows = Comparison.of(loads, policies, seeds);
+    List<ComparisonRow> rows = Comparison.of(loads, policies, seeds);
     if (json) {
       System.out.println(
-          new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(rows));
+          new ObjectMapper()
+              .writerWithDefaultPrettyPrinter()
+              .writeValueAsString(rows.stream().map(ComparisonJson::of).toList()));
     } else {
       System.out.print(table(rows));
     }
     if (plots != null) {
-      Charts.write(rows, plots).forEach(file -> System.err.println("written: " + file));
+      ComparisonCharts.write(rows, plots).forEach(file -> System.err.println("written: " + file));
     }
     return ExitCode.OK;
   }
 
-  private String table(List<Comparison.Row> rows) {
+  private String table(List<ComparisonRow> rows) {
     StringBuilder out = new StringBuilder();
     out.append(
         String.format(
@@ -87,7 +90,7 @@
             "cross",
             "cold",
             "bare"));
-    for (Comparison.Row row : rows) {
+    for (ComparisonRow row : rows) {
       out.append(
           String.format(
               Locale.ROOT,
@@ -97,15 +100,15 @@
               row.service().mean(),
               row.service().low(),
               row.service().high(),
-              row.against().mean(),
-              row.against().low(),
-              row.against().high(),
-              row.worstWindow(),
-              row.connections(),
-              row.lines(),
-              row.crossings(),
-              row.coldWorst(),
-              row.bareSeconds()));
+              row.difference().mean(),
+              row.difference().low(),
+              row.difference().high(),
+              row.worstWindowService(),
+              row.averages().connections(),
+              row.averages().routeChanges(),
+              row.averages().crossZoneFraction(),
+              row.peakWarmUpLoad(),
+              row.averages().secondsWithoutRoutes()));
     }
     return out.toString();
   }
--- a/src/main/java/stonespring/cli/LoadCommand.java
+++ b/src/main/java/stonespring/cli/LoadCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.recording.RecordingFile;
-import stonespring.testbed.virtual.Loads;
+import stonespring.testbed.virtual.LoadGenerator;
 
 /** Generates a recorded load. */
 @Command(
@@ -18,7 +18,7 @@
   private static final int MAX_COUNT = 2_000;
 
   @Parameters(paramLabel = "KIND", description = "One of ${COMPLETION-CANDIDATES}.")
-  private Loads.Kind kind;
+  private LoadGenerator.Kind kind;
 
   @Parameters(paramLabel = "FILE", description = "Where the recording goes.")
   private Path file;
@@ -37,7 +37,7 @@
     if (endpoints < MIN_ENDPOINTS || endpoints > MAX_COUNT || proxies < 1 || proxies > MAX_COUNT) {
       throw CommandFailedException.usage("load: --tasks from 3 to 2000, --proxies from 1 to 2000");
     }
-    RecordingFile.write(Loads.draw(kind, seed, endpoints, proxies), file);
+    RecordingFile.write(LoadGenerator.generate(kind, seed, endpoints, proxies), file);
     return ExitCode.OK;
   }
 }
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -44,7 +44,7 @@
     double atSeconds = at == null ? endSeconds : at;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
     fleet.playTo((long) (atSeconds * DeciMillis.SECOND));
-    Plan plan = fleet.advisor().plan().orElse(null);
+    Plan plan = fleet.plan().orElse(null);
     if (plan == null) {
       throw CommandFailedException.failed(
           "solve: no plan yet at " + atSeconds + " s: the first comes after five rounds of sums");
--- /dev/null
+++ b/src/main/java/stonespring/testbed/virtual/ConnectionTable.java
@@ -0,0 +1,27 @@
+package stonespring.testbed.virtual;
+
+import java.util.HashMap;
+import java.util.Map;
+import stonespring.model.DeciMillis;
+import stonespring.model.EndpointId;
+
+/** The connections that a proxy keeps open to endpoints. Times are in {@link DeciMillis}. */
+final class ConnectionTable {
+  /** Time after which an unused connection is closed, deci-milliseconds. */
+  private static final long IDLE_TIMEOUT = 15 * DeciMillis.SECOND;
+
+  private static final long NEVER = Long.MIN_VALUE / 2;
+
+  private final Map<String, Long> lastUse = new HashMap<>();
+
+  /** Uses the connection to an endpoint; true if it has to be opened for that. */
+  boolean use(EndpointId endpoint, long now) {
+    boolean opens = lastUse.getOrDefault(endpoint.name(), NEVER) < now - IDLE_TIMEOUT;
+    lastUse.put(endpoint.name(), now);
+    return opens;
+  }
+
+  void close(EndpointId endpoint) {
+    lastUse.remove(endpoint.name());
+  }
+}
--- a/src/main/java/stonespring/testbed/virtual/EventQueue.java
+++ b/src/main/java/stonespring/testbed/virtual/EventQueue.java
@@ -4,37 +4,42 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: what is due, in order of time and then of being planned. Bounded by what the played
- * day holds.
+ * The virtual clock and the actions scheduled on it, run in the order of their instants and, at one
+ * instant, in the order in which they were scheduled. Times are in {@link
+ * stonespring.model.DeciMillis}. Not thread-safe.
  */
 final class EventQueue {
-  private record Due(long at, long count, Runnable act) {}
+  private record ScheduledAction(long at, long sequence, Runnable action) {}
 
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::count));
-  private long count;
+  private final PriorityQueue<ScheduledAction> actions =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::at)
+              .thenComparingLong(ScheduledAction::sequence));
+  private long nextSequence;
   private long now;
 
+  /** The present instant of the virtual clock. */
   long now() {
     return now;
   }
 
-  /** Plans an act, now at the earliest. */
-  void at(long when, Runnable act) {
-    due.add(new Due(Math.max(now, when), count++, act));
+  /** Schedules an action at an instant; an instant that has passed counts as the present one. */
+  void scheduleAt(long instant, Runnable action) {
+    actions.add(new ScheduledAction(Math.max(now, instant), nextSequence++, action));
   }
 
-  void in(long delay, Runnable act) {
-    at(now + delay, act);
+  /** Schedules an action after a delay. */
+  void scheduleAfter(long delay, Runnable action) {
+    scheduleAt(now + delay, action);
   }
 
-  /** Does all that is due by then. */
-  void runTo(long until) {
-    while (!due.isEmpty() && due.peek().at <= until) {
-      Due next = due.poll();
+  /** Runs all actions scheduled up to and including an instant, and moves the clock there. */
+  void runUntil(long instant) {
+    while (!actions.isEmpty() && actions.peek().at <= instant) {
+      ScheduledAction next = actions.poll();
       now = next.at;
-      next.act.run();
+      next.action.run();
     }
-    now = Math.max(now, until);
+    now = Math.max(now, instant);
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/testbed/virtual/PlayStatistics.java
@@ -0,0 +1,103 @@
+package stonespring.testbed.virtual;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Counts what happens while a load is played. Instants are in {@link stonespring.model.DeciMillis}.
+ */
+final class PlayStatistics {
+  private static final class WindowCounts {
+    private double weightRequested;
+    private double weightInTime;
+    private long requests;
+    private long rejected;
+    private long timedOut;
+  }
+
+  private final WindowCounts[] windows;
+  private long attempts;
+  private long crossZoneAttempts;
+  private long connections;
+  private long routeChanges;
+
+  /**
+   * Creates empty statistics.
+   *
+   * @param length of the load, deci-milliseconds
+   */
+  PlayStatistics(long length) {
+    windows = new WindowCounts[(int) (length / PlayResult.WINDOW) + 1];
+    for (int index = 0; index < windows.length; index++) {
+      windows[index] = new WindowCounts();
+    }
+  }
+
+  void routesChanged(long count) {
+    routeChanges += count;
+  }
+
+  void attemptSent(boolean crossesZones, boolean opensConnection) {
+    attempts++;
+    if (crossesZones) {
+      crossZoneAttempts++;
+    }
+    if (opensConnection) {
+      connections++;
+    }
+  }
+
+  void requestStarted(long startedAt, double priorityWeight) {
+    WindowCounts window = window(startedAt);
+    window.weightRequested += priorityWeight;
+    window.requests++;
+  }
+
+  /**
+   * Counts the end of a request.
+   *
+   * @param weightInTime its priority weight if it was answered within its objective, else 0
+   */
+  void requestEnded(long startedAt, double weightInTime, RequestResult result) {
+    WindowCounts window = window(startedAt);
+    window.weightInTime += weightInTime;
+    if (result == RequestResult.REJECTED) {
+      window.rejected++;
+    } else if (result == RequestResult.TIMED_OUT) {
+      window.timedOut++;
+    }
+  }
+
+  private WindowCounts window(long startedAt) {
+    return windows[(int) Math.min(windows.length - 1, startedAt / PlayResult.WINDOW)];
+  }
+
+  /** The windows in which a request started, in order. */
+  List<PlayResult.Window> windows() {
+    List<PlayResult.Window> used = new ArrayList<>();
+    for (WindowCounts window : windows) {
+      if (window.requests > 0) {
+        used.add(
+            new PlayResult.Window(
+                window.weightRequested,
+                window.weightInTime,
+                window.requests,
+                window.rejected,
+                window.timedOut));
+      }
+    }
+    return used;
+  }
+
+  long connections() {
+    return connections;
+  }
+
+  long routeChanges() {
+    return routeChanges;
+  }
+
+  double crossZoneFraction() {
+    return attempts == 0 ? 0 : (double) crossZoneAttempts / attempts;
+  }
+}
--- a/src/main/java/stonespring/testbed/virtual/Policy.java
+++ b/src/main/java/stonespring/testbed/virtual/Policy.java
@@ -1,31 +1,43 @@
 package stonespring.testbed.virtual;
 
+import java.util.Optional;
 import stonespring.decision.AssignmentEngine;
 import stonespring.model.DecisionEngine;
 import stonespring.model.Settings;
 import stonespring.solver.AdvisedEngine;
 import stonespring.solver.WeightAdvisor;
 
-/** Who decides on a played load. */
+/** Who decides while a load is played. The names are those of the command line. */
 public enum Policy {
-  /** Every task for every proxy, all alike. */
+  /** Routes of equal weight from every proxy to every endpoint. */
   EVEN,
-  /** The decision module without proposals. */
+  /** The assignment engine without the weight solver. */
   MODULE,
-  /** The decision module with the weight solver's proposals. */
+  /** The assignment engine with the weights that the solver proposes. */
   SOLVER;
 
-  /** An instance's decisions, and its advisor where it has one. */
-  record Made(DecisionEngine module, WeightAdvisor advisor) {}
+  /**
+   * The engine of a policy.
+   *
+   * @param engine the engine
+   * @param advisor the weight solver's part of it; empty for policies without one
+   */
+  record PolicyEngine(DecisionEngine engine, Optional<WeightAdvisor> advisor) {}
 
-  Made make(Settings settings, long seed, long now) {
+  /**
+   * Creates the engine of this policy.
+   *
+   * @param now the present instant, in {@link stonespring.model.DeciMillis}
+   */
+  PolicyEngine createEngine(Settings settings, long seed, long now) {
     if (this == EVEN) {
-      return new Made(new EvenTables(), null);
+      return new PolicyEngine(new EqualWeightEngine(), Optional.empty());
+    }
+    AssignmentEngine engine = new AssignmentEngine(settings, seed, now);
+    if (this == MODULE) {
+      return new PolicyEngine(engine, Optional.empty());
     }
-    AssignmentEngine module = new AssignmentEngine(settings, seed, now);
     WeightAdvisor advisor = new WeightAdvisor(settings);
-    return this == MODULE
-        ? new Made(module, null)
-        : new Made(new AdvisedEngine(module, advisor), advisor);
+    return new PolicyEngine(new AdvisedEngine(engine, advisor), Optional.of(advisor));
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -5,279 +5,309 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import stonespring.daemon.EngineHost;
 import stonespring.daemon.HostEnvironment;
 import stonespring.daemon.HostLimits;
+import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
+import stonespring.model.RequestClassId;
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.recording.LoadSample;
 import stonespring.recording.Recording;
+import stonespring.solver.Plan;
 import stonespring.solver.WeightAdvisor;
 import stonespring.state.KeyUpdate;
 import stonespring.state.ProxyReport;
 import stonespring.testbed.StandIns;
 
 /**
- * A recorded load in virtual time: one real instance, from what it is told to the keys it
- * publishes, proxies with the real routing, simulated tasks. The same recording, policy and seed
- * give the same day.
+ * A fleet in virtual time that plays a recorded load: one instance with the real engine host,
+ * proxies with the real routing, simulated endpoints. The same recording, policy and seed give the
+ * same result. Times are in {@link DeciMillis}. Not thread-safe.
  */
 public final class VirtualFleet {
-  private static final long AWAY = 200; // 0.1 ms from an instance to a proxy and back
-  private static final long REPORT_AWAY = 3_000; // 0.1 ms that sums are late on an ordinary day
-  private static final long DEDUPLICATED_FOR = 20_000; // 0.1 ms that tasks drop a repeat
+  /** From the instance to a proxy and back, deci-milliseconds. */
+  static final long CHANNEL_ROUND_TRIP = 200;
 
-  final EventQueue agenda = new EventQueue();
+  /** Time that a report takes to the instance while reports are not delayed, deci-milliseconds. */
+  private static final long REPORT_DELAY = 3_000;
+
+  /** Proxies connect at instants drawn from the first so many deci-milliseconds. */
+  private static final long CONNECT_SPREAD = 5_000;
+
+  /** How long endpoints recognise a repeated idempotency key, deci-milliseconds. */
+  private static final long DEDUPLICATION_WINDOW = 2 * DeciMillis.SECOND;
+
+  private static final String INSTANCE_NAME = "e";
+  private static final String PROXY_KEYS = "proxy";
+
+  private final EventQueue events = new EventQueue();
   private final Recording recording;
   private final Policy policy;
   private final long seed;
-  private final Map<String, VirtualTask> tasks = new HashMap<>();
-  private final Map<String, VirtualProxy> byName = new LinkedHashMap<>();
-  private final List<VirtualProxy> proxies = new ArrayList<>();
   private final SplittableRandom random;
-  private final double[][] windows;
-  private EngineHost core;
-  private WeightAdvisor advisor;
-  private LoadSample.Late late = new LoadSample.Late(0, 0);
-  private long wake = Long.MAX_VALUE;
-  private long tries;
-  private long crossed;
-  private long connections;
-  private long lines;
+  private final PlayStatistics statistics;
+  private final Map<String, VirtualEndpoint> endpoints = new HashMap<>();
+  private final Map<String, VirtualProxy> proxiesByName = new LinkedHashMap<>();
+  private final List<VirtualProxy> proxies = new ArrayList<>();
+  private final EngineHost host;
+  private final Optional<WeightAdvisor> advisor;
+  private long extraReportDelay;
+  private long nextWakeUp = Long.MAX_VALUE;
   private long plans;
 
+  /** Creates a fleet at the start of a recording. */
   public VirtualFleet(Recording recording, Policy policy, long seed) {
     this.recording = recording;
     this.policy = policy;
     this.seed = seed;
     this.random = new SplittableRandom(seed);
-    this.windows = new double[(int) (recording.head().length() / Played.WINDOW) + 1][5];
-    start();
-  }
-
-  private void start() {
-    List<LoadSample> first = recording.moments().stream().takeWhile(m -> m.at() == 0).toList();
-    List<LoadSample> rest = recording.moments().subList(first.size(), recording.moments().size());
-    first.stream().filter(m -> !(m instanceof LoadSample.Listed)).forEach(this::happen);
-    List<EndpointRecord> listed =
-        first.stream()
-            .filter(LoadSample.Listed.class::isInstance)
-            .map(m -> listing((LoadSample.Listed) m))
-            .toList();
-    Policy.Made made = policy.make(settings(), random.nextLong(), 0);
-    advisor = made.advisor();
-    List<String> names = recording.head().types().stream().map(Recording.Type::name).toList();
-    core =
+    this.statistics = new PlayStatistics(recording.head().length());
+    // The order of the steps from here is that of the random draws.
+    List<LoadSample> initial =
+        recording.moments().stream().takeWhile(sample -> sample.at() == 0).toList();
+    List<EndpointRecord> listed = applyInitial(initial);
+    Policy.PolicyEngine engine = policy.createEngine(settings(), random.nextLong(), 0);
+    this.advisor = engine.advisor();
+    this.host =
         new EngineHost(
             settings(),
-            names,
+            requestClassNames(),
             HostLimits.DEFAULT,
-            "e",
+            INSTANCE_NAME,
             1,
-            made.module(),
-            new HostEnvironment() {
-              @Override
-              public void publish(List<KeyUpdate> updates) {
-                for (KeyUpdate update : updates) {
-                  String[] key = update.key().split("/", 4);
-                  if (key[1].equals("proxy") && byName.containsKey(key[2])) {
-                    agenda.in(AWAY / 2, () -> byName.get(key[2]).told(core, update, key[3]));
-                  }
-                }
-                agenda.in(AWAY / 2, VirtualFleet.this::pump);
-              }
-
-              @Override
-              public void watchEndpoints(boolean enabled) {
-                // The list is told as it was recorded, whoever follows.
-              }
-
-              @Override
-              public void fetchEndpoints() {
-                // As above.
-              }
-            },
+            engine.engine(),
+            new Environment(),
             0);
-    core.handleEndpointListUpdate(
+    host.handleEndpointListUpdate(
         new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
-    RouterSettings routing = StandIns.routing(settings(), names, type -> DEDUPLICATED_FOR);
-    for (Recording.Proxy p : recording.head().proxies()) {
-      List<EndpointId> near =
-          new ArrayList<>(
-              listed.stream()
-                  .filter(l -> l.zone().index() == p.zone())
-                  .map(l -> new EndpointId(l.endpoint().name()))
-                  .toList());
-      List<EndpointId> standing = new ArrayList<>();
-      while (standing.size() < settings().routing().bootstrapRouteCount() && !near.isEmpty()) {
-        standing.add(near.remove(random.nextInt(near.size())));
+    createProxies(listed);
+    proxies.forEach(this::scheduleConnect);
+    recording.moments().stream()
+        .skip(initial.size())
+        .forEach(sample -> events.scheduleAt(sample.at(), () -> apply(sample)));
+    runHost();
+  }
+
+  /** Applies all that holds at the start but the endpoint list, and returns that. */
+  private List<EndpointRecord> applyInitial(List<LoadSample> initial) {
+    List<EndpointRecord> listed = new ArrayList<>();
+    for (LoadSample sample : initial) {
+      if (sample instanceof LoadSample.Listed record) {
+        listed.add(endpointRecord(record));
+      } else {
+        apply(sample);
       }
-      VirtualProxy proxy = new VirtualProxy(this, p, routing, standing, random.nextLong());
-      proxies.add(proxy);
-      byName.put(p.name(), proxy);
-    }
-    for (VirtualProxy proxy : proxies) {
-      agenda.at(
-          random.nextLong(5_000),
-          () -> {
-            proxy.join(core);
-            pump();
-            agenda.in(settings().reportInterval(), () -> report(proxy));
-          });
     }
-    rest.forEach(m -> agenda.at(m.at(), () -> happen(m)));
-    pump();
+    return listed;
   }
 
-  private static EndpointRecord listing(LoadSample.Listed m) {
-    return new EndpointRecord(
-        new EndpointId(m.task()), new ZoneId(m.zone()), m.weight(), m.state(), m.startedAt());
+  private void createProxies(List<EndpointRecord> listed) {
+    RouterSettings routing =
+        StandIns.routing(settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW);
+    for (Recording.Proxy recorded : recording.head().proxies()) {
+      VirtualProxy proxy =
+          new VirtualProxy(
+              this, recorded, routing, drawBootstrapRoutes(recorded, listed), random.nextLong());
+      proxies.add(proxy);
+      proxiesByName.put(recorded.name(), proxy);
+    }
   }
 
-  private void happen(LoadSample moment) {
-    if (moment instanceof LoadSample.Came m) {
-      for (int k = 0; k < m.ops().length; k++) {
-        int type = k;
-        for (int i = 0; i < m.ops()[k]; i++) {
-          // Counted over the span before: spread over the one after, so that time never goes back.
-          agenda.in(
-              random.nextLong(recording.head().every()), () -> proxies.get(m.proxy()).ask(type));
-        }
+  private List<EndpointId> drawBootstrapRoutes(Recording.Proxy proxy, List<EndpointRecord> listed) {
+    List<EndpointId> candidates = new ArrayList<>();
+    for (EndpointRecord endpoint : listed) {
+      if (endpoint.zone().index() == proxy.zone()) {
+        candidates.add(endpoint.endpoint());
       }
-    } else if (moment instanceof LoadSample.Listed m) {
-      core.handleEndpointListUpdate(
-          new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(listing(m))),
-          agenda.now());
-      pump();
-    } else if (moment instanceof LoadSample.Ran m) {
-      tasks
-          .computeIfAbsent(m.task(), t -> new VirtualTask(agenda, settings(), random.nextLong()))
-          .ran(m);
-    } else if (moment instanceof LoadSample.Claimed m && tasks.containsKey(m.task())) {
-      tasks.get(m.task()).claims(m.times());
-    } else if (moment instanceof LoadSample.Late m) {
-      late = m;
     }
+    List<EndpointId> routes = new ArrayList<>();
+    while (routes.size() < settings().routing().bootstrapRouteCount() && !candidates.isEmpty()) {
+      routes.add(candidates.remove(random.nextInt(candidates.size())));
+    }
+    return routes;
   }
 
-  private void report(VirtualProxy proxy) {
-    ProxyReport report = proxy.report(settings().reportInterval());
-    agenda.in(
-        REPORT_AWAY + late.by(),
+  private void scheduleConnect(VirtualProxy proxy) {
+    events.scheduleAt(
+        random.nextLong(CONNECT_SPREAD),
         () -> {
-          core.handleReport(proxy.name(), report, proxy);
-          pump();
+          proxy.connect(host);
+          runHost();
+          events.scheduleAfter(settings().reportInterval(), () -> sendReport(proxy));
         });
-    agenda.in(settings().reportInterval(), () -> report(proxy));
   }
 
-  /** Lets the instance do what is due, and comes back when something is due next. */
-  private void pump() {
-    Object before = advisor == null ? null : advisor.plan();
-    long next = core.runDue(agenda.now());
-    plans += advisor != null && advisor.plan() != null && advisor.plan() != before ? 1 : 0;
-    if (next < wake || wake <= agenda.now()) {
-      wake = Math.max(next, agenda.now() + 1);
-      long mine = wake;
-      agenda.at(
-          mine,
-          () -> {
-            if (mine == wake) {
-              pump();
-            }
-          });
+  /** Delivers published keys to proxies. The endpoint list comes as recorded, asked for or not. */
+  private final class Environment implements HostEnvironment {
+    @Override
+    public void publish(List<KeyUpdate> updates) {
+      for (KeyUpdate update : updates) {
+        String[] key = update.key().split("/", 4); // instance, kind, proxy, key of the proxy
+        if (key[1].equals(PROXY_KEYS) && proxiesByName.containsKey(key[2])) {
+          events.scheduleAfter(
+              CHANNEL_ROUND_TRIP / 2,
+              () -> proxiesByName.get(key[2]).receive(host, update, key[3]));
+        }
+      }
+      events.scheduleAfter(CHANNEL_ROUND_TRIP / 2, VirtualFleet.this::runHost);
+    }
+
+    @Override
+    public void watchEndpoints(boolean enabled) {
+      // Recorded list updates come anyway.
+    }
+
+    @Override
+    public void fetchEndpoints() {
+      // Recorded list updates come anyway.
     }
   }
 
-  // ---- What proxies ask and tell.
+  private static EndpointRecord endpointRecord(LoadSample.Listed listed) {
+    return new EndpointRecord(
+        new EndpointId(listed.task()),
+        new ZoneId(listed.zone()),
+        listed.weight(),
+        listed.state(),
+        listed.startedAt());
+  }
 
-  Settings settings() {
-    return recording.head().settings();
+  private void apply(LoadSample sample) {
+    if (sample instanceof LoadSample.Came arrivals) {
+      scheduleRequests(arrivals);
+    } else if (sample instanceof LoadSample.Listed listed) {
+      host.handleEndpointListUpdate(
+          new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(endpointRecord(listed))),
+          events.now());
+      runHost();
+    } else if (sample instanceof LoadSample.Ran process) {
+      endpoints
+          .computeIfAbsent(
+              process.task(), name -> new VirtualEndpoint(events, settings(), random.nextLong()))
+          .restart(process);
+    } else if (sample instanceof LoadSample.Claimed claimed
+        && endpoints.containsKey(claimed.task())) {
+      endpoints.get(claimed.task()).claimCapacity(claimed.times());
+    } else if (sample instanceof LoadSample.Late late) {
+      extraReportDelay = late.by();
+    }
   }
 
-  int types() {
-    return recording.head().types().size();
+  /**
+   * Schedules requests that were counted over the span before the sample in the span after it, as
+   * they can't be sent in the past.
+   */
+  private void scheduleRequests(LoadSample.Came arrivals) {
+    for (int index = 0; index < arrivals.ops().length; index++) {
+      RequestClassId requestClass = new RequestClassId(index);
+      for (int count = 0; count < arrivals.ops()[index]; count++) {
+        events.scheduleAfter(
+            random.nextLong(recording.head().every()),
+            () -> VirtualRequest.send(this, proxies.get(arrivals.proxy()), requestClass));
+      }
+    }
   }
 
-  Recording.Type type(int k) {
-    return recording.head().types().get(k);
+  private void sendReport(VirtualProxy proxy) {
+    ProxyReport report = proxy.report(settings().reportInterval());
+    events.scheduleAfter(
+        REPORT_DELAY + extraReportDelay,
+        () -> {
+          host.handleReport(proxy.name(), report, proxy);
+          runHost();
+        });
+    events.scheduleAfter(settings().reportInterval(), () -> sendReport(proxy));
   }
 
-  VirtualTask task(String name) {
-    return tasks.get(name);
+  /** Runs what is due at the instance, and schedules the next run. */
+  private void runHost() {
+    long nextDue = host.runDue(events.now());
+    if (advisor.isPresent()) {
+      plans++;
+    }
+    if (nextDue < nextWakeUp || nextWakeUp <= events.now()) {
+      nextWakeUp = Math.max(nextDue, events.now() + 1);
+      long wakeUp = nextWakeUp;
+      events.scheduleAt(
+          wakeUp,
+          () -> {
+            if (wakeUp == nextWakeUp) {
+              runHost();
+            }
+          });
+    }
   }
 
-  long away() {
-    return AWAY;
+  private List<String> requestClassNames() {
+    return recording.head().types().stream().map(Recording.Type::name).toList();
   }
 
-  void changed(long count) {
-    lines += count;
+  EventQueue events() {
+    return events;
   }
 
-  void tried(boolean crosses, boolean connects) {
-    tries++;
-    crossed += crosses ? 1 : 0;
-    connections += connects ? 1 : 0;
+  PlayStatistics statistics() {
+    return statistics;
   }
 
-  private double[] window(long askedAt) {
-    return windows[(int) Math.min(windows.length - 1, askedAt / Played.WINDOW)];
+  Settings settings() {
+    return recording.head().settings();
   }
 
-  void asked(long at, double benefit) {
-    window(at)[0] += benefit;
-    window(at)[2]++;
+  int requestClassCount() {
+    return recording.head().types().size();
   }
 
-  void over(long askedAt, double inTime, boolean rejected, boolean gaveUp) {
-    double[] window = window(askedAt);
-    window[1] += inTime;
-    window[3] += rejected ? 1 : 0;
-    window[4] += gaveUp ? 1 : 0;
+  Recording.Type recordedClass(RequestClassId requestClass) {
+    return recording.head().types().get(requestClass.index());
   }
 
-  // ---- Playing.
+  /** The endpoint of that name; empty if the recording never started one. */
+  Optional<VirtualEndpoint> endpoint(EndpointId endpoint) {
+    return Optional.ofNullable(endpoints.get(endpoint.name()));
+  }
 
-  /** Plays on until then, tenths of a millisecond, and no further than the day is long. */
+  /** Plays on until an instant, or until the end of the recording if that is earlier. */
   public void playTo(long until) {
-    agenda.runTo(Math.min(until, recording.head().length()));
+    events.runUntil(Math.min(until, recording.head().length()));
   }
 
-  /** What the solver last advised; null without one, or before it advised anything. */
-  public WeightAdvisor advisor() {
-    return advisor;
+  /**
+   * The weight solver's last plan; empty if its last round brought none, or if the policy is
+   * without solver.
+   */
+  public Optional<Plan> plan() {
+    return advisor.flatMap(WeightAdvisor::plan);
   }
 
-  /** Plays to the end, waits for the last op's answer, and tells what became of all. */
-  public Played play() {
-    playTo(recording.head().length());
-    agenda.runTo(
-        recording.head().length()
-            + recording.head().types().stream()
-                .mapToLong(Recording.Type::opTimeout)
-                .max()
-                .orElse(0));
-    List<Played.Window> spans = new ArrayList<>();
-    for (double[] w : windows) {
-      if (w[2] > 0) {
-        spans.add(new Played.Window(w[0], w[1], (long) w[2], (long) w[3], (long) w[4]));
-      }
-    }
-    return new Played(
+  /** Plays to the end of the recording, waits for pending requests, and returns the result. */
+  public PlayResult play() {
+    long length = recording.head().length();
+    playTo(length);
+    long longestTimeout =
+        recording.head().types().stream().mapToLong(Recording.Type::opTimeout).max().orElse(0);
+    events.runUntil(length + longestTimeout);
+    return new PlayResult(
         policy,
         seed,
-        spans,
-        connections,
-        lines,
-        tries == 0 ? 0 : (double) crossed / tries,
-        tasks.values().stream().mapToDouble(VirtualTask::worst).max().orElse(0),
-        proxies.stream().mapToDouble(VirtualProxy::bare).sum(),
-        plans);
+        statistics.windows(),
+        new PlayResult.AttemptTotals(
+            statistics.connections(),
+            statistics.crossZoneFraction(),
+            endpoints.values().stream()
+                .mapToDouble(VirtualEndpoint::peakWarmUpLoad)
+                .max()
+                .orElse(0)),
+        new PlayResult.RouteTotals(
+            statistics.routeChanges(),
+            proxies.stream().mapToDouble(VirtualProxy::secondsWithoutRoutes).sum(),
+            plans));
   }
 }
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -14,14 +14,14 @@
 import java.util.zip.GZIPOutputStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import stonespring.testbed.virtual.Loads;
+import stonespring.testbed.virtual.LoadGenerator;
 
 final class RecordingFileTest {
   @TempDir private Path folder;
 
   private String[] lines() throws IOException {
     Path file = folder.resolve("a.rec.gz");
-    RecordingFile.write(Loads.draw(Loads.Kind.DEPLOY, 3, 6, 3), file);
+    RecordingFile.write(LoadGenerator.generate(LoadGenerator.Kind.DEPLOY, 3, 6, 3), file);
     try (GZIPInputStream in = new GZIPInputStream(Files.newInputStream(file))) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n");
     }
@@ -47,8 +47,8 @@
 
   @Test
   void whatIsWrittenIsRead() throws IOException {
-    for (Loads.Kind kind : Loads.Kind.values()) {
-      Recording drawn = Loads.draw(kind, 5, 9, 4);
+    for (LoadGenerator.Kind kind : LoadGenerator.Kind.values()) {
+      Recording drawn = LoadGenerator.generate(kind, 5, 9, 4);
       Path file = folder.resolve(kind + ".rec.gz");
       RecordingFile.write(drawn, file);
       Recording read = RecordingFile.read(file);
--- a/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
+++ b/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
@@ -19,13 +19,15 @@
   @Test
   void everyNumberOfAPlanIsAsRecorded() throws IOException {
     RecordedDigests digests = new RecordedDigests();
-    for (Loads.Kind kind : List.of(Loads.Kind.SURGE, Loads.Kind.LOST_ZONE, Loads.Kind.DEPLOY)) {
+    for (LoadGenerator.Kind kind :
+        List.of(
+            LoadGenerator.Kind.SURGE, LoadGenerator.Kind.LOST_ZONE, LoadGenerator.Kind.DEPLOY)) {
       VirtualFleet fleet =
-          new VirtualFleet(Loads.draw(kind, 1, ENDPOINTS, PROXIES), Policy.SOLVER, 1);
+          new VirtualFleet(LoadGenerator.generate(kind, 1, ENDPOINTS, PROXIES), Policy.SOLVER, 1);
       for (long second : new long[] {12, 35}) {
         fleet.playTo(second * DeciMillis.SECOND);
         RecordedDigests.Recording recording = new RecordedDigests.Recording();
-        record(recording, fleet.advisor().plan().orElseThrow());
+        record(recording, fleet.plan().orElseThrow());
         digests.put(kind + "/" + second, recording);
       }
     }
--- a/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
+++ b/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
@@ -10,17 +10,17 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import stonespring.recording.Recording;
 
-/** Recorded loads through the real instance and routing in virtual time. */
+/** Plays generated loads through the real engine host and routing in virtual time. */
 final class VirtualFleetTest {
   @BeforeAll
-  static void quiet() {
+  static void logWarningsOnly() {
     ((ch.qos.logback.classic.Logger) org.slf4j.LoggerFactory.getLogger("stonespring"))
         .setLevel(ch.qos.logback.classic.Level.WARN);
   }
 
   @Test
-  void theSameLoadPolicyAndSeedGiveTheSameDay() {
-    Recording load = Loads.draw(Loads.Kind.DEPLOY, 2, 12, 9);
+  void equalLoadPolicyAndSeedGiveEqualResults() {
+    Recording load = LoadGenerator.generate(LoadGenerator.Kind.DEPLOY, 2, 12, 9);
     for (Policy policy : Policy.values()) {
       assertEquals(
           new VirtualFleet(load, policy, 4).play(), new VirtualFleet(load, policy, 4).play());
@@ -28,45 +28,47 @@
   }
 
   /**
-   * On every kind of load the solver serves more than even tables with fewer connections, and no
-   * cold task falls.
+   * On every kind of load the solver serves more than equal weights with fewer connections, and no
+   * endpoint fails while it warms up.
    */
   @ParameterizedTest
-  @EnumSource(Loads.Kind.class)
-  void theSolverBeatsEvenTables(Loads.Kind kind) {
+  @EnumSource(LoadGenerator.Kind.class)
+  void solverServesMoreThanEqualWeights(LoadGenerator.Kind kind) {
     double[] service = new double[2];
     long[] connections = new long[2];
     for (int seed = 1; seed <= 3; seed++) {
-      Recording load = Loads.draw(kind, seed, 24, 24);
+      Recording load = LoadGenerator.generate(kind, seed, 24, 24);
       for (Policy policy : List.of(Policy.EVEN, Policy.SOLVER)) {
-        Played played = new VirtualFleet(load, policy, seed).play();
+        PlayResult result = new VirtualFleet(load, policy, seed).play();
         int i = policy == Policy.EVEN ? 0 : 1;
-        service[i] += played.service() / 3;
-        connections[i] += played.connections();
+        service[i] += result.service() / 3;
+        connections[i] += result.attempts().connections();
         if (policy == Policy.SOLVER) {
           assertTrue(
-              played.coldWorst() < 1,
-              "a cold task reached " + played.coldWorst() + " of what fells it");
-          assertEquals(0, played.bare(), 1e-9, "seconds without a line");
-          assertTrue(played.plans() > 20, played.plans() + " plans");
+              result.attempts().peakWarmUpLoad() < 1,
+              "an endpoint warming up reached "
+                  + result.attempts().peakWarmUpLoad()
+                  + " of what makes it fail");
+          assertEquals(0, result.routes().secondsWithoutRoutes(), 1e-9, "seconds without a route");
+          assertTrue(result.routes().plans() > 20, result.routes().plans() + " plans");
         }
       }
     }
     assertTrue(
         service[1] > service[0],
-        "service " + service[1] + " with the solver, " + service[0] + " with even tables");
+        "service " + service[1] + " with the solver, " + service[0] + " with equal weights");
     assertTrue(connections[1] < connections[0], connections[1] + " connections, " + connections[0]);
   }
 
   @Test
-  void aComparisonOfAPolicyWithItselfIsNothing() {
-    List<Comparison.Row> rows =
+  void policyComparedWithItselfShowsNoDifference() {
+    List<ComparisonRow> rows =
         Comparison.of(
-            List.of(Loads.draw(Loads.Kind.SURGE, 1, 12, 9)),
+            List.of(LoadGenerator.generate(LoadGenerator.Kind.SURGE, 1, 12, 9)),
             List.of(Policy.MODULE, Policy.MODULE),
             2);
     assertEquals(rows.get(0).service(), rows.get(1).service());
-    assertEquals(new Comparison.Bar(0, 0, 0), rows.get(1).against());
+    assertEquals(new Interval(0, 0, 0), rows.get(1).difference());
     assertTrue(
         rows.get(0).service().low() < rows.get(0).service().mean()
             && rows.get(0).service().mean() < rows.get(0).service().high());
