--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -228,8 +228,9 @@
 
   /** Runs what is due at the instance, and schedules the next run. */
   private void runHost() {
+    Optional<Plan> before = plan();
     long nextDue = host.runDue(events.now());
-    if (advisor.isPresent()) {
+    if (isNewPlan(before, plan())) {
       plans++;
     }
     if (nextDue < nextWakeUp || nextWakeUp <= events.now()) {
@@ -245,6 +246,11 @@
     }
   }
 
+  /** Plans are compared by identity: a round may make an equal one anew. */
+  private static boolean isNewPlan(Optional<Plan> before, Optional<Plan> after) {
+    return after.isPresent() && after.get() != before.orElse(null);
+  }
+
   private List<String> requestClassNames() {
     return recording.head().types().stream().map(Recording.Type::name).toList();
   }
