--- a/src/main/java/stonespring/cli/InputFiles.java
+++ b/src/main/java/stonespring/cli/InputFiles.java
@@ -3,7 +3,8 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import stonespring.config.InstanceSettings;
-import stonespring.config.ScriptException;
+import stonespring.config.script.ScriptException;
+import stonespring.recording.InvalidRecordingException;
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
 
@@ -29,7 +30,7 @@
       throws CommandFailedException, IOException {
     try {
       return RecordingFile.read(file);
-    } catch (RecordingFile.Bad e) {
+    } catch (InvalidRecordingException e) {
       throw CommandFailedException.usage(command + ": " + e.getMessage(), e);
     }
   }
--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -40,7 +40,7 @@
     InstanceSettings settings = withOptions(InputFiles.readSettings(file));
     Daemon daemon = new Daemon(settings);
     daemon.start();
-    System.out.println("serving " + settings.host() + " " + daemon.port());
+    System.out.println("serving " + settings.listen().host() + " " + daemon.port());
     System.out.flush();
     return ForegroundProcess.runUntilStopped("serve", daemon);
   }
--- a/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
+++ b/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
@@ -41,7 +41,7 @@
   /** The span over which requests are counted together, deci-milliseconds. */
   private static final long SAMPLE_INTERVAL = 1_000;
 
-  private static final long LENGTH = 40 * DeciMillis.SECOND;
+  private static final long DURATION = 40 * DeciMillis.SECOND;
 
   /** When a disturbance starts; route tables have settled by then. */
   private static final long DISTURBANCE_START = 12 * DeciMillis.SECOND;
@@ -109,7 +109,7 @@
     // The order of the steps is that of the random draws.
     double[] speeds = drawSpeeds();
     startEndpoints(speeds);
-    List<Recording.Proxy> proxies = drawProxies(BASE_UTILIZATION * capacity(speeds));
+    List<Recording.ProxyInfo> proxies = drawProxies(BASE_UTILIZATION * capacity(speeds));
     addArrivals(proxies);
     addDisturbance(speeds);
     samples.sort(Comparator.comparingLong(LoadSample::at));
@@ -120,12 +120,12 @@
             settings(),
             ZONES,
             List.of(
-                new Recording.Type("view", 15_000, WORK[0]),
-                new Recording.Type("sketch", 20_000, WORK[1]),
-                new Recording.Type("extract", 15_000, WORK[2])),
+                new Recording.RequestClassInfo("view", 15_000, WORK[0]),
+                new Recording.RequestClassInfo("sketch", 20_000, WORK[1]),
+                new Recording.RequestClassInfo("extract", 15_000, WORK[2])),
             proxies,
             SAMPLE_INTERVAL,
-            LENGTH);
+            DURATION);
     return new Recording(head, samples);
   }
 
@@ -175,9 +175,9 @@
   private void startEndpoints(double[] speeds) {
     for (int index = 0; index < endpointCount; index++) {
       String name = originalName(index);
-      samples.add(new LoadSample.Ran(0, name, zone(index), CORES, speeds[index], false));
+      samples.add(new LoadSample.ProcessChanged(0, name, zone(index), CORES, speeds[index], false));
       if (kind == Kind.STALE_REPORTS && index % CLAIMING_ENDPOINT_INTERVAL == 0) {
-        samples.add(new LoadSample.Claimed(0, name, CLAIMED_CAPACITY_MULTIPLE));
+        samples.add(new LoadSample.CapacityClaimed(0, name, CLAIMED_CAPACITY_MULTIPLE));
       }
       addListed(0, name, zone(index), EndpointRecord.State.READY, 0);
     }
@@ -188,7 +188,7 @@
    *
    * @param requestRate of all proxies together, requests per second
    */
-  private List<Recording.Proxy> drawProxies(double requestRate) {
+  private List<Recording.ProxyInfo> drawProxies(double requestRate) {
     double[] sizes = new double[proxyCount];
     double total = 0;
     for (int index = 0; index < proxyCount; index++) {
@@ -199,19 +199,20 @@
       sizes[0] = (total - sizes[0]) / 2;
       total = 3 * sizes[0];
     }
-    List<Recording.Proxy> proxies = new ArrayList<>();
+    List<Recording.ProxyInfo> proxies = new ArrayList<>();
     for (int index = 0; index < proxyCount; index++) {
       proxies.add(
-          new Recording.Proxy("p" + index, zone(index), sizes[index] / total * requestRate));
+          new Recording.ProxyInfo("p" + index, zone(index), sizes[index] / total * requestRate));
     }
     return proxies;
   }
 
-  private void addArrivals(List<Recording.Proxy> proxies) {
-    for (long at = SAMPLE_INTERVAL; at < LENGTH; at += SAMPLE_INTERVAL) {
+  private void addArrivals(List<Recording.ProxyInfo> proxies) {
+    for (long at = SAMPLE_INTERVAL; at < DURATION; at += SAMPLE_INTERVAL) {
       boolean surging = kind == Kind.SURGE && at >= DISTURBANCE_START && at < SURGE_END;
       for (int index = 0; index < proxies.size(); index++) {
-        addArrivals(at, index, proxies.get(index).usualOps() * (surging ? SURGE_MULTIPLE : 1));
+        addArrivals(
+            at, index, proxies.get(index).requestsPerSecond() * (surging ? SURGE_MULTIPLE : 1));
       }
     }
   }
@@ -225,7 +226,7 @@
       any |= counts[index] > 0;
     }
     if (any) {
-      samples.add(new LoadSample.Came(at, proxy, counts));
+      samples.add(new LoadSample.Arrivals(at, proxy, counts));
     }
   }
 
@@ -241,7 +242,7 @@
 
   private void addDisturbance(double[] speeds) {
     if (kind == Kind.STALE_REPORTS) {
-      samples.add(new LoadSample.Late(DISTURBANCE_START, EXTRA_REPORT_DELAY));
+      samples.add(new LoadSample.ReportsDelayed(DISTURBANCE_START, EXTRA_REPORT_DELAY));
     } else if (kind == Kind.DEPLOY) {
       addDeploy(speeds);
     } else if (kind == Kind.LOST_ZONE) {
@@ -282,17 +283,17 @@
   }
 
   private void addColdStart(long at, String endpoint, int zone, double speed) {
-    samples.add(new LoadSample.Ran(at, endpoint, zone, CORES, speed, true));
+    samples.add(new LoadSample.ProcessChanged(at, endpoint, zone, CORES, speed, true));
     addListed(at + LIST_DELAY, endpoint, zone, EndpointRecord.State.READY, at);
   }
 
   private void addStop(long at, String endpoint, int zone) {
-    samples.add(new LoadSample.Ran(at, endpoint, zone, 0, 1, false));
+    samples.add(new LoadSample.ProcessChanged(at, endpoint, zone, 0, 1, false));
     addListed(at + LIST_DELAY, endpoint, zone, EndpointRecord.State.REMOVED, 0);
   }
 
   private void addListed(
       long at, String endpoint, int zone, EndpointRecord.State state, long startedAt) {
-    samples.add(new LoadSample.Listed(at, endpoint, zone, 1, state, startedAt));
+    samples.add(new LoadSample.EndpointListed(at, endpoint, zone, 1, state, startedAt));
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/PlayStatistics.java
+++ b/src/main/java/stonespring/testbed/virtual/PlayStatistics.java
@@ -24,10 +24,10 @@
   /**
    * Creates empty statistics.
    *
-   * @param length of the load, deci-milliseconds
+   * @param duration of the load, deci-milliseconds
    */
-  PlayStatistics(long length) {
-    windows = new WindowCounts[(int) (length / PlayResult.WINDOW) + 1];
+  PlayStatistics(long duration) {
+    windows = new WindowCounts[(int) (duration / PlayResult.WINDOW) + 1];
     for (int index = 0; index < windows.length; index++) {
       windows[index] = new WindowCounts();
     }
--- a/src/main/java/stonespring/testbed/virtual/VirtualEndpoint.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualEndpoint.java
@@ -63,7 +63,7 @@
   }
 
   /** Replaces the process; all requests of the old one are lost without an answer. */
-  void restart(LoadSample.Ran process) {
+  void restart(LoadSample.ProcessChanged process) {
     processGeneration++;
     busyCores = 0;
     queue.clear();
@@ -74,7 +74,7 @@
     cores = process.cores();
     speed = process.speed();
     overloaded = false;
-    startedAt = process.cold() ? events.now() : LONG_AGO;
+    startedAt = process.warmingUp() ? events.now() : LONG_AGO;
   }
 
   /** From now on reports utilization as if it had this multiple of its capacity. */
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -68,10 +68,10 @@
     this.policy = policy;
     this.seed = seed;
     this.random = new SplittableRandom(seed);
-    this.statistics = new PlayStatistics(recording.head().length());
+    this.statistics = new PlayStatistics(recording.head().duration());
     // The order of the steps from here is that of the random draws.
     List<LoadSample> initial =
-        recording.moments().stream().takeWhile(sample -> sample.at() == 0).toList();
+        recording.samples().stream().takeWhile(sample -> sample.at() == 0).toList();
     List<EndpointRecord> listed = applyInitial(initial);
     Policy.PolicyEngine engine = policy.createEngine(settings(), random.nextLong(), 0);
     this.advisor = engine.advisor();
@@ -89,7 +89,7 @@
         new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
     createProxies(listed);
     proxies.forEach(this::scheduleConnect);
-    recording.moments().stream()
+    recording.samples().stream()
         .skip(initial.size())
         .forEach(sample -> events.scheduleAt(sample.at(), () -> apply(sample)));
     runHost();
@@ -99,7 +99,7 @@
   private List<EndpointRecord> applyInitial(List<LoadSample> initial) {
     List<EndpointRecord> listed = new ArrayList<>();
     for (LoadSample sample : initial) {
-      if (sample instanceof LoadSample.Listed record) {
+      if (sample instanceof LoadSample.EndpointListed record) {
         listed.add(endpointRecord(record));
       } else {
         apply(sample);
@@ -111,7 +111,7 @@
   private void createProxies(List<EndpointRecord> listed) {
     RouterSettings routing =
         StandIns.routing(settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW);
-    for (Recording.Proxy recorded : recording.head().proxies()) {
+    for (Recording.ProxyInfo recorded : recording.head().proxies()) {
       VirtualProxy proxy =
           new VirtualProxy(
               this, recorded, routing, drawBootstrapRoutes(recorded, listed), random.nextLong());
@@ -120,7 +120,8 @@
     }
   }
 
-  private List<EndpointId> drawBootstrapRoutes(Recording.Proxy proxy, List<EndpointRecord> listed) {
+  private List<EndpointId> drawBootstrapRoutes(
+      Recording.ProxyInfo proxy, List<EndpointRecord> listed) {
     List<EndpointId> candidates = new ArrayList<>();
     for (EndpointRecord endpoint : listed) {
       if (endpoint.zone().index() == proxy.zone()) {
@@ -170,9 +171,9 @@
     }
   }
 
-  private static EndpointRecord endpointRecord(LoadSample.Listed listed) {
+  private static EndpointRecord endpointRecord(LoadSample.EndpointListed listed) {
     return new EndpointRecord(
-        new EndpointId(listed.task()),
+        new EndpointId(listed.endpoint()),
         new ZoneId(listed.zone()),
         listed.weight(),
         listed.state(),
@@ -180,23 +181,24 @@
   }
 
   private void apply(LoadSample sample) {
-    if (sample instanceof LoadSample.Came arrivals) {
+    if (sample instanceof LoadSample.Arrivals arrivals) {
       scheduleRequests(arrivals);
-    } else if (sample instanceof LoadSample.Listed listed) {
+    } else if (sample instanceof LoadSample.EndpointListed listed) {
       host.handleEndpointListUpdate(
           new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(endpointRecord(listed))),
           events.now());
       runHost();
-    } else if (sample instanceof LoadSample.Ran process) {
+    } else if (sample instanceof LoadSample.ProcessChanged process) {
       endpoints
           .computeIfAbsent(
-              process.task(), name -> new VirtualEndpoint(events, settings(), random.nextLong()))
+              process.endpoint(),
+              name -> new VirtualEndpoint(events, settings(), random.nextLong()))
           .restart(process);
-    } else if (sample instanceof LoadSample.Claimed claimed
-        && endpoints.containsKey(claimed.task())) {
-      endpoints.get(claimed.task()).claimCapacity(claimed.times());
-    } else if (sample instanceof LoadSample.Late late) {
-      extraReportDelay = late.by();
+    } else if (sample instanceof LoadSample.CapacityClaimed claimed
+        && endpoints.containsKey(claimed.endpoint())) {
+      endpoints.get(claimed.endpoint()).claimCapacity(claimed.multiple());
+    } else if (sample instanceof LoadSample.ReportsDelayed delayed) {
+      extraReportDelay = delayed.delay();
     }
   }
 
@@ -204,12 +206,12 @@
    * Schedules requests that were counted over the span before the sample in the span after it, as
    * they can't be sent in the past.
    */
-  private void scheduleRequests(LoadSample.Came arrivals) {
-    for (int index = 0; index < arrivals.ops().length; index++) {
+  private void scheduleRequests(LoadSample.Arrivals arrivals) {
+    for (int index = 0; index < arrivals.requests().length; index++) {
       RequestClassId requestClass = new RequestClassId(index);
-      for (int count = 0; count < arrivals.ops()[index]; count++) {
+      for (int count = 0; count < arrivals.requests()[index]; count++) {
         events.scheduleAfter(
-            random.nextLong(recording.head().every()),
+            random.nextLong(recording.head().sampleInterval()),
             () -> VirtualRequest.send(this, proxies.get(arrivals.proxy()), requestClass));
       }
     }
@@ -252,7 +254,9 @@
   }
 
   private List<String> requestClassNames() {
-    return recording.head().types().stream().map(Recording.Type::name).toList();
+    return recording.head().requestClasses().stream()
+        .map(Recording.RequestClassInfo::name)
+        .toList();
   }
 
   EventQueue events() {
@@ -268,11 +272,11 @@
   }
 
   int requestClassCount() {
-    return recording.head().types().size();
+    return recording.head().requestClasses().size();
   }
 
-  Recording.Type recordedClass(RequestClassId requestClass) {
-    return recording.head().types().get(requestClass.index());
+  Recording.RequestClassInfo recordedClass(RequestClassId requestClass) {
+    return recording.head().requestClasses().get(requestClass.index());
   }
 
   /** The endpoint of that name; empty if the recording never started one. */
@@ -282,7 +286,7 @@
 
   /** Plays on until an instant, or until the end of the recording if that is earlier. */
   public void playTo(long until) {
-    events.runUntil(Math.min(until, recording.head().length()));
+    events.runUntil(Math.min(until, recording.head().duration()));
   }
 
   /**
@@ -295,11 +299,14 @@
 
   /** Plays to the end of the recording, waits for pending requests, and returns the result. */
   public PlayResult play() {
-    long length = recording.head().length();
-    playTo(length);
+    long duration = recording.head().duration();
+    playTo(duration);
     long longestTimeout =
-        recording.head().types().stream().mapToLong(Recording.Type::opTimeout).max().orElse(0);
-    events.runUntil(length + longestTimeout);
+        recording.head().requestClasses().stream()
+            .mapToLong(Recording.RequestClassInfo::timeout)
+            .max()
+            .orElse(0);
+    events.runUntil(duration + longestTimeout);
     return new PlayResult(
         policy,
         seed,
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -39,7 +39,7 @@
   private static final long NOT_WITHOUT_ROUTES = -1;
 
   private final VirtualFleet fleet;
-  private final Recording.Proxy recorded;
+  private final Recording.ProxyInfo recorded;
   private final EventQueue events;
   private final Router router;
   private final TableSubscriber subscriber = new TableSubscriber();
@@ -50,7 +50,7 @@
 
   VirtualProxy(
       VirtualFleet fleet,
-      Recording.Proxy recorded,
+      Recording.ProxyInfo recorded,
       RouterSettings routing,
       List<EndpointId> bootstrapRoutes,
       long seed) {
@@ -103,7 +103,7 @@
             "life",
             1,
             new ZoneId(recorded.zone()),
-            recorded.usualOps(),
+            recorded.requestsPerSecond(),
             true,
             Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList()));
     host.handleHello(name(), hello, SESSION_TIMEOUT, this, events.now());
--- a/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
@@ -35,7 +35,7 @@
   private final EventQueue events;
   private final RequestClassId requestClass;
   private final RequestClass classSettings;
-  private final Recording.Type recordedClass;
+  private final Recording.RequestClassInfo recordedClass;
   private final long startedAt;
   private final long deadline;
   private int clientRetries;
@@ -61,7 +61,7 @@
     this.classSettings = fleet.settings().requestClasses().get(requestClass.index());
     this.recordedClass = fleet.recordedClass(requestClass);
     this.startedAt = events.now();
-    this.deadline = startedAt + recordedClass.opTimeout();
+    this.deadline = startedAt + recordedClass.timeout();
   }
 
   /** Sends a request; client retries count as part of it. */
@@ -118,7 +118,7 @@
         opensConnection ? LATENCIES_TO_CONNECT * latency : latency,
         () ->
             endpoint.receive(
-                recordedClass.work(),
+                recordedClass.serviceTime(),
                 deadline,
                 opensConnection,
                 result ->
