--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/Daemon.java
@@ -64,19 +64,18 @@
     EndpointListCodec codec = new EndpointListCodec(settings.zones(), clock.unixOffset());
     this.source =
         createSource(settings.endpointList().source(), codec, (EventLoop) eventLoops.next());
-    this.savedList =
-        new CachedEndpointList(settings.endpointList().cacheFile().orElse(null), codec);
+    this.savedList = new CachedEndpointList(settings.endpointList().cacheFile(), codec);
   }
 
   private static ZmtpLimits connectionLimits(InstanceSettings.Limits bounds) {
-    ZmtpLimits usual = ZmtpLimits.USUAL;
+    ZmtpLimits usual = ZmtpLimits.DEFAULT;
     return new ZmtpLimits(
-        usual.frameBytes(),
-        usual.messageBytes(),
-        usual.frames(),
+        usual.maxFrameBytes(),
+        usual.maxMessageBytes(),
+        usual.maxFrames(),
         bounds.pendingBytes(),
-        usual.subscriptions(),
-        usual.handshakeMillis(),
+        usual.maxSubscriptions(),
+        usual.handshakeTimeoutMillis(),
         bounds.connections());
   }
 
@@ -106,7 +105,7 @@
     List<EndpointRecord> saved = savedList.read();
     engineLoop.start(settings.name(), host);
     onEndpointListUpdate(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, saved));
-    source.start(this::onEndpointListUpdate, savedList::keep);
+    source.start(this::onEndpointListUpdate, savedList::store);
     LOG.info(
         "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints of the saved list",
         settings.name(),
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -81,15 +81,15 @@
         config.name(),
         config.listen().getHostString(),
         server.port(),
-        source.held().size(),
+        source.endpoints().size(),
         config.settings().settings().fleet().proxies(),
-        server.limits().unjoined());
+        server.limits().maxPendingHandshakes());
   }
 
   private void startEngine() {
     engine.start();
     source.start(this::onEndpointListUpdate, list -> {});
-    onEndpointListUpdate(source.lastSeen(config.cachedEndpointList().orElse(null)));
+    onEndpointListUpdate(source.loadCached(config.cachedEndpointList()));
     engine.runBatchNow();
   }
 
--- a/src/main/java/stonespring/proxyapi/platform/MessageFields.java
+++ b/src/main/java/stonespring/proxyapi/platform/MessageFields.java
@@ -32,10 +32,10 @@
   }
 
   String text(String field) {
-    if (message.flaw() != null) {
-      throw new InvalidMessageException(message.kind(), message.flaw());
+    if (message.error().isPresent()) {
+      throw new InvalidMessageException(message.kind(), message.error().get());
     }
-    String value = message.words().get(field);
+    String value = message.fields().get(field);
     if (value == null) {
       throw invalid(field, "is missing");
     }
@@ -44,7 +44,7 @@
 
   /** The text of a field, or the empty text if it is missing. */
   String optionalText(String field) {
-    return message.words().getOrDefault(field, "");
+    return message.fields().getOrDefault(field, "");
   }
 
   boolean flag(String field) {
