--- a/src/main/java/stonespring/cli/ScenarioCommand.java
+++ b/src/main/java/stonespring/cli/ScenarioCommand.java
@@ -57,7 +57,7 @@
       }
       System.out.printf("seed %d: ", seed);
       System.out.print(ScenarioRun.report(verdict));
-      return verdict.broken().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
+      return verdict.violations().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
     } catch (ScenarioRun.Failed e) {
       throw CommandFailedException.failed(e.getMessage() + "; logs are in " + folder, e);
     }
--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -11,28 +11,28 @@
 import stonespring.proxy.Proxy;
 
 /**
- * The clients of one proxy: ops come by chance and do not wait for answers. A client asks again by
- * itself after a failure, where the op may run again, or where the answer says that it certainly
- * did not run; all tries count with the first. It gives up at the op timeout.
+ * The clients of one proxy: requests come by chance and do not wait for answers. A client asks
+ * again by itself after a failure, where the request may run again, or where the answer says that
+ * it certainly did not run; all attempts count with the first. It gives up at the request timeout.
  */
 final class ClientStandIn {
-  /** One op type as clients know it. */
-  record Asked(String opType, double share, boolean retryable, double timeoutMillis) {}
+  /** One request class as clients know it. */
+  record RequestMix(String requestClass, double share, boolean retryable, double timeoutMillis) {}
 
-  private static final double TICK = 5; // ms
-  private static final int AGAIN_MOST = 2;
-  private static final long AGAIN_AFTER = 300; // ms
+  private static final double MAX_TICK_MILLIS = 5; // ms
+  private static final int MAX_RETRIES = 2;
+  private static final long RETRY_DELAY_MILLIS = 300; // ms
   private static final int CONNECTIONS = 64;
 
   private final EventLoop loop;
   private final Evidence evidence;
-  private final List<Asked> types;
+  private final List<RequestMix> types;
   private final String proxy;
   private final int port;
   private final SplittableRandom random;
   private final HttpClient client;
   private final AtomicInteger open;
-  private volatile double opsPerSecond;
+  private volatile double requestsPerSecond;
   private volatile double patience = 1;
   private boolean stopped;
   private long count;
@@ -40,10 +40,10 @@
   ClientStandIn(
       EventLoop loop,
       Evidence evidence,
-      List<Asked> types,
+      List<RequestMix> types,
       String proxy,
       int port,
-      double opsPerSecond,
+      double requestsPerSecond,
       long seed,
       AtomicInteger open) {
     this.loop = loop;
@@ -51,7 +51,7 @@
     this.types = types;
     this.proxy = proxy;
     this.port = port;
-    this.opsPerSecond = opsPerSecond;
+    this.requestsPerSecond = requestsPerSecond;
     this.random = new SplittableRandom(seed);
     this.client = new HttpClient(loop, 500, 64 << 10, CONNECTIONS);
     this.open = open;
@@ -61,11 +61,11 @@
     loop.execute(() -> arrive(evidence.now() + gap()));
   }
 
-  void rate(double ops) {
-    opsPerSecond = ops;
+  void rate(double requests) {
+    requestsPerSecond = requests;
   }
 
-  /** The part of the op timeout after which clients give up. */
+  /** The part of the request timeout after which clients give up. */
   void patience(double part) {
     patience = part;
   }
@@ -75,7 +75,7 @@
   }
 
   private double gap() {
-    return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, opsPerSecond);
+    return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, requestsPerSecond);
   }
 
   private void arrive(double next) {
@@ -89,14 +89,14 @@
     double then = at;
     loop.schedule(
         () -> arrive(then),
-        (long) Math.max(1, Math.min(TICK, at - evidence.now())),
+        (long) Math.max(1, Math.min(MAX_TICK_MILLIS, at - evidence.now())),
         TimeUnit.MILLISECONDS);
   }
 
   private void ask() {
     double draw = random.nextDouble();
-    Asked type = types.get(types.size() - 1);
-    for (Asked some : types) {
+    RequestMix type = types.get(types.size() - 1);
+    for (RequestMix some : types) {
       draw -= some.share();
       if (draw < 0) {
         type = some;
@@ -107,11 +107,11 @@
     attempt(type, proxy + "-" + ++count, evidence.now(), 0);
   }
 
-  private void attempt(Asked type, String op, double askedAt, int again) {
+  private void attempt(RequestMix type, String op, double askedAt, int again) {
     double left = askedAt + type.timeoutMillis() * patience - evidence.now();
     HttpMessage request =
         new HttpMessage(
-                "POST", "/op/" + type.opType(), new java.util.LinkedHashMap<>(), new byte[0])
+                "POST", "/op/" + type.requestClass(), new java.util.LinkedHashMap<>(), new byte[0])
             .with("host", "127.0.0.1:" + port)
             .with("x-op", op)
             .with("x-op-timeout-ms", String.valueOf((long) Math.max(1, left)))
@@ -122,17 +122,19 @@
         (long) Math.max(1, left),
         (answer, failure) -> {
           boolean good = answer != null && answer.status() == 200;
-          boolean notRun =
+          boolean notExecuted =
               answer != null
                   ? answer.header(Proxy.NOT_RUN).equals("1")
                   : failure == HttpClient.Failure.UNREACHED;
           double rest = askedAt + type.timeoutMillis() * patience - evidence.now();
           if (!good
-              && again < AGAIN_MOST
-              && rest > AGAIN_AFTER + 50
-              && (type.retryable() || notRun)) {
+              && again < MAX_RETRIES
+              && rest > RETRY_DELAY_MILLIS + 50
+              && (type.retryable() || notExecuted)) {
             loop.schedule(
-                () -> attempt(type, op, askedAt, again + 1), AGAIN_AFTER, TimeUnit.MILLISECONDS);
+                () -> attempt(type, op, askedAt, again + 1),
+                RETRY_DELAY_MILLIS,
+                TimeUnit.MILLISECONDS);
             return;
           }
           open.decrementAndGet();
@@ -141,10 +143,10 @@
                   askedAt,
                   proxy,
                   op,
-                  type.opType(),
+                  type.requestClass(),
                   answer == null ? 0 : answer.status(),
                   answer == null ? String.valueOf(failure) : answer.header("x-reason"),
-                  notRun,
+                  notExecuted,
                   evidence.now() - askedAt,
                   evidence.now()));
         });
--- a/src/main/java/stonespring/testbed/TaskStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -18,36 +18,39 @@
 import stonespring.proxy.Proxy;
 
 /**
- * A task as the deployments' pages describe one: cores, a queue, cold after a start, open
- * connections at a cost, a load report in its answers, and a ledger of effects. Work takes its time
- * by the clock and no processor. All of its state lives on one event loop.
+ * An endpoint as the deployments' pages describe one: cores, a queue, warming up after a start,
+ * open connections at a cost, a load report in its answers, and a ledger of effects. Work takes its
+ * time by the clock and no processor. All of its state lives on one event loop.
  */
-final class TaskStandIn {
-  /** What a task is made of; works in milliseconds by op type, {@code otherMillis} for the rest. */
-  record Make(
+final class EndpointStandIn {
+  /**
+   * What an endpoint is made of; works in milliseconds by request class, {@code otherMillis} for
+   * the rest.
+   */
+  record Specification(
       int cores,
       int queue,
       int connections,
       double handshakeMillis,
-      Map<String, Double> workMillis,
+      Map<String, Double> serviceTimeMillis,
       double otherMillis,
       Map<String, Double> windowMillis,
-      double coldShare,
-      double coldMillis,
-      double fallMultiple,
-      double fallMillis) {}
+      double slowStartInitialFraction,
+      double slowStartMillis,
+      double overloadMultiple,
+      double overloadWindowMillis) {}
 
   private record Job(
       String op,
-      String opType,
-      int tryNumber,
+      String requestClass,
+      int attempt,
       double work,
       double until,
       HttpServer.Exchange exchange) {}
 
   private final String name;
   private final String zone;
-  private final Make make;
+  private final Specification specification;
   private final EventLoopGroup loops;
   private final EventLoop loop;
   private final Evidence evidence;
@@ -55,31 +58,36 @@
   private final AtomicInteger open = new AtomicInteger();
   private final ArrayDeque<Job> queue = new ArrayDeque<>();
   private final ArrayDeque<double[]> arrived = new ArrayDeque<>();
-  private final Map<String, Double> met = new HashMap<>();
-  private final ArrayDeque<double[]> busySpans = new ArrayDeque<>();
+  private final Map<String, Double> executedAt = new HashMap<>();
+  private final ArrayDeque<double[]> busyIntervals = new ArrayDeque<>();
   private HttpServer server;
   private int port;
   private int running;
   private int life;
   private double startedAt = -1e9;
-  private double stillUntil;
+  private double pausedUntil;
   private volatile boolean up;
 
-  // Troubles; set by the day from its own thread.
+  // Faults; set by the scenario from its own thread.
   private volatile io.netty.channel.ChannelFuture stopped;
   private volatile boolean silent;
-  private volatile double errorShare;
-  private volatile double lostShare;
+  private volatile double errorFraction;
+  private volatile double lostAnswerFraction;
   private volatile String failingType = "";
-  private volatile double reportTimes = 1;
-  private volatile double handshakeTimes = 1;
-  private volatile Set<String> cutZones = Set.of();
-
-  TaskStandIn(
-      String name, String zone, Make make, EventLoopGroup loops, Evidence evidence, long seed) {
+  private volatile double reportMultiple = 1;
+  private volatile double handshakeMultiple = 1;
+  private volatile Set<String> unreachableZones = Set.of();
+
+  EndpointStandIn(
+      String name,
+      String zone,
+      Specification specification,
+      EventLoopGroup loops,
+      Evidence evidence,
+      long seed) {
     this.name = name;
     this.zone = zone;
-    this.make = make;
+    this.specification = specification;
     this.loops = loops;
     this.loop = loops.next();
     this.evidence = evidence;
@@ -108,7 +116,7 @@
     port = wanted;
   }
 
-  /** Starts, cold or warm; a second start takes the same port. */
+  /** Starts, warming up or warm; a second start takes the same port. */
   void start(boolean cold) throws IOException, InterruptedException {
     if (stopped != null) {
       stopped.await(); // a port is taken until its listener has ended
@@ -123,12 +131,12 @@
 
                   @Override
                   public boolean opened(Channel channel) {
-                    if (open.incrementAndGet() > make.connections()) {
+                    if (open.incrementAndGet() > specification.connections()) {
                       open.decrementAndGet();
                       return false;
                     }
                     channel.closeFuture().addListener(f -> open.decrementAndGet());
-                    loop.execute(() -> occupy(make.handshakeMillis() * handshakeTimes));
+                    loop.execute(() -> occupy(specification.handshakeMillis() * handshakeMultiple));
                     return true;
                   }
                 },
@@ -143,11 +151,11 @@
               arrived.clear();
               startedAt = cold ? evidence.now() : -1e9;
               silent = false;
-              errorShare = 0;
+              errorFraction = 0;
               up = true;
             })
         .sync();
-    evidence.add(new Evidence.Life(evidence.now(), id(), zone, true, cold));
+    evidence.add(new Evidence.ProcessChange(evidence.now(), id(), zone, true, cold));
   }
 
   double startedAt() {
@@ -162,7 +170,7 @@
   void crash() {
     if (up) {
       up = false;
-      evidence.add(new Evidence.Life(evidence.now(), id(), zone, false, false));
+      evidence.add(new Evidence.ProcessChange(evidence.now(), id(), zone, false, false));
       stopped = server.stop();
       loop.execute(() -> life++);
     }
@@ -172,89 +180,93 @@
     silent = on;
   }
 
-  void still(double millis) {
-    loop.execute(() -> stillUntil = evidence.now() + millis);
+  void pause(double millis) {
+    loop.execute(() -> pausedUntil = evidence.now() + millis);
   }
 
   void errors(double share) {
-    errorShare = share;
+    errorFraction = share;
   }
 
   /** Runs what comes and breaks the connection in place of a share of the answers. */
-  void losesAnswers(double share) {
-    lostShare = share;
+  void loseAnswers(double share) {
+    lostAnswerFraction = share;
   }
 
-  void failType(String opType) {
-    failingType = opType;
+  void failRequestClass(String requestClass) {
+    failingType = requestClass;
   }
 
   void falseReports(double times) {
-    reportTimes = times;
-    evidence.add(new Evidence.Claims(evidence.now(), id(), 1 / Math.max(0.01, times)));
+    reportMultiple = times;
+    evidence.add(new Evidence.FalseReport(evidence.now(), id(), 1 / Math.max(0.01, times)));
   }
 
   void slowHandshakes(double times) {
-    handshakeTimes = times;
+    handshakeMultiple = times;
   }
 
-  void cutFrom(Set<String> zones) {
-    cutZones = zones;
+  void setUnreachableZones(Set<String> zones) {
+    unreachableZones = zones;
   }
 
-  private double warmth() {
-    double age = (evidence.now() - startedAt) / make.coldMillis();
-    return age >= 1 ? 1 : make.coldShare() + (1 - make.coldShare()) * Math.max(0, age);
+  private double warmUpFraction() {
+    double age = (evidence.now() - startedAt) / specification.slowStartMillis();
+    return age >= 1
+        ? 1
+        : specification.slowStartInitialFraction()
+            + (1 - specification.slowStartInitialFraction()) * Math.max(0, age);
   }
 
   private void take(HttpMessage request, HttpServer.Exchange exchange) {
-    if (!up || silent || cutZones.contains(request.header("x-zone"))) {
+    if (!up || silent || unreachableZones.contains(request.header("x-zone"))) {
       return; // nothing comes back; whoever asked waits in vain
     }
     double now = evidence.now();
     String type = request.second().substring(request.second().lastIndexOf('/') + 1);
-    int tryNumber = whole(request.header("x-try"), 1);
+    int attempt = whole(request.header("x-try"), 1);
     String op = request.header("x-op");
-    evidence.add(new Evidence.Arrival(now, id(), request.header("x-proxy"), op, type, tryNumber));
+    evidence.add(new Evidence.Arrival(now, id(), request.header("x-proxy"), op, type, attempt));
     double work =
-        make.workMillis().getOrDefault(type, make.otherMillis()) * (0.5 + random.nextDouble());
-    if (falls(now, work)) {
+        specification.serviceTimeMillis().getOrDefault(type, specification.otherMillis())
+            * (0.5 + random.nextDouble());
+    if (crashesFromOverload(now, work)) {
       return;
     }
-    if (random.nextDouble() < errorShare || type.equals(failingType)) {
+    if (random.nextDouble() < errorFraction || type.equals(failingType)) {
       answer(exchange, HttpMessage.answer(500, "failed\n"));
-    } else if (queue.size() >= make.queue()) {
+    } else if (queue.size() >= specification.queue()) {
       answer(exchange, HttpMessage.answer(503, "full\n").with(Proxy.NOT_RUN, "1"));
     } else {
       double until = now + whole(request.header("x-op-timeout-ms"), Integer.MAX_VALUE);
-      queue.add(new Job(op, type, tryNumber, work, until, exchange));
+      queue.add(new Job(op, type, attempt, work, until, exchange));
       next();
     }
   }
 
-  /** A header's whole number; who calls a task by hand may leave it out. */
+  /** A header's whole number; who calls an endpoint by hand may leave it out. */
   private static int whole(String header, int otherwise) {
     return header.matches("[0-9]{1,9}") ? Integer.parseInt(header) : otherwise;
   }
 
   /**
-   * A cold task that is sent more than a multiple of what it can do, over a window, falls and stays
-   * down.
+   * A warming-up endpoint that is sent more than a multiple of what it can do, over a window, falls
+   * and stays down.
    */
-  private boolean falls(double now, double work) {
-    if (warmth() >= 1) {
+  private boolean crashesFromOverload(double now, double work) {
+    if (warmUpFraction() >= 1) {
       return false;
     }
     arrived.add(new double[] {now, work});
-    while (now - arrived.peek()[0] > make.fallMillis()) {
+    while (now - arrived.peek()[0] > specification.overloadWindowMillis()) {
       arrived.poll();
     }
     double sum = arrived.stream().mapToDouble(a -> a[1]).sum();
-    double bears = make.cores() * warmth() * make.fallMillis();
-    if (sum <= make.fallMultiple() * bears) {
+    double bears = specification.cores() * warmUpFraction() * specification.overloadWindowMillis();
+    if (sum <= specification.overloadMultiple() * bears) {
       return false;
     }
-    evidence.add(new Evidence.Fell(now, id(), sum / bears));
+    evidence.add(new Evidence.Overloaded(now, id(), sum / bears));
     crash();
     return true;
   }
@@ -263,7 +275,7 @@
     running++;
     int mine = life;
     finishAfter(
-        work / warmth(),
+        work / warmUpFraction(),
         () -> {
           if (mine == life) {
             running--;
@@ -275,7 +287,7 @@
   private void finishAfter(double millis, Runnable then) {
     loop.schedule(
         () -> {
-          double wait = stillUntil - evidence.now();
+          double wait = pausedUntil - evidence.now();
           if (wait > 0) {
             finishAfter(wait, then);
           } else {
@@ -287,7 +299,7 @@
   }
 
   private void next() {
-    while (running < make.cores() && !queue.isEmpty() && evidence.now() >= stillUntil) {
+    while (running < specification.cores() && !queue.isEmpty() && evidence.now() >= pausedUntil) {
       Job job = queue.poll();
       double now = evidence.now();
       if (now > job.until()) {
@@ -296,8 +308,8 @@
       }
       running++;
       effect(job, now);
-      double took = job.work() / warmth();
-      busySpans.add(new double[] {now, took});
+      double took = job.work() / warmUpFraction();
+      busyIntervals.add(new double[] {now, took});
       int mine = life;
       finishAfter(
           took,
@@ -310,35 +322,35 @@
             next();
           });
     }
-    if (!queue.isEmpty() && evidence.now() < stillUntil) {
-      loop.schedule(this::next, (long) (stillUntil - evidence.now()) + 1, TimeUnit.MILLISECONDS);
+    if (!queue.isEmpty() && evidence.now() < pausedUntil) {
+      loop.schedule(this::next, (long) (pausedUntil - evidence.now()) + 1, TimeUnit.MILLISECONDS);
     }
   }
 
   /**
-   * The ledger: every effect is written down; a repeat of a deduplicated op within its window has
-   * none.
+   * The ledger: every effect is written down; a repeat of a deduplicated request within its window
+   * has none.
    */
   private void effect(Job job, double now) {
-    Double window = make.windowMillis().get(job.opType());
+    Double window = specification.windowMillis().get(job.requestClass());
     if (window != null) {
-      met.values().removeIf(at -> now - at > window);
-      if (met.putIfAbsent(job.op(), now) != null) {
+      executedAt.values().removeIf(at -> now - at > window);
+      if (executedAt.putIfAbsent(job.op(), now) != null) {
         return;
       }
     }
-    evidence.add(new Evidence.Effect(now, id(), job.op(), job.opType(), job.tryNumber()));
+    evidence.add(new Evidence.Effect(now, id(), job.op(), job.requestClass(), job.attempt()));
   }
 
   private void answer(HttpServer.Exchange exchange, HttpMessage answer) {
-    if (answer.status() == 200 && random.nextDouble() < lostShare) {
+    if (answer.status() == 200 && random.nextDouble() < lostAnswerFraction) {
       exchange.channel().close();
       return;
     }
     double now = evidence.now();
-    busySpans.removeIf(span -> span[0] + span[1] < now - 500);
+    busyIntervals.removeIf(span -> span[0] + span[1] < now - 500);
     double busy =
-        busySpans.stream()
+        busyIntervals.stream()
             .mapToDouble(s -> Math.min(now, s[0] + s[1]) - Math.max(now - 500, s[0]))
             .sum();
     exchange.answer(
@@ -347,7 +359,7 @@
             String.format(
                 Locale.ROOT,
                 "TEXT cpu_utilization=%.3f,named_metrics.waiting=%d",
-                Math.min(1, reportTimes * busy / 500 / make.cores()),
+                Math.min(1, reportMultiple * busy / 500 / specification.cores()),
                 queue.size())));
   }
 }
--- a/src/main/java/stonespring/testbed/Evidence.java
+++ b/src/main/java/stonespring/testbed/Evidence.java
@@ -4,52 +4,52 @@
 import java.util.List;
 
 /**
- * What was seen at the sockets and in the tasks' ledgers during a day; the {@link InvariantChecker}
- * judges by it alone. Times are milliseconds since the day's start. Safe for several threads.
- * Bounded by the day's length: a day has a stated end.
+ * What was seen at the sockets and in the endpoints' ledgers during a scenario; the {@link
+ * InvariantChecker} judges by it alone. Times are milliseconds since the scenario's start. Safe for
+ * several threads. Bounded by the scenario's length: a scenario has a stated end.
  */
 public final class Evidence {
-  /** An op as it reached a task. */
+  /** A request as it reached an endpoint. */
   public record Arrival(
-      double at, String task, String proxy, String op, String opType, int tryNumber) {}
+      double at, String endpoint, String proxy, String op, String requestClass, int attempt) {}
 
-  /** An op began to take effect at a task. */
-  public record Effect(double at, String task, String op, String opType, int tryNumber) {}
+  /** A request began to take effect at an endpoint. */
+  public record Effect(double at, String endpoint, String op, String requestClass, int attempt) {}
 
-  /** A cold task was sent more than it bears, and fell. */
-  public record Fell(double at, String task, double times) {}
+  /** A warming-up endpoint was sent more than it bears, and fell. */
+  public record Overloaded(double at, String endpoint, double times) {}
 
   /**
-   * The list as it was told to an assigner: a task's state, "gone" where it is missing; {@code age}
-   * of a ready one.
+   * The list as it was told to an instance: an endpoint's state, "gone" where it is missing; {@code
+   * age} of a ready one.
    */
-  public record Told(double at, String task, String state, double startedAt) {}
+  public record Listed(double at, String endpoint, String state, double startedAt) {}
 
-  /** A task's process started, or died. */
-  public record Life(double at, String task, String zone, boolean up, boolean cold) {}
+  /** An endpoint's process started, or died. */
+  public record ProcessChange(double at, String endpoint, String zone, boolean up, boolean cold) {}
 
-  /** From here a task tells so many times the capacity that it has. */
-  public record Claims(double at, String task, double times) {}
+  /** From here an endpoint tells so many times the capacity that it has. */
+  public record FalseReport(double at, String endpoint, double times) {}
 
-  /** How a client's op ended; {@code tookMillis} from its first try. */
+  /** How a client's request ended; {@code tookMillis} from its first try. */
   public record Outcome(
       double askedAt,
       String proxy,
       String op,
-      String opType,
+      String requestClass,
       int status,
       String reason,
-      boolean notRun,
+      boolean notExecuted,
       double tookMillis,
       double endedAt) {}
 
   /** A message's commit passed to a proxy. */
   public record Commit(double at, String proxy) {}
 
-  /** A proxy's presence passed to an assigner, or its stream broke. */
-  public record Stream(double at, String proxy, boolean joined) {}
+  /** A proxy's presence passed to an instance, or its stream broke. */
+  public record Session(double at, String proxy, boolean joined) {}
 
-  /** What an assigner said of its channel. */
+  /** What an instance said of its channel. */
   public record Channel(double at, int backlog, int limit) {}
 
   private final long start = System.nanoTime();
--- a/src/main/java/stonespring/testbed/FaultyLink.java
+++ b/src/main/java/stonespring/testbed/FaultyLink.java
@@ -41,7 +41,7 @@
     default void frozen() {}
   }
 
-  private static final int WAITING_MOST =
+  private static final int MAX_WAITING_BYTES =
       1 << 20; // bytes that wait in one direction before reading stops
 
   private final EventLoop loop;
@@ -54,7 +54,7 @@
   private boolean byteByByte;
   private long delayUp;
   private long delayDown;
-  private double bytesPerMilli = Double.MAX_VALUE;
+  private double bytesPerMillisecond = Double.MAX_VALUE;
   private int cutListener = -1;
   private long cutAfter;
 
@@ -128,7 +128,7 @@
   }
 
   void slow(double bytesEachMilli) {
-    run(() -> bytesPerMilli = bytesEachMilli);
+    run(() -> bytesPerMillisecond = bytesEachMilli);
   }
 
   void byteByByte(boolean on) {
@@ -166,8 +166,8 @@
     private final long number;
     private Channel near;
     private Channel far;
-    private Way up;
-    private Way down;
+    private Direction up;
+    private Direction down;
     private long downBytes;
 
     Pair(int listener, long number) {
@@ -202,8 +202,8 @@
                     }
                   })
               .channel();
-      up = new Way(this, near, far, false);
-      down = new Way(this, far, near, true);
+      up = new Direction(this, near, far, false);
+      down = new Direction(this, far, near, true);
       near.pipeline().addLast(up);
       far.pipeline().addLast(down);
     }
@@ -220,7 +220,7 @@
   }
 
   /** One direction. */
-  private final class Way extends ChannelInboundHandlerAdapter {
+  private final class Direction extends ChannelInboundHandlerAdapter {
     private final Pair pair;
     private final Channel from;
     private final Channel to;
@@ -230,7 +230,7 @@
     private long bytes;
     private long freeAt;
 
-    Way(Pair pair, Channel from, Channel to, boolean towardsNear) {
+    Direction(Pair pair, Channel from, Channel to, boolean towardsNear) {
       this.pair = pair;
       this.from = from;
       this.to = to;
@@ -254,13 +254,13 @@
         int size = byteByByte ? 1 : in.readableBytes();
         freeAt =
             Math.max(freeAt, System.nanoTime() + delay)
-                + (towardsNear ? (long) (size / bytesPerMilli * 1e6) : 0);
+                + (towardsNear ? (long) (size / bytesPerMillisecond * 1e6) : 0);
         waiting.add(in.readRetainedSlice(size));
         dueAt.add(freeAt);
         bytes += size;
       }
       in.release();
-      from.config().setAutoRead(bytes < WAITING_MOST);
+      from.config().setAutoRead(bytes < MAX_WAITING_BYTES);
       move();
     }
 
@@ -274,7 +274,7 @@
         pass(waiting.poll());
         dueAt.poll();
       }
-      from.config().setAutoRead(bytes < WAITING_MOST);
+      from.config().setAutoRead(bytes < MAX_WAITING_BYTES);
     }
 
     private void pass(ByteBuf out) {
--- a/src/main/java/stonespring/testbed/AssignerProcess.java
+++ b/src/main/java/stonespring/testbed/InstanceProcess.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An assigner in a process of its own, so that it can be killed outright. */
-final class AssignerProcess {
+/** An instance in a process of its own, so that it can be killed outright. */
+final class InstanceProcess {
   private final List<String> command = new ArrayList<>();
   private final Path log;
   private final int port;
   private Process process;
 
-  AssignerProcess(Path script, int port, int registryPort, Path saved, Path log) {
+  InstanceProcess(Path script, int port, int registryPort, Path saved, Path log) {
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(
         List.of(
--- a/src/main/java/stonespring/testbed/Measure.java
+++ b/src/main/java/stonespring/testbed/Measure.java
@@ -43,7 +43,7 @@
 import stonespring.zmtp.ZmtpPeer;
 
 /**
- * Measurements of a running assigner, in a process of its own, and of the channel beside bare
+ * Measurements of a running instance, in a process of its own, and of the channel beside bare
  * sockets in one run.
  */
 public final class Measure {
@@ -53,7 +53,7 @@
   private Measure() {}
 
   /**
-   * What a fleet of idle proxies does to an assigner; {@code spreadMillis}: all dial within that
+   * What a fleet of idle proxies does to an instance; {@code spreadMillis}: all dial within that
    * time.
    */
   public static String fleet(Path script, int proxies, long spreadMillis, long seconds, Path folder)
@@ -63,8 +63,8 @@
         new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
     Path log = folder.resolve("assigner.log");
     Files.deleteIfExists(log);
-    AssignerProcess assigner =
-        new AssignerProcess(script, FreePorts.take(3), 0, folder.resolve("saved.json"), log);
+    InstanceProcess assigner =
+        new InstanceProcess(script, FreePorts.take(3), 0, folder.resolve("saved.json"), log);
     assigner.start();
     AtomicReference<String> status = new AtomicReference<>("");
     follow(assigner.port(), (EventLoop) loops.next(), status);
@@ -165,7 +165,7 @@
 
               @Override
               public void ended(String cause) {
-                // the assigner is stopped at the end
+                // the instance is stopped at the end
               }
             })
         .dial("127.0.0.1", port, false, ZmtpLimits.USUAL);
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -15,12 +15,12 @@
 /**
  * A registry in the published form of Consul's health endpoint, with blocking queries. What changes
  * shows after a stated lateness, as registries learn late. It writes down what it told and when:
- * that is what an assigner knew.
+ * that is what an instance knew.
  */
 final class RegistryStandIn {
   private record Entry(String name, int port, String zone, boolean draining, double startedAt) {}
 
-  private static final long WAIT_MOST = 60_000; // ms; as the published pages bound a wait
+  private static final long MAX_WAIT_MILLIS = 60_000; // ms; as the published pages bound a wait
 
   private final EventLoop loop;
   private final EventLoopGroup loops;
@@ -28,7 +28,7 @@
   private final long lateMillis;
   private final long unixAtStart = System.currentTimeMillis();
   private final TreeMap<String, Entry> entries = new TreeMap<>();
-  private final TreeMap<String, String> lastTold = new TreeMap<>();
+  private final TreeMap<String, String> lastListed = new TreeMap<>();
   private final List<Runnable> waiters = new ArrayList<>();
   private final TreeSet<String> hidden = new TreeSet<>();
   private HttpServer server;
@@ -67,9 +67,11 @@
         });
   }
 
-  /** A task runs, or drains; shown late. */
-  void set(TaskStandIn task, boolean draining) {
-    Entry entry = new Entry(task.name(), task.port(), task.zone(), draining, task.startedAt());
+  /** An endpoint runs, or drains; shown late. */
+  void set(EndpointStandIn endpoint, boolean draining) {
+    Entry entry =
+        new Entry(
+            endpoint.name(), endpoint.port(), endpoint.zone(), draining, endpoint.startedAt());
     loop.schedule(
         () -> {
           entries.put(entry.name, entry);
@@ -79,10 +81,10 @@
         TimeUnit.MILLISECONDS);
   }
 
-  void remove(TaskStandIn task) {
+  void remove(EndpointStandIn endpoint) {
     loop.schedule(
         () -> {
-          entries.remove(task.name());
+          entries.remove(endpoint.name());
           changed();
         },
         lateMillis,
@@ -109,7 +111,7 @@
         });
   }
 
-  /** Calls running tasks gone, or takes that back: a wrong list. */
+  /** Calls running endpoints gone, or takes that back: a wrong list. */
   void hide(String name, boolean on) {
     loop.execute(
         () -> {
@@ -161,7 +163,7 @@
           waiters.remove(once);
           once.run();
         },
-        Math.min(WAIT_MOST, Long.parseLong(query.group(2)) * 1000),
+        Math.min(MAX_WAIT_MILLIS, Long.parseLong(query.group(2)) * 1000),
         TimeUnit.MILLISECONDS);
   }
 
@@ -194,17 +196,17 @@
           .append("]}");
       String id = e.name + "@127.0.0.1:" + e.port;
       told.put(id, e.draining ? "draining" : "ready");
-      if (!told.get(id).equals(lastTold.get(id)) || e.startedAt >= 0) {
-        evidence.add(new Evidence.Told(evidence.now(), id, told.get(id), e.startedAt));
+      if (!told.get(id).equals(lastListed.get(id)) || e.startedAt >= 0) {
+        evidence.add(new Evidence.Listed(evidence.now(), id, told.get(id), e.startedAt));
       }
     }
-    for (String id : lastTold.keySet()) {
+    for (String id : lastListed.keySet()) {
       if (!told.containsKey(id)) {
-        evidence.add(new Evidence.Told(evidence.now(), id, "gone", -1));
+        evidence.add(new Evidence.Listed(evidence.now(), id, "gone", -1));
       }
     }
-    lastTold.clear();
-    lastTold.putAll(told);
+    lastListed.clear();
+    lastListed.putAll(told);
     HttpMessage answer =
         HttpMessage.answer(200, json.append("]").toString())
             .with("x-consul-index", String.valueOf(index));
--- a/src/main/java/stonespring/testbed/Scenario.java
+++ b/src/main/java/stonespring/testbed/Scenario.java
@@ -12,34 +12,34 @@
 import stonespring.config.SettingsError;
 
 /**
- * A scripted day: the assigner's settings, what the stand-ins are made of, the ops, and the
- * troubles with their times.
+ * A scripted scenario: the instance's settings, what the stand-ins are made of, the requests, and
+ * the faults with their times.
  *
- * @param workMillis an op's work, by op type
- * @param shares each op type's share of the ops
+ * @param workMillis a request's work, by request class
+ * @param shares each request class's share of the requests
  */
 public record Scenario(
     InstanceSettings assigner,
     double seconds,
-    double opsPerSecond,
-    int tasksPerZone,
+    double requestsPerSecond,
+    int endpointsPerZone,
     int proxiesPerZone,
     int cores,
     int queue,
     int connections,
     double handshakeMillis,
-    Map<String, Double> workMillis,
+    Map<String, Double> serviceTimeMillis,
     Map<String, Double> shares,
-    double dedupMillis,
+    double deduplicationWindowMillis,
     double graceMillis,
-    double fallMillis,
-    long listLateMillis,
-    List<Trouble> troubles) {
+    double overloadWindowMillis,
+    long listDelayMillis,
+    List<Fault> faults) {
   /**
-   * One trouble. {@code part}: the share of tasks, proxies or links that it strikes; {@code size}
+   * One fault. {@code part}: the share of endpoints, proxies or links that it strikes; {@code size}
    * and {@code each} as its kind takes them; {@code zone}: where, by position, or -1.
    */
-  public record Trouble(
+  public record Fault(
       String kind,
       double atMillis,
       double forMillis,
@@ -82,13 +82,13 @@
           "lost_answers");
 
   public static Scenario read(Path file) throws ScriptException {
-    List<SettingsError> faults = new ArrayList<>();
-    Section top = Section.of(file.toString(), Script.run(file), faults);
+    List<SettingsError> settingsErrors = new ArrayList<>();
+    Section top = Section.of(file.toString(), Script.run(file), settingsErrors);
     InstanceSettings assigner = InstanceSettings.decode(top, file);
     Section day = top.section("day", true);
     double seconds = day.number("seconds", 1, 3600, null);
-    double ops = day.number("ops_per_s", 0.1, 100_000, null);
-    int tasks = day.whole("tasks_per_zone", 1, 200, null);
+    double requests = day.number("ops_per_s", 0.1, 100_000, null);
+    int endpoints = day.whole("tasks_per_zone", 1, 200, null);
     int proxies = day.whole("proxies_per_zone", 1, 400, null);
     int cores = day.whole("cores", 1, 64, 2);
     int queue = day.whole("queue", 1, 10_000, 200);
@@ -108,20 +108,20 @@
     double grace = day.number("grace_s", 0.1, 60, null) * 1000;
     double fall = day.number("fall_window_s", 0.1, 60, 2.0) * 1000;
     double late = day.number("list_late_s", 0, 60, 1.0) * 1000;
-    List<Trouble> troubles = new ArrayList<>();
+    List<Fault> faults = new ArrayList<>();
     for (Section t : day.sections("troubles", 0, 1000)) {
-      troubles.add(trouble(t, seconds, assigner.zones().size()));
+      faults.add(trouble(t, seconds, assigner.zones().size()));
     }
     day.done();
     top.done();
-    if (!faults.isEmpty()) {
-      throw new ScriptException(faults);
+    if (!settingsErrors.isEmpty()) {
+      throw new ScriptException(settingsErrors);
     }
     return new Scenario(
         assigner,
         seconds,
-        ops,
-        tasks,
+        requests,
+        endpoints,
         proxies,
         cores,
         queue,
@@ -133,12 +133,12 @@
         grace,
         fall,
         (long) late,
-        troubles);
+        faults);
   }
 
-  private static Trouble trouble(Section t, double seconds, int zones) {
-    Trouble trouble =
-        new Trouble(
+  private static Fault trouble(Section t, double seconds, int zones) {
+    Fault trouble =
+        new Fault(
             t.word("kind", KINDS, null),
             t.number("at_s", 0, seconds, null) * 1000,
             t.number("for_s", 0, seconds, 1.0) * 1000,
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -11,11 +11,11 @@
 import stonespring.recording.Recording;
 
 /**
- * A played day as a recording: what came, what ran and what was told, from what was seen; nothing
- * of what was decided.
+ * A played scenario as a recording: what came, what ran and what was told, from what was seen;
+ * nothing of what was decided.
  */
 final class ScenarioRecorder {
-  private static final long EVERY = 1_000; // 0.1 ms over which ops are counted together
+  private static final long SPAN = 1_000; // 0.1 ms over which requests are counted together
 
   private final Scenario day;
   private final Evidence evidence;
@@ -39,38 +39,43 @@
   }
 
   Recording recording(String name, List<Recording.Proxy> proxies) {
-    List<LoadSample> moments = new ArrayList<>();
+    List<LoadSample> samples = new ArrayList<>();
     Map<String, Integer> zoneOf = new HashMap<>();
-    for (Evidence.Life life : evidence.of(Evidence.Life.class)) {
-      zoneOf.put(life.task(), zone(life.zone()));
-      moments.add(
+    for (Evidence.ProcessChange life : evidence.of(Evidence.ProcessChange.class)) {
+      zoneOf.put(life.endpoint(), zone(life.zone()));
+      samples.add(
           new LoadSample.Ran(
               at(life.at()),
-              life.task(),
+              life.endpoint(),
               zone(life.zone()),
               life.up() ? day.cores() : 0,
               1,
               life.cold()));
     }
-    for (Evidence.Told told : evidence.of(Evidence.Told.class)) {
+    for (Evidence.Listed told : evidence.of(Evidence.Listed.class)) {
       EndpointRecord.State state = state(told.state());
-      // A task that was up before the day is long warm; nothing tells how long.
+      // An endpoint that was up before the scenario is long warm; nothing tells how long.
       long started = told.startedAt() > began ? at(told.startedAt()) : 0;
-      moments.add(
+      samples.add(
           new LoadSample.Listed(
-              at(told.at()), told.task(), zoneOf.getOrDefault(told.task(), 0), 1, state, started));
+              at(told.at()),
+              told.endpoint(),
+              zoneOf.getOrDefault(told.endpoint(), 0),
+              1,
+              state,
+              started));
     }
-    for (Evidence.Claims claims : evidence.of(Evidence.Claims.class)) {
-      moments.add(new LoadSample.Claimed(at(claims.at()), claims.task(), claims.times()));
+    for (Evidence.FalseReport claims : evidence.of(Evidence.FalseReport.class)) {
+      samples.add(new LoadSample.Claimed(at(claims.at()), claims.endpoint(), claims.times()));
     }
-    for (Scenario.Trouble t : day.troubles()) {
+    for (Scenario.Fault t : day.faults()) {
       if (t.kind().equals("late_reports")) {
-        moments.add(new LoadSample.Late(Math.round(t.atMillis() * 10), Math.round(t.size() * 10)));
-        moments.add(new LoadSample.Late(Math.round((t.atMillis() + t.forMillis()) * 10), 0));
+        samples.add(new LoadSample.Late(Math.round(t.atMillis() * 10), Math.round(t.size() * 10)));
+        samples.add(new LoadSample.Late(Math.round((t.atMillis() + t.forMillis()) * 10), 0));
       }
     }
-    arrivals(moments, proxies);
-    moments.sort(Comparator.comparingLong(LoadSample::at));
+    arrivals(samples, proxies);
+    samples.sort(Comparator.comparingLong(LoadSample::at));
     List<Recording.Type> types = new ArrayList<>();
     for (int k = 0; k < day.assigner().opTypeNames().size(); k++) {
       String type = day.assigner().opTypeNames().get(k);
@@ -78,7 +83,7 @@
           new Recording.Type(
               type,
               day.assigner().opTimeouts().get(k),
-              Math.round(day.workMillis().get(type) * 10)));
+              Math.round(day.serviceTimeMillis().get(type) * 10)));
     }
     return new Recording(
         new Recording.Head(
@@ -88,12 +93,12 @@
             day.assigner().zones(),
             types,
             proxies,
-            EVERY,
+            SPAN,
             Math.round(day.seconds() * 10_000)),
-        moments);
+        samples);
   }
 
-  private void arrivals(List<LoadSample> moments, List<Recording.Proxy> proxies) {
+  private void arrivals(List<LoadSample> samples, List<Recording.Proxy> proxies) {
     Map<String, Integer> index = new HashMap<>();
     for (int p = 0; p < proxies.size(); p++) {
       index.put(proxies.get(p).name(), p);
@@ -102,17 +107,17 @@
     int types = day.assigner().opTypeNames().size();
     for (Evidence.Outcome op : evidence.of(Evidence.Outcome.class)) {
       // Told with the span's end, and played in the span after it: one span late, evenly.
-      long span = at(op.askedAt()) / EVERY + 1;
+      long span = at(op.askedAt()) / SPAN + 1;
       int proxy = index.get(op.proxy());
       counts
           .computeIfAbsent(span * proxies.size() + proxy, c -> new int[types])[
-          day.assigner().opTypeNames().indexOf(op.opType())]++;
+          day.assigner().opTypeNames().indexOf(op.requestClass())]++;
     }
     counts.forEach(
-        (key, ops) ->
-            moments.add(
+        (key, requests) ->
+            samples.add(
                 new LoadSample.Came(
-                    key / proxies.size() * EVERY, (int) (key % proxies.size()), ops)));
+                    key / proxies.size() * SPAN, (int) (key % proxies.size()), requests)));
   }
 
   private static EndpointRecord.State state(String word) {
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -34,11 +34,11 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * Plays a day on loopback: real assigners in processes of their own, stand-ins here, troubles by
+ * Plays a scenario on loopback: real instances in processes of their own, stand-ins here, faults by
  * the script.
  */
 public final class ScenarioRun {
-  /** A day could not be played. */
+  /** A scenario could not be played. */
   public static final class Failed extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -57,7 +57,7 @@
   private static final class Seat {
     private String name;
     private int zone;
-    private double ops;
+    private double requests;
     private Proxy proxy;
     private int port;
     private ClientStandIn client;
@@ -68,7 +68,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ScenarioRun.class);
   private static final int THREADS = 6; // event loops for all stand-ins
   private static final long SILENCE_MILLIS =
-      3_000; // ms; three of an assigner's signs of life missed
+      3_000; // ms; three of an instance's signs of life missed
   private static final int PRESENCE_SECONDS = 3; // s; as above, the other way
 
   private final Scenario day;
@@ -78,9 +78,9 @@
       new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
   private final Evidence evidence = new Evidence(true);
   private final RegistryStandIn registry;
-  private final List<TaskStandIn> tasks = new ArrayList<>();
+  private final List<EndpointStandIn> endpoints = new ArrayList<>();
   private final List<Seat> seats = new ArrayList<>();
-  private final List<AssignerProcess> assigners = new ArrayList<>();
+  private final List<InstanceProcess> assigners = new ArrayList<>();
   private final PriorityQueue<Due> due =
       new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparing(Due::count));
   private final AtomicInteger openOps = new AtomicInteger();
@@ -94,14 +94,14 @@
     this.script = script;
     this.folder = folder;
     this.random = new SplittableRandom(seed);
-    this.registry = new RegistryStandIn(loops, evidence, day.listLateMillis());
+    this.registry = new RegistryStandIn(loops, evidence, day.listDelayMillis());
   }
 
-  /** Plays the day to its end and judges it. */
+  /** Plays the scenario to its end and judges it. */
   public InvariantChecker.Verdict run() throws Failed, InterruptedException {
     try {
       setUp();
-      for (Scenario.Trouble t : day.troubles()) {
+      for (Scenario.Fault t : day.faults()) {
         at(t.atMillis(), () -> strike(t));
       }
       play(day.seconds() * 1000);
@@ -127,21 +127,22 @@
     }
   }
 
-  /** The day as it was played, to be played again; after {@link #run}. */
+  /** The scenario as it was played, to be played again; after {@link #run}. */
   public Recording recording(String name) {
     return new ScenarioRecorder(day, evidence, began)
         .recording(
-            name, seats.stream().map(s -> new Recording.Proxy(s.name, s.zone, s.ops)).toList());
+            name,
+            seats.stream().map(s -> new Recording.Proxy(s.name, s.zone, s.requests)).toList());
   }
 
   private InvariantChecker observer() {
     Settings s = day.assigner().settings();
-    Map<String, InvariantChecker.Worth> worths = new LinkedHashMap<>();
+    Map<String, InvariantChecker.RequestClassPolicy> requestClasses = new LinkedHashMap<>();
     for (int k = 0; k < s.requestClasses().size(); k++) {
       RequestClass type = s.requestClasses().get(k);
-      worths.put(
+      requestClasses.put(
           day.assigner().opTypeNames().get(k),
-          new InvariantChecker.Worth(
+          new InvariantChecker.RequestClassPolicy(
               type.latencyObjective() / 10.0,
               type.priorityWeight(),
               type.retrySafety() == RetrySafety.IDEMPOTENT));
@@ -153,7 +154,7 @@
             s.slowStart().window() / 10.0,
             s.channel().maxMessagesPerProxy(),
             s.channel().messageWindow() / 10.0),
-        worths,
+        requestClasses,
         evidence);
   }
 
@@ -164,17 +165,17 @@
   private void setUp() throws Exception {
     registry.start(FreePorts.take(1));
     for (int z = 0; z < zones(); z++) {
-      for (int i = 0; i < day.tasksPerZone(); i++) {
-        TaskStandIn task = task(z);
-        task.start(false);
-        registry.set(task, false);
+      for (int i = 0; i < day.endpointsPerZone(); i++) {
+        EndpointStandIn endpoint = endpoint(z);
+        endpoint.start(false);
+        registry.set(endpoint, false);
       }
     }
-    // Discovery is late: an assigner that starts now would be told of nothing.
-    Thread.sleep(day.listLateMillis() + 50);
+    // Discovery is late: an instance that starts now would be told of nothing.
+    Thread.sleep(day.listDelayMillis() + 50);
     for (int i = 0; i < day.assigner().settings().fleet().instances(); i++) {
-      AssignerProcess assigner =
-          new AssignerProcess(
+      InstanceProcess assigner =
+          new InstanceProcess(
               script,
               FreePorts.take(3),
               registry.port(),
@@ -184,21 +185,21 @@
       assigner.start();
       watch(assigner);
     }
-    List<ClientStandIn.Asked> types = asked();
+    List<ClientStandIn.RequestMix> types = asked();
     double all = 0;
     for (int i = 0; i < day.proxiesPerZone() * zones(); i++) {
       Seat seat = new Seat();
       seat.name = "p" + (i + 1);
       seat.zone = i % zones();
       // Most proxies carry little, some far more.
-      seat.ops = Math.pow(1 - random.nextDouble(), -0.6);
-      all += seat.ops;
+      seat.requests = Math.pow(1 - random.nextDouble(), -0.6);
+      all += seat.requests;
       seat.port = FreePorts.take(1);
       seats.add(seat);
     }
     for (Seat seat : seats) {
-      seat.ops *= day.opsPerSecond() / all;
-      for (AssignerProcess assigner : assigners) {
+      seat.requests *= day.requestsPerSecond() / all;
+      for (InstanceProcess assigner : assigners) {
         FaultyLink link = new FaultyLink(loop(), new WireTap(seat.name, evidence));
         seat.links.add(link);
         seat.ports.add(
@@ -211,7 +212,14 @@
       startProxy(seat);
       seat.client =
           new ClientStandIn(
-              loop(), evidence, types, seat.name, seat.port, seat.ops, random.nextLong(), openOps);
+              loop(),
+              evidence,
+              types,
+              seat.name,
+              seat.port,
+              seat.requests,
+              random.nextLong(),
+              openOps);
     }
     began = evidence.now();
     seats.forEach(seat -> seat.client.start());
@@ -221,12 +229,12 @@
     return day.assigner().zones().size();
   }
 
-  private List<ClientStandIn.Asked> asked() {
-    List<ClientStandIn.Asked> asked = new ArrayList<>();
+  private List<ClientStandIn.RequestMix> asked() {
+    List<ClientStandIn.RequestMix> asked = new ArrayList<>();
     for (int k = 0; k < day.assigner().opTypeNames().size(); k++) {
       String name = day.assigner().opTypeNames().get(k);
       asked.add(
-          new ClientStandIn.Asked(
+          new ClientStandIn.RequestMix(
               name,
               day.shares().get(name),
               day.assigner().settings().requestClasses().get(k).retrySafety()
@@ -236,45 +244,45 @@
     return asked;
   }
 
-  private TaskStandIn task(int zone) throws IOException {
+  private EndpointStandIn endpoint(int zone) throws IOException {
     Settings s = day.assigner().settings();
     Map<String, Double> windows = new HashMap<>();
     for (int k = 0; k < s.requestClasses().size(); k++) {
       String name = day.assigner().opTypeNames().get(k);
       if (s.requestClasses().get(k).retrySafety() == RetrySafety.IDEMPOTENCY_KEYED) {
-        windows.put(name, day.dedupMillis());
+        windows.put(name, day.deduplicationWindowMillis());
       }
     }
-    TaskStandIn.Make make =
-        new TaskStandIn.Make(
+    EndpointStandIn.Specification specification =
+        new EndpointStandIn.Specification(
             day.cores(),
             day.queue(),
             day.connections(),
             day.handshakeMillis(),
-            day.workMillis(),
+            day.serviceTimeMillis(),
             0,
             windows,
             s.slowStart().initialFraction(),
             s.slowStart().window() / 10.0,
             s.slowStart().overloadMultiple(),
-            day.fallMillis());
-    TaskStandIn task =
-        new TaskStandIn(
-            "t" + (tasks.size() + 1),
+            day.overloadWindowMillis());
+    EndpointStandIn endpoint =
+        new EndpointStandIn(
+            "t" + (endpoints.size() + 1),
             day.assigner().zones().get(zone),
-            make,
+            specification,
             loops,
             evidence,
             random.nextLong());
-    task.listenAt(FreePorts.take(1));
-    tasks.add(task);
-    return task;
+    endpoint.listenAt(FreePorts.take(1));
+    endpoints.add(endpoint);
+    return endpoint;
   }
 
   private void startProxy(Seat seat) throws IOException, InterruptedException {
     Settings s = day.assigner().settings();
     RouterSettings router =
-        StandIns.routing(day.assigner(), type -> (long) (day.dedupMillis() * 10));
+        StandIns.routing(day.assigner(), type -> (long) (day.deduplicationWindowMillis() * 10));
     List<Long> timeouts = StandIns.opTimeouts(day.assigner());
     ProxySettings settings =
         new ProxySettings(
@@ -285,7 +293,7 @@
             timeouts,
             standing(seat.zone, s.routing().bootstrapRouteCount()),
             seat.ports,
-            seat.ops,
+            seat.requests,
             50,
             s.reportInterval() / 10,
             SILENCE_MILLIS,
@@ -295,13 +303,14 @@
     seat.proxy = new Proxy(settings, loop()).start(loops, seat.port);
   }
 
-  /** Tasks that run and are listed, drawn in the proxy's zone where three are there. */
+  /** Endpoints that run and are listed, drawn in the proxy's zone where three are there. */
   private List<EndpointId> standing(int zone, int most) {
-    List<TaskStandIn> up = new ArrayList<>(tasks.stream().filter(TaskStandIn::isUp).toList());
-    List<TaskStandIn> near =
+    List<EndpointStandIn> up =
+        new ArrayList<>(endpoints.stream().filter(EndpointStandIn::isUp).toList());
+    List<EndpointStandIn> near =
         new ArrayList<>(
             up.stream().filter(t -> t.zone().equals(day.assigner().zones().get(zone))).toList());
-    List<TaskStandIn> from = near.size() >= 3 ? near : up;
+    List<EndpointStandIn> from = near.size() >= 3 ? near : up;
     List<EndpointId> drawn = new ArrayList<>();
     while (drawn.size() < most && !from.isEmpty()) {
       drawn.add(new EndpointId(from.remove(random.nextInt(from.size())).id()));
@@ -309,8 +318,8 @@
     return drawn;
   }
 
-  /** Follows an assigner's own status, through every loss. */
-  private void watch(AssignerProcess assigner) {
+  /** Follows an instance's own status, through every loss. */
+  private void watch(InstanceProcess assigner) {
     EventLoop loop = loop();
     ChpClient client =
         new ChpClient(
@@ -367,9 +376,9 @@
     return some;
   }
 
-  private List<TaskStandIn> up(int zone) {
-    return tasks.stream()
-        .filter(TaskStandIn::isUp)
+  private List<EndpointStandIn> up(int zone) {
+    return endpoints.stream()
+        .filter(EndpointStandIn::isUp)
         .filter(t -> zone < 0 || t.zone().equals(day.assigner().zones().get(zone)))
         .toList();
   }
@@ -378,38 +387,42 @@
     return seats.stream().filter(seat -> zone < 0 || seat.zone == zone).toList();
   }
 
-  private void strike(Scenario.Trouble t) throws Exception {
+  private void strike(Scenario.Fault t) throws Exception {
     LOG.info("trouble at {} s: {}", Math.round(now() / 100) / 10.0, t);
     double end = now() + t.forMillis();
-    List<TaskStandIn> struck = some(up(t.zone()), t.part());
+    List<EndpointStandIn> struck = some(up(t.zone()), t.part());
     List<Seat> proxies = some(seats(t.zone()), t.part());
     switch (t.kind()) {
-      case "crash" -> struck.forEach(task -> down(task, end));
+      case "crash" -> struck.forEach(endpoint -> down(endpoint, end));
       case "silent" ->
           during(
               t,
-              () -> struck.forEach(task -> task.silent(true)),
+              () -> struck.forEach(endpoint -> endpoint.silent(true)),
               () -> {
-                for (TaskStandIn task : struck) {
-                  if (task.isUp()) {
-                    down(task, now());
+                for (EndpointStandIn endpoint : struck) {
+                  if (endpoint.isUp()) {
+                    down(endpoint, now());
                   }
                 }
               });
       case "fast_errors" ->
           during(
               t,
-              () -> struck.forEach(task -> task.errors(t.size())),
-              () -> struck.forEach(task -> task.errors(0)));
+              () -> struck.forEach(endpoint -> endpoint.errors(t.size())),
+              () -> struck.forEach(endpoint -> endpoint.errors(0)));
       case "lost_answers" ->
           during(
               t,
-              () -> struck.forEach(task -> task.losesAnswers(t.size())),
-              () -> struck.forEach(task -> task.losesAnswers(0)));
+              () -> struck.forEach(endpoint -> endpoint.loseAnswers(t.size())),
+              () -> struck.forEach(endpoint -> endpoint.loseAnswers(0)));
       case "pauses" ->
-          each(t, () -> struck.forEach(task -> task.still(t.size() * (0.5 + random.nextDouble()))));
+          each(
+              t,
+              () ->
+                  struck.forEach(
+                      endpoint -> endpoint.pause(t.size() * (0.5 + random.nextDouble()))));
       case "flapping" ->
-          each(t, () -> struck.forEach(task -> task.errors(random.nextBoolean() ? 1 : 0)));
+          each(t, () -> struck.forEach(endpoint -> endpoint.errors(random.nextBoolean() ? 1 : 0)));
       case "late_reports" ->
           during(
               t,
@@ -434,7 +447,7 @@
                 link.cutAfter(0, (long) t.size());
                 link.cut(false);
               });
-      case "zone_loss" -> up(t.zone()).forEach(task -> down(task, end));
+      case "zone_loss" -> up(t.zone()).forEach(endpoint -> down(endpoint, end));
       case "zone_cut" -> during(t, () -> cut(t.zone(), true), () -> cut(t.zone(), false));
       case "deploy" -> deploy(t, struck);
       case "taken_in_waves" ->
@@ -443,19 +456,19 @@
               () ->
                   some(up(t.zone()), t.part())
                       .forEach(
-                          task -> {
-                            registry.set(task, true);
-                            at(now() + t.size(), () -> down(task, now() + t.eachMillis()));
+                          endpoint -> {
+                            registry.set(endpoint, true);
+                            at(now() + t.size(), () -> down(endpoint, now() + t.eachMillis()));
                           }));
       case "shrink" ->
           struck.forEach(
-              task -> {
-                registry.set(task, true);
+              endpoint -> {
+                registry.set(endpoint, true);
                 at(
                     end,
                     () -> {
-                      registry.remove(task);
-                      task.crash();
+                      registry.remove(endpoint);
+                      endpoint.crash();
                     });
               });
       case "growth" ->
@@ -463,16 +476,16 @@
               t,
               () -> {
                 for (int i = 0; i < t.size(); i++) {
-                  TaskStandIn task = task(random.nextInt(zones()));
-                  task.start(true);
-                  registry.set(task, false);
+                  EndpointStandIn endpoint = endpoint(random.nextInt(zones()));
+                  endpoint.start(true);
+                  registry.set(endpoint, false);
                 }
               });
       case "surge" ->
           during(
               t,
-              () -> seats.forEach(s -> s.client.rate(s.ops * t.size())),
-              () -> seats.forEach(s -> s.client.rate(s.ops)));
+              () -> seats.forEach(s -> s.client.rate(s.requests * t.size())),
+              () -> seats.forEach(s -> s.client.rate(s.requests)));
       case "impatience" ->
           during(
               t,
@@ -502,8 +515,8 @@
                 at(now() + t.size(), () -> links(seats, link -> link.freeze(false)));
               });
       case "assigner_crash" -> {
-        List<AssignerProcess> killed = some(assigners, t.part());
-        for (AssignerProcess assigner : killed) {
+        List<InstanceProcess> killed = some(assigners, t.part());
+        for (InstanceProcess assigner : killed) {
           assigner.kill();
           at(end, assigner::start);
         }
@@ -511,26 +524,27 @@
       case "false_reports" ->
           during(
               t,
-              () -> struck.forEach(task -> task.falseReports(t.size())),
-              () -> struck.forEach(task -> task.falseReports(1)));
+              () -> struck.forEach(endpoint -> endpoint.falseReports(t.size())),
+              () -> struck.forEach(endpoint -> endpoint.falseReports(1)));
       case "slow_handshakes" ->
           during(
               t,
-              () -> struck.forEach(task -> task.slowHandshakes(t.size())),
-              () -> struck.forEach(task -> task.slowHandshakes(1)));
+              () -> struck.forEach(endpoint -> endpoint.slowHandshakes(t.size())),
+              () -> struck.forEach(endpoint -> endpoint.slowHandshakes(1)));
       case "op_type_fails" ->
           during(
               t,
               () -> {
                 int k = Math.min(day.assigner().opTypeNames().size() - 1, (int) t.size());
-                struck.forEach(task -> task.failType(day.assigner().opTypeNames().get(k)));
+                struck.forEach(
+                    endpoint -> endpoint.failRequestClass(day.assigner().opTypeNames().get(k)));
               },
-              () -> struck.forEach(task -> task.failType("")));
+              () -> struck.forEach(endpoint -> endpoint.failRequestClass("")));
       case "wrong_list" ->
           during(
               t,
-              () -> struck.forEach(task -> registry.hide(task.name(), true)),
-              () -> struck.forEach(task -> registry.hide(task.name(), false)));
+              () -> struck.forEach(endpoint -> registry.hide(endpoint.name(), true)),
+              () -> struck.forEach(endpoint -> registry.hide(endpoint.name(), false)));
       case "registry_dead" -> during(t, () -> registry.dead(true), () -> registry.dead(false));
       default -> throw new IllegalStateException(t.kind());
     }
@@ -544,41 +558,41 @@
     seats.forEach(seat -> seat.links.forEach(act::act));
   }
 
-  private void during(Scenario.Trouble t, Act first, Act last) throws Exception {
+  private void during(Scenario.Fault t, Act first, Act last) throws Exception {
     first.run();
     at(now() + t.forMillis(), last);
   }
 
-  private void each(Scenario.Trouble t, Act act) {
+  private void each(Scenario.Fault t, Act act) {
     for (double when = now(); when < now() + t.forMillis(); when += t.eachMillis()) {
       at(when, act);
     }
   }
 
-  /** A task dies now and comes back cold. */
-  private void down(TaskStandIn task, double backAt) {
-    task.crash();
-    registry.remove(task);
+  /** An endpoint dies now and comes back warming up. */
+  private void down(EndpointStandIn endpoint, double backAt) {
+    endpoint.crash();
+    registry.remove(endpoint);
     at(
         backAt,
         () -> {
-          if (!task.isUp()
-              && evidence.of(Evidence.Fell.class).stream()
-                  .noneMatch(f -> f.task().equals(task.id()))) {
-            task.start(true);
-            registry.set(task, false);
+          if (!endpoint.isUp()
+              && evidence.of(Evidence.Overloaded.class).stream()
+                  .noneMatch(f -> f.endpoint().equals(endpoint.id()))) {
+            endpoint.start(true);
+            registry.set(endpoint, false);
           }
         });
   }
 
-  private void deploy(Scenario.Trouble t, List<TaskStandIn> struck) {
-    int batch = (int) Math.max(1, Math.round(t.size() * tasks.size()));
+  private void deploy(Scenario.Fault t, List<EndpointStandIn> struck) {
+    int batch = (int) Math.max(1, Math.round(t.size() * endpoints.size()));
     int batches = (struck.size() + batch - 1) / batch;
     for (int i = 0; i < struck.size(); i++) {
-      TaskStandIn task = struck.get(i);
+      EndpointStandIn endpoint = struck.get(i);
       double when = now() + t.forMillis() * (i / batch) / Math.max(1, batches);
-      at(when, () -> registry.set(task, true));
-      at(when + t.eachMillis() + day.listLateMillis(), () -> down(task, now() + 500));
+      at(when, () -> registry.set(endpoint, true));
+      at(when + t.eachMillis() + day.listDelayMillis(), () -> down(endpoint, now() + 500));
     }
   }
 
@@ -586,8 +600,9 @@
     String name = day.assigner().zones().get(Math.max(0, zone));
     Set<String> others = new LinkedHashSet<>(day.assigner().zones());
     others.remove(name);
-    for (TaskStandIn task : tasks) {
-      task.cutFrom(!on ? Set.of() : task.zone().equals(name) ? others : Set.of(name));
+    for (EndpointStandIn endpoint : endpoints) {
+      endpoint.setUnreachableZones(
+          !on ? Set.of() : endpoint.zone().equals(name) ? others : Set.of(name));
     }
     // Assigner i stands in zone i: links between the zone and the others pass nothing.
     for (Seat seat : seats) {
@@ -611,12 +626,12 @@
       }
       seat.links.forEach(FaultyLink::close);
     }
-    for (AssignerProcess assigner : assigners) {
+    for (InstanceProcess assigner : assigners) {
       if (assigner.alive() && !assigner.stop()) {
         assigner.kill();
       }
     }
-    tasks.forEach(TaskStandIn::crash);
+    endpoints.forEach(EndpointStandIn::crash);
     registry.stop();
     loops.shutdownGracefully(0, 2, TimeUnit.SECONDS);
   }
@@ -627,18 +642,18 @@
     out.append(
         String.format(
             "service %.3f (whole), %.3f (worst 10 s), %.3f (worst op type, %s); simulated tasks%n",
-            v.service(), v.worstWindow(), v.worstType(), v.worstTypeName()));
+            v.service(), v.worstWindow(), v.worstClass(), v.worstClassName()));
     new TreeMap<>(v.counts())
         .forEach((what, number) -> out.append(String.format("  %-55s %d%n", what, number)));
-    if (v.broken().isEmpty()) {
+    if (v.violations().isEmpty()) {
       out.append(String.format("all five rules kept%n"));
     } else {
-      v.broken().forEach(line -> out.append(String.format("BROKEN %s%n", line)));
+      v.violations().forEach(line -> out.append(String.format("BROKEN %s%n", line)));
     }
     return out.toString();
   }
 
-  /** A folder for a day's files. */
+  /** A folder for a scenario's files. */
   public static Path folder() throws IOException {
     return Files.createTempDirectory("stonespring-day");
   }
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -18,22 +18,22 @@
 
 /** Stand-ins run by themselves, for trying things out by hand. */
 public final class StandIns {
-  private static final long SHUN_LEAST =
-      26_000; // 0.1 ms; as deployments' proxies keep away from a failing task
-  private static final long SHUN_MOST = 64_000; // 0.1 ms; as above
-  private static final long RETRY_LEAST = 500; // 0.1 ms; less is no time for a further try
+  private static final long MIN_EJECTION =
+      26_000; // 0.1 ms; as deployments' proxies keep away from a failing endpoint
+  private static final long MAX_EJECTION = 64_000; // 0.1 ms; as above
+  private static final long MIN_TIME_FOR_RETRY = 500; // 0.1 ms; less is no time for a further try
 
   private StandIns() {}
 
   /**
-   * How a proxy of these settings routes; {@code window}: how long tasks drop a repeat, tenths of a
-   * millisecond.
+   * How a proxy of these settings routes; {@code window}: how long endpoints drop a repeat, tenths
+   * of a millisecond.
    */
   public static RouterSettings routing(InstanceSettings of, ToLongFunction<RequestClass> window) {
     return routing(of.settings(), of.opTypeNames(), window);
   }
 
-  /** The same for settings and the names of their op types. */
+  /** The same for settings and the names of their request classes. */
   public static RouterSettings routing(
       Settings s, List<String> names, ToLongFunction<RequestClass> window) {
     List<RouterSettings.ClassSettings> types = new ArrayList<>();
@@ -46,29 +46,30 @@
     return new RouterSettings(
         types,
         s.routing().ejectAfterConsecutiveFailures(),
-        SHUN_LEAST,
-        SHUN_MOST,
-        RETRY_LEAST,
+        MIN_EJECTION,
+        MAX_EJECTION,
+        MIN_TIME_FOR_RETRY,
         RouterSettings.Picking.TWO_CHOICES,
         s.admissionLimitKind());
   }
 
-  /** The settings' op timeouts as proxies take them, milliseconds. */
+  /** The settings' request timeouts as proxies take them, milliseconds. */
   public static List<Long> opTimeouts(InstanceSettings of) {
     return of.opTimeouts().stream().map(t -> t / 10).toList();
   }
 
-  /** A task at a port; its id as lists name it. */
-  public static String task(
-      String name, String zone, int port, int cores, double workMillis, boolean cold)
+  /** An endpoint at a port; its id as lists name it. */
+  public static String endpoint(
+      String name, String zone, int port, int cores, double serviceTimeMillis, boolean cold)
       throws IOException, InterruptedException {
-    TaskStandIn.Make make =
-        new TaskStandIn.Make(
-            cores, 200, 1000, 1, Map.of(), workMillis, Map.of(), 0.2, 10_000, 4, 2_000);
-    TaskStandIn task = new TaskStandIn(name, zone, make, loops(), new Evidence(false), 1);
-    task.listenAt(port);
-    task.start(cold);
-    return task.id();
+    EndpointStandIn.Specification specification =
+        new EndpointStandIn.Specification(
+            cores, 200, 1000, 1, Map.of(), serviceTimeMillis, Map.of(), 0.2, 10_000, 4, 2_000);
+    EndpointStandIn endpoint =
+        new EndpointStandIn(name, zone, specification, loops(), new Evidence(false), 1);
+    endpoint.listenAt(port);
+    endpoint.start(cold);
+    return endpoint.id();
   }
 
   /** A registry whose list comes from a file; its address. */
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -19,7 +19,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** One direction's bytes, cut into messages. */
-  private static final class Cutter {
+  private static final class FrameParser {
     private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
     private final List<byte[]> frames = new ArrayList<>();
     private int greetingLeft = 64;
@@ -57,8 +57,8 @@
 
   private final String proxy;
   private final Evidence evidence;
-  private final Map<Long, Cutter> cutters = new HashMap<>();
-  private final Map<Long, Boolean> here = new HashMap<>();
+  private final Map<Long, FrameParser> parsers = new HashMap<>();
+  private final Map<Long, Boolean> present = new HashMap<>();
 
   WireTap(String proxy, Evidence evidence) {
     this.proxy = proxy;
@@ -70,7 +70,8 @@
     if (listener == 0 || down != (listener == 1)) {
       return;
     }
-    for (List<byte[]> message : cutters.computeIfAbsent(pair, p -> new Cutter()).messages(bytes)) {
+    for (List<byte[]> message :
+        parsers.computeIfAbsent(pair, p -> new FrameParser()).messages(bytes)) {
       String key = new String(message.get(0), StandardCharsets.UTF_8);
       if (message.size() == 5
           && listener == 1
@@ -79,30 +80,30 @@
         evidence.add(new Evidence.Commit(evidence.now(), proxy));
       } else if (listener == 2
           && key.equals("/presence/" + proxy)
-          && here.put(pair, true) == null) {
-        evidence.add(new Evidence.Stream(evidence.now(), proxy, true));
+          && present.put(pair, true) == null) {
+        evidence.add(new Evidence.Session(evidence.now(), proxy, true));
       }
     }
   }
 
   @Override
   public void ended(int listener, long pair) {
-    cutters.remove(pair);
-    if (here.remove(pair) != null) {
-      evidence.add(new Evidence.Stream(evidence.now(), proxy, false));
+    parsers.remove(pair);
+    if (present.remove(pair) != null) {
+      evidence.add(new Evidence.Session(evidence.now(), proxy, false));
     }
   }
 
   /** Who can't be reached is not joined; it is again with the next word of presence that passes. */
   @Override
   public void frozen() {
-    if (!here.isEmpty()) {
-      here.clear();
-      evidence.add(new Evidence.Stream(evidence.now(), proxy, false));
+    if (!present.isEmpty()) {
+      present.clear();
+      evidence.add(new Evidence.Session(evidence.now(), proxy, false));
     }
   }
 
-  /** What an assigner's status says of its channel, as evidence. */
+  /** What an instance's status says of its channel, as evidence. */
   static void status(Evidence evidence, byte[] json) {
     try {
       JsonNode node = JSON.readTree(json);
--- a/src/test/java/stonespring/testbed/InvariantCheckerTest.java
+++ b/src/test/java/stonespring/testbed/InvariantCheckerTest.java
@@ -15,34 +15,41 @@
             new InvariantChecker.Limits(5_000, 3_000, 10_000, 3, 10_000),
             Map.of(
                 "view",
-                new InvariantChecker.Worth(500, 3, true),
+                new InvariantChecker.RequestClassPolicy(500, 3, true),
                 "extract",
-                new InvariantChecker.Worth(500, 2, false)),
+                new InvariantChecker.RequestClassPolicy(500, 2, false)),
             evidence)
         .judge(40_000);
   }
 
-  private void broken(String start) {
+  private void violations(String start) {
     InvariantChecker.Verdict verdict = judge();
-    assertEquals(1, verdict.broken().size(), verdict.broken().toString());
-    assertTrue(verdict.broken().get(0).startsWith(start), verdict.broken().toString());
+    assertEquals(1, verdict.violations().size(), verdict.violations().toString());
+    assertTrue(verdict.violations().get(0).startsWith(start), verdict.violations().toString());
   }
 
   private void kept() {
-    assertEquals(0, judge().broken().size(), judge().broken().toString());
+    assertEquals(0, judge().violations().size(), judge().violations().toString());
   }
 
   private void outcome(
-      double at, String proxy, String op, String type, int status, String reason, boolean notRun) {
-    evidence.add(new Evidence.Outcome(at, proxy, op, type, status, reason, notRun, 100, at + 100));
+      double at,
+      String proxy,
+      String op,
+      String type,
+      int status,
+      String reason,
+      boolean notExecuted) {
+    evidence.add(
+        new Evidence.Outcome(at, proxy, op, type, status, reason, notExecuted, 100, at + 100));
   }
 
   private void joined(double at, String proxy) {
-    evidence.add(new Evidence.Stream(at, proxy, true));
+    evidence.add(new Evidence.Session(at, proxy, true));
   }
 
-  private void told(double at, String task, String state) {
-    evidence.add(new Evidence.Told(at, task, state, -1e9));
+  private void told(double at, String endpoint, String state) {
+    evidence.add(new Evidence.Listed(at, endpoint, state, -1e9));
   }
 
   @Test
@@ -54,23 +61,23 @@
     }
     kept();
     outcome(15_500, "p", "o6", "view", 503, "no-task", true);
-    broken("rule 1: at 15600 ms proxy p for view had no task for 5500 ms");
+    violations("rule 1: at 15600 ms proxy p for view had no task for 5500 ms");
   }
 
   @Test
   void aProxyThatIsNotJoinedOrHasNoWarmTaskListedIsNoBreak() {
     joined(0, "p");
-    evidence.add(new Evidence.Told(0, "t", "ready", 12_000));
+    evidence.add(new Evidence.Listed(0, "t", "ready", 12_000));
     outcome(10_000, "p", "a", "view", 503, "no-task", true);
     outcome(17_000, "p", "b", "view", 503, "no-task", true);
-    evidence.add(new Evidence.Stream(19_000, "p", false));
+    evidence.add(new Evidence.Session(19_000, "p", false));
     outcome(23_000, "p", "c", "view", 503, "no-task", true);
     outcome(39_000, "p", "d", "view", 503, "no-task", true);
     kept();
   }
 
-  private void effect(String op, String type, int tryNumber) {
-    evidence.add(new Evidence.Effect(1, "t" + tryNumber, op, type, tryNumber));
+  private void effect(String op, String type, int attempt) {
+    evidence.add(new Evidence.Effect(1, "t" + attempt, op, type, attempt));
   }
 
   @Test
@@ -80,14 +87,14 @@
     kept();
     effect("x", "extract", 1);
     effect("x", "extract", 2);
-    broken("rule 2: op x took effect 2 times");
+    violations("rule 2: op x took effect 2 times");
   }
 
   @Test
   void anAnswerThatSaysNotDoneThoughItWas() {
     effect("x", "extract", 1);
     outcome(0, "p", "x", "extract", 503, "failed", true);
-    broken("rule 2: op x was answered 503 as not done and took effect 1 times");
+    violations("rule 2: op x was answered 503 as not done and took effect 1 times");
   }
 
   @Test
@@ -101,7 +108,7 @@
     evidence.add(new Evidence.Arrival(20_000, "t", "never-joined", "c", "view", 1));
     kept();
     evidence.add(new Evidence.Arrival(13_100, "t", "p", "d", "view", 1));
-    broken("rule 3: at 13100 ms proxy p sent to t, 3100 ms after");
+    violations("rule 3: at 13100 ms proxy p sent to t, 3100 ms after");
   }
 
   @Test
@@ -116,8 +123,8 @@
 
   @Test
   void aColdTaskThatFalls() {
-    evidence.add(new Evidence.Fell(7, "t", 4.5));
-    broken("rule 4: at 7 ms cold task t was sent 4.5 times");
+    evidence.add(new Evidence.Overloaded(7, "t", 4.5));
+    violations("rule 4: at 7 ms cold task t was sent 4.5 times");
   }
 
   @Test
@@ -125,7 +132,7 @@
     evidence.add(new Evidence.Channel(1, 100, 100));
     kept();
     evidence.add(new Evidence.Channel(2, 101, 100));
-    broken("rule 5: at 2 ms 101 lines wait, the limit is 100");
+    violations("rule 5: at 2 ms 101 lines wait, the limit is 100");
   }
 
   @Test
@@ -136,7 +143,7 @@
     }
     kept();
     evidence.add(new Evidence.Commit(11_500, "p"));
-    broken("rule 5: at 11500 ms proxy p had 4 messages");
+    violations("rule 5: at 11500 ms proxy p had 4 messages");
   }
 
   @Test
@@ -147,7 +154,7 @@
     InvariantChecker.Verdict verdict = judge();
     assertEquals(3.0 / 8, verdict.service(), 1e-9);
     assertEquals(0, verdict.worstWindow(), 1e-9);
-    assertEquals(0, verdict.worstType(), 1e-9);
-    assertEquals("extract", verdict.worstTypeName());
+    assertEquals(0, verdict.worstClass(), 1e-9);
+    assertEquals("extract", verdict.worstClassName());
   }
 }
--- a/src/test/java/stonespring/testbed/ScenarioTest.java
+++ b/src/test/java/stonespring/testbed/ScenarioTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The whole path on sockets, with an assigner in a process of its own that is killed on the way.
+ * The whole path on sockets, with an instance in a process of its own that is killed on the way.
  */
 final class ScenarioTest {
   private static final String DAY =
@@ -45,8 +45,8 @@
     Path script = Files.writeString(folder.resolve("day.star"), DAY);
     InvariantChecker.Verdict verdict =
         new ScenarioRun(Scenario.read(script), script, 3, folder).run();
-    assertTrue(verdict.broken().isEmpty(), verdict.broken().toString());
-    // The day must have been one: ops done, messages sent, streams lost and found.
+    assertTrue(verdict.violations().isEmpty(), verdict.violations().toString());
+    // The scenario must have been one: requests done, messages sent, streams lost and found.
     assertTrue(
         verdict.counts().get("not repeatable, done once") > 100, verdict.counts().toString());
     assertTrue(verdict.counts().get("messages") > 6, verdict.counts().toString());
