--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -4,9 +4,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import stonespring.testbed.Measure;
+import stonespring.testbed.FleetMeasurement;
 import stonespring.testbed.ScenarioRun;
 import stonespring.testbed.SolverTrial;
+import stonespring.testbed.ThroughputMeasurement;
 
 /** Measures parts of the program; a method for each. */
 @Command(
@@ -37,7 +38,8 @@
               description = "Go on for (${DEFAULT-VALUE}).")
           long seconds)
       throws Exception {
-    System.out.print(Measure.fleet(file, proxies, withinMillis, seconds, ScenarioRun.folder()));
+    System.out.print(
+        FleetMeasurement.run(file, proxies, withinMillis, seconds, ScenarioRun.folder()));
     System.exit(ExitCode.OK); // the idle proxies reconnect and would keep the process running
     return ExitCode.OK;
   }
@@ -56,7 +58,7 @@
       @Option(names = "--rounds", defaultValue = "7", description = "Rounds (${DEFAULT-VALUE}).")
           int rounds)
       throws Exception {
-    System.out.print(Measure.throughput(updates, rounds));
+    System.out.print(ThroughputMeasurement.run(updates, rounds));
     return ExitCode.OK;
   }
 
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -83,7 +83,7 @@
         zone,
         System.nanoTime(),
         routing,
-        StandIns.opTimeouts(script),
+        StandIns.requestTimeoutsMillis(script),
         List.of(),
         assignerPorts(script),
         USUAL_REQUESTS_PER_SECOND,
--- a/src/main/java/stonespring/cli/ScenarioCommand.java
+++ b/src/main/java/stonespring/cli/ScenarioCommand.java
@@ -11,6 +11,8 @@
 import stonespring.recording.RecordingFile;
 import stonespring.testbed.InvariantChecker;
 import stonespring.testbed.Scenario;
+import stonespring.testbed.ScenarioFailedException;
+import stonespring.testbed.ScenarioReport;
 import stonespring.testbed.ScenarioRun;
 
 /** Runs a scenario with stand-ins on loopback and checks its invariants. */
@@ -56,9 +58,9 @@
         RecordingFile.write(run.recording(recordingName()), record);
       }
       System.out.printf("seed %d: ", seed);
-      System.out.print(ScenarioRun.report(verdict));
+      System.out.print(ScenarioReport.format(verdict));
       return verdict.violations().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
-    } catch (ScenarioRun.Failed e) {
+    } catch (ScenarioFailedException e) {
       throw CommandFailedException.failed(e.getMessage() + "; logs are in " + folder, e);
     }
   }
--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -2,6 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
@@ -11,144 +12,163 @@
 import stonespring.proxy.Proxy;
 
 /**
- * The clients of one proxy: requests come by chance and do not wait for answers. A client asks
- * again by itself after a failure, where the request may run again, or where the answer says that
- * it certainly did not run; all attempts count with the first. It gives up at the request timeout.
+ * The clients of one proxy. Requests arrive at random and do not wait for earlier answers. A client
+ * retries after a failure where the request is idempotent or certainly wasn't executed; all its
+ * attempts count as one request. It gives up at the request timeout. Runs on one event loop.
  */
 final class ClientStandIn {
-  /** One request class as clients know it. */
-  record RequestMix(String requestClass, double share, boolean retryable, double timeoutMillis) {}
+  /**
+   * One request class as clients send it.
+   *
+   * @param share of all requests
+   */
+  record RequestMix(String requestClass, double share, boolean idempotent, double timeoutMillis) {}
 
-  private static final double MAX_TICK_MILLIS = 5; // ms
+  private record ClientRequest(RequestMix mix, String id, double askedAt) {}
+
+  private static final double MAX_TICK_MILLIS = 5;
   private static final int MAX_RETRIES = 2;
-  private static final long RETRY_DELAY_MILLIS = 300; // ms
-  private static final int CONNECTIONS = 64;
+  private static final long RETRY_DELAY_MILLIS = 300;
+  private static final long MIN_TIME_AFTER_DELAY_MILLIS = 50;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
+  private static final int MAX_ANSWER_BYTES = 64 << 10;
+  private static final int MAX_CONNECTIONS = 64;
 
   private final EventLoop loop;
   private final Evidence evidence;
-  private final List<RequestMix> types;
-  private final String proxy;
-  private final int port;
+  private final List<RequestMix> requestMix;
+  private final String proxyName;
+  private final InetSocketAddress proxyAddress;
   private final SplittableRandom random;
   private final HttpClient client;
-  private final AtomicInteger open;
+  private final AtomicInteger openRequests;
   private volatile double requestsPerSecond;
   private volatile double patience = 1;
   private boolean stopped;
-  private long count;
+  private long requestCount;
 
+  /**
+   * Creates clients that aren't started.
+   *
+   * @param openRequests counts the requests of all clients that have no final answer yet
+   */
   ClientStandIn(
       EventLoop loop,
       Evidence evidence,
-      List<RequestMix> types,
-      String proxy,
-      int port,
-      double requestsPerSecond,
+      List<RequestMix> requestMix,
+      ScenarioProxy proxy,
       long seed,
-      AtomicInteger open) {
+      AtomicInteger openRequests) {
     this.loop = loop;
     this.evidence = evidence;
-    this.types = types;
-    this.proxy = proxy;
-    this.port = port;
-    this.requestsPerSecond = requestsPerSecond;
+    this.requestMix = requestMix;
+    this.proxyName = proxy.name();
+    this.proxyAddress = new InetSocketAddress("127.0.0.1", proxy.port());
+    this.requestsPerSecond = proxy.requestsPerSecond();
     this.random = new SplittableRandom(seed);
-    this.client = new HttpClient(loop, 500, 64 << 10, CONNECTIONS);
-    this.open = open;
+    this.client = new HttpClient(loop, CONNECT_TIMEOUT_MILLIS, MAX_ANSWER_BYTES, MAX_CONNECTIONS);
+    this.openRequests = openRequests;
   }
 
   void start() {
-    loop.execute(() -> arrive(evidence.now() + gap()));
+    loop.execute(() -> sendDue(evidence.now() + drawGapMillis()));
   }
 
-  void rate(double requests) {
-    requestsPerSecond = requests;
+  void rate(double newRequestsPerSecond) {
+    requestsPerSecond = newRequestsPerSecond;
   }
 
-  /** The part of the request timeout after which clients give up. */
-  void patience(double part) {
-    patience = part;
+  /** Sets the fraction of the request timeout after which clients give up. */
+  void patience(double fraction) {
+    patience = fraction;
   }
 
+  /** Sends no new requests; those on their way are finished. */
   void stop() {
     loop.execute(() -> stopped = true);
   }
 
-  private double gap() {
+  private double drawGapMillis() {
     return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, requestsPerSecond);
   }
 
-  private void arrive(double next) {
+  private void sendDue(double firstDueAt) {
     if (stopped) {
       return;
     }
-    double at = next;
-    for (; at <= evidence.now(); at += gap()) {
-      ask();
+    double dueAt = firstDueAt;
+    while (dueAt <= evidence.now()) {
+      send();
+      dueAt += drawGapMillis();
     }
-    double then = at;
-    loop.schedule(
-        () -> arrive(then),
-        (long) Math.max(1, Math.min(MAX_TICK_MILLIS, at - evidence.now())),
-        TimeUnit.MILLISECONDS);
+    double nextDueAt = dueAt;
+    long delay = (long) Math.max(1, Math.min(MAX_TICK_MILLIS, nextDueAt - evidence.now()));
+    loop.schedule(() -> sendDue(nextDueAt), delay, TimeUnit.MILLISECONDS);
+  }
+
+  private void send() {
+    RequestMix mix = drawRequestClass();
+    openRequests.incrementAndGet();
+    String id = proxyName + "-" + ++requestCount;
+    attempt(new ClientRequest(mix, id, evidence.now()), 0);
   }
 
-  private void ask() {
+  private RequestMix drawRequestClass() {
     double draw = random.nextDouble();
-    RequestMix type = types.get(types.size() - 1);
-    for (RequestMix some : types) {
-      draw -= some.share();
+    for (RequestMix mix : requestMix) {
+      draw -= mix.share();
       if (draw < 0) {
-        type = some;
-        break;
+        return mix;
       }
     }
-    open.incrementAndGet();
-    attempt(type, proxy + "-" + ++count, evidence.now(), 0);
+    return requestMix.get(requestMix.size() - 1);
+  }
+
+  private double timeLeftMillis(ClientRequest request) {
+    return request.askedAt() + request.mix().timeoutMillis() * patience - evidence.now();
   }
 
-  private void attempt(RequestMix type, String op, double askedAt, int again) {
-    double left = askedAt + type.timeoutMillis() * patience - evidence.now();
-    HttpMessage request =
+  private void attempt(ClientRequest request, int retries) {
+    long timeout = (long) Math.max(1, timeLeftMillis(request));
+    HttpMessage message =
         new HttpMessage(
-                "POST", "/op/" + type.requestClass(), new java.util.LinkedHashMap<>(), new byte[0])
-            .with("host", "127.0.0.1:" + port)
-            .with("x-op", op)
-            .with("x-op-timeout-ms", String.valueOf((long) Math.max(1, left)))
+                "POST", "/op/" + request.mix().requestClass(), new LinkedHashMap<>(), new byte[0])
+            .with("host", "127.0.0.1:" + proxyAddress.getPort())
+            .with("x-op", request.id())
+            .with("x-op-timeout-ms", String.valueOf(timeout))
             .with("content-length", "0");
     client.call(
-        new InetSocketAddress("127.0.0.1", port),
-        request,
-        (long) Math.max(1, left),
-        (answer, failure) -> {
-          boolean good = answer != null && answer.status() == 200;
-          boolean notExecuted =
-              answer != null
-                  ? answer.header(Proxy.NOT_RUN).equals("1")
-                  : failure == HttpClient.Failure.UNREACHED;
-          double rest = askedAt + type.timeoutMillis() * patience - evidence.now();
-          if (!good
-              && again < MAX_RETRIES
-              && rest > RETRY_DELAY_MILLIS + 50
-              && (type.retryable() || notExecuted)) {
-            loop.schedule(
-                () -> attempt(type, op, askedAt, again + 1),
-                RETRY_DELAY_MILLIS,
-                TimeUnit.MILLISECONDS);
-            return;
-          }
-          open.decrementAndGet();
-          evidence.add(
-              new Evidence.Outcome(
-                  askedAt,
-                  proxy,
-                  op,
-                  type.requestClass(),
-                  answer == null ? 0 : answer.status(),
-                  answer == null ? String.valueOf(failure) : answer.header("x-reason"),
-                  notExecuted,
-                  evidence.now() - askedAt,
-                  evidence.now()));
-        });
+        proxyAddress,
+        message,
+        timeout,
+        (answer, failure) -> attemptEnded(request, retries, answer, failure));
+  }
+
+  /** Takes an answer, or a failure where {@code answer} is null. */
+  private void attemptEnded(
+      ClientRequest request, int retries, HttpMessage answer, HttpClient.Failure failure) {
+    boolean succeeded = answer != null && answer.status() == 200;
+    boolean notExecuted =
+        answer != null
+            ? answer.header(Proxy.NOT_RUN).equals("1")
+            : failure == HttpClient.Failure.UNREACHED;
+    if (!succeeded
+        && retries < MAX_RETRIES
+        && timeLeftMillis(request) > RETRY_DELAY_MILLIS + MIN_TIME_AFTER_DELAY_MILLIS
+        && (request.mix().idempotent() || notExecuted)) {
+      loop.schedule(() -> attempt(request, retries + 1), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+      return;
+    }
+    openRequests.decrementAndGet();
+    evidence.add(
+        new Evidence.Outcome(
+            request.askedAt(),
+            proxyName,
+            request.id(),
+            request.mix().requestClass(),
+            answer == null ? 0 : answer.status(),
+            answer == null ? String.valueOf(failure) : answer.header("x-reason"),
+            notExecuted,
+            evidence.now() - request.askedAt()));
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/testbed/CountingReader.java
@@ -0,0 +1,65 @@
+package stonespring.testbed;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicLong;
+
+/** A connection to a loopback port that reads all on a thread of its own and counts the bytes. */
+final class CountingReader implements AutoCloseable {
+  /** ZMTP 3.0 greeting with the NULL mechanism, and READY for a SUB socket. */
+  private static final String SUBSCRIBER_HANDSHAKE =
+      "FF00000000000000007F03004E554C4C"
+          + "00".repeat(48)
+          + "04190552454144590B536F636B65742D5479706500000003535542";
+
+  private static final byte SUBSCRIBE = 1;
+
+  private final Socket socket;
+  private final AtomicLong bytes = new AtomicLong();
+
+  CountingReader(int port) throws IOException {
+    socket = new Socket(InetAddress.getLoopbackAddress(), port);
+    Thread thread = new Thread(this::readAll, "counting-reader");
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  private void readAll() {
+    byte[] buffer = new byte[1 << 16];
+    try (InputStream in = socket.getInputStream()) {
+      for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+        bytes.addAndGet(count);
+      }
+    } catch (IOException e) {
+      // The connection is closed at the end of a round.
+    }
+  }
+
+  /** Shakes hands as a subscriber and subscribes to a prefix of keys. */
+  void subscribe(String prefix) throws IOException {
+    byte[] topic = prefix.getBytes(StandardCharsets.US_ASCII);
+    OutputStream out = socket.getOutputStream();
+    out.write(HexFormat.of().parseHex(SUBSCRIBER_HANDSHAKE));
+    out.write(new byte[] {0, (byte) (topic.length + 1), SUBSCRIBE});
+    out.write(topic);
+  }
+
+  long bytes() {
+    return bytes.get();
+  }
+
+  static long totalBytes(List<CountingReader> readers) {
+    return readers.stream().mapToLong(CountingReader::bytes).sum();
+  }
+
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
+}
--- a/src/main/java/stonespring/testbed/EndpointStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -1,11 +1,11 @@
 package stonespring.testbed;
 
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
 import java.util.ArrayDeque;
-import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
@@ -18,36 +18,53 @@
 import stonespring.proxy.Proxy;
 
 /**
- * An endpoint as the deployments' pages describe one: cores, a queue, warming up after a start,
- * open connections at a cost, a load report in its answers, and a ledger of effects. Work takes its
- * time by the clock and no processor. All of its state lives on one event loop.
+ * An endpoint on loopback with cores, a queue, a warm-up after a start, a cost of new connections,
+ * load reports in its answers and a ledger of effects. Work takes its time by the clock and no
+ * processor. Requests are handled on one event loop; faults may be set from any thread. Times are
+ * milliseconds on the evidence's clock.
  */
 final class EndpointStandIn {
+  /** A request's mean service time by request class, and that of all other classes. */
+  record ServiceTimes(Map<String, Double> millisByClass, double otherMillis) {}
+
+  /**
+   * The warm-up after a start.
+   *
+   * @param initialFraction of the capacity, at the start
+   * @param overloadMultiple of its capacity over the window, above which the endpoint crashes
+   */
+  record SlowStart(
+      double initialFraction,
+      double durationMillis,
+      double overloadMultiple,
+      double overloadWindowMillis) {}
+
   /**
-   * What an endpoint is made of; works in milliseconds by request class, {@code otherMillis} for
-   * the rest.
+   * What an endpoint is like.
+   *
+   * @param handshakeMillis a core's time that a new connection takes
+   * @param deduplicationWindowMillis by request class, for those that have one
    */
   record Specification(
       int cores,
-      int queue,
-      int connections,
+      int queueLimit,
+      int connectionLimit,
       double handshakeMillis,
-      Map<String, Double> serviceTimeMillis,
-      double otherMillis,
-      Map<String, Double> windowMillis,
-      double slowStartInitialFraction,
-      double slowStartMillis,
-      double overloadMultiple,
-      double overloadWindowMillis) {}
+      ServiceTimes serviceTimes,
+      Map<String, Double> deduplicationWindowMillis,
+      SlowStart slowStart) {}
 
-  private record Job(
-      String op,
+  private record QueuedRequest(
+      String id,
       String requestClass,
       int attempt,
-      double work,
-      double until,
+      double workMillis,
+      double deadline,
       HttpServer.Exchange exchange) {}
 
+  private static final int MAX_REQUEST_BYTES = 64 << 10;
+  private static final double LONG_AGO = -1e9;
+
   private final String name;
   private final String zone;
   private final Specification specification;
@@ -55,25 +72,25 @@
   private final EventLoop loop;
   private final Evidence evidence;
   private final SplittableRandom random;
-  private final AtomicInteger open = new AtomicInteger();
-  private final ArrayDeque<Job> queue = new ArrayDeque<>();
-  private final ArrayDeque<double[]> arrived = new ArrayDeque<>();
-  private final Map<String, Double> executedAt = new HashMap<>();
-  private final ArrayDeque<double[]> busyIntervals = new ArrayDeque<>();
+  private final AtomicInteger openConnections = new AtomicInteger();
+  private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+  private final OverloadDetector overload;
+  private final EffectLedger ledger;
+  private final UtilizationMeter utilization;
   private HttpServer server;
   private int port;
-  private int running;
-  private int life;
-  private double startedAt = -1e9;
+  private int busyCores;
+  private int incarnation; // work of an earlier one is not finished by a later one
+  private double startedAt = LONG_AGO;
   private double pausedUntil;
   private volatile boolean up;
+  private volatile ChannelFuture listenerClosed;
 
-  // Faults; set by the scenario from its own thread.
-  private volatile io.netty.channel.ChannelFuture stopped;
+  // Faults.
   private volatile boolean silent;
   private volatile double errorFraction;
   private volatile double lostAnswerFraction;
-  private volatile String failingType = "";
+  private volatile String failingRequestClass = "";
   private volatile double reportMultiple = 1;
   private volatile double handshakeMultiple = 1;
   private volatile Set<String> unreachableZones = Set.of();
@@ -92,13 +109,16 @@
     this.loop = loops.next();
     this.evidence = evidence;
     this.random = new SplittableRandom(seed);
+    this.overload = new OverloadDetector(specification.slowStart().overloadWindowMillis());
+    this.ledger = new EffectLedger(specification.deduplicationWindowMillis());
+    this.utilization = new UtilizationMeter(specification.cores());
   }
 
   String zone() {
     return zone;
   }
 
-  /** Its id in lists and tables. */
+  /** Its id in endpoint lists and route tables. */
   String id() {
     return name + "@127.0.0.1:" + port;
   }
@@ -111,185 +131,198 @@
     return port;
   }
 
-  /** The port that its first start takes; any free one otherwise. */
+  /** When its last start with a warm-up was; long ago where there was none. */
+  double startedAt() {
+    return startedAt;
+  }
+
+  boolean isUp() {
+    return up;
+  }
+
+  /** Sets the port of its first start; without it, any free one is taken. */
   void listenAt(int wanted) {
     port = wanted;
   }
 
   /** Starts, warming up or warm; a second start takes the same port. */
-  void start(boolean cold) throws IOException, InterruptedException {
-    if (stopped != null) {
-      stopped.await(); // a port is taken until its listener has ended
+  void start(boolean warmingUp) throws IOException, InterruptedException {
+    if (listenerClosed != null) {
+      listenerClosed.await(); // the port is taken until then
     }
-    server =
-        new HttpServer(
-                new HttpServer.Handler() {
-                  @Override
-                  public void request(HttpMessage request, HttpServer.Exchange exchange) {
-                    loop.execute(() -> take(request, exchange));
-                  }
-
-                  @Override
-                  public boolean opened(Channel channel) {
-                    if (open.incrementAndGet() > specification.connections()) {
-                      open.decrementAndGet();
-                      return false;
-                    }
-                    channel.closeFuture().addListener(f -> open.decrementAndGet());
-                    loop.execute(() -> occupy(specification.handshakeMillis() * handshakeMultiple));
-                    return true;
-                  }
-                },
-                64 << 10)
-            .start(loops, "127.0.0.1", port);
+    server = new HttpServer(new ServerHandler(), MAX_REQUEST_BYTES).start(loops, "127.0.0.1", port);
     port = server.port();
-    loop.submit(
-            () -> {
-              life++;
-              running = 0;
-              queue.clear();
-              arrived.clear();
-              startedAt = cold ? evidence.now() : -1e9;
-              silent = false;
-              errorFraction = 0;
-              up = true;
-            })
-        .sync();
-    evidence.add(new Evidence.ProcessChange(evidence.now(), id(), zone, true, cold));
-  }
-
-  double startedAt() {
-    return startedAt;
+    loop.submit(() -> reset(warmingUp)).sync();
+    evidence.add(new Evidence.ProcessChange(evidence.now(), id(), zone, true, warmingUp));
   }
 
-  boolean isUp() {
-    return up;
+  private void reset(boolean warmingUp) {
+    incarnation++;
+    busyCores = 0;
+    queue.clear();
+    overload.clear();
+    startedAt = warmingUp ? evidence.now() : LONG_AGO;
+    silent = false;
+    errorFraction = 0;
+    up = true;
   }
 
-  /** Dies at once: every connection breaks, what it held is lost. */
+  /** Dies at once: every connection breaks, queued requests are lost. */
   void crash() {
     if (up) {
       up = false;
       evidence.add(new Evidence.ProcessChange(evidence.now(), id(), zone, false, false));
-      stopped = server.stop();
-      loop.execute(() -> life++);
+      listenerClosed = server.stop();
+      loop.execute(() -> incarnation++);
     }
   }
 
+  /** Leaves all requests without an answer, or ends that. */
   void silent(boolean on) {
     silent = on;
   }
 
+  /** Starts and finishes no work for a time. */
   void pause(double millis) {
     loop.execute(() -> pausedUntil = evidence.now() + millis);
   }
 
-  void errors(double share) {
-    errorFraction = share;
+  /** Fails a fraction of the requests at once. */
+  void fail(double fraction) {
+    errorFraction = fraction;
   }
 
-  /** Runs what comes and breaks the connection in place of a share of the answers. */
-  void loseAnswers(double share) {
-    lostAnswerFraction = share;
+  /** Executes requests and breaks the connection in place of a fraction of the answers. */
+  void loseAnswers(double fraction) {
+    lostAnswerFraction = fraction;
   }
 
+  /** Fails all requests of a class; an empty name ends that. */
   void failRequestClass(String requestClass) {
-    failingType = requestClass;
+    failingRequestClass = requestClass;
   }
 
-  void falseReports(double times) {
-    reportMultiple = times;
-    evidence.add(new Evidence.FalseReport(evidence.now(), id(), 1 / Math.max(0.01, times)));
+  /** Reports a multiple of its utilization. */
+  void falseReports(double multiple) {
+    reportMultiple = multiple;
+    evidence.add(new Evidence.FalseReport(evidence.now(), id(), 1 / Math.max(0.01, multiple)));
   }
 
-  void slowHandshakes(double times) {
-    handshakeMultiple = times;
+  void slowHandshakes(double multiple) {
+    handshakeMultiple = multiple;
   }
 
+  /** Leaves requests from some zones without an answer. */
   void setUnreachableZones(Set<String> zones) {
     unreachableZones = zones;
   }
 
+  private final class ServerHandler implements HttpServer.Handler {
+    @Override
+    public void request(HttpMessage request, HttpServer.Exchange exchange) {
+      loop.execute(() -> receive(request, exchange));
+    }
+
+    @Override
+    public boolean opened(Channel channel) {
+      if (openConnections.incrementAndGet() > specification.connectionLimit()) {
+        openConnections.decrementAndGet();
+        return false;
+      }
+      channel.closeFuture().addListener(closed -> openConnections.decrementAndGet());
+      loop.execute(() -> occupyCore(specification.handshakeMillis() * handshakeMultiple));
+      return true;
+    }
+  }
+
+  /** The fraction of its capacity that it has now. */
   private double warmUpFraction() {
-    double age = (evidence.now() - startedAt) / specification.slowStartMillis();
-    return age >= 1
-        ? 1
-        : specification.slowStartInitialFraction()
-            + (1 - specification.slowStartInitialFraction()) * Math.max(0, age);
+    SlowStart slowStart = specification.slowStart();
+    double progress = (evidence.now() - startedAt) / slowStart.durationMillis();
+    if (progress >= 1) {
+      return 1;
+    }
+    double initial = slowStart.initialFraction();
+    return initial + (1 - initial) * Math.max(0, progress);
   }
 
-  private void take(HttpMessage request, HttpServer.Exchange exchange) {
+  private void receive(HttpMessage request, HttpServer.Exchange exchange) {
     if (!up || silent || unreachableZones.contains(request.header("x-zone"))) {
-      return; // nothing comes back; whoever asked waits in vain
+      return;
     }
     double now = evidence.now();
-    String type = request.second().substring(request.second().lastIndexOf('/') + 1);
-    int attempt = whole(request.header("x-try"), 1);
-    String op = request.header("x-op");
-    evidence.add(new Evidence.Arrival(now, id(), request.header("x-proxy"), op, type, attempt));
-    double work =
-        specification.serviceTimeMillis().getOrDefault(type, specification.otherMillis())
-            * (0.5 + random.nextDouble());
+    String path = request.second();
+    String requestClass = path.substring(path.lastIndexOf('/') + 1);
+    int attempt = numericHeader(request, "x-try", 1);
+    String requestId = request.header("x-op");
+    evidence.add(
+        new Evidence.Arrival(
+            now, id(), request.header("x-proxy"), requestId, requestClass, attempt));
+    double work = meanServiceMillis(requestClass) * (0.5 + random.nextDouble());
     if (crashesFromOverload(now, work)) {
       return;
     }
-    if (random.nextDouble() < errorFraction || type.equals(failingType)) {
+    if (random.nextDouble() < errorFraction || requestClass.equals(failingRequestClass)) {
       answer(exchange, HttpMessage.answer(500, "failed\n"));
-    } else if (queue.size() >= specification.queue()) {
+    } else if (queue.size() >= specification.queueLimit()) {
       answer(exchange, HttpMessage.answer(503, "full\n").with(Proxy.NOT_RUN, "1"));
     } else {
-      double until = now + whole(request.header("x-op-timeout-ms"), Integer.MAX_VALUE);
-      queue.add(new Job(op, type, attempt, work, until, exchange));
-      next();
+      double deadline = now + numericHeader(request, "x-op-timeout-ms", Integer.MAX_VALUE);
+      queue.add(new QueuedRequest(requestId, requestClass, attempt, work, deadline, exchange));
+      startQueued();
     }
   }
 
-  /** A header's whole number; who calls an endpoint by hand may leave it out. */
-  private static int whole(String header, int otherwise) {
-    return header.matches("[0-9]{1,9}") ? Integer.parseInt(header) : otherwise;
+  private double meanServiceMillis(String requestClass) {
+    ServiceTimes times = specification.serviceTimes();
+    return times.millisByClass().getOrDefault(requestClass, times.otherMillis());
   }
 
-  /**
-   * A warming-up endpoint that is sent more than a multiple of what it can do, over a window, falls
-   * and stays down.
-   */
+  /** A header's number; requests that were sent by hand may lack the header. */
+  private static int numericHeader(HttpMessage request, String header, int otherwise) {
+    String value = request.header(header);
+    return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : otherwise;
+  }
+
+  /** Crashes a warming-up endpoint that is sent more than a multiple of what it can do. */
   private boolean crashesFromOverload(double now, double work) {
     if (warmUpFraction() >= 1) {
       return false;
     }
-    arrived.add(new double[] {now, work});
-    while (now - arrived.peek()[0] > specification.overloadWindowMillis()) {
-      arrived.poll();
-    }
-    double sum = arrived.stream().mapToDouble(a -> a[1]).sum();
-    double bears = specification.cores() * warmUpFraction() * specification.overloadWindowMillis();
-    if (sum <= specification.overloadMultiple() * bears) {
+    double multiple = overload.add(now, work, specification.cores() * warmUpFraction());
+    if (multiple <= specification.slowStart().overloadMultiple()) {
       return false;
     }
-    evidence.add(new Evidence.Overloaded(now, id(), sum / bears));
+    evidence.add(new Evidence.Overloaded(now, id(), multiple));
     crash();
     return true;
   }
 
-  private void occupy(double work) {
-    running++;
-    int mine = life;
-    finishAfter(
-        work / warmUpFraction(),
+  private void occupyCore(double workMillis) {
+    busyCores++;
+    whenWorked(workMillis / warmUpFraction(), () -> {});
+  }
+
+  /** Frees the core after a time, unless the process has died since. */
+  private void whenWorked(double millis, Runnable then) {
+    int startedIn = incarnation;
+    afterPauses(
+        millis,
         () -> {
-          if (mine == life) {
-            running--;
-            next();
+          if (startedIn == incarnation) {
+            busyCores--;
+            then.run();
+            startQueued();
           }
         });
   }
 
-  private void finishAfter(double millis, Runnable then) {
+  private void afterPauses(double millis, Runnable then) {
     loop.schedule(
         () -> {
-          double wait = pausedUntil - evidence.now();
-          if (wait > 0) {
-            finishAfter(wait, then);
+          double pauseLeft = pausedUntil - evidence.now();
+          if (pauseLeft > 0) {
+            afterPauses(pauseLeft, then);
           } else {
             then.run();
           }
@@ -298,48 +331,32 @@
         TimeUnit.MICROSECONDS);
   }
 
-  private void next() {
-    while (running < specification.cores() && !queue.isEmpty() && evidence.now() >= pausedUntil) {
-      Job job = queue.poll();
-      double now = evidence.now();
-      if (now > job.until()) {
-        answer(job.exchange(), HttpMessage.answer(504, "too late\n").with(Proxy.NOT_RUN, "1"));
-        continue;
-      }
-      running++;
-      effect(job, now);
-      double took = job.work() / warmUpFraction();
-      busyIntervals.add(new double[] {now, took});
-      int mine = life;
-      finishAfter(
-          took,
-          () -> {
-            if (mine != life) {
-              return;
-            }
-            running--;
-            answer(job.exchange(), HttpMessage.answer(200, "done " + job.op() + "\n"));
-            next();
-          });
+  private void startQueued() {
+    while (busyCores < specification.cores() && !queue.isEmpty() && evidence.now() >= pausedUntil) {
+      execute(queue.poll());
     }
     if (!queue.isEmpty() && evidence.now() < pausedUntil) {
-      loop.schedule(this::next, (long) (pausedUntil - evidence.now()) + 1, TimeUnit.MILLISECONDS);
+      long pauseLeft = (long) (pausedUntil - evidence.now()) + 1;
+      loop.schedule(this::startQueued, pauseLeft, TimeUnit.MILLISECONDS);
     }
   }
 
-  /**
-   * The ledger: every effect is written down; a repeat of a deduplicated request within its window
-   * has none.
-   */
-  private void effect(Job job, double now) {
-    Double window = specification.windowMillis().get(job.requestClass());
-    if (window != null) {
-      executedAt.values().removeIf(at -> now - at > window);
-      if (executedAt.putIfAbsent(job.op(), now) != null) {
-        return;
-      }
+  private void execute(QueuedRequest request) {
+    double now = evidence.now();
+    if (now > request.deadline()) {
+      answer(request.exchange(), HttpMessage.answer(504, "too late\n").with(Proxy.NOT_RUN, "1"));
+      return;
     }
-    evidence.add(new Evidence.Effect(now, id(), job.op(), job.requestClass(), job.attempt()));
+    busyCores++;
+    if (ledger.takesEffect(request.id(), request.requestClass(), now)) {
+      evidence.add(
+          new Evidence.Effect(now, id(), request.id(), request.requestClass(), request.attempt()));
+    }
+    double duration = request.workMillis() / warmUpFraction();
+    utilization.busy(now, duration);
+    whenWorked(
+        duration,
+        () -> answer(request.exchange(), HttpMessage.answer(200, "done " + request.id() + "\n")));
   }
 
   private void answer(HttpServer.Exchange exchange, HttpMessage answer) {
@@ -347,19 +364,12 @@
       exchange.channel().close();
       return;
     }
-    double now = evidence.now();
-    busyIntervals.removeIf(span -> span[0] + span[1] < now - 500);
-    double busy =
-        busyIntervals.stream()
-            .mapToDouble(s -> Math.min(now, s[0] + s[1]) - Math.max(now - 500, s[0]))
-            .sum();
-    exchange.answer(
-        answer.with(
-            LoadHeader.NAME,
-            String.format(
-                Locale.ROOT,
-                "TEXT cpu_utilization=%.3f,named_metrics.waiting=%d",
-                Math.min(1, reportMultiple * busy / 500 / specification.cores()),
-                queue.size())));
+    String load =
+        String.format(
+            Locale.ROOT,
+            "TEXT cpu_utilization=%.3f,named_metrics.waiting=%d",
+            Math.min(1, reportMultiple * utilization.utilization(evidence.now())),
+            queue.size());
+    exchange.answer(answer.with(LoadHeader.NAME, load));
   }
 }
--- a/src/main/java/stonespring/testbed/FaultyLink.java
+++ b/src/main/java/stonespring/testbed/FaultyLink.java
@@ -22,50 +22,51 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between two loopback sockets and passes bytes on, as it is told: late, slowly, byte by
- * byte, not at all, or until a stated byte. What passes is shown to a tap. One event loop holds all
- * of its state; what waits in it is bounded by reading no more while over a megabyte does.
+ * A TCP relay on loopback that passes bytes late, slowly, one by one, not at all, or up to a stated
+ * byte, and shows them to a tap. All state lives on one event loop; its methods may be called from
+ * any thread. Reading stops while {@link #MAX_WAITING_BYTES} wait in one direction.
  */
 final class FaultyLink {
   /**
-   * Sees what was sent down and what passed up, and when a pair of connections opened and ended; on
-   * the link's event loop.
+   * Observes what was sent towards the dialling side, what passed the other way, and the ends of
+   * connections; called on the link's event loop.
    */
   interface Tap {
-    /** {@code pair} tells connections apart; {@code down} is towards the one who dialled. */
-    void passed(int listener, long pair, boolean down, byte[] bytes);
+    /** Bytes passed on a connection; {@code down} is towards the dialling side. */
+    void passed(int listener, long connection, boolean down, byte[] bytes);
 
-    default void ended(int listener, long pair) {}
+    /** A connection ended. */
+    default void ended(int listener, long connection) {}
 
-    /** Nothing passes from now on, though connections stand. */
+    /** Nothing passes from now on, though connections stay open. */
     default void frozen() {}
   }
 
-  private static final int MAX_WAITING_BYTES =
-      1 << 20; // bytes that wait in one direction before reading stops
+  private static final int MAX_WAITING_BYTES = 1 << 20;
+  private static final int NO_LISTENER = -1;
 
   private final EventLoop loop;
   private final Tap tap;
   private final List<Channel> listeners = new ArrayList<>();
-  private final Set<Pair> pairs = new HashSet<>();
-  private long count;
+  private final Set<Connection> connections = new HashSet<>();
+  private long connectionCount;
   private boolean frozen;
   private boolean refusing;
   private boolean byteByByte;
-  private long delayUp;
-  private long delayDown;
+  private long delayUpMillis;
+  private long delayDownMillis;
   private double bytesPerMillisecond = Double.MAX_VALUE;
-  private int cutListener = -1;
-  private long cutAfter;
+  private int cutListener = NO_LISTENER;
+  private long cutAfterBytes;
 
   FaultyLink(EventLoop loop, Tap tap) {
     this.loop = loop;
     this.tap = tap;
   }
 
-  /** Adds a listener that passes on to a port; returns its own port. Listeners count from 0. */
+  /** Adds a listener that relays to a port; returns its own port. Listeners count from 0. */
   int listen(int target) throws InterruptedException {
-    int number = listeners.size();
+    int index = listeners.size();
     Channel listener =
         new ServerBootstrap()
             .group(loop)
@@ -79,7 +80,7 @@
                     if (refusing) {
                       near.close();
                     } else {
-                      new Pair(number, ++count).open(near, target);
+                      new Connection(index, ++connectionCount).open(near, target);
                     }
                   }
                 })
@@ -90,94 +91,98 @@
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  private void run(Runnable work) {
-    loop.execute(work);
+  private void execute(Runnable action) {
+    loop.execute(action);
   }
 
-  /** Ends all connections; {@code refuse}: and lets no new one through until told otherwise. */
+  /** Ends all connections; with {@code refuse}, also new ones until the next call. */
   void cut(boolean refuse) {
-    run(
+    execute(
         () -> {
           refusing = refuse;
-          List.copyOf(pairs).forEach(Pair::end);
+          List.copyOf(connections).forEach(Connection::end);
         });
   }
 
-  /** Passes nothing on, both ways, while connections stay; or goes on. */
+  /** Holds back all bytes while connections stay open, or passes them on again. */
   void freeze(boolean on) {
-    run(
+    execute(
         () -> {
           frozen = on;
           if (on) {
             tap.frozen();
           }
-          pairs.forEach(
-              pair -> {
-                pair.up.move();
-                pair.down.move();
+          connections.forEach(
+              connection -> {
+                connection.up.passDue();
+                connection.down.passDue();
               });
         });
   }
 
+  /** Delays what passes from now on, by direction; up is from the dialling side. */
   void delay(long upMillis, long downMillis) {
-    run(
+    execute(
         () -> {
-          delayUp = upMillis;
-          delayDown = downMillis;
+          delayUpMillis = upMillis;
+          delayDownMillis = downMillis;
         });
   }
 
-  void slow(double bytesEachMilli) {
-    run(() -> bytesPerMillisecond = bytesEachMilli);
+  /** Limits the rate towards the dialling side. */
+  void slow(double newBytesPerMillisecond) {
+    execute(() -> bytesPerMillisecond = newBytesPerMillisecond);
   }
 
+  /** Passes each byte by itself, or no more. */
   void byteByByte(boolean on) {
-    run(() -> byteByByte = on);
+    execute(() -> byteByByte = on);
   }
 
-  /** Ends the next connection of a listener after so many bytes towards the one who dialled. */
+  /** Ends the next connection of a listener after some bytes towards the dialling side. */
   void cutAfter(int listener, long bytes) {
-    run(
+    execute(
         () -> {
           cutListener = listener;
-          cutAfter = bytes;
+          cutAfterBytes = bytes;
         });
   }
 
-  /** Ends one direction of every connection of a listener, and leaves the other open. */
+  /** Ends the direction towards the dialling side of all connections of a listener. */
   void halfClose(int listener) {
-    run(
+    execute(
         () ->
-            pairs.stream()
-                .filter(pair -> pair.listener == listener)
-                .forEach(pair -> ((SocketChannel) pair.near).shutdownOutput()));
+            connections.stream()
+                .filter(connection -> connection.listener == listener)
+                .forEach(connection -> ((SocketChannel) connection.near).shutdownOutput()));
   }
 
+  /** Ends all connections and listeners. */
   void close() {
-    run(
+    execute(
         () -> {
           listeners.forEach(Channel::close);
-          List.copyOf(pairs).forEach(Pair::end);
+          List.copyOf(connections).forEach(Connection::end);
         });
   }
 
-  private final class Pair {
+  private final class Connection {
     private final int listener;
-    private final long number;
+    private final long id;
     private Channel near;
     private Channel far;
     private Direction up;
     private Direction down;
     private long downBytes;
 
-    Pair(int listener, long number) {
+    Connection(int listener, long id) {
       this.listener = listener;
-      this.number = number;
+      this.id = id;
     }
 
     void open(Channel dialled, int target) {
       near = dialled;
-      pairs.add(this);
+      connections.add(this);
       far =
           new Bootstrap()
               .group(loop)
@@ -209,29 +214,29 @@
     }
 
     void end() {
-      if (pairs.remove(this)) {
+      if (connections.remove(this)) {
         near.close();
         far.close();
-        up.drop();
-        down.drop();
-        tap.ended(listener, number);
+        up.discard();
+        down.discard();
+        tap.ended(listener, id);
       }
     }
   }
 
   /** One direction. */
   private final class Direction extends ChannelInboundHandlerAdapter {
-    private final Pair pair;
+    private final Connection connection;
     private final Channel from;
     private final Channel to;
     private final boolean towardsNear;
     private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
-    private final ArrayDeque<Long> dueAt = new ArrayDeque<>();
-    private long bytes;
-    private long freeAt;
+    private final ArrayDeque<Long> dueAtNanos = new ArrayDeque<>();
+    private long waitingBytes;
+    private long freeAtNanos;
 
-    Direction(Pair pair, Channel from, Channel to, boolean towardsNear) {
-      this.pair = pair;
+    Direction(Connection connection, Channel from, Channel to, boolean towardsNear) {
+      this.connection = connection;
       this.from = from;
       this.to = to;
       this.towardsNear = towardsNear;
@@ -244,77 +249,79 @@
         byte[] copy = new byte[in.readableBytes()];
         in.getBytes(in.readerIndex(), copy);
         tap.passed(
-            pair.listener,
-            pair.number,
+            connection.listener,
+            connection.id,
             true,
             copy); // as the far side sent it, whatever happens to it here
       }
-      long delay = TimeUnit.MILLISECONDS.toNanos(towardsNear ? delayDown : delayUp);
+      long delay = TimeUnit.MILLISECONDS.toNanos(towardsNear ? delayDownMillis : delayUpMillis);
       while (in.isReadable()) {
         int size = byteByByte ? 1 : in.readableBytes();
-        freeAt =
-            Math.max(freeAt, System.nanoTime() + delay)
+        freeAtNanos =
+            Math.max(freeAtNanos, System.nanoTime() + delay)
                 + (towardsNear ? (long) (size / bytesPerMillisecond * 1e6) : 0);
         waiting.add(in.readRetainedSlice(size));
-        dueAt.add(freeAt);
-        bytes += size;
+        dueAtNanos.add(freeAtNanos);
+        waitingBytes += size;
       }
       in.release();
-      from.config().setAutoRead(bytes < MAX_WAITING_BYTES);
-      move();
+      from.config().setAutoRead(waitingBytes < MAX_WAITING_BYTES);
+      passDue();
     }
 
-    void move() {
+    void passDue() {
       while (!frozen && !waiting.isEmpty()) {
-        long wait = dueAt.peek() - System.nanoTime();
-        if (wait > 0) {
-          loop.schedule(this::move, wait, TimeUnit.NANOSECONDS);
+        long waitNanos = dueAtNanos.peek() - System.nanoTime();
+        if (waitNanos > 0) {
+          loop.schedule(this::passDue, waitNanos, TimeUnit.NANOSECONDS);
           return;
         }
         pass(waiting.poll());
-        dueAt.poll();
+        dueAtNanos.poll();
       }
-      from.config().setAutoRead(bytes < MAX_WAITING_BYTES);
+      from.config().setAutoRead(waitingBytes < MAX_WAITING_BYTES);
     }
 
     private void pass(ByteBuf out) {
       int size = out.readableBytes();
-      bytes -= size;
-      boolean cutHere =
-          towardsNear && pair.listener == cutListener && pair.downBytes + size >= cutAfter;
-      if (cutHere) {
-        size = (int) Math.max(0, cutAfter - pair.downBytes);
-        cutListener = -1;
+      waitingBytes -= size;
+      boolean cutsHere =
+          towardsNear
+              && connection.listener == cutListener
+              && connection.downBytes + size >= cutAfterBytes;
+      if (cutsHere) {
+        size = (int) Math.max(0, cutAfterBytes - connection.downBytes);
+        cutListener = NO_LISTENER;
       }
-      pair.downBytes += towardsNear ? size : 0;
+      connection.downBytes += towardsNear ? size : 0;
       byte[] copy = new byte[size];
       out.readBytes(copy);
       out.release();
       if (!towardsNear) {
-        tap.passed(pair.listener, pair.number, false, copy);
+        tap.passed(connection.listener, connection.id, false, copy);
       }
       var written = to.writeAndFlush(Unpooled.wrappedBuffer(copy));
-      if (cutHere) {
-        written.addListener(f -> pair.end());
+      if (cutsHere) {
+        written.addListener(f -> connection.end());
       }
     }
 
-    void drop() {
+    void discard() {
       waiting.forEach(ByteBuf::release);
       waiting.clear();
-      dueAt.clear();
+      dueAtNanos.clear();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (!frozen) {
-        pair.end();
+        connection.end();
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      pair.end();
+      connection.end();
     }
   }
 }
--- a/src/main/java/stonespring/testbed/FreePorts.java
+++ b/src/main/java/stonespring/testbed/FreePorts.java
@@ -8,22 +8,21 @@
 import java.util.List;
 
 /**
- * Ports for what is killed and started again at the same one: taken from below the range that
- * systems give to outgoing connections, where a port that is free for a second is soon somebody's.
- * A process holds whole blocks of them by listening at each block's first port, so that two
- * processes never wait for each other's ports. Each is given once.
+ * Hands out ports that stay free while their user restarts. They lie below the range that operating
+ * systems use for outgoing connections. A process reserves whole blocks by listening at each
+ * block's first port, so that two processes never compete for one. Each port is handed out once.
  */
 final class FreePorts {
-  private static final int FIRST = 11_000;
-  private static final int BLOCK = 250;
+  private static final int FIRST_PORT = 11_000;
+  private static final int PORTS_PER_BLOCK = 250;
   private static final int BLOCKS = 80;
-  private static final List<ServerSocket> HELD = new ArrayList<>();
+  private static final List<ServerSocket> RESERVATIONS = new ArrayList<>();
   private static int next;
   private static int end;
 
   private FreePorts() {}
 
-  /** The first of so many free ports in a row. */
+  /** Returns the first of {@code count} free ports in a row. */
   static synchronized int take(int count) throws IOException {
     while (true) {
       int free = 0;
@@ -37,24 +36,24 @@
         return first;
       }
       if (next + count > end) {
-        block(count);
+        reserveBlock(count);
       }
     }
   }
 
-  private static void block(int count) throws IOException {
-    for (int i = 0; i < BLOCKS && count < BLOCK; i++) {
-      int first = FIRST + i * BLOCK;
+  private static void reserveBlock(int count) throws IOException {
+    for (int i = 0; i < BLOCKS && count < PORTS_PER_BLOCK; i++) {
+      int first = FIRST_PORT + i * PORTS_PER_BLOCK;
       try {
-        HELD.add(new ServerSocket(first, 1, InetAddress.getLoopbackAddress()));
+        RESERVATIONS.add(new ServerSocket(first, 1, InetAddress.getLoopbackAddress()));
         next = first + 1;
-        end = first + BLOCK;
+        end = first + PORTS_PER_BLOCK;
         return;
       } catch (IOException e) {
-        // another process holds it
+        // Another process holds this block.
       }
     }
-    throw new IOException("no block of free ports is left from " + FIRST + " on");
+    throw new IOException("no block of free ports is left from " + FIRST_PORT + " on");
   }
 
   private static boolean isFree(int port) {
--- /dev/null
+++ b/src/main/java/stonespring/testbed/InfrastructureFaults.java
@@ -0,0 +1,81 @@
+package stonespring.testbed;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** Faults of the instances, of the registry and of the network between zones. */
+final class InfrastructureFaults {
+  private final ScenarioFleet fleet;
+  private final Timeline timeline;
+
+  InfrastructureFaults(ScenarioFleet fleet, Timeline timeline) {
+    this.fleet = fleet;
+    this.timeline = timeline;
+  }
+
+  void register(Map<FaultKind, FaultInjection> injections) {
+    injections.put(FaultKind.ASSIGNER_CRASH, this::crashInstances);
+    injections.put(FaultKind.ASSIGNER_STALL, this::stallInstances);
+    injections.put(FaultKind.WRONG_LIST, this::hideEndpoints);
+    injections.put(FaultKind.REGISTRY_DEAD, this::stopRegistry);
+    injections.put(FaultKind.ZONE_CUT, this::isolateZone);
+  }
+
+  private void crashInstances(FaultTarget target) throws InterruptedException {
+    List<InstanceProcess> killed = fleet.sample(fleet.instances(), target.fault().fraction());
+    for (InstanceProcess instance : killed) {
+      instance.kill();
+      timeline.at(target.endMillis(), instance::start);
+    }
+  }
+
+  private void stallInstances(FaultTarget target) {
+    timeline.repeatedly(
+        target.fault(),
+        () -> {
+          ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(true));
+          timeline.at(
+              timeline.now() + target.fault().magnitude(),
+              () -> ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(false)));
+        });
+  }
+
+  private void hideEndpoints(FaultTarget target) throws Exception {
+    RegistryStandIn registry = fleet.registry();
+    timeline.during(
+        target.fault(),
+        () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), true)),
+        () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), false)));
+  }
+
+  private void stopRegistry(FaultTarget target) throws Exception {
+    timeline.during(
+        target.fault(), () -> fleet.registry().dead(true), () -> fleet.registry().dead(false));
+  }
+
+  private void isolateZone(FaultTarget target) throws Exception {
+    String zone = fleet.zones().get(Math.max(0, target.fault().zone()));
+    timeline.during(target.fault(), () -> setIsolated(zone, true), () -> setIsolated(zone, false));
+  }
+
+  private void setIsolated(String zone, boolean isolated) {
+    Set<String> otherZones = new LinkedHashSet<>(fleet.zones());
+    otherZones.remove(zone);
+    for (EndpointStandIn endpoint : fleet.endpoints()) {
+      Set<String> unreachable = endpoint.zone().equals(zone) ? otherZones : Set.of(zone);
+      endpoint.setUnreachableZones(isolated ? unreachable : Set.of());
+    }
+    for (ScenarioProxy proxy : fleet.proxies()) {
+      boolean proxyInside = fleet.zones().get(proxy.zone()).equals(zone);
+      for (int i = 0; i < proxy.links().size(); i++) {
+        // Instance i is taken to be in zone i.
+        boolean instanceInside = fleet.zones().get(i % fleet.zones().size()).equals(zone);
+        if (proxyInside != instanceInside) {
+          proxy.links().get(i).freeze(isolated);
+        }
+      }
+    }
+  }
+}
--- a/src/main/java/stonespring/testbed/InstanceProcess.java
+++ b/src/main/java/stonespring/testbed/InstanceProcess.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,6 +13,9 @@
 
 /** An instance in a process of its own, so that it can be killed outright. */
 final class InstanceProcess {
+  private static final int KILL_SECONDS = 5;
+  private static final int STOP_SECONDS = 8;
+
   private final List<String> command = new ArrayList<>();
   private final Path log;
   private final int port;
@@ -46,9 +50,9 @@
             .start();
     BufferedReader out =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    String line = out.readLine();
-    if (line == null || !line.startsWith("serving ")) {
-      throw new IOException("the assigner did not start; its log is " + log);
+    String firstLine = out.readLine();
+    if (firstLine == null || !firstLine.startsWith("serving ")) {
+      throw new IOException("the instance did not start; its log is " + log);
     }
   }
 
@@ -56,26 +60,25 @@
     return port;
   }
 
-  /** Kills it as a power cut would. */
+  /** Kills it at once and waits for its end. */
   void kill() throws InterruptedException {
-    process.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
+    process.destroyForcibly().waitFor(KILL_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Asks it to stop; true where it did so in time. */
+  /** Asks it to stop; returns whether it did so in time. */
   boolean stop() throws InterruptedException {
     process.destroy();
-    return process.waitFor(8, TimeUnit.SECONDS);
+    return process.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** What it holds in memory now, bytes; by the system's own account. */
+  /** Its resident memory by the operating system. */
   long residentBytes() throws IOException {
-    for (String line :
-        java.nio.file.Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
+    for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
       if (line.startsWith("VmRSS:")) {
         return Long.parseLong(line.replaceAll("[^0-9]", "")) * 1024;
       }
     }
-    throw new IOException("the system tells no resident memory");
+    throw new IOException("/proc has no VmRSS of the instance");
   }
 
   boolean alive() {
--- a/src/main/java/stonespring/testbed/InvariantChecker.java
+++ b/src/main/java/stonespring/testbed/InvariantChecker.java
@@ -12,23 +12,35 @@
 
 /**
  * Judges a scenario by its evidence alone: the five rules, whether every non-idempotent request was
- * done once or said not to be done, and service. It shares no code with what decides.
+ * executed once or said not to be, and the service that clients had. It shares no code with what it
+ * judges. One use an object, on one thread.
  */
 public final class InvariantChecker {
-  /** What the rules' limits are on a scenario; milliseconds. */
+  /**
+   * The limits of the rules, in milliseconds where they are times.
+   *
+   * @param drainGraceMillis how long a draining endpoint may still be sent to
+   * @param maxMessagesPerProxy in a message window; 0 for no limit
+   */
   public record Limits(
       double maxTimeWithoutEndpointMillis,
-      double graceMillis,
+      double drainGraceMillis,
       double slowStartMillis,
       int maxMessagesPerProxy,
       double messageWindowMillis) {}
 
-  /** An request class as service counts it. */
+  /** A request class as service counts it. */
   public record RequestClassPolicy(
       double latencyObjectiveMillis, double priorityWeight, boolean idempotent) {}
 
   /**
-   * @param broken what was broken, a line each, by rule; empty where all were kept
+   * What was found.
+   *
+   * @param violations a line each; empty where all rules were kept
+   * @param service the priority weight answered in time over that asked for
+   * @param worstWindow the least service of any window
+   * @param worstClass the least service of any request class
+   * @param counts what was counted on the way, by its name in the report
    */
   public record Verdict(
       List<String> violations,
@@ -38,59 +50,64 @@
       String worstClassName,
       Map<String, Integer> counts) {}
 
-  private static final double WINDOW_MILLIS = 10_000; // ms; the rules' and the service's worst span
-  private static final int MAX_SHOWN_PER_RULE =
-      5; // breaks of one rule that are told; the rest are counted
+  private static final double WINDOW_MILLIS = 10_000;
+  private static final int MAX_SHOWN_PER_RULE = 5;
+
+  private static final int TIME_WITHOUT_ENDPOINT = 1;
+  private static final int NO_DUPLICATE_EFFECTS = 2;
+  private static final int DRAINING = 3;
+  private static final int SLOW_START = 4;
+  private static final int CHANNEL_LIMITS = 5;
 
   private final Limits limits;
   private final Map<String, RequestClassPolicy> requestClasses;
   private final Evidence evidence;
+  private final InvariantCheckerSessions sessions;
   private final List<String> violations = new ArrayList<>();
   private final Map<String, Integer> counts = new LinkedHashMap<>();
   private final Map<Integer, Integer> violationsByRule = new HashMap<>();
 
+  /**
+   * Prepares to judge evidence that is complete.
+   *
+   * @param requestClasses by name, in the order of the settings
+   */
   public InvariantChecker(
       Limits limits, Map<String, RequestClassPolicy> requestClasses, Evidence evidence) {
     this.limits = limits;
     this.requestClasses = requestClasses;
     this.evidence = evidence;
+    this.sessions = new InvariantCheckerSessions(evidence);
   }
 
+  /** Judges all up to a time on the evidence's clock. */
   public Verdict judge(double endMillis) {
     checkTimeWithoutEndpoint();
     checkNoDuplicateEffects();
+    checkAnswersMatchEffects();
     checkDraining();
-    for (Evidence.Overloaded fell : evidence.of(Evidence.Overloaded.class)) {
-      violated(
-          4,
-          String.format(
-              "at %.0f ms cold task %s was sent %.1f times what it could do, and fell",
-              fell.at(), fell.endpoint(), fell.times()));
-    }
-    channel();
+    checkSlowStart();
+    checkBacklog();
+    checkMessageRate();
     List<Evidence.Outcome> outcomes = evidence.of(Evidence.Outcome.class);
     count(outcomes);
     double worstClass = 1;
-    String worstName = "";
-    for (String type : requestClasses.keySet()) {
-      double one = service(outcomes.stream().filter(o -> o.requestClass().equals(type)).toList());
-      if (one < worstClass || worstName.isEmpty()) {
-        worstClass = one;
-        worstName = type;
+    String worstClassName = "";
+    for (String requestClass : requestClasses.keySet()) {
+      double service =
+          service(outcomes.stream().filter(o -> o.requestClass().equals(requestClass)).toList());
+      if (service < worstClass || worstClassName.isEmpty()) {
+        worstClass = service;
+        worstClassName = requestClass;
       }
     }
-    double worstWindow = 1;
-    for (double from = 0; from + WINDOW_MILLIS <= endMillis; from += WINDOW_MILLIS / 10) {
-      double at = from;
-      worstWindow =
-          Math.min(
-              worstWindow,
-              service(
-                  outcomes.stream()
-                      .filter(o -> o.askedAt() >= at && o.askedAt() < at + WINDOW_MILLIS)
-                      .toList()));
-    }
-    return new Verdict(violations, service(outcomes), worstWindow, worstClass, worstName, counts);
+    return new Verdict(
+        violations,
+        service(outcomes),
+        worstWindow(outcomes, endMillis),
+        worstClass,
+        worstClassName,
+        counts);
   }
 
   private void violated(int rule, String what) {
@@ -104,203 +121,231 @@
 
   private double service(List<Evidence.Outcome> outcomes) {
     double asked = 0;
-    double got = 0;
-    for (Evidence.Outcome o : outcomes) {
-      RequestClassPolicy worth = requestClasses.get(o.requestClass());
-      asked += worth.priorityWeight();
-      got +=
-          o.status() == 200 && o.tookMillis() <= worth.latencyObjectiveMillis()
-              ? worth.priorityWeight()
-              : 0;
+    double answeredInTime = 0;
+    for (Evidence.Outcome outcome : outcomes) {
+      RequestClassPolicy policy = requestClasses.get(outcome.requestClass());
+      asked += policy.priorityWeight();
+      if (outcome.status() == 200 && outcome.tookMillis() <= policy.latencyObjectiveMillis()) {
+        answeredInTime += policy.priorityWeight();
+      }
     }
-    return asked == 0 ? 1 : got / asked;
+    return asked == 0 ? 1 : answeredInTime / asked;
   }
 
-  private void count(List<Evidence.Outcome> outcomes) {
-    counts.put("ops", outcomes.size());
-    for (Evidence.Outcome o : outcomes) {
-      counts.merge(
-          o.status() == 200 ? "acked" : o.notExecuted() ? "rejected" : "aborted", 1, Integer::sum);
-      if (o.status() != 200) {
-        counts.merge("because of " + (o.reason().isEmpty() ? "?" : o.reason()), 1, Integer::sum);
-      }
+  private double worstWindow(List<Evidence.Outcome> outcomes, double endMillis) {
+    double worst = 1;
+    for (double from = 0; from + WINDOW_MILLIS <= endMillis; from += WINDOW_MILLIS / 10) {
+      double start = from;
+      double end = start + WINDOW_MILLIS;
+      List<Evidence.Outcome> inWindow =
+          outcomes.stream().filter(o -> o.askedAt() >= start && o.askedAt() < end).toList();
+      worst = Math.min(worst, service(inWindow));
     }
-    counts.put(
-        "further tries",
-        (int) evidence.of(Evidence.Arrival.class).stream().filter(a -> a.attempt() > 1).count());
-    counts.put("messages", evidence.of(Evidence.Commit.class).size());
-    counts.put(
-        "joins",
-        (int)
-            evidence.of(Evidence.Session.class).stream().filter(Evidence.Session::joined).count());
+    return worst;
   }
 
-  /** When a proxy's stream stood last before a time; NaN where it did not stand then. */
-  private double connectedSince(
-      Map<String, List<Evidence.Session>> sessions, String proxy, double at) {
-    double since = Double.NaN;
-    for (Evidence.Session s : sessions.getOrDefault(proxy, List.of())) {
-      if (s.at() > at) {
-        break;
+  private void count(List<Evidence.Outcome> outcomes) {
+    counts.put("ops", outcomes.size());
+    for (Evidence.Outcome outcome : outcomes) {
+      if (outcome.status() == 200) {
+        increment("acked");
+      } else {
+        increment(outcome.notExecuted() ? "rejected" : "aborted");
+        increment("because of " + (outcome.reason().isEmpty() ? "?" : outcome.reason()));
       }
-      since = s.joined() ? s.at() : Double.NaN;
     }
-    return since;
+    long furtherAttempts =
+        evidence.of(Evidence.Arrival.class).stream().filter(a -> a.attempt() > 1).count();
+    counts.put("further tries", (int) furtherAttempts);
+    counts.put("messages", evidence.of(Evidence.Commit.class).size());
+    long connects =
+        evidence.of(Evidence.Session.class).stream().filter(Evidence.Session::connected).count();
+    counts.put("joins", (int) connects);
   }
 
-  private Map<String, List<Evidence.Session>> sessions() {
-    Map<String, List<Evidence.Session>> sessions = new HashMap<>();
-    for (Evidence.Session s : evidence.of(Evidence.Session.class)) {
-      sessions.computeIfAbsent(s.proxy(), p -> new ArrayList<>()).add(s);
-    }
-    return sessions;
+  private void increment(String name) {
+    counts.merge(name, 1, Integer::sum);
   }
 
+  /** Whether an endpoint past its slow start was listed as ready at a time. */
   private boolean warmEndpointListed(double at) {
-    Map<String, Evidence.Listed> list = new HashMap<>();
-    for (Evidence.Listed t : evidence.of(Evidence.Listed.class)) {
-      if (t.at() > at) {
+    Map<String, Evidence.Listed> listed = new HashMap<>();
+    for (Evidence.Listed entry : evidence.of(Evidence.Listed.class)) {
+      if (entry.at() > at) {
         break;
       }
-      list.put(t.endpoint(), t);
+      listed.put(entry.endpoint(), entry);
     }
-    return list.values().stream()
-        .anyMatch(t -> t.state().equals("ready") && at - t.startedAt() >= limits.slowStartMillis());
+    return listed.values().stream()
+        .anyMatch(
+            entry ->
+                entry.state().equals("ready")
+                    && at - entry.startedAt() >= limits.slowStartMillis());
   }
 
+  /** Rule 1: no connected proxy lacks an endpoint for long while a warm one is listed. */
   private void checkTimeWithoutEndpoint() {
-    Map<String, List<Evidence.Session>> sessions = sessions();
-    Map<String, Double> since = new HashMap<>();
+    Map<String, Double> withoutSince = new HashMap<>();
     List<Evidence.Outcome> outcomes = new ArrayList<>(evidence.of(Evidence.Outcome.class));
     outcomes.sort(Comparator.comparingDouble(Evidence.Outcome::endedAt));
-    for (Evidence.Outcome o : outcomes) {
-      String who = o.proxy() + " for " + o.requestClass();
-      double joined = connectedSince(sessions, o.proxy(), o.endedAt());
-      if (!o.reason().equals("no-task")
-          || Double.isNaN(joined)
-          || !warmEndpointListed(o.endedAt())) {
-        since.remove(who);
+    for (Evidence.Outcome outcome : outcomes) {
+      String who = outcome.proxy() + " for " + outcome.requestClass();
+      double endedAt = outcome.endedAt();
+      double connected = sessions.connectedSince(outcome.proxy(), endedAt);
+      if (!outcome.reason().equals("no-task")
+          || Double.isNaN(connected)
+          || !warmEndpointListed(endedAt)) {
+        withoutSince.remove(who);
         continue;
       }
-      double first = Math.max(joined, since.merge(who, o.endedAt(), Math::min));
-      if (o.endedAt() - first > limits.maxTimeWithoutEndpointMillis()) {
+      double since = Math.max(connected, withoutSince.merge(who, endedAt, Math::min));
+      if (endedAt - since > limits.maxTimeWithoutEndpointMillis()) {
         violated(
-            1,
+            TIME_WITHOUT_ENDPOINT,
             String.format(
-                "at %.0f ms proxy %s had no task for %.0f ms",
-                o.endedAt(), who, o.endedAt() - first));
+                "at %.0f ms proxy %s had no task for %.0f ms", endedAt, who, endedAt - since));
       }
     }
   }
 
-  private void checkNoDuplicateEffects() {
+  private Map<String, List<Evidence.Effect>> nonIdempotentEffects() {
     Map<String, List<Evidence.Effect>> effects = new HashMap<>();
-    for (Evidence.Effect e : evidence.of(Evidence.Effect.class)) {
-      if (!requestClasses.get(e.requestClass()).idempotent()) {
-        effects.computeIfAbsent(e.op(), op -> new ArrayList<>()).add(e);
+    for (Evidence.Effect effect : evidence.of(Evidence.Effect.class)) {
+      if (!requestClasses.get(effect.requestClass()).idempotent()) {
+        effects.computeIfAbsent(effect.requestId(), id -> new ArrayList<>()).add(effect);
       }
     }
-    effects.forEach(
-        (op, all) -> {
-          if (all.size() > 1) {
-            violated(
-                2,
-                String.format(
-                    "op %s took effect %d times, last at %.0f ms at %s",
-                    op,
-                    all.size(),
-                    all.get(all.size() - 1).at(),
-                    all.get(all.size() - 1).endpoint()));
-          }
-        });
-    for (Evidence.Outcome o : evidence.of(Evidence.Outcome.class)) {
-      if (requestClasses.get(o.requestClass()).idempotent()) {
+    return effects;
+  }
+
+  /** Rule 2: a request that isn't idempotent takes effect once at most. */
+  private void checkNoDuplicateEffects() {
+    nonIdempotentEffects()
+        .forEach(
+            (id, effects) -> {
+              if (effects.size() > 1) {
+                Evidence.Effect last = effects.get(effects.size() - 1);
+                violated(
+                    NO_DUPLICATE_EFFECTS,
+                    String.format(
+                        "op %s took effect %d times, last at %.0f ms at %s",
+                        id, effects.size(), last.at(), last.endpoint()));
+              }
+            });
+  }
+
+  /** Rule 2: an answer tells the truth on whether a non-idempotent request took effect. */
+  private void checkAnswersMatchEffects() {
+    Map<String, List<Evidence.Effect>> effectsById = nonIdempotentEffects();
+    for (Evidence.Outcome outcome : evidence.of(Evidence.Outcome.class)) {
+      if (requestClasses.get(outcome.requestClass()).idempotent()) {
         continue;
       }
-      int done = effects.getOrDefault(o.op(), List.of()).size();
-      if (o.status() == 200 && done != 1 || o.notExecuted() && done != 0) {
+      int effects = effectsById.getOrDefault(outcome.requestId(), List.of()).size();
+      boolean succeeded = outcome.status() == 200;
+      if ((succeeded && effects != 1) || (outcome.notExecuted() && effects != 0)) {
         violated(
-            2,
-            "op "
-                + o.op()
-                + " was answered "
-                + o.status()
-                + (o.notExecuted() ? " as not done" : "")
-                + " and took effect "
-                + done
-                + " times");
+            NO_DUPLICATE_EFFECTS,
+            String.format(
+                "op %s was answered %d%s and took effect %d times",
+                outcome.requestId(),
+                outcome.status(),
+                outcome.notExecuted() ? " as not done" : "",
+                effects));
       }
-      counts.merge(
-          o.status() == 200
-              ? "not repeatable, done once"
-              : o.notExecuted()
-                  ? "not repeatable, said not to be done"
-                  : done == 0
-                      ? "not repeatable, unknown to the client, not done"
-                      : "not repeatable, unknown to the client, done once",
-          1,
-          Integer::sum);
+      increment("not repeatable, " + nonIdempotentEnding(outcome, effects));
     }
   }
 
-  private void checkDraining() {
-    Map<String, List<Evidence.Session>> sessions = sessions();
+  private static String nonIdempotentEnding(Evidence.Outcome outcome, int effects) {
+    if (outcome.status() == 200) {
+      return "done once";
+    }
+    if (outcome.notExecuted()) {
+      return "said not to be done";
+    }
+    return effects == 0 ? "unknown to the client, not done" : "unknown to the client, done once";
+  }
+
+  /** By endpoint, from when on it was listed as leaving (true) or as ready again (false). */
+  private Map<String, TreeMap<Double, Boolean>> leavingTimes() {
     Map<String, TreeMap<Double, Boolean>> leaving = new HashMap<>();
-    for (Evidence.Listed t : evidence.of(Evidence.Listed.class)) {
-      TreeMap<Double, Boolean> of = leaving.computeIfAbsent(t.endpoint(), k -> new TreeMap<>());
-      boolean out = !t.state().equals("ready");
-      if (of.isEmpty() || of.lastEntry().getValue() != out) {
-        of.put(t.at(), out);
+    for (Evidence.Listed entry : evidence.of(Evidence.Listed.class)) {
+      TreeMap<Double, Boolean> changes =
+          leaving.computeIfAbsent(entry.endpoint(), endpoint -> new TreeMap<>());
+      boolean leaves = !entry.state().equals("ready");
+      if (changes.isEmpty() || changes.lastEntry().getValue() != leaves) {
+        changes.put(entry.at(), leaves);
       }
     }
-    Set<String> seen = new HashSet<>();
-    for (Evidence.Arrival a : evidence.of(Evidence.Arrival.class)) {
-      var told = leaving.getOrDefault(a.endpoint(), new TreeMap<>()).floorEntry(a.at());
-      double joined = connectedSince(sessions, a.proxy(), a.at());
-      if (told == null || !told.getValue() || Double.isNaN(joined)) {
+    return leaving;
+  }
+
+  /** Rule 3: no connected proxy sends to an endpoint long after it was listed as leaving. */
+  private void checkDraining() {
+    Map<String, TreeMap<Double, Boolean>> leaving = leavingTimes();
+    Set<String> reported = new HashSet<>();
+    for (Evidence.Arrival arrival : evidence.of(Evidence.Arrival.class)) {
+      Map.Entry<Double, Boolean> change =
+          leaving.getOrDefault(arrival.endpoint(), new TreeMap<>()).floorEntry(arrival.at());
+      double connected = sessions.connectedSince(arrival.proxy(), arrival.at());
+      if (change == null || !change.getValue() || Double.isNaN(connected)) {
         continue;
       }
-      double late = a.at() - Math.max(told.getKey(), joined);
-      if (late > limits.graceMillis() && seen.add(a.proxy() + a.endpoint())) {
+      double late = arrival.at() - Math.max(change.getKey(), connected);
+      if (late > limits.drainGraceMillis() && reported.add(arrival.proxy() + arrival.endpoint())) {
         violated(
-            3,
+            DRAINING,
             String.format(
                 "at %.0f ms proxy %s sent to %s, %.0f ms after its assigner was told that it leaves",
-                a.at(), a.proxy(), a.endpoint(), late));
+                arrival.at(), arrival.proxy(), arrival.endpoint(), late));
       }
     }
   }
 
-  private void channel() {
-    int high = 0;
-    for (Evidence.Channel c : evidence.of(Evidence.Channel.class)) {
-      high = Math.max(high, c.backlog());
-      if (c.backlog() > c.limit()) {
+  /** Rule 4: no warming-up endpoint is sent so much that it crashes. */
+  private void checkSlowStart() {
+    for (Evidence.Overloaded overloaded : evidence.of(Evidence.Overloaded.class)) {
+      violated(
+          SLOW_START,
+          String.format(
+              "at %.0f ms cold task %s was sent %.1f times what it could do, and fell",
+              overloaded.at(), overloaded.endpoint(), overloaded.multiple()));
+    }
+  }
+
+  /** Rule 5: an instance's backlog stays within its limit. */
+  private void checkBacklog() {
+    int highest = 0;
+    for (Evidence.ChannelBacklog channel : evidence.of(Evidence.ChannelBacklog.class)) {
+      highest = Math.max(highest, channel.backlog());
+      if (channel.backlog() > channel.limit()) {
         violated(
-            5,
+            CHANNEL_LIMITS,
             String.format(
-                "at %.0f ms %d lines wait, the limit is %d", c.at(), c.backlog(), c.limit()));
+                "at %.0f ms %d lines wait, the limit is %d",
+                channel.at(), channel.backlog(), channel.limit()));
       }
     }
-    counts.put("most lines waiting", high);
-    Map<String, List<Evidence.Session>> sessions = sessions();
-    Map<String, List<Double>> commits = new HashMap<>();
+    counts.put("most lines waiting", highest);
+  }
+
+  /** Rule 5: a proxy gets few messages in any window, counted from its connecting. */
+  private void checkMessageRate() {
+    Map<String, List<Double>> recentCommits = new HashMap<>();
     int most = 0;
-    for (Evidence.Commit c : evidence.of(Evidence.Commit.class)) {
-      List<Double> times = commits.computeIfAbsent(c.proxy(), p -> new ArrayList<>());
-      times.add(c.at());
-      double joined = connectedSince(sessions, c.proxy(), c.at());
-      times.removeIf(
-          at ->
-              c.at() - at > limits.messageWindowMillis()
-                  || at < joined); // counted from its joining
+    for (Evidence.Commit commit : evidence.of(Evidence.Commit.class)) {
+      List<Double> times = recentCommits.computeIfAbsent(commit.proxy(), p -> new ArrayList<>());
+      times.add(commit.at());
+      double connected = sessions.connectedSince(commit.proxy(), commit.at());
+      times.removeIf(at -> commit.at() - at > limits.messageWindowMillis() || at < connected);
       most = Math.max(most, times.size());
       if (limits.maxMessagesPerProxy() > 0 && times.size() > limits.maxMessagesPerProxy()) {
         violated(
-            5,
+            CHANNEL_LIMITS,
             String.format(
                 "at %.0f ms proxy %s had %d messages in %.0f ms",
-                c.at(), c.proxy(), times.size(), limits.messageWindowMillis()));
+                commit.at(), commit.proxy(), times.size(), limits.messageWindowMillis()));
       }
     }
     counts.put("most messages to one proxy", most);
--- /dev/null
+++ b/src/main/java/stonespring/testbed/OverloadDetector.java
@@ -0,0 +1,34 @@
+package stonespring.testbed;
+
+import java.util.ArrayDeque;
+
+/** Adds up the work that arrives at a warming-up endpoint over a window. Not thread-safe. */
+final class OverloadDetector {
+  private record Arrival(double atMillis, double workMillis) {}
+
+  private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
+  private final double windowMillis;
+
+  OverloadDetector(double windowMillis) {
+    this.windowMillis = windowMillis;
+  }
+
+  /**
+   * Adds a request's work.
+   *
+   * @param capacity cores' worth of work that the endpoint can do now
+   * @return the window's work as a multiple of what the endpoint can do in that time
+   */
+  double add(double nowMillis, double workMillis, double capacity) {
+    arrivals.add(new Arrival(nowMillis, workMillis));
+    while (nowMillis - arrivals.peek().atMillis() > windowMillis) {
+      arrivals.poll();
+    }
+    double sum = arrivals.stream().mapToDouble(Arrival::workMillis).sum();
+    return sum == 0 ? 0 : sum / (capacity * windowMillis);
+  }
+
+  void clear() {
+    arrivals.clear();
+  }
+}
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -8,24 +8,34 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import stonespring.http.HttpMessage;
 import stonespring.http.HttpServer;
 import stonespring.model.EndpointRecord;
 
 /**
- * A registry in the published form of Consul's health endpoint, with blocking queries. What changes
- * shows after a stated lateness, as registries learn late. It writes down what it told and when:
- * that is what an instance knew.
+ * A registry with the interface of Consul's health endpoint and its blocking queries. Changes show
+ * after a delay. It records what it answered and when, as that is what instances could know. All
+ * state lives on one event loop; its methods may be called from any thread.
  */
 final class RegistryStandIn {
-  private record Entry(String name, int port, String zone, boolean draining, double startedAt) {}
+  private record Entry(String name, int port, String zone, boolean draining, double startedAt) {
+    String id() {
+      return name + "@127.0.0.1:" + port;
+    }
+  }
 
-  private static final long MAX_WAIT_MILLIS = 60_000; // ms; as the published pages bound a wait
+  private static final Pattern QUERY =
+      Pattern.compile("/v1/health/service/tasks(?:\\?index=([0-9]+)&wait=([0-9]+)s)?");
+  private static final int MAX_REQUEST_BYTES = 1024;
+  private static final long MAX_WAIT_MILLIS = 60_000;
 
   private final EventLoop loop;
   private final EventLoopGroup loops;
   private final Evidence evidence;
-  private final long lateMillis;
+  private final long delayMillis;
   private final long unixAtStart = System.currentTimeMillis();
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final TreeMap<String, String> lastListed = new TreeMap<>();
@@ -35,16 +45,18 @@
   private long index = 1;
   private boolean dead;
 
-  RegistryStandIn(EventLoopGroup loops, Evidence evidence, long lateMillis) {
+  RegistryStandIn(EventLoopGroup loops, Evidence evidence, long delayMillis) {
     this.loops = loops;
     this.loop = loops.next();
     this.evidence = evidence;
-    this.lateMillis = lateMillis;
+    this.delayMillis = delayMillis;
   }
 
   void start(int port) throws IOException, InterruptedException {
     server =
-        new HttpServer((request, exchange) -> loop.execute(() -> take(request, exchange)), 1024)
+        new HttpServer(
+                (request, exchange) -> loop.execute(() -> receive(request, exchange)),
+                MAX_REQUEST_BYTES)
             .start(loops, "127.0.0.1", port);
   }
 
@@ -56,7 +68,7 @@
     server.stop();
   }
 
-  /** Answers nothing, or answers again: asks that wait break off. */
+  /** Closes all connections and answers nothing, or answers again. */
   void dead(boolean on) {
     loop.execute(
         () -> {
@@ -67,7 +79,7 @@
         });
   }
 
-  /** An endpoint runs, or drains; shown late. */
+  /** Lists an endpoint as ready or draining, after the delay. */
   void set(EndpointStandIn endpoint, boolean draining) {
     Entry entry =
         new Entry(
@@ -77,41 +89,42 @@
           entries.put(entry.name, entry);
           changed();
         },
-        lateMillis,
+        delayMillis,
         TimeUnit.MILLISECONDS);
   }
 
+  /** Lists an endpoint no more, after the delay. */
   void remove(EndpointStandIn endpoint) {
     loop.schedule(
         () -> {
           entries.remove(endpoint.name());
           changed();
         },
-        lateMillis,
+        delayMillis,
         TimeUnit.MILLISECONDS);
   }
 
-  /** Replaces all that is listed. */
-  void whole(List<EndpointRecord> list, List<String> zones) {
+  /** Replaces the whole list at once. */
+  void replaceAll(List<EndpointRecord> list, List<String> zones) {
     loop.execute(
         () -> {
           entries.clear();
-          for (EndpointRecord l : list) {
-            String id = l.endpoint().name();
+          for (EndpointRecord endpoint : list) {
+            String id = endpoint.endpoint().name();
             entries.put(
                 id,
                 new Entry(
                     id.substring(0, id.lastIndexOf('@')),
                     Integer.parseInt(id.substring(id.lastIndexOf(':') + 1)),
-                    zones.get(l.zone().index()),
-                    l.state() == EndpointRecord.State.DRAINING,
-                    l.startedAt() == 0 ? -1 : l.startedAt() / 10.0 - unixAtStart));
+                    zones.get(endpoint.zone().index()),
+                    endpoint.state() == EndpointRecord.State.DRAINING,
+                    endpoint.startedAt() == 0 ? -1 : endpoint.startedAt() / 10.0 - unixAtStart));
           }
           changed();
         });
   }
 
-  /** Calls running endpoints gone, or takes that back: a wrong list. */
+  /** Leaves an endpoint out though it runs, or lists it again. */
   void hide(String name, boolean on) {
     loop.execute(
         () -> {
@@ -131,39 +144,41 @@
     all.forEach(Runnable::run);
   }
 
-  private void take(HttpMessage request, HttpServer.Exchange exchange) {
+  private void receive(HttpMessage request, HttpServer.Exchange exchange) {
     if (dead) {
       exchange.channel().close();
       return;
     }
-    java.util.regex.Matcher query =
-        java.util.regex.Pattern.compile(
-                "/v1/health/service/tasks(?:\\?index=([0-9]+)&wait=([0-9]+)s)?")
-            .matcher(request.second());
+    Matcher query = QUERY.matcher(request.second());
     if (!query.matches()) {
       exchange.answer(HttpMessage.answer(404, "no such path\n"));
       return;
     }
-    long asked = query.group(1) == null ? 0 : Long.parseLong(query.group(1));
-    if (asked != index || asked == 0) {
+    long knownIndex = query.group(1) == null ? 0 : Long.parseLong(query.group(1));
+    if (knownIndex != index || knownIndex == 0) {
       answer(exchange);
-      return;
+    } else {
+      answerOnChange(exchange, Long.parseLong(query.group(2)) * 1000);
     }
-    boolean[] done = new boolean[1];
-    Runnable once =
+  }
+
+  /** Answers at the next change, or after the wait without one. */
+  private void answerOnChange(HttpServer.Exchange exchange, long waitMillis) {
+    boolean[] answered = new boolean[1];
+    Runnable answerOnce =
         () -> {
-          if (!done[0]) {
-            done[0] = true;
+          if (!answered[0]) {
+            answered[0] = true;
             answer(exchange);
           }
         };
-    waiters.add(once);
+    waiters.add(answerOnce);
     loop.schedule(
         () -> {
-          waiters.remove(once);
-          once.run();
+          waiters.remove(answerOnce);
+          answerOnce.run();
         },
-        Math.min(MAX_WAIT_MILLIS, Long.parseLong(query.group(2)) * 1000),
+        Math.min(MAX_WAIT_MILLIS, waitMillis),
         TimeUnit.MILLISECONDS);
   }
 
@@ -171,45 +186,55 @@
     if (!exchange.channel().isActive()) {
       return;
     }
-    StringBuilder json = new StringBuilder("[");
-    TreeMap<String, String> told = new TreeMap<>();
-    for (Entry e : entries.values()) {
-      if (hidden.contains(e.name)) {
-        continue;
-      }
-      long started = e.startedAt < 0 ? 0 : unixAtStart + (long) e.startedAt;
-      json.append(json.length() > 1 ? "," : "")
-          .append("{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\"")
-          .append(e.name)
-          .append("\",\"Address\":\"127.0.0.1\",\"Port\":")
-          .append(e.port)
-          .append(",\"Meta\":{\"zone\":\"")
-          .append(e.zone)
-          .append("\",\"started_ms\":\"")
-          .append(started)
-          .append(
-              "\"},\"Weights\":{\"Passing\":1,\"Warning\":1}},\"Checks\":[{\"CheckID\":\"run\",\"Status\":\"passing\"}")
-          .append(
-              e.draining
-                  ? ",{\"CheckID\":\"_service_maintenance:" + e.name + "\",\"Status\":\"critical\"}"
-                  : "")
-          .append("]}");
-      String id = e.name + "@127.0.0.1:" + e.port;
-      told.put(id, e.draining ? "draining" : "ready");
-      if (!told.get(id).equals(lastListed.get(id)) || e.startedAt >= 0) {
-        evidence.add(new Evidence.Listed(evidence.now(), id, told.get(id), e.startedAt));
+    List<Entry> shown =
+        entries.values().stream().filter(entry -> !hidden.contains(entry.name())).toList();
+    recordListed(shown);
+    exchange.answer(
+        HttpMessage.answer(200, toJson(shown))
+            .with("x-consul-index", String.valueOf(index))
+            .with("content-type", "application/json"));
+  }
+
+  /** Records the answer as evidence: changed entries, and those that know when they started. */
+  private void recordListed(List<Entry> shown) {
+    TreeMap<String, String> states = new TreeMap<>();
+    for (Entry entry : shown) {
+      String state = entry.draining() ? "draining" : "ready";
+      states.put(entry.id(), state);
+      if (!state.equals(lastListed.get(entry.id())) || entry.startedAt() >= 0) {
+        evidence.add(new Evidence.Listed(evidence.now(), entry.id(), state, entry.startedAt()));
       }
     }
     for (String id : lastListed.keySet()) {
-      if (!told.containsKey(id)) {
+      if (!states.containsKey(id)) {
         evidence.add(new Evidence.Listed(evidence.now(), id, "gone", -1));
       }
     }
     lastListed.clear();
-    lastListed.putAll(told);
-    HttpMessage answer =
-        HttpMessage.answer(200, json.append("]").toString())
-            .with("x-consul-index", String.valueOf(index));
-    exchange.answer(answer.with("content-type", "application/json"));
+    lastListed.putAll(states);
+  }
+
+  private String toJson(List<Entry> shown) {
+    return shown.stream().map(this::toJson).collect(Collectors.joining(",", "[", "]"));
+  }
+
+  private String toJson(Entry entry) {
+    long started = entry.startedAt() < 0 ? 0 : unixAtStart + (long) entry.startedAt();
+    String maintenance =
+        entry.draining()
+            ? ",{\"CheckID\":\"_service_maintenance:" + entry.name() + "\",\"Status\":\"critical\"}"
+            : "";
+    return "{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\""
+        + entry.name()
+        + "\",\"Address\":\"127.0.0.1\",\"Port\":"
+        + entry.port()
+        + ",\"Meta\":{\"zone\":\""
+        + entry.zone()
+        + "\",\"started_ms\":\""
+        + started
+        + "\"},\"Weights\":{\"Passing\":1,\"Warning\":1}},"
+        + "\"Checks\":[{\"CheckID\":\"run\",\"Status\":\"passing\"}"
+        + maintenance
+        + "]}";
   }
 }
--- a/src/main/java/stonespring/testbed/Scenario.java
+++ b/src/main/java/stonespring/testbed/Scenario.java
@@ -12,81 +12,92 @@
 import stonespring.config.SettingsError;
 
 /**
- * A scripted scenario: the instance's settings, what the stand-ins are made of, the requests, and
- * the faults with their times.
+ * A scenario as its script states it. The script's keys keep the operators' words and are mapped
+ * here.
  *
- * @param workMillis a request's work, by request class
- * @param shares each request class's share of the requests
+ * @param instance the settings of the instances
+ * @param durationSeconds how long clients send requests
+ * @param drainGraceMillis how long after a listing as draining an endpoint may still be sent to
+ * @param listDelayMillis how long after a change the registry shows it
+ * @param faults in the script's order
  */
 public record Scenario(
-    InstanceSettings assigner,
-    double seconds,
-    double requestsPerSecond,
-    int endpointsPerZone,
-    int proxiesPerZone,
-    int cores,
-    int queue,
-    int connections,
-    double handshakeMillis,
-    Map<String, Double> serviceTimeMillis,
-    Map<String, Double> shares,
-    double deduplicationWindowMillis,
-    double graceMillis,
-    double overloadWindowMillis,
+    InstanceSettings instance,
+    double durationSeconds,
+    Load load,
+    FleetSize fleet,
+    EndpointModel endpointModel,
+    double drainGraceMillis,
     long listDelayMillis,
     List<Fault> faults) {
   /**
-   * One fault. {@code part}: the share of endpoints, proxies or links that it strikes; {@code size}
-   * and {@code each} as its kind takes them; {@code zone}: where, by position, or -1.
+   * What clients send.
+   *
+   * @param shares each request class's share of the requests, by name
+   */
+  public record Load(double requestsPerSecond, Map<String, Double> shares) {}
+
+  /** How many stand-ins there are at the start. */
+  public record FleetSize(int endpointsPerZone, int proxiesPerZone) {}
+
+  /**
+   * What every endpoint is like.
+   *
+   * @param queueLimit requests that may wait for a core
+   * @param connectionLimit connections that may be open
+   * @param handshakeMillis a core's time that a new connection takes
+   * @param serviceTimeMillis a request's mean service time, by request class
+   * @param deduplicationWindowMillis how long a repeated request's key is remembered
+   * @param overloadWindowMillis the time over which overload while warming up is measured
+   */
+  public record EndpointModel(
+      int cores,
+      int queueLimit,
+      int connectionLimit,
+      double handshakeMillis,
+      Map<String, Double> serviceTimeMillis,
+      double deduplicationWindowMillis,
+      double overloadWindowMillis) {}
+
+  /**
+   * One fault.
+   *
+   * @param fraction the fraction of endpoints, proxies or instances that it strikes
+   * @param magnitude how strong it is, in its kind's own unit
+   * @param intervalMillis the time between repetitions, where its kind repeats
+   * @param zone the position of the zone that it strikes, or -1 for all
    */
   public record Fault(
-      String kind,
+      FaultKind kind,
       double atMillis,
-      double forMillis,
-      double part,
-      double size,
-      double eachMillis,
+      double durationMillis,
+      double fraction,
+      double magnitude,
+      double intervalMillis,
       int zone) {}
 
-  /** Every kind that a script may name. */
-  public static final List<String> KINDS =
-      List.of(
-          "crash",
-          "silent",
-          "fast_errors",
-          "pauses",
-          "late_reports",
-          "zone_loss",
-          "zone_cut",
-          "deploy",
-          "shrink",
-          "growth",
-          "surge",
-          "proxy_crash",
-          "assigner_crash",
-          "slow_channel",
-          "reconnect",
-          "proxy_stall",
-          "assigner_stall",
-          "false_reports",
-          "slow_handshakes",
-          "op_type_fails",
-          "flapping",
-          "impatience",
-          "taken_in_waves",
-          "wrong_list",
-          "registry_dead",
-          "cut_in_snapshot",
-          "byte_by_byte",
-          "half_close",
-          "lost_answers");
+  private static final double MILLIS_PER_SECOND = 1000;
 
+  /**
+   * Reads a scenario's script.
+   *
+   * @throws ScriptException with all errors of the script
+   */
   public static Scenario read(Path file) throws ScriptException {
-    List<SettingsError> settingsErrors = new ArrayList<>();
-    Section top = Section.of(file.toString(), Script.run(file), settingsErrors);
-    InstanceSettings assigner = InstanceSettings.decode(top, file);
-    Section day = top.section("day", true);
-    double seconds = day.number("seconds", 1, 3600, null);
+    List<SettingsError> errors = new ArrayList<>();
+    Section top = Section.of(file.toString(), Script.run(file), errors);
+    InstanceSettings instance = InstanceSettings.decode(top, file);
+    Scenario scenario = decode(top.section("day", true), instance);
+    top.done();
+    if (!errors.isEmpty()) {
+      throw new ScriptException(errors);
+    }
+    return scenario;
+  }
+
+  /** Reads the keys one by one in a fixed order, which is the order of the errors. */
+  private static Scenario decode(Section day, InstanceSettings instance) {
+    double duration = day.number("seconds", 1, 3600, null);
     double requests = day.number("ops_per_s", 0.1, 100_000, null);
     int endpoints = day.whole("tasks_per_zone", 1, 200, null);
     int proxies = day.whole("proxies_per_zone", 1, 400, null);
@@ -94,59 +105,54 @@
     int queue = day.whole("queue", 1, 10_000, 200);
     int connections = day.whole("connections", 1, 10_000, 150);
     double handshake = day.number("handshake_ms", 0, 100, 5.0);
-    Map<String, Double> work = new TreeMap<>();
+    Map<String, Double> serviceTimes = new TreeMap<>();
     Map<String, Double> shares = new TreeMap<>();
-    Section workOf = day.section("work_ms", true);
-    Section shareOf = day.section("shares", true);
-    for (String type : assigner.opTypeNames()) {
-      work.put(type, workOf.number(type, 0.1, 10_000, null));
-      shares.put(type, shareOf.number(type, 0, 1, null));
+    Section serviceTimeSection = day.section("work_ms", true);
+    Section shareSection = day.section("shares", true);
+    for (String name : instance.opTypeNames()) {
+      serviceTimes.put(name, serviceTimeSection.number(name, 0.1, 10_000, null));
+      shares.put(name, shareSection.number(name, 0, 1, null));
     }
-    workOf.done();
-    shareOf.done();
-    double dedup = day.number("dedup_window_ms", 0, 60_000, 2000.0);
-    double grace = day.number("grace_s", 0.1, 60, null) * 1000;
-    double fall = day.number("fall_window_s", 0.1, 60, 2.0) * 1000;
-    double late = day.number("list_late_s", 0, 60, 1.0) * 1000;
+    serviceTimeSection.done();
+    shareSection.done();
+    double deduplicationWindow = day.number("dedup_window_ms", 0, 60_000, 2000.0);
+    double grace = day.number("grace_s", 0.1, 60, null) * MILLIS_PER_SECOND;
+    double overloadWindow = day.number("fall_window_s", 0.1, 60, 2.0) * MILLIS_PER_SECOND;
+    double listDelay = day.number("list_late_s", 0, 60, 1.0) * MILLIS_PER_SECOND;
     List<Fault> faults = new ArrayList<>();
-    for (Section t : day.sections("troubles", 0, 1000)) {
-      faults.add(trouble(t, seconds, assigner.zones().size()));
+    for (Section section : day.sections("troubles", 0, 1000)) {
+      faults.add(decodeFault(section, duration, instance.zones().size()));
     }
     day.done();
-    top.done();
-    if (!settingsErrors.isEmpty()) {
-      throw new ScriptException(settingsErrors);
-    }
     return new Scenario(
-        assigner,
-        seconds,
-        requests,
-        endpoints,
-        proxies,
-        cores,
-        queue,
-        connections,
-        handshake,
-        work,
-        shares,
-        dedup,
+        instance,
+        duration,
+        new Load(requests, shares),
+        new FleetSize(endpoints, proxies),
+        new EndpointModel(
+            cores,
+            queue,
+            connections,
+            handshake,
+            serviceTimes,
+            deduplicationWindow,
+            overloadWindow),
         grace,
-        fall,
-        (long) late,
+        (long) listDelay,
         faults);
   }
 
-  private static Fault trouble(Section t, double seconds, int zones) {
-    Fault trouble =
+  private static Fault decodeFault(Section section, double duration, int zones) {
+    Fault fault =
         new Fault(
-            t.word("kind", KINDS, null),
-            t.number("at_s", 0, seconds, null) * 1000,
-            t.number("for_s", 0, seconds, 1.0) * 1000,
-            t.number("part", 0, 1, 0.2),
-            t.number("size", 0, 100_000, 1.0),
-            t.number("each_s", 0.01, seconds, 2.0) * 1000,
-            t.whole("zone", -1, zones - 1, -1));
-    t.done();
-    return trouble;
+            FaultKind.of(section.word("kind", FaultKind.scriptNames(), null)),
+            section.number("at_s", 0, duration, null) * MILLIS_PER_SECOND,
+            section.number("for_s", 0, duration, 1.0) * MILLIS_PER_SECOND,
+            section.number("part", 0, 1, 0.2),
+            section.number("size", 0, 100_000, 1.0),
+            section.number("each_s", 0.01, duration, 2.0) * MILLIS_PER_SECOND,
+            section.whole("zone", -1, zones - 1, -1));
+    section.done();
+    return fault;
   }
 }
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -4,6 +4,7 @@
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import stonespring.model.EndpointRecord;
@@ -11,118 +12,137 @@
 import stonespring.recording.Recording;
 
 /**
- * A played scenario as a recording: what came, what ran and what was told, from what was seen;
+ * Turns the evidence of a run into a recording of its load: arrivals, processes and endpoint lists,
  * nothing of what was decided.
  */
 final class ScenarioRecorder {
-  private static final long SPAN = 1_000; // 0.1 ms over which requests are counted together
+  private static final long SPAN = 1_000; // in 0.1 ms; requests in it are counted together
 
-  private final Scenario day;
+  private final Scenario scenario;
   private final Evidence evidence;
-  private final double began;
+  private final double startedMillis;
 
   /**
-   * @param began when the first client started, on the evidence's clock
+   * Prepares to write a run that has ended.
+   *
+   * @param startedMillis when the first client started, on the evidence's clock
    */
-  ScenarioRecorder(Scenario day, Evidence evidence, double began) {
-    this.day = day;
+  ScenarioRecorder(Scenario scenario, Evidence evidence, double startedMillis) {
+    this.scenario = scenario;
     this.evidence = evidence;
-    this.began = began;
+    this.startedMillis = startedMillis;
   }
 
   private long at(double millis) {
-    return Math.max(0, Math.round((millis - began) * 10));
+    return Math.max(0, Math.round((millis - startedMillis) * 10));
   }
 
   private int zone(String name) {
-    return day.assigner().zones().indexOf(name);
+    return scenario.instance().zones().indexOf(name);
   }
 
+  /** The run as a recording with a name. */
   Recording recording(String name, List<Recording.Proxy> proxies) {
     List<LoadSample> samples = new ArrayList<>();
-    Map<String, Integer> zoneOf = new HashMap<>();
-    for (Evidence.ProcessChange life : evidence.of(Evidence.ProcessChange.class)) {
-      zoneOf.put(life.endpoint(), zone(life.zone()));
+    addProcesses(samples);
+    addFalseReports(samples);
+    addLateReports(samples);
+    addArrivals(samples, proxies);
+    samples.sort(Comparator.comparingLong(LoadSample::at));
+    Recording.Head head =
+        new Recording.Head(
+            Recording.VERSION,
+            name,
+            scenario.instance().settings(),
+            scenario.instance().zones(),
+            requestClasses(),
+            proxies,
+            SPAN,
+            Math.round(scenario.durationSeconds() * 10_000));
+    return new Recording(head, samples);
+  }
+
+  private List<Recording.Type> requestClasses() {
+    List<Recording.Type> classes = new ArrayList<>();
+    for (int k = 0; k < scenario.instance().opTypeNames().size(); k++) {
+      String name = scenario.instance().opTypeNames().get(k);
+      classes.add(
+          new Recording.Type(
+              name,
+              scenario.instance().opTimeouts().get(k),
+              Math.round(scenario.endpointModel().serviceTimeMillis().get(name) * 10)));
+    }
+    return classes;
+  }
+
+  private void addProcesses(List<LoadSample> samples) {
+    Map<String, Integer> zones = new HashMap<>();
+    for (Evidence.ProcessChange change : evidence.of(Evidence.ProcessChange.class)) {
+      zones.put(change.endpoint(), zone(change.zone()));
       samples.add(
           new LoadSample.Ran(
-              at(life.at()),
-              life.endpoint(),
-              zone(life.zone()),
-              life.up() ? day.cores() : 0,
+              at(change.at()),
+              change.endpoint(),
+              zone(change.zone()),
+              change.up() ? scenario.endpointModel().cores() : 0,
               1,
-              life.cold()));
+              change.warmingUp()));
     }
-    for (Evidence.Listed told : evidence.of(Evidence.Listed.class)) {
-      EndpointRecord.State state = state(told.state());
-      // An endpoint that was up before the scenario is long warm; nothing tells how long.
-      long started = told.startedAt() > began ? at(told.startedAt()) : 0;
+    for (Evidence.Listed listed : evidence.of(Evidence.Listed.class)) {
+      // An endpoint that ran before the start has warmed up long ago; no start is known of it.
+      long started = listed.startedAt() > startedMillis ? at(listed.startedAt()) : 0;
       samples.add(
           new LoadSample.Listed(
-              at(told.at()),
-              told.endpoint(),
-              zoneOf.getOrDefault(told.endpoint(), 0),
+              at(listed.at()),
+              listed.endpoint(),
+              zones.getOrDefault(listed.endpoint(), 0),
               1,
-              state,
+              state(listed.state()),
               started));
     }
-    for (Evidence.FalseReport claims : evidence.of(Evidence.FalseReport.class)) {
-      samples.add(new LoadSample.Claimed(at(claims.at()), claims.endpoint(), claims.times()));
+  }
+
+  private void addFalseReports(List<LoadSample> samples) {
+    for (Evidence.FalseReport report : evidence.of(Evidence.FalseReport.class)) {
+      samples.add(new LoadSample.Claimed(at(report.at()), report.endpoint(), report.multiple()));
     }
-    for (Scenario.Fault t : day.faults()) {
-      if (t.kind().equals("late_reports")) {
-        samples.add(new LoadSample.Late(Math.round(t.atMillis() * 10), Math.round(t.size() * 10)));
-        samples.add(new LoadSample.Late(Math.round((t.atMillis() + t.forMillis()) * 10), 0));
+  }
+
+  private void addLateReports(List<LoadSample> samples) {
+    for (Scenario.Fault fault : scenario.faults()) {
+      if (fault.kind() == FaultKind.LATE_REPORTS) {
+        long start = Math.round(fault.atMillis() * 10);
+        long end = Math.round((fault.atMillis() + fault.durationMillis()) * 10);
+        samples.add(new LoadSample.Late(start, Math.round(fault.magnitude() * 10)));
+        samples.add(new LoadSample.Late(end, 0));
       }
     }
-    arrivals(samples, proxies);
-    samples.sort(Comparator.comparingLong(LoadSample::at));
-    List<Recording.Type> types = new ArrayList<>();
-    for (int k = 0; k < day.assigner().opTypeNames().size(); k++) {
-      String type = day.assigner().opTypeNames().get(k);
-      types.add(
-          new Recording.Type(
-              type,
-              day.assigner().opTimeouts().get(k),
-              Math.round(day.serviceTimeMillis().get(type) * 10)));
-    }
-    return new Recording(
-        new Recording.Head(
-            Recording.VERSION,
-            name,
-            day.assigner().settings(),
-            day.assigner().zones(),
-            types,
-            proxies,
-            SPAN,
-            Math.round(day.seconds() * 10_000)),
-        samples);
   }
 
-  private void arrivals(List<LoadSample> samples, List<Recording.Proxy> proxies) {
-    Map<String, Integer> index = new HashMap<>();
+  private void addArrivals(List<LoadSample> samples, List<Recording.Proxy> proxies) {
+    Map<String, Integer> proxyIndex = new HashMap<>();
     for (int p = 0; p < proxies.size(); p++) {
-      index.put(proxies.get(p).name(), p);
+      proxyIndex.put(proxies.get(p).name(), p);
     }
+    List<String> classNames = scenario.instance().opTypeNames();
     TreeMap<Long, int[]> counts = new TreeMap<>();
-    int types = day.assigner().opTypeNames().size();
-    for (Evidence.Outcome op : evidence.of(Evidence.Outcome.class)) {
-      // Told with the span's end, and played in the span after it: one span late, evenly.
-      long span = at(op.askedAt()) / SPAN + 1;
-      int proxy = index.get(op.proxy());
-      counts
-          .computeIfAbsent(span * proxies.size() + proxy, c -> new int[types])[
-          day.assigner().opTypeNames().indexOf(op.requestClass())]++;
+    for (Evidence.Outcome outcome : evidence.of(Evidence.Outcome.class)) {
+      // A sample stands at its span's end: all requests are one span late, evenly.
+      long span = at(outcome.askedAt()) / SPAN + 1;
+      long key = span * proxies.size() + proxyIndex.get(outcome.proxy());
+      int[] byClass = counts.computeIfAbsent(key, k -> new int[classNames.size()]);
+      byClass[classNames.indexOf(outcome.requestClass())]++;
     }
     counts.forEach(
-        (key, requests) ->
+        (key, byClass) ->
             samples.add(
                 new LoadSample.Came(
-                    key / proxies.size() * SPAN, (int) (key % proxies.size()), requests)));
+                    key / proxies.size() * SPAN, (int) (key % proxies.size()), byClass)));
   }
 
-  private static EndpointRecord.State state(String word) {
-    return word.equals("gone")
+  private static EndpointRecord.State state(String listed) {
+    return listed.equals("gone")
         ? EndpointRecord.State.REMOVED
-        : EndpointRecord.State.valueOf(word.toUpperCase(java.util.Locale.ROOT));
+        : EndpointRecord.State.valueOf(listed.toUpperCase(Locale.ROOT));
   }
 }
--- /dev/null
+++ b/src/main/java/stonespring/testbed/ScenarioReport.java
@@ -0,0 +1,28 @@
+package stonespring.testbed;
+
+import java.util.TreeMap;
+
+/** The report that a person reads after a run. */
+public final class ScenarioReport {
+  private ScenarioReport() {}
+
+  /** Writes a verdict as lines of text. */
+  public static String format(InvariantChecker.Verdict verdict) {
+    StringBuilder out = new StringBuilder();
+    out.append(
+        String.format(
+            "service %.3f (whole), %.3f (worst 10 s), %.3f (worst op type, %s); simulated tasks%n",
+            verdict.service(),
+            verdict.worstWindow(),
+            verdict.worstClass(),
+            verdict.worstClassName()));
+    new TreeMap<>(verdict.counts())
+        .forEach((what, number) -> out.append(String.format("  %-55s %d%n", what, number)));
+    if (verdict.violations().isEmpty()) {
+      out.append(String.format("all five rules kept%n"));
+    } else {
+      verdict.violations().forEach(line -> out.append(String.format("BROKEN %s%n", line)));
+    }
+    return out.toString();
+  }
+}
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -1,6 +1,7 @@
 package stonespring.testbed;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
@@ -21,10 +22,10 @@
   private static final int ZONES = 4;
   private static final int REQUEST_CLASSES = 3;
   private static final int ROUTES = 10;
-  private static final double UTILIZATION = 0.65; // share of what the warm endpoints can do
-  private static final double WARM_UP_FRACTION = 0.3; // share of a warming-up endpoint's capacity
-  private static final int WARM_UP_ROUNDS = 3; // rounds before the first that counts
-  private static final int CHANGES_PER_ROUND = 8; // small changes a round
+  private static final double UTILIZATION = 0.65; // of all capacity
+  private static final double WARM_UP_FRACTION = 0.3;
+  private static final int WARM_UP_ROUNDS = 3; // not measured
+  private static final int CHANGES_PER_ROUND = 8;
   private static final CostModel COST_MODEL = new CostModel(1, 0.06, 0.2);
 
   private final SplittableRandom random;
@@ -32,22 +33,24 @@
   private final List<Problem.Proxy> proxies = new ArrayList<>();
 
   /**
-   * @param taskCount at least 1
+   * Draws a fleet.
+   *
+   * @param endpointCount at least 1
    */
   SolverTrial(long seed, int endpointCount, int proxyCount) {
     random = new SplittableRandom(seed);
     double totalCapacity = 0;
     for (int t = 0; t < endpointCount; t++) {
       double capacity = 5 + 20 * random.nextDouble();
-      boolean cold = t % 25 == 24;
-      double now = cold ? WARM_UP_FRACTION * capacity : capacity;
+      boolean warmingUp = t % 25 == 24;
+      double now = warmingUp ? WARM_UP_FRACTION * capacity : capacity;
       endpoints.add(
           new Problem.Endpoint(
               new EndpointId("t" + t),
               new ZoneId(random.nextInt(ZONES)),
               now,
-              cold ? now : Double.POSITIVE_INFINITY,
-              cold ? 2 * now : Double.POSITIVE_INFINITY,
+              warmingUp ? now : Double.POSITIVE_INFINITY,
+              warmingUp ? 2 * now : Double.POSITIVE_INFINITY,
               new double[REQUEST_CLASSES]));
       totalCapacity += now;
     }
@@ -59,54 +62,53 @@
     }
     for (int p = 0; p < proxyCount; p++) {
       double[] requests = new double[REQUEST_CLASSES];
-      java.util.Arrays.fill(
-          requests, size[p] / all * totalCapacity * UTILIZATION / REQUEST_CLASSES);
+      Arrays.fill(requests, size[p] / all * totalCapacity * UTILIZATION / REQUEST_CLASSES);
       proxies.add(
           new Problem.Proxy(
               new ProxyId(p), new ZoneId(random.nextInt(ZONES)), requests, List.of()));
     }
   }
 
-  /** The fleet as it is, with the lines of a plan held; null for none. */
+  /** The fleet as it is, with the routes of a plan held; null for none. */
   Problem problem(Plan held) {
     List<Problem.Proxy> now = new ArrayList<>();
     for (int p = 0; p < proxies.size(); p++) {
-      List<Problem.Route> lines = held == null ? List.of() : held.tables().get(p).asHeld();
+      List<Problem.Route> routes = held == null ? List.of() : held.tables().get(p).asHeld();
       now.add(
           new Problem.Proxy(
-              proxies.get(p).id(), proxies.get(p).zone(), proxies.get(p).requestRates(), lines));
+              proxies.get(p).id(), proxies.get(p).zone(), proxies.get(p).requestRates(), routes));
     }
     return new Problem(ZONES, REQUEST_CLASSES, ROUTES, COST_MODEL, endpoints, now);
   }
 
-  /** One in a hundred endpoints and proxies changes by up to three tenths. */
+  /** Changes one in a hundred endpoints and proxies by up to 30 percent. */
   void change() {
     for (int i = 0; i < Math.max(1, proxies.size() / 100); i++) {
-      Problem.Proxy p = proxies.get(random.nextInt(proxies.size()));
-      double by = 0.7 + 0.6 * random.nextDouble();
-      double[] requests =
-          java.util.Arrays.stream(p.requestRates()).map(each -> each * by).toArray();
-      proxies.set(p.id().number(), new Problem.Proxy(p.id(), p.zone(), requests, List.of()));
+      Problem.Proxy proxy = proxies.get(random.nextInt(proxies.size()));
+      double factor = 0.7 + 0.6 * random.nextDouble();
+      double[] requests = Arrays.stream(proxy.requestRates()).map(rate -> rate * factor).toArray();
+      proxies.set(
+          proxy.id().number(), new Problem.Proxy(proxy.id(), proxy.zone(), requests, List.of()));
     }
     for (int i = 0; i < Math.max(1, endpoints.size() / 100); i++) {
       int at = random.nextInt(endpoints.size());
-      Problem.Endpoint t = endpoints.get(at);
-      double by = 0.7 + 0.6 * random.nextDouble();
+      Problem.Endpoint endpoint = endpoints.get(at);
+      double factor = 0.7 + 0.6 * random.nextDouble();
       endpoints.set(
           at,
           new Problem.Endpoint(
-              t.id(),
-              t.zone(),
-              by * t.capacity(),
-              by * t.maxLoad(),
-              by * t.maxNamedDemand(),
-              t.failureShares()));
+              endpoint.id(),
+              endpoint.zone(),
+              factor * endpoint.capacity(),
+              factor * endpoint.maxLoad(),
+              factor * endpoint.maxNamedDemand(),
+              endpoint.failureShares()));
     }
   }
 
   /**
-   * Whole solves and ones after a change of one in a hundred, by turns, after some to warm up:
-   * times and the gap.
+   * Measures solves from nothing and after small changes, by turns, and returns the report with
+   * times and the gap to the lower bound.
    */
   public static String run(int endpointCount, int proxyCount, int rounds) {
     Histogram whole = new Histogram(3);
@@ -116,22 +118,22 @@
     for (int round = -WARM_UP_ROUNDS; round < rounds; round++) {
       SolverTrial trial = new SolverTrial(round + WARM_UP_ROUNDS + 1, endpointCount, proxyCount);
       Solver solver = new Solver();
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       Plan plan = solver.solve(trial.problem(null));
-      long took = System.nanoTime() - from;
+      long tookNanos = System.nanoTime() - startNanos;
       for (int i = 0; i < CHANGES_PER_ROUND; i++) {
         trial.change();
         Problem problem = trial.problem(plan);
-        from = System.nanoTime();
+        startNanos = System.nanoTime();
         plan = solver.solve(problem);
         if (round >= 0) {
-          small.recordValue(System.nanoTime() - from);
+          small.recordValue(System.nanoTime() - startNanos);
           changed += (double) plan.changedRoutes() / rounds / CHANGES_PER_ROUND;
           gap = Math.max(gap, plan.gap());
         }
       }
       if (round >= 0) {
-        whole.recordValue(took);
+        whole.recordValue(tookNanos);
       }
     }
     return String.format(
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -16,71 +16,89 @@
 import stonespring.model.Settings;
 import stonespring.proxy.routing.RouterSettings;
 
-/** Stand-ins run by themselves, for trying things out by hand. */
+/** Stand-ins run by themselves, for trials by hand, and settings of proxies in the test bed. */
 public final class StandIns {
-  private static final long MIN_EJECTION =
-      26_000; // 0.1 ms; as deployments' proxies keep away from a failing endpoint
-  private static final long MAX_EJECTION = 64_000; // 0.1 ms; as above
-  private static final long MIN_TIME_FOR_RETRY = 500; // 0.1 ms; less is no time for a further try
+  // In units of 0.1 ms.
+  private static final long MIN_EJECTION = 26_000;
+  private static final long MAX_EJECTION = 64_000;
+  private static final long MIN_TIME_FOR_RETRY = 500;
+
+  private static final int QUEUE_LIMIT = 200;
+  private static final int CONNECTION_LIMIT = 1000;
+  private static final double HANDSHAKE_MILLIS = 1;
+  private static final EndpointStandIn.SlowStart SLOW_START =
+      new EndpointStandIn.SlowStart(0.2, 10_000, 4, 2_000);
 
   private StandIns() {}
 
   /**
-   * How a proxy of these settings routes; {@code window}: how long endpoints drop a repeat, tenths
-   * of a millisecond.
+   * How proxies route by an instance's settings.
+   *
+   * @param deduplicationWindow how long endpoints remember a request of a class, in 0.1 ms
    */
-  public static RouterSettings routing(InstanceSettings of, ToLongFunction<RequestClass> window) {
-    return routing(of.settings(), of.opTypeNames(), window);
+  public static RouterSettings routing(
+      InstanceSettings settings, ToLongFunction<RequestClass> deduplicationWindow) {
+    return routing(settings.settings(), settings.opTypeNames(), deduplicationWindow);
   }
 
   /** The same for settings and the names of their request classes. */
   public static RouterSettings routing(
-      Settings s, List<String> names, ToLongFunction<RequestClass> window) {
-    List<RouterSettings.ClassSettings> types = new ArrayList<>();
-    for (int k = 0; k < s.requestClasses().size(); k++) {
-      RequestClass type = s.requestClasses().get(k);
-      types.add(
+      Settings settings,
+      List<String> requestClassNames,
+      ToLongFunction<RequestClass> deduplicationWindow) {
+    List<RouterSettings.ClassSettings> classes = new ArrayList<>();
+    for (int k = 0; k < settings.requestClasses().size(); k++) {
+      RequestClass requestClass = settings.requestClasses().get(k);
+      classes.add(
           new RouterSettings.ClassSettings(
-              names.get(k), type.retrySafety(), window.applyAsLong(type)));
+              requestClassNames.get(k),
+              requestClass.retrySafety(),
+              deduplicationWindow.applyAsLong(requestClass)));
     }
     return new RouterSettings(
-        types,
-        s.routing().ejectAfterConsecutiveFailures(),
+        classes,
+        settings.routing().ejectAfterConsecutiveFailures(),
         MIN_EJECTION,
         MAX_EJECTION,
         MIN_TIME_FOR_RETRY,
         RouterSettings.Picking.TWO_CHOICES,
-        s.admissionLimitKind());
+        settings.admissionLimitKind());
   }
 
-  /** The settings' request timeouts as proxies take them, milliseconds. */
-  public static List<Long> opTimeouts(InstanceSettings of) {
-    return of.opTimeouts().stream().map(t -> t / 10).toList();
+  /** The request timeouts of all classes in milliseconds, in the settings' order. */
+  public static List<Long> requestTimeoutsMillis(InstanceSettings settings) {
+    return settings.opTimeouts().stream().map(timeout -> timeout / 10).toList();
   }
 
-  /** An endpoint at a port; its id as lists name it. */
+  /** Starts an endpoint at a port and returns its id as endpoint lists have it. */
   public static String endpoint(
-      String name, String zone, int port, int cores, double serviceTimeMillis, boolean cold)
+      String name, String zone, int port, int cores, double serviceTimeMillis, boolean warmingUp)
       throws IOException, InterruptedException {
     EndpointStandIn.Specification specification =
         new EndpointStandIn.Specification(
-            cores, 200, 1000, 1, Map.of(), serviceTimeMillis, Map.of(), 0.2, 10_000, 4, 2_000);
+            cores,
+            QUEUE_LIMIT,
+            CONNECTION_LIMIT,
+            HANDSHAKE_MILLIS,
+            new EndpointStandIn.ServiceTimes(Map.of(), serviceTimeMillis),
+            Map.of(),
+            SLOW_START);
     EndpointStandIn endpoint =
         new EndpointStandIn(name, zone, specification, loops(), new Evidence(false), 1);
     endpoint.listenAt(port);
-    endpoint.start(cold);
+    endpoint.start(warmingUp);
     return endpoint.id();
   }
 
-  /** A registry whose list comes from a file; its address. */
+  /** Starts a registry whose list comes from a file, and returns its address. */
   public static String registry(Path file, List<String> zones, int port)
       throws IOException, InterruptedException {
     MultiThreadIoEventLoopGroup loops = loops();
     RegistryStandIn registry = new RegistryStandIn(loops, new Evidence(false), 0);
     registry.start(port);
-    EndpointListCodec entries = new EndpointListCodec(zones, 0);
-    new FileEndpointSource(file, entries, (EventLoop) loops.next())
-        .start(told -> {}, list -> registry.whole(list, zones));
+    EndpointListCodec codec = new EndpointListCodec(zones, 0);
+    new FileEndpointSource(file, codec, (EventLoop) loops.next())
+        .start(problem -> {}, list -> registry.replaceAll(list, zones));
     return "127.0.0.1:" + registry.port();
   }
 
--- /dev/null
+++ b/src/main/java/stonespring/testbed/Timeline.java
@@ -0,0 +1,81 @@
+package stonespring.testbed;
+
+import java.util.Comparator;
+import java.util.PriorityQueue;
+
+/**
+ * What is due during a scenario, in order of time and, at one time, of entry. Actions run on the
+ * thread that calls {@link #play}; only that thread may use a timeline. Times are milliseconds
+ * since {@link #start}.
+ */
+final class Timeline {
+  /** One step of a scenario. */
+  interface Action {
+    void run() throws Exception;
+  }
+
+  private record Scheduled(double atMillis, long sequence, Action action) {}
+
+  private final Evidence evidence;
+  private final PriorityQueue<Scheduled> scheduled =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(Scheduled::atMillis).thenComparing(Scheduled::sequence));
+  private long sequence;
+  private double startedMillis;
+
+  /**
+   * Creates an empty timeline.
+   *
+   * @param evidence its clock is the timeline's
+   */
+  Timeline(Evidence evidence) {
+    this.evidence = evidence;
+  }
+
+  /** Makes the present the timeline's zero. */
+  void start() {
+    startedMillis = evidence.now();
+  }
+
+  /** The timeline's zero on the evidence's clock, milliseconds. */
+  double startedMillis() {
+    return startedMillis;
+  }
+
+  double now() {
+    return evidence.now() - startedMillis;
+  }
+
+  void at(double millis, Action action) {
+    scheduled.add(new Scheduled(millis, sequence++, action));
+  }
+
+  /** Runs one action at once and another when the fault ends. */
+  void during(Scenario.Fault fault, Action begin, Action end) throws Exception {
+    begin.run();
+    at(now() + fault.durationMillis(), end);
+  }
+
+  /** Schedules an action at each of the fault's intervals while it lasts. */
+  void repeatedly(Scenario.Fault fault, Action action) {
+    // The clock is read again each time: an action that falls on the fault's end is included.
+    for (double when = now();
+        when < now() + fault.durationMillis();
+        when += fault.intervalMillis()) {
+      at(when, action);
+    }
+  }
+
+  /** Runs what is due until a time. */
+  void play(double untilMillis) throws Exception {
+    while (now() < untilMillis) {
+      Scheduled next = scheduled.peek();
+      if (next != null && next.atMillis() <= now()) {
+        scheduled.poll().action().run();
+      } else {
+        double wakeUp = Math.min(untilMillis, next == null ? untilMillis : next.atMillis());
+        Thread.sleep((long) Math.max(1, wakeUp - now()));
+      }
+    }
+  }
+}
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -2,63 +2,33 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 
 /**
- * Reads the channel's bytes as they pass a proxy's link, with a reader of its own: nothing here is
- * shared with the program's decoders. Listener 1 carries updates down, listener 2 the proxy's words
- * up.
+ * Observes commits and presence on a proxy's link, with a decoder of its own: nothing here is
+ * shared with the product's decoders. Runs on the link's event loop.
  */
 final class WireTap implements FaultyLink.Tap {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** One direction's bytes, cut into messages. */
-  private static final class FrameParser {
-    private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
-    private final List<byte[]> frames = new ArrayList<>();
-    private int greetingLeft = 64;
+  /** The link's listener for updates, towards the proxy. */
+  private static final int UPDATE_LISTENER = 1;
 
-    List<List<byte[]>> messages(byte[] more) {
-      List<List<byte[]>> whole = new ArrayList<>();
-      rest.writeBytes(more);
-      byte[] all = rest.toByteArray();
-      int at = Math.min(greetingLeft, all.length);
-      greetingLeft -= at;
-      while (at + 2 <= all.length) {
-        boolean large = (all[at] & 2) != 0;
-        if (large && at + 9 > all.length) {
-          break;
-        }
-        long size = large ? java.nio.ByteBuffer.wrap(all, at + 1, 8).getLong() : all[at + 1] & 0xFF;
-        int body = at + (large ? 9 : 2);
-        if (body + size > all.length) {
-          break;
-        }
-        if ((all[at] & 4) == 0) {
-          frames.add(java.util.Arrays.copyOfRange(all, body, (int) (body + size)));
-          if ((all[at] & 1) == 0) {
-            whole.add(new ArrayList<>(frames));
-            frames.clear();
-          }
-        }
-        at = (int) (body + size);
-      }
-      rest.reset();
-      rest.write(all, at, all.length - at);
-      return whole;
-    }
-  }
+  /** The link's listener for what the proxy publishes. */
+  private static final int COLLECTOR_LISTENER = 2;
+
+  private static final int UPDATE_FRAMES = 5;
 
   private final String proxy;
   private final Evidence evidence;
-  private final Map<Long, FrameParser> parsers = new HashMap<>();
-  private final Map<Long, Boolean> present = new HashMap<>();
+  private final Map<Long, WireTapFrameParser> parsers = new HashMap<>();
+  private final Set<Long> present = new HashSet<>();
 
   WireTap(String proxy, Evidence evidence) {
     this.proxy = proxy;
@@ -66,35 +36,50 @@
   }
 
   @Override
-  public void passed(int listener, long pair, boolean down, byte[] bytes) {
-    if (listener == 0 || down != (listener == 1)) {
+  public void passed(int listener, long connection, boolean towardsProxy, byte[] bytes) {
+    boolean updates = listener == UPDATE_LISTENER && towardsProxy;
+    boolean published = listener == COLLECTOR_LISTENER && !towardsProxy;
+    if (!updates && !published) {
       return;
     }
-    for (List<byte[]> message :
-        parsers.computeIfAbsent(pair, p -> new FrameParser()).messages(bytes)) {
-      String key = new String(message.get(0), StandardCharsets.UTF_8);
-      if (message.size() == 5
-          && listener == 1
-          && key.equals("/proxy/" + proxy + "/commit")
-          && message.get(4).length > 0) {
-        evidence.add(new Evidence.Commit(evidence.now(), proxy));
-      } else if (listener == 2
-          && key.equals("/presence/" + proxy)
-          && present.put(pair, true) == null) {
-        evidence.add(new Evidence.Session(evidence.now(), proxy, true));
+    WireTapFrameParser parser =
+        parsers.computeIfAbsent(connection, key -> new WireTapFrameParser());
+    for (List<byte[]> message : parser.parse(bytes)) {
+      if (updates) {
+        updatePassed(message);
+      } else {
+        publishedPassed(connection, message);
       }
     }
   }
 
+  private void updatePassed(List<byte[]> message) {
+    if (message.size() == UPDATE_FRAMES
+        && key(message).equals("/proxy/" + proxy + "/commit")
+        && message.get(UPDATE_FRAMES - 1).length > 0) {
+      evidence.add(new Evidence.Commit(evidence.now(), proxy));
+    }
+  }
+
+  private void publishedPassed(long connection, List<byte[]> message) {
+    if (key(message).equals("/presence/" + proxy) && present.add(connection)) {
+      evidence.add(new Evidence.Session(evidence.now(), proxy, true));
+    }
+  }
+
+  private static String key(List<byte[]> message) {
+    return new String(message.get(0), StandardCharsets.UTF_8);
+  }
+
   @Override
-  public void ended(int listener, long pair) {
-    parsers.remove(pair);
-    if (present.remove(pair) != null) {
+  public void ended(int listener, long connection) {
+    parsers.remove(connection);
+    if (present.remove(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, false));
     }
   }
 
-  /** Who can't be reached is not joined; it is again with the next word of presence that passes. */
+  /** A proxy that can't be reached counts as disconnected until its presence passes again. */
   @Override
   public void frozen() {
     if (!present.isEmpty()) {
@@ -103,19 +88,20 @@
     }
   }
 
-  /** What an instance's status says of its channel, as evidence. */
+  /**
+   * Adds what an instance's status says of its channel; an unreadable status counts as over the
+   * limit.
+   */
   static void status(Evidence evidence, byte[] json) {
     try {
       JsonNode node = JSON.readTree(json);
       evidence.add(
-          new Evidence.Channel(
+          new Evidence.ChannelBacklog(
               evidence.now(),
               node.path("backlog_high").asInt(),
               node.path("backlog_limit").asInt()));
     } catch (IOException e) {
-      evidence.add(
-          new Evidence.Channel(
-              evidence.now(), Integer.MAX_VALUE, 0)); // what can't be read is no proof
+      evidence.add(new Evidence.ChannelBacklog(evidence.now(), Integer.MAX_VALUE, 0));
     }
   }
 }
--- a/src/test/java/stonespring/testbed/FaultyLinkTest.java
+++ b/src/test/java/stonespring/testbed/FaultyLinkTest.java
@@ -50,14 +50,14 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private void settled() throws InterruptedException {
-    loops.next().submit(() -> {}).sync(); // what was told to the link is in force
+  private void awaitLink() throws InterruptedException {
+    loops.next().submit(() -> {}).sync(); // the link's event loop has run what was queued
   }
 
   @Test
-  void bytesPassBothWaysAndOneAtATime() throws Exception {
+  void passesBytesBothWaysOneAtATime() throws Exception {
     link.byteByByte(true);
-    settled();
+    awaitLink();
     near.getOutputStream().write("to the far end".getBytes());
     assertArrayEquals("to the far end".getBytes(), farEnd.getInputStream().readNBytes(14));
     farEnd.getOutputStream().write("and back".getBytes());
@@ -65,9 +65,9 @@
   }
 
   @Test
-  void aCutFallsOnTheStatedByte() throws Exception {
+  void cutsAfterTheStatedByte() throws Exception {
     link.cutAfter(0, 5);
-    settled();
+    awaitLink();
     farEnd.getOutputStream().write("0123456789".getBytes());
     InputStream in = near.getInputStream();
     assertArrayEquals("01234".getBytes(), in.readNBytes(5));
@@ -75,9 +75,9 @@
   }
 
   @Test
-  void whatIsFrozenPassesLaterAndWhole() throws Exception {
+  void passesFrozenBytesLater() throws Exception {
     link.freeze(true);
-    settled();
+    awaitLink();
     farEnd.getOutputStream().write("late".getBytes());
     near.setSoTimeout(50);
     try {
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void aHalfThatIsClosedLeavesTheOtherOpen() throws Exception {
+  void halfCloseLeavesTheOtherDirectionOpen() throws Exception {
     link.halfClose(0);
     assertEquals(-1, near.getInputStream().read());
     near.getOutputStream().write("still".getBytes());
@@ -100,10 +100,10 @@
   }
 
   @Test
-  void aCutEndsConnectionsAndRefusesNewOnes() throws Exception {
+  void cutEndsConnectionsAndRefusesNewOnes() throws Exception {
     link.cut(true);
     assertEquals(-1, near.getInputStream().read());
-    settled();
+    awaitLink();
     try (Socket again = new Socket(InetAddress.getLoopbackAddress(), near.getPort())) {
       again.setSoTimeout(WAIT);
       assertTrue(ends(again));
--- a/src/test/java/stonespring/testbed/InvariantCheckerTest.java
+++ b/src/test/java/stonespring/testbed/InvariantCheckerTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each rule's check sees its break, and passes over what is none. */
+/** Each rule reports its violation and nothing else. */
 final class InvariantCheckerTest {
   private final Evidence evidence = new Evidence(true);
 
@@ -22,13 +22,13 @@
         .judge(40_000);
   }
 
-  private void violations(String start) {
+  private void assertOneViolation(String start) {
     InvariantChecker.Verdict verdict = judge();
     assertEquals(1, verdict.violations().size(), verdict.violations().toString());
     assertTrue(verdict.violations().get(0).startsWith(start), verdict.violations().toString());
   }
 
-  private void kept() {
+  private void assertNoViolation() {
     assertEquals(0, judge().violations().size(), judge().violations().toString());
   }
 
@@ -40,40 +40,39 @@
       int status,
       String reason,
       boolean notExecuted) {
-    evidence.add(
-        new Evidence.Outcome(at, proxy, op, type, status, reason, notExecuted, 100, at + 100));
+    evidence.add(new Evidence.Outcome(at, proxy, op, type, status, reason, notExecuted, 100));
   }
 
-  private void joined(double at, String proxy) {
+  private void connected(double at, String proxy) {
     evidence.add(new Evidence.Session(at, proxy, true));
   }
 
-  private void told(double at, String endpoint, String state) {
+  private void listed(double at, String endpoint, String state) {
     evidence.add(new Evidence.Listed(at, endpoint, state, -1e9));
   }
 
   @Test
-  void aProxyWithoutATaskForLongerThanTheLimit() {
-    told(0, "t", "ready");
-    joined(0, "p");
+  void reportsProxyWithoutEndpointForLongerThanTheLimit() {
+    listed(0, "t", "ready");
+    connected(0, "p");
     for (int i = 0; i < 5; i++) {
       outcome(10_000 + 1000 * i, "p", "o" + i, "view", 503, "no-task", true);
     }
-    kept();
+    assertNoViolation();
     outcome(15_500, "p", "o6", "view", 503, "no-task", true);
-    violations("rule 1: at 15600 ms proxy p for view had no task for 5500 ms");
+    assertOneViolation("rule 1: at 15600 ms proxy p for view had no task for 5500 ms");
   }
 
   @Test
-  void aProxyThatIsNotJoinedOrHasNoWarmTaskListedIsNoBreak() {
-    joined(0, "p");
+  void allowsNoEndpointWhileDisconnectedOrNoWarmEndpointIsListed() {
+    connected(0, "p");
     evidence.add(new Evidence.Listed(0, "t", "ready", 12_000));
     outcome(10_000, "p", "a", "view", 503, "no-task", true);
     outcome(17_000, "p", "b", "view", 503, "no-task", true);
     evidence.add(new Evidence.Session(19_000, "p", false));
     outcome(23_000, "p", "c", "view", 503, "no-task", true);
     outcome(39_000, "p", "d", "view", 503, "no-task", true);
-    kept();
+    assertNoViolation();
   }
 
   private void effect(String op, String type, int attempt) {
@@ -81,75 +80,75 @@
   }
 
   @Test
-  void anEffectTwice() {
+  void reportsDuplicateEffectOfNonIdempotentRequest() {
     effect("v", "view", 1);
     effect("v", "view", 2);
-    kept();
+    assertNoViolation();
     effect("x", "extract", 1);
     effect("x", "extract", 2);
-    violations("rule 2: op x took effect 2 times");
+    assertOneViolation("rule 2: op x took effect 2 times");
   }
 
   @Test
-  void anAnswerThatSaysNotDoneThoughItWas() {
+  void reportsAnswerThatDeniesAnEffect() {
     effect("x", "extract", 1);
     outcome(0, "p", "x", "extract", 503, "failed", true);
-    violations("rule 2: op x was answered 503 as not done and took effect 1 times");
+    assertOneViolation("rule 2: op x was answered 503 as not done and took effect 1 times");
   }
 
   @Test
-  void sendingToATaskThatDrainsAfterTheGrace() {
-    told(0, "t", "ready");
-    told(10_000, "t", "draining");
-    joined(0, "p");
-    joined(12_000, "late");
+  void reportsRequestToDrainingEndpointAfterTheGrace() {
+    listed(0, "t", "ready");
+    listed(10_000, "t", "draining");
+    connected(0, "p");
+    connected(12_000, "late");
     evidence.add(new Evidence.Arrival(12_900, "t", "p", "a", "view", 1));
     evidence.add(new Evidence.Arrival(14_900, "t", "late", "b", "view", 1));
     evidence.add(new Evidence.Arrival(20_000, "t", "never-joined", "c", "view", 1));
-    kept();
+    assertNoViolation();
     evidence.add(new Evidence.Arrival(13_100, "t", "p", "d", "view", 1));
-    violations("rule 3: at 13100 ms proxy p sent to t, 3100 ms after");
+    assertOneViolation("rule 3: at 13100 ms proxy p sent to t, 3100 ms after");
   }
 
   @Test
-  void aTaskThatStartsAgainMayBeSentTo() {
-    told(10_000, "t", "draining");
-    told(12_000, "t", "gone");
-    told(13_000, "t", "ready");
-    joined(0, "p");
+  void allowsRequestToRestartedEndpoint() {
+    listed(10_000, "t", "draining");
+    listed(12_000, "t", "gone");
+    listed(13_000, "t", "ready");
+    connected(0, "p");
     evidence.add(new Evidence.Arrival(30_000, "t", "p", "a", "view", 1));
-    kept();
+    assertNoViolation();
   }
 
   @Test
-  void aColdTaskThatFalls() {
+  void reportsOverloadOfWarmingUpEndpoint() {
     evidence.add(new Evidence.Overloaded(7, "t", 4.5));
-    violations("rule 4: at 7 ms cold task t was sent 4.5 times");
+    assertOneViolation("rule 4: at 7 ms cold task t was sent 4.5 times");
   }
 
   @Test
-  void aBacklogOverItsLimit() {
-    evidence.add(new Evidence.Channel(1, 100, 100));
-    kept();
-    evidence.add(new Evidence.Channel(2, 101, 100));
-    violations("rule 5: at 2 ms 101 lines wait, the limit is 100");
+  void reportsBacklogOverItsLimit() {
+    evidence.add(new Evidence.ChannelBacklog(1, 100, 100));
+    assertNoViolation();
+    evidence.add(new Evidence.ChannelBacklog(2, 101, 100));
+    assertOneViolation("rule 5: at 2 ms 101 lines wait, the limit is 100");
   }
 
   @Test
-  void tooManyMessagesToOneProxy() {
+  void reportsTooManyMessagesToOneProxy() {
     for (int i = 0; i < 3; i++) {
       evidence.add(new Evidence.Commit(i, "p"));
       evidence.add(new Evidence.Commit(11_000 + i, "p"));
     }
-    kept();
+    assertNoViolation();
     evidence.add(new Evidence.Commit(11_500, "p"));
-    violations("rule 5: at 11500 ms proxy p had 4 messages");
+    assertOneViolation("rule 5: at 11500 ms proxy p had 4 messages");
   }
 
   @Test
-  void serviceIsTheBenefitInTimeOverTheBenefitAskedFor() {
+  void serviceIsPriorityWeightInTimeOverPriorityWeightAskedFor() {
     outcome(0, "p", "a", "view", 200, "", false);
-    evidence.add(new Evidence.Outcome(20_000, "p", "b", "view", 200, "", false, 501, 20_501));
+    evidence.add(new Evidence.Outcome(20_000, "p", "b", "view", 200, "", false, 501));
     outcome(30_000, "p", "c", "extract", 429, "level", true);
     InvariantChecker.Verdict verdict = judge();
     assertEquals(3.0 / 8, verdict.service(), 1e-9);
--- a/src/test/java/stonespring/testbed/ScenarioTest.java
+++ b/src/test/java/stonespring/testbed/ScenarioTest.java
@@ -12,7 +12,7 @@
  * The whole path on sockets, with an instance in a process of its own that is killed on the way.
  */
 final class ScenarioTest {
-  private static final String DAY =
+  private static final String SCRIPT =
       """
             assigner = {"port": 0}
             fleet = {"zones": ["west", "east"], "proxies": 6, "standing_lines": 3, "shun_after": 3}
@@ -41,8 +41,8 @@
             """;
 
   @Test
-  void aShortBadDayKeepsEveryRule(@TempDir Path folder) throws Exception {
-    Path script = Files.writeString(folder.resolve("day.star"), DAY);
+  void shortScenarioWithFaultsKeepsEveryRule(@TempDir Path folder) throws Exception {
+    Path script = Files.writeString(folder.resolve("day.star"), SCRIPT);
     InvariantChecker.Verdict verdict =
         new ScenarioRun(Scenario.read(script), script, 3, folder).run();
     assertTrue(verdict.violations().isEmpty(), verdict.violations().toString());
@@ -51,7 +51,7 @@
         verdict.counts().get("not repeatable, done once") > 100, verdict.counts().toString());
     assertTrue(verdict.counts().get("messages") > 6, verdict.counts().toString());
     assertTrue(verdict.counts().get("joins") > 12, verdict.counts().toString());
-    assertTrue(verdict.service() > 0.5, ScenarioRun.report(verdict));
+    assertTrue(verdict.service() > 0.5, ScenarioReport.format(verdict));
     assertEquals(
         verdict.counts().get("ops"),
         verdict.counts().getOrDefault("acked", 0)
