--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -98,7 +98,7 @@
   private List<ProxySettings.Ports> assignerPorts(InstanceSettings script)
       throws CommandFailedException {
     if (assigners.isEmpty()) {
-      return List.of(ports(script.host() + ":" + script.port()));
+      return List.of(ports(script.listen().host() + ":" + script.listen().port()));
     }
     List<ProxySettings.Ports> ports = new ArrayList<>();
     for (String assigner : assigners) {
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -55,7 +55,7 @@
     Printer printer = new Printer();
     ChpClient client =
         new ChpClient((EventLoop) eventLoops.next(), subtree, SILENCE_TIMEOUT_MILLIS, printer);
-    client.dial(host, port, false, ZmtpLimits.USUAL);
+    client.connect(host, port, false, ZmtpLimits.DEFAULT);
     try {
       String error =
           follow
--- a/src/main/java/stonespring/daemon/ConfigReloader.java
+++ b/src/main/java/stonespring/daemon/ConfigReloader.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import stonespring.config.InvalidConfigException;
 import stonespring.config.PlatformConfig;
 
 /**
@@ -47,7 +48,7 @@
       daemon.reload(PlatformConfig.read(file));
     } catch (RejectedExecutionException e) {
       LOG.info("the new configuration arrived after the instance's end");
-    } catch (PlatformConfig.BadFile e) {
+    } catch (InvalidConfigException e) {
       LOG.warn("the new configuration is not used, the old one stands: {}", e.getMessage());
     }
   }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -296,7 +296,7 @@
   /** A message as a log line may hold it. */
   static String describe(LineMessage message) {
     StringBuilder text = new StringBuilder(LineMessage.printable(message.kind()));
-    for (Map.Entry<String, String> field : message.words().entrySet()) {
+    for (Map.Entry<String, String> field : message.fields().entrySet()) {
       text.append(' ')
           .append(LineMessage.printable(field.getKey()))
           .append('=')
--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -2,13 +2,15 @@
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import stonespring.http.HttpCallFailure;
+import stonespring.http.HttpCallResult;
 import stonespring.http.HttpClient;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.proxy.Proxy;
 
 /**
@@ -130,28 +132,28 @@
 
   private void attempt(ClientRequest request, int retries) {
     long timeout = (long) Math.max(1, timeLeftMillis(request));
-    HttpMessage message =
-        new HttpMessage(
-                "POST", "/op/" + request.mix().requestClass(), new LinkedHashMap<>(), new byte[0])
-            .with("host", "127.0.0.1:" + proxyAddress.getPort())
-            .with("x-op", request.id())
-            .with("x-op-timeout-ms", String.valueOf(timeout))
-            .with("content-length", "0");
-    client.call(
-        proxyAddress,
-        message,
-        timeout,
-        (answer, failure) -> attemptEnded(request, retries, answer, failure));
+    HttpRequest message =
+        HttpRequest.post(proxyAddress, "/op/" + request.mix().requestClass(), new byte[0])
+            .setHeader("x-op", request.id())
+            .setHeader("x-op-timeout-ms", String.valueOf(timeout))
+            .setHeader("content-length", "0");
+    client.call(proxyAddress, message, timeout, result -> attemptEnded(request, retries, result));
   }
 
-  /** Takes an answer, or a failure where {@code answer} is null. */
-  private void attemptEnded(
-      ClientRequest request, int retries, HttpMessage answer, HttpClient.Failure failure) {
-    boolean succeeded = answer != null && answer.status() == 200;
-    boolean notExecuted =
-        answer != null
-            ? answer.header(Proxy.NOT_RUN).equals("1")
-            : failure == HttpClient.Failure.UNREACHED;
+  private void attemptEnded(ClientRequest request, int retries, HttpCallResult result) {
+    int status = 0;
+    String reason = "";
+    boolean notExecuted = false;
+    if (result instanceof HttpCallResult.Completed completed) {
+      HttpResponse response = completed.response();
+      status = response.status();
+      reason = response.header("x-reason");
+      notExecuted = response.header(Proxy.NOT_RUN).equals("1");
+    } else if (result instanceof HttpCallResult.Failed failed) {
+      reason = String.valueOf(failed.failure());
+      notExecuted = failed.failure() == HttpCallFailure.CONNECT_FAILED;
+    }
+    boolean succeeded = status == 200;
     if (!succeeded
         && retries < MAX_RETRIES
         && timeLeftMillis(request) > RETRY_DELAY_MILLIS + MIN_TIME_AFTER_DELAY_MILLIS
@@ -166,8 +168,8 @@
             proxyName,
             request.id(),
             request.mix().requestClass(),
-            answer == null ? 0 : answer.status(),
-            answer == null ? String.valueOf(failure) : answer.header("x-reason"),
+            status,
+            reason,
             notExecuted,
             evidence.now() - request.askedAt()));
   }
--- a/src/main/java/stonespring/testbed/EndpointStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -12,7 +12,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
 import stonespring.proxy.LoadHeader;
 import stonespring.proxy.Proxy;
@@ -219,12 +220,12 @@
 
   private final class ServerHandler implements HttpServer.Handler {
     @Override
-    public void request(HttpMessage request, HttpServer.Exchange exchange) {
+    public void handle(HttpRequest request, HttpServer.Exchange exchange) {
       loop.execute(() -> receive(request, exchange));
     }
 
     @Override
-    public boolean opened(Channel channel) {
+    public boolean accept(Channel channel) {
       if (openConnections.incrementAndGet() > specification.connectionLimit()) {
         openConnections.decrementAndGet();
         return false;
@@ -246,12 +247,12 @@
     return initial + (1 - initial) * Math.max(0, progress);
   }
 
-  private void receive(HttpMessage request, HttpServer.Exchange exchange) {
+  private void receive(HttpRequest request, HttpServer.Exchange exchange) {
     if (!up || silent || unreachableZones.contains(request.header("x-zone"))) {
       return;
     }
     double now = evidence.now();
-    String path = request.second();
+    String path = request.target();
     String requestClass = path.substring(path.lastIndexOf('/') + 1);
     int attempt = numericHeader(request, "x-try", 1);
     String requestId = request.header("x-op");
@@ -263,9 +264,9 @@
       return;
     }
     if (random.nextDouble() < errorFraction || requestClass.equals(failingRequestClass)) {
-      answer(exchange, HttpMessage.answer(500, "failed\n"));
+      answer(exchange, HttpResponse.of(500, "failed\n"));
     } else if (queue.size() >= specification.queueLimit()) {
-      answer(exchange, HttpMessage.answer(503, "full\n").with(Proxy.NOT_RUN, "1"));
+      answer(exchange, HttpResponse.of(503, "full\n").setHeader(Proxy.NOT_RUN, "1"));
     } else {
       double deadline = now + numericHeader(request, "x-op-timeout-ms", Integer.MAX_VALUE);
       queue.add(new QueuedRequest(requestId, requestClass, attempt, work, deadline, exchange));
@@ -279,7 +280,7 @@
   }
 
   /** A header's number; requests that were sent by hand may lack the header. */
-  private static int numericHeader(HttpMessage request, String header, int otherwise) {
+  private static int numericHeader(HttpRequest request, String header, int otherwise) {
     String value = request.header(header);
     return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : otherwise;
   }
@@ -344,7 +345,7 @@
   private void execute(QueuedRequest request) {
     double now = evidence.now();
     if (now > request.deadline()) {
-      answer(request.exchange(), HttpMessage.answer(504, "too late\n").with(Proxy.NOT_RUN, "1"));
+      answer(request.exchange(), HttpResponse.of(504, "too late\n").setHeader(Proxy.NOT_RUN, "1"));
       return;
     }
     busyCores++;
@@ -356,10 +357,10 @@
     utilization.busy(now, duration);
     whenWorked(
         duration,
-        () -> answer(request.exchange(), HttpMessage.answer(200, "done " + request.id() + "\n")));
+        () -> answer(request.exchange(), HttpResponse.of(200, "done " + request.id() + "\n")));
   }
 
-  private void answer(HttpServer.Exchange exchange, HttpMessage answer) {
+  private void answer(HttpServer.Exchange exchange, HttpResponse answer) {
     if (answer.status() == 200 && random.nextDouble() < lostAnswerFraction) {
       exchange.channel().close();
       return;
@@ -370,6 +371,6 @@
             "TEXT cpu_utilization=%.3f,named_metrics.waiting=%d",
             Math.min(1, reportMultiple * utilization.utilization(evidence.now())),
             queue.size());
-    exchange.answer(answer.with(LoadHeader.NAME, load));
+    exchange.respond(answer.setHeader(LoadHeader.NAME, load));
   }
 }
--- a/src/main/java/stonespring/testbed/FleetMeasurement.java
+++ b/src/main/java/stonespring/testbed/FleetMeasurement.java
@@ -127,7 +127,7 @@
 
   private ProxySettings proxySettings(int index) {
     List<RouterSettings.ClassSettings> classes =
-        settings.opTypeNames().stream()
+        settings.requestClasses().names().stream()
             .map(name -> new RouterSettings.ClassSettings(name, RetrySafety.IDEMPOTENT, 0))
             .toList();
     RouterSettings router =
@@ -170,6 +170,6 @@
           }
         };
     new ChpClient((EventLoop) loops.next(), "/assigner/", 60_000, listener)
-        .dial(LOOPBACK, instance.port(), false, ZmtpLimits.USUAL);
+        .connect(LOOPBACK, instance.port(), false, ZmtpLimits.DEFAULT);
   }
 }
--- a/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
+++ b/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
@@ -44,7 +44,7 @@
           }
         };
     new ChpClient(loop, "/assigner/", SILENCE_MILLIS, listener)
-        .dial("127.0.0.1", instance.port(), false, ZmtpLimits.USUAL);
+        .connect("127.0.0.1", instance.port(), false, ZmtpLimits.DEFAULT);
   }
 
   /** Dials no more; standing connections end with their instances. */
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -11,7 +11,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import stonespring.http.HttpMessage;
+import stonespring.http.HttpRequest;
+import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
 import stonespring.model.EndpointRecord;
 
@@ -144,14 +145,14 @@
     all.forEach(Runnable::run);
   }
 
-  private void receive(HttpMessage request, HttpServer.Exchange exchange) {
+  private void receive(HttpRequest request, HttpServer.Exchange exchange) {
     if (dead) {
       exchange.channel().close();
       return;
     }
-    Matcher query = QUERY.matcher(request.second());
+    Matcher query = QUERY.matcher(request.target());
     if (!query.matches()) {
-      exchange.answer(HttpMessage.answer(404, "no such path\n"));
+      exchange.respond(HttpResponse.of(404, "no such path\n"));
       return;
     }
     long knownIndex = query.group(1) == null ? 0 : Long.parseLong(query.group(1));
@@ -189,10 +190,10 @@
     List<Entry> shown =
         entries.values().stream().filter(entry -> !hidden.contains(entry.name())).toList();
     recordListed(shown);
-    exchange.answer(
-        HttpMessage.answer(200, toJson(shown))
-            .with("x-consul-index", String.valueOf(index))
-            .with("content-type", "application/json"));
+    exchange.respond(
+        HttpResponse.of(200, toJson(shown))
+            .setHeader("x-consul-index", String.valueOf(index))
+            .setHeader("content-type", "application/json"));
   }
 
   /** Records the answer as evidence: changed entries, and those that know when they started. */
--- a/src/main/java/stonespring/testbed/Scenario.java
+++ b/src/main/java/stonespring/testbed/Scenario.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import stonespring.config.InstanceSettings;
-import stonespring.config.Script;
-import stonespring.config.ScriptException;
 import stonespring.config.Section;
-import stonespring.config.SettingsError;
+import stonespring.config.script.Script;
+import stonespring.config.script.ScriptException;
+import stonespring.config.script.SettingsError;
 
 /**
  * A scenario as its script states it. The script's keys keep the operators' words and are mapped
@@ -88,7 +88,7 @@
     Section top = Section.of(file.toString(), Script.run(file), errors);
     InstanceSettings instance = InstanceSettings.decode(top, file);
     Scenario scenario = decode(top.section("day", true), instance);
-    top.done();
+    top.rejectUnknownKeys();
     if (!errors.isEmpty()) {
       throw new ScriptException(errors);
     }
@@ -99,22 +99,22 @@
   private static Scenario decode(Section day, InstanceSettings instance) {
     double duration = day.number("seconds", 1, 3600, null);
     double requests = day.number("ops_per_s", 0.1, 100_000, null);
-    int endpoints = day.whole("tasks_per_zone", 1, 200, null);
-    int proxies = day.whole("proxies_per_zone", 1, 400, null);
-    int cores = day.whole("cores", 1, 64, 2);
-    int queue = day.whole("queue", 1, 10_000, 200);
-    int connections = day.whole("connections", 1, 10_000, 150);
+    int endpoints = day.integer("tasks_per_zone", 1, 200, null);
+    int proxies = day.integer("proxies_per_zone", 1, 400, null);
+    int cores = day.integer("cores", 1, 64, 2);
+    int queue = day.integer("queue", 1, 10_000, 200);
+    int connections = day.integer("connections", 1, 10_000, 150);
     double handshake = day.number("handshake_ms", 0, 100, 5.0);
     Map<String, Double> serviceTimes = new TreeMap<>();
     Map<String, Double> shares = new TreeMap<>();
     Section serviceTimeSection = day.section("work_ms", true);
     Section shareSection = day.section("shares", true);
-    for (String name : instance.opTypeNames()) {
+    for (String name : instance.requestClasses().names()) {
       serviceTimes.put(name, serviceTimeSection.number(name, 0.1, 10_000, null));
       shares.put(name, shareSection.number(name, 0, 1, null));
     }
-    serviceTimeSection.done();
-    shareSection.done();
+    serviceTimeSection.rejectUnknownKeys();
+    shareSection.rejectUnknownKeys();
     double deduplicationWindow = day.number("dedup_window_ms", 0, 60_000, 2000.0);
     double grace = day.number("grace_s", 0.1, 60, null) * MILLIS_PER_SECOND;
     double overloadWindow = day.number("fall_window_s", 0.1, 60, 2.0) * MILLIS_PER_SECOND;
@@ -123,7 +123,7 @@
     for (Section section : day.sections("troubles", 0, 1000)) {
       faults.add(decodeFault(section, duration, instance.zones().size()));
     }
-    day.done();
+    day.rejectUnknownKeys();
     return new Scenario(
         instance,
         duration,
@@ -145,14 +145,14 @@
   private static Fault decodeFault(Section section, double duration, int zones) {
     Fault fault =
         new Fault(
-            FaultKind.of(section.word("kind", FaultKind.scriptNames(), null)),
+            FaultKind.of(section.choice("kind", FaultKind.scriptNames(), null)),
             section.number("at_s", 0, duration, null) * MILLIS_PER_SECOND,
             section.number("for_s", 0, duration, 1.0) * MILLIS_PER_SECOND,
             section.number("part", 0, 1, 0.2),
             section.number("size", 0, 100_000, 1.0),
             section.number("each_s", 0.01, duration, 2.0) * MILLIS_PER_SECOND,
-            section.whole("zone", -1, zones - 1, -1));
-    section.done();
+            section.integer("zone", -1, zones - 1, -1));
+    section.rejectUnknownKeys();
     return fault;
   }
 }
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -103,7 +103,7 @@
   }
 
   List<String> requestClassNames() {
-    return scenario.instance().opTypeNames();
+    return scenario.instance().requestClasses().names();
   }
 
   long listDelayMillis() {
@@ -255,7 +255,7 @@
               scenario.load().shares().get(name),
               scenario.instance().settings().requestClasses().get(k).retrySafety()
                   == RetrySafety.IDEMPOTENT,
-              scenario.instance().opTimeouts().get(k) / 10.0));
+              scenario.instance().requestClasses().timeouts().get(k) / 10.0));
     }
     return mix;
   }
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -42,7 +42,7 @@
   }
 
   /** The run as a recording with a name. */
-  Recording recording(String name, List<Recording.Proxy> proxies) {
+  Recording recording(String name, List<Recording.ProxyInfo> proxies) {
     List<LoadSample> samples = new ArrayList<>();
     addProcesses(samples);
     addFalseReports(samples);
@@ -62,14 +62,14 @@
     return new Recording(head, samples);
   }
 
-  private List<Recording.Type> requestClasses() {
-    List<Recording.Type> classes = new ArrayList<>();
-    for (int k = 0; k < scenario.instance().opTypeNames().size(); k++) {
-      String name = scenario.instance().opTypeNames().get(k);
+  private List<Recording.RequestClassInfo> requestClasses() {
+    List<Recording.RequestClassInfo> classes = new ArrayList<>();
+    for (int k = 0; k < scenario.instance().requestClasses().names().size(); k++) {
+      String name = scenario.instance().requestClasses().names().get(k);
       classes.add(
-          new Recording.Type(
+          new Recording.RequestClassInfo(
               name,
-              scenario.instance().opTimeouts().get(k),
+              scenario.instance().requestClasses().timeouts().get(k),
               Math.round(scenario.endpointModel().serviceTimeMillis().get(name) * 10)));
     }
     return classes;
@@ -80,7 +80,7 @@
     for (Evidence.ProcessChange change : evidence.of(Evidence.ProcessChange.class)) {
       zones.put(change.endpoint(), zone(change.zone()));
       samples.add(
-          new LoadSample.Ran(
+          new LoadSample.ProcessChanged(
               at(change.at()),
               change.endpoint(),
               zone(change.zone()),
@@ -92,7 +92,7 @@
       // An endpoint that ran before the start has warmed up long ago; no start is known of it.
       long started = listed.startedAt() > startedMillis ? at(listed.startedAt()) : 0;
       samples.add(
-          new LoadSample.Listed(
+          new LoadSample.EndpointListed(
               at(listed.at()),
               listed.endpoint(),
               zones.getOrDefault(listed.endpoint(), 0),
@@ -104,7 +104,8 @@
 
   private void addFalseReports(List<LoadSample> samples) {
     for (Evidence.FalseReport report : evidence.of(Evidence.FalseReport.class)) {
-      samples.add(new LoadSample.Claimed(at(report.at()), report.endpoint(), report.multiple()));
+      samples.add(
+          new LoadSample.CapacityClaimed(at(report.at()), report.endpoint(), report.multiple()));
     }
   }
 
@@ -113,18 +114,18 @@
       if (fault.kind() == FaultKind.LATE_REPORTS) {
         long start = Math.round(fault.atMillis() * 10);
         long end = Math.round((fault.atMillis() + fault.durationMillis()) * 10);
-        samples.add(new LoadSample.Late(start, Math.round(fault.magnitude() * 10)));
-        samples.add(new LoadSample.Late(end, 0));
+        samples.add(new LoadSample.ReportsDelayed(start, Math.round(fault.magnitude() * 10)));
+        samples.add(new LoadSample.ReportsDelayed(end, 0));
       }
     }
   }
 
-  private void addArrivals(List<LoadSample> samples, List<Recording.Proxy> proxies) {
+  private void addArrivals(List<LoadSample> samples, List<Recording.ProxyInfo> proxies) {
     Map<String, Integer> proxyIndex = new HashMap<>();
     for (int p = 0; p < proxies.size(); p++) {
       proxyIndex.put(proxies.get(p).name(), p);
     }
-    List<String> classNames = scenario.instance().opTypeNames();
+    List<String> classNames = scenario.instance().requestClasses().names();
     TreeMap<Long, int[]> counts = new TreeMap<>();
     for (Evidence.Outcome outcome : evidence.of(Evidence.Outcome.class)) {
       // A sample stands at its span's end: all requests are one span late, evenly.
@@ -136,7 +137,7 @@
     counts.forEach(
         (key, byClass) ->
             samples.add(
-                new LoadSample.Came(
+                new LoadSample.Arrivals(
                     key / proxies.size() * SPAN, (int) (key % proxies.size()), byClass)));
   }
 
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -74,7 +74,8 @@
 
   private void awaitAnswers() throws ScenarioFailedException, InterruptedException {
     double longestTimeoutMillis =
-        scenario.instance().opTimeouts().stream().mapToLong(t -> t).max().orElse(0) / 10.0;
+        scenario.instance().requestClasses().timeouts().stream().mapToLong(t -> t).max().orElse(0)
+            / 10.0;
     double until = evidence.now() + longestTimeoutMillis + ANSWER_MARGIN_MILLIS;
     while (fleet.openRequests() > 0 && evidence.now() < until) {
       Thread.sleep(5);
@@ -91,7 +92,7 @@
         .recording(
             name,
             fleet.proxies().stream()
-                .map(p -> new Recording.Proxy(p.name(), p.zone(), p.requestsPerSecond()))
+                .map(p -> new Recording.ProxyInfo(p.name(), p.zone(), p.requestsPerSecond()))
                 .toList());
   }
 
@@ -101,7 +102,7 @@
     for (int k = 0; k < settings.requestClasses().size(); k++) {
       RequestClass requestClass = settings.requestClasses().get(k);
       policies.put(
-          scenario.instance().opTypeNames().get(k),
+          scenario.instance().requestClasses().names().get(k),
           new InvariantChecker.RequestClassPolicy(
               requestClass.latencyObjective() / 10.0,
               requestClass.priorityWeight(),
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -38,7 +38,7 @@
    */
   public static RouterSettings routing(
       InstanceSettings settings, ToLongFunction<RequestClass> deduplicationWindow) {
-    return routing(settings.settings(), settings.opTypeNames(), deduplicationWindow);
+    return routing(settings.settings(), settings.requestClasses().names(), deduplicationWindow);
   }
 
   /** The same for settings and the names of their request classes. */
@@ -67,7 +67,7 @@
 
   /** The request timeouts of all classes in milliseconds, in the settings' order. */
   public static List<Long> requestTimeoutsMillis(InstanceSettings settings) {
-    return settings.opTimeouts().stream().map(timeout -> timeout / 10).toList();
+    return settings.requestClasses().timeouts().stream().map(timeout -> timeout / 10).toList();
   }
 
   /** Starts an endpoint at a port and returns its id as endpoint lists have it. */
--- a/src/main/java/stonespring/testbed/ThroughputMeasurement.java
+++ b/src/main/java/stonespring/testbed/ThroughputMeasurement.java
@@ -22,9 +22,9 @@
 import stonespring.chp.ChpBackend;
 import stonespring.chp.ChpMessage;
 import stonespring.chp.ChpServer;
-import stonespring.zmtp.Wire;
+import stonespring.zmtp.ZmtpConnection;
+import stonespring.zmtp.ZmtpEncoder;
 import stonespring.zmtp.ZmtpLimits;
-import stonespring.zmtp.ZmtpPeer;
 
 /** Measures updates through the publisher beside the same bytes written by bare Netty. */
 public final class ThroughputMeasurement {
@@ -98,15 +98,15 @@
   }
 
   private static ZmtpLimits limits() {
-    ZmtpLimits usual = ZmtpLimits.USUAL;
+    ZmtpLimits usual = ZmtpLimits.DEFAULT;
     return new ZmtpLimits(
-        usual.frameBytes(),
-        usual.messageBytes(),
-        usual.frames(),
+        usual.maxFrameBytes(),
+        usual.maxMessageBytes(),
+        usual.maxFrames(),
         MAX_QUEUED_BYTES,
-        usual.subscriptions(),
-        usual.handshakeMillis(),
-        usual.connections());
+        usual.maxSubscriptions(),
+        usual.handshakeTimeoutMillis(),
+        usual.maxConnections());
   }
 
   /** Publishes until each reader has more than the handshake: its subscription is in force. */
@@ -176,7 +176,7 @@
   }
 
   private static byte[] encode(ChpMessage.KvPub update) {
-    ByteBuf encoded = Wire.message(PooledByteBufAllocator.DEFAULT, update.frames());
+    ByteBuf encoded = ZmtpEncoder.message(PooledByteBufAllocator.DEFAULT, update.frames());
     byte[] copy = new byte[encoded.readableBytes()];
     encoded.readBytes(copy);
     encoded.release();
@@ -213,12 +213,12 @@
   /** Holds no keys. */
   private static final class EmptyBackend implements ChpBackend {
     @Override
-    public void snapshotAsked(ZmtpPeer peer, String subtree) {}
+    public void snapshotRequested(ZmtpConnection peer, String subtree) {}
 
     @Override
-    public void keySet(ZmtpPeer peer, ChpMessage.KvSet set) {}
+    public void keySet(ZmtpConnection peer, ChpMessage.KvSet set) {}
 
     @Override
-    public void collectorClosed(ZmtpPeer peer) {}
+    public void collectorClosed(ZmtpConnection peer) {}
   }
 }
--- a/src/test/java/stonespring/proxy/ProofTest.java
+++ b/src/test/java/stonespring/proxy/ProofTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import stonespring.http.HttpClient;
+import stonespring.http.HttpCallFailure;
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointId;
 import stonespring.model.RetrySafety;
@@ -239,9 +239,9 @@
    */
   @Test
   void everyFailureOfACallIsInTheList() {
-    for (HttpClient.Failure failure : HttpClient.Failure.values()) {
+    for (HttpCallFailure failure : HttpCallFailure.values()) {
       assertEquals(
-          failure == HttpClient.Failure.UNREACHED, Proxy.outcome(failure).provesNotExecuted());
+          failure == HttpCallFailure.CONNECT_FAILED, Proxy.outcome(failure).provesNotExecuted());
     }
     assertEquals(RequestOutcome.SUCCEEDED, RequestOutcome.ofAnswer(200, true));
     assertTrue(RequestOutcome.ofAnswer(503, true).provesNotExecuted());
