--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -14,145 +14,163 @@
 import stonespring.proxy.ProxyHeaders;
 
 /**
- * The clients of one proxy: ops come by chance and do not wait for answers. A client asks again by
- * itself after a failure, where the op may run again, or where the answer says that it certainly
- * did not run; all tries count with the first. It gives up at the op timeout.
+ * The clients of one proxy. Requests arrive at random and do not wait for earlier answers. A client
+ * retries after a failure where the request is idempotent or certainly wasn't executed; all its
+ * attempts count as one request. It gives up at the request timeout. Runs on one event loop.
  */
 final class ClientStandIn {
-  /** One op type as clients know it. */
-  record Asked(String opType, double share, boolean retryable, double timeoutMillis) {}
+  /**
+   * One request class as clients send it.
+   *
+   * @param share of all requests
+   */
+  record RequestMix(String requestClass, double share, boolean idempotent, double timeoutMillis) {}
 
-  private static final double TICK = 5; // ms
-  private static final int AGAIN_MOST = 2;
-  private static final long AGAIN_AFTER = 300; // ms
-  private static final int CONNECTIONS = 64;
+  private record ClientRequest(RequestMix mix, String id, double askedAt) {}
+
+  private static final double MAX_TICK_MILLIS = 5;
+  private static final int MAX_RETRIES = 2;
+  private static final long RETRY_DELAY_MILLIS = 300;
+  private static final long MIN_TIME_AFTER_DELAY_MILLIS = 50;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
+  private static final int MAX_ANSWER_BYTES = 64 << 10;
+  private static final int MAX_CONNECTIONS = 64;
 
   private final EventLoop loop;
   private final Evidence evidence;
-  private final List<Asked> types;
-  private final String proxy;
-  private final int port;
+  private final List<RequestMix> requestMix;
+  private final String proxyName;
+  private final InetSocketAddress proxyAddress;
   private final SplittableRandom random;
   private final HttpClient client;
-  private final AtomicInteger open;
-  private volatile double opsPerSecond;
+  private final AtomicInteger openRequests;
+  private volatile double requestsPerSecond;
   private volatile double patience = 1;
   private boolean stopped;
-  private long count;
+  private long requestCount;
 
+  /**
+   * Creates clients that aren't started.
+   *
+   * @param openRequests counts the requests of all clients that have no final answer yet
+   */
   ClientStandIn(
       EventLoop loop,
       Evidence evidence,
-      List<Asked> types,
-      String proxy,
-      int port,
-      double opsPerSecond,
+      List<RequestMix> requestMix,
+      ScenarioProxy proxy,
       long seed,
-      AtomicInteger open) {
+      AtomicInteger openRequests) {
     this.loop = loop;
     this.evidence = evidence;
-    this.types = types;
-    this.proxy = proxy;
-    this.port = port;
-    this.opsPerSecond = opsPerSecond;
+    this.requestMix = requestMix;
+    this.proxyName = proxy.name();
+    this.proxyAddress = new InetSocketAddress("127.0.0.1", proxy.port());
+    this.requestsPerSecond = proxy.requestsPerSecond();
     this.random = new SplittableRandom(seed);
-    this.client = new HttpClient(loop, 500, 64 << 10, CONNECTIONS);
-    this.open = open;
+    this.client = new HttpClient(loop, CONNECT_TIMEOUT_MILLIS, MAX_ANSWER_BYTES, MAX_CONNECTIONS);
+    this.openRequests = openRequests;
   }
 
   void start() {
-    loop.execute(() -> arrive(evidence.now() + gap()));
+    loop.execute(() -> sendDue(evidence.now() + drawGapMillis()));
   }
 
-  void rate(double ops) {
-    opsPerSecond = ops;
+  void rate(double newRequestsPerSecond) {
+    requestsPerSecond = newRequestsPerSecond;
   }
 
-  /** The part of the op timeout after which clients give up. */
-  void patience(double part) {
-    patience = part;
+  /** Sets the fraction of the request timeout after which clients give up. */
+  void patience(double fraction) {
+    patience = fraction;
   }
 
+  /** Sends no new requests; those on their way are finished. */
   void stop() {
     loop.execute(() -> stopped = true);
   }
 
-  private double gap() {
-    return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, opsPerSecond);
+  private double drawGapMillis() {
+    return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, requestsPerSecond);
   }
 
-  private void arrive(double next) {
+  private void sendDue(double firstDueAt) {
     if (stopped) {
       return;
     }
-    double at = next;
-    for (; at <= evidence.now(); at += gap()) {
-      ask();
+    double dueAt = firstDueAt;
+    while (dueAt <= evidence.now()) {
+      send();
+      dueAt += drawGapMillis();
     }
-    double then = at;
-    loop.schedule(
-        () -> arrive(then),
-        (long) Math.max(1, Math.min(TICK, at - evidence.now())),
-        TimeUnit.MILLISECONDS);
+    double nextDueAt = dueAt;
+    long delay = (long) Math.max(1, Math.min(MAX_TICK_MILLIS, nextDueAt - evidence.now()));
+    loop.schedule(() -> sendDue(nextDueAt), delay, TimeUnit.MILLISECONDS);
+  }
+
+  private void send() {
+    RequestMix mix = drawRequestClass();
+    openRequests.incrementAndGet();
+    String id = proxyName + "-" + ++requestCount;
+    attempt(new ClientRequest(mix, id, evidence.now()), 0);
   }
 
-  private void ask() {
+  private RequestMix drawRequestClass() {
     double draw = random.nextDouble();
-    Asked type = types.get(types.size() - 1);
-    for (Asked some : types) {
-      draw -= some.share();
+    for (RequestMix mix : requestMix) {
+      draw -= mix.share();
       if (draw < 0) {
-        type = some;
-        break;
+        return mix;
       }
     }
-    open.incrementAndGet();
-    attempt(type, proxy + "-" + ++count, evidence.now(), 0);
+    return requestMix.get(requestMix.size() - 1);
+  }
+
+  private double timeLeftMillis(ClientRequest request) {
+    return request.askedAt() + request.mix().timeoutMillis() * patience - evidence.now();
   }
 
-  private void attempt(Asked type, String op, double askedAt, int again) {
-    double left = askedAt + type.timeoutMillis() * patience - evidence.now();
-    InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
-    HttpRequest request =
-        HttpRequest.post(address, "/op/" + type.opType(), new byte[0])
-            .setHeader("x-op", op)
-            .setHeader("x-op-timeout-ms", String.valueOf((long) Math.max(1, left)))
+  private void attempt(ClientRequest request, int retries) {
+    long timeout = (long) Math.max(1, timeLeftMillis(request));
+    HttpRequest message =
+        HttpRequest.post(proxyAddress, "/op/" + request.mix().requestClass(), new byte[0])
+            .setHeader("x-op", request.id())
+            .setHeader("x-op-timeout-ms", String.valueOf(timeout))
             .setHeader("content-length", "0");
-    client.call(
-        address,
-        request,
-        (long) Math.max(1, left),
-        result -> {
-          HttpResponse answer =
-              result instanceof HttpCallResult.Completed completed ? completed.response() : null;
-          HttpCallFailure failure =
-              result instanceof HttpCallResult.Failed failed ? failed.failure() : null;
-          boolean good = answer != null && answer.status() == 200;
-          boolean notRun =
-              answer != null
-                  ? answer.header(ProxyHeaders.NOT_EXECUTED).equals("1")
-                  : failure == HttpCallFailure.CONNECT_FAILED;
-          double rest = askedAt + type.timeoutMillis() * patience - evidence.now();
-          if (!good
-              && again < AGAIN_MOST
-              && rest > AGAIN_AFTER + 50
-              && (type.retryable() || notRun)) {
-            loop.schedule(
-                () -> attempt(type, op, askedAt, again + 1), AGAIN_AFTER, TimeUnit.MILLISECONDS);
-            return;
-          }
-          open.decrementAndGet();
-          evidence.add(
-              new Evidence.Outcome(
-                  askedAt,
-                  proxy,
-                  op,
-                  type.opType(),
-                  answer == null ? 0 : answer.status(),
-                  answer == null ? String.valueOf(failure) : answer.header("x-reason"),
-                  notRun,
-                  evidence.now() - askedAt,
-                  evidence.now()));
-        });
+    client.call(proxyAddress, message, timeout, result -> attemptEnded(request, retries, result));
+  }
+
+  private void attemptEnded(ClientRequest request, int retries, HttpCallResult result) {
+    int status = 0;
+    String reason = "";
+    boolean notExecuted = false;
+    if (result instanceof HttpCallResult.Completed completed) {
+      HttpResponse response = completed.response();
+      status = response.status();
+      reason = response.header("x-reason");
+      notExecuted = response.header(ProxyHeaders.NOT_EXECUTED).equals("1");
+    } else if (result instanceof HttpCallResult.Failed failed) {
+      reason = String.valueOf(failed.failure());
+      notExecuted = failed.failure() == HttpCallFailure.CONNECT_FAILED;
+    }
+    boolean succeeded = status == 200;
+    if (!succeeded
+        && retries < MAX_RETRIES
+        && timeLeftMillis(request) > RETRY_DELAY_MILLIS + MIN_TIME_AFTER_DELAY_MILLIS
+        && (request.mix().idempotent() || notExecuted)) {
+      loop.schedule(() -> attempt(request, retries + 1), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+      return;
+    }
+    openRequests.decrementAndGet();
+    evidence.add(
+        new Evidence.Outcome(
+            request.askedAt(),
+            proxyName,
+            request.id(),
+            request.mix().requestClass(),
+            status,
+            reason,
+            notExecuted,
+            evidence.now() - request.askedAt()));
   }
 }
