--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -43,7 +43,7 @@
   private static final double REDUCTION = 0.7;
 
   /** DeciMillis between reductions; the last one shows in reports by then. */
-  private static final long REDUCTION_INTERVAL = 20_000;
+  private static final long REDUCTION_INTERVAL = 2 * DeciMillis.SECOND;
 
   private static final double MIN_CONFIDENCE = 0.4;
 
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import stonespring.model.Command;
 import stonespring.model.DecisionEngine;
+import stonespring.model.DeterministicRandom;
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
@@ -12,6 +13,9 @@
  * commands come at the end of a batch. A batch with new reports runs a scheduling round, about once
  * a report interval; others update only what cannot wait.
  *
+ * <p>A sharded fleet gets no route tables from this engine: its proxies keep to the tables that are
+ * stored for their shards.
+ *
  * <p>Equal settings, seeds and events give equal commands. Not thread-safe.
  */
 public final class AssignmentEngine implements DecisionEngine {
--- a/src/main/java/stonespring/decision/ChannelBudget.java
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -16,10 +16,10 @@
  */
 final class ChannelBudget {
   /** DeciMillis between urgent updates, or exclusion notices, that may wait for each other. */
-  static final long BATCH_INTERVAL = 6_000;
+  static final long BATCH_INTERVAL = 6 * DeciMillis.SECOND / 10;
 
   /** DeciMillis; a message's way, a report interval and its delay. */
-  private static final long ACKNOWLEDGEMENTS_CURRENT_FOR = 30_000;
+  private static final long ACKNOWLEDGEMENTS_CURRENT_FOR = 3 * DeciMillis.SECOND;
 
   /** Times slower than configured, while nothing is acknowledged. */
   private static final double ASSUMED_SLOWDOWN = 5;
--- a/src/main/java/stonespring/decision/EndpointListWatcher.java
+++ b/src/main/java/stonespring/decision/EndpointListWatcher.java
@@ -1,18 +1,20 @@
 package stonespring.decision;
 
 import stonespring.model.Command;
+import stonespring.model.DeciMillis;
+import stonespring.model.DeterministicRandom;
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
 /** Keeps a watch on the endpoint list where one is required, and restarts it with backoff. */
 final class EndpointListWatcher {
   /** DeciMillis; doubled after each failure. */
-  private static final long INITIAL_BACKOFF = 5_000;
+  private static final long INITIAL_BACKOFF = DeciMillis.SECOND / 2;
 
   private static final long MAX_BACKOFF = 8 * INITIAL_BACKOFF;
 
   /** DeciMillis; a request without any answer by then is lost. */
-  private static final long REQUEST_TIMEOUT = 90_000;
+  private static final long REQUEST_TIMEOUT = 9 * DeciMillis.SECOND;
 
   private final Settings settings;
   private final EngineClock clock;
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -10,6 +10,7 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
+import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
@@ -18,7 +19,7 @@
 /** All known endpoints, under dense indexes, and how updates of the endpoint list change them. */
 final class EndpointRegistry {
   /** DeciMillis; longer than any proxy keeps a table that names a removed endpoint. */
-  private static final long FORGET_AFTER = 6_000_000;
+  private static final long FORGET_AFTER = 600 * DeciMillis.SECOND;
 
   /** Share of failures that confirms a removal; more than overloaded endpoints show. */
   private static final double REMOVAL_CONFIRMED_FAILURE_SHARE = 0.8;
--- a/src/main/java/stonespring/decision/EndpointStatistics.java
+++ b/src/main/java/stonespring/decision/EndpointStatistics.java
@@ -14,7 +14,7 @@
   static final double NORMAL_TROUBLE_SHARE = 0.15;
 
   /** DeciMillis beyond a report interval, as reports may be delayed. */
-  private static final long STALE_AFTER = 40_000;
+  private static final long STALE_AFTER = 4 * DeciMillis.SECOND;
 
   /** Observations of the proxies of one zone. */
   private static final class ZoneOutcomes {
--- a/src/main/java/stonespring/decision/EntrantSelector.java
+++ b/src/main/java/stonespring/decision/EntrantSelector.java
@@ -3,6 +3,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
+import stonespring.model.DeciMillis;
+import stonespring.model.DeterministicRandom;
 
 /**
  * Decides which proxies take in an endpoint that is new, has returned or is idle: each does so with
@@ -16,7 +18,7 @@
   private static final double IDLE_FILL = 0.6;
 
   /** DeciMillis between entries of an endpoint; the last one shows in reports by then. */
-  private static final long REENTRY_INTERVAL = 50_000;
+  private static final long REENTRY_INTERVAL = 5 * DeciMillis.SECOND;
 
   private final EngineClock clock;
   private final DeterministicRandom random;
--- a/src/main/java/stonespring/decision/ExponentialAverage.java
+++ b/src/main/java/stonespring/decision/ExponentialAverage.java
@@ -1,9 +1,11 @@
 package stonespring.decision;
 
+import stonespring.model.DeciMillis;
+
 /** Averages in which a sample's weight halves with its age. NaN stands for an unknown value. */
 final class ExponentialAverage {
   /** DeciMillis. */
-  private static final long HALF_LIFE = 20_000;
+  private static final long HALF_LIFE = 2 * DeciMillis.SECOND;
 
   private ExponentialAverage() {}
 
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -3,14 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import stonespring.model.DeciMillis;
 
 /** Moves that were sent and that reports do not show yet: the headroom that they take and free. */
 final class InFlightMoves {
   /** DeciMillis; a message's way, a report interval and its delay. */
-  static final long VISIBLE_AFTER = 30_000;
+  static final long VISIBLE_AFTER = 3 * DeciMillis.SECOND;
 
   /** DeciMillis after which freed room counts without acknowledgement; the paper's 2 s. */
-  private static final long CREDIT_TIMEOUT = 20_000;
+  private static final long CREDIT_TIMEOUT = 2 * DeciMillis.SECOND;
 
   /** One move; rate changes are in requests per second, below 0 where it takes load away. */
   private static final class InFlightMove {
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -2,6 +2,7 @@
 
 import java.util.Map;
 import java.util.Optional;
+import stonespring.model.DeterministicRandom;
 import stonespring.model.Settings;
 
 /**
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -1,15 +1,16 @@
 package stonespring.decision;
 
 import java.util.function.Predicate;
+import stonespring.model.DeciMillis;
 import stonespring.model.Settings;
 
 /** Estimates the traffic of this instance's proxies, and their part of the whole fleet's. */
 final class TrafficEstimator {
   /** DeciMillis; half a report interval and the usual delay of reports. */
-  private static final long VISIBLE_AFTER_CONNECT = 10_000;
+  private static final long VISIBLE_AFTER_CONNECT = DeciMillis.SECOND;
 
   /** DeciMillis; by then the endpoint list tells which endpoints a lost zone took with it. */
-  private static final long COUNTED_AFTER_DISCONNECT = 80_000;
+  private static final long COUNTED_AFTER_DISCONNECT = 8 * DeciMillis.SECOND;
 
   private static final double MIN_SHARE = 0.01;
 
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import stonespring.model.DeciMillis;
 import stonespring.model.Settings;
 
 /**
@@ -12,7 +13,7 @@
  */
 final class UrgentUpdates {
   /** DeciMillis; the time that proxies allow for what left, less a message's way. */
-  private static final long UNKNOWN_TABLE_TIMEOUT = 17_000;
+  private static final long UNKNOWN_TABLE_TIMEOUT = 17 * DeciMillis.SECOND / 10;
 
   private final Settings settings;
   private final EngineClock clock;
--- a/src/main/java/stonespring/decision/WeightProposal.java
+++ b/src/main/java/stonespring/decision/WeightProposal.java
@@ -3,11 +3,12 @@
 import java.util.Collections;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import stonespring.model.DeciMillis;
 
 /** The weights that the solver last proposed for a proxy. */
 final class WeightProposal {
   /** DeciMillis; about as old as reports are when they arrive. */
-  private static final double HALF_LIFE = 30_000;
+  private static final double HALF_LIFE = 3 * DeciMillis.SECOND;
 
   private static final double MIN_INFLUENCE = 0.1;
 
--- a/src/main/java/stonespring/model/Command.java
+++ b/src/main/java/stonespring/model/Command.java
@@ -14,7 +14,7 @@
   /** Fire a timer after the delay; it cannot be cancelled. */
   record StartTimer(long delay, TimerToken token) implements Command {}
 
-  /** Fetch the whole endpoint list once. */
+  /** Fetch the whole endpoint list once. The present engine watches the list and never sends it. */
   record FetchEndpoints() implements Command {}
 
   /** Start or end the watch on the endpoint list. */
@@ -23,7 +23,7 @@
   /** Set one route of a table; the others stay. A weight of 0 removes the route. */
   record SetRoute(RouteTableId table, EndpointId endpoint, double weight) implements Command {}
 
-  /** Remove all routes and admission limits of a table. */
+  /** Remove all routes and admission limits of a table. The present engine never sends it. */
   record ClearRouteTable(RouteTableId table) implements Command {}
 
   /** Have a proxy use a table, and follow its changes, for the classes of the mask. */
@@ -46,14 +46,15 @@
   /**
    * Have each proxy that this batch reaches acknowledge it.
    *
-   * @param everyProxy whether proxies that it does not reach are sent a message too
+   * @param everyProxy whether proxies that it does not reach are sent a message too; always false
+   *     from the present engine
    */
   record RequestAck(AckId ack, boolean everyProxy) implements Command {}
 
-  /** Check an endpoint's health from this instance. */
+  /** Check an endpoint's health from this instance. The present engine never sends it. */
   record HealthCheck(EndpointId endpoint) implements Command {}
 
-  /** Send bytes to another instance, or to all. */
+  /** Send bytes to another instance, or to all. The present engine never sends it. */
   record SendToPeer(PeerId peer, byte[] bytes) implements Command {}
 
   /** Log one line. */
--- a/src/main/java/stonespring/decision/DeterministicRandom.java
+++ b/src/main/java/stonespring/model/DeterministicRandom.java
@@ -1,21 +1,24 @@
-package stonespring.decision;
+package stonespring.model;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** A random sequence that depends on nothing but its seed and the number of draws. */
-final class DeterministicRandom {
+/**
+ * A random sequence that depends on nothing but its seed and the number of draws. Not thread-safe.
+ */
+public final class DeterministicRandom {
   private static final double RANGE = 4294967296.0; // values of a CRC-32
 
   private final long seed;
   private long draws;
 
-  DeterministicRandom(long seed) {
+  /** Starts the sequence of a seed. */
+  public DeterministicRandom(long seed) {
     this.seed = seed;
   }
 
   /** Draws a number from 0, inclusive, to 1, exclusive. */
-  double nextDouble() {
+  public double nextDouble() {
     CRC32 checksum = new CRC32();
     checksum.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(draws++).flip());
     return checksum.getValue() / RANGE;
--- a/src/main/java/stonespring/model/Event.java
+++ b/src/main/java/stonespring/model/Event.java
@@ -28,14 +28,18 @@
   /** The endpoint list changed, or could not be had. */
   record EndpointListUpdate(ListUpdateKind kind, List<EndpointRecord> endpoints) implements Event {}
 
-  /** Another instance sent a message; its bytes have no meaning outside the engine. */
+  /**
+   * Another instance sent a message; its bytes have no meaning outside the engine. The present
+   * engine ignores it.
+   */
   record PeerMessage(PeerId from, byte[] bytes) implements Event {}
 
   /**
    * A proxy connected.
    *
    * @param requestsPerSecond what it usually receives; rough
-   * @param withoutTables whether it holds only the route tables that it started with
+   * @param withoutTables whether it holds at most its bootstrap routes; if false, it may also hold
+   *     tables that another instance, or an earlier connection, assigned to it
    */
   record ProxyConnected(ProxyId proxy, ZoneId zone, double requestsPerSecond, boolean withoutTables)
       implements ProxyEvent {}
@@ -47,7 +51,8 @@
    * Requests of one class that a proxy received.
    *
    * @param requests all that were received, rejected ones and repeats of clients included
-   * @param unanswered requests that were admitted and never answered
+   * @param unanswered requests that were admitted and never answered; the present engine does not
+   *     read it
    * @param interval the time that they were counted over
    */
   record ProxyRequestRate(
@@ -56,7 +61,7 @@
 
   /**
    * Requests of one class that all connected proxies received for a shard; components as in {@link
-   * ProxyRequestRate}.
+   * ProxyRequestRate}. The present engine ignores it.
    */
   record ShardRequestRate(
       RouteTableId shard,
@@ -66,10 +71,13 @@
       long interval)
       implements Event {}
 
-  /** A shard was assigned to this instance or taken from it. */
+  /** A shard was assigned to this instance or taken from it. The present engine ignores it. */
   record ShardOwnership(RouteTableId shard, boolean owned) implements Event {}
 
-  /** A route of a shard's stored table, following the shard's assignment. */
+  /**
+   * A route of a shard's stored table, following the shard's assignment. The present engine ignores
+   * it.
+   */
   record ShardRoute(RouteTableId shard, EndpointId endpoint, double weight) implements Event {}
 
   /**
@@ -91,14 +99,15 @@
       LoadReport report)
       implements Event {}
 
-  /** The result of a {@link Command.HealthCheck}. */
+  /** The result of a {@link Command.HealthCheck}. The present engine ignores it. */
   record HealthCheckResult(EndpointId endpoint, boolean healthy, long duration, LoadReport report)
       implements Event {}
 
   /**
    * A proxy applied the update that carried an acknowledgement request.
    *
-   * @param duration from the command to its effect
+   * @param duration how long the update took; some hosts measure from the command to its effect,
+   *     others from the update's arrival at the proxy. The present engine does not read it.
    */
   record UpdateAcknowledged(ProxyId proxy, AckId ack, long duration) implements ProxyEvent {}
 
--- a/src/main/java/stonespring/model/RetryPolicy.java
+++ b/src/main/java/stonespring/model/RetryPolicy.java
@@ -6,8 +6,8 @@
   NEVER,
   /** Once, if it is proven that the first attempt was not executed. */
   IF_NOT_EXECUTED,
-  /** Once, after any failure. */
+  /** Once, after any failure. The present engine never commands it. */
   ONCE_ON_FAILURE,
-  /** Twice, after any failure. */
+  /** Twice, after any failure. The present engine never commands it. */
   TWICE_ON_FAILURE
 }
--- a/src/main/java/stonespring/model/Settings.java
+++ b/src/main/java/stonespring/model/Settings.java
@@ -24,7 +24,8 @@
    * @param instances instances of stonespring that share the proxies
    * @param zones number of zones; a {@link ZoneId} is a position among them
    * @param proxies about how many proxies there are, over all instances
-   * @param sharded whether route tables belong to shards in place of proxies
+   * @param sharded whether route tables belong to shards in place of proxies; the present engine
+   *     sends such a fleet no route tables
    */
   public record Fleet(int instances, int zones, int proxies, boolean sharded) {}
 
--- a/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
+++ b/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
@@ -3,6 +3,7 @@
 import java.util.Arrays;
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.DeciMillis;
+import stonespring.model.DeterministicRandom;
 
 /** Admits requests as limits say: a fraction at random, or a rate by a token bucket. */
 final class AdmissionLimiter {
@@ -10,11 +11,11 @@
   private static final double BURST_SECONDS = 1;
 
   private final AdmissionLimitKind kind;
-  private final SeededRandom random;
+  private final DeterministicRandom random;
   private final double[] tokens;
   private final long[] filledAt;
 
-  AdmissionLimiter(AdmissionLimitKind kind, int requestClasses, SeededRandom random) {
+  AdmissionLimiter(AdmissionLimitKind kind, int requestClasses, DeterministicRandom random) {
     this.kind = kind;
     this.random = random;
     this.tokens = new double[requestClasses];
@@ -32,7 +33,7 @@
       return true;
     }
     if (kind == AdmissionLimitKind.FRACTION) {
-      return limit.value() >= 1 || random.next() < limit.value();
+      return limit.value() >= 1 || random.nextDouble() < limit.value();
     }
     return takeToken(requestClass, limit.value(), now);
   }
--- a/src/main/java/stonespring/proxy/routing/EndpointPicker.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointPicker.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import stonespring.model.DeterministicRandom;
 
 /**
  * Picks an endpoint from a table's routes. Ejected endpoints are passed over unless nothing else is
@@ -30,9 +31,10 @@
 
   private final RouterSettings.Picking picking;
   private final EndpointStates endpoints;
-  private final SeededRandom random;
+  private final DeterministicRandom random;
 
-  EndpointPicker(RouterSettings.Picking picking, EndpointStates endpoints, SeededRandom random) {
+  EndpointPicker(
+      RouterSettings.Picking picking, EndpointStates endpoints, DeterministicRandom random) {
     this.picking = picking;
     this.endpoints = endpoints;
     this.random = random;
@@ -84,7 +86,7 @@
     for (Route route : candidates) {
       total += route.weight;
     }
-    double remaining = random.next() * total;
+    double remaining = random.nextDouble() * total;
     for (Route route : candidates) {
       remaining -= route.weight;
       if (remaining < 0) {
--- a/src/main/java/stonespring/proxy/routing/Router.java
+++ b/src/main/java/stonespring/proxy/routing/Router.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import stonespring.model.DeterministicRandom;
 import stonespring.model.EndpointId;
 import stonespring.model.RequestClassId;
 
@@ -27,7 +28,7 @@
 
   /** Starts without any route. */
   public Router(RouterSettings settings, long seed) {
-    SeededRandom random = new SeededRandom(seed);
+    DeterministicRandom random = new DeterministicRandom(seed);
     this.settings = settings;
     this.tables = new ReceivedTables(settings.requestClasses());
     this.limiter =
--- a/src/main/java/stonespring/solver/CapacityClaim.java
+++ b/src/main/java/stonespring/solver/CapacityClaim.java
@@ -1,18 +1,20 @@
 package stonespring.solver;
 
+import stonespring.model.DeciMillis;
+
 /**
  * What one source says that an endpoint can do. A claim loses force with its age, and a source that
  * was contradicted loses credit and regains it by and by.
  */
 final class CapacityClaim {
   /** DeciMillis; a few report intervals, after which half of a claim's force is left. */
-  private static final double FORCE_HALF_LIFE = 50_000;
+  private static final double FORCE_HALF_LIFE = 5 * DeciMillis.SECOND;
 
   /** DeciMillis; a claim this old says nothing. */
-  private static final long MAX_AGE = 300_000;
+  private static final long MAX_AGE = 30 * DeciMillis.SECOND;
 
   /** DeciMillis; a source that was wrong is believed again within a minute. */
-  private static final double CREDIT_HALF_LIFE = 200_000;
+  private static final double CREDIT_HALF_LIFE = 20 * DeciMillis.SECOND;
 
   /** Times the credit left, for each contradiction. */
   private static final double CONTRADICTION_FACTOR = 0.5;
--- a/src/main/java/stonespring/solver/EndpointCredibility.java
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -8,7 +8,7 @@
  */
 final class EndpointCredibility {
   /** DeciMillis; machines change by the minute at most. */
-  private static final double PROVEN_HALF_LIFE = 600_000;
+  private static final double PROVEN_HALF_LIFE = 60 * DeciMillis.SECOND;
 
   /** Share of attempts that failed or were late; some always do. */
   private static final double CALM = 0.1;
--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -1,5 +1,6 @@
 package stonespring.solver;
 
+import stonespring.model.DeciMillis;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 import stonespring.model.ZoneId;
@@ -7,10 +8,10 @@
 /** What the advisor has observed of one listed endpoint. */
 final class ObservedEndpoint {
   /** DeciMillis; as steady as it is quick. */
-  static final double SMOOTHING_HALF_LIFE = 20_000;
+  static final double SMOOTHING_HALF_LIFE = 2 * DeciMillis.SECOND;
 
   /** DeciMillis; an endpoint's speed changes by the minute, its reports by the second. */
-  private static final double CAPACITY_HALF_LIFE = 20_000;
+  private static final double CAPACITY_HALF_LIFE = 2 * DeciMillis.SECOND;
 
   /** Times the latency objective, as a mean; then most answers are late. */
   private static final double LATE_MULTIPLE = 1;
--- a/src/test/java/stonespring/decision/EndpointListWatcherTest.java
+++ b/src/test/java/stonespring/decision/EndpointListWatcherTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import stonespring.model.Command;
+import stonespring.model.DeterministicRandom;
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
