--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -19,6 +19,10 @@
  * Sheds load: admits the fraction of requests that the listed endpoints can serve, by request
  * class. Capacity is read from normal operation and may be read too high, so that it is scaled by a
  * confidence that overload reduces and normal operation restores.
+ *
+ * <p>Only where proxies limit by a fraction does this shed load. Limits by a rate are never
+ * lowered: they stay at {@link #RATE_WITHOUT_LIMIT}. Proxies without admission limits ignore the
+ * number. In both cases a fraction below 1 only stops retries.
  */
 final class AdmissionController {
   /** Share of capacity; at more of it queues grow beyond the latency objectives. */
@@ -27,14 +31,14 @@
   /** Utilization above which the fraction is limited whatever the estimates say. */
   private static final double HIGH_UTILIZATION = 0.8;
 
-  /** Share of attempts that fail or are late under overload. */
-  private static final double OVERLOAD_TROUBLE_SHARE = 0.2;
+  /** Share of attempts above which failures and late answers may be overload. */
+  private static final double OVERLOAD_FAILED_OR_LATE_SHARE = 0.2;
 
-  /** Share of capacity that must be in trouble for overload. */
+  /** Share of capacity, at endpoints that fail or are late, above which it is overload. */
   private static final double OVERLOAD_CAPACITY_SHARE = 0.5;
 
-  /** Share of capacity; trouble at less of it is a matter of a few endpoints. */
-  private static final double LOCAL_TROUBLE_CAPACITY_SHARE = 0.25;
+  /** Share of capacity, at endpoints that fail or are late, below which it is a few endpoints. */
+  private static final double LOCAL_CAPACITY_SHARE = 0.25;
 
   /** Factor of the confidence at the first reduction, when all is admitted. */
   private static final double FIRST_REDUCTION = 0.5;
@@ -71,8 +75,8 @@
   /** Keeps the divisor above 0 where all attempts fail. */
   private static final double MIN_SUCCESS_SHARE = 1e-9;
 
-  /** Requests per second at a proxy; stands for no limit. */
-  private static final double UNLIMITED_RATE = 1e6;
+  /** Requests per second at a proxy, above what any receives: it limits nothing. */
+  private static final double RATE_WITHOUT_LIMIT = 1e6;
 
   private final Settings settings;
   private final EngineClock clock;
@@ -85,33 +89,38 @@
   private double confidence = 1;
   private long lastReductionAt = EngineClock.NEVER;
   private double roundAttempts;
-  private double roundTroubled;
+  private double roundFailedOrLate;
 
   /**
    * What is seen of the load at an update.
    *
-   * @param servable capacity over offered requests
+   * @param capacityPerOfferedRate what the endpoints can serve over what is offered; below 1 some
+   *     requests cannot be served
    * @param utilization mean utilization of the endpoints that report one, by capacity
-   * @param troubledCapacity share of the capacity where more than usual fails or is late
-   * @param troubledAttempts share of the attempts since the last round that failed or were late
+   * @param failedOrLateCapacity share of the capacity at endpoints where more than usual fails or
+   *     is late
+   * @param failedOrLateAttempts share of the attempts since the last round that failed or were late
    */
   private record Load(
-      double servable, double utilization, double troubledCapacity, double troubledAttempts) {
+      double capacityPerOfferedRate,
+      double utilization,
+      double failedOrLateCapacity,
+      double failedOrLateAttempts) {
     boolean isOverloaded() {
-      return troubledAttempts > OVERLOAD_TROUBLE_SHARE
-          && troubledCapacity > OVERLOAD_CAPACITY_SHARE;
+      return failedOrLateAttempts > OVERLOAD_FAILED_OR_LATE_SHARE
+          && failedOrLateCapacity > OVERLOAD_CAPACITY_SHARE;
     }
 
     boolean isNormal() {
-      return troubledAttempts < EndpointStatistics.NORMAL_TROUBLE_SHARE
-          || troubledCapacity < LOCAL_TROUBLE_CAPACITY_SHARE;
+      return failedOrLateAttempts < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
+          || failedOrLateCapacity < LOCAL_CAPACITY_SHARE;
     }
 
-    boolean isPressed() {
-      return servable < 1
+    boolean needsLimit() {
+      return capacityPerOfferedRate < 1
           || utilization > HIGH_UTILIZATION
-          || troubledAttempts > EndpointStatistics.NORMAL_TROUBLE_SHARE
-              && troubledCapacity > OVERLOAD_CAPACITY_SHARE;
+          || failedOrLateAttempts > EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
+              && failedOrLateCapacity > OVERLOAD_CAPACITY_SHARE;
     }
   }
 
@@ -137,7 +146,7 @@
     double lateShare = estimates.latency().lateShare(outcomes.successLatency());
     long successes = outcomes.attempts() - outcomes.failures();
     roundAttempts += outcomes.attempts();
-    roundTroubled += outcomes.failures() + successes * lateShare;
+    roundFailedOrLate += outcomes.failures() + successes * lateShare;
   }
 
   /** The part of the offered traffic that proxies pass on, where they limit it by a fraction. */
@@ -164,10 +173,10 @@
     if (inRound) {
       adjustConfidence(load);
       roundAttempts = 0;
-      roundTroubled = 0;
+      roundFailedOrLate = 0;
     }
-    boolean limited = fraction < 1 || load.isPressed();
-    double admissible = limited ? TARGET_FILL * load.servable() * confidence : 1;
+    boolean limited = fraction < 1 || load.needsLimit();
+    double admissible = limited ? TARGET_FILL * load.capacityPerOfferedRate() * confidence : 1;
     double wanted = Math.max(MIN_FRACTION, Math.min(1, admissible));
     boolean changed =
         wanted == 1 ? fraction < 1 : Math.abs(wanted - fraction) > MIN_CHANGE * fraction;
@@ -189,7 +198,7 @@
         endpoints.sumOverReady(
                 endpoint -> endpoint.capacity() * endpoint.statistics().successShare())
             / totalCapacity;
-    double servable =
+    double capacityPerOfferedRate =
         traffic.offeredShare()
             / traffic.offeredRate()
             * endpoints.sumOverReady(endpoint -> servedCapacity(endpoint, meanSuccess));
@@ -200,11 +209,12 @@
         reportingCapacity > 0
             ? endpoints.sumOverReady(AdmissionController::busyCapacity) / reportingCapacity
             : 0;
-    double troubledCapacity =
-        endpoints.sumOverReady(AdmissionController::troubledCapacity) / totalCapacity;
-    double troubledAttempts =
-        roundTroubled / Math.max(EndpointStatistics.PRIOR_ATTEMPTS, roundAttempts);
-    return new Load(servable, utilization, troubledCapacity, troubledAttempts);
+    double failedOrLateCapacity =
+        endpoints.sumOverReady(AdmissionController::failedOrLateCapacity) / totalCapacity;
+    double failedOrLateAttempts =
+        roundFailedOrLate / Math.max(EndpointStatistics.PRIOR_ATTEMPTS, roundAttempts);
+    return new Load(
+        capacityPerOfferedRate, utilization, failedOrLateCapacity, failedOrLateAttempts);
   }
 
   private static double servedCapacity(EndpointState endpoint, double meanSuccess) {
@@ -218,14 +228,15 @@
     return utilization >= 0 ? endpoint.capacity() * utilization : 0;
   }
 
-  private static double troubledCapacity(EndpointState endpoint) {
-    double trouble = endpoint.statistics().troubleShare();
-    return trouble > EndpointStatistics.NORMAL_TROUBLE_SHARE ? endpoint.capacity() : 0;
+  private static double failedOrLateCapacity(EndpointState endpoint) {
+    double failedOrLate = endpoint.statistics().failedOrLateShare();
+    return failedOrLate > EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE ? endpoint.capacity() : 0;
   }
 
   /**
    * Reduces the confidence under overload, at most once an interval; restores it in normal
-   * operation, beyond 1 while requests are limited; lowers it slowly while endpoints are too full.
+   * operation, beyond 1 while requests are limited; lowers it to 1 slowly while endpoints are too
+   * full.
    */
   private void adjustConfidence(Load load) {
     long delay = estimates.cadence().delay();
@@ -233,13 +244,25 @@
     if (load.isOverloaded() && clock.since(lastReductionAt) > REDUCTION_INTERVAL + delay) {
       reduceConfidence(load, delay > settings.reportInterval());
     } else if (load.isNormal() && load.utilization() < TARGET_FILL) {
-      double limit = fraction < 1 ? MAX_CONFIDENCE : 1;
-      confidence = Math.min(limit, Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step)));
+      restoreConfidence(step);
     } else if (load.utilization() > TARGET_FILL) {
-      confidence = Math.max(Math.min(1, confidence), confidence * (1 - step));
+      lowerConfidenceToOne(step);
     }
   }
 
+  /** Restores at least what normal operation shows at once; beyond 1 only while limited. */
+  private void restoreConfidence(double step) {
+    double limit = fraction < 1 ? MAX_CONFIDENCE : 1;
+    double raised = Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step));
+    confidence = Math.min(limit, raised);
+  }
+
+  /** Takes back what was restored beyond 1; a confidence of 1 or less stays. */
+  private void lowerConfidenceToOne(double step) {
+    double lowest = Math.min(1, confidence);
+    confidence = Math.max(lowest, confidence * (1 - step));
+  }
+
   private void reduceConfidence(Load load, boolean reportsDelayed) {
     if (confidence == 1) {
       log("Overload: endpoints fail requests, admission limits are lowered.");
@@ -303,18 +326,14 @@
     SortedMap<Double, Integer> maskByLimit = new TreeMap<>();
     for (int index = 0; index < fractions.length; index++) {
       boolean byRate = settings.admissionLimitKind() == AdmissionLimitKind.RATE;
-      double limit = byRate ? UNLIMITED_RATE : fractions[index];
+      double limit = byRate ? RATE_WITHOUT_LIMIT : fractions[index];
       maskByLimit.merge(limit, 1 << index, Integer::sum);
     }
+    List<Command.LimitAdmission> limits = new ArrayList<>();
     maskByLimit.forEach(
         (limit, mask) ->
-            batch.addRestriction(
-                new Command.LimitAdmission(Command.ALL_TABLES, mask, retryPolicy, limit)));
-    for (ProxyState proxy : proxies.all()) {
-      if (proxy.isConnected()) {
-        batch.countEntries(proxy, maskByLimit.size());
-      }
-    }
+            limits.add(new Command.LimitAdmission(Command.ALL_TABLES, mask, retryPolicy, limit)));
+    batch.addAdmissionLimits(limits, proxies.all());
   }
 
   private void log(String text) {
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -87,7 +87,7 @@
     } else if (event instanceof Event.ProxyEvent proxyEvent) {
       handleProxyEvent(proxyEvent);
     } else {
-      handleOtherEvent(event);
+      handleFleetEvent(event);
     }
   }
 
@@ -104,10 +104,10 @@
       changed = true;
       return;
     }
-    proxies.find(event.proxy()).ifPresent(proxy -> handleProxyEvent(proxy, event));
+    proxies.find(event.proxy()).ifPresent(proxy -> handleEventOfKnownProxy(proxy, event));
   }
 
-  private void handleProxyEvent(ProxyState proxy, Event.ProxyEvent event) {
+  private void handleEventOfKnownProxy(ProxyState proxy, Event.ProxyEvent event) {
     if (event instanceof Event.ProxyRequestRate report) {
       proxy.requestRate().record(report);
     } else if (event instanceof Event.UpdateAcknowledged acknowledged) {
@@ -134,8 +134,11 @@
     }
   }
 
-  /** Any event that is no report looks after watch and timer, and has urgent updates looked for. */
-  private void handleOtherEvent(Event event) {
+  /**
+   * Handles an event that is not about one proxy and no report. It also makes sure that the watch
+   * and the periodic timer run, and has the end of the batch look for urgent updates.
+   */
+  private void handleFleetEvent(Event event) {
     changed = true;
     if (event instanceof Event.EndpointListUpdate update) {
       listWatcher.updated(update.kind());
@@ -154,6 +157,7 @@
     clock.advanceTo(now);
     updateTables();
     if (!initialLimitsPublished) {
+      // The initial limits follow any limits that this batch already holds, and override them.
       initialLimitsPublished = true;
       admission.publishInitialLimits();
     }
@@ -168,7 +172,7 @@
     }
     changed = false;
     if (inRound) {
-      settleReports();
+      startRound();
     }
     boolean postponed = urgent.select();
     if (postponed) {
@@ -177,8 +181,8 @@
     if (settings.fleet().sharded() || urgent.isEmpty() && !inRound) {
       return;
     }
-    estimates.traffic().estimate();
-    estimates.capacity().estimate();
+    estimates.traffic().refresh();
+    estimates.capacity().refresh();
     admission.update(inRound);
     if (inRound) {
       entrants.admitEntrants();
@@ -191,10 +195,11 @@
     }
   }
 
-  private void settleReports() {
-    estimates.traffic().settle();
-    endpoints.settle(proxies::isInTable);
-    estimates.capacity().settle();
+  /** Starts a round: brings what is derived from reports up to date, in this order. */
+  private void startRound() {
+    estimates.traffic().startRound();
+    endpoints.startRound(proxies::isInTable);
+    estimates.capacity().startRound();
     estimates.cadence().startRound();
   }
 
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -32,7 +32,7 @@
   }
 
   /** Reads the capacity of a unit of listed weight from utilizations, at the start of a round. */
-  void settle() {
+  void startRound() {
     double busyWeight =
         endpoints.sumOverReady(
             endpoint ->
@@ -57,7 +57,7 @@
     return statistics.utilization() > MIN_UTILIZATION
         && reportedLoad(endpoint) > MIN_LOAD
         && endpoints.isWarm(endpoint)
-        && statistics.troubleShare() < EndpointStatistics.NORMAL_TROUBLE_SHARE;
+        && statistics.failedOrLateShare() < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE;
   }
 
   /** Requests per second at an endpoint by its reports, or from this instance's part of them. */
@@ -72,7 +72,7 @@
    * Brings all capacities up to date: listed weight times the capacity of a unit, reduced while an
    * endpoint warms up. Until utilizations are read, the present load is taken for a typical one.
    */
-  void estimate() {
+  void refresh() {
     listedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
     double assumedLoad = assumedLoad();
     for (EndpointState endpoint : endpoints.all()) {
--- a/src/main/java/stonespring/decision/CommandBatch.java
+++ b/src/main/java/stonespring/decision/CommandBatch.java
@@ -1,6 +1,7 @@
 package stonespring.decision;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -32,11 +33,22 @@
     local.add(command);
   }
 
-  /** Adds an exclusion or an admission limit; its entries are counted apart. */
-  void addRestriction(Command command) {
+  /** Adds an exclusion; its entries are counted apart, as it does not concern every proxy. */
+  void addExclusion(Command.ExcludeEndpoint command) {
     restrictions.add(command);
   }
 
+  /** Adds admission limits for all tables; each is an entry at each connected proxy. */
+  void addAdmissionLimits(
+      List<Command.LimitAdmission> admissionLimits, Collection<ProxyState> proxies) {
+    restrictions.addAll(admissionLimits);
+    for (ProxyState proxy : proxies) {
+      if (proxy.isConnected()) {
+        countEntries(proxy, admissionLimits.size());
+      }
+    }
+  }
+
   /** Sets a route; at the proxy it is an entry only if the proxy uses the table already. */
   void setRoute(ProxyState proxy, EndpointState endpoint, double weight) {
     routes.add(new Command.SetRoute(proxy.tableId(), endpoint.id(), weight));
--- a/src/main/java/stonespring/decision/EjectionScenario.java
+++ b/src/main/java/stonespring/decision/EjectionScenario.java
@@ -1,6 +1,6 @@
 package stonespring.decision;
 
-/** Which failures the {@link OutlierEjectionModel} reckons with. */
+/** Which failures the {@link OutlierEjectionModel} takes into account. */
 enum EjectionScenario {
   /** Those that reports show. */
   OBSERVED,
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -32,7 +32,7 @@
   private final ArrayDeque<EndpointState> reusable = new ArrayDeque<>();
   private final Map<EndpointId, EndpointState> byId = new HashMap<>();
   private final List<EndpointState> entrants = new ArrayList<>();
-  private boolean departed;
+  private boolean exclusionsNeeded;
 
   EndpointRegistry(Settings settings, EngineClock clock, LatencyModel latencyModel) {
     this.settings = settings;
@@ -78,11 +78,12 @@
   }
 
   /**
-   * Whether an endpoint left, or a name was added that old tables may hold, since the last call.
+   * Whether exclusion notices are needed since the last call: an endpoint left, or a name was added
+   * that old tables may hold. Clears the mark.
    */
-  boolean takeDeparture() {
-    boolean taken = departed;
-    departed = false;
+  boolean takeExclusionsNeeded() {
+    boolean taken = exclusionsNeeded;
+    exclusionsNeeded = false;
     return taken;
   }
 
@@ -112,7 +113,7 @@
   }
 
   private void applyEntry(EndpointState endpoint, EndpointRecord entry) {
-    endpoint.describe(entry);
+    endpoint.updateZoneAndWeight(entry);
     if (entry.state() != EndpointRecord.State.READY) {
       stopUsing(endpoint, entry.state());
       return;
@@ -143,7 +144,7 @@
 
   private void leave(EndpointState endpoint, EndpointRecord.State newState) {
     endpoint.markLeft(newState, clock.now());
-    departed = true;
+    exclusionsNeeded = true;
   }
 
   /**
@@ -174,7 +175,7 @@
     EndpointState added = reusable.isEmpty() ? append() : reusable.poll();
     added.assign(id, clock.now());
     byId.put(id, added);
-    departed = true;
+    exclusionsNeeded = true;
     return added;
   }
 
@@ -189,7 +190,7 @@
    * Brings all statistics up to date at the start of a round, and forgets what was removed long ago
    * and is in no route table.
    */
-  void settle(Predicate<EndpointState> inTable) {
+  void startRound(Predicate<EndpointState> inTable) {
     for (EndpointState endpoint : endpoints) {
       if (!endpoint.isForgotten()
           && endpoint.state() == EndpointRecord.State.REMOVED
@@ -199,7 +200,7 @@
         endpoint.markForgotten();
         reusable.add(endpoint);
       }
-      endpoint.statistics().settle(clock.now(), settings.reportInterval());
+      endpoint.statistics().startRound(clock.now(), settings.reportInterval());
     }
   }
 }
--- a/src/main/java/stonespring/decision/EndpointState.java
+++ b/src/main/java/stonespring/decision/EndpointState.java
@@ -42,7 +42,7 @@
   }
 
   /** Takes zone and weight from the list; a weight that is not positive counts as 1. */
-  void describe(EndpointRecord listed) {
+  void updateZoneAndWeight(EndpointRecord listed) {
     zone = listed.zone().index();
     listedWeight = listed.weight() > 0 ? listed.weight() : 1;
   }
@@ -134,7 +134,7 @@
     return leftAt;
   }
 
-  /** Whether connected proxies were told not to use it, whatever their tables say. */
+  /** Whether connected proxies were notified not to use it, whatever their tables say. */
   boolean isExcluded() {
     return excluded;
   }
--- a/src/main/java/stonespring/decision/EndpointStatistics.java
+++ b/src/main/java/stonespring/decision/EndpointStatistics.java
@@ -11,7 +11,7 @@
   static final double PRIOR_ATTEMPTS = 2;
 
   /** Share of attempts; so many fail or are late in normal operation. */
-  static final double NORMAL_TROUBLE_SHARE = 0.15;
+  static final double NORMAL_FAILED_OR_LATE_SHARE = 0.15;
 
   /** DeciMillis beyond a report interval, as reports may be delayed. */
   private static final long STALE_AFTER = 4 * DeciMillis.SECOND;
@@ -87,7 +87,7 @@
    * Brings the attempt rate up to date at the start of a round. A zone's report stands for its own
    * interval; only a zone that stopped to report decays.
    */
-  void settle(long now, long reportInterval) {
+  void startRound(long now, long reportInterval) {
     double retention = ExponentialAverage.retentionOver(reportInterval);
     attemptRate = 0;
     for (ZoneOutcomes zone : zones) {
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Attempts per second of all zones, as of the last {@link #settle}. */
+  /** Attempts per second of all zones, as of the last {@link #startRound}. */
   double attemptRate() {
     return attemptRate;
   }
@@ -131,7 +131,7 @@
   }
 
   /** Share of attempts that fail or are late. */
-  double troubleShare() {
+  double failedOrLateShare() {
     return 1 - successShare() * (1 - lateShare());
   }
 }
--- a/src/main/java/stonespring/decision/EntrantSelector.java
+++ b/src/main/java/stonespring/decision/EntrantSelector.java
@@ -105,7 +105,7 @@
     return endpoint.isReady()
         && endpoints.isWarm(endpoint)
         && clock.since(endpoint.enteredAt()) > REENTRY_INTERVAL
-        && failureShare < EndpointStatistics.NORMAL_TROUBLE_SHARE
+        && failureShare < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
         && capacity.fill(endpoint) < IDLE_FILL * capacity.meanFill();
   }
 }
--- a/src/main/java/stonespring/decision/Estimates.java
+++ b/src/main/java/stonespring/decision/Estimates.java
@@ -1,6 +1,8 @@
 package stonespring.decision;
 
-/** What all rules reckon with: when reports come, and what they say of traffic and capacity. */
+/**
+ * The estimates that all rules share: when reports come, and what they say of traffic and capacity.
+ */
 record Estimates(
     LatencyModel latency,
     ReportCadence cadence,
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -4,7 +4,7 @@
 import stonespring.model.Settings;
 
 /**
- * Tells proxies with unknown tables which endpoints to exclude. A table that this instance knows
+ * Notifies proxies with unknown tables which endpoints to exclude. A table that this instance knows
  * loses such endpoints by its own routes.
  */
 final class ExclusionNotifier {
@@ -53,11 +53,12 @@
    * earlier notice did not reach a proxy that connected later, and a batch for each would use up
    * the messages of all proxies.
    *
-   * @param possible whether any endpoint left and the channel has room
+   * @param permitted whether any endpoint left and the channel has room; otherwise pending notices
+   *     are dropped
    */
-  void notifyIfDue(boolean possible) {
-    pending |= endpoints.takeDeparture();
-    pending &= possible;
+  void notifyIfDue(boolean permitted) {
+    pending |= endpoints.takeExclusionsNeeded();
+    pending &= permitted;
     if (pending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL) {
       endpoints.notReady().forEach(endpoint -> setExcluded(endpoint, true));
       pending = false;
@@ -76,7 +77,7 @@
       return;
     }
     endpoint.setExcluded(excluded);
-    batch.addRestriction(new Command.ExcludeEndpoint(endpoint.id(), excluded));
+    batch.addExclusion(new Command.ExcludeEndpoint(endpoint.id(), excluded));
     for (ProxyState proxy : proxies.all()) {
       if (proxy.isConnected() && reaches(proxy, endpoint)) {
         batch.countEntries(proxy, 1);
--- a/src/main/java/stonespring/decision/OutlierEjectionModel.java
+++ b/src/main/java/stonespring/decision/OutlierEjectionModel.java
@@ -7,10 +7,13 @@
  * away from an endpoint for some seconds, and the other routes get its requests.
  */
 final class OutlierEjectionModel {
-  /** Seconds; three times a proxy's ejection time, since failures are correlated. */
+  /**
+   * Seconds that an observed ejection counts for: three times a proxy's ejection time, since
+   * failures are correlated.
+   */
   private static final double OBSERVED_EJECTION_SECONDS = 15;
 
-  /** Seconds; reports are a third as late, and retries triple the attempts. */
+  /** Seconds that an ejection counts for while it is not reported yet. */
   private static final double WORST_EJECTION_SECONDS = 12;
 
   /** Share of attempts that fail under overload that is not reported yet. */
@@ -49,7 +52,11 @@
     return Math.min(1, proxy.averageRate() * trafficShare * ejections);
   }
 
-  /** The mean number of attempts until a run of failures is that of Feller, vol. 1, XIII.7. */
+  /**
+   * Seconds of ejection an attempt: the ejection time over the mean number of attempts until a run
+   * of failures. For that number see Feller, <i>An Introduction to Probability Theory</i>, vol. 1,
+   * XIII.7.
+   */
   private double worstEjections(double observedFailureShare) {
     double failureShare =
         Math.min(MAX_WORST_FAILURE_SHARE, Math.max(WORST_FAILURE_SHARE, observedFailureShare));
--- a/src/main/java/stonespring/decision/ProposalBlender.java
+++ b/src/main/java/stonespring/decision/ProposalBlender.java
@@ -77,6 +77,6 @@
         && !endpoint.isExcluded()
         && endpoints.isWarm(endpoint)
         && endpoint.statistics().failureShare(proxy.zone())
-            < EndpointStatistics.NORMAL_TROUBLE_SHARE;
+            < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE;
   }
 }
--- a/src/main/java/stonespring/decision/ProxyRegistry.java
+++ b/src/main/java/stonespring/decision/ProxyRegistry.java
@@ -33,7 +33,7 @@
   }
 
   Stream<ProxyState> withUnknownTable() {
-    return proxies.values().stream().filter(ProxyState::hasUnknownTable);
+    return proxies.values().stream().filter(ProxyState::mayHoldUnknownTables);
   }
 
   /** Whether any proxy's table has a route to an endpoint, applied or wanted. */
--- a/src/main/java/stonespring/decision/ProxyState.java
+++ b/src/main/java/stonespring/decision/ProxyState.java
@@ -113,7 +113,7 @@
   }
 
   /** Whether it is connected and may hold tables that this instance does not know. */
-  boolean hasUnknownTable() {
+  boolean mayHoldUnknownTables() {
     return connected && !tableAssigned;
   }
 
--- a/src/main/java/stonespring/decision/ReportCadence.java
+++ b/src/main/java/stonespring/decision/ReportCadence.java
@@ -5,7 +5,7 @@
 /** When scheduling rounds are due: as proxies' reports arrive, about once a report interval. */
 final class ReportCadence {
   /** Rounds until reports show enough to touch what an earlier instance left. */
-  private static final int SETTLING_ROUNDS = 3;
+  private static final int MIN_ROUNDS = 3;
 
   private final Settings settings;
   private final EngineClock clock;
@@ -40,9 +40,9 @@
     return rounds > 0;
   }
 
-  /** Whether reports of several rounds are known. */
-  boolean isSettled() {
-    return rounds >= SETTLING_ROUNDS;
+  /** Whether there were enough rounds for reports to show what an earlier instance left. */
+  boolean hasEnoughRounds() {
+    return rounds >= MIN_ROUNDS;
   }
 
   /**
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -104,13 +104,15 @@
     if (drawn.isEmpty()) {
       return routeCount;
     }
+    // Targets are relative. Those of a table without routes are capacities, requests per second;
+    // beside existing routes, whose targets are shares of 1, the warm one counts like all of them.
     proxy.table().setTarget(drawn.get(), routeCount == 0 ? drawn.get().capacity() : 1);
     return routeCount + 1;
   }
 
   private void grow(ProxyState proxy, int routeCount, double keptWeight) {
-    // Until reports settle, what a warming endpoint can bear is unknown.
-    double minWarmUp = estimates.cadence().isSettled() ? 0 : 1;
+    // In the first rounds what a warming endpoint can bear is unknown.
+    double minWarmUp = estimates.cadence().hasEnoughRounds() ? 0 : 1;
     int wanted = wantedRoutes(proxy);
     for (int count = routeCount; count < wanted; count++) {
       Optional<EndpointState> drawn = draw(proxy, minWarmUp);
--- a/src/main/java/stonespring/decision/SlowStartGuard.java
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -125,6 +125,7 @@
     return removed;
   }
 
+  /** Whether a route is wanted whose endpoint is warming up; a target that is NaN counts. */
   private boolean isGuarded(Route route) {
     boolean unwanted = route.target() <= 0;
     return !unwanted && !endpoints.isWarm(route.endpoint());
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -33,7 +33,7 @@
    * Brings the share that reports show up to date at the start of a round. A proxy that connected
    * shows in them late and gradually.
    */
-  void settle() {
+  void startRound() {
     Predicate<ProxyState> inReports =
         proxy -> proxy.isConnected() && clock.since(proxy.connectedAt()) > VISIBLE_AFTER_CONNECT;
     visible |= proxies.all().stream().anyMatch(inReports);
@@ -47,7 +47,7 @@
    * Brings the rates up to date. The latest reports count, not their average: over all proxies they
    * are steady enough, and they show a surge seconds earlier.
    */
-  void estimate() {
+  void refresh() {
     connectedRate =
         proxies.all().stream()
             .mapToDouble(proxy -> proxy.isConnected() ? proxy.requestRate().latestRate() : 0)
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -68,7 +68,7 @@
 
   /** Has a proxy told, once after it connected, what its unknown table must not use. */
   private void requestExclusions(ProxyState proxy) {
-    if (proxy.hasUnknownTable() && !proxy.areExclusionsRequested()) {
+    if (proxy.mayHoldUnknownTables() && !proxy.areExclusionsRequested()) {
       exclusions.request();
       proxy.markExclusionsRequested();
     }
@@ -81,11 +81,11 @@
     }
     return proxy.isTableAssigned()
         ? proxy.table().isBroken()
-        : proxy.isWithoutTables() || cadence.isSettled() || isOverdue(proxy, anyLeft);
+        : proxy.isWithoutTables() || cadence.hasEnoughRounds() || isOverdue(proxy, anyLeft);
   }
 
   /**
-   * Tables from before a start stand until reports settle, but not for long: all that one names may
+   * Tables from before a start stand for the first rounds, but not for long: all that one names may
    * have left, or be about to as this instance's predecessor died, and no list tells of it.
    */
   private boolean isOverdue(ProxyState proxy, boolean anyLeft) {
--- a/src/test/java/stonespring/decision/EndpointStatisticsTest.java
+++ b/src/test/java/stonespring/decision/EndpointStatisticsTest.java
@@ -34,7 +34,7 @@
   @Test
   void startsWithoutFailures() {
     assertEquals(1, statistics.successShare());
-    assertEquals(0, statistics.troubleShare());
+    assertEquals(0, statistics.failedOrLateShare());
     assertEquals(Double.NaN, statistics.utilization());
   }
 
@@ -51,18 +51,18 @@
   void answersAfterTheObjectiveAreTrouble() {
     record(0, 8, 0, 1000, 1);
     assertEquals(Math.exp(-1), statistics.lateShare());
-    assertEquals(Math.exp(-1), statistics.troubleShare(), 1e-12);
+    assertEquals(Math.exp(-1), statistics.failedOrLateShare(), 1e-12);
   }
 
   @Test
   void ratesOfZonesAddUpAndFadeOnceReportsStop() {
     record(0, 8, 0, 100, 1);
     record(1, 4, 0, 100, 1);
-    statistics.settle(1, Fleet.SECOND);
+    statistics.startRound(1, Fleet.SECOND);
     assertEquals(12, statistics.attemptRate());
-    statistics.settle(1 + 5 * Fleet.SECOND, Fleet.SECOND);
+    statistics.startRound(1 + 5 * Fleet.SECOND, Fleet.SECOND);
     assertEquals(12, statistics.attemptRate(), "a report may be five seconds late");
-    statistics.settle(2 + 5 * Fleet.SECOND, Fleet.SECOND);
+    statistics.startRound(2 + 5 * Fleet.SECOND, Fleet.SECOND);
     assertEquals(12 * Math.sqrt(0.5), statistics.attemptRate(), 1e-9);
   }
 }
