--- a/src/main/java/stonespring/decision/ChannelBudget.java
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -12,13 +12,20 @@
 /**
  * Estimates the backlog of the channel to the proxies, and decides which updates it has room for.
  * Acknowledgements tell how far the channel is, at whatever pace; without them it is taken to be
- * much slower than configured. A position counts the entries sent since the start.
+ * much slower than configured.
+ *
+ * <p>The channel is seen as one queue of entries to all proxies, in the order of sending. An entry
+ * is a route, limit, exclusion or acknowledgement request at one proxy, or part of a message's
+ * overhead. A position in the queue is the number of entries sent before it, since the engine's
+ * start. A batch is recorded when it ends: it takes the positions from where the last one ended,
+ * and its acknowledgement number leads back to them. The backlog is what lies between the position
+ * that acknowledgements have reached and the end of the queue.
  */
 final class ChannelBudget {
   /** DeciMillis between urgent updates, or exclusion notices, that may wait for each other. */
   static final long BATCH_INTERVAL = 6 * DeciMillis.SECOND / 10;
 
-  /** DeciMillis; a message's way, a report interval and its delay. */
+  /** DeciMillis for which the last acknowledgement tells how far the channel is. */
   private static final long ACKNOWLEDGEMENTS_CURRENT_FOR = 3 * DeciMillis.SECOND;
 
   /** Times slower than configured, while nothing is acknowledged. */
@@ -75,18 +82,20 @@
     return sentPosition;
   }
 
-  /** Ends the batch: books its entries and returns its commands with an acknowledgement request. */
+  /**
+   * Ends the batch: records its entries and returns its commands with an acknowledgement request.
+   */
   List<Command> endBatch() {
     List<Command> commands = batch.takeCommands();
     if (!batch.proxies().isEmpty()) {
       commands.add(new Command.RequestAck(new AckId(nextAck), false));
-      book();
+      recordBatch();
     }
     batch.clearEntries();
     return commands;
   }
 
-  private void book() {
+  private void recordBatch() {
     int messages = batch.proxies().size();
     sentBatches.put(nextAck, new SentBatch(sentPosition, batch.entries(), messages));
     nextAck = nextAck % ACK_NUMBERS + 1;
@@ -124,16 +133,21 @@
     acknowledgedPosition = Math.min(sentPosition, acknowledgedPosition + lost);
   }
 
-  /** Entries that wait, with those of the current batch. */
+  /**
+   * Entries that wait, with those of the current batch. Without current acknowledgements it is no
+   * more than what waits at the assumed pace: acknowledgements may have been lost.
+   */
   private double backlog() {
-    double slowest =
+    double unacknowledged = sentPosition - acknowledgedPosition;
+    if (clock.since(lastAcknowledgedAt) < ACKNOWLEDGEMENTS_CURRENT_FOR) {
+      return batch.entries() + unacknowledged;
+    }
+    double waitingAtAssumedPace =
         Math.max(0, assumedEmptyAt - clock.now())
             * limits.entriesPerSecond()
             / ASSUMED_SLOWDOWN
             / DeciMillis.SECOND;
-    boolean current = clock.since(lastAcknowledgedAt) < ACKNOWLEDGEMENTS_CURRENT_FOR;
-    double unacknowledged = sentPosition - acknowledgedPosition;
-    return batch.entries() + Math.min(current ? sentPosition : slowest, unacknowledged);
+    return batch.entries() + Math.min(waitingAtAssumedPace, unacknowledged);
   }
 
   /**
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -7,10 +7,13 @@
 
 /** Moves that were sent and that reports do not show yet: the headroom that they take and free. */
 final class InFlightMoves {
-  /** DeciMillis; a message's way, a report interval and its delay. */
+  /** DeciMillis until reports show a move: message delivery, a report interval and its delay. */
   static final long VISIBLE_AFTER = 3 * DeciMillis.SECOND;
 
-  /** DeciMillis after which freed room counts without acknowledgement; the paper's 2 s. */
+  /**
+   * DeciMillis after which the room that a move frees counts although no proxy acknowledged it, as
+   * in the paper that {@link UpdateScheduler} follows; an acknowledgement may be lost.
+   */
   private static final long CREDIT_TIMEOUT = 2 * DeciMillis.SECOND;
 
   /** One move; rate changes are in requests per second, below 0 where it takes load away. */
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -18,10 +18,17 @@
  * admitted if all endpoints that it adds to have headroom; room that it frees counts once it is
  * acknowledged, or after 2 s. If none can be admitted and none is awaited, the move with the least
  * yield ratio goes at a reduced rate (Algorithm 4).
+ *
+ * <p>In short: a change that frees an endpoint which others wait for goes first. A change is sent
+ * whole if each endpoint that it adds load to has room for it, and waits otherwise. If all wait for
+ * each other, the one that comes closest to fitting is sent in part, to break the deadlock.
  */
 final class UpdateScheduler {
-  /** Share of its part of the load that an endpoint is filled to: it may take 1.25 times that. */
-  private static final double TARGET_FILL = 0.8;
+  /**
+   * The mean fill of all endpoints over the fill that one may be brought to: an endpoint may take 1
+   * / 0.8 = 1.25 times the load that its capacity would get at the mean fill.
+   */
+  private static final double MEAN_FILL_OVER_LIMIT = 0.8;
 
   /** Potential update time of a move in a cycle, DeciMillis; above that of any chain. */
   private static final double CYCLE_TIME = 1e9;
@@ -101,7 +108,7 @@
 
   private double headroom(EndpointState endpoint) {
     CapacityEstimator capacity = estimates.capacity();
-    double limit = endpoint.capacity() * capacity.meanFill() / TARGET_FILL;
+    double limit = endpoint.capacity() * capacity.meanFill() / MEAN_FILL_OVER_LIMIT;
     return (limit - capacity.load(endpoint)) * estimates.traffic().share();
   }
 
@@ -239,7 +246,11 @@
         .ifPresent(move -> send(move, 1 - yieldRatio(move, headroom), headroom));
   }
 
-  /** The part of a move that its fullest endpoint has no headroom for; 0 if the move fits. */
+  /**
+   * The paper's yield ratio: the part of a move by which it must be reduced for its fullest
+   * endpoint to have headroom for the rest. 0 if the whole move fits, 1 or more if no part of it
+   * does.
+   */
   private static double yieldRatio(PendingMove move, double[] headroom) {
     double fitting = 1;
     for (Route route : move.proxy().table().routes()) {
