--- a/src/main/java/stonespring/solver/CapacityClaim.java
+++ b/src/main/java/stonespring/solver/CapacityClaim.java
@@ -7,16 +7,16 @@
  * was contradicted loses credit and regains it by and by.
  */
 final class CapacityClaim {
-  /** DeciMillis; a few report intervals, after which half of a claim's force is left. */
+  /** DeciMillis after which half of a claim's force is left. */
   private static final double FORCE_HALF_LIFE = 5 * DeciMillis.SECOND;
 
-  /** DeciMillis; a claim this old says nothing. */
+  /** DeciMillis from which on a claim has no force. */
   private static final long MAX_AGE = 30 * DeciMillis.SECOND;
 
-  /** DeciMillis; a source that was wrong is believed again within a minute. */
+  /** DeciMillis after which half of the credit that a contradiction took is regained. */
   private static final double CREDIT_HALF_LIFE = 20 * DeciMillis.SECOND;
 
-  /** Times the credit left, for each contradiction. */
+  /** Factor of the credit at each contradiction. */
   private static final double CONTRADICTION_FACTOR = 0.5;
 
   private double capacity = Double.NaN;
--- a/src/main/java/stonespring/solver/ChangeDamper.java
+++ b/src/main/java/stonespring/solver/ChangeDamper.java
@@ -7,10 +7,10 @@
  * targets, scaling has no end: without it each plan would move weights for nothing.
  */
 final class ChangeDamper {
-  /** Share of a table; less is not worth a message. */
+  /** Share of a table below which a change is not worth a message. */
   static final double MIN_CHANGE = 0.02;
 
-  /** Share of the cost; reports tell no less. */
+  /** Share of the cost below which a gain is within the noise of reports. */
   private static final double MIN_GAIN = 0.003;
 
   private final Problem problem;
@@ -44,14 +44,14 @@
         tables.setRates(p, held);
       }
     }
-    tables.sumUp();
+    tables.recomputeLoads();
     if (tables.cost(flow) * (1 - MIN_GAIN) <= plannedCost) {
       return true;
     }
     for (int p = 0; p < planned.length; p++) {
       tables.setRates(p, planned[p]);
     }
-    tables.sumUp();
+    tables.recomputeLoads();
     return false;
   }
 
@@ -63,7 +63,7 @@
         keep(p, held);
       }
     }
-    tables.sumUp();
+    tables.recomputeLoads();
   }
 
   private boolean mayKeep(int proxy, double[] held) {
--- a/src/main/java/stonespring/solver/EndpointCredibility.java
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -7,22 +7,22 @@
  * Rates are requests per second.
  */
 final class EndpointCredibility {
-  /** DeciMillis; machines change by the minute at most. */
+  /** DeciMillis after which half of a proven rate is left. */
   private static final double PROVEN_HALF_LIFE = 60 * DeciMillis.SECOND;
 
-  /** Share of attempts that failed or were late; some always do. */
-  private static final double CALM = 0.1;
+  /** Share of attempts that failed or were late below which an endpoint is healthy. */
+  private static final double HEALTHY_SHARE = 0.1;
 
-  /** Share of attempts that failed or were late, over the fleet's; more than chance shows. */
-  private static final double TROUBLE = 0.3;
+  /** Share that failed or was late beyond the fleet's own above which an endpoint is overloaded. */
+  private static final double OVERLOADED_SHARE = 0.3;
 
-  /** Attempts that are added to those seen; fewer than these say little. */
-  private static final double DOUBT_ATTEMPTS = 4;
+  /** Attempts without failure that are added to those seen, so that few attempts say little. */
+  private static final double PRIOR_ATTEMPTS = 4;
 
-  /** Times what arrived; one step too much is under the truth again. */
-  private static final double CUT = 0.7;
+  /** Factor of the arrived rate that the ceiling is cut to under overload. */
+  private static final double OVERLOAD_CUT = 0.7;
 
-  /** Share a second, while all goes well below the ceiling. */
+  /** Relative rise of the ceiling per second while the endpoint is healthy. */
   private static final double CEILING_RISE = 0.05;
 
   private double listedWeight;
@@ -80,18 +80,18 @@
       double otherRate,
       double fleetSuccess,
       long now) {
-    double trouble = failedOrLate / (attempts + DOUBT_ATTEMPTS);
+    double failedOrLateShare = failedOrLate / (attempts + PRIOR_ATTEMPTS);
     double arrived = attempts * (double) DeciMillis.SECOND / Math.max(1, interval) + otherRate;
     double succeeded = arrived * (1 - Math.min(1, failedOrLate / Math.max(1, attempts)));
     double elapsed = Math.max(0, now - observedAt);
     provenRate *= Math.pow(0.5, elapsed / PROVEN_HALF_LIFE);
     observedAt = now;
-    if (trouble < CALM) {
+    if (failedOrLateShare < HEALTHY_SHARE) {
       provenRate = Math.max(provenRate, succeeded);
       ceiling *= Math.pow(1 + CEILING_RISE, elapsed / DeciMillis.SECOND);
-    } else if (1 - (1 - trouble) / fleetSuccess > TROUBLE) {
+    } else if (1 - (1 - failedOrLateShare) / fleetSuccess > OVERLOADED_SHARE) {
       // In an overload, successes say too little: what arrived is cut again and again.
-      ceiling = Math.min(ceiling, Math.max(succeeded, CUT * arrived));
+      ceiling = Math.min(ceiling, Math.max(succeeded, OVERLOAD_CUT * arrived));
       contradictClaimsOver(arrived, now);
     }
   }
--- a/src/main/java/stonespring/solver/Flow.java
+++ b/src/main/java/stonespring/solver/Flow.java
@@ -9,16 +9,16 @@
  * while the others stand. The zones' prices give a lower bound of any plan.
  */
 final class Flow {
-  /** Lateness rises as fill to this power: little at half, everything at full. */
+  /** Exponent of the fill in the cost of lateness. */
   private static final double LATENESS_POWER = 6;
 
-  /** Share of the cost; a flow this near to its bound is good enough. */
+  /** Relative distance of a flow's cost from its lower bound at which the search ends. */
   private static final double TOLERANCE = 0.001;
 
-  /** Times over all zones; convergence takes far fewer. */
+  /** Most passes over all zones; convergence takes far fewer. */
   private static final int MAX_SWEEPS = 200;
 
-  /** Times the price of a full endpoint; beyond it only the caps bind. */
+  /** Highest price, as a multiple of a full endpoint's; beyond it only the caps bind. */
   private static final double MAX_PRICE_MULTIPLE = 1e6;
 
   /** Halvings of the price bracket; as fine as a double. */
@@ -27,7 +27,7 @@
   /** Factor by which the upper end of the bracket grows until it holds the price. */
   private static final double BRACKET_GROWTH = 4;
 
-  /** Share of a zone's rate; sums differ by rounding. */
+  /** Share of a zone's rate by which sums may differ through rounding. */
   private static final double ROUNDING_ERROR = 1e-9;
 
   private final Problem problem;
--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -7,13 +7,13 @@
 
 /** What the advisor has observed of one listed endpoint. */
 final class ObservedEndpoint {
-  /** DeciMillis; as steady as it is quick. */
+  /** DeciMillis after which an observation counts half. */
   static final double SMOOTHING_HALF_LIFE = 2 * DeciMillis.SECOND;
 
-  /** DeciMillis; an endpoint's speed changes by the minute, its reports by the second. */
+  /** DeciMillis after which a reading of the capacity counts half. */
   private static final double CAPACITY_HALF_LIFE = 2 * DeciMillis.SECOND;
 
-  /** Times the latency objective, as a mean; then most answers are late. */
+  /** Multiple of the latency objective that a mean latency must exceed for most to be late. */
   private static final double LATE_MULTIPLE = 1;
 
   private ZoneId zone;
--- a/src/main/java/stonespring/solver/PlanBuilder.java
+++ b/src/main/java/stonespring/solver/PlanBuilder.java
@@ -9,10 +9,10 @@
 
 /** Makes the plan of finished tables: weights by request class, and the reason of each share. */
 final class PlanBuilder {
-  /** Share of failing attempts; ordinary endpoints show less. */
+  /** Share of failing attempts above which an endpoint is failing for a request class. */
   private static final double FAILING = 0.3;
 
-  /** Times; a request class keeps some routes however many attempts fail at all of them. */
+  /** Least factor of a weight for a request class, however many of its attempts fail there. */
   private static final double MIN_CLASS_SHARE = 0.05;
 
   /** In place of a weight of 0, to divide by. */
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -28,8 +28,8 @@
    *
    * @param capacity the rate that it is trusted with
    * @param maxLoad the rate that it may get at all; infinite for a warm one
-   * @param maxNamedDemand the rate that all proxies with a route to it may receive together;
-   *     infinite for a warm one
+   * @param maxDemandOfProxiesWithRoute the rate that all proxies with a route to it may receive
+   *     together; infinite for a warm one
    * @param failureShares by request class, the share of attempts there that fail
    */
   public record Endpoint(
@@ -37,7 +37,7 @@
       ZoneId zone,
       double capacity,
       double maxLoad,
-      double maxNamedDemand,
+      double maxDemandOfProxiesWithRoute,
       double[] failureShares) {
     /** Whether it has its whole capacity. */
     public boolean isWarm() {
@@ -115,8 +115,12 @@
           endpoint.capacity() > 0 && endpoint.capacity() < MAX_FIGURE,
           name + ": capacity " + endpoint.capacity());
       require(
-          endpoint.maxLoad() > 0 && endpoint.maxNamedDemand() > 0,
-          name + ": max load " + endpoint.maxLoad() + ", named " + endpoint.maxNamedDemand());
+          endpoint.maxLoad() > 0 && endpoint.maxDemandOfProxiesWithRoute() > 0,
+          name
+              + ": max load "
+              + endpoint.maxLoad()
+              + ", demand of proxies with a route "
+              + endpoint.maxDemandOfProxiesWithRoute());
       require(
           endpoint.failureShares().length == requestClasses,
           name + ": failure shares of " + endpoint.failureShares().length + " request classes");
--- a/src/main/java/stonespring/solver/ProportionalFitter.java
+++ b/src/main/java/stonespring/solver/ProportionalFitter.java
@@ -7,22 +7,28 @@
 final class ProportionalFitter {
   private static final int MAX_ROUNDS = 24;
 
-  /** Mean share of an endpoint's capacity; reports are noisier by far. */
+  /** Mean error, as a share of an endpoint's capacity, at which the fit ends. */
   private static final double FITTED = 0.002;
 
-  /** Times the last error; less gain is not worth another round. */
+  /** Ratio of an error to the last one above which another round is not worth it. */
   private static final double STALLED = 0.98;
 
-  /** Times in one round; routes with next to nothing come back in steps. */
+  /** Highest factor that a rate is scaled by in one round. */
   private static final double MAX_SCALE = 4;
 
-  /** Weight of one route; an endpoint that fails takes no more of a proxy's requests with it. */
+  /**
+   * Highest weight of one route, so that an endpoint that fails takes no more of a proxy's requests
+   * with it.
+   */
   private static final double MAX_WEIGHT = 0.5;
 
-  /** Times the even share, where a table has so few routes that it is above the maximum weight. */
+  /**
+   * Highest weight as a multiple of the even share, where a table has so few routes that it is
+   * above the maximum weight.
+   */
   private static final double MAX_EVEN_MULTIPLE = 1.5;
 
-  /** Share of a proxy's rate; sums differ by rounding. */
+  /** Share of a proxy's rate by which sums may differ through rounding. */
   private static final double ROUNDING_ERROR = 1e-9;
 
   /** In place of a load of 0, to divide by. */
@@ -41,7 +47,7 @@
   void fit() {
     double lastError = Double.POSITIVE_INFINITY;
     for (int round = 0; round < MAX_ROUNDS; round++) {
-      tables.sumUp();
+      tables.recomputeLoads();
       double error = error();
       if (error < FITTED || error > STALLED * lastError) {
         return;
@@ -52,7 +58,7 @@
         limitWeights(p);
       }
     }
-    tables.sumUp();
+    tables.recomputeLoads();
   }
 
   /** The mean share of an endpoint's capacity by which it gets too much or too little. */
--- a/src/main/java/stonespring/solver/RendezvousSelector.java
+++ b/src/main/java/stonespring/solver/RendezvousSelector.java
@@ -66,7 +66,7 @@
 
   private void drawFor(int proxy, int[] nameHashes) {
     double[] rank = ranks(proxy, nameHashes);
-    int count = tables.wantedRoutes(proxy);
+    int count = tables.maxRoutes(proxy);
     boolean hadNone = tables.size(proxy) == 0;
     for (int endpoint : lowest(rank, count)) {
       if (hadNone && tables.size(proxy) < count && tables.mayAdd(proxy, endpoint)) {
--- a/src/main/java/stonespring/solver/ReportCredibility.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -21,25 +21,25 @@
     OPERATOR
   }
 
-  /** Times; more than the noise of reports, and a surge less of it hurts little. */
+  /** Multiple of the listed or proven rate that a claim may raise a capacity to. */
   private static final double MAX_STEP = 1.25;
 
-  /** Share of attempts that succeed; in any overload some do. */
+  /** Least share of attempts that the fleet is taken to succeed with; in any overload some do. */
   private static final double MIN_FLEET_SUCCESS = 0.05;
 
-  /** Times what is listed; machines listed alike differ by so much. */
+  /** Factor of the listed capacity while nothing is proven: machines listed alike differ. */
   private static final double UNPROVEN = 0.7;
 
-  /** Times; sources this far apart can't both be right. */
+  /** Ratio of the highest to the lowest claim above which sources disagree. */
   private static final double DISAGREEMENT = 1.5;
 
-  /** Times what is listed; in an overload successes say too little. */
+  /** Factor of the listed capacity that a ceiling never goes below. */
   private static final double MIN_CEILING = 0.25;
 
-  /** Share; a claim with less force doesn't count for the unit of weight. */
+  /** Least force of a claim that counts for the rate per unit of weight. */
   private static final double MIN_FORCE_FOR_UNIT = 0.5;
 
-  /** Figures at or above it are no capacities. */
+  /** Capacities at or above it, requests per second, are rejected. */
   private static final double MAX_FIGURE = 1e12;
 
   /**
@@ -166,7 +166,7 @@
         (name, endpoint) -> {
           if (endpoint.listedWeight() > 0 && !Double.isNaN(rate)) {
             double byList = rate * endpoint.listedWeight();
-            judgements.add(judge(new EndpointId(name), endpoint, byList, now));
+            judgements.add(judgeEndpoint(new EndpointId(name), endpoint, byList, now));
           }
         });
     return judgements;
@@ -206,7 +206,7 @@
     }
   }
 
-  private static Judgement judge(
+  private static Judgement judgeEndpoint(
       EndpointId id, EndpointCredibility endpoint, double byList, long now) {
     WeighedClaims claims = new WeighedClaims(endpoint, now);
     Reason reason = Reason.LISTED;
--- a/src/main/java/stonespring/solver/RouteAdder.java
+++ b/src/main/java/stonespring/solver/RouteAdder.java
@@ -117,7 +117,7 @@
       double saved = price[tables.endpoint(proxy, donor.route)] - price[endpoint];
       double gain = moved * HORIZON_SECONDS * (1 + unmetPlans[endpoint]) * saved;
       boolean pays = gain > connectionCost(proxy);
-      boolean hasRoom = tables.size(proxy) <= tables.wantedRoutes(proxy);
+      boolean hasRoom = tables.size(proxy) <= tables.maxRoutes(proxy);
       if (!pays || !hasRoom || !tables.mayAdd(proxy, endpoint)) {
         continue;
       }
--- a/src/main/java/stonespring/solver/RouteDropper.java
+++ b/src/main/java/stonespring/solver/RouteDropper.java
@@ -5,10 +5,10 @@
  * warm route always stays.
  */
 final class RouteDropper {
-  /** Weight; a route with less is not worth its connection. */
+  /** Weight below which a route is not worth its connection. */
   private static final double MIN_WEIGHT = 0.004;
 
-  /** Times the even share: in a table with many routes each has little. */
+  /** The same as a multiple of the even share, where that is lower: tables with many routes. */
   private static final double MIN_EVEN_MULTIPLE = 0.1;
 
   private static final int NONE = -1;
@@ -27,7 +27,7 @@
         // another may be idle, or too many, after this one
       }
     }
-    tables.sumUp();
+    tables.recomputeLoads();
   }
 
   private boolean dropOne(int proxy) {
@@ -37,7 +37,7 @@
     }
     double minWeight = Math.min(MIN_WEIGHT, MIN_EVEN_MULTIPLE / tables.size(proxy));
     boolean isIdle = tables.rate(proxy, leastUsed) < minWeight * tables.demand(proxy);
-    boolean tooMany = tables.size(proxy) > tables.wantedRoutes(proxy);
+    boolean tooMany = tables.size(proxy) > tables.maxRoutes(proxy);
     if (!isIdle && !tooMany) {
       return false;
     }
--- a/src/main/java/stonespring/solver/SubsetSelector.java
+++ b/src/main/java/stonespring/solver/SubsetSelector.java
@@ -6,7 +6,7 @@
  * connection, a route is added ({@link RouteAdder}).
  */
 final class SubsetSelector {
-  /** Share of an endpoint's capacity; less is the error of reports. */
+  /** Share of an endpoint's capacity below which a difference is within the error of reports. */
   static final double SIGNIFICANT_SHARE = 0.02;
 
   /** Rounds of new routes and scaling, from nothing. */
--- a/src/main/java/stonespring/solver/WarmUpCap.java
+++ b/src/main/java/stonespring/solver/WarmUpCap.java
@@ -20,7 +20,7 @@
         keepShare(e, maxLoad / tables.load(e));
       }
     }
-    tables.sumUp();
+    tables.recomputeLoads();
   }
 
   private void keepShare(int endpoint, double share) {
--- a/src/main/java/stonespring/solver/WeightAdvisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -24,25 +24,34 @@
  * comes leaves the engine as it is.
  */
 public final class WeightAdvisor {
-  /** Utilization; a capacity read from less is mostly noise. */
+  /**
+   * Utilization above which a capacity is read from it; noise outweighs less. The decision engine
+   * estimates capacities separately, with a bound of its own.
+   */
   private static final double MIN_UTILIZATION = 0.1;
 
-  /** Attempts that are added to those seen; fewer than these say nothing of a failure share. */
-  private static final double DOUBT_ATTEMPTS = 4;
+  /**
+   * Attempts without failure that are added to those seen, so that few attempts say little. The
+   * decision engine estimates failure shares separately, with a figure of its own.
+   */
+  private static final double PRIOR_ATTEMPTS = 4;
 
-  /** Share of the overload multiple, all proxies' requests together. */
-  private static final double MAX_NAMED_SHARE = 0.8;
+  /**
+   * Share of the rate at which a warming endpoint fails that all proxies with a route to it may
+   * receive together.
+   */
+  private static final double MAX_DEMAND_SHARE = 0.8;
 
-  /** Share of the fleet; fewer proxies still need room. */
+  /** Least share of the fleet that this instance is taken to serve. */
   private static final double MIN_FLEET_SHARE = 0.01;
 
-  /** Rounds of reports; an instance that started knows little, and tables stand. */
+  /** Rounds of reports before the first proposal; an instance that just started knows little. */
   private static final int ROUNDS_BEFORE_FIRST_PROPOSAL = 5;
 
-  /** Requests lost for one more at a full endpoint: half of its answers are late then. */
+  /** Requests lost for each more that a full endpoint gets; many answers are late then. */
   private static final double LATENESS_COST = 3.5;
 
-  /** Requests lost for a connection: a handshake's work, and some. */
+  /** Requests lost for each new route, as its connection costs work. */
   private static final double NEW_ROUTE_COST = 0.1;
 
   /** A connected proxy: what it receives, and the routes that it holds. */
@@ -59,7 +68,13 @@
   }
 
   private final Settings settings;
+
+  /**
+   * The shortest latency objective of any class, DeciMillis. The decision engine's estimate of late
+   * answers is a separate one.
+   */
   private final long latencyObjective;
+
   private final ReportCredibility credibility = new ReportCredibility();
   private final Solver solver = new Solver();
   private final TreeMap<String, ObservedEndpoint> endpoints = new TreeMap<>();
@@ -177,7 +192,7 @@
    * @return empty in the first rounds, or while no endpoint is ready
    */
   public List<Event.WeightsProposed> propose(long now) {
-    endRound(now);
+    evaluateRound(now);
     List<Problem.Endpoint> ready = readyEndpoints(now);
     boolean tooEarly = rounds++ < ROUNDS_BEFORE_FIRST_PROPOSAL;
     if (tooEarly || ready.isEmpty() || proxies.isEmpty() || settings.fleet().sharded()) {
@@ -188,18 +203,18 @@
     return proposals(plan);
   }
 
-  private void endRound(long now) {
+  private void evaluateRound(long now) {
     double attempts = 0;
     double failedOrLate = 0;
     for (ObservedEndpoint endpoint : endpoints.values()) {
       attempts += endpoint.roundAttempts();
       failedOrLate += endpoint.roundFailedOrLate();
     }
-    credibility.fleetObserved(failedOrLate / Math.max(DOUBT_ATTEMPTS, attempts));
-    endpoints.forEach((name, endpoint) -> endRound(new EndpointId(name), endpoint, now));
+    credibility.fleetObserved(failedOrLate / Math.max(PRIOR_ATTEMPTS, attempts));
+    endpoints.forEach((name, endpoint) -> evaluateEndpoint(new EndpointId(name), endpoint, now));
   }
 
-  private void endRound(EndpointId id, ObservedEndpoint endpoint, long now) {
+  private void evaluateEndpoint(EndpointId id, ObservedEndpoint endpoint, long now) {
     if (endpoint.roundInterval() <= 0) {
       return;
     }
@@ -243,19 +258,24 @@
     double warmUp = slowStart.warmUpFraction(endpoint.startedAt(), now);
     double capacity = judgement.capacity() * warmUp * share;
     double[] failureShares = new double[settings.requestClasses().size()];
-    double failureShare = endpoint.failures() / (endpoint.attempts() + DOUBT_ATTEMPTS);
+    double failureShare = endpoint.failures() / (endpoint.attempts() + PRIOR_ATTEMPTS);
     Arrays.fill(failureShares, Math.min(1, failureShare));
     boolean isWarm = warmUp >= 1;
-    double maxNamed = MAX_NAMED_SHARE * slowStart.overloadMultiple() * capacity;
+    double maxDemand = MAX_DEMAND_SHARE * slowStart.overloadMultiple() * capacity;
     return new Problem.Endpoint(
         judgement.endpoint(),
         endpoint.zone(),
         capacity,
         isWarm ? Double.POSITIVE_INFINITY : capacity,
-        isWarm ? Double.POSITIVE_INFINITY : maxNamed,
+        isWarm ? Double.POSITIVE_INFINITY : maxDemand,
         failureShares);
   }
 
+  /**
+   * The problem of this round. Routes of a table are bounded by the number that a proxy starts
+   * with, the only size of a table that the settings give; proxies that so few can't carry get
+   * more.
+   */
   private Problem problem(List<Problem.Endpoint> ready) {
     List<Problem.Proxy> connected = new ArrayList<>();
     proxies.forEach(
--- a/src/main/java/stonespring/solver/WorkingTables.java
+++ b/src/main/java/stonespring/solver/WorkingTables.java
@@ -10,29 +10,30 @@
  * hundreds of proxies and endpoints is made every few seconds.
  */
 final class WorkingTables {
-  /** Share of an endpoint that one proxy may fill; a few endpoints can't carry a large proxy. */
+  /**
+   * Share of an endpoint's capacity that one proxy should fill at most; a few endpoints can't carry
+   * a large proxy.
+   */
   private static final double MAX_FILL_BY_ONE_PROXY = 0.25;
 
   private final Problem problem;
   private final int[][] endpoints;
   private final double[][] rates;
   private final double[] demand;
-  private final double[] namedDemand;
+  private final double[] demandOfProxiesWithRoute;
   private final double[][] loadByZone;
   private final double[] load;
   private final double meanCapacity;
   private final boolean anyWarm;
 
-  /**
-   * Starts with the routes that proxies hold, as far as their endpoints are part of the problem.
-   */
+  /** Starts with empty tables; {@link #takeOverHeldRoutes} fills them. */
   WorkingTables(Problem problem) {
     this.problem = problem;
     int endpointCount = problem.endpointCount();
     endpoints = new int[problem.proxyCount()][0];
     rates = new double[problem.proxyCount()][0];
     demand = new double[problem.proxyCount()];
-    namedDemand = new double[endpointCount];
+    demandOfProxiesWithRoute = new double[endpointCount];
     loadByZone = new double[problem.zones()][endpointCount];
     load = new double[endpointCount];
     double capacitySum = 0;
@@ -45,7 +46,7 @@
     anyWarm = warm;
   }
 
-  /** Takes over the routes that proxies hold. */
+  /** Takes over the routes that proxies hold, as far as their endpoints are part of the problem. */
   void takeOverHeldRoutes() {
     for (int p = 0; p < endpoints.length; p++) {
       List<Problem.Route> held = new ArrayList<>();
@@ -62,7 +63,7 @@
       for (int i = 0; i < held.size(); i++) {
         endpoints[p][i] = problem.indexOf(held.get(i).endpoint());
         rates[p][i] = demand[p] * held.get(i).weight() / weightSum;
-        namedDemand[endpoints[p][i]] += demand[p];
+        demandOfProxiesWithRoute[endpoints[p][i]] += demand[p];
       }
     }
   }
@@ -113,12 +114,12 @@
     return anyWarm;
   }
 
-  /** The rate that an endpoint gets from a zone, as of the last {@link #sumUp}. */
+  /** The rate that an endpoint gets from a zone, as of the last {@link #recomputeLoads}. */
   double load(int zone, int endpoint) {
     return loadByZone[zone][endpoint];
   }
 
-  /** The rate that an endpoint gets, as of the last {@link #sumUp}. */
+  /** The rate that an endpoint gets, as of the last {@link #recomputeLoads}. */
   double load(int endpoint) {
     return load[endpoint];
   }
@@ -129,16 +130,20 @@
   }
 
   /** How many routes a proxy should have at most. */
-  int wantedRoutes(int proxy) {
+  int maxRoutes(int proxy) {
     double enoughToCarry = Math.ceil(demand[proxy] / (MAX_FILL_BY_ONE_PROXY * meanCapacity));
     int large = (int) Math.min(problem.endpointCount(), enoughToCarry);
     return Math.min(problem.endpointCount(), Math.max(problem.maxRoutes(), large));
   }
 
-  /** Whether a new route keeps the cap on what an endpoint that warms up may be named by. */
+  /**
+   * Whether a proxy may get a new route to an endpoint: it has none, and the proxies with a route
+   * to the endpoint, this one included, stay within the endpoint's cap.
+   */
   boolean mayAdd(int proxy, int endpoint) {
-    double named = namedDemand[endpoint] + demand[proxy];
-    return !hasRoute(proxy, endpoint) && named <= problem.endpoint(endpoint).maxNamedDemand();
+    double total = demandOfProxiesWithRoute[endpoint] + demand[proxy];
+    return !hasRoute(proxy, endpoint)
+        && total <= problem.endpoint(endpoint).maxDemandOfProxiesWithRoute();
   }
 
   private boolean hasRoute(int proxy, int endpoint) {
@@ -165,13 +170,13 @@
     rates[proxy] = Arrays.copyOf(rates[proxy], size + 1);
     endpoints[proxy][size] = endpoint;
     rates[proxy][size] = rate;
-    namedDemand[endpoint] += demand[proxy];
+    demandOfProxiesWithRoute[endpoint] += demand[proxy];
   }
 
   /** Removes a route; its rate goes to the others in proportion. */
   void remove(int proxy, int route) {
     double rest = demand[proxy] - rates[proxy][route];
-    namedDemand[endpoints[proxy][route]] -= demand[proxy];
+    demandOfProxiesWithRoute[endpoints[proxy][route]] -= demand[proxy];
     int size = endpoints[proxy].length - 1;
     int[] remainingEndpoints = new int[size];
     double[] remainingRates = new double[size];
@@ -188,8 +193,8 @@
     rates[proxy] = remainingRates;
   }
 
-  /** Adds up what endpoints get. */
-  void sumUp() {
+  /** Computes the loads of all endpoints anew from the rates of all routes. */
+  void recomputeLoads() {
     for (double[] ofZone : loadByZone) {
       Arrays.fill(ofZone, 0);
     }
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -96,7 +96,7 @@
               t.zone(),
               by * t.capacity(),
               by * t.maxLoad(),
-              by * t.maxNamedDemand(),
+              by * t.maxDemandOfProxiesWithRoute(),
               t.failureShares()));
     }
   }
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -206,7 +206,7 @@
                 t.zone(),
                 2 * t.capacity(),
                 2 * t.maxLoad(),
-                2 * t.maxNamedDemand(),
+                2 * t.maxDemandOfProxiesWithRoute(),
                 t.failureShares()));
     within(fleet.problem())
         .forEach(
@@ -275,7 +275,7 @@
                           t.zone(),
                           part * t.capacity(),
                           part * t.maxLoad(),
-                          part * t.maxNamedDemand(),
+                          part * t.maxDemandOfProxiesWithRoute(),
                           t.failureShares()))
               .toList();
       Problem problem = new Problem(3, 2, MAX_ROUTES, COSTS, share, own);
