--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -223,7 +223,7 @@
                 snapshot.complete("ended: " + cause);
               }
             });
-    client.dial("127.0.0.1", daemon.port(), false, ZmtpLimits.USUAL);
+    client.connect("127.0.0.1", daemon.port(), false, ZmtpLimits.DEFAULT);
     String keys = snapshot.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     eventLoops.next().execute(client::close);
     return keys;
