--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -10,6 +10,7 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
+import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
@@ -18,7 +19,7 @@
 /** All known endpoints, under dense indexes, and how updates of the endpoint list change them. */
 final class EndpointRegistry {
   /** DeciMillis; longer than any proxy keeps a table that names a removed endpoint. */
-  private static final long FORGET_AFTER = 6_000_000;
+  private static final long FORGET_AFTER = 600 * DeciMillis.SECOND;
 
   /** Share of failures that confirms a removal; more than overloaded endpoints show. */
   private static final double REMOVAL_CONFIRMED_FAILURE_SHARE = 0.8;
@@ -31,7 +32,7 @@
   private final ArrayDeque<EndpointState> reusable = new ArrayDeque<>();
   private final Map<EndpointId, EndpointState> byId = new HashMap<>();
   private final List<EndpointState> entrants = new ArrayList<>();
-  private boolean departed;
+  private boolean exclusionsNeeded;
 
   EndpointRegistry(Settings settings, EngineClock clock, LatencyModel latencyModel) {
     this.settings = settings;
@@ -77,11 +78,12 @@
   }
 
   /**
-   * Whether an endpoint left, or a name was added that old tables may hold, since the last call.
+   * Whether exclusion notices are needed since the last call: an endpoint left, or a name was added
+   * that old tables may hold. Clears the mark.
    */
-  boolean takeDeparture() {
-    boolean taken = departed;
-    departed = false;
+  boolean takeExclusionsNeeded() {
+    boolean taken = exclusionsNeeded;
+    exclusionsNeeded = false;
     return taken;
   }
 
@@ -111,7 +113,7 @@
   }
 
   private void applyEntry(EndpointState endpoint, EndpointRecord entry) {
-    endpoint.describe(entry);
+    endpoint.updateZoneAndWeight(entry);
     if (entry.state() != EndpointRecord.State.READY) {
       stopUsing(endpoint, entry.state());
       return;
@@ -142,7 +144,7 @@
 
   private void leave(EndpointState endpoint, EndpointRecord.State newState) {
     endpoint.markLeft(newState, clock.now());
-    departed = true;
+    exclusionsNeeded = true;
   }
 
   /**
@@ -173,7 +175,7 @@
     EndpointState added = reusable.isEmpty() ? append() : reusable.poll();
     added.assign(id, clock.now());
     byId.put(id, added);
-    departed = true;
+    exclusionsNeeded = true;
     return added;
   }
 
@@ -188,7 +190,7 @@
    * Brings all statistics up to date at the start of a round, and forgets what was removed long ago
    * and is in no route table.
    */
-  void settle(Predicate<EndpointState> inTable) {
+  void startRound(Predicate<EndpointState> inTable) {
     for (EndpointState endpoint : endpoints) {
       if (!endpoint.isForgotten()
           && endpoint.state() == EndpointRecord.State.REMOVED
@@ -198,7 +200,7 @@
         endpoint.markForgotten();
         reusable.add(endpoint);
       }
-      endpoint.statistics().settle(clock.now(), settings.reportInterval());
+      endpoint.statistics().startRound(clock.now(), settings.reportInterval());
     }
   }
 }
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -1,15 +1,16 @@
 package stonespring.decision;
 
 import java.util.function.Predicate;
+import stonespring.model.DeciMillis;
 import stonespring.model.Settings;
 
 /** Estimates the traffic of this instance's proxies, and their part of the whole fleet's. */
 final class TrafficEstimator {
   /** DeciMillis; half a report interval and the usual delay of reports. */
-  private static final long VISIBLE_AFTER_CONNECT = 10_000;
+  private static final long VISIBLE_AFTER_CONNECT = DeciMillis.SECOND;
 
   /** DeciMillis; by then the endpoint list tells which endpoints a lost zone took with it. */
-  private static final long COUNTED_AFTER_DISCONNECT = 80_000;
+  private static final long COUNTED_AFTER_DISCONNECT = 8 * DeciMillis.SECOND;
 
   private static final double MIN_SHARE = 0.01;
 
@@ -32,7 +33,7 @@
    * Brings the share that reports show up to date at the start of a round. A proxy that connected
    * shows in them late and gradually.
    */
-  void settle() {
+  void startRound() {
     Predicate<ProxyState> inReports =
         proxy -> proxy.isConnected() && clock.since(proxy.connectedAt()) > VISIBLE_AFTER_CONNECT;
     visible |= proxies.all().stream().anyMatch(inReports);
@@ -46,7 +47,7 @@
    * Brings the rates up to date. The latest reports count, not their average: over all proxies they
    * are steady enough, and they show a surge seconds earlier.
    */
-  void estimate() {
+  void refresh() {
     connectedRate =
         proxies.all().stream()
             .mapToDouble(proxy -> proxy.isConnected() ? proxy.requestRate().latestRate() : 0)
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -101,7 +101,7 @@
               endpoint.zone(),
               factor * endpoint.capacity(),
               factor * endpoint.maxLoad(),
-              factor * endpoint.maxNamedDemand(),
+              factor * endpoint.maxDemandOfProxiesWithRoute(),
               endpoint.failureShares()));
     }
   }
