--- a/src/main/java/stonespring/cli/Commands.java
+++ b/src/main/java/stonespring/cli/Commands.java
@@ -13,7 +13,7 @@
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
       ServeCommand.class,
-      AssignerCommand.class,
+      PlatformCommand.class,
       CheckCommand.class,
       SnapshotCommand.class,
       ScenarioCommand.class,
--- a/src/main/java/stonespring/cli/AssignerCommand.java
+++ b/src/main/java/stonespring/cli/PlatformCommand.java
@@ -19,8 +19,8 @@
     name = "assigner",
     mixinStandardHelpOptions = true,
     description = "Runs an assigner on the operators' platform until it is told to stop.")
-final class AssignerCommand implements Callable<Integer> {
-  private static final Logger LOG = LoggerFactory.getLogger(AssignerCommand.class);
+final class PlatformCommand implements Callable<Integer> {
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformCommand.class);
 
   @Parameters(
       paramLabel = "FILE",
--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import stonespring.config.InstanceSettings;
-import stonespring.daemon.Daemon;
+import stonespring.daemon.ChpDaemon;
 
 /** Runs an instance that serves proxies by CHP. */
 @Command(
@@ -38,7 +38,7 @@
   public Integer call() throws Exception {
     logging.apply();
     InstanceSettings settings = withOptions(InputFiles.readSettings(file));
-    Daemon daemon = new Daemon(settings);
+    ChpDaemon daemon = new ChpDaemon(settings);
     daemon.start();
     System.out.println("serving " + settings.listen().host() + " " + daemon.port());
     System.out.flush();
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -15,11 +15,11 @@
  * @param settings what the decisions are configured with
  * @param zones the zones' names, by position
  * @param requestClassNames the request classes' names, by position
- * @param minRoundInterval the shortest time between two rounds of the decisions, {@link
+ * @param minBatchInterval the shortest time between two rounds of the decisions, {@link
  *     stonespring.model.DeciMillis}
  */
 public record PlatformSettings(
-    Settings settings, List<String> zones, List<String> requestClassNames, long minRoundInterval) {
+    Settings settings, List<String> zones, List<String> requestClassNames, long minBatchInterval) {
   /** A command names its request classes by the bits of an int. */
   private static final int MAX_REQUEST_CLASSES = 31;
 
@@ -43,9 +43,9 @@
     }
     checkSizes(fields, fleet, zones, classes);
     Settings settings = readSettings(fields, fleet, rules, zones.size(), classes);
-    long minRoundInterval = fields.duration("roundS", 0);
+    long minBatchInterval = fields.duration("roundS", 0);
     return new PlatformSettings(
-        settings, List.copyOf(zones), List.copyOf(classNames), minRoundInterval);
+        settings, List.copyOf(zones), List.copyOf(classNames), minBatchInterval);
   }
 
   private static RequestClass readRequestClass(JsonFields category) {
@@ -147,6 +147,6 @@
 
   /** These settings as they hold on the platform's sockets. */
   PlatformSettings onPlatform() {
-    return new PlatformSettings(settings.onPlatform(), zones, requestClassNames, minRoundInterval);
+    return new PlatformSettings(settings.onPlatform(), zones, requestClassNames, minBatchInterval);
   }
 }
--- a/src/main/java/stonespring/daemon/Daemon.java
+++ b/src/main/java/stonespring/daemon/ChpDaemon.java
@@ -30,8 +30,8 @@
  * An instance that serves proxies by CHP: one event loop for its sockets, one thread for its
  * decision engine. It starts with the endpoint list that was saved last and without route tables.
  */
-public final class Daemon implements Instance {
-  private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
+public final class ChpDaemon implements Instance {
+  private static final Logger LOG = LoggerFactory.getLogger(ChpDaemon.class);
 
   /** For what waits to be sent; peers that read have it long before. */
   private static final long STOP_TIMEOUT_MILLIS = 2_000;
@@ -45,22 +45,22 @@
   private final InstanceClock clock = new InstanceClock();
   private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoopThread engineLoop;
+  private final EngineThread engineThread;
   private final ChpServer server;
   private final EndpointSource source;
   private final CachedEndpointList savedList;
 
   /** Creates an instance; {@link #start} starts it. */
-  public Daemon(InstanceSettings settings) {
+  public ChpDaemon(InstanceSettings settings) {
     this.settings = settings;
     InstanceSettings.Limits bounds = settings.limits();
-    this.engineLoop = new EventLoopThread(clock, bounds.inboxMessages(), bounds.batchMillis());
+    this.engineThread = new EngineThread(clock, bounds.inboxMessages(), bounds.batchMillis());
     NameTable names = new NameTable(settings.zones(), settings.requestClasses().names());
     this.server =
         new ChpServer(
             eventLoops,
             connectionLimits(bounds),
-            new ChpProxyApi(new QueuedMessageHandler(engineLoop), names));
+            new ChpProxyApi(new QueuedMessageHandler(engineThread), names));
     EndpointListCodec codec = new EndpointListCodec(settings.zones(), clock.unixOffset());
     this.source =
         createSource(settings.endpointList().source(), codec, (EventLoop) eventLoops.next());
@@ -104,7 +104,7 @@
     EngineHost host = createHost();
     server.start(settings.listen().host(), settings.listen().port());
     List<EndpointRecord> saved = savedList.read();
-    engineLoop.start(settings.name(), host);
+    engineThread.start(settings.name(), host);
     onEndpointListUpdate(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, saved));
     source.start(this::onEndpointListUpdate, savedList::keep);
     LOG.info(
@@ -149,7 +149,7 @@
   }
 
   private void onEndpointListUpdate(Event.EndpointListUpdate update) {
-    engineLoop.post((host, now) -> host.handleEndpointListUpdate(update, now));
+    engineThread.post((host, now) -> host.handleEndpointListUpdate(update, now));
   }
 
   /** Publishes by the server, and passes requests on to the endpoint source. */
@@ -181,7 +181,7 @@
 
   @Override
   public Optional<Throwable> awaitEnd() throws InterruptedException {
-    return engineLoop.awaitEnd();
+    return engineThread.awaitEnd();
   }
 
   /** Closes the listeners, sends what waits, snapshots included, and closes all connections. */
@@ -189,10 +189,10 @@
   public void stop() throws InterruptedException {
     source.stop();
     server.stopListening();
-    engineLoop.stop();
+    engineThread.stop();
     server.stop(STOP_TIMEOUT_MILLIS);
     savedList.stop();
-    DurationHistogram batches = engineLoop.batches();
+    DurationHistogram batches = engineThread.batches();
     LOG.info(
         "assigner {} stopped: {} batches, p50 {} us, p99 {} us, max {} us; {} messages refused",
         settings.name(),
@@ -200,7 +200,7 @@
         batches.atPercentile(50) / NANOS_PER_MICRO,
         batches.atPercentile(99) / NANOS_PER_MICRO,
         batches.max() / NANOS_PER_MICRO,
-        engineLoop.refusedTasks());
+        engineThread.refusedJobs());
     eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 }
--- a/src/main/java/stonespring/daemon/EventLoopThread.java
+++ b/src/main/java/stonespring/daemon/EngineThread.java
@@ -10,52 +10,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The thread that drives an {@link EngineHost}: tasks from other threads wait in a queue, those of
- * one batch are run together, then the host does what is due. A task that fails affects no other; a
- * failure of the decision engine ends the thread.
+ * The thread that drives an {@link EngineHost}: jobs from other threads wait in a queue, those of
+ * one batch are run together, then the host does what is due. A job that throws a {@link
+ * RuntimeException} is logged and the next one runs; a failure of the decision engine ({@link
+ * DecisionFailedException}), of the host's own work after the jobs, or an {@link Error} ends the
+ * thread.
  *
- * <p>Tasks that are offered are refused when the queue is full; those that are posted are not, so
- * only tasks that are few may be posted. Methods may be called from any thread.
+ * <p>Jobs that are offered are refused when the queue is full; those that are posted are not, so
+ * only jobs that are few may be posted. Methods may be called from any thread.
  */
-final class EventLoopThread {
-  private static final Logger LOG = LoggerFactory.getLogger(EventLoopThread.class);
+final class EngineThread {
+  private static final Logger LOG = LoggerFactory.getLogger(EngineThread.class);
   private static final long MAX_BATCH_NANOS = TimeUnit.MINUTES.toNanos(1);
   private static final int BATCH_DIGITS = 3;
   private static final long STOP_TIMEOUT_SECONDS = 10;
 
-  /** A task on the loop's thread. */
+  /** A job on the engine thread. */
   @FunctionalInterface
-  interface Task {
+  interface Job {
     /**
-     * Runs the task.
+     * Runs the job.
      *
-     * @param now the clock, the same for all tasks of a batch; {@link stonespring.model.DeciMillis}
+     * @param now the clock, the same for all jobs of a batch; {@link stonespring.model.DeciMillis}
      */
     void run(EngineHost host, long now);
   }
 
   private final InstanceClock clock;
-  private final int maxOfferedTasks;
+  private final int maxOfferedJobs;
   private final int batchDelayMillis;
-  private final LinkedBlockingQueue<Task> queue = new LinkedBlockingQueue<>();
-  private final AtomicInteger offeredTasks = new AtomicInteger();
-  private final AtomicLong refusedTasks = new AtomicLong();
+  private final LinkedBlockingQueue<Job> queue = new LinkedBlockingQueue<>();
+  private final AtomicInteger offeredJobs = new AtomicInteger();
+  private final AtomicLong refusedJobs = new AtomicLong();
   private final CountDownLatch ended = new CountDownLatch(1);
   private volatile boolean stopping;
   private volatile Optional<Throwable> failure = Optional.empty();
 
-  /** Nanoseconds; written by the loop's thread, read after its end. */
+  /** Nanoseconds; written by the engine thread, read after its end. */
   private final DurationHistogram batches = new DurationHistogram(MAX_BATCH_NANOS, BATCH_DIGITS);
 
   /**
-   * Creates a loop that does not run yet; its queue takes tasks already.
+   * Creates a thread that does not run yet; its queue takes jobs already.
    *
-   * @param maxOfferedTasks offered tasks that may wait
-   * @param batchDelayMillis how long a batch's first task waits for others
+   * @param maxOfferedJobs offered jobs that may wait
+   * @param batchDelayMillis how long a batch's first job waits for others
    */
-  EventLoopThread(InstanceClock clock, int maxOfferedTasks, int batchDelayMillis) {
+  EngineThread(InstanceClock clock, int maxOfferedJobs, int batchDelayMillis) {
     this.clock = clock;
-    this.maxOfferedTasks = maxOfferedTasks;
+    this.maxOfferedJobs = maxOfferedJobs;
     this.batchDelayMillis = batchDelayMillis;
   }
 
@@ -87,18 +89,18 @@
     }
   }
 
-  /** Waits for tasks or the time, and runs a batch; returns when something is due next. */
+  /** Waits for jobs or the time, and runs a batch; returns when something is due next. */
   private long runBatch(EngineHost host, long wakeAt) throws InterruptedException {
     long wait = Math.max(0, wakeAt - clock.now());
-    Task task = queue.poll(InstanceClock.toMicros(wait), TimeUnit.MICROSECONDS);
-    if (task != null && batchDelayMillis > 0) {
-      Thread.sleep(batchDelayMillis); // for tasks that arrive together
+    Job job = queue.poll(InstanceClock.toMicros(wait), TimeUnit.MICROSECONDS);
+    if (job != null && batchDelayMillis > 0) {
+      Thread.sleep(batchDelayMillis); // for jobs that arrive together
     }
     long startedNanos = System.nanoTime();
     long now = clock.now();
-    while (task != null) {
-      runTask(task, host, now);
-      task = queue.poll();
+    while (job != null) {
+      runJob(job, host, now);
+      job = queue.poll();
     }
     long batchesBefore = host.endedBatches();
     long nextAt = host.runDue(now);
@@ -108,9 +110,9 @@
     return nextAt;
   }
 
-  private static void runTask(Task task, EngineHost host, long now) {
+  private static void runJob(Job job, EngineHost host, long now) {
     try {
-      task.run(host, now);
+      job.run(host, now);
     } catch (DecisionFailedException e) {
       throw e;
     } catch (RuntimeException e) {
@@ -118,27 +120,27 @@
     }
   }
 
-  /** Queues a task; returns false if there is no room or the loop stops. */
-  boolean offer(Task task) {
-    if (offeredTasks.incrementAndGet() > maxOfferedTasks || stopping) {
-      offeredTasks.decrementAndGet();
-      refusedTasks.incrementAndGet();
+  /** Queues a job; returns false if there is no room or the thread stops. */
+  boolean offer(Job job) {
+    if (offeredJobs.incrementAndGet() > maxOfferedJobs || stopping) {
+      offeredJobs.decrementAndGet();
+      refusedJobs.incrementAndGet();
       return false;
     }
     queue.add(
         (host, now) -> {
-          offeredTasks.decrementAndGet();
-          task.run(host, now);
+          offeredJobs.decrementAndGet();
+          job.run(host, now);
         });
     return true;
   }
 
-  /** Queues a task, whether or not there is room. */
-  void post(Task task) {
-    queue.add(task);
+  /** Queues a job, whether or not there is room. */
+  void post(Job job) {
+    queue.add(job);
   }
 
-  /** Ends the loop after the batch that it runs, and waits for that. */
+  /** Ends the thread after the batch that it runs, and waits for that. */
   void stop() throws InterruptedException {
     stopping = true;
     post((host, now) -> {}); // wakes it
@@ -146,7 +148,7 @@
   }
 
   /**
-   * Waits until the loop has ended.
+   * Waits until the thread has ended.
    *
    * @return the failure that ended it, empty if it was stopped
    */
@@ -156,15 +158,15 @@
   }
 
   /**
-   * Returns how long batches with events took, from their first task to their last update, in
-   * nanoseconds. To be used after the loop's end.
+   * Returns how long batches with events took, from their first job to their last update, in
+   * nanoseconds. To be used after the thread's end.
    */
   DurationHistogram batches() {
     return batches;
   }
 
-  /** Returns how many offered tasks were refused. */
-  long refusedTasks() {
-    return refusedTasks.get();
+  /** Returns how many offered jobs were refused. */
+  long refusedJobs() {
+    return refusedJobs.get();
   }
 }
--- a/src/main/java/stonespring/daemon/QueuedMessageHandler.java
+++ b/src/main/java/stonespring/daemon/QueuedMessageHandler.java
@@ -14,39 +14,39 @@
  * was closed is never refused. Thread-safe.
  */
 final class QueuedMessageHandler implements ProxyMessageHandler {
-  private final EventLoopThread loop;
+  private final EngineThread thread;
 
-  QueuedMessageHandler(EventLoopThread loop) {
-    this.loop = loop;
+  QueuedMessageHandler(EngineThread thread) {
+    this.thread = thread;
   }
 
   @Override
   public boolean hello(
       String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection) {
-    return loop.offer(
+    return thread.offer(
         (host, now) -> host.handleHello(proxy, hello, sessionTimeout, connection, now));
   }
 
   @Override
   public boolean reported(String proxy, ProxyReport report, ProxyConnection connection) {
-    return loop.offer((host, now) -> host.handleReport(proxy, report, connection));
+    return thread.offer((host, now) -> host.handleReport(proxy, report, connection));
   }
 
   @Override
   public boolean acknowledged(
       String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection) {
-    return loop.offer(
+    return thread.offer(
         (host, now) -> host.handleAcknowledgement(proxy, acknowledgement, connection, now));
   }
 
   @Override
   public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
-    return loop.offer(
+    return thread.offer(
         (host, now) -> receiver.accept(new KeySnapshot(host.snapshot(subtree), host.sequence())));
   }
 
   @Override
   public void connectionClosed(ProxyConnection connection) {
-    loop.post((host, now) -> host.handleConnectionClosed(connection, now));
+    thread.post((host, now) -> host.handleConnectionClosed(connection, now));
   }
 }
--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -23,7 +23,7 @@
 import org.zeromq.ZMQ;
 import org.zeromq.ZMsg;
 import stonespring.config.InstanceSettings;
-import stonespring.daemon.Daemon;
+import stonespring.daemon.ChpDaemon;
 import stonespring.zmtp.ZmtpLimits;
 
 /**
@@ -49,10 +49,10 @@
              {"id": "c", "address": "127.0.0.1:3", "zone": "west"}]
             """;
 
-  private static Daemon started(Path folder) throws Exception {
+  private static ChpDaemon started(Path folder) throws Exception {
     Files.writeString(folder.resolve("tasks.json"), TASKS);
     Files.writeString(folder.resolve("settings.star"), SCRIPT);
-    Daemon daemon = new Daemon(InstanceSettings.read(folder.resolve("settings.star")));
+    ChpDaemon daemon = new ChpDaemon(InstanceSettings.read(folder.resolve("settings.star")));
     daemon.start();
     return daemon;
   }
@@ -73,7 +73,7 @@
 
   @Test
   void aStockClientSnapshotsFollowsSetsAndExpiresAKey(@TempDir Path folder) throws Exception {
-    Daemon daemon = started(folder);
+    ChpDaemon daemon = started(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket updates = context.createSocket(SocketType.SUB);
       updates.setReceiveTimeOut(WAIT);
@@ -143,7 +143,7 @@
    */
   @Test
   void aFollowerOfAQuietSubtreeHearsThatABusyServerLives(@TempDir Path folder) throws Exception {
-    Daemon daemon = started(folder);
+    ChpDaemon daemon = started(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket quiet = context.createSocket(SocketType.SUB);
       quiet.setReceiveTimeOut(WAIT);
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -35,7 +35,7 @@
   private static final byte[] READY_PUB = join(greeting("NULL"), ready("PUB"));
   private static final String SEQUENCE = "\0".repeat(8);
 
-  private static Daemon daemon;
+  private static ChpDaemon daemon;
   private static MultiThreadIoEventLoopGroup eventLoops;
 
   @TempDir private static Path folder;
@@ -55,7 +55,7 @@
                 rules = {"empty_limit_s": 5, "cold_s": 10, "cold_share": 0.2, "fall_multiple": 3}
                 tasks = {"from": "file", "path": "tasks.json"}
                 """);
-    daemon = new Daemon(InstanceSettings.read(folder.resolve("settings.star")));
+    daemon = new ChpDaemon(InstanceSettings.read(folder.resolve("settings.star")));
     daemon.start();
     eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   }
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -151,7 +151,7 @@
             + file.seed());
     assertEquals(ZONES, file.settings().zones());
     assertEquals(List.of("look", "edit", "buy"), file.settings().requestClassNames());
-    assertEquals(2500, file.settings().minRoundInterval());
+    assertEquals(2500, file.settings().minBatchInterval());
     assertEquals(4, file.cachedEndpointList().orElseThrow().get("seq").asInt());
   }
 }
