--- a/src/main/java/stonespring/config/PlatformConfig.java
+++ b/src/main/java/stonespring/config/PlatformConfig.java
@@ -12,8 +12,11 @@
 import java.util.Optional;
 
 /**
- * The configuration of an instance on the operators' platform: one JSON file, read at the start and
- * again at each hang-up signal. Immutable; no component is null.
+ * The configuration of an instance on the operators' platform: one JSON file, read at the start,
+ * after each hang-up signal and after each failed fetch of the endpoint list. Of a file read again
+ * only {@code discovery} is applied; other {@code settings} or another {@code listen} address are
+ * warned about, since they need a restart; all other fields are ignored. Immutable; no component is
+ * null.
  *
  * @param name the instance's name, the same after a restart
  * @param listen where proxies and collectors connect
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -15,7 +15,7 @@
  * @param settings what the decisions are configured with
  * @param zones the zones' names, by position
  * @param requestClassNames the request classes' names, by position
- * @param minBatchInterval the shortest time between two rounds of the decisions, {@link
+ * @param minBatchInterval the shortest time between two event batches, {@link
  *     stonespring.model.DeciMillis}
  */
 public record PlatformSettings(
--- a/src/main/java/stonespring/daemon/ConfigReloader.java
+++ b/src/main/java/stonespring/daemon/ConfigReloader.java
@@ -9,9 +9,10 @@
 import stonespring.config.PlatformConfig;
 
 /**
- * Reads the platform's configuration again and applies it: on request, and whenever the endpoint
- * list can't be had, since the address of discovery may have moved without a request. A file that
- * can't be used leaves the configuration as it is. Thread-safe.
+ * Reads the platform's configuration again: on request, and after each failed fetch of the endpoint
+ * list, since the address of discovery may have changed without a request. Only that address is
+ * applied, see {@link PlatformDaemon#reload}. A file that can't be used leaves the configuration as
+ * it is. Thread-safe.
  */
 public final class ConfigReloader {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -66,7 +66,8 @@
    * Creates a host without proxies and endpoints.
    *
    * @param epoch names this start of the instance; unlike that of any other start
-   * @param firstSequence of published keys; above those of earlier starts
+   * @param firstSequence the highest sequence number that an earlier start may have given out; the
+   *     first key update has the next one
    */
   public EngineHost(
       Settings settings,
@@ -118,9 +119,9 @@
 
   private void replaceSession(
       String proxy, ProxyId id, ProxyConnection replaced, ProxyConnection connection, long now) {
-    endSession(id, "replaced by a newer stream", now);
+    endSession(id, "replaced by a newer session", now);
     if (replaced != connection) {
-      replaced.close("proxy " + proxy + " came back on a newer stream");
+      replaced.close("proxy " + proxy + " connected again in a newer session");
     }
   }
 
@@ -132,10 +133,10 @@
     handle(now, connected, "connect " + proxy);
     environment.publish(published.proxyConnected(id));
     LOG.info(
-        "proxy {} connected as {}, stream {}, {}",
+        "proxy {} connected as {}, session {}, {}",
         proxy,
         id.number(),
-        published.origin(id),
+        published.sessionId(id),
         hello.withoutTables() ? "with its bootstrap table" : "with route tables of its own");
   }
 
@@ -159,7 +160,7 @@
   public void handleReport(String proxy, ProxyReport report, ProxyConnection connection) {
     Optional<ProxyId> id = sessions.find(proxy, connection);
     if (id.isEmpty()) {
-      connection.close("report: proxy " + proxy + " never joined on this connection");
+      connection.close("report: proxy " + proxy + " has no session on this connection");
       return;
     }
     ProxyHello hello = sessions.hello(id.get());
@@ -187,23 +188,24 @@
   }
 
   /**
-   * Takes a proxy's acknowledgement of an update. One for an earlier stream is ignored; one that
+   * Takes a proxy's acknowledgement of an update. One for an earlier session is ignored; one that
    * was never requested closes the connection.
    */
   public void handleAcknowledgement(
       String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection, long now) {
     ProxyId id = sessions.find(proxy, connection).orElse(null);
     if (id == null) {
-      connection.close("answer: proxy " + proxy + " never joined on this connection");
+      connection.close("answer: proxy " + proxy + " has no session on this connection");
       return;
     }
-    if (!published.origin(id).equals(acknowledgement.origin())) {
+    if (!published.sessionId(id).equals(acknowledgement.sessionId())) {
       return;
     }
     AckId ack = acknowledgement.ack();
     OptionalLong commandedAt = published.acknowledge(id, ack);
     if (commandedAt.isEmpty()) {
-      connection.close("answer: mark " + ack.number() + " was never set for proxy " + proxy);
+      connection.close(
+          "answer: acknowledgement " + ack.number() + " was never requested of proxy " + proxy);
       return;
     }
     acknowledgements.record(now - commandedAt.getAsLong());
@@ -295,7 +297,7 @@
         endpoints,
         channel,
         settings.channel(),
-        reports.droppedPairs() + reportsOfUnknownEndpoints,
+        reports.droppedObservations() + reportsOfUnknownEndpoints,
         engine.endedBatches(),
         acknowledgements);
   }
--- a/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
+++ b/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
@@ -21,7 +21,7 @@
 
   private PlatformConnectionLimits() {}
 
-  /** Leaves connections that are not identified yet what proxies and collectors do not need. */
+  /** Connections that are not yet identified may use the descriptors left over by the others. */
   static LineLimits of(PlatformConfig config) {
     Settings.Fleet fleet = config.settings().settings().fleet();
     // One collector above its zone's bound is accepted before the oldest is closed.
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Applies a new configuration: the address of discovery may change; all else needs a restart of
-   * the process, which is logged.
+   * Applies the address of discovery of a new configuration. Other settings or another listen
+   * address need a restart of the process: a warning says so. All other fields are ignored.
    */
   public void reload(PlatformConfig newConfig) {
     boolean sameSettings = newConfig.settings().equals(config.settings());
--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -24,7 +24,7 @@
   private static final String TABLE_ENDPOINTS = "holds";
   private static final String WITHOUT_TABLES = "fresh";
   private static final String PROCESS_ID = "life";
-  private static final String CONNECTION_COUNT = "stream";
+  private static final String SESSION_COUNT = "stream";
   private static final String REQUESTS_PER_SECOND = "ops";
 
   private static final String REPORT = "report";
@@ -65,7 +65,7 @@
     boolean withoutTables = message.flag(WITHOUT_TABLES);
     return new ProxyHello(
         message.name(PROCESS_ID),
-        message.wholeNumber(CONNECTION_COUNT, Long.MAX_VALUE),
+        message.wholeNumber(SESSION_COUNT, Long.MAX_VALUE),
         zone,
         message.number(REQUESTS_PER_SECOND, MAX_FIGURE),
         withoutTables,
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -26,7 +26,7 @@
  * Times are milliseconds on the wire. Reading throws {@link InvalidMessageException}.
  */
 final class PlatformMessageCodec {
-  /** A proxy announces itself on a new stream. */
+  /** A proxy announces itself and opens a session. */
   static final String SUBSCRIBE = "SUBSCRIBE";
 
   /** A zone's collector announces itself. */
@@ -152,7 +152,7 @@
     return new InvalidMessageException(LOAD, ENDPOINT, "names an endpoint that was never listed");
   }
 
-  /** A valid message about a proxy that is not connected, or on another stream. */
+  /** A valid message about a proxy that is not connected, or in another session. */
   static InvalidMessageException wrongProxy(LineMessage message) {
     return new InvalidMessageException(
         message.kind(), PROXY, "names a proxy that is not connected here");
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -24,8 +24,8 @@
 
 /**
  * Serves proxies and zones' collectors on the operators' platform: their messages become events,
- * commands become messages on the proxies' streams. The platform paces the channel, so messages are
- * written at once. All calls come from one event loop.
+ * commands become messages on the proxies' sessions. The platform paces the channel, so messages
+ * are written at once. All calls come from one event loop.
  */
 public final class PlatformProxyApi implements LineHandler {
   /** Connections that a zone's collector may have, those that died unnoticed included. */
@@ -42,7 +42,7 @@
   private final PlatformMessageCodec codec;
   private final int requestClasses;
   private final Consumer<Event> events;
-  private final TreeMap<Integer, ProxyStream> streams = new TreeMap<>();
+  private final TreeMap<Integer, ProxySession> sessions = new TreeMap<>();
   private final Map<ProxyId, Set<EndpointId>> excludedAtProxy = new HashMap<>();
   private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
   private final KnownEndpoints knownEndpoints = new KnownEndpoints(MAX_KNOWN_ENDPOINTS);
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Handles a message of a connection that has not said yet who is there. */
+  /** Handles a message of a connection that is not yet identified. */
   private void handleFirst(LineConnection connection, LineMessage message) {
     try {
       switch (message.kind()) {
@@ -93,22 +93,22 @@
   }
 
   private void proxyConnected(LineConnection connection, Event.ProxyConnected hello) {
-    ProxyStream earlier = streams.get(hello.proxy().number());
+    ProxySession earlier = sessions.get(hello.proxy().number());
     if (earlier != null) {
       // Ends in closed(), which reports that it disconnected.
-      earlier.connection().end("the proxy connected again on a newer stream");
+      earlier.connection().end("the proxy connected again in a newer session");
     }
-    startStream(connection, hello);
+    startSession(connection, hello);
   }
 
-  private void startStream(LineConnection connection, Event.ProxyConnected hello) {
+  private void startSession(LineConnection connection, Event.ProxyConnected hello) {
     Set<EndpointId> excluded =
         excludedAtProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
     ProxyExclusions exclusions = new ProxyExclusions(excluded, !hello.withoutTables());
     ProxyRouteState routeState = new ProxyRouteState(requestClasses, tables, exclusions);
-    ProxyStream stream = new ProxyStream(hello, connection, routeState);
-    streams.put(hello.proxy().number(), stream);
-    connection.keep(stream);
+    ProxySession session = new ProxySession(hello, connection, routeState);
+    sessions.put(hello.proxy().number(), session);
+    connection.keep(session);
     tables.proxyConnected(hello.proxy(), Optional.empty());
     events.accept(hello);
   }
@@ -137,7 +137,7 @@
       throw new InvalidMessageException(message.kind(), "only collectors send it");
     }
     Event.EndpointOutcomes outcomes = codec.readLoad(message);
-    // A command for an endpoint that never existed would make proxies close their streams.
+    // A command for an endpoint that never existed would make proxies close their sessions.
     if (!knownEndpoints.contains(outcomes.endpoint())) {
       throw PlatformMessageCodec.unlistedEndpoint();
     }
@@ -146,8 +146,8 @@
 
   private void handleRate(PlatformPeer sender, LineMessage message) {
     Event.ProxyRequestRate rate = codec.readRate(message);
-    ProxyStream stream = streams.get(rate.proxy().number());
-    if (stream == null || sender instanceof ProxyStream && sender != stream) {
+    ProxySession session = sessions.get(rate.proxy().number());
+    if (session == null || sender instanceof ProxySession && sender != session) {
       throw PlatformMessageCodec.wrongProxy(message);
     }
     events.accept(rate);
@@ -155,10 +155,11 @@
 
   private void handleAck(PlatformPeer sender, LineMessage message) {
     Event.UpdateAcknowledged acknowledged = codec.readAck(message);
-    if (!(sender instanceof ProxyStream stream) || !stream.proxy().equals(acknowledged.proxy())) {
+    if (!(sender instanceof ProxySession session)
+        || !session.proxy().equals(acknowledged.proxy())) {
       throw PlatformMessageCodec.wrongProxy(message);
     }
-    if (!stream.acknowledge(acknowledged.ack())) {
+    if (!session.acknowledge(acknowledged.ack())) {
       throw PlatformMessageCodec.unrequestedAck();
     }
     events.accept(acknowledged);
@@ -178,10 +179,10 @@
   public void closed(LineConnection connection) {
     if (connection.keptFor() instanceof Collector collector) {
       collectors.remove(collector.zone(), connection);
-    } else if (connection.keptFor() instanceof ProxyStream stream
-        && streams.remove(stream.proxy().number(), stream)) {
-      tables.proxyDisconnected(stream.proxy());
-      events.accept(new Event.ProxyDisconnected(stream.proxy()));
+    } else if (connection.keptFor() instanceof ProxySession session
+        && sessions.remove(session.proxy().number(), session)) {
+      tables.proxyDisconnected(session.proxy());
+      events.accept(new Event.ProxyDisconnected(session.proxy()));
     }
   }
 
@@ -199,10 +200,10 @@
    */
   public void engineRestarted() {
     tables = new RouteTables(requestClasses);
-    for (ProxyStream stream : List.copyOf(streams.values())) {
-      Event.ProxyConnected earlier = stream.hello();
-      startStream(
-          stream.connection(),
+    for (ProxySession session : List.copyOf(sessions.values())) {
+      Event.ProxyConnected earlier = session.hello();
+      startSession(
+          session.connection(),
           new Event.ProxyConnected(
               earlier.proxy(), earlier.zone(), earlier.requestsPerSecond(), false));
     }
@@ -216,22 +217,22 @@
   }
 
   private void send(ProxyUpdate update) {
-    ProxyStream stream = streams.get(update.proxy().number());
-    ConfigMessage message = stream.routeState().apply(update);
+    ProxySession session = sessions.get(update.proxy().number());
+    ConfigMessage message = session.routeState().apply(update);
     if (message.isEmpty()) {
       return;
     }
-    message.ack().ifPresent(stream::request);
+    message.ack().ifPresent(session::request);
     List<String> lines = codec.write(message);
     if (LOG.isDebugEnabled()) {
-      LOG.debug("{}: {} lines: {}", stream, message.entries(), String.join(" | ", lines));
+      LOG.debug("{}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
     }
-    stream.connection().write(String.join("\r\n", lines) + "\r\n");
+    session.connection().write(String.join("\r\n", lines) + "\r\n");
   }
 
   /** How many proxies are connected. */
   public int connectedProxies() {
-    return streams.size();
+    return sessions.size();
   }
 
   /** How many messages of known peers were dropped as invalid, ever. */
@@ -240,6 +241,6 @@
   }
 
   boolean isConnected(ProxyId proxy) {
-    return streams.containsKey(proxy.number());
+    return sessions.containsKey(proxy.number());
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
@@ -5,9 +5,9 @@
 import stonespring.model.EndpointId;
 
 /**
- * Which endpoints a proxy may have excluded. A proxy keeps its exclusions when its stream ends, and
- * another instance may have added some meanwhile, so an endpoint that this stream has not spoken of
- * yet is uncertain.
+ * Which endpoints a proxy may have excluded. A proxy keeps its exclusions when its session ends,
+ * and another instance may have added some meanwhile, so an endpoint that this session has not
+ * changed yet is uncertain.
  */
 final class ProxyExclusions {
   private final Set<EndpointId> excluded;
@@ -15,9 +15,9 @@
   private final Set<EndpointId> certain = new HashSet<>();
 
   /**
-   * Creates the exclusions of a new stream.
+   * Creates the exclusions of a new session.
    *
-   * @param excluded what this instance excluded on earlier streams of the proxy; changed here
+   * @param excluded what this instance excluded in earlier sessions of the proxy; changed here
    * @param othersMayHaveExcluded whether the proxy may hold exclusions of other instances
    */
   ProxyExclusions(Set<EndpointId> excluded, boolean othersMayHaveExcluded) {
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -22,9 +22,9 @@
 import stonespring.state.RouteTables;
 
 /**
- * What one proxy holds by the updates on its stream. The platform's protocol has a table for each
+ * What one proxy holds by the updates of its session. The platform's protocol has a table for each
  * request class and no numbers of tables, one limit in place of a table's and that for all tables,
- * and exclusions that outlive the stream; updates become its messages here, for the same number of
+ * and exclusions that outlive the session; updates become its messages here, for the same number of
  * entries.
  */
 final class ProxyRouteState {
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Creates the state of a new stream.
+   * Creates the state of a new session.
    *
    * @param tables tells which endpoints are excluded
    */
@@ -64,7 +64,7 @@
   ConfigMessage apply(ProxyUpdate update) {
     ExclusionChanges exclusionChanges = new ExclusionChanges();
     TouchedTables touched = new TouchedTables();
-    update.changes().forEach(change -> apply(change, touched, exclusionChanges));
+    update.changes().forEach(change -> applyChange(change, touched, exclusionChanges));
 
     List<ConfigMessage.Part> parts = new ArrayList<>();
     touched.changedRoutes.forEach(
@@ -86,12 +86,13 @@
     return new ConfigMessage(parts, exclusionChanges, update.ack());
   }
 
-  private void apply(ProxyChange change, TouchedTables touched, ExclusionChanges exclusionChanges) {
+  private void applyChange(
+      ProxyChange change, TouchedTables touched, ExclusionChanges exclusionChanges) {
     if (change instanceof ProxyChange.TableAssignment assignment) {
       assigned[assignment.requestClass().index()] = assignment.table();
       touched.replaced.add(assignment.table());
     } else if (change instanceof ProxyChange.RouteChange route) {
-      apply(route);
+      applyRoute(route);
       touched.changedRoutes.computeIfAbsent(route.table(), id -> new ArrayList<>()).add(route);
     } else if (change instanceof ProxyChange.AdmissionLimitChange limit) {
       AdmissionLimit[] ofTable =
@@ -105,7 +106,7 @@
     }
   }
 
-  private void apply(ProxyChange.RouteChange route) {
+  private void applyRoute(ProxyChange.RouteChange route) {
     TreeMap<EndpointId, ProxyChange.RouteChange> ofTable =
         routes.computeIfAbsent(
             route.table(), id -> new TreeMap<>(Comparator.comparing(EndpointId::name)));
--- a/src/main/java/stonespring/proxyapi/platform/ProxyStream.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxySession.java
@@ -6,8 +6,8 @@
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 
-/** A proxy's stream. */
-final class ProxyStream implements PlatformPeer {
+/** A proxy's session: one connection and what was sent on it. */
+final class ProxySession implements PlatformPeer {
   /** Acknowledgements that a proxy may owe; the oldest beyond are forgotten. */
   private static final int MAX_PENDING_ACKS = 64;
 
@@ -16,7 +16,7 @@
   private final ProxyRouteState routeState;
   private final LinkedHashSet<AckId> pendingAcks = new LinkedHashSet<>();
 
-  ProxyStream(Event.ProxyConnected hello, LineConnection connection, ProxyRouteState routeState) {
+  ProxySession(Event.ProxyConnected hello, LineConnection connection, ProxyRouteState routeState) {
     this.hello = hello;
     this.connection = connection;
     this.routeState = routeState;
--- a/src/main/java/stonespring/state/ConnectedProxy.java
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -62,8 +62,8 @@
     return false;
   }
 
-  /** Notes a limit for all tables; false if it was the last one sent already. */
-  boolean noteLimitForAllTables(int requestClass, AdmissionLimit limit) {
+  /** Replaces a limit for all tables; false if it equals the last one sent. */
+  boolean replaceLimitIfDifferent(int requestClass, AdmissionLimit limit) {
     if (limit.equals(limitsForAllTables[requestClass])) {
       return false;
     }
--- a/src/main/java/stonespring/state/ProxySessions.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -14,7 +14,7 @@
 
 /**
  * Which proxies are connected. A session begins with a hello that claims a name, is kept by
- * renewing it, and ends with its lease, its connection, or a later connection of the same process.
+ * renewing it, and ends with its lease, its connection, or a later session of the same process.
  * Proxies' ids are dense and bounded: when all are used, that of the proxy longest disconnected is
  * reused; if there is none, the newcomer is refused. Instants are passed in as {@link
  * stonespring.model.DeciMillis}. Not safe for several threads.
@@ -85,8 +85,8 @@
       session.hello = hello;
       return new HelloResult.Renewed<>(session.id);
     }
-    // Another process of the same name waits for the lease to end; the same process on a later
-    // connection knows that its earlier one is dead, even if that is half open here.
+    // Another process of the same name waits for the lease to end; the same process in a later
+    // session knows that its earlier one is dead, even if that is half open here.
     if (session.expiresAt > now && !hello.replaces(session.hello)) {
       return new HelloResult.Refused<>("proxy " + session.name + " is here already");
     }
--- a/src/main/java/stonespring/state/ProxyUpdateBuilder.java
+++ b/src/main/java/stonespring/state/ProxyUpdateBuilder.java
@@ -14,19 +14,19 @@
     this.proxy = proxy;
   }
 
-  /** Adds a change that costs an entry; it stands behind all others. */
-  void charge(ProxyChange change) {
+  /** Adds a change and counts an entry for it; it stands behind all others. */
+  void addCounted(ProxyChange change) {
     changes.putLast(change);
     entries++;
   }
 
-  /** Adds a change whose cost is counted otherwise. */
-  void include(ProxyChange change) {
+  /** Adds a change whose entry is counted by {@link #countEntry}, or that costs none. */
+  void addUncounted(ProxyChange change) {
     changes.putInPlace(change);
   }
 
-  /** Counts an entry whose changes are included. */
-  void chargeEntry() {
+  /** Counts an entry, for changes that are added uncounted. */
+  void countEntry() {
     entries++;
   }
 
--- a/src/main/java/stonespring/state/PublishedState.java
+++ b/src/main/java/stonespring/state/PublishedState.java
@@ -62,13 +62,19 @@
     this.proxies = proxies;
   }
 
-  /** Names a proxy's session: this start of the instance and the number of the session. */
-  public String origin(ProxyId proxy) {
+  /**
+   * Returns the name of a proxy's session, the wire's {@code origin}: this start of the instance
+   * and the number of the session.
+   */
+  public String sessionId(ProxyId proxy) {
     return epoch + "-" + proxies.sessionNumber(proxy);
   }
 
   /**
-   * Publishes an update that left the channel.
+   * Publishes an update that left the channel. If the store is full, the update is not committed
+   * and nobody is notified of it: keys set before the store was full stay in it and appear in
+   * snapshots, and it is not tried again. No metric counts this. Where only the commit key has no
+   * room, the session's count of updates and the pending acknowledgement include the update.
    *
    * @return its keys and then the commit; empty if the store has no room for them
    */
@@ -102,7 +108,7 @@
 
   private String commit(ProxyUpdate update, int count, int changedKeys) {
     return "{\"origin\":\""
-        + origin(update.proxy())
+        + sessionId(update.proxy())
         + "\",\"at\":"
         + count
         + ",\"keys\":"
@@ -113,7 +119,7 @@
 
   /** Publishes that a proxy's session began. */
   public List<KeyUpdate> proxyConnected(ProxyId proxy) {
-    return put(presenceKey(proxy), "{\"origin\":\"" + origin(proxy) + "\"}").stream().toList();
+    return put(presenceKey(proxy), "{\"origin\":\"" + sessionId(proxy) + "\"}").stream().toList();
   }
 
   /**
--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -15,13 +15,14 @@
 /**
  * Sums the reports of proxies until they are drained: one figure for each pair of endpoint and
  * zone, one for each pair of proxy and request class, however often proxies report. The number of
- * pairs is bounded; pairs beyond the bound are dropped and counted. Not safe for several threads.
+ * pairs is bounded; what is reported of pairs beyond it is dropped and counted. Not safe for
+ * several threads.
  */
 public final class ReportAggregator {
   private static final int REQUEST_CLASS_BITS = 16;
 
   /** What the proxies of one zone observed at one endpoint. */
-  private static final class EndpointSum {
+  private static final class EndpointTotals {
     private final EndpointId endpoint;
     private final ZoneId zone;
     private long attempts;
@@ -30,7 +31,7 @@
     private LoadReport load = LoadReport.NONE;
     private final Map<Integer, Long> intervalsByProxy = new HashMap<>();
 
-    EndpointSum(EndpointId endpoint, ZoneId zone) {
+    EndpointTotals(EndpointId endpoint, ZoneId zone) {
       this.endpoint = endpoint;
       this.zone = zone;
     }
@@ -57,14 +58,14 @@
   }
 
   /** What one proxy received of one request class. */
-  private static final class RequestSum {
+  private static final class RequestTotals {
     private final ProxyId proxy;
     private final RequestClassId requestClass;
     private long requests;
     private long unanswered;
     private long interval;
 
-    RequestSum(ProxyId proxy, RequestClassId requestClass) {
+    RequestTotals(ProxyId proxy, RequestClassId requestClass) {
       this.proxy = proxy;
       this.requestClass = requestClass;
     }
@@ -82,9 +83,9 @@
 
   private final int maxPairs;
   // The order of these keys is the order of the events, which decisions depend on.
-  private final TreeMap<String, EndpointSum> endpointSums = new TreeMap<>();
-  private final TreeMap<Long, RequestSum> requestSums = new TreeMap<>();
-  private long droppedPairs;
+  private final TreeMap<String, EndpointTotals> endpointTotals = new TreeMap<>();
+  private final TreeMap<Long, RequestTotals> requestTotals = new TreeMap<>();
+  private long droppedObservations;
 
   /**
    * Creates an aggregator that holds nothing.
@@ -108,30 +109,30 @@
   private void addObservation(
       ProxyId proxy, ZoneId zone, long interval, ProxyReport.EndpointObservation observation) {
     String key = zone.index() + "|" + observation.endpoint().name();
-    EndpointSum sum = endpointSums.get(key);
-    if (sum == null) {
-      if (endpointSums.size() >= maxPairs) {
-        droppedPairs++;
+    EndpointTotals totals = endpointTotals.get(key);
+    if (totals == null) {
+      if (endpointTotals.size() >= maxPairs) {
+        droppedObservations++;
         return;
       }
-      sum = new EndpointSum(observation.endpoint(), zone);
-      endpointSums.put(key, sum);
+      totals = new EndpointTotals(observation.endpoint(), zone);
+      endpointTotals.put(key, totals);
     }
-    sum.add(proxy, interval, observation);
+    totals.add(proxy, interval, observation);
   }
 
   private void addCount(ProxyId proxy, long interval, ProxyReport.RequestCount count) {
     long key = firstKey(proxy.number()) | count.requestClass().index();
-    RequestSum sum = requestSums.get(key);
-    if (sum == null) {
-      if (requestSums.size() >= maxPairs) {
-        droppedPairs++;
+    RequestTotals totals = requestTotals.get(key);
+    if (totals == null) {
+      if (requestTotals.size() >= maxPairs) {
+        droppedObservations++;
         return;
       }
-      sum = new RequestSum(proxy, count.requestClass());
-      requestSums.put(key, sum);
+      totals = new RequestTotals(proxy, count.requestClass());
+      requestTotals.put(key, totals);
     }
-    sum.add(interval, count);
+    totals.add(interval, count);
   }
 
   private static long firstKey(long proxyNumber) {
@@ -143,27 +144,27 @@
    * endpoints stays true.
    */
   public void proxyDisconnected(ProxyId proxy) {
-    requestSums.subMap(firstKey(proxy.number()), firstKey(proxy.number() + 1L)).clear();
+    requestTotals.subMap(firstKey(proxy.number()), firstKey(proxy.number() + 1L)).clear();
   }
 
-  /** Returns all sums as events, and starts anew. */
+  /** Returns all totals as events, and starts anew. */
   public List<Event> drain() {
     List<Event> events = new ArrayList<>();
-    for (EndpointSum sum : endpointSums.values()) {
-      if (sum.attempts > 0) {
-        events.add(sum.toEvent());
+    for (EndpointTotals totals : endpointTotals.values()) {
+      if (totals.attempts > 0) {
+        events.add(totals.toEvent());
       }
     }
-    for (RequestSum sum : requestSums.values()) {
-      events.add(sum.toEvent());
+    for (RequestTotals totals : requestTotals.values()) {
+      events.add(totals.toEvent());
     }
-    endpointSums.clear();
-    requestSums.clear();
+    endpointTotals.clear();
+    requestTotals.clear();
     return events;
   }
 
-  /** How many pairs were dropped at the bound, ever. */
-  public long droppedPairs() {
-    return droppedPairs;
+  /** How many observations and request counts were dropped at the bound of pairs, ever. */
+  public long droppedObservations() {
+    return droppedObservations;
   }
 }
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -24,7 +24,7 @@
 public final class RouteTables {
   private final int requestClasses;
   private final TreeMap<Integer, ConnectedProxy> proxies = new TreeMap<>();
-  private final Map<Integer, RouteTable> tables = new TreeMap<>();
+  private final Map<Integer, StoredTable> tables = new TreeMap<>();
   private final Set<EndpointId> excluded = new HashSet<>();
   private final AdmissionLimit[] limitsForAllTables;
 
@@ -109,7 +109,7 @@
   }
 
   private void setRoute(Command.SetRoute command, Updates updates) {
-    RouteTable table = table(command.table());
+    StoredTable table = table(command.table());
     double weight = command.weight() > 0 ? command.weight() : 0;
     if (weight > 0) {
       table.weights().put(command.endpoint(), weight);
@@ -117,12 +117,12 @@
       table.weights().remove(command.endpoint());
     }
     for (int user : table.users()) {
-      updates.of(user).charge(routeChange(table, command.endpoint(), weight));
+      updates.of(user).addCounted(routeChange(table, command.endpoint(), weight));
     }
   }
 
   private void clearTable(RouteTableId id, Updates updates) {
-    RouteTable table = table(id);
+    StoredTable table = table(id);
     List<EndpointId> endpoints = List.copyOf(table.weights().keySet());
     List<Integer> limited = limitedClasses(table);
     table.clear();
@@ -131,8 +131,8 @@
     }
     for (int user : table.users()) {
       ProxyUpdateBuilder update = updates.of(user);
-      endpoints.forEach(endpoint -> update.charge(routeChange(table, endpoint, 0)));
-      limited.forEach(k -> update.charge(table.limitChange(k)));
+      endpoints.forEach(endpoint -> update.addCounted(routeChange(table, endpoint, 0)));
+      limited.forEach(k -> update.addCounted(table.limitChange(k)));
     }
   }
 
@@ -150,33 +150,35 @@
         if (previous != null && !proxy.uses(previous)) {
           dropTable(proxy, table(previous), update);
         }
-        update.include(new ProxyChange.TableAssignment(new RequestClassId(k), command.table()));
+        update.addUncounted(
+            new ProxyChange.TableAssignment(new RequestClassId(k), command.table()));
       }
     }
-    update.chargeEntry();
-    RouteTable table = table(command.table());
+    update.countEntry();
+    StoredTable table = table(command.table());
     table.users().add(proxy.id().number());
     if (!usedBefore) {
       sendTable(table, update);
     }
   }
 
-  private static void dropTable(ConnectedProxy proxy, RouteTable table, ProxyUpdateBuilder update) {
+  private static void dropTable(
+      ConnectedProxy proxy, StoredTable table, ProxyUpdateBuilder update) {
     table.users().remove(proxy.id().number());
     for (EndpointId endpoint : table.weights().keySet()) {
-      update.include(routeChange(table, endpoint, 0));
+      update.addUncounted(routeChange(table, endpoint, 0));
     }
   }
 
-  private void sendTable(RouteTable table, ProxyUpdateBuilder update) {
+  private void sendTable(StoredTable table, ProxyUpdateBuilder update) {
     for (Map.Entry<EndpointId, Double> route : table.weights().entrySet()) {
       EndpointId endpoint = route.getKey();
-      update.charge(routeChange(table, endpoint, route.getValue()));
+      update.addCounted(routeChange(table, endpoint, route.getValue()));
       if (excluded.contains(endpoint)) {
-        update.charge(new ProxyChange.ExclusionChange(endpoint, true));
+        update.addCounted(new ProxyChange.ExclusionChange(endpoint, true));
       }
     }
-    limitedClasses(table).forEach(k -> update.charge(table.limitChange(k)));
+    limitedClasses(table).forEach(k -> update.addCounted(table.limitChange(k)));
   }
 
   private void excludeEndpoint(Command.ExcludeEndpoint command, Updates updates) {
@@ -188,7 +190,7 @@
     }
     for (ConnectedProxy proxy : proxies.values()) {
       if (proxy.mayUseInitially(endpoint) || hasRouteTo(proxy, endpoint)) {
-        updates.of(proxy).charge(new ProxyChange.ExclusionChange(endpoint, command.excluded()));
+        updates.of(proxy).addCounted(new ProxyChange.ExclusionChange(endpoint, command.excluded()));
       }
     }
   }
@@ -211,11 +213,11 @@
           limitsForAllTables[k] = limit;
         }
       }
-      // The changes themselves are added when the update is built.
-      proxies.values().forEach(proxy -> updates.of(proxy).chargeEntry());
+      // The changes themselves are added late, see addPendingGlobalLimits.
+      proxies.values().forEach(proxy -> updates.of(proxy).countEntry());
       return;
     }
-    RouteTable table = table(command.table());
+    StoredTable table = table(command.table());
     for (int k = 0; k < requestClasses; k++) {
       if (masked(command.requestClassMask(), k)) {
         table.setLimit(k, limit);
@@ -223,32 +225,35 @@
     }
     for (int user : table.users()) {
       ProxyUpdateBuilder update = updates.of(user);
-      update.chargeEntry();
+      update.countEntry();
       for (int k = 0; k < requestClasses; k++) {
         if (masked(command.requestClassMask(), k)) {
-          update.include(table.limitChange(k));
+          update.addUncounted(table.limitChange(k));
         }
       }
     }
   }
 
-  /** Limits for all tables travel with each update of a proxy that does not have them yet. */
-  private void includeLimitsForAllTables(ConnectedProxy proxy, ProxyUpdateBuilder update) {
+  /**
+   * Adds the limits for all tables that the proxy does not have yet. This happens late, when an
+   * update is built, so that any update brings them to a proxy that connected after the command.
+   */
+  private void addPendingGlobalLimits(ConnectedProxy proxy, ProxyUpdateBuilder update) {
     for (int k = 0; k < requestClasses; k++) {
       AdmissionLimit limit = limitsForAllTables[k];
-      if (limit != null && proxy.noteLimitForAllTables(k, limit)) {
-        update.include(
+      if (limit != null && proxy.replaceLimitIfDifferent(k, limit)) {
+        update.addUncounted(
             new ProxyChange.AdmissionLimitChange(
                 Command.ALL_TABLES, new RequestClassId(k), Optional.of(limit)));
       }
     }
   }
 
-  private RouteTable table(RouteTableId id) {
-    return tables.computeIfAbsent(id.number(), number -> new RouteTable(id, requestClasses));
+  private StoredTable table(RouteTableId id) {
+    return tables.computeIfAbsent(id.number(), number -> new StoredTable(id, requestClasses));
   }
 
-  private List<Integer> limitedClasses(RouteTable table) {
+  private List<Integer> limitedClasses(StoredTable table) {
     List<Integer> limited = new ArrayList<>();
     for (int k = 0; k < requestClasses; k++) {
       if (table.limit(k).isPresent()) {
@@ -262,7 +267,7 @@
     return requestClassMask == 0 || (requestClassMask >> requestClass & 1) == 1;
   }
 
-  private static ProxyChange routeChange(RouteTable table, EndpointId endpoint, double weight) {
+  private static ProxyChange routeChange(StoredTable table, EndpointId endpoint, double weight) {
     return new ProxyChange.RouteChange(table.id(), endpoint, weight);
   }
 
@@ -279,10 +284,11 @@
       return of(proxies.get(proxyNumber));
     }
 
+    /** Adds the pending global limits to each update, and completes it. */
     List<ProxyUpdate> build(Optional<AckId> ack, long now) {
       List<ProxyUpdate> updates = new ArrayList<>();
       for (Map.Entry<Integer, ProxyUpdateBuilder> entry : builders.entrySet()) {
-        includeLimitsForAllTables(proxies.get(entry.getKey()), entry.getValue());
+        addPendingGlobalLimits(proxies.get(entry.getKey()), entry.getValue());
         updates.add(entry.getValue().build(ack, now));
       }
       return updates;
--- a/src/main/java/stonespring/state/RouteTable.java
+++ b/src/main/java/stonespring/state/StoredTable.java
@@ -10,14 +10,14 @@
 import stonespring.model.RouteTableId;
 
 /** One route table with its admission limits and the proxies that use it. */
-final class RouteTable {
+final class StoredTable {
   private final RouteTableId id;
   private final TreeMap<EndpointId, Double> weights =
       new TreeMap<>(Comparator.comparing(EndpointId::name));
   private final AdmissionLimit[] limits;
   private final TreeSet<Integer> users = new TreeSet<>();
 
-  RouteTable(RouteTableId id, int requestClasses) {
+  StoredTable(RouteTableId id, int requestClasses) {
     this.id = id;
     this.limits = new AdmissionLimit[requestClasses];
   }
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -69,7 +69,7 @@
     SimulatedProxy proxy = simulation.addProxy("p0", 0);
     RecordingConnection stranger = new RecordingConnection();
     host.handleReport("p0", new ProxyReport(SECOND, List.of(), List.of()), stranger);
-    assertTrue(stranger.closeReason().contains("never joined"));
+    assertTrue(stranger.closeReason().contains("has no session on this connection"));
 
     simulation.connect(proxy);
     simulation.advance(STEP);
@@ -82,7 +82,7 @@
 
     RecordingConnection late = new RecordingConnection();
     host.handleAcknowledgement("p0", acknowledgement(proxy.stream(), 1), late, simulation.now());
-    assertTrue(late.closeReason().contains("never joined on this connection"));
+    assertTrue(late.closeReason().contains("has no session on this connection"));
 
     host.handleAcknowledgement(
         "p0", acknowledgement("some-other-stream", 1), proxy.connection(), simulation.now());
@@ -90,7 +90,9 @@
         proxy.connection().closeReason(), "one for an earlier stream may have been under way");
     host.handleAcknowledgement(
         "p0", acknowledgement(proxy.stream(), 64_999), proxy.connection(), simulation.now());
-    assertEquals("answer: mark 64999 was never set for proxy p0", proxy.connection().closeReason());
+    assertEquals(
+        "answer: acknowledgement 64999 was never requested of proxy p0",
+        proxy.connection().closeReason());
   }
 
   /** A half-open connection hides that the old stream is dead. */
@@ -105,7 +107,7 @@
     String oldStream = proxy.stream();
     simulation.connect(proxy);
     simulation.advance(SECOND);
-    assertTrue(oldConnection.closeReason().contains("newer stream"));
+    assertTrue(oldConnection.closeReason().contains("connected again in a newer session"));
     assertEquals(1, host.connectedProxies());
 
     for (int i = 0; i < 100 && proxy.stream().equals(oldStream); i++) {
