--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -55,8 +55,9 @@
   @Option(
       names = "--assigner",
       split = ",",
+      paramLabel = "<assigners>",
       description = "Assigners as HOST:PORT, in order (the script's).")
-  private List<String> assigners = new ArrayList<>();
+  private List<String> instances = new ArrayList<>();
 
   @Mixin private LoggingOptions logging;
 
@@ -85,7 +86,7 @@
         routing,
         StandIns.opTimeouts(script),
         List.of(),
-        assignerPorts(script),
+        instancePorts(script),
         USUAL_REQUESTS_PER_SECOND,
         ROUTE_UPDATE_MICROS,
         script.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
@@ -95,25 +96,25 @@
         SESSION_TIMEOUT_SECONDS);
   }
 
-  private List<ProxySettings.Ports> assignerPorts(InstanceSettings script)
+  private List<ProxySettings.Ports> instancePorts(InstanceSettings script)
       throws CommandFailedException {
-    if (assigners.isEmpty()) {
+    if (instances.isEmpty()) {
       return List.of(ports(script.listen().host() + ":" + script.listen().port()));
     }
     List<ProxySettings.Ports> ports = new ArrayList<>();
-    for (String assigner : assigners) {
-      ports.add(ports(assigner));
+    for (String instance : instances) {
+      ports.add(ports(instance));
     }
     return ports;
   }
 
-  /** Parses an assigner's address; its ports follow each other. */
-  private static ProxySettings.Ports ports(String assigner) throws CommandFailedException {
-    if (!assigner.matches(ADDRESS_PATTERN)) {
-      throw CommandFailedException.usage("--assigner is HOST:PORT, not " + assigner);
+  /** Parses an instance's address; its ports follow each other. */
+  private static ProxySettings.Ports ports(String address) throws CommandFailedException {
+    if (!address.matches(ADDRESS_PATTERN)) {
+      throw CommandFailedException.usage("--assigner is HOST:PORT, not " + address);
     }
-    int colon = assigner.indexOf(':');
-    int first = Integer.parseInt(assigner.substring(colon + 1));
-    return new ProxySettings.Ports(assigner.substring(0, colon), first, first + 1, first + 2);
+    int colon = address.indexOf(':');
+    int first = Integer.parseInt(address.substring(colon + 1));
+    return new ProxySettings.Ports(address.substring(0, colon), first, first + 1, first + 2);
   }
 }
--- a/src/main/java/stonespring/config/InstanceSettingsDecoder.java
+++ b/src/main/java/stonespring/config/InstanceSettingsDecoder.java
@@ -16,19 +16,30 @@
 import stonespring.model.Settings;
 
 /**
- * Decodes the sections of a settings script. The keys are those of {@code docs/running.md}; errors
- * are recorded by the sections.
+ * Decodes the sections of a settings script. Their keys are {@link SettingsKeys}; errors are
+ * recorded by the sections.
  */
 final class InstanceSettingsDecoder {
-  /** The words of {@code repeat}, in the order of {@link RetrySafety}. */
+  private static final String RETRYABLE = "retryable";
+  private static final String DEDUPLICATED = "deduplicated";
+  private static final String ONCE_ONLY = "once_only";
+
+  /** In the order in which errors list them. */
   private static final List<String> RETRY_SAFETY_WORDS =
-      List.of("retryable", "deduplicated", "once_only");
+      List.of(RETRYABLE, DEDUPLICATED, ONCE_ONLY);
 
-  private static final List<String> LIMIT_KIND_WORDS = List.of("share", "rate", "none");
+  private static final String LIMIT_FRACTION = "share";
+  private static final String LIMIT_RATE = "rate";
+  private static final String LIMIT_NONE = "none";
+  private static final List<String> LIMIT_KIND_WORDS =
+      List.of(LIMIT_FRACTION, LIMIT_RATE, LIMIT_NONE);
+  private static final String FROM_FILE = "file";
+  private static final String FROM_REGISTRY = "registry";
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
   private static final String LISTEN_HOST_PATTERN = "[0-9a-zA-Z.:-]{1,100}";
   private static final String REGISTRY_HOST_PATTERN = "[0-9a-zA-Z.-]{1,100}";
   private static final String PATH_PATTERN = ".{1,500}";
+  private static final String DEFAULT_NAME = "assigner";
   private static final String LOCAL_HOST = "127.0.0.1";
   private static final int MAX_PROXIES = 65_000;
   private static final int MAX_DURATION_SECONDS = 3600;
@@ -84,16 +95,16 @@
         fleet.zones(),
         requestClasses.namesAndTimeouts(),
         new EndpointListSettings(source, instance.cacheFile()),
-        globals.bool("proposals", false),
+        globals.bool(SettingsKeys.WEIGHT_PROPOSALS, false),
         limits);
   }
 
   private Instance decodeInstance() {
-    Section section = globals.section("assigner", false);
-    String name = section.text("name", NAME_PATTERN, "assigner");
-    String host = section.text("host", LISTEN_HOST_PATTERN, LOCAL_HOST);
-    int port = section.integer("port", 0, InstanceSettings.MAX_SNAPSHOT_PORT, 7400);
-    String cacheFile = section.text("saved_list", PATH_PATTERN, "");
+    Section section = globals.section(SettingsKeys.INSTANCE, false);
+    String name = section.text(SettingsKeys.NAME, NAME_PATTERN, DEFAULT_NAME);
+    String host = section.text(SettingsKeys.HOST, LISTEN_HOST_PATTERN, LOCAL_HOST);
+    int port = section.integer(SettingsKeys.PORT, 0, InstanceSettings.MAX_SNAPSHOT_PORT, 7400);
+    String cacheFile = section.text(SettingsKeys.CACHE_FILE, PATH_PATTERN, "");
     section.rejectUnknownKeys();
     return new Instance(
         name,
@@ -107,14 +118,14 @@
   }
 
   private Fleet decodeFleet() {
-    Section section = globals.section("fleet", true);
+    Section section = globals.section(SettingsKeys.FLEET, true);
     Fleet fleet =
         new Fleet(
-            section.texts("zones", NAME_PATTERN, 1, 64),
-            section.integer("proxies", 1, MAX_PROXIES, null),
-            section.integer("assigners", 1, 1000, 1),
-            section.integer("standing_lines", 0, 1000, 5),
-            section.integer("shun_after", 0, 1000, 0));
+            section.texts(SettingsKeys.ZONES, NAME_PATTERN, 1, 64),
+            section.integer(SettingsKeys.PROXIES, 1, MAX_PROXIES, null),
+            section.integer(SettingsKeys.INSTANCES, 1, 1000, 1),
+            section.integer(SettingsKeys.BOOTSTRAP_ROUTE_COUNT, 0, 1000, 5),
+            section.integer(SettingsKeys.EJECT_AFTER_CONSECUTIVE_FAILURES, 0, 1000, 0));
     section.rejectUnknownKeys();
     return fleet;
   }
@@ -123,44 +134,53 @@
     List<RequestClass> classes = new ArrayList<>();
     List<String> names = new ArrayList<>();
     List<Long> timeouts = new ArrayList<>();
-    for (Section section : globals.sections("op_types", 1, 16)) {
-      String name = section.text("name", NAME_PATTERN, null);
+    for (Section section : globals.sections(SettingsKeys.REQUEST_CLASSES, 1, 16)) {
+      String name = section.text(SettingsKeys.NAME, NAME_PATTERN, null);
       if (names.contains(name)) {
-        section.reject("name", "is '" + name + "' for a second time");
+        section.reject(SettingsKeys.NAME, "is '" + name + "' for a second time");
       }
       names.add(name);
-      double objectiveMillis = section.number("target_latency_ms", 1, 600_000, null);
-      double timeoutMillis = section.number("op_timeout_ms", 1, 3_600_000, null);
+      double objectiveMillis =
+          section.number(SettingsKeys.LATENCY_OBJECTIVE_MILLIS, 1, 600_000, null);
+      double timeoutMillis =
+          section.number(SettingsKeys.REQUEST_TIMEOUT_MILLIS, 1, 3_600_000, null);
       if (timeoutMillis < objectiveMillis) {
-        section.reject("op_timeout_ms", "is below the target latency");
+        section.reject(SettingsKeys.REQUEST_TIMEOUT_MILLIS, "is below the target latency");
       }
       timeouts.add(fromMillis(timeoutMillis));
       classes.add(
           new RequestClass(
-              retrySafety(section.choice("repeat", RETRY_SAFETY_WORDS, null)),
+              retrySafety(section.choice(SettingsKeys.RETRY_SAFETY, RETRY_SAFETY_WORDS, null)),
               fromMillis(objectiveMillis),
-              section.number("benefit", 0, 1e6, 1.0)));
+              section.number(SettingsKeys.PRIORITY_WEIGHT, 0, 1e6, 1.0)));
       section.rejectUnknownKeys();
     }
     return new DecodedRequestClasses(classes, new RequestClasses(names, timeouts));
   }
 
   private static RetrySafety retrySafety(String word) {
-    return RetrySafety.values()[RETRY_SAFETY_WORDS.indexOf(word)];
+    return switch (word) {
+      case RETRYABLE -> RetrySafety.IDEMPOTENT;
+      case DEDUPLICATED -> RetrySafety.IDEMPOTENCY_KEYED;
+      case ONCE_ONLY -> RetrySafety.NON_IDEMPOTENT;
+      default -> throw new IllegalArgumentException("no retry safety: " + word);
+    };
   }
 
   private Source decodeSource() {
-    Section section = globals.section("tasks", true);
+    Section section = globals.section(SettingsKeys.ENDPOINT_LIST, true);
     Source source;
-    if (section.choice("from", List.of("file", "registry"), null).equals("registry")) {
+    if (section
+        .choice(SettingsKeys.SOURCE, List.of(FROM_FILE, FROM_REGISTRY), null)
+        .equals(FROM_REGISTRY)) {
       source =
           new Source.FromRegistry(
-              section.text("host", REGISTRY_HOST_PATTERN, LOCAL_HOST),
-              section.integer("port", 1, InstanceSettings.MAX_PORT, null),
-              section.text("service", NAME_PATTERN, null),
-              section.integer("wait_s", 1, 600, 10));
+              section.text(SettingsKeys.HOST, REGISTRY_HOST_PATTERN, LOCAL_HOST),
+              section.integer(SettingsKeys.PORT, 1, InstanceSettings.MAX_PORT, null),
+              section.text(SettingsKeys.SERVICE, NAME_PATTERN, null),
+              section.integer(SettingsKeys.REGISTRY_WAIT_SECONDS, 1, 600, 10));
     } else {
-      source = new Source.FromFile(resolve(section.text("path", PATH_PATTERN, null)));
+      source = new Source.FromFile(resolve(section.text(SettingsKeys.PATH, PATH_PATTERN, null)));
     }
     section.rejectUnknownKeys();
     return source;
@@ -176,7 +196,8 @@
         new Settings.Fleet(fleet.instances(), fleet.zones().size(), fleet.proxies(), false),
         List.copyOf(requestClasses),
         new Settings.EndpointListRules(watchRequired, rules.removedEndpointsKeepServing()),
-        limitKind(globals.choice("levels", LIMIT_KIND_WORDS, "share")),
+        limitKind(
+            globals.choice(SettingsKeys.ADMISSION_LIMIT_KIND, LIMIT_KIND_WORDS, LIMIT_FRACTION)),
         channel,
         new Settings.RoutingRules(
             rules.maxTimeWithoutEndpoint(),
@@ -189,66 +210,73 @@
   }
 
   private Settings.ChannelLimits decodeChannel() {
-    Section section = globals.section("channel", true);
+    Section section = globals.section(SettingsKeys.CHANNEL, true);
     Settings.ChannelLimits channel =
         new Settings.ChannelLimits(
-            section.integer("backlog_lines", 10, 100_000_000, null),
-            section.integer("message_head_lines", 0, 10_000, 10),
-            section.integer("messages_most", 0, 1_000_000, 0),
-            duration(section, "messages_over_s", 0.1, MAX_DURATION_SECONDS, 10.0),
-            section.number("lines_per_s", 1, 1e9, null),
+            section.integer(SettingsKeys.MAX_BACKLOG_ENTRIES, 10, 100_000_000, null),
+            section.integer(SettingsKeys.MESSAGE_OVERHEAD_ENTRIES, 0, 10_000, 10),
+            section.integer(SettingsKeys.MAX_MESSAGES_PER_PROXY, 0, 1_000_000, 0),
+            duration(section, SettingsKeys.MESSAGE_WINDOW_SECONDS, 0.1, MAX_DURATION_SECONDS, 10.0),
+            section.number(SettingsKeys.ENTRIES_PER_SECOND, 1, 1e9, null),
             false);
     section.rejectUnknownKeys();
     return channel;
   }
 
   private Rules decodeRules() {
-    Section section = globals.section("rules", true);
+    Section section = globals.section(SettingsKeys.RULES, true);
     Rules rules =
         new Rules(
-            duration(section, "empty_limit_s", 0.1, MAX_DURATION_SECONDS, null),
+            duration(
+                section,
+                SettingsKeys.MAX_SECONDS_WITHOUT_ENDPOINT,
+                0.1,
+                MAX_DURATION_SECONDS,
+                null),
             new Settings.SlowStart(
-                duration(section, "cold_s", 0, MAX_DURATION_SECONDS, null),
-                section.number("cold_share", 0.001, 1, null),
-                section.number("fall_multiple", 1, 1000, null)),
-            section.bool("dropped_stay_open", false));
+                duration(
+                    section, SettingsKeys.SLOW_START_WINDOW_SECONDS, 0, MAX_DURATION_SECONDS, null),
+                section.number(SettingsKeys.SLOW_START_INITIAL_FRACTION, 0.001, 1, null),
+                section.number(SettingsKeys.OVERLOAD_MULTIPLE, 1, 1000, null)),
+            section.bool(SettingsKeys.REMOVED_ENDPOINTS_KEEP_SERVING, false));
     section.rejectUnknownKeys();
     return rules;
   }
 
   private long decodeReportInterval() {
-    Section section = globals.section("reports", false);
-    long interval = duration(section, "every_s", 0.05, 60, 1.0);
+    Section section = globals.section(SettingsKeys.REPORTS, false);
+    long interval = duration(section, SettingsKeys.REPORT_INTERVAL_SECONDS, 0.05, 60, 1.0);
     section.rejectUnknownKeys();
     return interval;
   }
 
   private Prices decodePrices() {
-    Section section = globals.section("prices", false);
+    Section section = globals.section(SettingsKeys.PRICES, false);
     Prices prices =
         new Prices(
-            section.number("cross_zone", 0, 1, 0.0), section.number("worst_op_type", 0, 1, 0.0));
+            section.number(SettingsKeys.CROSS_ZONE_PENALTY, 0, 1, 0.0),
+            section.number(SettingsKeys.WORST_CLASS_WEIGHT, 0, 1, 0.0));
     section.rejectUnknownKeys();
     return prices;
   }
 
   private static AdmissionLimitKind limitKind(String word) {
     return switch (word) {
-      case "share" -> AdmissionLimitKind.FRACTION;
-      case "rate" -> AdmissionLimitKind.RATE;
+      case LIMIT_FRACTION -> AdmissionLimitKind.FRACTION;
+      case LIMIT_RATE -> AdmissionLimitKind.RATE;
       default -> AdmissionLimitKind.NONE;
     };
   }
 
   private Limits decodeLimits() {
-    Section section = globals.section("bounds", false);
+    Section section = globals.section(SettingsKeys.LIMITS, false);
     Limits limits =
         new Limits(
-            section.integer("proxies", 1, MAX_PROXIES, 20_000),
-            section.integer("connections", 1, 65_000, 10_000),
-            section.integer("pending_bytes", 65_536, 1 << 30, 8 << 20),
-            section.integer("inbox_words", 100, 10_000_000, 100_000),
-            section.integer("moment_ms", 0, 1000, 5));
+            section.integer(SettingsKeys.PROXIES, 1, MAX_PROXIES, 20_000),
+            section.integer(SettingsKeys.CONNECTIONS, 1, 65_000, 10_000),
+            section.integer(SettingsKeys.PENDING_BYTES, 65_536, 1 << 30, 8 << 20),
+            section.integer(SettingsKeys.MAX_INBOX_MESSAGES, 100, 10_000_000, 100_000),
+            section.integer(SettingsKeys.BATCH_MILLIS, 0, 1000, 5));
     section.rejectUnknownKeys();
     return limits;
   }
--- a/src/main/java/stonespring/config/Section.java
+++ b/src/main/java/stonespring/config/Section.java
@@ -42,10 +42,9 @@
     addError(locationOf(key), key, message);
   }
 
-  /** Whether the key is set; it counts as known. */
-  public boolean has(String key) {
+  /** Makes a key known that is not read here. */
+  void allow(String key) {
     knownKeys.add(key);
-    return dict.get(key) != null;
   }
 
   /** Reads a number. */
@@ -166,11 +165,12 @@
     if (value != null && !(value instanceof ScriptDict)) {
       reject(key, "is a dict, not " + Values.typeName(value));
     }
+    List<SettingsError> discardedErrors = new ArrayList<>();
     return new Section(
         path(key),
         value instanceof ScriptDict child ? child : new ScriptDict(),
         locationOf(key),
-        value == null && required ? new ArrayList<>() : errors);
+        value == null && required ? discardedErrors : errors);
   }
 
   /** Reads a list of dicts. */
--- a/src/main/java/stonespring/config/script/BuiltinFunctions.java
+++ b/src/main/java/stonespring/config/script/BuiltinFunctions.java
@@ -56,7 +56,8 @@
       case "enumerate" -> enumerate(location, arguments.get(0));
       case "zip" -> zip(location, arguments);
       case "get" -> get(arguments);
-      default -> throw failure(location, arguments);
+      case "fail" -> throw failure(location, arguments);
+      default -> throw new IllegalStateException("no built-in function " + name);
     };
   }
 
--- a/src/main/java/stonespring/simulator/CommandWriter.java
+++ b/src/main/java/stonespring/simulator/CommandWriter.java
@@ -5,6 +5,7 @@
 import java.util.HexFormat;
 import stonespring.model.Command;
 import stonespring.model.DeciMillis;
+import stonespring.model.RetryPolicy;
 import stonespring.simulator.WireNames.CommandName;
 
 /** Writes commands as arrays of a name and of values by position. */
@@ -36,13 +37,13 @@
       json.writeNumber(request.ack().number());
       json.writeBoolean(request.everyProxy());
     } else {
-      writeToOthersThanProxies(command);
+      writeLocalCommand(command);
     }
     json.writeEndArray();
   }
 
   /** Writes the commands that change nothing at the proxies. */
-  private void writeToOthersThanProxies(Command command) throws IOException {
+  private void writeLocalCommand(Command command) throws IOException {
     if (command instanceof Command.StartTimer timer) {
       json.writeString(CommandName.START_TIMER);
       json.writeNumber(DeciMillis.toSeconds(timer.delay()));
@@ -82,12 +83,20 @@
   private void writeLimitAdmission(Command.LimitAdmission limit) throws IOException {
     json.writeString(CommandName.LIMIT_ADMISSION);
     json.writeNumber(limit.requestClassMask());
-    // The wire numbers the policies in the order of the enum.
-    json.writeNumber(limit.retryPolicy().ordinal());
+    json.writeNumber(wireNumber(limit.retryPolicy()));
     json.writeNumber(limit.table().number());
     json.writeNumber(limit.limit());
   }
 
+  private static int wireNumber(RetryPolicy policy) {
+    return switch (policy) {
+      case NEVER -> 0;
+      case IF_NOT_EXECUTED -> 1;
+      case ONCE_ON_FAILURE -> 2;
+      case TWICE_ON_FAILURE -> 3;
+    };
+  }
+
   /** Writes that the instance's engine failed. */
   void writeFailure(String text) throws IOException {
     json.writeStartArray();
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -49,7 +49,7 @@
       case Message.SHARD_REQUEST_RATE -> readShardRequestRate(message);
       case Message.SHARD_ROUTE -> readShardRoute(message);
       case Message.SHARD_OWNERSHIP ->
-          new Event.ShardOwnership(readRouteTable(message), message.bool(1, Field.FLAG));
+          new Event.ShardOwnership(readRouteTable(message), message.bool(1, Field.OWNED));
       case Message.TIMER_FIRED ->
           new Event.TimerFired(new TimerToken(message.wholeNumber(0, Field.TIMER_TOKEN)));
       case Message.UPDATE_ACKNOWLEDGED -> readAcknowledgement(message);
@@ -160,8 +160,8 @@
     return new Event.ProxyConnected(
         readProxy(message),
         readZone(message, 1),
-        message.number(2, Field.WEIGHT),
-        message.bool(3, Field.FLAG));
+        message.number(2, Field.REQUESTS_PER_SECOND),
+        message.bool(3, Field.WITHOUT_TABLES));
   }
 
   private Event readOutcomes(SimulatorMessage message) {
--- a/src/main/java/stonespring/simulator/HostedInstance.java
+++ b/src/main/java/stonespring/simulator/HostedInstance.java
@@ -14,9 +14,8 @@
 import stonespring.simulator.WireNames.Message;
 
 /**
- * The life of one hosted instance: started, stopped and started again by messages. It shares
- * nothing with the other instances. An exception of its engine makes it fail until it is started
- * again.
+ * One hosted instance. Messages start it, stop it and start it again; it shares nothing with the
+ * other instances. An exception of its engine makes it fail until it is started again.
  */
 final class HostedInstance {
   private final KnownIds knownIds = new KnownIds();
--- a/src/main/java/stonespring/simulator/WireNames.java
+++ b/src/main/java/stonespring/simulator/WireNames.java
@@ -50,6 +50,7 @@
     static final String ENDPOINT = "task";
     static final String ZONE = "regionPart";
     static final String WEIGHT = "w";
+    static final String REQUESTS_PER_SECOND = "w";
     static final String STATE = "state";
     static final String STARTED_AT_SECONDS = "launchedS";
     static final String REQUESTS = "total";
@@ -58,7 +59,8 @@
     static final String DURATION_SECONDS = "durationS";
     static final String TIMER_TOKEN = "token";
     static final String ACK = "version";
-    static final String FLAG = "yes";
+    static final String OWNED = "yes";
+    static final String WITHOUT_TABLES = "yes";
     static final String STATUS = "status";
     static final String LOAD_REPORT = "report";
 
