--- a/src/main/java/stonespring/daemon/EndpointListRequests.java
+++ b/src/main/java/stonespring/daemon/EndpointListRequests.java
@@ -18,7 +18,7 @@
     return new EndpointListRequests() {
       @Override
       public void watchEndpoints(boolean enabled) {
-        source.follow(enabled);
+        source.watch(enabled);
       }
 
       @Override
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -126,7 +126,7 @@
     reports.clear();
     runner = createRunner(config.seed() + failures);
     timer.reset();
-    handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.held()));
+    handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
     proxyApi.engineRestarted();
   }
 
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Pattern;
 import stonespring.chp.ChpBackend;
-import stonespring.chp.ChpException;
 import stonespring.chp.ChpMessage;
+import stonespring.chp.InvalidChpMessageException;
 import stonespring.model.DeciMillis;
 import stonespring.proxyapi.InvalidMessageException;
 import stonespring.proxyapi.NameTable;
@@ -16,13 +16,13 @@
 import stonespring.proxyapi.ProxyMessageHandler;
 import stonespring.state.KeySnapshot;
 import stonespring.state.KeyUpdate;
-import stonespring.zmtp.ZmtpPeer;
+import stonespring.zmtp.ZmtpConnection;
 
 /**
  * Serves proxies over CHP: published keys go out, keys that proxies set are handed to a {@link
  * ProxyMessageHandler}. Proxies set {@code /presence/NAME} with a ttl, {@code /up/NAME/report} and
  * {@code /up/NAME/answer}. Calls of one connection come from its event loop; a wrong message is a
- * {@link ChpException}, which closes the connection.
+ * {@link InvalidChpMessageException}, which closes the connection.
  */
 public final class ChpProxyApi implements ChpBackend {
   private static final String PRESENCE = "presence";
@@ -44,7 +44,7 @@
       AttributeKey.valueOf("stonespring.pendingSnapshots");
 
   /** One connection to the collector socket. */
-  private record CollectorConnection(ZmtpPeer peer) implements ProxyConnection {
+  private record CollectorConnection(ZmtpConnection peer) implements ProxyConnection {
     @Override
     public void close(String reason) {
       peer.close(reason);
@@ -71,10 +71,10 @@
   }
 
   @Override
-  public void snapshotAsked(ZmtpPeer peer, String subtree) {
+  public void snapshotRequested(ZmtpConnection peer, String subtree) {
     AtomicInteger pending = pendingSnapshots(peer);
     if (pending.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
-      throw new ChpException(
+      throw new InvalidChpMessageException(
           "ICANHAZ: over " + MAX_PENDING_SNAPSHOTS + " snapshots are requested at once");
     }
     boolean accepted =
@@ -85,11 +85,11 @@
               pending.decrementAndGet();
             });
     if (!accepted) {
-      throw new ChpException(OVERLOADED);
+      throw new InvalidChpMessageException(OVERLOADED);
     }
   }
 
-  private static AtomicInteger pendingSnapshots(ZmtpPeer peer) {
+  private static AtomicInteger pendingSnapshots(ZmtpConnection peer) {
     AtomicInteger pending = peer.channel().attr(PENDING_SNAPSHOTS).get();
     if (pending == null) {
       pending = new AtomicInteger();
@@ -98,7 +98,7 @@
     return pending;
   }
 
-  private static void send(ZmtpPeer peer, String subtree, KeySnapshot snapshot) {
+  private static void send(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
     for (KeyUpdate key : snapshot.keys()) {
       peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
     }
@@ -106,19 +106,19 @@
   }
 
   @Override
-  public void keySet(ZmtpPeer peer, ChpMessage.KvSet set) {
+  public void keySet(ZmtpConnection peer, ChpMessage.KvSet set) {
     boolean accepted;
     try {
       accepted = handle(set, connection(peer));
     } catch (InvalidMessageException e) {
-      throw new ChpException("KVSET " + set.key() + ": " + e.getMessage());
+      throw new InvalidChpMessageException("KVSET " + set.key() + ": " + e.getMessage());
     }
     if (!accepted) {
-      throw new ChpException(OVERLOADED);
+      throw new InvalidChpMessageException(OVERLOADED);
     }
   }
 
-  private static CollectorConnection connection(ZmtpPeer peer) {
+  private static CollectorConnection connection(ZmtpConnection peer) {
     CollectorConnection connection = peer.channel().attr(CONNECTION).get();
     if (connection == null) {
       connection = new CollectorConnection(peer);
@@ -141,13 +141,15 @@
             segments[1], codec.readAcknowledgement(set.value()), connection);
       }
     }
-    throw new ChpException("KVSET: key " + set.key() + " is not one that clients set");
+    throw new InvalidChpMessageException(
+        "KVSET: key " + set.key() + " is not one that clients set");
   }
 
   private boolean handlePresence(
       String proxy, ChpMessage.KvSet set, CollectorConnection connection) {
     if (set.value().length == 0) {
-      throw new ChpException("KVSET " + set.key() + ": presence ends by its ttl or its connection");
+      throw new InvalidChpMessageException(
+          "KVSET " + set.key() + ": presence ends by its ttl or its connection");
     }
     return handler.hello(
         proxy,
@@ -160,7 +162,7 @@
     String text = properties.getOrDefault(LEASE_SECONDS, "");
     int seconds = LEASE_FORM.matcher(text).matches() ? Integer.parseInt(text) : 0;
     if (seconds < 1 || seconds > MAX_LEASE_SECONDS) {
-      throw new ChpException(
+      throw new InvalidChpMessageException(
           "presence: property '"
               + LEASE_SECONDS
               + "' is not a number of seconds from 1 to "
@@ -170,7 +172,7 @@
   }
 
   @Override
-  public void collectorClosed(ZmtpPeer peer) {
+  public void collectorClosed(ZmtpConnection peer) {
     CollectorConnection connection = peer.channel().attr(CONNECTION).get();
     if (connection != null) {
       handler.connectionClosed(connection);
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -64,10 +64,10 @@
 
   @Override
   public void message(LineConnection connection, LineMessage message) {
-    if (!(connection.keptFor() instanceof PlatformPeer peer)) {
+    if (!(connection.session() instanceof PlatformPeer peer)) {
       handleFirst(connection, message);
     } else if (!PlatformMessageCodec.isKnownKind(message.kind())) {
-      connection.end("it sent what can't be read: " + LineMessage.printable(message.kind()));
+      connection.close("it sent what can't be read: " + LineMessage.printable(message.kind()));
     } else {
       try {
         handle(peer, message);
@@ -85,10 +85,10 @@
             proxyConnected(connection, codec.readSubscribe(message));
         case PlatformMessageCodec.SOURCE ->
             collectorConnected(connection, new Collector(codec.readSource(message)));
-        default -> connection.end("no joining before " + LineMessage.printable(message.kind()));
+        default -> connection.close("no joining before " + LineMessage.printable(message.kind()));
       }
     } catch (InvalidMessageException e) {
-      connection.end(e.getMessage());
+      connection.close(e.getMessage());
     }
   }
 
@@ -96,7 +96,7 @@
     ProxySession earlier = sessions.get(hello.proxy().number());
     if (earlier != null) {
       // Ends in closed(), which reports that it disconnected.
-      earlier.connection().end("the proxy connected again in a newer session");
+      earlier.connection().close("the proxy connected again in a newer session");
     }
     startSession(connection, hello);
   }
@@ -108,16 +108,16 @@
     ProxyRouteState routeState = new ProxyRouteState(requestClasses, tables, exclusions);
     ProxySession session = new ProxySession(hello, connection, routeState);
     sessions.put(hello.proxy().number(), session);
-    connection.keep(session);
+    connection.setSession(session);
     tables.proxyConnected(hello.proxy(), Optional.empty());
     events.accept(hello);
   }
 
   private void collectorConnected(LineConnection connection, Collector collector) {
-    connection.keep(collector);
+    connection.setSession(collector);
     collectors
         .add(collector.zone(), connection)
-        .ifPresent(oldest -> oldest.end("newer collectors of its zone connected"));
+        .ifPresent(oldest -> oldest.close("newer collectors of its zone connected"));
   }
 
   private void handle(PlatformPeer sender, LineMessage message) {
@@ -177,9 +177,9 @@
 
   @Override
   public void closed(LineConnection connection) {
-    if (connection.keptFor() instanceof Collector collector) {
+    if (connection.session() instanceof Collector collector) {
       collectors.remove(collector.zone(), connection);
-    } else if (connection.keptFor() instanceof ProxySession session
+    } else if (connection.session() instanceof ProxySession session
         && sessions.remove(session.proxy().number(), session)) {
       tables.proxyDisconnected(session.proxy());
       events.accept(new Event.ProxyDisconnected(session.proxy()));
--- a/src/test/java/stonespring/daemon/ChpServerStopTest.java
+++ b/src/test/java/stonespring/daemon/ChpServerStopTest.java
@@ -95,7 +95,7 @@
     ChpServer server =
         new ChpServer(
             eventLoops,
-            ZmtpLimits.USUAL,
+            ZmtpLimits.DEFAULT,
             new ChpProxyApi(handler, new NameTable(List.of(), List.of())));
     server.start("127.0.0.1", 0);
     try (Socket socket = new Socket()) {
@@ -151,7 +151,7 @@
       ChpServer server =
           new ChpServer(
               eventLoops,
-              ZmtpLimits.USUAL,
+              ZmtpLimits.DEFAULT,
               new ChpProxyApi(new LargeSnapshotHandler(), new NameTable(List.of(), List.of())));
       IOException e =
           assertThrows(IOException.class, () -> server.start("127.0.0.1", inUse.getLocalPort()));
