--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Handles a message of a connection that is not yet identified. */
+  /** Handles the first message of a connection, which completes its handshake or ends it. */
   private void handleFirst(LineConnection connection, LineMessage message) {
     try {
       switch (message.kind()) {
