--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -17,7 +17,7 @@
 import org.zeromq.ZMQ;
 import org.zeromq.ZMsg;
 import stonespring.config.InstanceSettings;
-import stonespring.daemon.Daemon;
+import stonespring.daemon.ChpDaemon;
 
 /** A client on an independent ZeroMQ library against a whole instance. */
 final class StockClientTest {
@@ -37,17 +37,17 @@
              {"id": "c", "address": "127.0.0.1:3", "zone": "west"}]
             """;
 
-  private static Daemon started(Path folder) throws Exception {
+  private static ChpDaemon started(Path folder) throws Exception {
     Files.writeString(folder.resolve("tasks.json"), TASKS);
     Files.writeString(folder.resolve("settings.star"), SCRIPT);
-    Daemon daemon = new Daemon(InstanceSettings.read(folder.resolve("settings.star")));
+    ChpDaemon daemon = new ChpDaemon(InstanceSettings.read(folder.resolve("settings.star")));
     daemon.start();
     return daemon;
   }
 
   @Test
   void aStockClientSnapshotsFollowsSetsAndExpiresAKey(@TempDir Path folder) throws Exception {
-    Daemon daemon = started(folder);
+    ChpDaemon daemon = started(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket updates = context.createSocket(SocketType.SUB);
       updates.setReceiveTimeOut(TIMEOUT_MILLIS);
@@ -139,7 +139,7 @@
    */
   @Test
   void followerOfAQuietSubtreeGetsHeartbeatsOfABusyServer(@TempDir Path folder) throws Exception {
-    Daemon daemon = started(folder);
+    ChpDaemon daemon = started(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket quiet = context.createSocket(SocketType.SUB);
       quiet.setReceiveTimeOut(TIMEOUT_MILLIS);
