--- a/src/main/java/stonespring/chp/UpdatePublisher.java
+++ b/src/main/java/stonespring/chp/UpdatePublisher.java
@@ -48,7 +48,7 @@
     loop.execute(() -> send(updates));
   }
 
-  /** Sends a heartbeat to each subscriber of them that got nothing else since the last one. */
+  /** Sends a heartbeat to each of its subscribers that was sent nothing else since the last one. */
   void sendHeartbeats() {
     List<byte[]> heartbeat = new ChpMessage.Hugz().frames();
     for (ZmtpConnection connection : subscriptions.subscribersOfPrefix(ChpMessage.HUGZ)) {
--- a/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -64,7 +64,8 @@
   }
 
   /**
-   * Reads one message. An entry with an invalid field costs that entry alone.
+   * Reads one message. An invalid entry does not invalidate the message: the held record, if any,
+   * is used instead.
    *
    * @param message may be null, which is invalid
    * @param held the endpoints held before this message, which stand in for invalid entries
--- a/src/main/java/stonespring/discovery/PlatformEndpointList.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointList.java
@@ -43,14 +43,21 @@
   }
 
   /**
-   * Applies a message. One that is older than the held list, but not than the version that its
-   * response follows on, is outdated and changes nothing: a delta is answered by an empty one, a
-   * fetched snapshot by the held list. A watch's snapshot always applies, as its next message
-   * builds on it. A message older than the version that its response follows on belongs to another
-   * epoch, in which versions started over: only a snapshot can be used then.
+   * Applies a message. What it does depends on its version:
+   *
+   * <ul>
+   *   <li>at or above the held one: it applies;
+   *   <li>below the held one, but not below {@code after}: it is outdated. A delta gives an empty
+   *       update, a fetched snapshot the held list; a watch's snapshot applies, as its next message
+   *       builds on it;
+   *   <li>below {@code after}: versions started over, which is another epoch. A snapshot applies; a
+   *       delta can't be used.
+   * </ul>
    *
    * @param after the version that the response was requested after, or that its last message had
    * @return what changed
+   * @throws InvalidEndpointListException for a delta of another epoch; the epoch has changed then,
+   *     and the version is 0, so that the next request asks for everything
    */
   Event.EndpointListUpdate apply(PlatformListMessage message, long after, Origin origin)
       throws InvalidEndpointListException {
@@ -85,7 +92,7 @@
         snapshot ? Event.ListUpdateKind.SNAPSHOT : Event.ListUpdateKind.DELTA, endpoints);
   }
 
-  /** The version of the held list; 0 if only a snapshot can follow. */
+  /** The version of the held list; 0 asks for the whole list. */
   long version() {
     return version;
   }
@@ -100,7 +107,7 @@
     return List.copyOf(held.values());
   }
 
-  /** How many invalid entries were left out so far. */
+  /** How many invalid entries were not used so far; the held record, if any, stood in. */
   long invalidEntries() {
     return invalidEntries;
   }
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -27,7 +27,7 @@
   private static final int FETCH_TIMEOUT_MILLIS = 2_500;
   private static final int NO_IDLE_CONNECTIONS = 0;
 
-  /** The old address lasts no longer than a few of these. */
+  /** Wait before the new address is tried again; short, as the old one may soon be turned off. */
   private static final long MOVE_RETRY_MILLIS = 300;
 
   private final PlatformEndpointList list;
--- a/src/main/java/stonespring/http/HttpServer.java
+++ b/src/main/java/stonespring/http/HttpServer.java
@@ -30,7 +30,7 @@
     }
   }
 
-  /** The response to one request. */
+  /** One request and the response that it is to get. */
   public interface Exchange {
     /** Sends the response; must be called once, from any thread. */
     void respond(HttpResponse response);
--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -28,7 +28,7 @@
   /**
    * Limits of a watch.
    *
-   * @param responseTimeoutMillis for connecting and the first bytes of the response together
+   * @param responseTimeoutMillis for connecting and the complete head of the response together
    * @param silenceTimeoutMillis for each further wait for bytes
    * @param maxChunkBytes the longest chunk
    */
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -16,8 +16,8 @@
 
 /**
  * One connection. Its handshake is complete once it has a session; until then any error is answered
- * by a refusal before the connection is closed. Keep-alives are answered here. State lives on the
- * connection's event loop, and all calls come from there.
+ * by a refusal, if it can be written at once, before the connection is closed. Keep-alives are
+ * answered here. State lives on the connection's event loop, and all calls come from there.
  */
 public final class LineConnection extends SimpleChannelInboundHandler<LineMessage> {
   private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
@@ -87,7 +87,7 @@
 
   /**
    * Closes the connection and logs why. With a session, the handler is notified before this
-   * returns; without one, the peer is sent the reason.
+   * returns; without one, the peer is sent the reason if it can be written at once.
    */
   public void close(String reason) {
     if (closed) {
--- a/src/main/java/stonespring/line/LineServer.java
+++ b/src/main/java/stonespring/line/LineServer.java
@@ -16,7 +16,7 @@
   /** A whole fleet may connect within a second. */
   private static final int ACCEPT_BACKLOG = 1024;
 
-  /** By so many connections the limit of pending handshakes may be passed. */
+  /** The limit of pending handshakes may be exceeded by this many connections. */
   private static final int MAX_ACCEPTS_PER_READ = 4;
 
   private static final int READ_BUFFER_BYTES = 2048;
--- a/src/main/java/stonespring/line/PendingHandshakes.java
+++ b/src/main/java/stonespring/line/PendingHandshakes.java
@@ -14,8 +14,8 @@
  */
 final class PendingHandshakes {
   /**
-   * No connection is closed earlier to make room: a peer that introduces itself at once was read by
-   * then, also after a long pause of the event loop.
+   * Minimum age before a connection may be closed to make room. It leaves time to read the first
+   * message of a prompt peer, also after the event loop was blocked.
    */
   private static final long MIN_HANDSHAKE_MILLIS = 50;
 
--- a/src/main/java/stonespring/proxy/LoadReportHeader.java
+++ b/src/main/java/stonespring/proxy/LoadReportHeader.java
@@ -13,7 +13,7 @@
 
   private static final String TEXT_FORM = "TEXT ";
 
-  /** Figures at or above it are errors of whoever wrote them. */
+  /** Figures at or above it are implausible and count as unknown. */
   private static final double MAX_FIGURE = 1e9;
 
   private LoadReportHeader() {}
@@ -45,7 +45,7 @@
         }
       }
     } catch (NumberFormatException e) {
-      return null; // half a report is no report
+      return null; // a number that can't be read invalidates the whole report
     }
     return new LoadReport(utilization, queueLength, inFlight, serviceTimeMillis, requestsPerSecond);
   }
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -21,7 +21,7 @@
 import stonespring.proxy.routing.RouterSettings;
 
 /**
- * A plain proxy: takes requests by HTTP ({@code POST /op/CLASS} with the request's id in {@code
+ * A plain proxy: takes requests by HTTP ({@code POST /op/TYPE} with the request's id in {@code
  * x-op}), sends them to endpoints as its tables say, and answers. What it gives up on is answered
  * at once, with {@code retry-after} and, where the request was certainly not executed, {@code
  * x-not-run: 1}.
@@ -35,7 +35,7 @@
   private static final int MAX_BODY_BYTES = 64 << 10;
   private static final int MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 8;
 
-  /** Requests; above it a request is rejected at once. */
+  /** Most requests in flight, and most that wait while the proxy is stalled. */
   private static final int MAX_IN_FLIGHT = 5_000;
 
   /** What waits in the socket is read and applied by then. */
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -17,7 +17,7 @@
   /** The longest day and the latest time of a sample, {@link DeciMillis}. */
   static final long MAX_DURATION = 24 * 3600 * DeciMillis.SECOND;
 
-  /** Enough for most of an hour of 800 proxies that are sampled every second. */
+  /** A bound on memory; about 1.7 hours of 800 proxies that are sampled every second. */
   private static final int MAX_SAMPLES = 5_000_000;
 
   /** In characters; the head names every proxy. */
