--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -239,7 +239,7 @@
    * full.
    */
   private void adjustConfidence(Load load) {
-    long delay = estimates.cadence().delay();
+    long delay = estimates.cadence().reportDelay();
     double step = CONFIDENCE_STEP_PER_SECOND * settings.reportInterval() / DeciMillis.SECOND;
     if (load.isOverloaded() && clock.since(lastReductionAt) > REDUCTION_INTERVAL + delay) {
       reduceConfidence(load, delay > settings.reportInterval());
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -30,7 +30,7 @@
   private final EndpointListWatcher listWatcher;
   private final UrgentUpdates urgent;
   private final AdmissionController admission;
-  private final EntrantSelector entrants;
+  private final EndpointIntroducer introducer;
   private final ProposalBlender proposals;
   private final RouteSelector routes;
   private final WeightOptimizer weights;
@@ -67,7 +67,7 @@
     urgent = new UrgentUpdates(settings, clock, endpoints, proxies, cadence, budget, exclusions);
     admission =
         new AdmissionController(settings, clock, endpoints, proxies, estimates, batch, budget);
-    entrants = new EntrantSelector(clock, random, endpoints, proxies, capacity, exclusions);
+    introducer = new EndpointIntroducer(clock, random, endpoints, proxies, capacity, exclusions);
     proposals = new ProposalBlender(clock, endpoints);
     routes = new RouteSelector(settings, random, endpoints, estimates);
     weights = new WeightOptimizer(settings, endpoints, capacity);
@@ -94,13 +94,13 @@
   private void handleOutcomes(Event.EndpointOutcomes outcomes) {
     if (endpoints.recordOutcomes(outcomes)) {
       admission.recordOutcomes(outcomes);
-      estimates.cadence().reportReceived();
+      estimates.cadence().recordReport();
     }
   }
 
   private void handleProxyEvent(Event.ProxyEvent event) {
     if (event instanceof Event.ProxyConnected connected) {
-      proxies.findOrAdd(connected.proxy()).connect(connected, clock.now());
+      proxies.findOrAdd(connected.proxy()).markConnected(connected, clock.now());
       changed = true;
       return;
     }
@@ -117,7 +117,7 @@
     } else if (event instanceof Event.WeightsProposed proposed) {
       takeProposal(proxy, proposed);
     } else if (event instanceof Event.ProxyDisconnected) {
-      proxy.disconnect(clock.now());
+      proxy.markDisconnected(clock.now());
       budget.disconnected(proxy);
       inFlight.disconnected(proxy);
     }
@@ -141,12 +141,12 @@
   private void handleFleetEvent(Event event) {
     changed = true;
     if (event instanceof Event.EndpointListUpdate update) {
-      listWatcher.updated(update.kind());
+      listWatcher.recordUpdate(update.kind());
       if (update.kind() != Event.ListUpdateKind.FETCH_FAILED) {
         endpoints.applyUpdate(update);
       }
     } else if (event instanceof Event.TimerFired timer) {
-      timers.fired(timer.token());
+      timers.handleFired(timer.token());
     }
     listWatcher.ensureWatch();
     timers.ensurePeriodic();
@@ -185,7 +185,7 @@
     estimates.capacity().refresh();
     admission.update(inRound);
     if (inRound) {
-      entrants.admitEntrants();
+      introducer.introduceEndpoints();
       proxies.all().forEach(proposals::proposeReplacement);
     }
     List<ProxyState> known = setTargets(inRound);
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -3,7 +3,7 @@
 /** Estimates what each endpoint can serve and how loaded it is, in requests per second. */
 final class CapacityEstimator {
   /** Load over capacity in normal operation; assumed until endpoints report utilization. */
-  static final double TYPICAL_FILL = 0.6;
+  static final double TYPICAL_LOAD_RATIO = 0.6;
 
   /** Utilization below which a report's noise outweighs what it says of capacity. */
   private static final double MIN_UTILIZATION = 0.15;
@@ -24,7 +24,7 @@
   private double listedWeight;
   private double totalCapacity;
   private double meanCapacity;
-  private double meanFill;
+  private double meanLoadRatio;
 
   CapacityEstimator(EndpointRegistry endpoints, TrafficEstimator traffic) {
     this.endpoints = endpoints;
@@ -82,13 +82,13 @@
               : endpoint.listedWeight()
                   / listedWeight
                   * Math.max(MIN_LOAD, assumedLoad)
-                  / TYPICAL_FILL;
+                  / TYPICAL_LOAD_RATIO;
       endpoint.setCapacity(
           endpoint.isReady() ? warmCapacity * endpoints.warmUpFraction(endpoint) : 0);
     }
     totalCapacity = endpoints.sumOverReady(EndpointState::capacity);
     meanCapacity = totalCapacity / Math.max(1, endpoints.sumOverReady(endpoint -> 1));
-    meanFill = endpoints.sumOverReady(this::load) / totalCapacity;
+    meanLoadRatio = endpoints.sumOverReady(this::load) / totalCapacity;
   }
 
   /**
@@ -104,7 +104,7 @@
     if (succeeded <= 0) {
       return offered;
     }
-    if (!traffic.isVisible()) {
+    if (!traffic.hasVisibleProxies()) {
       return offered
           * succeeded
           / endpoints.sumOverReady(endpoint -> endpoint.statistics().attemptRate());
@@ -121,12 +121,12 @@
   }
 
   /** Load over capacity; 1 for an endpoint that is fully used. */
-  double fill(EndpointState endpoint) {
+  double loadRatio(EndpointState endpoint) {
     return load(endpoint) / Math.max(MIN_CAPACITY, endpoint.capacity());
   }
 
   /** How often the capacity was read from utilizations. */
-  int readings() {
+  int sampleCount() {
     return readings;
   }
 
@@ -144,7 +144,7 @@
   }
 
   /** Load of all endpoints that are ready over their capacity. */
-  double meanFill() {
-    return meanFill;
+  double meanLoadRatio() {
+    return meanLoadRatio;
   }
 }
--- a/src/main/java/stonespring/decision/EntrantSelector.java
+++ b/src/main/java/stonespring/decision/EndpointIntroducer.java
@@ -10,7 +10,7 @@
  * Decides which proxies take in an endpoint that is new, has returned or is idle: each does so with
  * a chance by its number of routes, and gives up the route to its most loaded endpoint.
  */
-final class EntrantSelector {
+final class EndpointIntroducer {
   /** Factor of the chance at proxies of the endpoint's zone; divides it at the others. */
   private static final double SAME_ZONE_FACTOR = 2;
 
@@ -27,7 +27,7 @@
   private final CapacityEstimator capacity;
   private final ExclusionNotifier exclusions;
 
-  EntrantSelector(
+  EndpointIntroducer(
       EngineClock clock,
       DeterministicRandom random,
       EndpointRegistry endpoints,
@@ -46,11 +46,11 @@
    * Lets all entrants in, unless a table is unknown: it may name an endpoint that has returned and
    * warms up, which must stay excluded there.
    */
-  void admitEntrants() {
+  void introduceEndpoints() {
     if (proxies.withUnknownTable().findAny().isPresent()) {
       return;
     }
-    List<EndpointState> entrants = endpoints.takeEntrants();
+    List<EndpointState> entrants = endpoints.takeNewlyReady();
     idlest().filter(idle -> !entrants.contains(idle)).ifPresent(entrants::add);
     for (EndpointState entrant : entrants) {
       if (entrant.isReady()) {
@@ -61,7 +61,7 @@
 
   private void enter(EndpointState entrant) {
     exclusions.setExcluded(entrant, false);
-    entrant.markEntered(clock.now());
+    entrant.markIntroduced(clock.now());
     for (ProxyState proxy : proxies.all()) {
       if (proxy.isTableAssigned() && !proxy.table().holds(entrant)) {
         offer(proxy, entrant);
@@ -80,7 +80,8 @@
       routeCount++;
       boolean replaceable = !proxy.replacements().containsKey(endpoint);
       if (replaceable
-          && (mostLoaded == null || capacity.fill(endpoint) > capacity.fill(mostLoaded))) {
+          && (mostLoaded == null
+              || capacity.loadRatio(endpoint) > capacity.loadRatio(mostLoaded))) {
         mostLoaded = endpoint;
       }
     }
@@ -97,15 +98,15 @@
   private Optional<EndpointState> idlest() {
     return endpoints.all().stream()
         .filter(this::isIdle)
-        .min(Comparator.comparingDouble(capacity::fill));
+        .min(Comparator.comparingDouble(capacity::loadRatio));
   }
 
   private boolean isIdle(EndpointState endpoint) {
     double failureShare = 1 - endpoint.statistics().successShare();
     return endpoint.isReady()
         && endpoints.isWarm(endpoint)
-        && clock.since(endpoint.enteredAt()) > REENTRY_INTERVAL
+        && clock.since(endpoint.lastIntroducedAt()) > REENTRY_INTERVAL
         && failureShare < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
-        && capacity.fill(endpoint) < IDLE_FILL * capacity.meanFill();
+        && capacity.loadRatio(endpoint) < IDLE_FILL * capacity.meanLoadRatio();
   }
 }
--- a/src/main/java/stonespring/decision/EndpointListWatcher.java
+++ b/src/main/java/stonespring/decision/EndpointListWatcher.java
@@ -33,7 +33,7 @@
   }
 
   /** Notes that the watch works, or that it ended; a cached list says neither. */
-  void updated(Event.ListUpdateKind kind) {
+  void recordUpdate(Event.ListUpdateKind kind) {
     if (kind == Event.ListUpdateKind.FETCH_FAILED) {
       watching = false;
       long jitter = (long) (backoff * random.nextDouble());
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -81,14 +81,14 @@
    * Whether exclusion notices are needed since the last call: an endpoint left, or a name was added
    * that old tables may hold. Clears the mark.
    */
-  boolean takeExclusionsNeeded() {
+  boolean testAndClearExclusionsNeeded() {
     boolean taken = exclusionsNeeded;
     exclusionsNeeded = false;
     return taken;
   }
 
   /** Removes and returns the endpoints that became ready or restarted since the last call. */
-  List<EndpointState> takeEntrants() {
+  List<EndpointState> takeNewlyReady() {
     List<EndpointState> taken = new ArrayList<>(entrants);
     entrants.clear();
     return taken;
@@ -143,7 +143,7 @@
   }
 
   private void leave(EndpointState endpoint, EndpointRecord.State newState) {
-    endpoint.markLeft(newState, clock.now());
+    endpoint.markOutOfService(newState, clock.now());
     exclusionsNeeded = true;
   }
 
@@ -173,7 +173,7 @@
       return known;
     }
     EndpointState added = reusable.isEmpty() ? append() : reusable.poll();
-    added.assign(id, clock.now());
+    added.resetFor(id, clock.now());
     byId.put(id, added);
     exclusionsNeeded = true;
     return added;
@@ -192,12 +192,12 @@
    */
   void startRound(Predicate<EndpointState> inTable) {
     for (EndpointState endpoint : endpoints) {
-      if (!endpoint.isForgotten()
+      if (!endpoint.isEvicted()
           && endpoint.state() == EndpointRecord.State.REMOVED
-          && clock.since(endpoint.leftAt()) > FORGET_AFTER
+          && clock.since(endpoint.outOfServiceSince()) > FORGET_AFTER
           && !inTable.test(endpoint)) {
         byId.remove(endpoint.id());
-        endpoint.markForgotten();
+        endpoint.markEvicted();
         reusable.add(endpoint);
       }
       endpoint.statistics().startRound(clock.now(), settings.reportInterval());
--- a/src/main/java/stonespring/decision/EndpointState.java
+++ b/src/main/java/stonespring/decision/EndpointState.java
@@ -30,7 +30,7 @@
   }
 
   /** Starts anew for an endpoint that is not listed yet. */
-  void assign(EndpointId newId, long now) {
+  void resetFor(EndpointId newId, long now) {
     id = newId;
     state = EndpointRecord.State.REMOVED;
     excluded = false;
@@ -55,7 +55,7 @@
   }
 
   /** Takes no new requests from now on. */
-  void markLeft(EndpointRecord.State newState, long now) {
+  void markOutOfService(EndpointRecord.State newState, long now) {
     state = newState;
     leftAt = now;
     removalPending = false;
@@ -66,11 +66,11 @@
     removalPending = true;
   }
 
-  void markForgotten() {
+  void markEvicted() {
     forgotten = true;
   }
 
-  void markEntered(long now) {
+  void markIntroduced(long now) {
     enteredAt = now;
   }
 
@@ -126,11 +126,11 @@
   }
 
   /** When route tables last took it in; 0 if never. */
-  long enteredAt() {
+  long lastIntroducedAt() {
     return enteredAt;
   }
 
-  long leftAt() {
+  long outOfServiceSince() {
     return leftAt;
   }
 
@@ -145,7 +145,7 @@
   }
 
   /** Whether the object waits for another endpoint. */
-  boolean isForgotten() {
+  boolean isEvicted() {
     return forgotten;
   }
 
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -21,7 +21,7 @@
     this.batch = batch;
   }
 
-  void fired(TimerToken token) {
+  void handleFired(TimerToken token) {
     if (token.equals(PERIODIC)) {
       periodicRunning = false;
     }
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -57,7 +57,7 @@
    *     are dropped
    */
   void notifyIfDue(boolean permitted) {
-    pending |= endpoints.takeExclusionsNeeded();
+    pending |= endpoints.testAndClearExclusionsNeeded();
     pending &= permitted;
     if (pending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL) {
       endpoints.notReady().forEach(endpoint -> setExcluded(endpoint, true));
@@ -68,7 +68,7 @@
 
   /** Excludes an endpoint, if any unknown table may name it, or allows an excluded one again. */
   void setExcluded(EndpointState endpoint, boolean excluded) {
-    if (endpoint.isForgotten()) {
+    if (endpoint.isEvicted()) {
       return;
     }
     boolean needed =
--- a/src/main/java/stonespring/decision/ProxyState.java
+++ b/src/main/java/stonespring/decision/ProxyState.java
@@ -28,7 +28,7 @@
     requestRate = new RequestRateEstimator(requestClassCount);
   }
 
-  void connect(Event.ProxyConnected event, long now) {
+  void markConnected(Event.ProxyConnected event, long now) {
     zone = event.zone().index();
     connected = true;
     tableAssigned = false;
@@ -36,10 +36,10 @@
     exclusionsRequested = false;
     connectedAt = now;
     channel.connected();
-    requestRate.proxyConnected(event.requestsPerSecond());
+    requestRate.applyStatedRate(event.requestsPerSecond());
   }
 
-  void disconnect(long now) {
+  void markDisconnected(long now) {
     connected = false;
     tableAssigned = false;
     disconnectedAt = now;
@@ -131,7 +131,7 @@
     return roundsWaited;
   }
 
-  void waitAnotherRound() {
+  void incrementRoundsWaited() {
     roundsWaited++;
   }
 
--- a/src/main/java/stonespring/decision/ReportCadence.java
+++ b/src/main/java/stonespring/decision/ReportCadence.java
@@ -19,7 +19,7 @@
     this.clock = clock;
   }
 
-  void reportReceived() {
+  void recordReport() {
     reported = true;
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** Whether any round was started. */
-  boolean hasStarted() {
+  boolean hasStartedRound() {
     return rounds > 0;
   }
 
@@ -49,7 +49,7 @@
    * How late reports were of late, DeciMillis. After a gap they stay delayed, so that what they
    * show may be over; the delay fades by a tenth each round.
    */
-  long delay() {
+  long reportDelay() {
     return delay;
   }
 }
--- a/src/main/java/stonespring/decision/RequestRateEstimator.java
+++ b/src/main/java/stonespring/decision/RequestRateEstimator.java
@@ -31,7 +31,7 @@
   }
 
   /** Takes the rate that a proxy states as it connects, unless reports of it are known. */
-  void proxyConnected(double statedRate) {
+  void applyStatedRate(double statedRate) {
     if (averageRate <= 0) {
       averageRate = statedRate;
     }
--- a/src/main/java/stonespring/decision/Route.java
+++ b/src/main/java/stonespring/decision/Route.java
@@ -51,7 +51,7 @@
   }
 
   /** Whether two weights differ by enough to be worth an entry of the channel. */
-  static boolean differs(double first, double second) {
+  static boolean differsSignificantly(double first, double second) {
     double tolerance = ABSOLUTE_TOLERANCE + RELATIVE_TOLERANCE * Math.max(first, second);
     return Math.abs(first - second) > tolerance || (first > 0) != (second > 0);
   }
--- a/src/main/java/stonespring/decision/TableUpdater.java
+++ b/src/main/java/stonespring/decision/TableUpdater.java
@@ -54,7 +54,7 @@
     for (Route route : proxy.table().routes()) {
       EndpointState endpoint = route.endpoint();
       double weight = roundedWeight(route, share);
-      if (!Route.differs(weight, route.weight())) {
+      if (!Route.differsSignificantly(weight, route.weight())) {
         continue;
       }
       batch.setRoute(proxy, endpoint, weight);
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -60,7 +60,7 @@
   }
 
   /** Whether reports can show any proxy's traffic yet. */
-  boolean isVisible() {
+  boolean hasVisibleProxies() {
     return visible;
   }
 
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -108,7 +108,7 @@
 
   private double headroom(EndpointState endpoint) {
     CapacityEstimator capacity = estimates.capacity();
-    double limit = endpoint.capacity() * capacity.meanFill() / MEAN_FILL_OVER_LIMIT;
+    double limit = endpoint.capacity() * capacity.meanLoadRatio() / MEAN_FILL_OVER_LIMIT;
     return (limit - capacity.load(endpoint)) * estimates.traffic().share();
   }
 
@@ -204,7 +204,7 @@
     double entries =
         settings.channel().messageOverheadEntries()
             + move.proxy().table().routes().stream()
-                .filter(route -> Route.differs(route.target(), route.weight()))
+                .filter(route -> Route.differsSignificantly(route.target(), route.weight()))
                 .count();
     return entries * DeciMillis.SECOND / settings.channel().entriesPerSecond();
   }
@@ -219,7 +219,7 @@
         send(move, 1 - yieldRatio, headroom);
         admitted = true;
       } else {
-        move.proxy().waitAnotherRound();
+        move.proxy().incrementRoundsWaited();
       }
     }
     return admitted;
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -92,7 +92,7 @@
     long connectedFor = clock.since(proxy.connectedAt());
     return exclusionsCrowdedOut
         || anyLeft && connectedFor > settings.routing().maxTimeWithoutEndpoint() / 2
-        || cadence.hasStarted() && connectedFor > UNKNOWN_TABLE_TIMEOUT;
+        || cadence.hasStartedRound() && connectedFor > UNKNOWN_TABLE_TIMEOUT;
   }
 
   private boolean hasRoom(ProxyState proxy) {
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -79,10 +79,10 @@
 
   /** Smaller, for larger steps, while the fleet is known to have capacity to spare. */
   private double minSlope() {
-    if (capacity.readings() < SETTLING_READINGS) {
+    if (capacity.sampleCount() < SETTLING_READINGS) {
       return MIN_SLOPE;
     }
-    double relativeFill = capacity.meanFill() / CapacityEstimator.TYPICAL_FILL;
+    double relativeFill = capacity.meanLoadRatio() / CapacityEstimator.TYPICAL_LOAD_RATIO;
     return MIN_SLOPE * Math.min(1, Math.pow(relativeFill, SPARE_CAPACITY_EXPONENT));
   }
 
--- a/src/test/java/stonespring/decision/EndpointListWatcherTest.java
+++ b/src/test/java/stonespring/decision/EndpointListWatcherTest.java
@@ -52,9 +52,9 @@
 
   @Test
   void cachedListIsNoWatch() {
-    watcher.updated(Event.ListUpdateKind.CACHED);
+    watcher.recordUpdate(Event.ListUpdateKind.CACHED);
     assertEquals(WATCH, requests());
-    watcher.updated(Event.ListUpdateKind.SNAPSHOT);
+    watcher.recordUpdate(Event.ListUpdateKind.SNAPSHOT);
     clock.advanceTo(clock.now() + 100 * Fleet.SECOND);
     assertEquals(List.of(), requests());
   }
@@ -62,12 +62,12 @@
   @Test
   void backoffDoublesWithJitterToALimitAndStartsAnewOnceTheWatchWorks() {
     for (long backoff : new long[] {5_000, 10_000, 20_000, 40_000, 40_000}) {
-      watcher.updated(Event.ListUpdateKind.FETCH_FAILED);
+      watcher.recordUpdate(Event.ListUpdateKind.FETCH_FAILED);
       long waited = timeToNextRequest();
       assertTrue(waited >= backoff && waited <= 2 * backoff + 100, backoff + ": " + waited);
     }
-    watcher.updated(Event.ListUpdateKind.DELTA);
-    watcher.updated(Event.ListUpdateKind.FETCH_FAILED);
+    watcher.recordUpdate(Event.ListUpdateKind.DELTA);
+    watcher.recordUpdate(Event.ListUpdateKind.FETCH_FAILED);
     assertTrue(timeToNextRequest() <= 10_100);
   }
 }
--- a/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
+++ b/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
@@ -24,7 +24,7 @@
   private final ProxyState proxy = new ProxyState(new ProxyId(0), 3);
 
   OutlierEjectionModelTest() {
-    proxy.connect(new Event.ProxyConnected(proxy.id(), new ZoneId(0), 10, true), clock.now());
+    proxy.markConnected(new Event.ProxyConnected(proxy.id(), new ZoneId(0), 10, true), clock.now());
   }
 
   private EndpointState endpoint(long startedAt, long attempts, long failures) {
--- a/src/test/java/stonespring/decision/RequestRateEstimatorTest.java
+++ b/src/test/java/stonespring/decision/RequestRateEstimatorTest.java
@@ -20,7 +20,7 @@
 
   @Test
   void statedRateStandsUntilAllClassesAreReported() {
-    estimator.proxyConnected(50);
+    estimator.applyStatedRate(50);
     assertEquals(50, estimator.averageRate());
     report(0, 20);
     assertEquals(50, estimator.averageRate());
@@ -34,7 +34,7 @@
   void reportedRateStandsWhenTheProxyConnectsAgain() {
     report(0, 20);
     report(1, 10);
-    estimator.proxyConnected(500);
+    estimator.applyStatedRate(500);
     assertEquals(30, estimator.averageRate());
     assertEquals(30, estimator.latestRate());
   }
--- a/src/test/java/stonespring/decision/RouteTableTest.java
+++ b/src/test/java/stonespring/decision/RouteTableTest.java
@@ -17,7 +17,7 @@
   private static EndpointState ready(int index) {
     EndpointStatistics statistics = new EndpointStatistics(new LatencyModel(List.of()), 2);
     EndpointState endpoint = new EndpointState(index, statistics);
-    endpoint.assign(new EndpointId("e" + index), 0);
+    endpoint.resetFor(new EndpointId("e" + index), 0);
     endpoint.markReady(0);
     return endpoint;
   }
@@ -40,7 +40,7 @@
     table.setTarget(ready(1), 0.5).setWeight(0.5);
     table.setTarget(leaving, 0.5).setWeight(0.5);
     assertFalse(table.isBroken());
-    leaving.markLeft(EndpointRecord.State.DRAINING, 1);
+    leaving.markOutOfService(EndpointRecord.State.DRAINING, 1);
     assertTrue(table.isBroken());
   }
 
@@ -63,8 +63,8 @@
 
   @Test
   void weightsDifferByMoreThanTheTolerance() {
-    assertFalse(Route.differs(0.5, 0.52));
-    assertTrue(Route.differs(0.5, 0.54));
-    assertTrue(Route.differs(0, 0.001), "a route that comes or goes always counts");
+    assertFalse(Route.differsSignificantly(0.5, 0.52));
+    assertTrue(Route.differsSignificantly(0.5, 0.54));
+    assertTrue(Route.differsSignificantly(0, 0.001), "a route that comes or goes always counts");
   }
 }
