--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -38,7 +38,7 @@
   private final InFlightMoves inFlight;
   private final TableUpdater updater;
   private final UpdateScheduler scheduler;
-  private boolean changed;
+  private boolean fleetChanged;
   private boolean initialLimitsPublished;
 
   /**
@@ -101,7 +101,7 @@
   private void handleProxyEvent(Event.ProxyEvent event) {
     if (event instanceof Event.ProxyConnected connected) {
       proxies.findOrAdd(connected.proxy()).markConnected(connected, clock.now());
-      changed = true;
+      fleetChanged = true;
       return;
     }
     proxies.find(event.proxy()).ifPresent(proxy -> handleEventOfKnownProxy(proxy, event));
@@ -115,7 +115,7 @@
           .acknowledged(proxy, acknowledged.ack())
           .ifPresent(position -> inFlight.acknowledged(proxy, position));
     } else if (event instanceof Event.WeightsProposed proposed) {
-      takeProposal(proxy, proposed);
+      storeProposal(proxy, proposed);
     } else if (event instanceof Event.ProxyDisconnected) {
       proxy.markDisconnected(clock.now());
       budget.disconnected(proxy);
@@ -123,7 +123,7 @@
     }
   }
 
-  private void takeProposal(ProxyState proxy, Event.WeightsProposed proposed) {
+  private void storeProposal(ProxyState proxy, Event.WeightsProposed proposed) {
     proxy.proposal().restart(clock.now());
     for (Event.WeightsProposed.Share share : proposed.routes()) {
       if (share.weight() > 0) {
@@ -139,7 +139,7 @@
    * and the periodic timer run, and has the end of the batch look for urgent updates.
    */
   private void handleFleetEvent(Event event) {
-    changed = true;
+    fleetChanged = true;
     if (event instanceof Event.EndpointListUpdate update) {
       listWatcher.recordUpdate(update.kind());
       if (update.kind() != Event.ListUpdateKind.FETCH_FAILED) {
@@ -149,7 +149,7 @@
       timers.handleFired(timer.token());
     }
     listWatcher.ensureWatch();
-    timers.ensurePeriodic();
+    timers.ensurePeriodicTimer();
   }
 
   @Override
@@ -167,16 +167,16 @@
   /** Sends urgent updates, and runs a round if one is due. */
   private void updateTables() {
     boolean inRound = estimates.cadence().isRoundDue();
-    if (!inRound && !changed) {
+    if (!inRound && !fleetChanged) {
       return;
     }
-    changed = false;
+    fleetChanged = false;
     if (inRound) {
       startRound();
     }
     boolean postponed = urgent.select();
     if (postponed) {
-      timers.ensureRetry();
+      timers.ensureRetryTimer();
     }
     if (settings.fleet().sharded() || urgent.isEmpty() && !inRound) {
       return;
@@ -188,10 +188,10 @@
       introducer.introduceEndpoints();
       proxies.all().forEach(proposals::proposeReplacement);
     }
-    List<ProxyState> known = setTargets(inRound);
+    List<ProxyState> plannedProxies = setTargets(inRound);
     urgent.send(updater);
     if (inRound) {
-      scheduler.runRound(known.stream().filter(proxy -> !urgent.contains(proxy)).toList());
+      scheduler.runRound(plannedProxies.stream().filter(proxy -> !urgent.contains(proxy)).toList());
     }
   }
 
@@ -213,13 +213,13 @@
     for (EndpointState endpoint : endpoints.all()) {
       endpoint.setPlannedLoad(0);
     }
-    List<ProxyState> known = new ArrayList<>();
+    List<ProxyState> plannedProxies = new ArrayList<>();
     List<ProxyState> adjustable = new ArrayList<>();
     for (ProxyState proxy : proxies.all()) {
       if (!proxy.isTableAssigned() && !(proxy.isConnected() && urgent.contains(proxy))) {
         continue;
       }
-      known.add(proxy);
+      plannedProxies.add(proxy);
       if (inRound || !proxy.isTableAssigned()) {
         adjustable.add(proxy);
       }
@@ -228,9 +228,9 @@
         route.endpoint().addPlannedLoad(proxy.averageRate() * route.target());
       }
     }
-    weights.optimize(known, adjustable);
+    weights.optimize(plannedProxies, adjustable);
     adjustable.forEach(proposals::blend);
-    slowStart.limit(known, urgent);
-    return known;
+    slowStart.limit(plannedProxies, urgent);
+    return plannedProxies;
   }
 }
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -9,19 +9,19 @@
   private static final double MIN_UTILIZATION = 0.15;
 
   /** Requests per second below which an endpoint's load is not read. */
-  private static final double MIN_LOAD = 1;
+  private static final double MIN_LOAD_PER_SECOND = 1;
 
   /** Replaces a capacity of 0 as divisor. */
   static final double MIN_CAPACITY = 1e-9;
 
   /** Share of the new reading; the fleet's mean cost of a request is steady, its load is not. */
-  private static final double READING_SHARE = 0.03;
+  private static final double MIN_SAMPLE_WEIGHT = 0.03;
 
   private final EndpointRegistry endpoints;
   private final TrafficEstimator traffic;
-  private double unitCapacity = Double.NaN;
-  private int readings;
-  private double listedWeight;
+  private double capacityPerWeight = Double.NaN;
+  private int sampleCount;
+  private double totalListedWeight;
   private double totalCapacity;
   private double meanCapacity;
   private double meanLoadRatio;
@@ -33,18 +33,19 @@
 
   /** Reads the capacity of a unit of listed weight from utilizations, at the start of a round. */
   void startRound() {
-    double busyWeight =
+    double utilizedWeight =
         endpoints.sumOverReady(
             endpoint ->
-                isReadable(endpoint)
+                isUsableSample(endpoint)
                     ? endpoint.statistics().utilization() * endpoint.listedWeight()
                     : 0);
-    if (busyWeight > 0) {
-      readings++;
-      double newShare = Math.max(READING_SHARE, 2.0 / (1 + readings));
+    if (utilizedWeight > 0) {
+      sampleCount++;
+      double sampleWeight = Math.max(MIN_SAMPLE_WEIGHT, 2.0 / (1 + sampleCount));
       double load =
-          endpoints.sumOverReady(endpoint -> isReadable(endpoint) ? reportedLoad(endpoint) : 0);
-      unitCapacity = ExponentialAverage.update(unitCapacity, load / busyWeight, 1 - newShare);
+          endpoints.sumOverReady(endpoint -> isUsableSample(endpoint) ? reportedLoad(endpoint) : 0);
+      capacityPerWeight =
+          ExponentialAverage.update(capacityPerWeight, load / utilizedWeight, 1 - sampleWeight);
     }
   }
 
@@ -52,10 +53,10 @@
    * Whether an endpoint's utilization tells its capacity: it is warm, busy and healthy. Under
    * overload attempts are refused or fail, and a slow endpoint may report too little.
    */
-  private boolean isReadable(EndpointState endpoint) {
+  private boolean isUsableSample(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
     return statistics.utilization() > MIN_UTILIZATION
-        && reportedLoad(endpoint) > MIN_LOAD
+        && reportedLoad(endpoint) > MIN_LOAD_PER_SECOND
         && endpoints.isWarm(endpoint)
         && statistics.failedOrLateShare() < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE;
   }
@@ -73,15 +74,15 @@
    * endpoint warms up. Until utilizations are read, the present load is taken for a typical one.
    */
   void refresh() {
-    listedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
+    totalListedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
     double assumedLoad = assumedLoad();
     for (EndpointState endpoint : endpoints.all()) {
       double warmCapacity =
-          unitCapacity > 0
-              ? unitCapacity * endpoint.listedWeight()
+          capacityPerWeight > 0
+              ? capacityPerWeight * endpoint.listedWeight()
               : endpoint.listedWeight()
-                  / listedWeight
-                  * Math.max(MIN_LOAD, assumedLoad)
+                  / totalListedWeight
+                  * Math.max(MIN_LOAD_PER_SECOND, assumedLoad)
                   / TYPICAL_LOAD_RATIO;
       endpoint.setCapacity(
           endpoint.isReady() ? warmCapacity * endpoints.warmUpFraction(endpoint) : 0);
@@ -115,7 +116,7 @@
   /** Requests per second at an endpoint from all instances: no less than this one's attempts. */
   double load(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
-    return statistics.utilization() >= 0 && unitCapacity > 0
+    return statistics.utilization() >= 0 && capacityPerWeight > 0
         ? Math.max(statistics.attemptRate(), statistics.utilization() * endpoint.capacity())
         : reportedLoad(endpoint);
   }
@@ -127,12 +128,12 @@
 
   /** How often the capacity was read from utilizations. */
   int sampleCount() {
-    return readings;
+    return sampleCount;
   }
 
   /** Listed weight of all endpoints that are ready. */
-  double listedWeight() {
-    return listedWeight;
+  double totalListedWeight() {
+    return totalListedWeight;
   }
 
   double totalCapacity() {
--- a/src/main/java/stonespring/decision/CommandBatch.java
+++ b/src/main/java/stonespring/decision/CommandBatch.java
@@ -14,10 +14,10 @@
  */
 final class CommandBatch {
   /** Entries of a table's assignment besides its routes. */
-  private static final int ASSIGNMENT_ENTRIES = 3;
+  private static final int ASSIGNMENT_OVERHEAD_ENTRIES = 3;
 
   private final Settings.ChannelLimits limits;
-  private final List<Command> local = new ArrayList<>();
+  private final List<Command> localCommands = new ArrayList<>();
   private final List<Command> restrictions = new ArrayList<>();
   private final List<Command> routes = new ArrayList<>();
   private final List<Command> assignments = new ArrayList<>();
@@ -30,7 +30,7 @@
 
   /** Adds a command that reaches no proxy. */
   void addLocal(Command command) {
-    local.add(command);
+    localCommands.add(command);
   }
 
   /** Adds an exclusion; its entries are counted apart, as it does not concern every proxy. */
@@ -62,7 +62,7 @@
     assignments.add(new Command.AssignRouteTable(proxy.tableId(), proxy.id(), 0));
     int routeCount = proxy.table().appliedCount();
     boolean mayExclude = limits.proxyTablesUnknown() && !proxy.isWithoutTables();
-    countEntries(proxy, ASSIGNMENT_ENTRIES + (mayExclude ? 2 * routeCount : routeCount));
+    countEntries(proxy, ASSIGNMENT_OVERHEAD_ENTRIES + (mayExclude ? 2 * routeCount : routeCount));
   }
 
   /** Counts entries at a proxy, and a message's overhead with the first of them. */
@@ -94,7 +94,7 @@
   /** Removes and returns the commands in the order in which they must be carried out. */
   List<Command> takeCommands() {
     List<Command> commands = new ArrayList<>();
-    for (List<Command> group : List.of(local, restrictions, routes, assignments)) {
+    for (List<Command> group : List.of(localCommands, restrictions, routes, assignments)) {
       commands.addAll(group);
       group.clear();
     }
--- a/src/main/java/stonespring/decision/EndpointIntroducer.java
+++ b/src/main/java/stonespring/decision/EndpointIntroducer.java
@@ -15,10 +15,10 @@
   private static final double SAME_ZONE_FACTOR = 2;
 
   /** Share of the mean fill below which an endpoint is idle; normal variation stays above it. */
-  private static final double IDLE_FILL = 0.6;
+  private static final double IDLE_LOAD_RATIO = 0.6;
 
   /** DeciMillis between entries of an endpoint; the last one shows in reports by then. */
-  private static final long REENTRY_INTERVAL = 5 * DeciMillis.SECOND;
+  private static final long REINTRODUCTION_INTERVAL_DECI_MILLIS = 5 * DeciMillis.SECOND;
 
   private final EngineClock clock;
   private final DeterministicRandom random;
@@ -43,33 +43,33 @@
   }
 
   /**
-   * Lets all entrants in, unless a table is unknown: it may name an endpoint that has returned and
-   * warms up, which must stay excluded there.
+   * Lets all candidates in, unless a table is unknown: it may name an endpoint that has returned
+   * and warms up, which must stay excluded there.
    */
   void introduceEndpoints() {
     if (proxies.withUnknownTable().findAny().isPresent()) {
       return;
     }
-    List<EndpointState> entrants = endpoints.takeNewlyReady();
-    idlest().filter(idle -> !entrants.contains(idle)).ifPresent(entrants::add);
-    for (EndpointState entrant : entrants) {
-      if (entrant.isReady()) {
-        enter(entrant);
+    List<EndpointState> candidates = endpoints.takeNewlyReady();
+    findIdlest().filter(idle -> !candidates.contains(idle)).ifPresent(candidates::add);
+    for (EndpointState candidate : candidates) {
+      if (candidate.isReady()) {
+        introduce(candidate);
       }
     }
   }
 
-  private void enter(EndpointState entrant) {
-    exclusions.setExcluded(entrant, false);
-    entrant.markIntroduced(clock.now());
+  private void introduce(EndpointState candidate) {
+    exclusions.setExcluded(candidate, false);
+    candidate.markIntroduced(clock.now());
     for (ProxyState proxy : proxies.all()) {
-      if (proxy.isTableAssigned() && !proxy.table().holds(entrant)) {
-        offer(proxy, entrant);
+      if (proxy.isTableAssigned() && !proxy.table().holds(candidate)) {
+        maybeReplaceRoute(proxy, candidate);
       }
     }
   }
 
-  private void offer(ProxyState proxy, EndpointState entrant) {
+  private void maybeReplaceRoute(ProxyState proxy, EndpointState candidate) {
     int routeCount = 0;
     EndpointState mostLoaded = null;
     for (Route route : proxy.table().routes()) {
@@ -85,17 +85,18 @@
         mostLoaded = endpoint;
       }
     }
-    boolean sameZone = entrant.zone() == proxy.zone();
+    boolean sameZone = candidate.zone() == proxy.zone();
     double zoneFactor = sameZone ? SAME_ZONE_FACTOR : 1 / SAME_ZONE_FACTOR;
-    double chance = zoneFactor * routeCount * entrant.listedWeight() / capacity.listedWeight();
+    double probability =
+        zoneFactor * routeCount * candidate.listedWeight() / capacity.totalListedWeight();
     // A number is drawn only where a route can be replaced.
-    if (mostLoaded != null && random.nextDouble() < chance) {
-      proxy.replacements().put(mostLoaded, entrant);
+    if (mostLoaded != null && random.nextDouble() < probability) {
+      proxy.replacements().put(mostLoaded, candidate);
     }
   }
 
-  /** The idlest of the healthy endpoints that random selection left out of most tables. */
-  private Optional<EndpointState> idlest() {
+  /** The findIdlest of the healthy endpoints that random selection left out of most tables. */
+  private Optional<EndpointState> findIdlest() {
     return endpoints.all().stream()
         .filter(this::isIdle)
         .min(Comparator.comparingDouble(capacity::loadRatio));
@@ -105,8 +106,8 @@
     double failureShare = 1 - endpoint.statistics().successShare();
     return endpoint.isReady()
         && endpoints.isWarm(endpoint)
-        && clock.since(endpoint.lastIntroducedAt()) > REENTRY_INTERVAL
+        && clock.since(endpoint.lastIntroducedAt()) > REINTRODUCTION_INTERVAL_DECI_MILLIS
         && failureShare < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
-        && capacity.loadRatio(endpoint) < IDLE_FILL * capacity.meanLoadRatio();
+        && capacity.loadRatio(endpoint) < IDLE_LOAD_RATIO * capacity.meanLoadRatio();
   }
 }
--- a/src/main/java/stonespring/decision/EndpointListWatcher.java
+++ b/src/main/java/stonespring/decision/EndpointListWatcher.java
@@ -9,12 +9,12 @@
 /** Keeps a watch on the endpoint list where one is required, and restarts it with backoff. */
 final class EndpointListWatcher {
   /** DeciMillis; doubled after each failure. */
-  private static final long INITIAL_BACKOFF = DeciMillis.SECOND / 2;
+  private static final long INITIAL_BACKOFF_DECI_MILLIS = DeciMillis.SECOND / 2;
 
-  private static final long MAX_BACKOFF = 8 * INITIAL_BACKOFF;
+  private static final long MAX_BACKOFF_DECI_MILLIS = 8 * INITIAL_BACKOFF_DECI_MILLIS;
 
   /** DeciMillis; a request without any answer by then is lost. */
-  private static final long REQUEST_TIMEOUT = 9 * DeciMillis.SECOND;
+  private static final long REQUEST_TIMEOUT_DECI_MILLIS = 9 * DeciMillis.SECOND;
 
   private final Settings settings;
   private final EngineClock clock;
@@ -22,7 +22,7 @@
   private final CommandBatch batch;
   private boolean watching;
   private long nextRequestAt = EngineClock.NEVER;
-  private long backoff = INITIAL_BACKOFF;
+  private long backoff = INITIAL_BACKOFF_DECI_MILLIS;
 
   EndpointListWatcher(
       Settings settings, EngineClock clock, DeterministicRandom random, CommandBatch batch) {
@@ -38,12 +38,12 @@
       watching = false;
       long jitter = (long) (backoff * random.nextDouble());
       nextRequestAt = clock.now() + backoff + jitter;
-      backoff = Math.min(MAX_BACKOFF, 2 * backoff);
+      backoff = Math.min(MAX_BACKOFF_DECI_MILLIS, 2 * backoff);
       return;
     }
     watching |= kind != Event.ListUpdateKind.CACHED;
     if (watching) {
-      backoff = INITIAL_BACKOFF;
+      backoff = INITIAL_BACKOFF_DECI_MILLIS;
     }
   }
 
@@ -51,7 +51,7 @@
   void ensureWatch() {
     if (!watching && settings.endpointList().watchRequired() && clock.now() >= nextRequestAt) {
       batch.addLocal(new Command.WatchEndpoints(true));
-      nextRequestAt = clock.now() + REQUEST_TIMEOUT;
+      nextRequestAt = clock.now() + REQUEST_TIMEOUT_DECI_MILLIS;
     }
   }
 }
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -19,7 +19,7 @@
 /** All known endpoints, under dense indexes, and how updates of the endpoint list change them. */
 final class EndpointRegistry {
   /** DeciMillis; longer than any proxy keeps a table that names a removed endpoint. */
-  private static final long FORGET_AFTER = 600 * DeciMillis.SECOND;
+  private static final long REMOVED_RETENTION_DECI_MILLIS = 600 * DeciMillis.SECOND;
 
   /** Share of failures that confirms a removal; more than overloaded endpoints show. */
   private static final double REMOVAL_CONFIRMED_FAILURE_SHARE = 0.8;
@@ -29,9 +29,9 @@
   private final LatencyModel latencyModel;
   private final List<EndpointState> endpoints = new ArrayList<>();
   private final List<EndpointState> endpointsView = Collections.unmodifiableList(endpoints);
-  private final ArrayDeque<EndpointState> reusable = new ArrayDeque<>();
+  private final ArrayDeque<EndpointState> vacantStates = new ArrayDeque<>();
   private final Map<EndpointId, EndpointState> byId = new HashMap<>();
-  private final List<EndpointState> entrants = new ArrayList<>();
+  private final List<EndpointState> newlyReady = new ArrayList<>();
   private boolean exclusionsNeeded;
 
   EndpointRegistry(Settings settings, EngineClock clock, LatencyModel latencyModel) {
@@ -57,12 +57,12 @@
     return endpoints.stream().filter(endpoint -> !endpoint.isReady());
   }
 
-  /** Sums a figure over the endpoints that are ready, in the order of their indexes. */
-  double sumOverReady(ToDoubleFunction<EndpointState> figure) {
+  /** Sums a value over the endpoints that are ready, in the order of their indexes. */
+  double sumOverReady(ToDoubleFunction<EndpointState> value) {
     double sum = 0;
     for (EndpointState endpoint : endpoints) {
       if (endpoint.isReady()) {
-        sum += figure.applyAsDouble(endpoint);
+        sum += value.applyAsDouble(endpoint);
       }
     }
     return sum;
@@ -89,8 +89,8 @@
 
   /** Removes and returns the endpoints that became ready or restarted since the last call. */
   List<EndpointState> takeNewlyReady() {
-    List<EndpointState> taken = new ArrayList<>(entrants);
-    entrants.clear();
+    List<EndpointState> taken = new ArrayList<>(newlyReady);
+    newlyReady.clear();
     return taken;
   }
 
@@ -120,7 +120,7 @@
     }
     boolean restarted = entry.startedAt() > endpoint.startedAt();
     if (restarted || !endpoint.isReady()) {
-      entrants.add(endpoint);
+      newlyReady.add(endpoint);
     }
     if (restarted) {
       endpoint.statistics().reset();
@@ -139,10 +139,10 @@
       endpoint.markRemovalPending();
       return;
     }
-    leave(endpoint, newState);
+    takeOutOfService(endpoint, newState);
   }
 
-  private void leave(EndpointState endpoint, EndpointRecord.State newState) {
+  private void takeOutOfService(EndpointState endpoint, EndpointRecord.State newState) {
     endpoint.markOutOfService(newState, clock.now());
     exclusionsNeeded = true;
   }
@@ -162,7 +162,7 @@
     endpoint.statistics().record(outcomes, clock.now());
     double failureShare = 1 - endpoint.statistics().successShare();
     if (endpoint.isRemovalPending() && failureShare > REMOVAL_CONFIRMED_FAILURE_SHARE) {
-      leave(endpoint, EndpointRecord.State.REMOVED);
+      takeOutOfService(endpoint, EndpointRecord.State.REMOVED);
     }
     return true;
   }
@@ -172,7 +172,7 @@
     if (known != null) {
       return known;
     }
-    EndpointState added = reusable.isEmpty() ? append() : reusable.poll();
+    EndpointState added = vacantStates.isEmpty() ? append() : vacantStates.poll();
     added.resetFor(id, clock.now());
     byId.put(id, added);
     exclusionsNeeded = true;
@@ -194,11 +194,11 @@
     for (EndpointState endpoint : endpoints) {
       if (!endpoint.isEvicted()
           && endpoint.state() == EndpointRecord.State.REMOVED
-          && clock.since(endpoint.outOfServiceSince()) > FORGET_AFTER
+          && clock.since(endpoint.outOfServiceSince()) > REMOVED_RETENTION_DECI_MILLIS
           && !inTable.test(endpoint)) {
         byId.remove(endpoint.id());
         endpoint.markEvicted();
-        reusable.add(endpoint);
+        vacantStates.add(endpoint);
       }
       endpoint.statistics().startRound(clock.now(), settings.reportInterval());
     }
--- a/src/main/java/stonespring/decision/EndpointState.java
+++ b/src/main/java/stonespring/decision/EndpointState.java
@@ -16,11 +16,11 @@
   private int zone;
   private double listedWeight;
   private long startedAt;
-  private long enteredAt;
-  private long leftAt;
+  private long lastIntroducedAt;
+  private long outOfServiceSince;
   private boolean excluded;
   private boolean removalPending;
-  private boolean forgotten;
+  private boolean evicted;
   private double capacity;
   private double plannedLoad;
 
@@ -34,10 +34,10 @@
     id = newId;
     state = EndpointRecord.State.REMOVED;
     excluded = false;
-    forgotten = false;
+    evicted = false;
     startedAt = 0;
-    enteredAt = 0;
-    leftAt = now;
+    lastIntroducedAt = 0;
+    outOfServiceSince = now;
     statistics.reset();
   }
 
@@ -57,7 +57,7 @@
   /** Takes no new requests from now on. */
   void markOutOfService(EndpointRecord.State newState, long now) {
     state = newState;
-    leftAt = now;
+    outOfServiceSince = now;
     removalPending = false;
   }
 
@@ -67,11 +67,11 @@
   }
 
   void markEvicted() {
-    forgotten = true;
+    evicted = true;
   }
 
   void markIntroduced(long now) {
-    enteredAt = now;
+    lastIntroducedAt = now;
   }
 
   void setExcluded(boolean excluded) {
@@ -127,11 +127,11 @@
 
   /** When route tables last took it in; 0 if never. */
   long lastIntroducedAt() {
-    return enteredAt;
+    return lastIntroducedAt;
   }
 
   long outOfServiceSince() {
-    return leftAt;
+    return outOfServiceSince;
   }
 
   /** Whether connected proxies were notified not to use it, whatever their tables say. */
@@ -146,7 +146,7 @@
 
   /** Whether the object waits for another endpoint. */
   boolean isEvicted() {
-    return forgotten;
+    return evicted;
   }
 
   /** Estimated requests per second that it can serve now, from all instances; 0 if not ready. */
--- a/src/main/java/stonespring/decision/EndpointStatistics.java
+++ b/src/main/java/stonespring/decision/EndpointStatistics.java
@@ -14,7 +14,7 @@
   static final double NORMAL_FAILED_OR_LATE_SHARE = 0.15;
 
   /** DeciMillis beyond a report interval, as reports may be delayed. */
-  private static final long STALE_AFTER = 4 * DeciMillis.SECOND;
+  private static final long REPORT_DELAY_TOLERANCE_DECI_MILLIS = 4 * DeciMillis.SECOND;
 
   /** Observations of the proxies of one zone. */
   private static final class ZoneOutcomes {
@@ -91,7 +91,7 @@
     double retention = ExponentialAverage.retentionOver(reportInterval);
     attemptRate = 0;
     for (ZoneOutcomes zone : zones) {
-      if (now - zone.lastReportAt > STALE_AFTER + reportInterval) {
+      if (now - zone.lastReportAt > REPORT_DELAY_TOLERANCE_DECI_MILLIS + reportInterval) {
         zone.decay(retention);
       }
       attemptRate += zone.attemptRate;
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -6,8 +6,8 @@
 
 /** The engine's two timers: one that always runs, and one for updates that were postponed. */
 final class EngineTimers {
-  private static final TimerToken PERIODIC = new TimerToken(1);
-  private static final TimerToken RETRY = new TimerToken(2);
+  private static final TimerToken PERIODIC_TIMER = new TimerToken(1);
+  private static final TimerToken RETRY_TIMER = new TimerToken(2);
 
   private final Settings settings;
   private final EngineClock clock;
@@ -22,24 +22,24 @@
   }
 
   void handleFired(TimerToken token) {
-    if (token.equals(PERIODIC)) {
+    if (token.equals(PERIODIC_TIMER)) {
       periodicRunning = false;
     }
   }
 
   /** Keeps the periodic timer running, so that batches come without other events too. */
-  void ensurePeriodic() {
+  void ensurePeriodicTimer() {
     if (!periodicRunning) {
       periodicRunning = true;
-      batch.addLocal(new Command.StartTimer(settings.reportInterval() / 2, PERIODIC));
+      batch.addLocal(new Command.StartTimer(settings.reportInterval() / 2, PERIODIC_TIMER));
     }
   }
 
   /** Has postponed updates looked at again soon. */
-  void ensureRetry() {
+  void ensureRetryTimer() {
     if (clock.now() >= retryAt) {
       retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL;
-      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL, RETRY));
+      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL, RETRY_TIMER));
     }
   }
 }
--- a/src/main/java/stonespring/decision/ReportCadence.java
+++ b/src/main/java/stonespring/decision/ReportCadence.java
@@ -9,10 +9,10 @@
 
   private final Settings settings;
   private final EngineClock clock;
-  private boolean reported;
+  private boolean reportedSinceRound;
   private long lastRoundAt = EngineClock.NEVER;
-  private long delay;
-  private int rounds;
+  private long reportDelay;
+  private int roundCount;
 
   ReportCadence(Settings settings, EngineClock clock) {
     this.settings = settings;
@@ -20,29 +20,29 @@
   }
 
   void recordReport() {
-    reported = true;
+    reportedSinceRound = true;
   }
 
   boolean isRoundDue() {
-    return reported && clock.since(lastRoundAt) >= settings.reportInterval() * 9 / 10;
+    return reportedSinceRound && clock.since(lastRoundAt) >= settings.reportInterval() * 9 / 10;
   }
 
   void startRound() {
-    reported = false;
+    reportedSinceRound = false;
     long lateness = clock.since(lastRoundAt) - settings.reportInterval();
-    delay = rounds == 0 ? 0 : Math.max(lateness, delay * 9 / 10);
+    reportDelay = roundCount == 0 ? 0 : Math.max(lateness, reportDelay * 9 / 10);
     lastRoundAt = clock.now();
-    rounds++;
+    roundCount++;
   }
 
   /** Whether any round was started. */
   boolean hasStartedRound() {
-    return rounds > 0;
+    return roundCount > 0;
   }
 
   /** Whether there were enough rounds for reports to show what an earlier instance left. */
   boolean hasEnoughRounds() {
-    return rounds >= MIN_ROUNDS;
+    return roundCount >= MIN_ROUNDS;
   }
 
   /**
@@ -50,6 +50,6 @@
    * show may be over; the delay fades by a tenth each round.
    */
   long reportDelay() {
-    return delay;
+    return reportDelay;
   }
 }
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -7,17 +7,17 @@
 /** Estimates the traffic of this instance's proxies, and their part of the whole fleet's. */
 final class TrafficEstimator {
   /** DeciMillis; half a report interval and the usual delay of reports. */
-  private static final long VISIBLE_AFTER_CONNECT = DeciMillis.SECOND;
+  private static final long CONNECT_TO_REPORT_DECI_MILLIS = DeciMillis.SECOND;
 
   /** DeciMillis; by then the endpoint list tells which endpoints a lost zone took with it. */
-  private static final long COUNTED_AFTER_DISCONNECT = 8 * DeciMillis.SECOND;
+  private static final long DISCONNECTED_RETENTION_DECI_MILLIS = 8 * DeciMillis.SECOND;
 
   private static final double MIN_SHARE = 0.01;
 
   private final Settings settings;
   private final EngineClock clock;
   private final ProxyRegistry proxies;
-  private boolean visible;
+  private boolean anyProxyVisible;
   private double reportedShare = Double.NaN;
   private double share = 1;
   private double connectedRate;
@@ -34,12 +34,13 @@
    * shows in them late and gradually.
    */
   void startRound() {
-    Predicate<ProxyState> inReports =
-        proxy -> proxy.isConnected() && clock.since(proxy.connectedAt()) > VISIBLE_AFTER_CONNECT;
-    visible |= proxies.all().stream().anyMatch(inReports);
-    if (visible) {
+    Predicate<ProxyState> isInReports =
+        proxy ->
+            proxy.isConnected() && clock.since(proxy.connectedAt()) > CONNECT_TO_REPORT_DECI_MILLIS;
+    anyProxyVisible |= proxies.all().stream().anyMatch(isInReports);
+    if (anyProxyVisible) {
       double retention = ExponentialAverage.retentionOver(settings.reportInterval());
-      reportedShare = ExponentialAverage.update(reportedShare, shareOf(inReports), retention);
+      reportedShare = ExponentialAverage.update(reportedShare, shareOf(isInReports), retention);
     }
   }
 
@@ -55,13 +56,13 @@
     share = shareOf(ProxyState::isConnected);
     offeredRate =
         proxies.all().stream()
-            .mapToDouble(proxy -> isCounted(proxy) ? proxy.requestRate().latestRate() : 0)
+            .mapToDouble(proxy -> countsAsOffered(proxy) ? proxy.requestRate().latestRate() : 0)
             .sum();
   }
 
   /** Whether reports can show any proxy's traffic yet. */
   boolean hasVisibleProxies() {
-    return visible;
+    return anyProxyVisible;
   }
 
   /** Requests per second of the connected proxies. */
@@ -89,11 +90,12 @@
 
   /** The share of the fleet's traffic behind {@link #offeredRate}, 0.01 to 1. */
   double offeredShare() {
-    return shareOf(this::isCounted);
+    return shareOf(this::countsAsOffered);
   }
 
-  private boolean isCounted(ProxyState proxy) {
-    return proxy.isConnected() || clock.since(proxy.disconnectedAt()) < COUNTED_AFTER_DISCONNECT;
+  private boolean countsAsOffered(ProxyState proxy) {
+    return proxy.isConnected()
+        || clock.since(proxy.disconnectedAt()) < DISCONNECTED_RETENTION_DECI_MILLIS;
   }
 
   /** The share of the fleet's proxies stands for that of its traffic. */
