--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -9,11 +9,12 @@
 import stonespring.model.Settings;
 
 /**
- * Decides on the route tables of all proxies of one instance. Events change what is known at once;
- * commands come at the end of a batch. A batch with new reports runs a scheduling round, about once
- * a report interval; others update only what cannot wait.
+ * Decides on the route tables of all proxies that are connected to one instance. Each event updates
+ * the engine's state immediately; commands are issued at the end of a batch. About once per report
+ * interval, a batch that contains new reports runs a scheduling round, which may change every
+ * table. Batches between rounds only send urgent updates.
  *
- * <p>A sharded fleet gets no route tables from this engine: its proxies keep to the tables that are
+ * <p>A sharded fleet gets no route tables from this engine: its proxies use the tables that are
  * stored for their shards.
  *
  * <p>Equal settings, seeds and events give equal commands. Not thread-safe.
@@ -44,8 +45,8 @@
   /**
    * Creates an engine that knows no endpoint and no proxy.
    *
-   * @param seed of the random numbers
-   * @param now the host's clock, DeciMillis
+   * @param seed the seed of the engine's random number generator
+   * @param now the present instant by the host's clock, in DeciMillis
    */
   public AssignmentEngine(Settings settings, long seed, long now) {
     this.settings = settings;
@@ -135,8 +136,9 @@
   }
 
   /**
-   * Handles an event that is not about one proxy and no report. It also makes sure that the watch
-   * and the periodic timer run, and has the end of the batch look for urgent updates.
+   * Handles an event that is neither about a single proxy nor a report of outcomes. Also requests
+   * the endpoint list watch and starts the periodic timer where they do not run, and has the end of
+   * the batch check for urgent updates.
    */
   private void handleFleetEvent(Event event) {
     fleetChanged = true;
@@ -157,14 +159,14 @@
     clock.advanceTo(now);
     updateTables();
     if (!initialLimitsPublished) {
-      // The initial limits follow any limits that this batch already holds, and override them.
+      // Appended after any limits that this batch already contains: the last limit takes effect.
       initialLimitsPublished = true;
       admission.publishInitialLimits();
     }
     return budget.endBatch();
   }
 
-  /** Sends urgent updates, and runs a round if one is due. */
+  /** Sends urgent updates, and runs a scheduling round if one is due. */
   private void updateTables() {
     boolean inRound = estimates.cadence().isRoundDue();
     if (!inRound && !fleetChanged) {
@@ -195,7 +197,10 @@
     }
   }
 
-  /** Starts a round: brings what is derived from reports up to date, in this order. */
+  /**
+   * Starts a round by updating the estimates that are derived from reports. The order matters:
+   * later estimates use earlier ones.
+   */
   private void startRound() {
     estimates.traffic().startRound();
     endpoints.startRound(proxies::isInTable);
@@ -204,8 +209,9 @@
   }
 
   /**
-   * Sets the targets of all tables that this instance knows or assigns now. Between rounds, known
-   * tables only lose what left and get what takes its place: reports are old.
+   * Sets the target weights of all tables that this instance has assigned or assigns in this batch.
+   * Between rounds, a table that is already assigned only has routes to unavailable endpoints
+   * replaced, because the reports are too old to adjust other weights by.
    *
    * @return the proxies of these tables
    */
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -1,20 +1,23 @@
 package stonespring.decision;
 
-/** Estimates what each endpoint can serve and how loaded it is, in requests per second. */
+/** Estimates the capacity and the load of each endpoint, in requests per second. */
 final class CapacityEstimator {
-  /** Load over capacity in normal operation; assumed until endpoints report utilization. */
+  /** Ratio of load to capacity in normal operation; assumed until endpoints report utilization. */
   static final double TYPICAL_LOAD_RATIO = 0.6;
 
-  /** Utilization below which a report's noise outweighs what it says of capacity. */
+  /** Utilization below which the noise of a report hides the capacity. */
   private static final double MIN_UTILIZATION = 0.15;
 
-  /** Requests per second below which an endpoint's load is not read. */
+  /** Load below which an endpoint's utilization does not count as a sample of capacity. */
   private static final double MIN_LOAD_PER_SECOND = 1;
 
-  /** Replaces a capacity of 0 as divisor. */
+  /** Divisor that replaces a capacity of 0. */
   static final double MIN_CAPACITY = 1e-9;
 
-  /** Share of the new reading; the fleet's mean cost of a request is steady, its load is not. */
+  /**
+   * Weight of a new sample in the capacity average once there are many. It is small because the
+   * fleet's mean cost of a request is steady, while its load is not.
+   */
   private static final double MIN_SAMPLE_WEIGHT = 0.03;
 
   private final EndpointRegistry endpoints;
@@ -31,7 +34,10 @@
     this.traffic = traffic;
   }
 
-  /** Reads the capacity of a unit of listed weight from utilizations, at the start of a round. */
+  /**
+   * Updates the capacity per unit of listed weight from reported utilizations, at the start of a
+   * round.
+   */
   void startRound() {
     double utilizedWeight =
         endpoints.sumOverReady(
@@ -50,8 +56,9 @@
   }
 
   /**
-   * Whether an endpoint's utilization tells its capacity: it is warm, busy and healthy. Under
-   * overload attempts are refused or fail, and a slow endpoint may report too little.
+   * Whether an endpoint's capacity can be derived from its utilization, which requires that it is
+   * warm, busy and healthy. Under overload attempts are refused or fail, and a slow endpoint may
+   * report too low a utilization.
    */
   private boolean isUsableSample(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
@@ -61,7 +68,10 @@
         && statistics.failedOrLateShare() < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE;
   }
 
-  /** Requests per second at an endpoint by its reports, or from this instance's part of them. */
+  /**
+   * Requests per second at an endpoint by its own reports; without these, extrapolated from the
+   * attempts of this instance's proxies.
+   */
   private double reportedLoad(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
     return Double.isNaN(statistics.reportedRate())
@@ -70,8 +80,9 @@
   }
 
   /**
-   * Brings all capacities up to date: listed weight times the capacity of a unit, reduced while an
-   * endpoint warms up. Until utilizations are read, the present load is taken for a typical one.
+   * Updates all capacities. An endpoint's capacity is its listed weight times the capacity per unit
+   * of weight, reduced while the endpoint warms up. Until there are samples of utilization, the
+   * present load is assumed to be {@link #TYPICAL_LOAD_RATIO} of the capacity.
    */
   void refresh() {
     totalListedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
@@ -93,9 +104,10 @@
   }
 
   /**
-   * The fleet's load while no capacity is read: what succeeds, since clients' retries are no
-   * measure of what endpoints can do. The first reports hold little of what newly connected proxies
-   * send; only their share of success counts.
+   * The fleet's load, in requests per second, that is assumed while there is no sample of capacity.
+   * Only successful attempts count, since clients' retries do not show what endpoints can serve.
+   * The first reports cover little of the traffic of newly connected proxies, so only their success
+   * share is used.
    */
   private double assumedLoad() {
     double succeeded =
@@ -113,7 +125,10 @@
     return Math.min(offered, succeeded / traffic.reportedShare());
   }
 
-  /** Requests per second at an endpoint from all instances: no less than this one's attempts. */
+  /**
+   * Estimated requests per second at an endpoint from all instances' proxies; at least the attempts
+   * of this instance's proxies.
+   */
   double load(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
     return statistics.utilization() >= 0 && capacityPerWeight > 0
@@ -121,30 +136,32 @@
         : reportedLoad(endpoint);
   }
 
-  /** Load over capacity; 1 for an endpoint that is fully used. */
+  /** Ratio of load to capacity; 1 for an endpoint that is fully utilized. */
   double loadRatio(EndpointState endpoint) {
     return load(endpoint) / Math.max(MIN_CAPACITY, endpoint.capacity());
   }
 
-  /** How often the capacity was read from utilizations. */
+  /** Number of rounds in which the capacity was sampled from utilizations. */
   int sampleCount() {
     return sampleCount;
   }
 
-  /** Listed weight of all endpoints that are ready. */
+  /** Sum of the listed weights of all ready endpoints. */
   double totalListedWeight() {
     return totalListedWeight;
   }
 
+  /** Sum of the capacities of all ready endpoints, in requests per second. */
   double totalCapacity() {
     return totalCapacity;
   }
 
+  /** Mean capacity of a ready endpoint, in requests per second; 0 if none is ready. */
   double meanCapacity() {
     return meanCapacity;
   }
 
-  /** Load of all endpoints that are ready over their capacity. */
+  /** Ratio of the total load to the total capacity of all ready endpoints. */
   double meanLoadRatio() {
     return meanLoadRatio;
   }
--- a/src/main/java/stonespring/decision/CommandBatch.java
+++ b/src/main/java/stonespring/decision/CommandBatch.java
@@ -10,10 +10,11 @@
 import stonespring.model.Settings;
 
 /**
- * The commands of the batch that is handled, and the channel entries that they cost at each proxy.
+ * Collects the commands of the present batch, and counts the channel entries that they cost at each
+ * proxy.
  */
 final class CommandBatch {
-  /** Entries of a table's assignment besides its routes. */
+  /** Entries that the assignment of a table costs besides its routes. */
   private static final int ASSIGNMENT_OVERHEAD_ENTRIES = 3;
 
   private final Settings.ChannelLimits limits;
@@ -28,17 +29,20 @@
     this.limits = limits;
   }
 
-  /** Adds a command that reaches no proxy. */
+  /** Adds a command that the host carries out without sending anything to a proxy. */
   void addLocal(Command command) {
     localCommands.add(command);
   }
 
-  /** Adds an exclusion; its entries are counted apart, as it does not concern every proxy. */
+  /**
+   * Adds an exclusion. The caller counts its entries, since an exclusion does not concern every
+   * proxy.
+   */
   void addExclusion(Command.ExcludeEndpoint command) {
     restrictions.add(command);
   }
 
-  /** Adds admission limits for all tables; each is an entry at each connected proxy. */
+  /** Adds admission limits for all tables; each limit costs an entry at each connected proxy. */
   void addAdmissionLimits(
       List<Command.LimitAdmission> admissionLimits, Collection<ProxyState> proxies) {
     restrictions.addAll(admissionLimits);
@@ -49,7 +53,7 @@
     }
   }
 
-  /** Sets a route; at the proxy it is an entry only if the proxy uses the table already. */
+  /** Adds a route change. It costs an entry only if the proxy already uses the table. */
   void setRoute(ProxyState proxy, EndpointState endpoint, double weight) {
     routes.add(new Command.SetRoute(proxy.tableId(), endpoint.id(), weight));
     if (proxy.isTableAssigned()) {
@@ -57,7 +61,7 @@
     }
   }
 
-  /** Has a proxy use its table, which sends it all routes. */
+  /** Adds the assignment of a proxy's table, which sends all its routes to the proxy. */
   void assignTable(ProxyState proxy) {
     assignments.add(new Command.AssignRouteTable(proxy.tableId(), proxy.id(), 0));
     int routeCount = proxy.table().appliedCount();
@@ -65,18 +69,18 @@
     countEntries(proxy, ASSIGNMENT_OVERHEAD_ENTRIES + (mayExclude ? 2 * routeCount : routeCount));
   }
 
-  /** Counts entries at a proxy, and a message's overhead with the first of them. */
+  /** Counts entries at a proxy, and the overhead of a message with the first of them. */
   void countEntries(ProxyState proxy, int count) {
     Integer before = entriesByProxy.put(proxy, entriesFor(proxy) + count);
     entries += count + (before == null ? messageOverhead() : 0);
   }
 
-  /** Entries that a message costs besides its content: its acknowledgement request is one. */
+  /** Entries that a message costs besides its content; the acknowledgement request is one. */
   int messageOverhead() {
     return 1 + limits.messageOverheadEntries();
   }
 
-  /** Entries counted at a proxy, without its message's overhead. */
+  /** Entries counted at a proxy, without the overhead of its message. */
   int entriesFor(ProxyState proxy) {
     return entriesByProxy.getOrDefault(proxy, 0);
   }
@@ -86,12 +90,12 @@
     return entries;
   }
 
-  /** The proxies that the batch reaches. */
+  /** The proxies to which the batch sends a message. */
   Set<ProxyState> proxies() {
     return entriesByProxy.keySet();
   }
 
-  /** Removes and returns the commands in the order in which they must be carried out. */
+  /** Removes all commands, and returns them in the order in which they must be carried out. */
   List<Command> takeCommands() {
     List<Command> commands = new ArrayList<>();
     for (List<Command> group : List.of(localCommands, restrictions, routes, assignments)) {
@@ -101,7 +105,7 @@
     return commands;
   }
 
-  /** Starts the next batch. */
+  /** Resets the entry counts for the next batch. */
   void clearEntries() {
     entries = 0;
     entriesByProxy.clear();
--- a/src/main/java/stonespring/decision/EndpointIntroducer.java
+++ b/src/main/java/stonespring/decision/EndpointIntroducer.java
@@ -7,17 +7,23 @@
 import stonespring.model.DeterministicRandom;
 
 /**
- * Decides which proxies take in an endpoint that is new, has returned or is idle: each does so with
- * a chance by its number of routes, and gives up the route to its most loaded endpoint.
+ * Selects the proxies whose route tables take in an endpoint that is new, is available again or is
+ * idle. Each proxy is selected at random, with a probability in proportion to its number of routes
+ * and to the endpoint's listed weight, and replaces the route to its most loaded endpoint.
  */
 final class EndpointIntroducer {
-  /** Factor of the chance at proxies of the endpoint's zone; divides it at the others. */
+  /**
+   * Factor by which the probability is multiplied for proxies in the endpoint's zone, and divided
+   * for the others.
+   */
   private static final double SAME_ZONE_FACTOR = 2;
 
-  /** Share of the mean fill below which an endpoint is idle; normal variation stays above it. */
+  /** Share of the mean load ratio below which an endpoint is idle; normal variation stays above. */
   private static final double IDLE_LOAD_RATIO = 0.6;
 
-  /** DeciMillis between entries of an endpoint; the last one shows in reports by then. */
+  /**
+   * Minimum time between introductions of an idle endpoint; the last one shows in reports by then.
+   */
   private static final long REINTRODUCTION_INTERVAL_DECI_MILLIS = 5 * DeciMillis.SECOND;
 
   private final EngineClock clock;
@@ -43,8 +49,9 @@
   }
 
   /**
-   * Lets all candidates in, unless a table is unknown: it may name an endpoint that has returned
-   * and warms up, which must stay excluded there.
+   * Introduces the endpoints that became ready or restarted, and the idlest one. Does nothing while
+   * any proxy's table is unknown: that table may name an endpoint that is available again and warms
+   * up, and such an endpoint must stay excluded at that proxy.
    */
   void introduceEndpoints() {
     if (proxies.withUnknownTable().findAny().isPresent()) {
@@ -89,19 +96,20 @@
     double zoneFactor = sameZone ? SAME_ZONE_FACTOR : 1 / SAME_ZONE_FACTOR;
     double probability =
         zoneFactor * routeCount * candidate.listedWeight() / capacity.totalListedWeight();
-    // A number is drawn only where a route can be replaced.
+    // The order of the conditions matters: a number is drawn only if a route can be replaced.
     if (mostLoaded != null && random.nextDouble() < probability) {
       proxy.replacements().put(mostLoaded, candidate);
     }
   }
 
-  /** The findIdlest of the healthy endpoints that random selection left out of most tables. */
+  /** The least loaded of the idle endpoints, which random selection left out of most tables. */
   private Optional<EndpointState> findIdlest() {
     return endpoints.all().stream()
         .filter(this::isIdle)
         .min(Comparator.comparingDouble(capacity::loadRatio));
   }
 
+  /** Whether a healthy, warm endpoint has far less load than the mean. */
   private boolean isIdle(EndpointState endpoint) {
     double failureShare = 1 - endpoint.statistics().successShare();
     return endpoint.isReady()
--- a/src/main/java/stonespring/decision/EndpointListWatcher.java
+++ b/src/main/java/stonespring/decision/EndpointListWatcher.java
@@ -6,14 +6,17 @@
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
-/** Keeps a watch on the endpoint list where one is required, and restarts it with backoff. */
+/**
+ * Maintains a watch on the endpoint list where the settings require one, and restarts it with
+ * exponential backoff.
+ */
 final class EndpointListWatcher {
-  /** DeciMillis; doubled after each failure. */
+  /** Backoff after the first failure; doubled after each further one. */
   private static final long INITIAL_BACKOFF_DECI_MILLIS = DeciMillis.SECOND / 2;
 
   private static final long MAX_BACKOFF_DECI_MILLIS = 8 * INITIAL_BACKOFF_DECI_MILLIS;
 
-  /** DeciMillis; a request without any answer by then is lost. */
+  /** Time after which a watch request without any answer counts as lost. */
   private static final long REQUEST_TIMEOUT_DECI_MILLIS = 9 * DeciMillis.SECOND;
 
   private final Settings settings;
@@ -32,7 +35,10 @@
     this.batch = batch;
   }
 
-  /** Notes that the watch works, or that it ended; a cached list says neither. */
+  /**
+   * Records from an update whether the watch works or has ended. A cached list tells nothing about
+   * the watch.
+   */
   void recordUpdate(Event.ListUpdateKind kind) {
     if (kind == Event.ListUpdateKind.FETCH_FAILED) {
       watching = false;
@@ -47,7 +53,10 @@
     }
   }
 
-  /** Requests the watch if it is required, does not stand and is not waited for. */
+  /**
+   * Requests the watch if it is required and not established, unless a request is outstanding or a
+   * backoff has not elapsed.
+   */
   void ensureWatch() {
     if (!watching && settings.endpointList().watchRequired() && clock.now() >= nextRequestAt) {
       batch.addLocal(new Command.WatchEndpoints(true));
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -16,12 +16,21 @@
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
-/** All known endpoints, under dense indexes, and how updates of the endpoint list change them. */
+/**
+ * Holds all known endpoints under dense indexes, and applies updates of the endpoint list and
+ * reported outcomes to them.
+ */
 final class EndpointRegistry {
-  /** DeciMillis; longer than any proxy keeps a table that names a removed endpoint. */
+  /**
+   * How long a removed endpoint is kept. Longer than any proxy keeps a table that names a removed
+   * endpoint.
+   */
   private static final long REMOVED_RETENTION_DECI_MILLIS = 600 * DeciMillis.SECOND;
 
-  /** Share of failures that confirms a removal; more than overloaded endpoints show. */
+  /**
+   * Share of failed attempts above which a pending removal is confirmed; higher than overloaded
+   * endpoints show.
+   */
   private static final double REMOVAL_CONFIRMED_FAILURE_SHARE = 0.8;
 
   private final Settings settings;
@@ -40,7 +49,10 @@
     this.latencyModel = latencyModel;
   }
 
-  /** All endpoints by index, including forgotten ones, which are not ready. */
+  /**
+   * All endpoint states by index, as an unmodifiable view. Includes those of evicted endpoints,
+   * which are not ready.
+   */
   List<EndpointState> all() {
     return endpointsView;
   }
@@ -57,7 +69,7 @@
     return endpoints.stream().filter(endpoint -> !endpoint.isReady());
   }
 
-  /** Sums a value over the endpoints that are ready, in the order of their indexes. */
+  /** Sums a value over the ready endpoints, in the order of their indexes. */
   double sumOverReady(ToDoubleFunction<EndpointState> value) {
     double sum = 0;
     for (EndpointState endpoint : endpoints) {
@@ -68,7 +80,7 @@
     return sum;
   }
 
-  /** The share of its capacity that an endpoint has at least while it warms up. */
+  /** The minimum share of its full capacity that a warming endpoint has now; 1 once it is warm. */
   double warmUpFraction(EndpointState endpoint) {
     return settings.slowStart().warmUpFraction(endpoint.startedAt(), clock.now());
   }
@@ -78,8 +90,9 @@
   }
 
   /**
-   * Whether exclusion notices are needed since the last call: an endpoint left, or a name was added
-   * that old tables may hold. Clears the mark.
+   * Returns whether exclusion notices have become necessary since the last call, and clears the
+   * flag. They are necessary when an endpoint went out of service, or when an endpoint was added
+   * that tables unknown to this instance may name.
    */
   boolean testAndClearExclusionsNeeded() {
     boolean taken = exclusionsNeeded;
@@ -94,7 +107,7 @@
     return taken;
   }
 
-  /** Takes a list, or the part of it that changed. */
+  /** Applies a whole endpoint list or a delta. */
   void applyUpdate(Event.EndpointListUpdate update) {
     boolean[] listed = new boolean[endpoints.size() + update.endpoints().size()];
     for (EndpointRecord entry : update.endpoints()) {
@@ -129,8 +142,10 @@
   }
 
   /**
-   * A list may lack endpoints that serve. Where the settings allow it, a removed one is used until
-   * its attempts fail too.
+   * Stops the use of an endpoint that is listed as draining or removed. A list may lack endpoints
+   * that still serve: where the settings allow it, a removed endpoint is used until its attempts
+   * fail as well. This guards against wrong or late lists, at the cost of the attempts that fail
+   * when the endpoint really is gone.
    */
   private void stopUsing(EndpointState endpoint, EndpointRecord.State newState) {
     if (settings.endpointList().removedEndpointsKeepServing()
@@ -148,10 +163,11 @@
   }
 
   /**
-   * Adds observed outcomes. An endpoint that proxies try and no list had was removed before this
-   * instance started; it is ignored where removed endpoints may keep serving.
+   * Records reported outcomes. An endpoint that proxies use although no list has named it was
+   * removed before this instance started; its outcomes are ignored where removed endpoints may keep
+   * serving.
    *
-   * @return whether the outcomes count
+   * @return whether the outcomes were recorded
    */
   boolean recordOutcomes(Event.EndpointOutcomes outcomes) {
     if (settings.endpointList().removedEndpointsKeepServing()
@@ -187,8 +203,10 @@
   }
 
   /**
-   * Brings all statistics up to date at the start of a round, and forgets what was removed long ago
-   * and is in no route table.
+   * Updates all statistics at the start of a round, and evicts endpoints that were removed longer
+   * ago than the retention period and are in no route table.
+   *
+   * @param inTable whether any route table has a route to an endpoint
    */
   void startRound(Predicate<EndpointState> inTable) {
     for (EndpointState endpoint : endpoints) {
--- a/src/main/java/stonespring/decision/EndpointState.java
+++ b/src/main/java/stonespring/decision/EndpointState.java
@@ -4,9 +4,9 @@
 import stonespring.model.EndpointRecord;
 
 /**
- * One endpoint: what the endpoint list says of it, what proxies observed, and the estimates of the
- * current round. The registry reuses the object for another endpoint once no route names it.
- * Ordered by index.
+ * The state of one endpoint: its entry in the endpoint list, the outcomes that proxies observed,
+ * and the estimates of the current round. The registry evicts a removed endpoint once no route
+ * names it, and reuses the object for another endpoint. Ordered by index.
  */
 final class EndpointState implements Comparable<EndpointState> {
   private final int index;
@@ -29,7 +29,7 @@
     this.statistics = statistics;
   }
 
-  /** Starts anew for an endpoint that is not listed yet. */
+  /** Reinitializes this object for another endpoint, which has not been listed yet. */
   void resetFor(EndpointId newId, long now) {
     id = newId;
     state = EndpointRecord.State.REMOVED;
@@ -41,31 +41,41 @@
     statistics.reset();
   }
 
-  /** Takes zone and weight from the list; a weight that is not positive counts as 1. */
+  /** Sets zone and weight from the endpoint's list entry; a weight of 0 or less counts as 1. */
   void updateZoneAndWeight(EndpointRecord listed) {
     zone = listed.zone().index();
     listedWeight = listed.weight() > 0 ? listed.weight() : 1;
   }
 
-  /** Takes requests from now on. */
+  /**
+   * Makes the endpoint available for requests.
+   *
+   * @param processStartedAt when the endpoint's process started, in DeciMillis; ignored if earlier
+   *     than the start known so far
+   */
   void markReady(long processStartedAt) {
     state = EndpointRecord.State.READY;
     removalPending = false;
     startedAt = Math.max(startedAt, processStartedAt);
   }
 
-  /** Takes no new requests from now on. */
+  /**
+   * Makes the endpoint unavailable for new requests.
+   *
+   * @param newState draining or removed
+   */
   void markOutOfService(EndpointRecord.State newState, long now) {
     state = newState;
     outOfServiceSince = now;
     removalPending = false;
   }
 
-  /** The list removed it, but it is used until its attempts fail. */
+  /** Records that the list removed the endpoint, which stays in use until its attempts fail. */
   void markRemovalPending() {
     removalPending = true;
   }
 
+  /** Marks the object as free for reuse by another endpoint. */
   void markEvicted() {
     evicted = true;
   }
@@ -90,7 +100,7 @@
     plannedLoad += load;
   }
 
-  /** Position in arrays that hold a figure for each endpoint. */
+  /** The endpoint's position in arrays that hold a value per endpoint. */
   int index() {
     return index;
   }
@@ -107,7 +117,7 @@
     return state;
   }
 
-  /** Whether it may be used. */
+  /** Whether route tables may use the endpoint. */
   boolean isReady() {
     return state == EndpointRecord.State.READY;
   }
@@ -116,45 +126,50 @@
     return zone;
   }
 
-  /** Relative capacity by the list; no unit. */
+  /** Relative capacity as listed; positive, without a unit. */
   double listedWeight() {
     return listedWeight;
   }
 
+  /** When the endpoint's process started; 0 if unknown. */
   long startedAt() {
     return startedAt;
   }
 
-  /** When route tables last took it in; 0 if never. */
+  /** When the endpoint was last introduced into route tables; 0 if never. */
   long lastIntroducedAt() {
     return lastIntroducedAt;
   }
 
+  /** When the endpoint was last marked as out of service, or first named if it never was ready. */
   long outOfServiceSince() {
     return outOfServiceSince;
   }
 
-  /** Whether connected proxies were notified not to use it, whatever their tables say. */
+  /** Whether connected proxies were told not to use the endpoint even if their tables name it. */
   boolean isExcluded() {
     return excluded;
   }
 
-  /** Whether the list removed it and it is still in use. */
+  /** Whether the list removed the endpoint while it is still in use. */
   boolean isRemovalPending() {
     return removalPending;
   }
 
-  /** Whether the object waits for another endpoint. */
+  /** Whether the endpoint was evicted and this object is free for reuse. */
   boolean isEvicted() {
     return evicted;
   }
 
-  /** Estimated requests per second that it can serve now, from all instances; 0 if not ready. */
+  /**
+   * Estimated requests per second that the endpoint can serve now, over all instances' proxies; 0
+   * if it is not ready.
+   */
   double capacity() {
     return capacity;
   }
 
-  /** Requests per second that this round's tables bring it so far. */
+  /** Requests per second that the target weights set so far in this batch send to the endpoint. */
   double plannedLoad() {
     return plannedLoad;
   }
--- a/src/main/java/stonespring/decision/EndpointStatistics.java
+++ b/src/main/java/stonespring/decision/EndpointStatistics.java
@@ -5,23 +5,29 @@
 import stonespring.model.Event;
 import stonespring.model.LoadReport;
 
-/** What this instance's proxies observed at one endpoint, with older observations decayed. */
+/**
+ * Outcomes that this instance's proxies observed at one endpoint. Older observations decay
+ * exponentially.
+ */
 final class EndpointStatistics {
-  /** Attempts; with fewer, a share of failures is not significant. */
+  /**
+   * Number of successful attempts that is assumed in addition to those observed, since the failure
+   * share of fewer attempts is not significant.
+   */
   static final double PRIOR_ATTEMPTS = 2;
 
-  /** Share of attempts; so many fail or are late in normal operation. */
+  /** Share of attempts that may fail or be late in normal operation. */
   static final double NORMAL_FAILED_OR_LATE_SHARE = 0.15;
 
-  /** DeciMillis beyond a report interval, as reports may be delayed. */
+  /** How much later than a report interval the next report may arrive without being missing. */
   private static final long REPORT_DELAY_TOLERANCE_DECI_MILLIS = 4 * DeciMillis.SECOND;
 
-  /** Observations of the proxies of one zone. */
+  /** Decayed counts of the outcomes that the proxies of one zone reported. */
   private static final class ZoneOutcomes {
     private double attempts;
     private double failures;
     private double attemptRate;
-    private long lastReportAt; // 0: none since the reset
+    private long lastReportAt; // 0 if there was no report since the last reset
 
     private void reset() {
       attempts = 0;
@@ -62,7 +68,7 @@
     }
   }
 
-  /** Adds the outcomes that the proxies of one zone report. */
+  /** Records the outcomes that the proxies of one zone report. */
   void record(Event.EndpointOutcomes outcomes, long now) {
     double interval = Math.max(1, outcomes.interval());
     double retention = ExponentialAverage.retentionOver(interval);
@@ -74,7 +80,7 @@
     zone.attemptRate = ExponentialAverage.update(previousRate, sampledRate, retention);
     zone.lastReportAt = now;
     LoadReport load = outcomes.report();
-    // An endpoint reports a mean of its own, so that a newer one replaces more of an older one.
+    // A reported utilization is itself a mean over time, so the average keeps less of older values.
     utilization = ExponentialAverage.update(utilization, load.utilization(), retention * retention);
     reportedRate = ExponentialAverage.update(reportedRate, load.requestsPerSecond(), retention);
     if (outcomes.successLatency() > 0) {
@@ -84,8 +90,8 @@
   }
 
   /**
-   * Brings the attempt rate up to date at the start of a round. A zone's report stands for its own
-   * interval; only a zone that stopped to report decays.
+   * Updates the attempt rate at the start of a round. Observations of a zone decay with each
+   * report; here they decay only for zones whose next report is missing.
    */
   void startRound(long now, long reportInterval) {
     double retention = ExponentialAverage.retentionOver(reportInterval);
@@ -103,34 +109,34 @@
     return attemptRate;
   }
 
-  /** Busy share of the endpoint's capacity by its own reports, 0 to 1; NaN if unknown. */
+  /** Utilization that the endpoint itself reports, 0 to 1; NaN if unknown. */
   double utilization() {
     return utilization;
   }
 
-  /** Requests per second by the endpoint's own reports; NaN if unknown. */
+  /** Requests per second that the endpoint itself reports; NaN if unknown. */
   double reportedRate() {
     return reportedRate;
   }
 
-  /** Share of attempts that succeed, over all zones; 1 without attempts. */
+  /** Share of attempts of all zones' proxies that succeed; 1 without attempts. */
   double successShare() {
     double failures = Arrays.stream(zones).mapToDouble(zone -> zone.failures).sum();
     double attempts = Arrays.stream(zones).mapToDouble(zone -> zone.attempts).sum();
     return 1 - failures / (attempts + PRIOR_ATTEMPTS);
   }
 
-  /** Share of attempts that fail for the proxies of a zone. */
+  /** Share of attempts of one zone's proxies that fail; 0 without attempts. */
   double failureShare(int zone) {
     return zones[zone].failures / (zones[zone].attempts + PRIOR_ATTEMPTS);
   }
 
-  /** Share of successful answers that miss the latency objective. */
+  /** Estimated share of successful answers that miss the latency objective. */
   double lateShare() {
     return latencyModel.lateShare(successLatency);
   }
 
-  /** Share of attempts that fail or are late. */
+  /** Estimated share of attempts that fail or are answered late. */
   double failedOrLateShare() {
     return 1 - successShare() * (1 - lateShare());
   }
--- a/src/main/java/stonespring/decision/EngineClock.java
+++ b/src/main/java/stonespring/decision/EngineClock.java
@@ -1,8 +1,11 @@
 package stonespring.decision;
 
-/** The instant of the batch that is handled, as the host gives it. */
+/**
+ * Holds the present instant, which the host passes with each call. It stays the same while the
+ * engine handles an event or ends a batch.
+ */
 final class EngineClock {
-  /** Before any instant that a host can give; differences to it do not overflow. */
+  /** An instant before any that a host can pass; subtracting it from one does not overflow. */
   static final long NEVER = Long.MIN_VALUE / 2;
 
   private long now;
@@ -15,7 +18,7 @@
     return now;
   }
 
-  /** Time that has passed since an instant. */
+  /** The time that has elapsed since an instant, in DeciMillis. */
   long since(long instant) {
     return now - instant;
   }
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -4,7 +4,7 @@
 import stonespring.model.Settings;
 import stonespring.model.TimerToken;
 
-/** The engine's two timers: one that always runs, and one for updates that were postponed. */
+/** Starts the engine's two timers: a periodic one, and one that retries postponed updates. */
 final class EngineTimers {
   private static final TimerToken PERIODIC_TIMER = new TimerToken(1);
   private static final TimerToken RETRY_TIMER = new TimerToken(2);
@@ -21,13 +21,14 @@
     this.batch = batch;
   }
 
+  /** Records that a timer fired. */
   void handleFired(TimerToken token) {
     if (token.equals(PERIODIC_TIMER)) {
       periodicRunning = false;
     }
   }
 
-  /** Keeps the periodic timer running, so that batches come without other events too. */
+  /** Starts the periodic timer unless it runs, so that batches occur even without other events. */
   void ensurePeriodicTimer() {
     if (!periodicRunning) {
       periodicRunning = true;
@@ -35,7 +36,7 @@
     }
   }
 
-  /** Has postponed updates looked at again soon. */
+  /** Starts the retry timer unless it runs, so that postponed updates are tried again soon. */
   void ensureRetryTimer() {
     if (clock.now() >= retryAt) {
       retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL;
--- a/src/main/java/stonespring/decision/LatencyModel.java
+++ b/src/main/java/stonespring/decision/LatencyModel.java
@@ -3,21 +3,25 @@
 import java.util.List;
 import stonespring.model.RequestClass;
 
-/** How many answers miss the latency objective, by their mean latency. */
+/** Estimates the share of answers that miss the latency objective from their mean latency. */
 final class LatencyModel {
   private final double objective;
 
-  /** The objective is the mean of the classes' objectives: latencies are not reported by class. */
+  /**
+   * Creates a model whose objective is the mean of the request classes' objectives, since latencies
+   * are not reported by class.
+   */
   LatencyModel(List<RequestClass> requestClasses) {
     objective =
         requestClasses.stream().mapToLong(RequestClass::latencyObjective).average().orElse(1);
   }
 
   /**
-   * The share of answers that come after the objective, for exponentially distributed latencies.
+   * Returns the share of answers that take longer than the objective, assuming exponentially
+   * distributed latencies.
    *
-   * @param meanLatency DeciMillis; 0 or NaN if unknown
-   * @return 0 to 1; 0 if the latency is unknown
+   * @param meanLatency the mean latency in DeciMillis; 0 or NaN if unknown
+   * @return a share from 0 to 1; 0 if the latency is unknown
    */
   double lateShare(double meanLatency) {
     return meanLatency > 0 ? Math.exp(-objective / meanLatency) : 0;
--- a/src/main/java/stonespring/decision/ProxyRegistry.java
+++ b/src/main/java/stonespring/decision/ProxyRegistry.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import stonespring.model.ProxyId;
 
-/** All proxies that ever connected to this instance, by number. */
+/** Holds all proxies that have connected to this instance since it started, by number. */
 final class ProxyRegistry {
   private final int requestClassCount;
   private final SortedMap<Integer, ProxyState> proxies = new TreeMap<>();
@@ -27,16 +27,17 @@
     return Optional.ofNullable(proxies.get(id.number()));
   }
 
-  /** All proxies, connected or not, by number. */
+  /** All proxies, connected or not, in the order of their numbers, as an unmodifiable view. */
   Collection<ProxyState> all() {
     return proxiesView;
   }
 
+  /** The connected proxies that may hold tables which this instance does not know. */
   Stream<ProxyState> withUnknownTable() {
     return proxies.values().stream().filter(ProxyState::mayHoldUnknownTables);
   }
 
-  /** Whether any proxy's table has a route to an endpoint, applied or wanted. */
+  /** Whether any proxy's table has a route to an endpoint, be it applied or only planned. */
   boolean isInTable(EndpointState endpoint) {
     for (ProxyState proxy : proxies.values()) {
       if (proxy.table().find(endpoint).isPresent()) {
--- a/src/main/java/stonespring/decision/ProxyState.java
+++ b/src/main/java/stonespring/decision/ProxyState.java
@@ -6,7 +6,10 @@
 import stonespring.model.ProxyId;
 import stonespring.model.RouteTableId;
 
-/** One proxy: its connection, traffic, route table, proposal and channel account. */
+/**
+ * The state of one proxy: its connection, traffic, route table, proposed weights and the usage of
+ * its channel.
+ */
 final class ProxyState {
   private final ProxyId id;
   private final RequestRateEstimator requestRate;
@@ -49,7 +52,7 @@
     return id;
   }
 
-  /** The number of its route table; each proxy has one of its own. */
+  /** The identifier of the proxy's route table; each proxy has its own table. */
   RouteTableId tableId() {
     return new RouteTableId(id.number());
   }
@@ -62,7 +65,7 @@
     return requestRate;
   }
 
-  /** Smoothed requests per second that it receives. */
+  /** Smoothed requests per second that the proxy receives. */
   double averageRate() {
     return requestRate.averageRate();
   }
@@ -80,7 +83,8 @@
   }
 
   /**
-   * Pending replacements of routes: from the endpoint that a route names to the one that enters.
+   * Pending replacements of routes: the endpoint that a present route names, mapped to the endpoint
+   * that takes its place.
    */
   SortedMap<EndpointState, EndpointState> replacements() {
     return replacements;
@@ -90,20 +94,22 @@
     return connected;
   }
 
+  /** When the proxy last connected; 0 if never. */
   long connectedAt() {
     return connectedAt;
   }
 
+  /** When the proxy last disconnected; {@link EngineClock#NEVER} if never. */
   long disconnectedAt() {
     return disconnectedAt;
   }
 
-  /** Whether it connected with only the tables that it started with. */
+  /** Whether the proxy, when it last connected, had only the tables that it started with. */
   boolean isWithoutTables() {
     return withoutTables;
   }
 
-  /** Whether it is connected and uses the table that this instance assigned to it. */
+  /** Whether the proxy is connected and uses the table that this instance assigned to it. */
   boolean isTableAssigned() {
     return tableAssigned;
   }
@@ -112,12 +118,12 @@
     tableAssigned = true;
   }
 
-  /** Whether it is connected and may hold tables that this instance does not know. */
+  /** Whether the proxy is connected and may hold tables that this instance does not know. */
   boolean mayHoldUnknownTables() {
     return connected && !tableAssigned;
   }
 
-  /** Whether exclusion notices were requested since it connected. */
+  /** Whether exclusion notices were requested for the proxy since it last connected. */
   boolean areExclusionsRequested() {
     return exclusionsRequested;
   }
@@ -126,7 +132,7 @@
     exclusionsRequested = true;
   }
 
-  /** Rounds for which its move has waited. */
+  /** Number of rounds for which the proxy's pending move has been postponed. */
   int roundsWaited() {
     return roundsWaited;
   }
@@ -139,7 +145,10 @@
     roundsWaited = 0;
   }
 
-  /** Requests per second that a route's target would bring its endpoint; below 0 to take away. */
+  /**
+   * The change of the endpoint's load, in requests per second, if the route's target were applied;
+   * negative if the load would decrease.
+   */
   double rateChange(Route route) {
     return averageRate() * (route.target() - route.weight());
   }
--- a/src/main/java/stonespring/decision/ReportCadence.java
+++ b/src/main/java/stonespring/decision/ReportCadence.java
@@ -2,9 +2,15 @@
 
 import stonespring.model.Settings;
 
-/** When scheduling rounds are due: as proxies' reports arrive, about once a report interval. */
+/**
+ * Tells when scheduling rounds are due, which is about once per report interval as the proxies'
+ * reports arrive, and how late reports are.
+ */
 final class ReportCadence {
-  /** Rounds until reports show enough to touch what an earlier instance left. */
+  /**
+   * Number of rounds after which reports suffice to replace tables that an earlier instance process
+   * assigned.
+   */
   private static final int MIN_ROUNDS = 3;
 
   private final Settings settings;
@@ -19,14 +25,17 @@
     this.clock = clock;
   }
 
+  /** Records that a report arrived, which a round may use. */
   void recordReport() {
     reportedSinceRound = true;
   }
 
+  /** Whether a report arrived since the last round and nearly a report interval has elapsed. */
   boolean isRoundDue() {
     return reportedSinceRound && clock.since(lastRoundAt) >= settings.reportInterval() * 9 / 10;
   }
 
+  /** Records that a round starts, and updates the report delay. */
   void startRound() {
     reportedSinceRound = false;
     long lateness = clock.since(lastRoundAt) - settings.reportInterval();
@@ -35,19 +44,22 @@
     roundCount++;
   }
 
-  /** Whether any round was started. */
+  /** Whether any round has been started. */
   boolean hasStartedRound() {
     return roundCount > 0;
   }
 
-  /** Whether there were enough rounds for reports to show what an earlier instance left. */
+  /**
+   * Whether there were enough rounds to replace tables that an earlier instance process assigned.
+   */
   boolean hasEnoughRounds() {
     return roundCount >= MIN_ROUNDS;
   }
 
   /**
-   * How late reports were of late, DeciMillis. After a gap they stay delayed, so that what they
-   * show may be over; the delay fades by a tenth each round.
+   * The recent delay of reports beyond a report interval, in DeciMillis; 0 if they are on time.
+   * Reports stay delayed after a gap, so that the overload which they show may already have ended.
+   * The delay decays by a tenth per round.
    */
   long reportDelay() {
     return reportDelay;
--- a/src/main/java/stonespring/decision/RequestRateEstimator.java
+++ b/src/main/java/stonespring/decision/RequestRateEstimator.java
@@ -5,15 +5,18 @@
 import stonespring.model.DeciMillis;
 import stonespring.model.Event;
 
-/** Estimates the requests per second that a proxy receives, by request class. */
+/** Estimates the requests per second that one proxy receives, by request class. */
 final class RequestRateEstimator {
-  /** Weight that older reports keep in the mean number of requests per report. */
+  /**
+   * Weight that older reports keep in the mean number of requests per report. The mean covers
+   * several reports, which arrive seconds apart.
+   */
   private static final double REPORT_RETENTION = 0.8;
 
   private static final int FIXED_POINT_ITERATIONS = 20;
   private static final double MIN_REPORTED_SHARE = 0.05;
 
-  /** Share of intervals with requests above which no correction is needed. */
+  /** Share of intervals with requests above which the rate is not corrected. */
   private static final double MAX_CORRECTED_SHARE = 0.99;
 
   private final double[] averageRates; // NaN until reported
@@ -30,7 +33,12 @@
     Arrays.fill(requestsPerReport, Double.NaN);
   }
 
-  /** Takes the rate that a proxy states as it connects, unless reports of it are known. */
+  /**
+   * Applies the rate that a proxy states when it connects, unless a rate is known from earlier
+   * reports or an earlier connection.
+   *
+   * @param statedRate requests per second
+   */
   void applyStatedRate(double statedRate) {
     if (averageRate <= 0) {
       averageRate = statedRate;
@@ -38,7 +46,10 @@
     latestRate = averageRate;
   }
 
-  /** Adds a report. Until all classes are reported, the stated rate is the least estimate. */
+  /**
+   * Records a report. Until every request class has been reported, the estimate, which starts with
+   * the rate that the proxy stated, does not decrease.
+   */
   void record(Event.ProxyRequestRate report) {
     int index = report.requestClass().index();
     double sampledRate =
@@ -54,26 +65,35 @@
     latestRate = allReported ? Arrays.stream(latestRates).sum() : averageRate;
   }
 
-  /** Smoothed requests per second of all classes. */
+  /** Smoothed requests per second over all request classes. */
   double averageRate() {
     return averageRate;
   }
 
-  /** Smoothed requests per second of one class; 0 until reported. */
+  /** Smoothed requests per second of one request class; 0 until it is reported. */
   double averageRate(int requestClass) {
     return Double.isNaN(averageRates[requestClass]) ? 0 : averageRates[requestClass];
   }
 
-  /** Requests per second of all classes by the latest reports, corrected for empty intervals. */
+  /**
+   * Requests per second over all request classes by the latest reports, corrected for intervals
+   * without requests, which are not reported.
+   */
   double latestRate() {
     return latestRate;
   }
 
   /**
-   * The factor for the rate of the latest report. A proxy reports only intervals with requests, and
-   * a rate stands until the next report: its mean is too high by -ln(s) / (1 - s), where s is the
-   * share of intervals with requests. Half of it, the root, is corrected: under overload the
-   * requests that come next are more than the mean.
+   * Returns the correction factor for the rate of the latest report. A proxy reports only intervals
+   * with requests, and a reported rate is used until the next report, so the mean rate is too high
+   * by the factor -ln(s) / (1 - s), where s is the share of intervals with requests. Only the
+   * square root of this factor is corrected, because under overload the requests that follow exceed
+   * the mean.
+   *
+   * <p>The share s follows from the mean number of requests per interval under Poisson arrivals,
+   * which is found by fixed-point iteration.
+   *
+   * @param meanRequestsPerReport mean number of requests per reported interval
    */
   private static double emptyIntervalCorrection(double meanRequestsPerReport) {
     double meanPerInterval = meanRequestsPerReport;
--- a/src/main/java/stonespring/decision/Route.java
+++ b/src/main/java/stonespring/decision/Route.java
@@ -1,14 +1,17 @@
 package stonespring.decision;
 
-/** One route of a proxy's table: its weight and the weight that the current round wants. */
+/** One route of a proxy's table, with the weight that was sent and the target weight. */
 final class Route {
-  /** Weight of any wanted route: its few attempts show when a failing endpoint recovers. */
+  /**
+   * Minimum weight of a route that is to be kept. The few attempts that it brings show when a
+   * failing endpoint recovers.
+   */
   static final double MIN_WEIGHT = 0.01;
 
-  /** Weight; a smaller difference is not sent. */
+  /** Absolute part of the difference of weights up to which a change is not sent. */
   private static final double ABSOLUTE_TOLERANCE = 0.005;
 
-  /** Share of the larger weight; a smaller difference is not sent. */
+  /** Relative part of that difference, as a share of the larger weight. */
   private static final double RELATIVE_TOLERANCE = 0.05;
 
   private final EndpointState endpoint;
@@ -23,12 +26,12 @@
     return endpoint;
   }
 
-  /** The weight that was sent to the proxy; 0 if the table does not hold the route yet. */
+  /** The weight that was last sent to the proxy; 0 if the proxy's table lacks the route. */
   double weight() {
     return weight;
   }
 
-  /** The weight that is wanted; 0 to remove the route. */
+  /** The weight that the route should have; 0 if it should be removed. */
   double target() {
     return target;
   }
@@ -41,16 +44,20 @@
     this.target = target;
   }
 
-  /** Whether the table that the proxy holds has the route. */
+  /** Whether the route was sent to the proxy and not removed since. */
   boolean isApplied() {
     return weight > 0;
   }
 
+  /** Whether the route is to be added or kept. */
   boolean isTargeted() {
     return target > 0;
   }
 
-  /** Whether two weights differ by enough to be worth an entry of the channel. */
+  /**
+   * Whether two weights differ by enough to be worth a channel entry. A change from or to 0 always
+   * is, as it adds or removes the route.
+   */
   static boolean differsSignificantly(double first, double second) {
     double tolerance = ABSOLUTE_TOLERANCE + RELATIVE_TOLERANCE * Math.max(first, second);
     return Math.abs(first - second) > tolerance || (first > 0) != (second > 0);
--- a/src/main/java/stonespring/decision/RouteTable.java
+++ b/src/main/java/stonespring/decision/RouteTable.java
@@ -4,19 +4,23 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The routes that a proxy holds and those that the current round wants, at most one each. */
+/**
+ * The route table of one proxy: routes that were sent to the proxy and planned ones, at most one
+ * per endpoint. A route with a weight is applied; one with a target weight is to be added or kept.
+ */
 final class RouteTable {
   private final List<Route> routes = new ArrayList<>();
 
   /**
-   * All routes, applied or wanted, in the order in which they were added. Callers must not change
-   * the list; it is not wrapped, as the weights of all routes are read many times a round.
+   * All routes, applied or planned, in the order in which they were added. Callers must not modify
+   * the list. It is not wrapped as unmodifiable for speed: the weights of all routes are read many
+   * times per round.
    */
   List<Route> routes() {
     return routes;
   }
 
-  /** The route to an endpoint, applied or wanted. */
+  /** The route to an endpoint, be it applied or only planned. */
   Optional<Route> find(EndpointState endpoint) {
     for (Route route : routes) {
       if (route.endpoint() == endpoint) {
@@ -26,7 +30,7 @@
     return Optional.empty();
   }
 
-  /** Whether the proxy holds a route to an endpoint. */
+  /** Whether the table has an applied route to an endpoint. */
   boolean holds(EndpointState endpoint) {
     for (Route route : routes) {
       if (route.endpoint() == endpoint && route.isApplied()) {
@@ -36,7 +40,7 @@
     return false;
   }
 
-  /** Sets the wanted weight of an endpoint, with a new route if there is none. */
+  /** Sets the target weight of the route to an endpoint, and adds the route if it is missing. */
   Route setTarget(EndpointState endpoint, double target) {
     Route route = find(endpoint).orElseGet(() -> append(endpoint));
     route.setTarget(target);
@@ -49,7 +53,7 @@
     return route;
   }
 
-  /** Drops routes that were wanted but never sent, and those that were removed. */
+  /** Removes routes that are not applied: planned ones that were never sent, and removed ones. */
   void removeUnapplied() {
     routes.removeIf(route -> !route.isApplied());
   }
@@ -62,12 +66,12 @@
     return (int) routes.stream().filter(Route::isTargeted).count();
   }
 
-  /** Sum of the wanted weights. */
+  /** Sum of the target weights. */
   double targetSum() {
     return routes.stream().mapToDouble(Route::target).sum();
   }
 
-  /** Whether the table holds no route, or one to an endpoint that is not ready. */
+  /** Whether the table has no applied route, or one to an endpoint that is not ready. */
   boolean isBroken() {
     boolean empty = true;
     for (Route route : routes) {
@@ -81,7 +85,7 @@
     return empty;
   }
 
-  /** Scales the wanted weights to a sum of 1, if any is wanted. */
+  /** Scales the target weights to a sum of 1, unless all are 0. */
   void normalizeTargets() {
     double sum = 0;
     for (Route route : routes) {
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -4,14 +4,21 @@
 import stonespring.model.DeciMillis;
 import stonespring.model.Settings;
 
-/** Estimates the traffic of this instance's proxies, and their part of the whole fleet's. */
+/** Estimates the traffic of this instance's proxies, and its share of the whole fleet's traffic. */
 final class TrafficEstimator {
-  /** DeciMillis; half a report interval and the usual delay of reports. */
+  /**
+   * Time after which a newly connected proxy's traffic shows in reports: half a report interval
+   * plus the usual delay of reports.
+   */
   private static final long CONNECT_TO_REPORT_DECI_MILLIS = DeciMillis.SECOND;
 
-  /** DeciMillis; by then the endpoint list tells which endpoints a lost zone took with it. */
+  /**
+   * How long a disconnected proxy's traffic still counts as offered. When a zone is lost, the
+   * endpoint list shows by then which endpoints were lost with it.
+   */
   private static final long DISCONNECTED_RETENTION_DECI_MILLIS = 8 * DeciMillis.SECOND;
 
+  /** Lower bound of shares of the fleet's traffic, by which rates are divided. */
   private static final double MIN_SHARE = 0.01;
 
   private final Settings settings;
@@ -30,8 +37,10 @@
   }
 
   /**
-   * Brings the share that reports show up to date at the start of a round. A proxy that connected
-   * shows in them late and gradually.
+   * Updates the share of the fleet's traffic that reports cover, at the start of a round. The share
+   * is smoothed because a newly connected proxy shows in reports late and gradually: when proxies
+   * that all connected within a second were counted in full at once, endpoints appeared slower than
+   * they were and admission limits were lowered for it.
    */
   void startRound() {
     Predicate<ProxyState> isInReports =
@@ -45,8 +54,8 @@
   }
 
   /**
-   * Brings the rates up to date. The latest reports count, not their average: over all proxies they
-   * are steady enough, and they show a surge seconds earlier.
+   * Updates the rates. They are summed from the latest reports instead of averages: summed over all
+   * proxies, the latest rates are steady enough, and they show a surge seconds earlier.
    */
   void refresh() {
     connectedRate =
@@ -60,19 +69,20 @@
             .sum();
   }
 
-  /** Whether reports can show any proxy's traffic yet. */
+  /** Whether any proxy has been connected for long enough to show in reports. */
   boolean hasVisibleProxies() {
     return anyProxyVisible;
   }
 
-  /** Requests per second of the connected proxies. */
+  /** Requests per second that the connected proxies receive. */
   double connectedRate() {
     return connectedRate;
   }
 
   /**
-   * Requests per second of the connected proxies and of those that disconnected just now: their
-   * clients may move to other proxies, and endpoints lost with them are listed a while longer.
+   * Requests per second of the connected proxies and of those that disconnected recently. The
+   * clients of the latter may move to other proxies, and endpoints that were lost together with
+   * them stay listed for some time.
    */
   double offeredRate() {
     return offeredRate;
@@ -83,12 +93,12 @@
     return share;
   }
 
-  /** The share of the fleet's traffic that reports show, 0.01 to 1. */
+  /** The share of the fleet's traffic that reports cover, 0.01 to 1. */
   double reportedShare() {
     return Double.isNaN(reportedShare) ? share : reportedShare;
   }
 
-  /** The share of the fleet's traffic behind {@link #offeredRate}, 0.01 to 1. */
+  /** The share of the fleet's traffic that {@link #offeredRate} covers, 0.01 to 1. */
   double offeredShare() {
     return shareOf(this::countsAsOffered);
   }
@@ -98,7 +108,10 @@
         || clock.since(proxy.disconnectedAt()) < DISCONNECTED_RETENTION_DECI_MILLIS;
   }
 
-  /** The share of the fleet's proxies stands for that of its traffic. */
+  /**
+   * Estimates a share of the fleet's traffic by the share of its proxies; 1 if there is a single
+   * instance.
+   */
   private double shareOf(Predicate<ProxyState> counted) {
     double count = proxies.all().stream().filter(counted).count();
     if (settings.fleet().instances() == 1) {
