--- a/src/test/java/stonespring/decision/AdmissionControlTest.java
+++ b/src/test/java/stonespring/decision/AdmissionControlTest.java
@@ -22,26 +22,26 @@
     Fleet fleet = Fleet.create(8, 8);
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
-    fleet.rounds(8, 0.1, failureShares);
+    fleet.runRounds(8, 0.1, failureShares);
     double before = fleet.meanLimit();
     assertTrue(before < 0.6, "limit " + before);
     for (int p = 0; p < 8; p += 2) {
       fleet.disconnect(p);
     }
     for (int round = 0; round < 6; round++) {
-      fleet.rounds(1, 0.1, failureShares);
+      fleet.runRounds(1, 0.1, failureShares);
       assertTrue(
           fleet.meanLimit() < 1.3 * before,
           "round " + round + ": " + before + " to " + fleet.meanLimit());
     }
-    fleet.rounds(15, 0.03, Map.of());
+    fleet.runRounds(15, 0.03, Map.of());
     assertEquals(1, fleet.meanLimit(), 1e-9, "in the end they no longer count");
   }
 
   @Test
   void admitsAllRequestsWhileEndpointsHaveCapacity() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(20, 0.05, Map.of());
+    fleet.runRounds(20, 0.05, Map.of());
     assertEquals(1, fleet.lowestLimit);
     assertEquals(RetryPolicy.IF_NOT_EXECUTED, fleet.retryPolicies.get(0));
   }
@@ -49,15 +49,15 @@
   @Test
   void limitsRequestsUnderOverloadAndRecovers() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(5, 0.05, Map.of());
-    fleet.rounds(60, 0.2, Map.of());
+    fleet.runRounds(5, 0.05, Map.of());
+    fleet.runRounds(60, 0.2, Map.of());
     assertTrue(fleet.lowestLimit < 0.95, "limit " + fleet.lowestLimit);
     assertEquals(RetryPolicy.NEVER, fleet.retryPolicies.get(0), "no retries under overload");
     assertTrue(
         fleet.limits[0] >= fleet.limits[1] && fleet.limits[1] > fleet.limits[2],
         "the least value for its work is limited first");
     assertTrue(fleet.limits[2] > 0.2, "but not all of it");
-    fleet.rounds(30, 0.03, Map.of());
+    fleet.runRounds(30, 0.03, Map.of());
     assertEquals(1, fleet.lowestLimit);
   }
 
@@ -66,15 +66,15 @@
   void failuresAndLateAnswersShowOverloadWhateverEndpointsReport() {
     for (boolean late : List.of(false, true)) {
       Fleet fleet = Fleet.create(8, 8);
-      fleet.rounds(12, 0.07, Map.of());
+      fleet.runRounds(12, 0.07, Map.of());
       assertEquals(1, fleet.lowestLimit);
       Map<String, Double> failureShares = new TreeMap<>();
       fleet.endpoints.keySet().forEach(name -> failureShares.put(name, late ? 0 : 0.5));
       fleet.successLatency = late ? 2 * SECOND : fleet.successLatency;
-      fleet.rounds(12, 0.03, failureShares);
+      fleet.runRounds(12, 0.03, failureShares);
       assertTrue(fleet.lowestLimit < 0.9, "limit " + fleet.lowestLimit);
       fleet.successLatency = 1000;
-      fleet.rounds(30, 0.03, Map.of());
+      fleet.runRounds(30, 0.03, Map.of());
       assertEquals(1, fleet.lowestLimit);
     }
   }
@@ -82,7 +82,7 @@
   @Test
   void limitsFollowTheEndpointListBeforeReports() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(12, 0.07, Map.of());
+    fleet.runRounds(12, 0.07, Map.of());
     for (int i = 0; i < 4; i++) {
       fleet.updateEndpoint("t" + i, i % 2, EndpointRecord.State.DRAINING, 0);
     }
@@ -95,10 +95,10 @@
   @Test
   void limitsFollowTheFirstReportsOfASurge() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(12, 0.08, Map.of());
+    fleet.runRounds(12, 0.08, Map.of());
     fleet.trafficFactor = 3;
     fleet.reportSpan = SECOND;
-    fleet.rounds(1, 0.08, Map.of());
+    fleet.runRounds(1, 0.08, Map.of());
     double limit = fleet.meanLimit();
     assertTrue(limit < 0.5, "limit " + limit);
   }
@@ -110,10 +110,10 @@
     double[] least = {1, 1};
     for (int busy = 0; busy < 2; busy++) {
       Fleet fleet = Fleet.create(8, 8);
-      fleet.rounds(12, 0.07, Map.of());
+      fleet.runRounds(12, 0.07, Map.of());
       fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.5));
       for (int i = 0; i < 12; i++) {
-        fleet.rounds(1, busy == 1 ? 0.2 : 0.05, failureShares);
+        fleet.runRounds(1, busy == 1 ? 0.2 : 0.05, failureShares);
         least[busy] = Math.min(least[busy], fleet.meanLimit());
       }
     }
@@ -123,8 +123,8 @@
   @Test
   void failuresOfAFewEndpointsLimitNothing() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(12, 0.05, Map.of());
-    fleet.rounds(12, 0.05, Map.of("t0", 1.0, "t1", 1.0, "t2", 1.0));
+    fleet.runRounds(12, 0.05, Map.of());
+    fleet.runRounds(12, 0.05, Map.of("t0", 1.0, "t1", 1.0, "t2", 1.0));
     assertEquals(1, fleet.lowestLimit);
   }
 
@@ -132,8 +132,8 @@
   void requestClassWithoutTrafficHasALimit() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.reportedClasses = 2;
-    fleet.rounds(5, 0.05, Map.of());
-    fleet.rounds(60, 0.2, Map.of());
+    fleet.runRounds(5, 0.05, Map.of());
+    fleet.runRounds(60, 0.2, Map.of());
     assertTrue(fleet.limits[0] > 0 && fleet.limits[2] > 0 && fleet.limits[1] < 1);
   }
 }
--- a/src/test/java/stonespring/decision/AdvisedEngineTest.java
+++ b/src/test/java/stonespring/decision/AdvisedEngineTest.java
@@ -14,7 +14,8 @@
 /** The engine with the weight solver beside it. */
 final class AdvisedEngineTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final double BUSY_PER_REQUEST = 0.04; // utilization for each request per second
+  private static final double UTILIZATION_PER_REQUEST_RATE =
+      0.04; // utilization for each request per second
 
   private static Fleet createFleet(
       boolean withSolver, long seed, int endpointCount, int proxyCount, int instances) {
@@ -25,7 +26,7 @@
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, Fleet.READY, 0));
       fleet.relativeCost.put("t" + i, 0.5 + random.nextDouble() * 1.5);
     }
-    fleet.start(seed);
+    fleet.startEngine(seed);
     for (int p = 0; p < proxyCount; p++) {
       fleet.connect(p, p % 2, Math.min(60, 5 * Math.pow(1 - random.nextDouble(), -0.6)), true);
     }
@@ -33,20 +34,24 @@
     return fleet;
   }
 
-  private static void round(Fleet fleet, Map<String, Double> failureShares) {
-    fleet.report(BUSY_PER_REQUEST, failureShares);
+  private static void runRound(Fleet fleet, Map<String, Double> failureShares) {
+    fleet.report(UTILIZATION_PER_REQUEST_RATE, failureShares);
     fleet.step(SECOND);
     fleet.acknowledgeAll();
     fleet.checkInvariants("at " + fleet.now);
   }
 
   /** Requests per second lost to lateness: the seventh power of the fills. */
-  private static double loss(Fleet fleet) {
+  private static double lostRate(Fleet fleet) {
     return fleet.endpoints.keySet().stream()
         .mapToDouble(
             name ->
-                Math.pow(fleet.load(name) * BUSY_PER_REQUEST * fleet.relativeCost.get(name), 7)
-                    / (BUSY_PER_REQUEST * fleet.relativeCost.get(name))
+                Math.pow(
+                        fleet.load(name)
+                            * UTILIZATION_PER_REQUEST_RATE
+                            * fleet.relativeCost.get(name),
+                        7)
+                    / (UTILIZATION_PER_REQUEST_RATE * fleet.relativeCost.get(name))
                     / 7)
         .sum();
   }
@@ -56,14 +61,14 @@
    * less is lost to lateness over six seeds.
    */
   @Test
-  void solverLoadsEndpointsByTheirCapacity() {
+  void solverDistributesLoadByEndpointCapacity() {
     double[] losses = new double[2];
     for (int seed = 1; seed <= 6; seed++) {
       for (int withSolver = 0; withSolver < 2; withSolver++) {
         Fleet fleet = createFleet(withSolver == 1, seed, 16, 16, 1);
         for (int i = 0; i < 60; i++) {
-          round(fleet, Map.of());
-          losses[withSolver] += i >= 40 ? loss(fleet) / 20 : 0;
+          runRound(fleet, Map.of());
+          losses[withSolver] += i >= 40 ? lostRate(fleet) / 20 : 0;
         }
       }
     }
@@ -104,7 +109,7 @@
       } else if (kind == 8) {
         fleet.step(3 * SECOND); // reports are missing
       }
-      round(fleet, failureShares);
+      runRound(fleet, failureShares);
       for (EndpointRecord record : fleet.endpoints.values()) {
         double warmUpFraction =
             record.startedAt() == 0
@@ -112,7 +117,7 @@
                 : Math.min(1, 0.2 + 0.8 * (fleet.now - record.startedAt()) / (10.0 * SECOND));
         double load = fleet.load(record.endpoint().name()) * fleet.meanLimit();
         assertTrue(
-            warmUpFraction >= 1 || load <= 3 * warmUpFraction / BUSY_PER_REQUEST,
+            warmUpFraction >= 1 || load <= 3 * warmUpFraction / UTILIZATION_PER_REQUEST_RATE,
             record.endpoint() + " gets " + load + " at warm-up fraction " + warmUpFraction);
       }
     }
@@ -120,12 +125,12 @@
 
   @Test
   void equalEventsGiveEqualCommands() {
-    Fleet one = createFleet(true, 3, 16, 16, 1);
-    Fleet two = createFleet(true, 3, 16, 16, 1);
+    Fleet first = createFleet(true, 3, 16, 16, 1);
+    Fleet second = createFleet(true, 3, 16, 16, 1);
     for (int i = 0; i < 25; i++) {
-      round(one, Map.of("t1", 0.2));
-      round(two, Map.of("t1", 0.2));
-      assertTrue(one.commands.equals(two.commands), "round " + i);
+      runRound(first, Map.of("t1", 0.2));
+      runRound(second, Map.of("t1", 0.2));
+      assertTrue(first.commands.equals(second.commands), "round " + i);
     }
   }
 }
--- a/src/test/java/stonespring/decision/EndpointListTest.java
+++ b/src/test/java/stonespring/decision/EndpointListTest.java
@@ -16,7 +16,7 @@
 /** How tables follow the endpoint list. */
 final class EndpointListTest {
   @Test
-  void connectedProxiesAreAssignedTablesAtOnce() {
+  void assignsTablesToConnectedProxiesInTheFirstBatch() {
     Fleet fleet = Fleet.create(8, 4);
     assertEquals(4, fleet.commandsOf(Command.AssignRouteTable.class).size());
     for (FleetProxy p : fleet.proxies.values()) {
@@ -29,7 +29,7 @@
   @Test
   void replacesDrainingEndpointsInTheSameBatch() {
     Fleet fleet = Fleet.create(8, 4);
-    fleet.rounds(3, 0.03, Map.of());
+    fleet.runRounds(3, 0.03, Map.of());
     fleet.updateEndpoint("t0", 0, EndpointRecord.State.DRAINING, 0);
     fleet.step(10);
     assertTrue(
@@ -42,13 +42,13 @@
 
   /** A list may lack endpoints that run; without them the others would be overloaded. */
   @Test
-  void removedEndpointsServeUntilAttemptsFailWhereAllowed() {
+  void keepsUsingRemovedEndpointsUntilAttemptsFailWhereAllowed() {
     Fleet fleet = Fleet.create(new FleetSettings().removedKeepServing(true).build(), 8, 8);
-    fleet.rounds(5, 0.03, Map.of());
+    fleet.runRounds(5, 0.03, Map.of());
     fleet.updateEndpoint("t0", 0, EndpointRecord.State.REMOVED, 0);
     fleet.updateEndpoint("t1", 1, EndpointRecord.State.REMOVED, 0);
     fleet.updateEndpoint("t2", 0, EndpointRecord.State.DRAINING, 0);
-    fleet.rounds(15, 0.03, Map.of("t1", 1.0));
+    fleet.runRounds(15, 0.03, Map.of("t1", 1.0));
     assertTrue(fleet.load("t0") > 5, "it answers: " + fleet.load("t0"));
     assertEquals(0, fleet.load("t1"), "it is dead");
     assertEquals(0, fleet.load("t2"), "a drain binds");
@@ -56,35 +56,36 @@
 
   /** Between rounds reports are old: weights are not set anew by them. */
   @Test
-  void replacementsBetweenRoundsLeaveOtherRoutesAlone() {
+  void changesOnlyAffectedRoutesBetweenRounds() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 8, 60, 5);
     fleet.step(1);
-    fleet.rounds(1, 0.08, Map.of());
+    fleet.runRounds(1, 0.08, Map.of());
     fleet.updateEndpoint("t0", 0, EndpointRecord.State.DRAINING, 0);
-    long naming = fleet.proxies.values().stream().filter(p -> p.shares().containsKey("t0")).count();
+    long affectedTables =
+        fleet.proxies.values().stream().filter(p -> p.shares().containsKey("t0")).count();
     fleet.step(10);
     assertTrue(
-        naming > 0 && fleet.commandsOf(Command.SetRoute.class).size() <= 4 * naming,
-        naming + " tables");
+        affectedTables > 0 && fleet.commandsOf(Command.SetRoute.class).size() <= 4 * affectedTables,
+        affectedTables + " tables");
   }
 
   @Test
-  void retriesAFailedWatchAndKeepsTheList() {
+  void retriesWatchAfterFailureAndKeepsLastList() {
     Fleet fleet = new Fleet(new FleetSettings().watchRequired().build());
     fleet.endpoints.put("t0", Fleet.endpointRecord("t0", 0, READY, 0));
-    fleet.start(3);
+    fleet.startEngine(3);
     fleet.step(1);
     assertEquals(
         List.of(new Command.WatchEndpoints(true)), fleet.commandsOf(Command.WatchEndpoints.class));
     fleet.events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
     fleet.step(1);
     assertFalse(fleet.commands.contains(new Command.WatchEndpoints(true)), "not at once");
-    int asked = 0;
+    int requests = 0;
     for (int i = 0; i < 10; i++) {
       fleet.step(SECOND);
-      asked += fleet.commandsOf(Command.WatchEndpoints.class).size();
+      requests += fleet.commandsOf(Command.WatchEndpoints.class).size();
     }
-    assertTrue(asked >= 1);
+    assertTrue(requests >= 1);
     fleet.connect(0, 0, 1, true);
     fleet.step(1);
     assertEquals(1, fleet.shares(0).size(), "the old list still holds");
--- a/src/test/java/stonespring/decision/EndpointListWatcherTest.java
+++ b/src/test/java/stonespring/decision/EndpointListWatcherTest.java
@@ -23,7 +23,7 @@
     return new EndpointListWatcher(settings, clock, new DeterministicRandom(1), batch);
   }
 
-  private List<Command> requests() {
+  private List<Command> takeRequests() {
     watcher.ensureWatch();
     return batch.takeCommands();
   }
@@ -31,7 +31,7 @@
   /** DeciMillis until the next request, in steps of 10 ms. */
   private long timeToNextRequest() {
     long start = clock.now();
-    while (requests().isEmpty()) {
+    while (takeRequests().isEmpty()) {
       clock.advanceTo(clock.now() + 100);
     }
     return clock.now() - start;
@@ -39,8 +39,8 @@
 
   @Test
   void requestsTheWatchOnceAndAgainAfterATimeout() {
-    assertEquals(WATCH, requests());
-    assertEquals(List.of(), requests());
+    assertEquals(WATCH, takeRequests());
+    assertEquals(List.of(), takeRequests());
     assertEquals(9 * Fleet.SECOND, timeToNextRequest());
   }
 
@@ -51,16 +51,16 @@
   }
 
   @Test
-  void cachedListIsNoWatch() {
+  void cachedListDoesNotCountAsEstablishedWatch() {
     watcher.recordUpdate(Event.ListUpdateKind.CACHED);
-    assertEquals(WATCH, requests());
+    assertEquals(WATCH, takeRequests());
     watcher.recordUpdate(Event.ListUpdateKind.SNAPSHOT);
     clock.advanceTo(clock.now() + 100 * Fleet.SECOND);
-    assertEquals(List.of(), requests());
+    assertEquals(List.of(), takeRequests());
   }
 
   @Test
-  void backoffDoublesWithJitterToALimitAndStartsAnewOnceTheWatchWorks() {
+  void doublesBackoffUpToLimitAndResetsItOnceWatchWorks() {
     for (long backoff : new long[] {5_000, 10_000, 20_000, 40_000, 40_000}) {
       watcher.recordUpdate(Event.ListUpdateKind.FETCH_FAILED);
       long waited = timeToNextRequest();
--- a/src/test/java/stonespring/decision/EndpointStatisticsTest.java
+++ b/src/test/java/stonespring/decision/EndpointStatisticsTest.java
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void failuresCountByZoneAndOverAll() {
+  void countsFailuresPerZoneAndInTotal() {
     record(0, 8, 8, 0, 1);
     record(1, 8, 0, 100, 1);
     assertEquals(0.8, statistics.failureShare(0));
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void answersAfterTheObjectiveAreTrouble() {
+  void countsAnswersAfterObjectiveAsLate() {
     record(0, 8, 0, 1000, 1);
     assertEquals(Math.exp(-1), statistics.lateShare());
     assertEquals(Math.exp(-1), statistics.failedOrLateShare(), 1e-12);
   }
 
   @Test
-  void ratesOfZonesAddUpAndFadeOnceReportsStop() {
+  void sumsRatesOfZonesAndDecaysThemOnceReportsStop() {
     record(0, 8, 0, 100, 1);
     record(1, 4, 0, 100, 1);
     statistics.startRound(1, Fleet.SECOND);
--- a/src/test/java/stonespring/decision/EndpointTurnoverTest.java
+++ b/src/test/java/stonespring/decision/EndpointTurnoverTest.java
@@ -20,8 +20,8 @@
 
 /** Endpoints are replaced under new names for hours: what left long ago costs nothing any more. */
 final class EndpointTurnoverTest {
-  private static final int ENDPOINTS = 6; // at a time
-  private static final int REPLACED = 2_000;
+  private static final int READY_ENDPOINTS = 6; // at a time
+  private static final int TOTAL_ENDPOINTS = 2_000;
   private static final long REPLACEMENT_INTERVAL = 20 * DeciMillis.SECOND;
 
   private final AssignmentEngine engine = new AssignmentEngine(new FleetSettings().build(), 3, 1);
@@ -58,7 +58,7 @@
         LoadReport.NONE);
   }
 
-  private static int excluded(List<Command> commands) {
+  private static int countExclusions(List<Command> commands) {
     return (int)
         commands.stream()
             .filter(c -> c instanceof Command.ExcludeEndpoint exclusion && exclusion.excluded())
@@ -66,21 +66,21 @@
   }
 
   private void start() {
-    List<EndpointRecord> first = new ArrayList<>();
-    for (int i = 0; i < ENDPOINTS; i++) {
-      first.add(ready(i, 0));
+    List<EndpointRecord> endpoints = new ArrayList<>();
+    for (int i = 0; i < READY_ENDPOINTS; i++) {
+      endpoints.add(ready(i, 0));
     }
-    handle(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, first));
+    handle(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, endpoints));
     handle(new Event.ProxyConnected(new ProxyId(0), new ZoneId(0), 5, true));
   }
 
   /** Adds an endpoint, removes the oldest one and applies the commands to the table. */
-  private void replaceOldestBy(int endpoint) {
+  private void replaceOldestWith(int endpoint) {
     now += REPLACEMENT_INTERVAL / 2;
     List<Command> commands =
         new ArrayList<>(handle(delta(ready(endpoint, now - REPLACEMENT_INTERVAL / 2))));
     now += REPLACEMENT_INTERVAL / 2;
-    commands.addAll(handle(delta(removed(endpoint - ENDPOINTS)), outcomes(endpoint - 1)));
+    commands.addAll(handle(delta(removed(endpoint - READY_ENDPOINTS)), outcomes(endpoint - 1)));
     for (Command command : commands) {
       if (command instanceof Command.SetRoute route && route.weight() > 0) {
         table.add(route.endpoint().name());
@@ -91,30 +91,33 @@
   }
 
   @Test
-  void forgetsEndpointsRemovedLongAgoAndReusesTheirIndexes() throws ReflectiveOperationException {
+  void evictsEndpointsRemovedLongAgoAndReusesTheirIndexes() throws ReflectiveOperationException {
     start();
-    for (int i = ENDPOINTS; i < REPLACED; i++) {
-      replaceOldestBy(i);
-      assertFalse(table.contains("t" + (i - ENDPOINTS)), "no table names what left");
+    for (int i = READY_ENDPOINTS; i < TOTAL_ENDPOINTS; i++) {
+      replaceOldestWith(i);
+      assertFalse(table.contains("t" + (i - READY_ENDPOINTS)), "no table names what left");
       assertFalse(table.isEmpty());
     }
     // A proxy with unknown tables is told of what left lately, not of all that ever did.
     List<Command> commands =
         new ArrayList<>(handle(new Event.ProxyConnected(new ProxyId(1), new ZoneId(0), 5, false)));
     now += DeciMillis.SECOND;
-    commands.addAll(handle(outcomes(REPLACED - 1)));
-    int most = (int) (600 * DeciMillis.SECOND / REPLACEMENT_INTERVAL) + 2 * ENDPOINTS;
+    commands.addAll(handle(outcomes(TOTAL_ENDPOINTS - 1)));
+    int maxKept = (int) (600 * DeciMillis.SECOND / REPLACEMENT_INTERVAL) + 2 * READY_ENDPOINTS;
     assertTrue(
-        excluded(commands) <= most, excluded(commands) + " of " + REPLACED + " are excluded");
-    assertTrue(registrySize() <= most, registrySize() + " places for " + REPLACED + " endpoints");
+        countExclusions(commands) <= maxKept,
+        countExclusions(commands) + " of " + TOTAL_ENDPOINTS + " are excluded");
+    assertTrue(
+        registrySize() <= maxKept,
+        registrySize() + " places for " + TOTAL_ENDPOINTS + " endpoints");
     // A forgotten name that is listed again is an endpoint like any other.
     handle(delta(ready(3, 0)));
-    EndpointRecord[] rest = new EndpointRecord[ENDPOINTS];
-    for (int i = 0; i < ENDPOINTS; i++) {
-      rest[i] = removed(REPLACED - 1 - i);
+    EndpointRecord[] remaining = new EndpointRecord[READY_ENDPOINTS];
+    for (int i = 0; i < READY_ENDPOINTS; i++) {
+      remaining[i] = removed(TOTAL_ENDPOINTS - 1 - i);
     }
     assertTrue(
-        handle(delta(rest)).stream()
+        handle(delta(remaining)).stream()
             .anyMatch(
                 c ->
                     c instanceof Command.SetRoute route
--- a/src/test/java/stonespring/decision/EngineInvariantsTest.java
+++ b/src/test/java/stonespring/decision/EngineInvariantsTest.java
@@ -40,7 +40,7 @@
     for (int i = 0; i < endpointCount; i++) {
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, random.nextInt(2), READY, 0));
     }
-    fleet.start(seed);
+    fleet.startEngine(seed);
     for (int step = 0; step < 1500; step++) {
       int action = random.nextInt(100);
       List<String> names = new ArrayList<>(fleet.endpoints.keySet());
@@ -48,8 +48,8 @@
       int proxy = random.nextInt(8);
       if (action < 8) {
         connectOrDisconnect(proxy, action < 3);
-      } else if (action >= 18 || !changeEndpoints(action, name)) {
-        changeAnythingElse(action, seed + step);
+      } else if (action >= 18 || !changeEndpointList(action, name)) {
+        applyOtherChange(action, seed + step);
       }
       // At times the engine is stopped, and all events since come in one batch.
       fleet.step(random.nextInt(50) == 0 ? 2 * SECOND : random.nextInt(6000));
@@ -58,7 +58,7 @@
   }
 
   /** Drains, removes, restarts or adds an endpoint; returns whether it did so. */
-  private boolean changeEndpoints(int action, String name) {
+  private boolean changeEndpointList(int action, String name) {
     int listed = fleet.endpoints.size();
     if (name != null) {
       EndpointRecord endpoint = fleet.endpoints.get(name);
@@ -84,11 +84,11 @@
     return true;
   }
 
-  private void changeAnythingElse(int action, long restartSeed) {
+  private void applyOtherChange(int action, long restartSeed) {
     if (action < 19) {
       failureShares.put("t" + random.nextInt(endpointCount), random.nextInt(3) / 2.0);
     } else if (action == 20 && random.nextInt(4) == 0) {
-      fleet.restart(restartSeed);
+      fleet.restartEngine(restartSeed);
     } else if (action < 40 && random.nextInt(3) > 0) {
       fleet.acknowledgeAll();
     } else if (action < 70) {
@@ -117,16 +117,16 @@
     for (int i = 0; i < 400; i++) {
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, READY, 0));
     }
-    fleet.start(seed);
+    fleet.startEngine(seed);
     for (int p = 0; p < 400; p++) {
       fleet.connect(p, p % 2, 1 + random.nextInt(20), true);
     }
     for (int step = 0; step < 120; step++) {
       int batch = step % 12 == 5 ? 40 : 0; // a release goes on
       for (int i = 0; i < batch; i++) {
-        int gone = step / 12 * 40 + i;
-        fleet.updateEndpoint("t" + gone, gone % 2, EndpointRecord.State.DRAINING, 0);
-        fleet.updateEndpoint("n" + gone, gone % 2, READY, fleet.now);
+        int drained = step / 12 * 40 + i;
+        fleet.updateEndpoint("t" + drained, drained % 2, EndpointRecord.State.DRAINING, 0);
+        fleet.updateEndpoint("n" + drained, drained % 2, READY, fleet.now);
       }
       int proxy = random.nextInt(400);
       if (step % 5 == 2 && fleet.proxies.get(proxy).connected) {
@@ -135,7 +135,7 @@
         fleet.connect(proxy, proxy % 2, 1, random.nextBoolean());
       }
       if (step == 70) {
-        fleet.restart(seed);
+        fleet.restartEngine(seed);
       }
       fleet.report(0.05, Map.of("t399", 1.0));
       fleet.step(SECOND / 2);
--- a/src/test/java/stonespring/decision/EngineRestartTest.java
+++ b/src/test/java/stonespring/decision/EngineRestartTest.java
@@ -20,19 +20,19 @@
 /** A restarted engine, and proxies whose tables it does not know. */
 final class EngineRestartTest {
   /** An engine that restarted with a list that lacks an endpoint which old tables may name. */
-  private static Fleet restartedWithout(String endpoint) {
+  private static Fleet createRestartedWithout(String endpoint) {
     Fleet fleet = Fleet.create(8, 4);
-    fleet.rounds(5, 0.03, Map.of());
+    fleet.runRounds(5, 0.03, Map.of());
     fleet.endpoints.remove(endpoint);
-    fleet.restart(9);
+    fleet.restartEngine(9);
     return fleet;
   }
 
   @Test
-  void leavesUnknownTablesAloneUntilReportsArrive() {
+  void keepsUnknownTablesUntilReportsArrive() {
     Fleet fleet = Fleet.create(8, 4);
-    fleet.rounds(3, 0.03, Map.of());
-    fleet.restart(9);
+    fleet.runRounds(3, 0.03, Map.of());
+    fleet.restartEngine(9);
     fleet.step(10);
     assertTrue(fleet.commandsOf(Command.AssignRouteTable.class).isEmpty());
     assertTrue(fleet.commandsOf(Command.ExcludeEndpoint.class).isEmpty());
@@ -56,7 +56,7 @@
   @Test
   void repeatsExclusionsForLaterProxiesInBatches() {
     Fleet fleet = Fleet.create(8, 2);
-    fleet.restart(9);
+    fleet.restartEngine(9);
     fleet.updateEndpoint("t0", 0, EndpointRecord.State.REMOVED, 0);
     fleet.step(10);
     int messages = fleet.proxies.get(0).messagesSentAt.size();
@@ -74,7 +74,7 @@
   /** What left before the restart is in no list; reports are the first to name it. */
   @Test
   void excludesUnlistedEndpointsThatReportsName() {
-    Fleet fleet = restartedWithout("t0");
+    Fleet fleet = createRestartedWithout("t0");
     fleet.step(10);
     assertEquals(0, fleet.commandsOf(Command.ExcludeEndpoint.class).size(), "nothing names it yet");
     fleet.reportOutcomes("t0", 3, 3);
@@ -83,22 +83,22 @@
         List.of(new Command.ExcludeEndpoint(new EndpointId("t0"), true)),
         fleet.commandsOf(Command.ExcludeEndpoint.class));
     fleet.updateEndpoint("t0", 0, READY, fleet.now);
-    boolean back = false;
+    boolean allowedAgain = false;
     for (int round = 0; round < 20; round++) {
       fleet.reportOutcomes("t1", 10, 0);
-      fleet.rounds(1, 0.03, Map.of());
-      back |=
+      fleet.runRounds(1, 0.03, Map.of());
+      allowedAgain |=
           fleet
               .commandsOf(Command.ExcludeEndpoint.class)
               .contains(new Command.ExcludeEndpoint(new EndpointId("t0"), false));
     }
-    assertTrue(back, "it is allowed again once a list has it");
+    assertTrue(allowedAgain, "it is allowed again once a list has it");
   }
 
   /** Reports may not show what a proxy of little traffic names. */
   @Test
   void replacesUnknownTablesSoonAfterTheFirstReports() {
-    Fleet fleet = restartedWithout("t0");
+    Fleet fleet = createRestartedWithout("t0");
     long restartedAt = fleet.now;
     int assignments = 0;
     for (int i = 0; fleet.now < restartedAt + 2 * SECOND; i++) {
@@ -114,21 +114,21 @@
 
   /** Under overload, requests include what clients repeat; only what succeeds shows capacity. */
   @Test
-  void doesNotTakeRetriesForCapacityAfterAStartUnderOverload() {
+  void doesNotCountRetriesAsCapacityAfterStartUnderOverload() {
     Fleet fleet = Fleet.create(8, 8);
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.8));
-    fleet.rounds(3, 0.1, failureShares);
+    fleet.runRounds(3, 0.1, failureShares);
     for (int i = 0; i < 6; i++) {
       fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
     }
-    fleet.rounds(7, 0.1, failureShares);
+    fleet.runRounds(7, 0.1, failureShares);
     // Of 80 requests a fifth succeeds, at 14 endpoints; each can serve at least 0.76 of its part.
     double limit = fleet.meanLimit();
     double capacity = 0.76 * 80 * 0.2 / 0.6 / 14;
     for (int i = 0; i < 6; i++) {
       String entrant = "entrant" + i;
-      double all =
+      double possibleRate =
           fleet.proxies.values().stream()
               .filter(p -> p.shares().containsKey(entrant))
               .mapToDouble(
@@ -140,19 +140,20 @@
                               .count())
               .sum();
       assertTrue(
-          all <= 1.5 * 1.3 * capacity, all + " may come to an endpoint that can serve " + capacity);
+          possibleRate <= 1.5 * 1.3 * capacity,
+          possibleRate + " may come to an endpoint that can serve " + capacity);
     }
   }
 
   /** A started engine knows no load, and old tables may name the same endpoints. */
   @Test
-  void firstTablesNameNoWarmingEndpoint() {
+  void firstTablesOmitWarmingEndpoints() {
     Fleet fleet = new Fleet(new FleetSettings().build());
     for (int i = 0; i < 12; i++) {
       fleet.endpoints.put(
           "t" + i, Fleet.endpointRecord("t" + i, i % 2, READY, i < 6 ? 0 : fleet.now - 100));
     }
-    fleet.start(7);
+    fleet.startEngine(7);
     for (int p = 0; p < 8; p++) {
       fleet.connect(p, p % 2, 10, true);
     }
--- a/src/test/java/stonespring/decision/Fleet.java
+++ b/src/test/java/stonespring/decision/Fleet.java
@@ -41,7 +41,7 @@
   /** Requests per second that other instances' proxies bring, by endpoint. */
   final TreeMap<String, Double> otherInstancesLoad = new TreeMap<>();
 
-  final TreeMap<String, Long> leftAt = new TreeMap<>();
+  final TreeMap<String, Long> outOfServiceAt = new TreeMap<>();
   final TreeMap<Integer, FleetProxy> proxies = new TreeMap<>();
   final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
 
@@ -105,7 +105,7 @@
     for (int i = 0; i < endpointCount; i++) {
       fleet.endpoints.put("t" + i, endpointRecord("t" + i, i % 2, READY, 0));
     }
-    fleet.start(7);
+    fleet.startEngine(7);
     for (int p = 0; p < proxyCount; p++) {
       fleet.connect(p, p % 2, 10, true);
     }
@@ -114,10 +114,11 @@
   }
 
   /** Proxies of equal traffic, but for the first; they connect with the next step. */
-  static Fleet createWithLargeProxy(int endpointCount, int proxyCount, double large, double small) {
+  static Fleet createWithLargeProxy(
+      int endpointCount, int proxyCount, double largeRate, double smallRate) {
     Fleet fleet = create(endpointCount, 0);
     for (int p = 0; p < proxyCount; p++) {
-      fleet.connect(p, p % 2, p == 0 ? large : small, true);
+      fleet.connect(p, p % 2, p == 0 ? largeRate : smallRate, true);
     }
     return fleet;
   }
@@ -128,7 +129,7 @@
   }
 
   /** Starts an engine that knows the endpoint list and no proxy. */
-  void start(long seed) {
+  void startEngine(long seed) {
     engine = new AssignmentEngine(settings, seed, now);
     if (withSolver) {
       engine = new AdvisedEngine(engine, new WeightAdvisor(settings));
@@ -144,8 +145,8 @@
   }
 
   /** The engine dies: proxies keep what they hold and connect again, its own tables are gone. */
-  void restart(long seed) {
-    start(seed);
+  void restartEngine(long seed) {
+    startEngine(seed);
     for (FleetProxy proxy : proxies.values()) {
       if (proxy.connected) {
         connect(proxy.number, proxy.zone, proxy.requestRate, false);
@@ -157,7 +158,7 @@
     EndpointRecord endpoint = endpointRecord(name, zone, state, startedAt);
     boolean wasReady = !endpoints.containsKey(name) || endpoints.get(name).state() == READY;
     if (state != READY && wasReady) {
-      leftAt.put(name, now);
+      outOfServiceAt.put(name, now);
     }
     if (state == EndpointRecord.State.REMOVED) {
       endpoints.remove(name);
@@ -192,10 +193,10 @@
   /**
    * Reports of an interval: all requests of known tables were attempted.
    *
-   * @param busyPerRequest utilization for each request per second
+   * @param utilizationPerRequestRate utilization for each request per second
    * @param failureShares shares of attempts that failed, by endpoint
    */
-  void report(double busyPerRequest, Map<String, Double> failureShares) {
+  void report(double utilizationPerRequestRate, Map<String, Double> failureShares) {
     TreeMap<String, Double> rateByZoneAndEndpoint = new TreeMap<>();
     for (FleetProxy proxy : proxies.values()) {
       if (proxy.connected) {
@@ -225,7 +226,7 @@
                   Math.round(attempts * failureShares.getOrDefault(endpoint, 0.0)),
                   10 * SECOND,
                   successLatency,
-                  utilization(Math.min(1, load * busyPerRequest * cost))));
+                  utilization(Math.min(1, load * utilizationPerRequestRate * cost))));
         });
   }
 
@@ -256,9 +257,9 @@
   }
 
   /** Rounds of a second each: reports, a step, and acknowledgements of all that was sent. */
-  void rounds(int count, double busyPerRequest, Map<String, Double> failureShares) {
+  void runRounds(int count, double utilizationPerRequestRate, Map<String, Double> failureShares) {
     for (int i = 0; i < count; i++) {
-      report(busyPerRequest, failureShares);
+      report(utilizationPerRequestRate, failureShares);
       step(SECOND);
       acknowledgeAll();
       checkInvariants("round " + i + " of " + count + ", at " + now);
@@ -316,12 +317,12 @@
     commands.clear();
     if (!batch.isEmpty()) {
       commands.addAll(engine.endBatch(now));
-      apply();
+      applyCommands();
     }
     return commands;
   }
 
-  private void apply() {
+  private void applyCommands() {
     TreeMap<Integer, Integer> entries = new TreeMap<>();
     for (Command command : commands) {
       if (command instanceof Command.SetRoute c) {
@@ -329,9 +330,9 @@
       } else if (command instanceof Command.AssignRouteTable c) {
         assignTable(c, entries);
       } else if (command instanceof Command.ExcludeEndpoint c) {
-        exclude(c, entries);
+        excludeEndpoint(c, entries);
       } else if (command instanceof Command.LimitAdmission c) {
-        limit(c, entries);
+        limitAdmission(c, entries);
       } else if (command instanceof Command.StartTimer c) {
         timers.put(c.token().value(), now + c.delay());
       } else if (command instanceof Command.RequestAck c) {
@@ -342,7 +343,7 @@
         }
       }
     }
-    charge(entries);
+    chargeEntries(entries);
   }
 
   private void setRoute(Command.SetRoute command, TreeMap<Integer, Integer> entries) {
@@ -367,7 +368,7 @@
     entries.merge(proxy.number, proxy.table.size() + 1 + allowedAgain, Integer::sum);
   }
 
-  private void exclude(Command.ExcludeEndpoint command, TreeMap<Integer, Integer> entries) {
+  private void excludeEndpoint(Command.ExcludeEndpoint command, TreeMap<Integer, Integer> entries) {
     for (FleetProxy proxy : proxies.values()) {
       boolean mayName =
           proxy.table == null
@@ -386,7 +387,7 @@
     }
   }
 
-  private void limit(Command.LimitAdmission command, TreeMap<Integer, Integer> entries) {
+  private void limitAdmission(Command.LimitAdmission command, TreeMap<Integer, Integer> entries) {
     assertTrue(command.limit() >= 0, "limit " + command.limit());
     for (int k = 0; k < settings.requestClasses().size(); k++) {
       if (command.requestClassMask() == 0 || (command.requestClassMask() >> k & 1) == 1) {
@@ -400,9 +401,9 @@
         .forEach(p -> entries.merge(p.number, 1, Integer::sum));
   }
 
-  private void charge(TreeMap<Integer, Integer> entries) {
-    double pace = settings.channel().entriesPerSecond() / 3;
-    backlog = Math.max(0, backlog - (now - backlogAt) * pace / SECOND);
+  private void chargeEntries(TreeMap<Integer, Integer> entries) {
+    double entriesPerSecond = settings.channel().entriesPerSecond() / 3;
+    backlog = Math.max(0, backlog - (now - backlogAt) * entriesPerSecond / SECOND);
     backlogAt = now;
     entries.forEach(
         (number, count) -> {
--- a/src/test/java/stonespring/decision/FleetInvariants.java
+++ b/src/test/java/stonespring/decision/FleetInvariants.java
@@ -10,10 +10,10 @@
 /** What must hold after every step, as far as commands alone show it. */
 final class FleetInvariants {
   /** Messages after which updates for what left may wait for each other. */
-  private static final int MANY_MESSAGES = 8;
+  private static final int MESSAGES_BEFORE_BATCHING = 8;
 
   /** DeciMillis for which they may wait. */
-  private static final long BATCHING_GRACE = 3 * DeciMillis.SECOND / 2;
+  private static final long BATCHING_GRACE_DECI_MILLIS = 3 * DeciMillis.SECOND / 2;
 
   private FleetInvariants() {}
 
@@ -23,7 +23,7 @@
     for (FleetProxy proxy : fleet.proxies.values()) {
       if (proxy.connected) {
         checkHasRoute(fleet, proxy, warm, when);
-        checkNamesNothingThatLeft(fleet, proxy, when);
+        checkRoutesOnlyToUsableEndpoints(fleet, proxy, when);
         checkMessages(fleet, proxy, when);
       }
     }
@@ -51,7 +51,7 @@
         when + ": a proxy has no route");
   }
 
-  private static void checkNamesNothingThatLeft(Fleet fleet, FleetProxy proxy, String when) {
+  private static void checkRoutesOnlyToUsableEndpoints(Fleet fleet, FleetProxy proxy, String when) {
     boolean keepServing = fleet.settings.endpointList().removedEndpointsKeepServing();
     for (String name : proxy.shares().keySet()) {
       EndpointRecord endpoint = fleet.endpoints.get(name);
@@ -59,8 +59,8 @@
           endpoint == null ? keepServing : endpoint.state() == EndpointRecord.State.READY;
       assertTrue(
           usable
-              || proxy.messagesSentAt.size() >= MANY_MESSAGES
-                  && fleet.now - fleet.leftAt.get(name) <= BATCHING_GRACE,
+              || proxy.messagesSentAt.size() >= MESSAGES_BEFORE_BATCHING
+                  && fleet.now - fleet.outOfServiceAt.get(name) <= BATCHING_GRACE_DECI_MILLIS,
           when + ": a route names " + name + ", which left");
     }
   }
--- a/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
+++ b/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
@@ -37,7 +37,7 @@
   private AssignmentEngine engine;
   private long now = 100 * SECOND;
 
-  private void start(int instances) {
+  private void startEngine(int instances) {
     engine =
         new AssignmentEngine(
             new Settings(
@@ -80,16 +80,16 @@
 
   private int poisson(double mean) {
     int count = 0;
-    for (double left = Math.exp(-mean), at = random.nextDouble();
-        at > left;
-        at *= random.nextDouble()) {
+    for (double threshold = Math.exp(-mean), product = random.nextDouble();
+        product > threshold;
+        product *= random.nextDouble()) {
       count++;
     }
     return count;
   }
 
   /** Reports of an interval; what had no request is not reported, and the next report spans it. */
-  private void reports(int from, int to, double utilization) {
+  private void handleReports(int from, int to, double utilization) {
     for (int p = from; p < to; p++) {
       for (int k = 0; k < CLASSES; k++) {
         int requests = poisson(REQUEST_RATE);
@@ -102,14 +102,14 @@
         }
       }
     }
-    outcomes((to - from) * REQUEST_RATE * CLASSES, utilization);
+    handleOutcomes((to - from) * REQUEST_RATE * CLASSES, utilization);
   }
 
-  private void outcomes(double perSecond, double utilization) {
-    outcomes(perSecond, utilization, 0);
+  private void handleOutcomes(double perSecond, double utilization) {
+    handleOutcomes(perSecond, utilization, 0);
   }
 
-  private void outcomes(double perSecond, double utilization, double failureShare) {
+  private void handleOutcomes(double perSecond, double utilization, double failureShare) {
     for (int i = 0; i < ENDPOINTS; i++) {
       long attempts = Math.round(perSecond / ENDPOINTS);
       if (attempts > 0) {
@@ -131,7 +131,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
   void estimatesTheMeanRateOfLowTrafficProxies(int instances) {
-    start(instances);
+    startEngine(instances);
     int proxyCount = PROXIES / instances;
     for (int p = 0; p < proxyCount; p++) {
       connect(p, true);
@@ -139,7 +139,7 @@
     endBatch();
     for (int round = 0; round < 40; round++) {
       now += SECOND;
-      reports(0, proxyCount, 0.72);
+      handleReports(0, proxyCount, 0.72);
       endBatch();
     }
     assertEquals(
@@ -151,8 +151,8 @@
    * what endpoints can serve.
    */
   @Test
-  void startWhileManyProxiesConnectLimitsNothing() {
-    start(2);
+  void rejectsNothingWhileManyProxiesConnectAfterStart() {
+    startEngine(2);
     int connected = 0;
     double reportedRate = 0;
     for (int tenth = 1; tenth <= 80; tenth++) {
@@ -161,7 +161,7 @@
         connect(connected++, false);
       }
       if (tenth % 10 == 0) {
-        outcomes(reportedRate, 0.5);
+        handleOutcomes(reportedRate, 0.5);
         reportedRate =
             connected * REQUEST_RATE * CLASSES * 0.9; // of those that were connected a second ago
       }
@@ -174,14 +174,14 @@
 
   /** Half disconnect for long: when they connect again, their traffic counts before they report. */
   @Test
-  void reconnectedProxiesCountWithTheirEarlierTraffic() {
-    start(1);
+  void countsEarlierTrafficOfReconnectedProxies() {
+    startEngine(1);
     for (int p = 0; p < PROXIES; p++) {
       connect(p, true);
     }
     for (int round = 0; round < 10; round++) {
       now += SECOND;
-      reports(0, PROXIES, 0.6);
+      handleReports(0, PROXIES, 0.6);
       endBatch();
     }
     for (int p = 0; p < PROXIES / 2; p++) {
@@ -189,7 +189,7 @@
     }
     for (int round = 0; round < 120; round++) {
       now += SECOND;
-      reports(PROXIES / 2, PROXIES, 0.6);
+      handleReports(PROXIES / 2, PROXIES, 0.6);
       endBatch();
     }
     assertEquals(1, limits.stream().min(Double::compare).orElse(1.0), "half of them fit");
@@ -197,27 +197,27 @@
       connect(p, false);
     }
     now += SECOND;
-    reports(PROXIES / 2, PROXIES, 0.6);
+    handleReports(PROXIES / 2, PROXIES, 0.6);
     endBatch();
     assertTrue(
         limits.stream().min(Double::compare).orElse(1.0) < 1, "all of them don't: " + limits);
   }
 
-  private double lowestLimitOfARun(boolean delayed) {
+  private double runAndFindLowestLimit(boolean delayed) {
     limits.clear();
-    start(1);
+    startEngine(1);
     for (int p = 0; p < PROXIES; p++) {
       connect(p, true);
     }
     for (int round = 0; round < 15; round++) {
       now += SECOND;
-      reports(0, PROXIES, 0.6);
+      handleReports(0, PROXIES, 0.6);
       endBatch();
     }
     now += delayed ? 4 * SECOND : 0;
     for (int round = 0; round < 4; round++) {
       now += SECOND;
-      outcomes(PROXIES * REQUEST_RATE * CLASSES, 0.6, 0.4);
+      handleOutcomes(PROXIES * REQUEST_RATE * CLASSES, 0.6, 0.4);
       endBatch();
     }
     return limits.stream().min(Double::compare).orElse(1.0);
@@ -228,9 +228,9 @@
    * that they show may be over.
    */
   @Test
-  void limitsLessWhileReportsAreDelayed() {
-    double normal = lowestLimitOfARun(false);
-    double delayed = lowestLimitOfARun(true);
+  void reducesLimitsLessWhileReportsAreDelayed() {
+    double normal = runAndFindLowestLimit(false);
+    double delayed = runAndFindLowestLimit(true);
     assertTrue(normal < 0.5, "normal " + normal);
     assertTrue(delayed > 0.65, "normal " + normal + ", delayed " + delayed);
   }
--- a/src/test/java/stonespring/decision/MassReconnectTest.java
+++ b/src/test/java/stonespring/decision/MassReconnectTest.java
@@ -20,7 +20,7 @@
  */
 final class MassReconnectTest {
   private static final int PROXIES = 150; // their first tables just fit the channel
-  private static final int RELEASED = 30; // endpoints that leave
+  private static final int REMOVED_ENDPOINTS = 30; // endpoints that leave
 
   private final ArrayDeque<Map.Entry<Double, Event.UpdateAcknowledged>> waitingAcknowledgements =
       new ArrayDeque<>();
@@ -35,22 +35,22 @@
             .build()
             .onPlatform();
     Fleet fleet = new Fleet(settings);
-    for (int i = 0; i < 2 * RELEASED; i++) {
+    for (int i = 0; i < 2 * REMOVED_ENDPOINTS; i++) {
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, Fleet.READY, 0));
     }
-    fleet.start(seed);
+    fleet.startEngine(seed);
     for (int i = 0; i < 3; i++) {
       fleet.connect(i, i % 2, 20, true);
     }
     for (int i = 0; i < 8; i++) {
-      second(fleet, true);
+      runSecond(fleet, true);
     }
     assertTrue(fleet.proxies.values().stream().allMatch(p -> p.table != null));
     return fleet;
   }
 
   /** A second; messages are acknowledged once they pass the channel, at a third of its pace. */
-  private void second(Fleet fleet, boolean acknowledged) {
+  private void runSecond(Fleet fleet, boolean acknowledged) {
     fleet.report(0.001, Map.of());
     for (int k = 0; k < 5; k++) {
       fleet.acknowledgements.forEach(
@@ -74,8 +74,8 @@
     }
   }
 
-  private static void release(Fleet fleet, int from) {
-    for (int i = from; i < from + RELEASED / 3; i++) {
+  private static void removeEndpoints(Fleet fleet, int from) {
+    for (int i = from; i < from + REMOVED_ENDPOINTS / 3; i++) {
       fleet.updateEndpoint("t" + i, i % 2, EndpointRecord.State.REMOVED, 0);
     }
   }
@@ -85,16 +85,16 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void exclusionsForManyProxiesKeepTheBacklog(long seed) {
+  void exclusionsForManyProxiesStayWithinBacklogLimit(long seed) {
     Fleet fleet = createFleet(seed, 4_000);
-    release(fleet, 0);
-    second(fleet, true);
-    release(fleet, RELEASED / 3);
+    removeEndpoints(fleet, 0);
+    runSecond(fleet, true);
+    removeEndpoints(fleet, REMOVED_ENDPOINTS / 3);
     connectAll(fleet);
-    second(fleet, true);
-    release(fleet, 2 * RELEASED / 3);
+    runSecond(fleet, true);
+    removeEndpoints(fleet, 2 * REMOVED_ENDPOINTS / 3);
     for (int i = 0; i < 40; i++) {
-      second(fleet, true);
+      runSecond(fleet, true);
     }
     assertEquals(
         List.of(),
@@ -107,16 +107,18 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void disconnectedProxiesFreeTheChannel(long seed) {
+  void disconnectedProxiesReleaseChannelBacklog(long seed) {
     Fleet fleet = createFleet(seed, 6_000);
     connectAll(fleet);
     for (int i = 0; i < 40; i++) {
-      second(fleet, true);
+      runSecond(fleet, true);
     }
     assertTrue(fleet.proxies.values().stream().allMatch(p -> p.table != null));
     boolean blocked = false;
-    for (int from = 0; from < 2 * RELEASED - 10 && !blocked; from += RELEASED / 6) {
-      for (int i = from; i < from + RELEASED / 6; i++) {
+    for (int from = 0;
+        from < 2 * REMOVED_ENDPOINTS - 10 && !blocked;
+        from += REMOVED_ENDPOINTS / 6) {
+      for (int i = from; i < from + REMOVED_ENDPOINTS / 6; i++) {
         fleet.updateEndpoint("t" + i, i % 2, EndpointRecord.State.REMOVED, 0);
         fleet.updateEndpoint("n" + i, i % 2, Fleet.READY, 0);
       }
--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -42,11 +42,11 @@
   private static final int SEEDS = 2;
 
   /** What happens to the fleet before a step. */
-  private interface Trouble {
-    void before(Run run, int step);
+  private interface FleetChange {
+    void applyBefore(Run run, int step);
   }
 
-  private record Scenario(String name, Settings settings, Trouble trouble) {}
+  private record Scenario(String name, Settings settings, FleetChange change) {}
 
   /** Passes everything on and digests what comes back. */
   private record Recorder(DecisionEngine engine, RecordedDigests.Recording recording)
@@ -71,11 +71,11 @@
     private final RecordedDigests.Recording recording = new RecordedDigests.Recording();
     private final ArrayDeque<Map.Entry<Long, Event>> delayedReports = new ArrayDeque<>();
     private final Map<String, Double> extraFailures = new HashMap<>();
-    private long delay = SECOND / 5;
+    private long reportDelay = SECOND / 5;
     private long seed;
     private int nextEndpoint = ENDPOINTS;
-    private int acknowledgeEvery = 2;
-    private int commands;
+    private int stepsPerAcknowledgement = 2;
+    private int commandCount;
 
     Run(Settings settings, long seed) {
       this.fleet = new Fleet(settings);
@@ -83,14 +83,14 @@
       this.seed = seed;
     }
 
-    private void start() {
-      fleet.start(seed);
+    private void startEngine() {
+      fleet.startEngine(seed);
       fleet.engine = new Recorder(fleet.engine, recording);
     }
 
-    void restart() {
+    void restartEngine() {
       seed += 100;
-      start();
+      startEngine();
       fleet.proxies.values().stream()
           .filter(p -> p.connected)
           .map(p -> p.number)
@@ -103,7 +103,7 @@
         fleet.endpoints.put(
             name(i), Fleet.endpointRecord(name(i), i % 2, EndpointRecord.State.READY, 0));
       }
-      start();
+      startEngine();
       for (int i = 0; i < PROXIES; i++) {
         fleet.connect(i, i % 2, 4 + random.nextInt(45), i % 3 != 2);
       }
@@ -129,38 +129,38 @@
 
     private void report() {
       Map<String, Double> failureShares = new HashMap<>(extraFailures);
-      double worst = 0;
+      double worstOverload = 0;
       for (int i = 0; i < nextEndpoint; i++) {
         double capacity = CAPACITY * warmUpFraction(fleet.endpoints.get(name(i)));
         double load = fleet.trafficFactor * fleet.meanLimit() * fleet.load(name(i));
-        double over = load <= 0 ? 0 : Math.max(0, 1 - capacity / load);
-        worst = Math.max(worst, over);
-        failureShares.merge(name(i), over, Math::max);
+        double overload = load <= 0 ? 0 : Math.max(0, 1 - capacity / load);
+        worstOverload = Math.max(worstOverload, overload);
+        failureShares.merge(name(i), overload, Math::max);
       }
-      fleet.successLatency = 800 + (long) (4000 * worst) + random.nextInt(100);
-      int known = fleet.events.size();
+      fleet.successLatency = 800 + (long) (4000 * worstOverload) + random.nextInt(100);
+      int eventsBefore = fleet.events.size();
       fleet.report(fleet.trafficFactor / CAPACITY, failureShares);
-      List<Event> reports = fleet.events.subList(known, fleet.events.size());
+      List<Event> reports = fleet.events.subList(eventsBefore, fleet.events.size());
       for (Event event : reports) {
-        delayedReports.add(Map.entry(fleet.now + delay, event));
+        delayedReports.add(Map.entry(fleet.now + reportDelay, event));
       }
       reports.clear();
     }
 
-    void play(Trouble trouble) {
+    void simulate(FleetChange change) {
       setUp();
       for (int step = 0; step < STEPS; step++) {
-        trouble.before(this, step);
+        change.applyBefore(this, step);
         if (step % 10 == 9) {
           report();
         }
         while (!delayedReports.isEmpty() && delayedReports.peek().getKey() <= fleet.now) {
           fleet.events.add(delayedReports.poll().getValue());
         }
-        if (step % acknowledgeEvery == 0) {
+        if (step % stepsPerAcknowledgement == 0) {
           fleet.acknowledgeAll();
         }
-        commands += fleet.step(STEP).size();
+        commandCount += fleet.step(STEP).size();
       }
     }
   }
@@ -217,7 +217,7 @@
 
   private static void restarts(Run run, int step) {
     if (step == 90 || step == 96 || step == 200) {
-      run.restart();
+      run.restartEngine();
     }
     drains(run, step);
   }
@@ -238,8 +238,8 @@
   }
 
   private static void lateReports(Run run, int step) {
-    run.delay = step > 70 && step < 200 ? 5 * SECOND : SECOND / 5;
-    run.acknowledgeEvery = step > 70 && step < 200 ? 37 : 2;
+    run.reportDelay = step > 70 && step < 200 ? 5 * SECOND : SECOND / 5;
+    run.stepsPerAcknowledgement = step > 70 && step < 200 ? 37 : 2;
     surge(run, step);
     drains(run, step);
   }
@@ -270,7 +270,7 @@
   private static void advised(Run run, int step) {
     run.fleet.withSolver = true;
     if (step == 0) {
-      run.restart();
+      run.restartEngine();
     }
     surge(run, step);
     drains(run, step);
@@ -420,15 +420,15 @@
   }
 
   @Test
-  void everyCommandOfSeededRunsIsAsRecorded() throws IOException {
+  void seededRunsIssueRecordedCommands() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     for (Scenario scenario : scenarios()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Run run = new Run(scenario.settings(), seed);
-        run.play(scenario.trouble());
-        assertTrue(run.commands > 0, scenario.name() + " commanded nothing");
+        run.simulate(scenario.change());
+        assertTrue(run.commandCount > 0, scenario.name() + " commanded nothing");
         digests.put(
-            scenario.name() + "/" + seed + " (" + run.commands + " commands)", run.recording);
+            scenario.name() + "/" + seed + " (" + run.commandCount + " commands)", run.recording);
       }
     }
     digests.check("commands.sha256");
@@ -439,7 +439,7 @@
    * used again.
    */
   @Test
-  void everyCommandOfALongRunIsAsRecorded() throws IOException {
+  void longRunIssuesRecordedCommands() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     Run run = new Run(settings(AdmissionLimitKind.FRACTION), 7);
     run.setUp();
@@ -456,9 +456,9 @@
       run.delayedReports.clear();
       run.fleet.events.addAll(run.fleet.acknowledgements);
       run.fleet.acknowledgements.clear();
-      run.commands += run.fleet.step(SECOND).size();
+      run.commandCount += run.fleet.step(SECOND).size();
     }
-    digests.put("long (" + run.commands + " commands)", run.recording);
+    digests.put("long (" + run.commandCount + " commands)", run.recording);
     digests.check("long-run.sha256");
   }
 }
--- a/src/test/java/stonespring/decision/RequestRateEstimatorTest.java
+++ b/src/test/java/stonespring/decision/RequestRateEstimatorTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void statedRateStandsUntilAllClassesAreReported() {
+  void usesStatedRateUntilAllClassesAreReported() {
     estimator.applyStatedRate(50);
     assertEquals(50, estimator.averageRate());
     report(0, 20);
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void reportedRateStandsWhenTheProxyConnectsAgain() {
+  void keepsReportedRateWhenProxyReconnects() {
     report(0, 20);
     report(1, 10);
     estimator.applyStatedRate(500);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void averageHalvesTheDistanceInTwoSeconds() {
+  void averageHalvesDistanceToNewRateInTwoSeconds() {
     report(0, 20);
     report(1, 0);
     report(0, 60);
--- a/src/test/java/stonespring/decision/RouteTableTest.java
+++ b/src/test/java/stonespring/decision/RouteTableTest.java
@@ -14,7 +14,7 @@
 final class RouteTableTest {
   private final RouteTable table = new RouteTable();
 
-  private static EndpointState ready(int index) {
+  private static EndpointState createReady(int index) {
     EndpointStatistics statistics = new EndpointStatistics(new LatencyModel(List.of()), 2);
     EndpointState endpoint = new EndpointState(index, statistics);
     endpoint.resetFor(new EndpointId("e" + index), 0);
@@ -23,8 +23,8 @@
   }
 
   @Test
-  void wantedRouteIsNotHeldUntilItIsApplied() {
-    EndpointState endpoint = ready(0);
+  void plannedRouteIsNotHeldUntilApplied() {
+    EndpointState endpoint = createReady(0);
     Route route = table.setTarget(endpoint, 0.5);
     assertFalse(table.holds(endpoint));
     assertTrue(table.isBroken(), "it holds no route");
@@ -35,9 +35,9 @@
   }
 
   @Test
-  void tableThatHoldsAnEndpointThatLeftIsBroken() {
-    EndpointState leaving = ready(0);
-    table.setTarget(ready(1), 0.5).setWeight(0.5);
+  void tableWithRouteToUnavailableEndpointIsBroken() {
+    EndpointState leaving = createReady(0);
+    table.setTarget(createReady(1), 0.5).setWeight(0.5);
     table.setTarget(leaving, 0.5).setWeight(0.5);
     assertFalse(table.isBroken());
     leaving.markOutOfService(EndpointRecord.State.DRAINING, 1);
@@ -45,9 +45,9 @@
   }
 
   @Test
-  void targetsAreScaledToASumOfOne() {
-    Route first = table.setTarget(ready(0), 3);
-    Route second = table.setTarget(ready(1), 1);
+  void scalesTargetsToSumOfOne() {
+    Route first = table.setTarget(createReady(0), 3);
+    Route second = table.setTarget(createReady(1), 1);
     table.normalizeTargets();
     assertEquals(0.75, first.target());
     assertEquals(0.25, second.target());
@@ -55,14 +55,14 @@
 
   @Test
   void removesRoutesThatWereNeverApplied() {
-    table.setTarget(ready(0), 1);
-    table.setTarget(ready(1), 1).setWeight(1);
+    table.setTarget(createReady(0), 1);
+    table.setTarget(createReady(1), 1).setWeight(1);
     table.removeUnapplied();
     assertEquals(1, table.routes().size());
   }
 
   @Test
-  void weightsDifferByMoreThanTheTolerance() {
+  void ignoresWeightDifferencesWithinTolerance() {
     assertFalse(Route.differsSignificantly(0.5, 0.52));
     assertTrue(Route.differsSignificantly(0.5, 0.54));
     assertTrue(Route.differsSignificantly(0, 0.001), "a route that comes or goes always counts");
--- a/src/test/java/stonespring/decision/RouteWeightsTest.java
+++ b/src/test/java/stonespring/decision/RouteWeightsTest.java
@@ -12,7 +12,7 @@
   @Test
   void tableGrowsWithItsProxysTraffic() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 5, 100, 5);
-    fleet.rounds(20, 0.05, Map.of());
+    fleet.runRounds(20, 0.05, Map.of());
     assertTrue(fleet.shares(0).size() >= 10, "routes: " + fleet.shares(0).size());
     assertTrue(fleet.shares(1).size() <= 6, "a small proxy's table stays small");
   }
@@ -20,9 +20,9 @@
   @Test
   void failingEndpointKeepsARouteThatShowsItsRecovery() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(5, 0.03, Map.of());
+    fleet.runRounds(5, 0.03, Map.of());
     double before = fleet.load("t3");
-    fleet.rounds(10, 0.03, Map.of("t3", 1.0));
+    fleet.runRounds(10, 0.03, Map.of("t3", 1.0));
     assertTrue(fleet.load("t3") < before / 3, before + " to " + fleet.load("t3"));
     assertTrue(fleet.load("t3") > 0);
   }
@@ -30,10 +30,10 @@
   @Test
   void equalFailuresEverywhereMoveNothing() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(10, 0.03, Map.of());
+    fleet.runRounds(10, 0.03, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
-    fleet.rounds(6, 0.03, failureShares);
+    fleet.runRounds(6, 0.03, failureShares);
     for (String endpoint : fleet.endpoints.keySet()) {
       assertTrue(fleet.load(endpoint) > 2, endpoint + " kept " + fleet.load(endpoint));
     }
@@ -46,12 +46,12 @@
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, READY, 0));
       fleet.otherInstancesLoad.put("t" + i, i < 4 ? 16.0 : 4.0);
     }
-    fleet.start(7);
+    fleet.startEngine(7);
     for (int p = 0; p < 8; p++) {
       fleet.connect(p, p % 2, 10, true);
     }
     fleet.step(1);
-    fleet.rounds(30, 0.03, Map.of());
+    fleet.runRounds(30, 0.03, Map.of());
     double full = fleet.load("t0") + fleet.load("t1") + fleet.load("t2") + fleet.load("t3");
     assertTrue(full < 0.45 * 80, full + " of 80 go where others send most");
   }
@@ -59,7 +59,7 @@
   @Test
   void requestsStayInTheirZoneWhileCapacityIsAmple() {
     Fleet fleet = Fleet.create(12, 8);
-    fleet.rounds(60, 0.03, Map.of());
+    fleet.runRounds(60, 0.03, Map.of());
     double away =
         fleet.proxies.values().stream()
             .mapToDouble(
@@ -75,7 +75,7 @@
   @Test
   void idleEndpointsEnterTables() {
     Fleet fleet = Fleet.create(16, 3);
-    fleet.rounds(60, 0.05, Map.of());
+    fleet.runRounds(60, 0.05, Map.of());
     long idle = fleet.endpoints.keySet().stream().filter(name -> fleet.load(name) == 0).count();
     assertTrue(idle <= 6, idle + " of 16 endpoints idle with 3 tables of 4 routes");
   }
@@ -83,11 +83,11 @@
   @Test
   void newEndpointsAreUsed() {
     Fleet fleet = Fleet.create(6, 8);
-    fleet.rounds(5, 0.04, Map.of());
+    fleet.runRounds(5, 0.04, Map.of());
     for (int i = 0; i < 10; i++) {
       fleet.updateEndpoint("new" + i, i % 2, READY, fleet.now);
     }
-    fleet.rounds(25, 0.04, Map.of());
+    fleet.runRounds(25, 0.04, Map.of());
     long used =
         fleet.endpoints.keySet().stream()
             .filter(name -> name.startsWith("new") && fleet.load(name) > 0.5)
--- a/src/test/java/stonespring/decision/ScaleOutSimulation.java
+++ b/src/test/java/stonespring/decision/ScaleOutSimulation.java
@@ -202,7 +202,7 @@
     for (int i = 0; i < ENDPOINTS; i++) {
       fleet.updateEndpoint("t" + i, i % 2, Fleet.READY, 0);
     }
-    fleet.start(random.nextLong());
+    fleet.startEngine(random.nextLong());
     for (int i = 0; i < PROXIES; i++) {
       double size = Math.pow(1 - random.nextDouble(), -0.5);
       fleet.connect(i, i % 2, Math.min(40, 5 * size), true);
--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -18,13 +18,13 @@
   @Test
   void restartedEndpointGetsNoMoreThanItCanServe() {
     Fleet fleet = Fleet.create(6, 8);
-    fleet.rounds(10, 0.04, Map.of());
+    fleet.runRounds(10, 0.04, Map.of());
     assertTrue(fleet.load("t2") > 5);
     fleet.updateEndpoint("t2", 0, EndpointRecord.State.REMOVED, 0);
     fleet.step(SECOND);
     fleet.updateEndpoint("t2", 0, READY, fleet.now);
     for (int i = 0; i < 12; i++) {
-      fleet.rounds(1, 0.04, Map.of());
+      fleet.runRounds(1, 0.04, Map.of());
       double capacity = Math.min(1, 0.2 + 0.8 * (i + 1) / 10) / 0.04;
       assertTrue(
           fleet.load("t2") <= 1.3 * capacity,
@@ -37,14 +37,14 @@
   @Test
   void onlySmallProxiesUseWarmingEndpointsUnderOverload() {
     Fleet fleet = Fleet.createWithLargeProxy(6, 8, 100, 2);
-    fleet.rounds(10, 0.03, Map.of());
+    fleet.runRounds(10, 0.03, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.6));
     fleet.updateEndpoint("entrant0", 0, READY, fleet.now);
     fleet.updateEndpoint("entrant1", 1, READY, fleet.now);
-    fleet.rounds(5, 0.03, failureShares);
+    fleet.runRounds(5, 0.03, failureShares);
     assertTrue(fleet.shares(0).keySet().stream().noneMatch(name -> name.startsWith("entrant")));
-    fleet.rounds(15, 0.03, Map.of());
+    fleet.runRounds(15, 0.03, Map.of());
     assertTrue(
         fleet.shares(0).keySet().stream().anyMatch(name -> name.startsWith("entrant")),
         "used once warm");
@@ -54,13 +54,13 @@
   @Test
   void possibleLoadOfAWarmingEndpointStaysWithinItsBudget() {
     Fleet fleet = Fleet.create(6, 40);
-    fleet.rounds(10, 0.02, Map.of());
+    fleet.runRounds(10, 0.02, Map.of());
     for (int i = 0; i < 4; i++) {
       fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
     }
     boolean used = false;
     for (int round = 0; round < 12; round++) {
-      fleet.rounds(1, 0.02, Map.of());
+      fleet.runRounds(1, 0.02, Map.of());
       double warmUpFraction =
           Math.min(
               1,
@@ -113,10 +113,10 @@
     for (int p = 0; p < 12; p++) {
       fleet.connect(p, p % 2, 2 + 4 * random.nextDouble(), true);
     }
-    fleet.rounds(10, 0.12, Map.of());
+    fleet.runRounds(10, 0.12, Map.of());
     fleet.updateEndpoint("entrant0", 0, READY, fleet.now);
     fleet.updateEndpoint("entrant1", 1, READY, fleet.now);
-    fleet.rounds(3, 0.12, Map.of());
+    fleet.runRounds(3, 0.12, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().stream()
         .filter(name -> name.startsWith("t"))
@@ -124,7 +124,7 @@
     fleet.trafficFactor = 4;
     double worst = 0;
     for (int round = 0; round < 6; round++) {
-      fleet.rounds(1, 0.5, failureShares);
+      fleet.runRounds(1, 0.5, failureShares);
       double warmUpFraction =
           fleet.settings.slowStart().initialFraction()
               + (1 - fleet.settings.slowStart().initialFraction()) * (3 + round) / 10;
@@ -161,13 +161,13 @@
   @Test
   void entrantsAreUsedWhileProxiesEjectLittle() {
     Fleet fleet = Fleet.create(new FleetSettings().instances(4).build(), 8, 4);
-    fleet.rounds(10, 0.04, Map.of());
+    fleet.runRounds(10, 0.04, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.22));
     for (int i = 0; i < 8; i++) {
       fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
     }
-    fleet.rounds(5, 0.04, failureShares);
+    fleet.runRounds(5, 0.04, failureShares);
     assertTrue(
         fleet.endpoints.keySet().stream()
             .anyMatch(name -> name.startsWith("entrant") && fleet.load(name) > 0));
--- a/src/test/java/stonespring/decision/UpdateSchedulingTest.java
+++ b/src/test/java/stonespring/decision/UpdateSchedulingTest.java
@@ -15,7 +15,7 @@
       fleet.connect(p, 0, 15, true);
     }
     fleet.step(1);
-    fleet.rounds(6, 0.03, Map.of());
+    fleet.runRounds(6, 0.03, Map.of());
     double away = 0;
     for (int i = 1; i < 20; i += 2) {
       away += fleet.load("t" + i);
@@ -27,10 +27,10 @@
   @Test
   void routesToFullEndpointsDoNotGrow() {
     Fleet fleet = Fleet.create(6, 8);
-    fleet.rounds(10, 0.04, Map.of());
+    fleet.runRounds(10, 0.04, Map.of());
     double mean = 80.0 / 6;
     for (int i = 0; i < 10; i++) {
-      fleet.rounds(1, 0.04, Map.of("t0", 1.0, "t1", 1.0));
+      fleet.runRounds(1, 0.04, Map.of("t0", 1.0, "t1", 1.0));
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 2 * mean,
@@ -48,7 +48,7 @@
     }
     fleet.step(1);
     for (int i = 0; i < 30; i++) {
-      fleet.rounds(1, 0.02, Map.of());
+      fleet.runRounds(1, 0.02, Map.of());
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 1.45 * 80 / 6,
@@ -61,11 +61,11 @@
   @Test
   void largeProxyMovesOffAFailingEndpoint() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 8, 200, 3);
-    fleet.rounds(4, 0.05, Map.of());
+    fleet.runRounds(4, 0.05, Map.of());
     String full = fleet.shares(0).firstKey();
     double before = fleet.load(full);
     for (int i = 0; i < 12; i++) {
-      fleet.rounds(1, 0.05, Map.of(full, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
+      fleet.runRounds(1, 0.05, Map.of(full, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
     }
     assertTrue(fleet.load(full) < 0.9 * before, before + " to " + fleet.load(full));
   }
--- a/src/test/java/stonespring/decision/WeightProposalTest.java
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -24,7 +24,7 @@
     for (int i = 0; i < endpointCount; i++) {
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, 0, Fleet.READY, 0));
     }
-    fleet.start(7);
+    fleet.startEngine(7);
     for (int p = 0; p < proxyCount; p++) {
       fleet.connect(p, 0, 10, true);
     }
