--- a/src/test/java/stonespring/decision/AdvisedEngineTest.java
+++ b/src/test/java/stonespring/decision/AdvisedEngineTest.java
@@ -11,11 +11,12 @@
 import stonespring.model.DeciMillis;
 import stonespring.model.EndpointRecord;
 
-/** The engine with the weight solver beside it. */
+/** Tests the engine together with the weight solver, whose proposals it receives. */
 final class AdvisedEngineTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final double UTILIZATION_PER_REQUEST_RATE =
-      0.04; // utilization for each request per second
+
+  /** Utilization of an endpoint per request per second at the usual cost. */
+  private static final double UTILIZATION_PER_REQUEST_RATE = 0.04;
 
   private static Fleet createFleet(
       boolean withSolver, long seed, int endpointCount, int proxyCount, int instances) {
@@ -34,6 +35,7 @@
     return fleet;
   }
 
+  /** Runs a round of a second, and checks the invariants. */
   private static void runRound(Fleet fleet, Map<String, Double> failureShares) {
     fleet.report(UTILIZATION_PER_REQUEST_RATE, failureShares);
     fleet.step(SECOND);
@@ -41,7 +43,10 @@
     fleet.checkInvariants("at " + fleet.now);
   }
 
-  /** Requests per second lost to lateness: the seventh power of the fills. */
+  /**
+   * Requests per second that are lost because answers are late, assumed to grow with the seventh
+   * power of the endpoints' utilization.
+   */
   private static double lostRate(Fleet fleet) {
     return fleet.endpoints.keySet().stream()
         .mapToDouble(
@@ -57,8 +62,8 @@
   }
 
   /**
-   * Endpoints of equal listed weight, some of which can serve four times as much: with the solver,
-   * less is lost to lateness over six seeds.
+   * The endpoints have equal listed weights, but some can serve four times as much as others. With
+   * the solver, fewer requests are lost to late answers, summed over six seeds.
    */
   @Test
   void solverDistributesLoadByEndpointCapacity() {
@@ -73,10 +78,14 @@
       }
     }
     assertTrue(
-        losses[1] < 0.9 * losses[0], "with the solver " + losses[1] + ", alone " + losses[0]);
+        losses[1] < 0.9 * losses[0],
+        "lost requests per second with the solver "
+            + losses[1]
+            + ", expected below 0.9 of those without, "
+            + losses[0]);
   }
 
-  /** Failures of many kinds, in any order, with one instance and with two. */
+  /** Applies failures of many kinds in random order, with one instance and with two. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void invariantsHoldInRandomRunsWithTheSolver(long seed) {
@@ -107,7 +116,7 @@
       } else if (kind == 7 && !fleet.proxies.get(i % 8).connected) {
         fleet.connect(i % 8, 0, 5, random.nextBoolean());
       } else if (kind == 8) {
-        fleet.step(3 * SECOND); // reports are missing
+        fleet.step(3 * SECOND); // the reports of three seconds are missing
       }
       runRound(fleet, failureShares);
       for (EndpointRecord record : fleet.endpoints.values()) {
@@ -118,7 +127,11 @@
         double load = fleet.load(record.endpoint().name()) * fleet.meanLimit();
         assertTrue(
             warmUpFraction >= 1 || load <= 3 * warmUpFraction / UTILIZATION_PER_REQUEST_RATE,
-            record.endpoint() + " gets " + load + " at warm-up fraction " + warmUpFraction);
+            record.endpoint()
+                + " gets "
+                + load
+                + " requests per second at warm-up fraction "
+                + warmUpFraction);
       }
     }
   }
--- a/src/test/java/stonespring/decision/EndpointListTest.java
+++ b/src/test/java/stonespring/decision/EndpointListTest.java
@@ -13,7 +13,7 @@
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
-/** How tables follow the endpoint list. */
+/** Tests how route tables follow the endpoint list. */
 final class EndpointListTest {
   @Test
   void assignsTablesToConnectedProxiesInTheFirstBatch() {
@@ -23,7 +23,9 @@
       assertEquals(4, p.shares().size());
     }
     assertEquals(
-        1, fleet.commandsOf(Command.RequestAck.class).size(), "acknowledgements are requested");
+        1,
+        fleet.commandsOf(Command.RequestAck.class).size(),
+        "one acknowledgement is requested for the batch");
   }
 
   @Test
@@ -34,13 +36,16 @@
     fleet.step(10);
     assertTrue(
         fleet.load("t0") == 0 && fleet.commandsOf(Command.ExcludeEndpoint.class).isEmpty(),
-        "known tables need no exclusion");
+        "t0 is removed from known tables, which needs no exclusion");
     for (FleetProxy p : fleet.proxies.values()) {
-      assertEquals(4, p.shares().size(), "what left is replaced by a ready endpoint");
+      assertEquals(4, p.shares().size(), "the draining endpoint is replaced by a ready one");
     }
   }
 
-  /** A list may lack endpoints that run; without them the others would be overloaded. */
+  /**
+   * A list may lack endpoints that still run. If these were no longer used, the others would be
+   * overloaded.
+   */
   @Test
   void keepsUsingRemovedEndpointsUntilAttemptsFailWhereAllowed() {
     Fleet fleet = Fleet.create(new FleetSettings().removedKeepServing(true).build(), 8, 8);
@@ -49,12 +54,16 @@
     fleet.updateEndpoint("t1", 1, EndpointRecord.State.REMOVED, 0);
     fleet.updateEndpoint("t2", 0, EndpointRecord.State.DRAINING, 0);
     fleet.runRounds(15, 0.03, Map.of("t1", 1.0));
-    assertTrue(fleet.load("t0") > 5, "it answers: " + fleet.load("t0"));
-    assertEquals(0, fleet.load("t1"), "it is dead");
-    assertEquals(0, fleet.load("t2"), "a drain binds");
+    assertTrue(
+        fleet.load("t0") > 5, "t0 is removed but still answers; its load is " + fleet.load("t0"));
+    assertEquals(0, fleet.load("t1"), "all attempts at the removed t1 fail");
+    assertEquals(0, fleet.load("t2"), "t2 is draining, so it is not used even though it answers");
   }
 
-  /** Between rounds reports are old: weights are not set anew by them. */
+  /**
+   * Reports are too old between rounds to adjust weights by, so that only routes to unavailable
+   * endpoints are replaced.
+   */
   @Test
   void changesOnlyAffectedRoutesBetweenRounds() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 8, 60, 5);
@@ -66,7 +75,10 @@
     fleet.step(10);
     assertTrue(
         affectedTables > 0 && fleet.commandsOf(Command.SetRoute.class).size() <= 4 * affectedTables,
-        affectedTables + " tables");
+        "expected at most 4 changed routes in each of "
+            + affectedTables
+            + " tables with a route to t0, found "
+            + fleet.commandsOf(Command.SetRoute.class).size());
   }
 
   @Test
@@ -79,15 +91,17 @@
         List.of(new Command.WatchEndpoints(true)), fleet.commandsOf(Command.WatchEndpoints.class));
     fleet.events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
     fleet.step(1);
-    assertFalse(fleet.commands.contains(new Command.WatchEndpoints(true)), "not at once");
+    assertFalse(
+        fleet.commands.contains(new Command.WatchEndpoints(true)),
+        "the watch is not requested again before the backoff has elapsed");
     int requests = 0;
     for (int i = 0; i < 10; i++) {
       fleet.step(SECOND);
       requests += fleet.commandsOf(Command.WatchEndpoints.class).size();
     }
-    assertTrue(requests >= 1);
+    assertTrue(requests >= 1, "the watch is requested again within 10 s");
     fleet.connect(0, 0, 1, true);
     fleet.step(1);
-    assertEquals(1, fleet.shares(0).size(), "the old list still holds");
+    assertEquals(1, fleet.shares(0).size(), "the endpoint of the last list is used");
   }
 }
--- a/src/test/java/stonespring/decision/EndpointListWatcherTest.java
+++ b/src/test/java/stonespring/decision/EndpointListWatcherTest.java
@@ -10,7 +10,7 @@
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
-/** When the watch on the endpoint list is requested, and how often after failures. */
+/** Tests when the endpoint list watch is requested, and the backoff after failures. */
 final class EndpointListWatcherTest {
   private static final List<Command> WATCH = List.of(new Command.WatchEndpoints(true));
 
@@ -23,12 +23,13 @@
     return new EndpointListWatcher(settings, clock, new DeterministicRandom(1), batch);
   }
 
+  /** Removes and returns the watch requests that are due at the present instant. */
   private List<Command> takeRequests() {
     watcher.ensureWatch();
     return batch.takeCommands();
   }
 
-  /** DeciMillis until the next request, in steps of 10 ms. */
+  /** Returns the time until the next watch request in DeciMillis, a multiple of 10 ms. */
   private long timeToNextRequest() {
     long start = clock.now();
     while (takeRequests().isEmpty()) {
@@ -64,10 +65,12 @@
     for (long backoff : new long[] {5_000, 10_000, 20_000, 40_000, 40_000}) {
       watcher.recordUpdate(Event.ListUpdateKind.FETCH_FAILED);
       long waited = timeToNextRequest();
-      assertTrue(waited >= backoff && waited <= 2 * backoff + 100, backoff + ": " + waited);
+      assertTrue(
+          waited >= backoff && waited <= 2 * backoff + 100,
+          "expected " + backoff + " to " + (2 * backoff + 100) + ", waited " + waited);
     }
     watcher.recordUpdate(Event.ListUpdateKind.DELTA);
     watcher.recordUpdate(Event.ListUpdateKind.FETCH_FAILED);
-    assertTrue(timeToNextRequest() <= 10_100);
+    assertTrue(timeToNextRequest() <= 10_100, "the backoff is reset to its initial value");
   }
 }
--- a/src/test/java/stonespring/decision/EndpointStatisticsTest.java
+++ b/src/test/java/stonespring/decision/EndpointStatisticsTest.java
@@ -11,7 +11,7 @@
 import stonespring.model.RetrySafety;
 import stonespring.model.ZoneId;
 
-/** What is kept of the outcomes at one endpoint. */
+/** Tests the statistics of the outcomes at one endpoint. */
 final class EndpointStatisticsTest {
   private static final LatencyModel LATENCY =
       new LatencyModel(List.of(new RequestClass(RetrySafety.IDEMPOTENT, 1000, 1)));
@@ -61,7 +61,8 @@
     statistics.startRound(1, Fleet.SECOND);
     assertEquals(12, statistics.attemptRate());
     statistics.startRound(1 + 5 * Fleet.SECOND, Fleet.SECOND);
-    assertEquals(12, statistics.attemptRate(), "a report may be five seconds late");
+    assertEquals(
+        12, statistics.attemptRate(), "a report that is up to five seconds old does not decay");
     statistics.startRound(2 + 5 * Fleet.SECOND, Fleet.SECOND);
     assertEquals(12 * Math.sqrt(0.5), statistics.attemptRate(), 1e-9);
   }
--- a/src/test/java/stonespring/decision/EndpointTurnoverTest.java
+++ b/src/test/java/stonespring/decision/EndpointTurnoverTest.java
@@ -18,9 +18,12 @@
 import stonespring.model.ProxyId;
 import stonespring.model.ZoneId;
 
-/** Endpoints are replaced under new names for hours: what left long ago costs nothing any more. */
+/**
+ * Tests that endpoints which were removed long ago take up no memory and no channel entries, when
+ * endpoints are replaced under new names for hours.
+ */
 final class EndpointTurnoverTest {
-  private static final int READY_ENDPOINTS = 6; // at a time
+  private static final int READY_ENDPOINTS = 6; // at any time
   private static final int TOTAL_ENDPOINTS = 2_000;
   private static final long REPLACEMENT_INTERVAL = 20 * DeciMillis.SECOND;
 
@@ -58,6 +61,7 @@
         LoadReport.NONE);
   }
 
+  /** Counts the commands that exclude an endpoint, without those that allow one again. */
   private static int countExclusions(List<Command> commands) {
     return (int)
         commands.stream()
@@ -95,10 +99,13 @@
     start();
     for (int i = READY_ENDPOINTS; i < TOTAL_ENDPOINTS; i++) {
       replaceOldestWith(i);
-      assertFalse(table.contains("t" + (i - READY_ENDPOINTS)), "no table names what left");
-      assertFalse(table.isEmpty());
+      assertFalse(
+          table.contains("t" + (i - READY_ENDPOINTS)),
+          "no table has a route to an endpoint that was removed");
+      assertFalse(table.isEmpty(), "the table has a route");
     }
-    // A proxy with unknown tables is told of what left lately, not of all that ever did.
+    // A proxy with unknown tables is told to exclude recently removed endpoints only, not all that
+    // were ever removed.
     List<Command> commands =
         new ArrayList<>(handle(new Event.ProxyConnected(new ProxyId(1), new ZoneId(0), 5, false)));
     now += DeciMillis.SECOND;
@@ -106,11 +113,19 @@
     int maxKept = (int) (600 * DeciMillis.SECOND / REPLACEMENT_INTERVAL) + 2 * READY_ENDPOINTS;
     assertTrue(
         countExclusions(commands) <= maxKept,
-        countExclusions(commands) + " of " + TOTAL_ENDPOINTS + " are excluded");
+        countExclusions(commands)
+            + " of "
+            + TOTAL_ENDPOINTS
+            + " endpoints are excluded, expected at most "
+            + maxKept);
     assertTrue(
         registrySize() <= maxKept,
-        registrySize() + " places for " + TOTAL_ENDPOINTS + " endpoints");
-    // A forgotten name that is listed again is an endpoint like any other.
+        registrySize()
+            + " endpoint states are kept for "
+            + TOTAL_ENDPOINTS
+            + " endpoints, expected at most "
+            + maxKept);
+    // An evicted endpoint that is listed again is used like any other.
     handle(delta(ready(3, 0)));
     EndpointRecord[] remaining = new EndpointRecord[READY_ENDPOINTS];
     for (int i = 0; i < READY_ENDPOINTS; i++) {
@@ -123,10 +138,13 @@
                     c instanceof Command.SetRoute route
                         && route.weight() > 0
                         && route.endpoint().name().equals("t3")),
-        "the only one left takes all routes");
+        "the only remaining endpoint is used");
   }
 
-  /** No command shows how many places the registry keeps. */
+  /**
+   * The number of endpoint states that the registry holds. It is read by reflection, as no command
+   * shows it.
+   */
   private int registrySize() throws ReflectiveOperationException {
     Field endpoints = AssignmentEngine.class.getDeclaredField("endpoints");
     endpoints.setAccessible(true);
--- a/src/test/java/stonespring/decision/EngineInvariantsTest.java
+++ b/src/test/java/stonespring/decision/EngineInvariantsTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointRecord;
 
-/** Seeded random runs that check the invariants after every step. */
+/** Runs seeded random sequences of events, and checks the invariants after every step. */
 final class EngineInvariantsTest {
   private SplittableRandom random;
   private Fleet fleet;
@@ -51,13 +51,17 @@
       } else if (action >= 18 || !changeEndpointList(action, name)) {
         applyOtherChange(action, seed + step);
       }
-      // At times the engine is stopped, and all events since come in one batch.
+      // Occasionally the process pauses, and all events since then arrive in one batch.
       fleet.step(random.nextInt(50) == 0 ? 2 * SECOND : random.nextInt(6000));
       fleet.checkInvariants("seed " + seed + ", step " + step);
     }
   }
 
-  /** Drains, removes, restarts or adds an endpoint; returns whether it did so. */
+  /**
+   * Drains, removes, restarts or adds an endpoint.
+   *
+   * @return whether the list changed
+   */
   private boolean changeEndpointList(int action, String name) {
     int listed = fleet.endpoints.size();
     if (name != null) {
@@ -84,6 +88,7 @@
     return true;
   }
 
+  /** Changes failure shares, restarts the engine, acknowledges messages or reports, or nothing. */
   private void applyOtherChange(int action, long restartSeed) {
     if (action < 19) {
       failureShares.put("t" + random.nextInt(endpointCount), random.nextInt(3) / 2.0);
@@ -122,7 +127,7 @@
       fleet.connect(p, p % 2, 1 + random.nextInt(20), true);
     }
     for (int step = 0; step < 120; step++) {
-      int batch = step % 12 == 5 ? 40 : 0; // a release goes on
+      int batch = step % 12 == 5 ? 40 : 0; // a rolling release replaces 40 endpoints
       for (int i = 0; i < batch; i++) {
         int drained = step / 12 * 40 + i;
         fleet.updateEndpoint("t" + drained, drained % 2, EndpointRecord.State.DRAINING, 0);
@@ -156,7 +161,7 @@
         }
         fleet.step(SECOND);
       }
-      assertEquals(first.commands, second.commands);
+      assertEquals(first.commands, second.commands, "round " + i);
     }
   }
 }
--- a/src/test/java/stonespring/decision/EngineRestartTest.java
+++ b/src/test/java/stonespring/decision/EngineRestartTest.java
@@ -17,9 +17,12 @@
 import stonespring.model.LoadReport;
 import stonespring.model.ZoneId;
 
-/** A restarted engine, and proxies whose tables it does not know. */
+/** Tests a restarted engine with proxies whose tables it does not know. */
 final class EngineRestartTest {
-  /** An engine that restarted with a list that lacks an endpoint which old tables may name. */
+  /**
+   * Creates a fleet whose engine was restarted with a list that lacks an endpoint to which earlier
+   * tables may have routes.
+   */
   private static Fleet createRestartedWithout(String endpoint) {
     Fleet fleet = Fleet.create(8, 4);
     fleet.runRounds(5, 0.03, Map.of());
@@ -41,7 +44,7 @@
     assertEquals(
         1,
         fleet.commandsOf(Command.ExcludeEndpoint.class).size(),
-        "exclusions do not wait for reports");
+        "exclusions are sent before any report arrives");
     List<Command.AssignRouteTable> assignments = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       fleet.events.add(
@@ -68,15 +71,21 @@
     assertTrue(fleet.proxies.get(24).excluded.contains("t0"));
     assertTrue(
         fleet.proxies.get(0).messagesSentAt.size() <= messages + 3,
-        "notices to twenty proxies are batched");
+        "the exclusion notices for 20 proxies are batched");
   }
 
-  /** What left before the restart is in no list; reports are the first to name it. */
+  /**
+   * An endpoint that was removed before the restart is in no list; the engine learns of it from
+   * reports.
+   */
   @Test
   void excludesUnlistedEndpointsThatReportsName() {
     Fleet fleet = createRestartedWithout("t0");
     fleet.step(10);
-    assertEquals(0, fleet.commandsOf(Command.ExcludeEndpoint.class).size(), "nothing names it yet");
+    assertEquals(
+        0,
+        fleet.commandsOf(Command.ExcludeEndpoint.class).size(),
+        "neither the list nor a report has named t0");
     fleet.reportOutcomes("t0", 3, 3);
     fleet.step(SECOND);
     assertEquals(
@@ -92,10 +101,13 @@
               .commandsOf(Command.ExcludeEndpoint.class)
               .contains(new Command.ExcludeEndpoint(new EndpointId("t0"), false));
     }
-    assertTrue(allowedAgain, "it is allowed again once a list has it");
+    assertTrue(allowedAgain, "t0 is allowed again after it is listed as ready");
   }
 
-  /** Reports may not show what a proxy of little traffic names. */
+  /**
+   * Unknown tables are replaced soon, because reports may not show to which endpoints a proxy of
+   * little traffic has routes.
+   */
   @Test
   void replacesUnknownTablesSoonAfterTheFirstReports() {
     Fleet fleet = createRestartedWithout("t0");
@@ -107,12 +119,15 @@
       }
       fleet.step(SECOND / 10);
       assignments += fleet.commandsOf(Command.AssignRouteTable.class).size();
-      assertTrue(i > 3 || assignments == 0, "left alone until reports arrive");
+      assertTrue(i > 3 || assignments == 0, "unknown tables are kept until reports arrive");
     }
     assertEquals(4, assignments);
   }
 
-  /** Under overload, requests include what clients repeat; only what succeeds shows capacity. */
+  /**
+   * Under overload, requests include clients' retries. Only successful attempts show how much the
+   * endpoints can serve.
+   */
   @Test
   void doesNotCountRetriesAsCapacityAfterStartUnderOverload() {
     Fleet fleet = Fleet.create(8, 8);
@@ -123,7 +138,8 @@
       fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
     }
     fleet.runRounds(7, 0.1, failureShares);
-    // Of 80 requests a fifth succeeds, at 14 endpoints; each can serve at least 0.76 of its part.
+    // A fifth of 80 requests per second succeeds, at 14 endpoints; each endpoint can serve at least
+    // 0.76 of its share.
     double limit = fleet.meanLimit();
     double capacity = 0.76 * 80 * 0.2 / 0.6 / 14;
     for (int i = 0; i < 6; i++) {
@@ -141,11 +157,18 @@
               .sum();
       assertTrue(
           possibleRate <= 1.5 * 1.3 * capacity,
-          possibleRate + " may come to an endpoint that can serve " + capacity);
+          possibleRate
+              + " requests per second may reach "
+              + entrant
+              + ", which can serve "
+              + capacity);
     }
   }
 
-  /** A started engine knows no load, and old tables may name the same endpoints. */
+  /**
+   * An engine that has just started knows no load, and earlier tables may have routes to the same
+   * warming endpoints, so that its first tables must omit them.
+   */
   @Test
   void firstTablesOmitWarmingEndpoints() {
     Fleet fleet = new Fleet(new FleetSettings().build());
@@ -159,7 +182,7 @@
     }
     fleet.step(1);
     for (int i = 6; i < 12; i++) {
-      assertEquals(0, fleet.load("t" + i));
+      assertEquals(0, fleet.load("t" + i), "load of the warming endpoint t" + i);
     }
   }
 }
--- a/src/test/java/stonespring/decision/Fleet.java
+++ b/src/test/java/stonespring/decision/Fleet.java
@@ -26,8 +26,8 @@
 import stonespring.solver.WeightAdvisor;
 
 /**
- * A fleet around an engine: passes it events and keeps what its commands leave behind, such as
- * tables, exclusions, limits and messages.
+ * Simulates a fleet around an engine: passes events to the engine, and applies its commands to the
+ * state of the fleet, such as tables, exclusions, admission limits and messages.
  */
 final class Fleet {
   static final long SECOND = DeciMillis.SECOND;
@@ -35,67 +35,80 @@
 
   final Settings settings;
 
-  /** The endpoint list, by name. */
+  /** The endpoint list by endpoint name; it has no removed endpoints. */
   final TreeMap<String, EndpointRecord> endpoints = new TreeMap<>();
 
-  /** Requests per second that other instances' proxies bring, by endpoint. */
+  /** Requests per second that other instances' proxies send, by endpoint. */
   final TreeMap<String, Double> otherInstancesLoad = new TreeMap<>();
 
+  /** When endpoints last became draining or removed, by endpoint. */
   final TreeMap<String, Long> outOfServiceAt = new TreeMap<>();
+
   final TreeMap<Integer, FleetProxy> proxies = new TreeMap<>();
+
+  /** Weights by endpoint, by the number of the route table. */
   final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
 
-  /** Events of the next step. */
+  /** Events that the next step passes to the engine. */
   final List<Event> events = new ArrayList<>();
 
-  /** What proxies will acknowledge; a test decides when. */
+  /** Acknowledgements that proxies have not sent yet; a test decides when they do. */
   final List<Event.UpdateAcknowledged> acknowledgements = new ArrayList<>();
 
-  /** Commands of the last step. */
+  /** Commands that the engine issued in the last step. */
   final List<Command> commands = new ArrayList<>();
 
+  /** The retry policy last set, by the index of the request class. */
   final TreeMap<Integer, RetryPolicy> retryPolicies = new TreeMap<>();
 
-  /** Request classes that proxies report, from the first. */
+  /** Number of request classes that proxies report, counted from the first. */
   int reportedClasses = 3;
 
+  /** The admission limit last set, by the index of the request class. */
   final double[] limits = {1, 1, 1};
 
-  /** The lowest of the limits. */
+  /** The lowest of the admission limits. */
   double lowestLimit = 1;
 
-  /** DeciMillis. */
+  /** Mean latency of successful attempts that is reported, in DeciMillis. */
   long successLatency = 1000;
 
-  /** The time that proxies' reports of requests count over, DeciMillis. */
+  /** The interval that a proxy's report of requests covers, in DeciMillis. */
   long reportSpan = 10 * SECOND;
 
-  /** Times the usual requests of all proxies. */
+  /** Factor by which the requests of all proxies differ from their usual rates. */
   double trafficFactor = 1;
 
-  /** Cost of a request by endpoint, times the usual; 1 if there is none. */
+  /** Factor by which the cost of a request differs from the usual, by endpoint; 1 if absent. */
   final Map<String, Double> relativeCost = new HashMap<>();
 
   long now = 100 * SECOND;
+
+  /** The instants at which running timers fire, by token. */
   final TreeMap<Long, Long> timers = new TreeMap<>();
 
-  /** Entries that wait in a channel of a third of the configured pace. */
+  /**
+   * Entries that wait in the channel, which passes a third of the configured entries per second.
+   */
   double backlog;
 
-  /** Entries sent since the start. */
+  /** Number of entries sent since the fleet was created. */
   double sentEntries;
 
   private long backlogAt = now;
   DecisionEngine engine;
 
-  /** Whether the weight solver runs beside the engine. */
+  /** Whether engines that are started from now on are advised by the weight solver. */
   boolean withSolver;
 
   Fleet(Settings settings) {
     this.settings = settings;
   }
 
-  /** Warm endpoints and proxies of 10 requests per second, over two zones, after a first step. */
+  /**
+   * Creates a fleet of warm endpoints and of proxies with 10 requests per second each, spread over
+   * two zones, and executes a first step.
+   */
   static Fleet create(int endpointCount, int proxyCount) {
     return create(new FleetSettings().build(), endpointCount, proxyCount);
   }
@@ -113,7 +126,10 @@
     return fleet;
   }
 
-  /** Proxies of equal traffic, but for the first; they connect with the next step. */
+  /**
+   * Creates a fleet whose proxies have equal traffic, except for the first one. The proxies connect
+   * in the next step.
+   */
   static Fleet createWithLargeProxy(
       int endpointCount, int proxyCount, double largeRate, double smallRate) {
     Fleet fleet = create(endpointCount, 0);
@@ -128,7 +144,7 @@
     return new EndpointRecord(new EndpointId(name), new ZoneId(zone), 1, state, startedAt);
   }
 
-  /** Starts an engine that knows the endpoint list and no proxy. */
+  /** Starts an engine that will receive the endpoint list as cached, and that knows no proxy. */
   void startEngine(long seed) {
     engine = new AssignmentEngine(settings, seed, now);
     if (withSolver) {
@@ -144,7 +160,10 @@
         new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, List.copyOf(endpoints.values())));
   }
 
-  /** The engine dies: proxies keep what they hold and connect again, its own tables are gone. */
+  /**
+   * Replaces the engine as if its process had restarted: its tables are lost, and the proxies
+   * reconnect with the tables that they hold.
+   */
   void restartEngine(long seed) {
     startEngine(seed);
     for (FleetProxy proxy : proxies.values()) {
@@ -154,6 +173,7 @@
     }
   }
 
+  /** Changes the endpoint list, and has the next step report the change to the engine. */
   void updateEndpoint(String name, int zone, EndpointRecord.State state, long startedAt) {
     EndpointRecord endpoint = endpointRecord(name, zone, state, startedAt);
     boolean wasReady = !endpoints.containsKey(name) || endpoints.get(name).state() == READY;
@@ -168,7 +188,7 @@
     events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(endpoint)));
   }
 
-  /** Connects a proxy; zone and rate of one that was connected before stay. */
+  /** Connects a proxy. One that was connected before keeps its zone and request rate. */
   void connect(int number, int zone, double requestRate, boolean withoutTables) {
     FleetProxy proxy = proxies.computeIfAbsent(number, n -> new FleetProxy(n, zone, requestRate));
     proxy.connected = true;
@@ -191,10 +211,11 @@
   }
 
   /**
-   * Reports of an interval: all requests of known tables were attempted.
+   * Adds the reports of an interval, in which all requests of proxies with known tables were
+   * attempted according to these tables.
    *
-   * @param utilizationPerRequestRate utilization for each request per second
-   * @param failureShares shares of attempts that failed, by endpoint
+   * @param utilizationPerRequestRate utilization of an endpoint per request per second
+   * @param failureShares shares of attempts that failed, by endpoint; 0 if absent
    */
   void report(double utilizationPerRequestRate, Map<String, Double> failureShares) {
     TreeMap<String, Double> rateByZoneAndEndpoint = new TreeMap<>();
@@ -243,7 +264,7 @@
     return new LoadReport(utilization, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
   }
 
-  /** Outcomes of one endpoint over a second, at the proxies of the first zone. */
+  /** Adds a report of one endpoint's outcomes in a second, from the proxies of the first zone. */
   void reportOutcomes(String endpoint, long attempts, long failures) {
     events.add(
         new Event.EndpointOutcomes(
@@ -256,36 +277,45 @@
             LoadReport.NONE));
   }
 
-  /** Rounds of a second each: reports, a step, and acknowledgements of all that was sent. */
+  /**
+   * Runs rounds of a second each. A round consists of reports, a step, the acknowledgement of all
+   * messages, and a check of the invariants.
+   */
   void runRounds(int count, double utilizationPerRequestRate, Map<String, Double> failureShares) {
     for (int i = 0; i < count; i++) {
       report(utilizationPerRequestRate, failureShares);
       step(SECOND);
       acknowledgeAll();
-      checkInvariants("round " + i + " of " + count + ", at " + now);
+      checkInvariants("round " + i + " of " + count + ", at " + now + " deci-milliseconds");
     }
   }
 
-  /** Has all that was sent acknowledged with the next step. */
+  /** Has the next step pass the acknowledgements of all messages to the engine. */
   void acknowledgeAll() {
     events.addAll(acknowledgements);
     acknowledgements.clear();
   }
 
+  /**
+   * Fails the test if an invariant is violated.
+   *
+   * @param when the point of the test, for the failure message
+   */
   void checkInvariants(String when) {
     FleetInvariants.check(this, when);
   }
 
+  /** The mean admission limit over all request classes. */
   double meanLimit() {
     return Arrays.stream(limits).average().getAsDouble();
   }
 
-  /** A connected or disconnected proxy's shares, as {@link FleetProxy#shares} has them. */
+  /** The shares of a proxy, connected or not, as defined by {@link FleetProxy#shares}. */
   TreeMap<String, Double> shares(int proxy) {
     return proxies.get(proxy).shares();
   }
 
-  /** Requests per second that all tables bring an endpoint. */
+  /** Requests per second that all connected proxies send to an endpoint by their tables. */
   double load(String endpoint) {
     return proxies.values().stream()
         .filter(p -> p.connected)
@@ -293,16 +323,22 @@
         .sum();
   }
 
-  /** The share of its capacity that an endpoint has at least. */
+  /** The minimum share of its full capacity that an endpoint has now; 1 once it is warm. */
   double warmUpFraction(EndpointRecord endpoint) {
     return settings.slowStart().warmUpFraction(endpoint.startedAt(), now);
   }
 
+  /** The commands of one kind that the engine issued in the last step. */
   <T extends Command> List<T> commandsOf(Class<T> kind) {
     return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
-  /** Lets time pass, passes all events and carries out what the engine commands. */
+  /**
+   * Advances the clock, passes all events to the engine, and applies the commands that it issues.
+   *
+   * @param duration DeciMillis
+   * @return the commands; none without events
+   */
   List<Command> step(long duration) {
     now += duration;
     timers
@@ -322,6 +358,7 @@
     return commands;
   }
 
+  /** Applies the commands of the last step to the fleet, and counts their channel entries. */
   private void applyCommands() {
     TreeMap<Integer, Integer> entries = new TreeMap<>();
     for (Command command : commands) {
@@ -361,7 +398,9 @@
 
   private void assignTable(Command.AssignRouteTable command, TreeMap<Integer, Integer> entries) {
     FleetProxy proxy = proxies.get(command.proxy().number());
-    assertTrue(proxy.connected, "assigned a table to a proxy that is not connected");
+    assertTrue(
+        proxy.connected,
+        "the engine assigned a table to proxy " + proxy.number + ", which is not connected");
     proxy.table = tables.computeIfAbsent(command.table().number(), n -> new TreeMap<>());
     boolean mayExclude = settings.channel().proxyTablesUnknown() && !proxy.withoutTables;
     int allowedAgain = mayExclude ? proxy.table.size() : 0;
@@ -388,7 +427,7 @@
   }
 
   private void limitAdmission(Command.LimitAdmission command, TreeMap<Integer, Integer> entries) {
-    assertTrue(command.limit() >= 0, "limit " + command.limit());
+    assertTrue(command.limit() >= 0, "expected a limit of 0 or more, found " + command.limit());
     for (int k = 0; k < settings.requestClasses().size(); k++) {
       if (command.requestClassMask() == 0 || (command.requestClassMask() >> k & 1) == 1) {
         retryPolicies.put(k, command.retryPolicy());
@@ -401,6 +440,7 @@
         .forEach(p -> entries.merge(p.number, 1, Integer::sum));
   }
 
+  /** Adds the entries of each proxy's message, with its overhead, to the channel's backlog. */
   private void chargeEntries(TreeMap<Integer, Integer> entries) {
     double entriesPerSecond = settings.channel().entriesPerSecond() / 3;
     backlog = Math.max(0, backlog - (now - backlogAt) * entriesPerSecond / SECOND);
--- a/src/test/java/stonespring/decision/FleetInvariants.java
+++ b/src/test/java/stonespring/decision/FleetInvariants.java
@@ -7,17 +7,24 @@
 import stonespring.model.RetryPolicy;
 import stonespring.model.RetrySafety;
 
-/** What must hold after every step, as far as commands alone show it. */
+/** Checks what must hold after every step, as far as the engine's commands show it. */
 final class FleetInvariants {
-  /** Messages after which updates for what left may wait for each other. */
+  /**
+   * Number of messages to a proxy in the message window from which on updates for unavailable
+   * endpoints may be batched.
+   */
   private static final int MESSAGES_BEFORE_BATCHING = 8;
 
-  /** DeciMillis for which they may wait. */
+  /** How long such updates may wait for a batch. */
   private static final long BATCHING_GRACE_DECI_MILLIS = 3 * DeciMillis.SECOND / 2;
 
   private FleetInvariants() {}
 
-  /** Fails the test if one does not hold. */
+  /**
+   * Fails the test if an invariant is violated.
+   *
+   * @param when the point of the test, for the failure message
+   */
   static void check(Fleet fleet, String when) {
     boolean warm = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
     for (FleetProxy proxy : fleet.proxies.values()) {
@@ -29,7 +36,11 @@
     }
     assertTrue(
         fleet.backlog <= fleet.settings.channel().maxBacklogEntries(),
-        when + ": " + fleet.backlog + " entries wait at a third of the pace");
+        when
+            + ": expected a backlog of at most "
+            + fleet.settings.channel().maxBacklogEntries()
+            + " entries, found "
+            + fleet.backlog);
     checkRetries(fleet, when);
   }
 
@@ -48,7 +59,12 @@
     long limit = fleet.settings.routing().maxTimeWithoutEndpoint();
     assertTrue(
         proxy.emptySince < 0 || fleet.now - proxy.emptySince <= limit,
-        when + ": a proxy has no route");
+        when
+            + ": proxy "
+            + proxy.number
+            + " has had no route for longer than "
+            + limit
+            + " deci-milliseconds");
   }
 
   private static void checkRoutesOnlyToUsableEndpoints(Fleet fleet, FleetProxy proxy, String when) {
@@ -61,7 +77,7 @@
           usable
               || proxy.messagesSentAt.size() >= MESSAGES_BEFORE_BATCHING
                   && fleet.now - fleet.outOfServiceAt.get(name) <= BATCHING_GRACE_DECI_MILLIS,
-          when + ": a route names " + name + ", which left");
+          when + ": proxy " + proxy.number + " has a route to " + name + ", which is unavailable");
     }
   }
 
@@ -73,7 +89,13 @@
     }
     assertTrue(
         limit == 0 || proxy.messagesSentAt.size() <= limit,
-        when + ": too many messages to one proxy");
+        when
+            + ": expected at most "
+            + limit
+            + " messages to proxy "
+            + proxy.number
+            + " in the window, found "
+            + proxy.messagesSentAt.size());
   }
 
   private static void checkRetries(Fleet fleet, String when) {
@@ -83,7 +105,7 @@
           fleet.settings.requestClasses().get(k).retrySafety() == RetrySafety.IDEMPOTENT
               || policy == RetryPolicy.NEVER
               || policy == RetryPolicy.IF_NOT_EXECUTED,
-          when + ": a request may take effect twice");
+          when + ": request class " + k + " is not idempotent, but its retry policy is " + policy);
     }
   }
 }
--- a/src/test/java/stonespring/decision/FleetProxy.java
+++ b/src/test/java/stonespring/decision/FleetProxy.java
@@ -5,22 +5,25 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** A proxy as it stands outside the engine. */
+/** The state of a simulated proxy, independent of what the engine knows about it. */
 final class FleetProxy {
   final int number;
   final int zone;
   final double requestRate;
 
-  /** Since when it has had no route while a warm endpoint was listed; -1 if it has one. */
+  /** Since when it has had no route although a warm endpoint is listed; -1 if that is not so. */
   long emptySince = -1;
 
   boolean connected;
   boolean withoutTables;
 
-  /** Weights by endpoint; null while it holds tables that the engine does not know. */
+  /** Weights by endpoint; null while the proxy holds tables that the engine does not know. */
   TreeMap<String, Double> table;
 
+  /** Names of the endpoints that the proxy was told not to use. */
   final TreeSet<String> excluded = new TreeSet<>();
+
+  /** When messages were sent to the proxy within the message window, the oldest first. */
   final ArrayDeque<Long> messagesSentAt = new ArrayDeque<>();
 
   FleetProxy(int number, int zone, double requestRate) {
@@ -29,7 +32,10 @@
     this.requestRate = requestRate;
   }
 
-  /** Shares of its requests by endpoint, without excluded ones; empty while tables are unknown. */
+  /**
+   * Shares of the proxy's requests by endpoint, without excluded endpoints; empty while its tables
+   * are unknown.
+   */
   TreeMap<String, Double> shares() {
     TreeMap<String, Double> shares = new TreeMap<>();
     if (table != null) {
--- a/src/test/java/stonespring/decision/FleetSettings.java
+++ b/src/test/java/stonespring/decision/FleetSettings.java
@@ -7,7 +7,9 @@
 import stonespring.model.RetrySafety;
 import stonespring.model.Settings;
 
-/** Builds the settings of a small fleet of two zones; what a test does not set has a default. */
+/**
+ * Builds the settings of a small fleet in two zones, with defaults for what a test does not set.
+ */
 final class FleetSettings {
   private static final long SECOND = DeciMillis.SECOND;
 
@@ -43,7 +45,7 @@
     return this;
   }
 
-  /** Messages to one proxy in 10 s; 0 for no limit. */
+  /** Sets how many messages one proxy may get in 10 s; 0 for no limit. */
   FleetSettings maxMessages(int maxMessages) {
     this.maxMessages = maxMessages;
     return this;
--- a/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
+++ b/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
@@ -23,13 +23,13 @@
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 
-/** Many proxies of a request or two per second: what is estimated of their traffic. */
+/** Tests the traffic estimates for many proxies with one or two requests per second each. */
 final class LowTrafficProxiesTest {
   private static final long SECOND = DeciMillis.SECOND;
   private static final int PROXIES = 120;
   private static final int ENDPOINTS = 12;
   private static final int CLASSES = 3;
-  private static final double REQUEST_RATE = 0.6; // requests per second of a proxy and class
+  private static final double REQUEST_RATE = 0.6; // requests per second per proxy and class
 
   private final SplittableRandom random = new SplittableRandom(5);
   private final long[][] reportedUntil = new long[PROXIES][CLASSES];
@@ -78,6 +78,7 @@
     java.util.Arrays.fill(reportedUntil[proxy], now);
   }
 
+  /** Draws the number of requests in an interval from a Poisson distribution. */
   private int poisson(double mean) {
     int count = 0;
     for (double threshold = Math.exp(-mean), product = random.nextDouble();
@@ -88,7 +89,10 @@
     return count;
   }
 
-  /** Reports of an interval; what had no request is not reported, and the next report spans it. */
+  /**
+   * Passes the reports of an interval to the engine. A request class without requests is not
+   * reported; its next report covers the interval as well.
+   */
   private void handleReports(int from, int to, double utilization) {
     for (int p = from; p < to; p++) {
       for (int k = 0; k < CLASSES; k++) {
@@ -127,7 +131,10 @@
     }
   }
 
-  /** A report right after a request shows a rate that is too high; the mean must be right. */
+  /**
+   * Proxies report only intervals with requests, so that reported rates are too high. The estimated
+   * mean must be right, or requests would be rejected without need.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
   void estimatesTheMeanRateOfLowTrafficProxies(int instances) {
@@ -143,12 +150,14 @@
       endBatch();
     }
     assertEquals(
-        1, limits.stream().min(Double::compare).orElse(1.0), "nothing is rejected: " + limits);
+        1,
+        limits.stream().min(Double::compare).orElse(1.0),
+        "no limit is below 1; limits: " + limits);
   }
 
   /**
-   * The first reports hold the attempts of the few proxies that connected first, and say nothing of
-   * what endpoints can serve.
+   * The first reports cover only the attempts of the few proxies that connected first, and do not
+   * show how much the endpoints can serve.
    */
   @Test
   void rejectsNothingWhileManyProxiesConnectAfterStart() {
@@ -162,17 +171,22 @@
       }
       if (tenth % 10 == 0) {
         handleOutcomes(reportedRate, 0.5);
-        reportedRate =
-            connected * REQUEST_RATE * CLASSES * 0.9; // of those that were connected a second ago
+        // Outcomes lag behind the connected proxies by a second.
+        reportedRate = connected * REQUEST_RATE * CLASSES * 0.9;
       }
       endBatch();
     }
-    assertTrue(connected == PROXIES / 2);
+    assertTrue(connected == PROXIES / 2, "all of this instance's proxies have connected");
     assertEquals(
-        1, limits.stream().min(Double::compare).orElse(1.0), "nothing is rejected: " + limits);
+        1,
+        limits.stream().min(Double::compare).orElse(1.0),
+        "no limit is below 1; limits: " + limits);
   }
 
-  /** Half disconnect for long: when they connect again, their traffic counts before they report. */
+  /**
+   * Half of the proxies are disconnected for two minutes. When they reconnect, their earlier
+   * traffic counts before they have reported.
+   */
   @Test
   void countsEarlierTrafficOfReconnectedProxies() {
     startEngine(1);
@@ -192,7 +206,10 @@
       handleReports(PROXIES / 2, PROXIES, 0.6);
       endBatch();
     }
-    assertEquals(1, limits.stream().min(Double::compare).orElse(1.0), "half of them fit");
+    assertEquals(
+        1,
+        limits.stream().min(Double::compare).orElse(1.0),
+        "the endpoints can serve the traffic of half of the proxies");
     for (int p = 0; p < PROXIES / 2; p++) {
       connect(p, false);
     }
@@ -200,9 +217,16 @@
     handleReports(PROXIES / 2, PROXIES, 0.6);
     endBatch();
     assertTrue(
-        limits.stream().min(Double::compare).orElse(1.0) < 1, "all of them don't: " + limits);
+        limits.stream().min(Double::compare).orElse(1.0) < 1,
+        "the endpoints cannot serve the traffic of all proxies; limits: " + limits);
   }
 
+  /**
+   * Runs some normal rounds and then some in which attempts fail, and returns the lowest admission
+   * limit.
+   *
+   * @param delayed whether the reports that show the failures arrive four seconds late
+   */
   private double runAndFindLowestLimit(boolean delayed) {
     limits.clear();
     startEngine(1);
@@ -224,14 +248,14 @@
   }
 
   /**
-   * Endpoints report spare capacity while attempts fail. While reports are delayed, the overload
-   * that they show may be over.
+   * Endpoints report spare capacity while attempts fail. Delayed reports may show an overload that
+   * has already ended, so that limits are reduced less.
    */
   @Test
   void reducesLimitsLessWhileReportsAreDelayed() {
     double normal = runAndFindLowestLimit(false);
     double delayed = runAndFindLowestLimit(true);
-    assertTrue(normal < 0.5, "normal " + normal);
-    assertTrue(delayed > 0.65, "normal " + normal + ", delayed " + delayed);
+    assertTrue(normal < 0.5, "lowest limit without delay " + normal);
+    assertTrue(delayed > 0.65, "lowest limit without delay " + normal + ", with delay " + delayed);
   }
 }
--- a/src/test/java/stonespring/decision/MassReconnectTest.java
+++ b/src/test/java/stonespring/decision/MassReconnectTest.java
@@ -15,13 +15,14 @@
 import stonespring.model.Settings;
 
 /**
- * All proxies connect to one instance during a release, on the platform, where it does not know the
- * tables that they bring along.
+ * Tests that all proxies can connect to one instance during a release. The settings are those of
+ * the platform, where the instance does not know the tables that connecting proxies hold.
  */
 final class MassReconnectTest {
-  private static final int PROXIES = 150; // their first tables just fit the channel
-  private static final int REMOVED_ENDPOINTS = 30; // endpoints that leave
+  private static final int PROXIES = 150; // the first tables of so many just fit the channel
+  private static final int REMOVED_ENDPOINTS = 30; // endpoints that the release removes
 
+  /** Acknowledgements by the number of sent entries up to the acknowledged message. */
   private final ArrayDeque<Map.Entry<Double, Event.UpdateAcknowledged>> waitingAcknowledgements =
       new ArrayDeque<>();
 
@@ -49,7 +50,12 @@
     return fleet;
   }
 
-  /** A second; messages are acknowledged once they pass the channel, at a third of its pace. */
+  /**
+   * Runs the fleet for a second. Messages are acknowledged once they have passed the channel, which
+   * passes a third of the configured entries per second.
+   *
+   * @param acknowledged whether acknowledgements reach the engine
+   */
   private void runSecond(Fleet fleet, boolean acknowledged) {
     fleet.report(0.001, Map.of());
     for (int k = 0; k < 5; k++) {
@@ -81,7 +87,8 @@
   }
 
   /**
-   * An exclusion is an entry for each endpoint at each unknown table: more than the channel takes.
+   * An exclusion costs an entry per endpoint and proxy with an unknown table. All of them together
+   * exceed the channel's backlog limit, which must hold nevertheless.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -98,12 +105,13 @@
     }
     assertEquals(
         List.of(),
-        fleet.proxies.values().stream().filter(p -> p.table == null).map(p -> p.number).toList());
+        fleet.proxies.values().stream().filter(p -> p.table == null).map(p -> p.number).toList(),
+        "proxies without an assigned table");
   }
 
   /**
-   * The proxies disconnect before they acknowledge anything: what waits for them is lost, and
-   * drains go out as ever.
+   * The proxies disconnect before they acknowledge the last messages. Entries that wait for them no
+   * longer count, so that a drain is sent to the other proxies at once.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -129,13 +137,15 @@
     }
     assertTrue(
         blocked,
-        "nothing is acknowledged, so the channel counts as full and what left is still named");
+        "without acknowledgements the channel counts as full, so routes to removed endpoints remain");
     for (int i = 3; i < PROXIES; i++) {
       fleet.disconnect(i);
     }
     List<String> names = new ArrayList<>(fleet.shares(0).keySet());
     fleet.updateEndpoint(names.get(0), 0, EndpointRecord.State.DRAINING, 0);
     fleet.step(Fleet.SECOND / 10);
-    assertFalse(fleet.shares(0).containsKey(names.get(0)), "it drains, and its route still stands");
+    assertFalse(
+        fleet.shares(0).containsKey(names.get(0)),
+        "the route to a draining endpoint is removed at once");
   }
 }
--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -28,9 +28,9 @@
 import stonespring.recorded.RecordedDigests;
 
 /**
- * Holds the decisions as they are: seeded runs of a small fleet, whose every command, in order and
- * with its numbers' full bits, is digested and compared with a recording. A change that is meant to
- * decide differently renews the recording and says so.
+ * Guards against unintended changes of decisions. Runs a small fleet with fixed seeds, digests
+ * every command in order with all bits of its numbers, and compares the digests with recorded ones.
+ * A change that is meant to alter decisions updates the recording and says so.
  */
 final class RecordedCommandsTest {
   private static final long SECOND = DeciMillis.SECOND;
@@ -38,17 +38,17 @@
   private static final int STEPS = 320; // 32 s
   private static final int PROXIES = 8;
   private static final int ENDPOINTS = 10;
-  private static final double CAPACITY = 40; // requests a second of one endpoint
+  private static final double CAPACITY = 40; // requests per second that one endpoint can serve
   private static final int SEEDS = 2;
 
-  /** What happens to the fleet before a step. */
+  /** A change that a scenario applies to the fleet before each step. */
   private interface FleetChange {
     void applyBefore(Run run, int step);
   }
 
   private record Scenario(String name, Settings settings, FleetChange change) {}
 
-  /** Passes everything on and digests what comes back. */
+  /** Passes all calls on to an engine, and digests the commands that it returns. */
   private record Recorder(DecisionEngine engine, RecordedDigests.Recording recording)
       implements DecisionEngine {
     @Override
@@ -64,7 +64,10 @@
     }
   }
 
-  /** One run of a scenario: a closed loop of tables, load, late reports and acknowledgements. */
+  /**
+   * One run of a scenario. It is a closed loop: the engine's tables determine the load of the
+   * endpoints, which determines later reports.
+   */
   private static final class Run {
     private final Fleet fleet;
     private final SplittableRandom random;
@@ -88,6 +91,7 @@
       fleet.engine = new Recorder(fleet.engine, recording);
     }
 
+    /** Replaces the engine by one with another seed, to which all proxies reconnect. */
     void restartEngine() {
       seed += 100;
       startEngine();
@@ -113,6 +117,7 @@
       return "e" + endpoint;
     }
 
+    /** Drains or removes an endpoint, and adds a new one in the same zone. */
     void replace(int endpoint, boolean drain) {
       int zone = fleet.endpoints.get(name(endpoint)).zone().index();
       fleet.updateEndpoint(
@@ -123,10 +128,12 @@
       fleet.updateEndpoint(name(nextEndpoint++), zone, EndpointRecord.State.READY, fleet.now);
     }
 
+    /** The warm-up fraction of an endpoint; 0 if it is null, which stands for an unlisted one. */
     private double warmUpFraction(EndpointRecord endpoint) {
       return endpoint == null ? 0 : fleet.warmUpFraction(endpoint);
     }
 
+    /** Queues reports in which attempts beyond an endpoint's capacity fail. */
     private void report() {
       Map<String, Double> failureShares = new HashMap<>(extraFailures);
       double worstOverload = 0;
@@ -233,7 +240,7 @@
     }
     if (step == 150) {
       run.fleet.updateEndpoint(
-          Run.name(3), 1, EndpointRecord.State.READY, run.fleet.now); // it restarted
+          Run.name(3), 1, EndpointRecord.State.READY, run.fleet.now); // its process restarted
     }
   }
 
@@ -349,7 +356,7 @@
     restarts(run, step);
   }
 
-  /** All scenarios, in the order of the recording. */
+  /** All scenarios in the order of the recording; their names are keys of the recording. */
   private static List<Scenario> scenarios() {
     List<Scenario> all = new ArrayList<>(trafficScenarios());
     all.addAll(changingFleetScenarios());
@@ -426,7 +433,8 @@
       for (long seed = 1; seed <= SEEDS; seed++) {
         Run run = new Run(scenario.settings(), seed);
         run.simulate(scenario.change());
-        assertTrue(run.commandCount > 0, scenario.name() + " commanded nothing");
+        assertTrue(
+            run.commandCount > 0, "the engine issued no command in scenario " + scenario.name());
         digests.put(
             scenario.name() + "/" + seed + " (" + run.commandCount + " commands)", run.recording);
       }
@@ -435,8 +443,8 @@
   }
 
   /**
-   * Replaced endpoints over a quarter of an hour: what was long gone is forgotten, and its index
-   * used again.
+   * Replaces endpoints for 25 minutes, so that endpoints removed long ago are evicted and their
+   * indexes reused.
    */
   @Test
   void longRunIssuesRecordedCommands() throws IOException {
--- a/src/test/java/stonespring/decision/RequestRateEstimatorTest.java
+++ b/src/test/java/stonespring/decision/RequestRateEstimatorTest.java
@@ -8,7 +8,7 @@
 import stonespring.model.ProxyId;
 import stonespring.model.RequestClassId;
 
-/** What is taken for a proxy's traffic. */
+/** Tests the estimate of the requests per second that a proxy receives. */
 final class RequestRateEstimatorTest {
   private final RequestRateEstimator estimator = new RequestRateEstimator(2);
 
@@ -48,11 +48,16 @@
     assertEquals(40, estimator.averageRate(0), 1e-9);
   }
 
-  /** With about a request an interval, many intervals have none and are not reported. */
+  /**
+   * With about one request per interval on average, many intervals have none and are not reported,
+   * so that reported rates are too high.
+   */
   @Test
   void latestRateIsReducedForIntervalsThatAreNotReported() {
     report(0, 1);
     report(1, 1);
-    assertTrue(estimator.latestRate() < 2 && estimator.latestRate() > 0.2);
+    assertTrue(
+        estimator.latestRate() < 2 && estimator.latestRate() > 0.2,
+        "expected a rate between 0.2 and 2, found " + estimator.latestRate());
   }
 }
--- a/src/test/java/stonespring/decision/RouteTableTest.java
+++ b/src/test/java/stonespring/decision/RouteTableTest.java
@@ -10,7 +10,7 @@
 import stonespring.model.EndpointId;
 import stonespring.model.EndpointRecord;
 
-/** The routes of one table: held, wanted, or both. */
+/** Tests the routes of one table, which are applied, planned, or both. */
 final class RouteTableTest {
   private final RouteTable table = new RouteTable();
 
@@ -27,11 +27,11 @@
     EndpointState endpoint = createReady(0);
     Route route = table.setTarget(endpoint, 0.5);
     assertFalse(table.holds(endpoint));
-    assertTrue(table.isBroken(), "it holds no route");
+    assertTrue(table.isBroken(), "no route is applied");
     route.setWeight(0.5);
     assertTrue(table.holds(endpoint));
     assertFalse(table.isBroken());
-    assertSame(route, table.setTarget(endpoint, 0.7), "one route for each endpoint");
+    assertSame(route, table.setTarget(endpoint, 0.7), "a table has one route per endpoint");
   }
 
   @Test
@@ -65,6 +65,7 @@
   void ignoresWeightDifferencesWithinTolerance() {
     assertFalse(Route.differsSignificantly(0.5, 0.52));
     assertTrue(Route.differsSignificantly(0.5, 0.54));
-    assertTrue(Route.differsSignificantly(0, 0.001), "a route that comes or goes always counts");
+    assertTrue(
+        Route.differsSignificantly(0, 0.001), "adding or removing a route is always significant");
   }
 }
