--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -147,6 +147,7 @@
 
   /** These settings as they hold on the platform's sockets. */
   PlatformSettings onPlatform() {
-    return new PlatformSettings(settings.onPlatform(), zones, requestClassNames, minBatchInterval);
+    return new PlatformSettings(
+        settings.withPlatformConstraints(), zones, requestClassNames, minBatchInterval);
   }
 }
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -105,7 +105,7 @@
   public void handleHello(
       String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection, long now) {
     HelloResult<ProxyConnection> result =
-        sessions.hello(proxy, hello, connection, now, now + sessionTimeout);
+        sessions.handleHello(proxy, hello, connection, now, now + sessionTimeout);
     if (result instanceof HelloResult.Refused<ProxyConnection> refused) {
       connection.close(refused.reason());
     } else if (result instanceof HelloResult.Connected<ProxyConnection> connected) {
@@ -126,12 +126,12 @@
   }
 
   private void startSession(String proxy, ProxyId id, ProxyHello hello, long now) {
-    routeTables.proxyConnected(id, hello.tableEndpoints());
+    routeTables.addProxy(id, hello.tableEndpoints());
     Event connected =
         new Event.ProxyConnected(
             id, hello.zone(), hello.requestsPerSecond(), hello.withoutTables());
     handle(now, connected, "connect " + proxy);
-    environment.publish(published.proxyConnected(id));
+    environment.publish(published.publishSessionStart(id));
     LOG.info(
         "proxy {} connected as {}, session {}, {}",
         proxy,
@@ -141,17 +141,17 @@
   }
 
   private void endSession(ProxyId id, String reason, long now) {
-    routeTables.proxyDisconnected(id);
-    channel.proxyDisconnected(id);
-    reports.proxyDisconnected(id);
-    environment.publish(published.proxyDisconnected(id));
+    routeTables.removeProxy(id);
+    channel.removeProxy(id);
+    reports.discardRequestCounts(id);
+    environment.publish(published.publishSessionEnd(id));
     handle(now, new Event.ProxyDisconnected(id), "disconnect " + sessions.name(id));
     LOG.info("proxy {} disconnected: {}", sessions.name(id), reason);
   }
 
   /** Ends the sessions of all proxies on a connection that was closed. */
   public void handleConnectionClosed(ProxyConnection connection, long now) {
-    for (ProxyId id : sessions.connectionClosed(connection)) {
+    for (ProxyId id : sessions.endSessions(connection)) {
       endSession(id, "its connection was closed", now);
     }
   }
@@ -239,7 +239,7 @@
     if (engine.fireDueTimers(now)) {
       causes.add("timer");
     }
-    for (ProxyId id : sessions.expire(now)) {
+    for (ProxyId id : sessions.endExpiredSessions(now)) {
       endSession(id, "its session expired", now);
     }
     if (now >= nextReportsAt) {
--- a/src/main/java/stonespring/model/Settings.java
+++ b/src/main/java/stonespring/model/Settings.java
@@ -105,7 +105,7 @@
    * These settings as they hold on the operators' platform: the endpoint list comes only to who
    * watches it, and proxies do not say what their tables hold.
    */
-  public Settings onPlatform() {
+  public Settings withPlatformConstraints() {
     ChannelLimits platformChannel =
         new ChannelLimits(
             channel.maxBacklogEntries,
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -109,7 +109,7 @@
     ProxySession session = new ProxySession(hello, connection, routeState);
     sessions.put(hello.proxy().number(), session);
     connection.setSession(session);
-    tables.proxyConnected(hello.proxy(), Optional.empty());
+    tables.addProxy(hello.proxy(), Optional.empty());
     events.accept(hello);
   }
 
@@ -181,7 +181,7 @@
       collectors.remove(collector.zone(), connection);
     } else if (connection.session() instanceof ProxySession session
         && sessions.remove(session.proxy().number(), session)) {
-      tables.proxyDisconnected(session.proxy());
+      tables.removeProxy(session.proxy());
       events.accept(new Event.ProxyDisconnected(session.proxy()));
     }
   }
@@ -190,7 +190,7 @@
   public void endpointListUpdated(Event.EndpointListUpdate update) {
     for (EndpointId forgotten : knownEndpoints.add(update.endpoints())) {
       excludedAtProxy.values().forEach(excluded -> excluded.remove(forgotten));
-      tables.forget(forgotten);
+      tables.discardExclusion(forgotten);
     }
   }
 
--- a/src/main/java/stonespring/state/KeyStore.java
+++ b/src/main/java/stonespring/state/KeyStore.java
@@ -54,7 +54,7 @@
   }
 
   /** Drops a subtree without updates: for keys that nobody follows any more. */
-  public void forget(String subtree) {
+  public void discardSubtree(String subtree) {
     entriesOf(subtree).clear();
   }
 
--- a/src/main/java/stonespring/state/ProxySessions.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -58,7 +58,7 @@
    *
    * @param expiresAt when the session ends if it is not renewed
    */
-  public HelloResult<C> hello(
+  public HelloResult<C> handleHello(
       String name, ProxyHello hello, C connection, long now, long expiresAt) {
     Session<C> session = byName.get(name);
     if (session != null && session.isConnected()) {
@@ -131,7 +131,7 @@
   }
 
   /** A connection closed: ends all sessions on it, and returns their proxies. */
-  public List<ProxyId> connectionClosed(C connection) {
+  public List<ProxyId> endSessions(C connection) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(byConnection.getOrDefault(connection, Set.of()))) {
       end(session);
@@ -141,7 +141,7 @@
   }
 
   /** Ends the sessions that were not renewed in time, and returns their proxies. */
-  public List<ProxyId> expire(long now) {
+  public List<ProxyId> endExpiredSessions(long now) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(connected)) {
       if (session.expiresAt <= now) {
--- a/src/main/java/stonespring/state/PublishedState.java
+++ b/src/main/java/stonespring/state/PublishedState.java
@@ -118,7 +118,7 @@
   }
 
   /** Publishes that a proxy's session began. */
-  public List<KeyUpdate> proxyConnected(ProxyId proxy) {
+  public List<KeyUpdate> publishSessionStart(ProxyId proxy) {
     return put(presenceKey(proxy), "{\"origin\":\"" + sessionId(proxy) + "\"}").stream().toList();
   }
 
@@ -126,11 +126,11 @@
    * Publishes that a proxy's session ended. Its keys are dropped; the deleted commit notifies
    * whoever follows them.
    */
-  public List<KeyUpdate> proxyDisconnected(ProxyId proxy) {
+  public List<KeyUpdate> publishSessionEnd(ProxyId proxy) {
     String subtree = subtree(proxy);
     boolean committed = keys.contains(subtree + COMMIT);
     sessions.remove(proxy.number());
-    keys.forget(subtree);
+    keys.discardSubtree(subtree);
     List<KeyUpdate> updates = new ArrayList<>();
     if (committed) {
       updates.add(keys.delete(subtree + COMMIT));
--- a/src/main/java/stonespring/state/RateLimitedChannel.java
+++ b/src/main/java/stonespring/state/RateLimitedChannel.java
@@ -131,7 +131,7 @@
   }
 
   /** A proxy disconnected: what waits for it is dropped, and its messages are counted anew. */
-  public void proxyDisconnected(ProxyId proxy) {
+  public void removeProxy(ProxyId proxy) {
     for (Iterator<Waiting> it = queue.iterator(); it.hasNext(); ) {
       Waiting waiting = it.next();
       if (waiting.update.proxy().equals(proxy)) {
--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -143,7 +143,7 @@
    * A proxy disconnected: what it received is no demand here any more. What it observed at
    * endpoints stays true.
    */
-  public void proxyDisconnected(ProxyId proxy) {
+  public void discardRequestCounts(ProxyId proxy) {
     requestTotals.subMap(firstKey(proxy.number()), firstKey(proxy.number() + 1L)).clear();
   }
 
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -43,13 +43,13 @@
    *
    * @param tableEndpoints the endpoints that the tables it brought along name; empty if unknown
    */
-  public void proxyConnected(ProxyId proxy, Optional<List<EndpointId>> tableEndpoints) {
-    proxyDisconnected(proxy);
+  public void addProxy(ProxyId proxy, Optional<List<EndpointId>> tableEndpoints) {
+    removeProxy(proxy);
     proxies.put(proxy.number(), new ConnectedProxy(proxy, requestClasses, tableEndpoints));
   }
 
   /** A proxy's connection ended; unknown proxies are ignored. */
-  public void proxyDisconnected(ProxyId id) {
+  public void removeProxy(ProxyId id) {
     ConnectedProxy proxy = proxies.remove(id.number());
     if (proxy == null) {
       return;
@@ -67,7 +67,7 @@
   }
 
   /** Ends the exclusion of an endpoint that no proxy holds any more, without an update. */
-  public void forget(EndpointId endpoint) {
+  public void discardExclusion(EndpointId endpoint) {
     excluded.remove(endpoint);
   }
 
--- a/src/test/java/stonespring/decision/MassReconnectTest.java
+++ b/src/test/java/stonespring/decision/MassReconnectTest.java
@@ -33,7 +33,7 @@
             .bootstrapRoutes(5)
             .channel(backlog, 2_500)
             .build()
-            .onPlatform();
+            .withPlatformConstraints();
     Fleet fleet = new Fleet(settings);
     for (int i = 0; i < 2 * RELEASED; i++) {
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, Fleet.READY, 0));
--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -385,11 +385,14 @@
     Settings byFraction = settings(AdmissionLimitKind.FRACTION);
     Settings byRate = settings(AdmissionLimitKind.RATE);
     Settings narrow = narrowChannel();
-    Settings onSockets = narrow.onPlatform();
+    Settings onSockets = narrow.withPlatformConstraints();
     return List.of(
         new Scenario("drains", byFraction, RecordedCommandsTest::drains),
         new Scenario("drains-narrow", narrow, RecordedCommandsTest::drains),
-        new Scenario("drains-on-sockets", byFraction.onPlatform(), RecordedCommandsTest::drains),
+        new Scenario(
+            "drains-on-sockets",
+            byFraction.withPlatformConstraints(),
+            RecordedCommandsTest::drains),
         new Scenario("lost-zone", byFraction, RecordedCommandsTest::lostZone),
         new Scenario("lost-zone-narrow", narrow, RecordedCommandsTest::lostZone),
         new Scenario("restarts", byFraction, RecordedCommandsTest::restarts),
@@ -401,7 +404,7 @@
   private static List<Scenario> otherScenarios() {
     Settings byFraction = settings(AdmissionLimitKind.FRACTION);
     Settings narrow = narrowChannel();
-    Settings onSockets = narrow.onPlatform();
+    Settings onSockets = narrow.withPlatformConstraints();
     Settings watched = new FleetSettings().bootstrapRoutes(5).watchRequired().build();
     Settings keepServing = new FleetSettings().bootstrapRoutes(5).removedKeepServing(true).build();
     Settings threeInstances = new FleetSettings().instances(3).bootstrapRoutes(5).build();
--- a/src/test/java/stonespring/proxyapi/platform/ProxyRouteStateTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/ProxyRouteStateTest.java
@@ -23,7 +23,7 @@
   void namesMayHoldASlash() {
     List<String> requestClasses = List.of("look/up", "buy");
     RouteTables tables = new RouteTables(requestClasses.size());
-    tables.proxyConnected(new ProxyId(3), Optional.empty());
+    tables.addProxy(new ProxyId(3), Optional.empty());
     ProxyExclusions exclusions = new ProxyExclusions(new HashSet<>(), false);
     ProxyRouteState state = new ProxyRouteState(requestClasses.size(), tables, exclusions);
     PlatformMessageCodec codec =
--- a/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
@@ -101,7 +101,7 @@
       for (int step = 0; step < STEPS; step++) {
         int proxy = random.nextInt(PROXIES);
         if (!streams.containsKey(proxy) || random.nextInt(30) == 0) {
-          tables.proxyConnected(new ProxyId(proxy), Optional.empty());
+          tables.addProxy(new ProxyId(proxy), Optional.empty());
           streams.put(
               proxy,
               new ProxyRouteState(
@@ -155,7 +155,7 @@
                   ? Optional.empty()
                   : Optional.of(List.of(new EndpointId("s-1"), new EndpointId("s-2")));
           HelloResult<String> result =
-              sessions.hello(
+              sessions.handleHello(
                   "p" + number,
                   new ProxyHello("life", step, new ZoneId(0), 5, random.nextBoolean(), endpoints),
                   "connection" + step,
@@ -163,12 +163,12 @@
                   1L << 40);
           ProxyId proxy = ((HelloResult.Connected<String>) result).proxy();
           if (here[number]) {
-            publish(recording, published.proxyDisconnected(proxy));
-            tables.proxyDisconnected(proxy);
+            publish(recording, published.publishSessionEnd(proxy));
+            tables.removeProxy(proxy);
           }
           here[number] = true;
-          tables.proxyConnected(proxy, endpoints);
-          publish(recording, published.proxyConnected(proxy));
+          tables.addProxy(proxy, endpoints);
+          publish(recording, published.publishSessionStart(proxy));
         }
         for (ProxyUpdate update : tables.apply(commands(random, step), step)) {
           recording.add(update.proxy().number() + " " + update.entries());
--- a/src/test/java/stonespring/proxyapi/platform/SameCommandsTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SameCommandsTest.java
@@ -295,7 +295,7 @@
       }
       proxies.put(number, proxy);
       simulated.assigned.put(number, new Integer[CLASSES.size()]);
-      tables.proxyConnected(new ProxyId(number), Optional.empty());
+      tables.addProxy(new ProxyId(number), Optional.empty());
       ProxyExclusions exclusions =
           new ProxyExclusions(excluded.computeIfAbsent(number, n -> new HashSet<>()), !restarted);
       streams.put(number, new ProxyRouteState(CLASSES.size(), tables, exclusions));
@@ -342,7 +342,7 @@
     RouteTables tables = new RouteTables(CLASSES.size());
     ProxyRouteState stream =
         new ProxyRouteState(CLASSES.size(), tables, new ProxyExclusions(new HashSet<>(), false));
-    tables.proxyConnected(new ProxyId(0), Optional.empty());
+    tables.addProxy(new ProxyId(0), Optional.empty());
     List<Command> first =
         new ArrayList<>(
             List.of(
--- a/src/test/java/stonespring/state/ProxySessionsTest.java
+++ b/src/test/java/stonespring/state/ProxySessionsTest.java
@@ -19,18 +19,21 @@
     ProxySessions<Object> sessions = new ProxySessions<>(2);
     ProxyHello hello = hello("l", 1);
     Object connection = new Object();
-    assertInstanceOf(HelloResult.Connected.class, sessions.hello("a", hello, connection, 0, 10));
-    assertInstanceOf(HelloResult.Connected.class, sessions.hello("b", hello, new Object(), 0, 10));
-    assertInstanceOf(HelloResult.Refused.class, sessions.hello("c", hello, new Object(), 0, 10));
+    assertInstanceOf(
+        HelloResult.Connected.class, sessions.handleHello("a", hello, connection, 0, 10));
+    assertInstanceOf(
+        HelloResult.Connected.class, sessions.handleHello("b", hello, new Object(), 0, 10));
+    assertInstanceOf(
+        HelloResult.Refused.class, sessions.handleHello("c", hello, new Object(), 0, 10));
     long before = sessions.sessionNumber(new ProxyId(0));
-    assertEquals(List.of(new ProxyId(0)), sessions.connectionClosed(connection));
+    assertEquals(List.of(new ProxyId(0)), sessions.endSessions(connection));
     HelloResult.Connected<Object> connected =
-        (HelloResult.Connected<Object>) sessions.hello("c", hello, new Object(), 1, 10);
+        (HelloResult.Connected<Object>) sessions.handleHello("c", hello, new Object(), 1, 10);
     assertEquals(new ProxyId(0), connected.proxy());
     assertTrue(
         sessions.sessionNumber(connected.proxy()) > before, "a reused id is another session");
     assertEquals(Optional.empty(), sessions.find("a", connection));
-    assertEquals(2, sessions.expire(10).size());
+    assertEquals(2, sessions.endExpiredSessions(10).size());
     assertEquals(0, sessions.connectedCount());
   }
 
@@ -43,10 +46,10 @@
     for (int i = 0; i < 20_000; i++) {
       Object connection = connections.get(random.nextInt(3));
       switch (random.nextInt(6)) {
-        case 0 -> sessions.connectionClosed(connection);
-        case 1 -> sessions.expire(i);
+        case 0 -> sessions.endSessions(connection);
+        case 1 -> sessions.endExpiredSessions(i);
         default ->
-            sessions.hello(
+            sessions.handleHello(
                 "p" + random.nextInt(30),
                 new ProxyHello(
                     "l" + random.nextInt(2),
--- a/src/test/java/stonespring/state/PublishedStateTest.java
+++ b/src/test/java/stonespring/state/PublishedStateTest.java
@@ -18,11 +18,11 @@
     PublishedState published =
         new PublishedState(
             keys, new PublishedKeyCodec(StateFixture.REQUEST_CLASSES), "e", sessions);
-    sessions.hello("p", hello("l", 1), new Object(), 0, 10);
+    sessions.handleHello("p", hello("l", 1), new Object(), 0, 10);
     assertEquals(List.of(), published.publish(update(PROXY, 5)));
     assertTrue(keys.snapshot("/proxy/p/").stream().noneMatch(k -> k.key().endsWith("/commit")));
     assertNotNull(keys.delete("/x"));
     assertEquals(14, keys.sequence());
-    assertEquals(15, published.proxyDisconnected(PROXY).get(0).sequence());
+    assertEquals(15, published.publishSessionEnd(PROXY).get(0).sequence());
   }
 }
--- a/src/test/java/stonespring/state/RateLimitedChannelTest.java
+++ b/src/test/java/stonespring/state/RateLimitedChannelTest.java
@@ -53,7 +53,7 @@
       assertEquals(String.valueOf(995 + k), last.get("line/7/t" + k), "the later value stands");
     }
     channel.offer(List.of(update(PROXY, 3), update(OTHER_PROXY, 3)), 2_000_000);
-    channel.proxyDisconnected(PROXY);
+    channel.removeProxy(PROXY);
     assertEquals(13, channel.backlogEntries());
   }
 }
--- a/src/test/java/stonespring/state/ReportAggregatorTest.java
+++ b/src/test/java/stonespring/state/ReportAggregatorTest.java
@@ -43,7 +43,7 @@
         PROXY,
         new ZoneId(0),
         new ProxyReport(1, List.of(), List.of(new RequestCount(new RequestClassId(0), 5, 1))));
-    reports.proxyDisconnected(PROXY);
+    reports.discardRequestCounts(PROXY);
     assertEquals(List.of(), reports.drain());
   }
 }
--- a/src/test/java/stonespring/state/RouteTablesTest.java
+++ b/src/test/java/stonespring/state/RouteTablesTest.java
@@ -27,8 +27,8 @@
 
   @Test
   void updatesHoldTheFewestKeysAndTheirEntries() {
-    tables.proxyConnected(PROXY, Optional.of(List.of(ENDPOINT_A)));
-    tables.proxyConnected(OTHER_PROXY, Optional.of(List.of()));
+    tables.addProxy(PROXY, Optional.of(List.of(ENDPOINT_A)));
+    tables.addProxy(OTHER_PROXY, Optional.of(List.of()));
     List<ProxyUpdate> first =
         tables.apply(
             List.of(
@@ -69,7 +69,7 @@
     assertEquals(1, second.size(), "a proxy that does not use the table gets no update");
     Map<String, String> changes = keysOf(second.get(0), 2);
     assertTrue(changes.containsKey("line/7/a@h:1") && changes.get("line/7/a@h:1") == null);
-    tables.proxyDisconnected(PROXY);
+    tables.removeProxy(PROXY);
     assertEquals(
         List.of(),
         tables.apply(
@@ -87,7 +87,7 @@
             new Command.ExcludeEndpoint(ENDPOINT_B, true),
             new Command.SetRoute(TABLE, ENDPOINT_B, 1)),
         1);
-    tables.proxyConnected(PROXY, Optional.empty());
+    tables.addProxy(PROXY, Optional.empty());
     List<ProxyUpdate> updates =
         tables.apply(List.of(new Command.AssignRouteTable(TABLE, PROXY, 0)), 2);
     assertEquals(
@@ -107,7 +107,7 @@
 
   @Test
   void clearingAnEmptyTableCausesNoUpdate() {
-    tables.proxyConnected(PROXY, Optional.empty());
+    tables.addProxy(PROXY, Optional.empty());
     tables.apply(List.of(new Command.AssignRouteTable(TABLE, PROXY, 0)), 1);
     assertEquals(List.of(), tables.apply(List.of(new Command.ClearRouteTable(TABLE)), 2));
   }
--- a/src/test/java/stonespring/state/StateFixture.java
+++ b/src/test/java/stonespring/state/StateFixture.java
@@ -44,7 +44,7 @@
     return new ProxyChange.RouteChange(TABLE, new EndpointId(endpoint), weight);
   }
 
-  static ProxyHello hello(String processId, long sessionCount) {
-    return new ProxyHello(processId, sessionCount, new ZoneId(0), 1, true, Optional.empty());
+  static ProxyHello hello(String processId, long sessionSequence) {
+    return new ProxyHello(processId, sessionSequence, new ZoneId(0), 1, true, Optional.empty());
   }
 }
