--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -180,7 +180,7 @@
     return new FleetSettings().bootstrapRoutes(5).sharded().build();
   }
 
-  private static void calm(Run run, int step) {
+  private static void steadyTraffic(Run run, int step) {
     run.fleet.trafficFactor = 1 + 0.1 * run.random.nextDouble();
   }
 
@@ -192,7 +192,7 @@
     run.fleet.trafficFactor = step > 60 && step < 200 ? 6 : 1;
   }
 
-  private static void drains(Run run, int step) {
+  private static void replacedEndpoints(Run run, int step) {
     if (step % 30 == 20 && step / 30 < ENDPOINTS) {
       run.replace(step / 30, step % 60 == 20);
     }
@@ -226,7 +226,7 @@
     if (step == 90 || step == 96 || step == 200) {
       run.restartEngine();
     }
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
   private static void warmUp(Run run, int step) {
@@ -248,10 +248,10 @@
     run.reportDelay = step > 70 && step < 200 ? 5 * SECOND : SECOND / 5;
     run.stepsPerAcknowledgement = step > 70 && step < 200 ? 37 : 2;
     surge(run, step);
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void badEndpoints(Run run, int step) {
+  private static void failingEndpoints(Run run, int step) {
     if (step == 70) {
       run.extraFailures.put(Run.name(1), 0.9);
       run.extraFailures.put(Run.name(4), 0.4);
@@ -262,7 +262,7 @@
 
   private static void proposals(Run run, int step) {
     surge(run, step);
-    drains(run, step);
+    replacedEndpoints(run, step);
     if (step % 40 == 15) {
       for (int p = 0; p < PROXIES; p += 2) {
         List<Event.WeightsProposed.Share> shares = new ArrayList<>();
@@ -274,16 +274,16 @@
     }
   }
 
-  private static void advised(Run run, int step) {
+  private static void solverAdvice(Run run, int step) {
     run.fleet.withSolver = true;
     if (step == 0) {
       run.restartEngine();
     }
     surge(run, step);
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void lists(Run run, int step) {
+  private static void listFailuresAndSnapshots(Run run, int step) {
     List<Event> events = run.fleet.events;
     if (step == 40 || step == 45 || step == 130) {
       events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
@@ -300,7 +300,7 @@
     }
   }
 
-  private static void wrongList(Run run, int step) {
+  private static void listWithoutServingEndpoints(Run run, int step) {
     if (step == 80) {
       for (int i = 0; i < 4; i++) {
         run.fleet.updateEndpoint(Run.name(i), i % 2, EndpointRecord.State.REMOVED, 0);
@@ -323,10 +323,10 @@
         run.fleet.connect(number, number % 2, 10 + number, run.random.nextBoolean());
       }
     }
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void shards(Run run, int step) {
+  private static void shardEvents(Run run, int step) {
     List<Event> events = run.fleet.events;
     if (step % 25 == 5) {
       RouteTableId shard = new RouteTableId(step / 25);
@@ -334,10 +334,10 @@
       events.add(new Event.ShardRoute(shard, new EndpointId(Run.name(step / 25 % ENDPOINTS)), 1));
       events.add(new Event.ShardRequestRate(shard, new RequestClassId(0), 40, 1, SECOND));
     }
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void peers(Run run, int step) {
+  private static void peerMessages(Run run, int step) {
     if (step % 20 == 3) {
       run.fleet.events.add(new Event.PeerMessage(new PeerId(1), new byte[] {1, 2, (byte) step}));
       run.fleet.events.add(
@@ -379,7 +379,7 @@
     Settings unlimited = settings(AdmissionLimitKind.NONE);
     Settings unlimitedMessages = new FleetSettings().maxMessages(0).bootstrapRoutes(0).build();
     return List.of(
-        new Scenario("calm", byFraction, RecordedCommandsTest::calm),
+        new Scenario("calm", byFraction, RecordedCommandsTest::steadyTraffic),
         new Scenario("surge", byFraction, RecordedCommandsTest::surge),
         new Scenario("overload", byFraction, RecordedCommandsTest::overload),
         new Scenario("overload-rates", byRate, RecordedCommandsTest::overload),
@@ -394,12 +394,12 @@
     Settings narrow = narrowChannel();
     Settings onSockets = narrow.withPlatformConstraints();
     return List.of(
-        new Scenario("drains", byFraction, RecordedCommandsTest::drains),
-        new Scenario("drains-narrow", narrow, RecordedCommandsTest::drains),
+        new Scenario("drains", byFraction, RecordedCommandsTest::replacedEndpoints),
+        new Scenario("drains-narrow", narrow, RecordedCommandsTest::replacedEndpoints),
         new Scenario(
             "drains-on-sockets",
             byFraction.withPlatformConstraints(),
-            RecordedCommandsTest::drains),
+            RecordedCommandsTest::replacedEndpoints),
         new Scenario("lost-zone", byFraction, RecordedCommandsTest::lostZone),
         new Scenario("lost-zone-narrow", narrow, RecordedCommandsTest::lostZone),
         new Scenario("restarts", byFraction, RecordedCommandsTest::restarts),
@@ -418,15 +418,15 @@
     return List.of(
         new Scenario("late-reports", byFraction, RecordedCommandsTest::lateReports),
         new Scenario("late-reports-narrow", narrow, RecordedCommandsTest::lateReports),
-        new Scenario("bad-endpoints", byFraction, RecordedCommandsTest::badEndpoints),
+        new Scenario("bad-endpoints", byFraction, RecordedCommandsTest::failingEndpoints),
         new Scenario("proposals", byFraction, RecordedCommandsTest::proposals),
-        new Scenario("advised", byFraction, RecordedCommandsTest::advised),
-        new Scenario("lists", watched, RecordedCommandsTest::lists),
-        new Scenario("wrong-list", keepServing, RecordedCommandsTest::wrongList),
+        new Scenario("advised", byFraction, RecordedCommandsTest::solverAdvice),
+        new Scenario("lists", watched, RecordedCommandsTest::listFailuresAndSnapshots),
+        new Scenario("wrong-list", keepServing, RecordedCommandsTest::listWithoutServingEndpoints),
         new Scenario("herd", byFraction, RecordedCommandsTest::massReconnect),
         new Scenario("herd-on-sockets", onSockets, RecordedCommandsTest::massReconnect),
-        new Scenario("shards", sharded(), RecordedCommandsTest::shards),
-        new Scenario("three-instances", threeInstances, RecordedCommandsTest::peers));
+        new Scenario("shards", sharded(), RecordedCommandsTest::shardEvents),
+        new Scenario("three-instances", threeInstances, RecordedCommandsTest::peerMessages));
   }
 
   @Test
