--- a/src/main/java/stonespring/decision/EndpointIntroducer.java
+++ b/src/main/java/stonespring/decision/EndpointIntroducer.java
@@ -14,7 +14,7 @@
 final class EndpointIntroducer {
   /**
    * Factor by which the probability is multiplied for proxies in the endpoint's zone, and divided
-   * for the others.
+   * for the others, so that a proxy in the zone is four times as likely to be selected.
    */
   private static final double SAME_ZONE_FACTOR = 2;
 
--- a/src/main/java/stonespring/decision/EndpointStatistics.java
+++ b/src/main/java/stonespring/decision/EndpointStatistics.java
@@ -16,7 +16,9 @@
    */
   static final double PRIOR_ATTEMPTS = 2;
 
-  /** Share of attempts that may fail or be late in normal operation. */
+  /**
+   * Share of attempts that may fail or be late in normal operation; some answers always are late.
+   */
   static final double NORMAL_FAILED_OR_LATE_SHARE = 0.15;
 
   /** How much later than a report interval the next report may arrive without being missing. */
