--- a/src/main/java/stonespring/cli/PlanJson.java
+++ b/src/main/java/stonespring/cli/PlanJson.java
@@ -33,7 +33,7 @@
   static PlanJson of(Plan plan) {
     return new PlanJson(
         plan.tables().stream().map(PlanJson::table).toList(),
-        plan.shares().stream().map(PlanJson::share).toList(),
+        plan.allocations().stream().map(PlanJson::share).toList(),
         plan.cost(),
         plan.lowerBound(),
         plan.unplacedRate(),
@@ -59,7 +59,7 @@
             .toList());
   }
 
-  private static Share share(Plan.EndpointShare share) {
+  private static Share share(Plan.EndpointAllocation share) {
     return new Share(
         share.endpoint(),
         share.capacity(),
@@ -67,6 +67,6 @@
         share.target(),
         share.price(),
         word(share.reason()),
-        share.unmetPlans());
+        share.plansBelowTarget());
   }
 }
--- a/src/main/java/stonespring/cli/PlanReport.java
+++ b/src/main/java/stonespring/cli/PlanReport.java
@@ -23,7 +23,7 @@
             "plan",
             PlanJson.of(plan),
             "gap",
-            plan.gap());
+            plan.optimalityGap());
     return new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(fields)
         + System.lineSeparator();
   }
@@ -34,7 +34,7 @@
     out.append(
         String.format(
             "ops lost a second %.2f, at least %.2f whatever is done (%.1f%% over); %.1f ops find no task%n",
-            plan.cost(), plan.lowerBound(), 100 * plan.gap(), plan.unplacedRate()));
+            plan.cost(), plan.lowerBound(), 100 * plan.optimalityGap(), plan.unplacedRate()));
     out.append(
         String.format(
             "%d tables, %d new lines, %d lines changed%n%n",
@@ -43,13 +43,13 @@
         String.format(
             "%-24s %9s %8s %8s %6s %9s  %s%n",
             "task", "trusted", "gets", "target", "fill", "price", "why"));
-    for (Plan.EndpointShare share : plan.shares()) {
+    for (Plan.EndpointAllocation share : plan.allocations()) {
       out.append(row(share));
     }
     return out.toString();
   }
 
-  private static String row(Plan.EndpointShare share) {
+  private static String row(Plan.EndpointAllocation share) {
     return String.format(
         "%-24s %9.1f %8.1f %8.1f %5.0f%% %9.4f  %s%n",
         share.endpoint().name(),
--- a/src/main/java/stonespring/solver/Flow.java
+++ b/src/main/java/stonespring/solver/Flow.java
@@ -99,7 +99,7 @@
       return 0;
     }
     // The sixth root: LATENESS_POWER's inverse.
-    double fill = Math.cbrt(Math.sqrt(priceLeft / problem.costs().lateness()));
+    double fill = Math.cbrt(Math.sqrt(priceLeft / problem.costs().congestion()));
     Problem.Endpoint of = problem.endpoint(endpoint);
     return Math.min(of.maxLoad(), of.capacity() * fill);
   }
@@ -134,7 +134,7 @@
   private double findPrice(int zone, double[] othersLoad) {
     double low = 0;
     double high = Math.max(1e-6, 2 * zonePrice[zone]);
-    double highest = MAX_PRICE_MULTIPLE * problem.costs().lateness();
+    double highest = MAX_PRICE_MULTIPLE * problem.costs().congestion();
     while (placedAtPrice(zone, high, othersLoad) < demand[zone] && high < highest) {
       low = high;
       high *= BRACKET_GROWTH;
@@ -166,7 +166,7 @@
       double capacity = problem.endpoint(e).capacity();
       double fill = load[e] / capacity;
       sum +=
-          problem.costs().lateness()
+          problem.costs().congestion()
               * capacity
               * Math.pow(fill, LATENESS_POWER + 1)
               / (LATENESS_POWER + 1);
@@ -215,7 +215,7 @@
   /** What one more request loses at an endpoint that carries a load, in requests. */
   static double endpointPrice(Problem problem, int endpoint, double load) {
     double fill = load / problem.endpoint(endpoint).capacity();
-    return problem.costs().lateness() * Math.pow(fill, LATENESS_POWER);
+    return problem.costs().congestion() * Math.pow(fill, LATENESS_POWER);
   }
 
   /** What a request of a zone loses at an endpoint besides lateness. */
--- a/src/main/java/stonespring/solver/Plan.java
+++ b/src/main/java/stonespring/solver/Plan.java
@@ -15,7 +15,7 @@
  */
 public record Plan(
     List<Table> tables,
-    List<EndpointShare> shares,
+    List<EndpointAllocation> allocations,
     double cost,
     double lowerBound,
     double unplacedRate,
@@ -44,7 +44,7 @@
   /** The routes that one proxy should have. */
   public record Table(ProxyId proxy, List<Route> routes) {
     /** The routes as a proxy holds them that follows the plan. */
-    public List<Problem.Route> asHeld() {
+    public List<Problem.Route> toCurrentRoutes() {
       return routes.stream()
           .map(route -> new Problem.Route(route.endpoint(), route.weight()))
           .toList();
@@ -57,19 +57,19 @@
    * @param load its rate by this plan
    * @param target its rate if routes had no limit and no cost
    * @param price requests lost for one more request
-   * @param unmetPlans plans in a row in which routes were missing
+   * @param plansBelowTarget plans in a row in which routes were missing
    */
-  public record EndpointShare(
+  public record EndpointAllocation(
       EndpointId endpoint,
       double capacity,
       double load,
       double target,
       double price,
       Reason reason,
-      int unmetPlans) {}
+      int plansBelowTarget) {}
 
   /** The share by which the plan costs more than the bound. */
-  public double gap() {
+  public double optimalityGap() {
     return lowerBound > 0 ? cost / lowerBound - 1 : 0;
   }
 }
--- a/src/main/java/stonespring/solver/PlanBuilder.java
+++ b/src/main/java/stonespring/solver/PlanBuilder.java
@@ -21,15 +21,15 @@
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
-  private final int[] unmetPlans;
+  private final int[] plansBelowTarget;
   private int newRoutes;
   private int changedRoutes;
 
-  PlanBuilder(Problem problem, Flow flow, WorkingTables tables, int[] unmetPlans) {
+  PlanBuilder(Problem problem, Flow flow, WorkingTables tables, int[] plansBelowTarget) {
     this.problem = problem;
     this.flow = flow;
     this.tables = tables;
-    this.unmetPlans = unmetPlans;
+    this.plansBelowTarget = plansBelowTarget;
   }
 
   Plan build() {
@@ -39,13 +39,13 @@
       countChanges(problem.proxy(p), routes);
       planned.add(new Plan.Table(problem.proxy(p).id(), routes));
     }
-    List<Plan.EndpointShare> shares = new ArrayList<>();
+    List<Plan.EndpointAllocation> allocations = new ArrayList<>();
     for (int e = 0; e < problem.endpointCount(); e++) {
-      shares.add(share(e));
+      allocations.add(allocation(e));
     }
     return new Plan(
         planned,
-        shares,
+        allocations,
         tables.cost(flow),
         flow.lowerBound(),
         flow.unplacedRate(),
@@ -99,20 +99,20 @@
     changedRoutes += heldWeights.size();
   }
 
-  private Plan.EndpointShare share(int endpoint) {
+  private Plan.EndpointAllocation allocation(int endpoint) {
     Problem.Endpoint of = problem.endpoint(endpoint);
     double load = tables.load(endpoint);
     boolean lacksRoutes = lacksRoutes(endpoint);
     double price = Flow.endpointPrice(problem, endpoint, load);
-    int unmet = lacksRoutes ? unmetPlans[endpoint] + 1 : 0;
-    return new Plan.EndpointShare(
+    int belowTarget = lacksRoutes ? plansBelowTarget[endpoint] + 1 : 0;
+    return new Plan.EndpointAllocation(
         of.id(),
         of.capacity(),
         load,
         flow.load(endpoint),
         price,
         reason(of, load, lacksRoutes),
-        unmet);
+        belowTarget);
   }
 
   private boolean lacksRoutes(int endpoint) {
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -207,6 +207,6 @@
       failures += share / requestClasses;
     }
     boolean crosses = endpoints[endpoint].zone().index() != zone;
-    return failures + (crosses ? costs.crossing() : 0);
+    return failures + (crosses ? costs.zoneCrossing() : 0);
   }
 }
--- a/src/main/java/stonespring/solver/RouteAdder.java
+++ b/src/main/java/stonespring/solver/RouteAdder.java
@@ -18,7 +18,7 @@
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
-  private final int[] unmetPlans;
+  private final int[] plansBelowTarget;
 
   /** A route to an endpoint over its target, and the rate that it can give up. */
   private record Donor(int proxy, int route, double rate) {}
@@ -26,14 +26,14 @@
   /**
    * Prepares for one plan.
    *
-   * @param unmetPlans by endpoint, plans in a row in which routes were missing: a gain that does
-   *     not pay grows with them, so that no cost starves an endpoint
+   * @param plansBelowTarget by endpoint, plans in a row in which routes were missing: a gain that
+   *     does not pay grows with them, so that no cost starves an endpoint
    */
-  RouteAdder(Problem problem, Flow flow, WorkingTables tables, int[] unmetPlans) {
+  RouteAdder(Problem problem, Flow flow, WorkingTables tables, int[] plansBelowTarget) {
     this.problem = problem;
     this.flow = flow;
     this.tables = tables;
-    this.unmetPlans = unmetPlans;
+    this.plansBelowTarget = plansBelowTarget;
   }
 
   /** Adds routes; returns whether there were any to add. */
@@ -115,7 +115,7 @@
       }
       double moved = Math.min(donor.rate, missing);
       double saved = price[tables.endpoint(proxy, donor.route)] - price[endpoint];
-      double gain = moved * HORIZON_SECONDS * (1 + unmetPlans[endpoint]) * saved;
+      double gain = moved * HORIZON_SECONDS * (1 + plansBelowTarget[endpoint]) * saved;
       boolean pays = gain > connectionCost(proxy);
       boolean hasRoom = tables.size(proxy) <= tables.maxRoutes(proxy);
       if (!pays || !hasRoom || !tables.mayAdd(proxy, endpoint)) {
--- a/src/main/java/stonespring/solver/SubsetSelector.java
+++ b/src/main/java/stonespring/solver/SubsetSelector.java
@@ -18,7 +18,7 @@
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
-  private final int[] unmetPlans;
+  private final int[] plansBelowTarget;
   private final int rounds;
 
   /**
@@ -30,18 +30,18 @@
     this.problem = problem;
     this.flow = flow;
     this.tables = new WorkingTables(problem);
-    this.unmetPlans = new int[problem.endpointCount()];
+    this.plansBelowTarget = new int[problem.endpointCount()];
     this.rounds = previous == null ? INITIAL_ROUNDS : FOLLOWING_ROUNDS;
     if (previous != null) {
-      takeOverUnmetPlans(previous);
+      copyPlansBelowTarget(previous);
     }
   }
 
-  private void takeOverUnmetPlans(Plan previous) {
-    for (Plan.EndpointShare share : previous.shares()) {
-      int endpoint = problem.indexOf(share.endpoint());
+  private void copyPlansBelowTarget(Plan previous) {
+    for (Plan.EndpointAllocation allocation : previous.allocations()) {
+      int endpoint = problem.indexOf(allocation.endpoint());
       if (endpoint != Problem.UNKNOWN) {
-        unmetPlans[endpoint] = share.unmetPlans();
+        plansBelowTarget[endpoint] = allocation.plansBelowTarget();
       }
     }
   }
@@ -50,12 +50,12 @@
     if (problem.endpointCount() > 0) {
       selectRoutes();
     }
-    return new PlanBuilder(problem, flow, tables, unmetPlans).build();
+    return new PlanBuilder(problem, flow, tables, plansBelowTarget).build();
   }
 
   private void selectRoutes() {
     ProportionalFitter fitter = new ProportionalFitter(problem, flow, tables);
-    RouteAdder adder = new RouteAdder(problem, flow, tables, unmetPlans);
+    RouteAdder adder = new RouteAdder(problem, flow, tables, plansBelowTarget);
     RouteDropper dropper = new RouteDropper(problem, tables);
     tables.takeOverHeldRoutes();
     new RendezvousSelector(problem, flow, tables).draw();
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -73,7 +73,8 @@
   Problem problem(Plan held) {
     List<Problem.Proxy> now = new ArrayList<>();
     for (int p = 0; p < proxies.size(); p++) {
-      List<Problem.Route> routes = held == null ? List.of() : held.tables().get(p).asHeld();
+      List<Problem.Route> routes =
+          held == null ? List.of() : held.tables().get(p).toCurrentRoutes();
       now.add(
           new Problem.Proxy(
               proxies.get(p).id(), proxies.get(p).zone(), proxies.get(p).requestRates(), routes));
@@ -129,7 +130,7 @@
         if (round >= 0) {
           small.recordValue(System.nanoTime() - startNanos);
           changed += (double) plan.changedRoutes() / rounds / CHANGES_PER_ROUND;
-          gap = Math.max(gap, plan.gap());
+          gap = Math.max(gap, plan.optimalityGap());
         }
       }
       if (round >= 0) {
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -76,7 +76,7 @@
   static Problem followed(Problem problem, Plan plan, List<Problem.Endpoint> endpoints) {
     Map<ProxyId, List<Problem.Route>> held = new HashMap<>();
     for (Plan.Table table : plan.tables()) {
-      held.put(table.proxy(), table.asHeld());
+      held.put(table.proxy(), table.toCurrentRoutes());
     }
     List<Problem.Proxy> proxies = new ArrayList<>();
     for (Problem.Proxy p : allProxies(problem)) {
@@ -188,7 +188,7 @@
     java.util.Collections.shuffle(fleet.endpoints, new Random(seed));
     java.util.Collections.shuffle(fleet.proxies, new Random(seed + 1));
     Plan other = new Solver().solve(fleet.problem());
-    assertEquals(plan.shares(), other.shares());
+    assertEquals(plan.allocations(), other.allocations());
     assertEquals(loads(fleet.problem(), plan), loads(fleet.problem(), other));
   }
 
@@ -341,7 +341,7 @@
     Problem problem = new Problem(3, 2, 2, new CostModel(1, 0.06, 40), endpoints, proxies);
     Plan plan = solver.solve(problem);
     assertEquals(0, plan.newRoutes(), "costs more than it gains at first");
-    assertEquals(Plan.Reason.FEW_ROUTES, plan.shares().get(1).reason());
+    assertEquals(Plan.Reason.FEW_ROUTES, plan.allocations().get(1).reason());
     int plans = 1;
     for (; plan.newRoutes() == 0 && plans < 100; plans++) {
       plan = solver.solve(followed(problem, plan, endpoints));
@@ -362,7 +362,8 @@
       plan = solver.solve(followed(fleet.problem(), plan, fleet.endpoints));
     }
     assertTrue(
-        plan.lowerBound() > 0 && plan.gap() > -1e-6 && plan.gap() < 0.06, "gap " + plan.gap());
+        plan.lowerBound() > 0 && plan.optimalityGap() > -1e-6 && plan.optimalityGap() < 0.06,
+        "gap " + plan.optimalityGap());
   }
 
   /** Each of a very large proxy's many routes has little, and must not be dropped as idle. */
@@ -377,7 +378,7 @@
             0.25 * fleet.endpoints.stream().mapToDouble(Problem.Endpoint::capacity).sum(),
             List.of()));
     Plan plan = new Solver().solve(fleet.problem());
-    assertTrue(plan.gap() < 0.1, "gap " + plan.gap());
+    assertTrue(plan.optimalityGap() < 0.1, "gap " + plan.optimalityGap());
     assertTrue(beyond(fleet.problem(), plan) < 0.005);
   }
 
@@ -398,14 +399,14 @@
     assertTrue(
         line.weightsByClass()[1] < 0.3 * line.weightsByClass()[0],
         line.weightsByClass()[0] + " and " + line.weightsByClass()[1]);
-    assertEquals(Plan.Reason.FAILING, plan.shares().get(1).reason());
+    assertEquals(Plan.Reason.FAILING, plan.allocations().get(1).reason());
   }
 
   @Test
   void plansNothingWithoutEndpoints() {
     proxies.add(proxy(0, 0, 8, List.of()));
     Plan plan = new Solver().solve(problem());
-    assertEquals(List.of(), plan.shares());
+    assertEquals(List.of(), plan.allocations());
     assertTrue(plan.tables().get(0).routes().isEmpty());
     assertEquals(8, plan.unplacedRate(), 1e-9);
   }
--- a/src/test/java/stonespring/solver/WeightAdvisorTest.java
+++ b/src/test/java/stonespring/solver/WeightAdvisorTest.java
@@ -84,7 +84,7 @@
     assertEquals(2, all.get(0).routes().size());
     assertEquals(
         20,
-        advisor.plan().orElseThrow().shares().get(0).capacity(),
+        advisor.plan().orElseThrow().allocations().get(0).capacity(),
         1,
         "ten requests a second at a utilization of a half");
   }
@@ -97,7 +97,7 @@
         List.of("a"), round("a").get(0).routes().stream().map(l -> l.endpoint().name()).toList());
     updateList(record("b", EndpointRecord.State.READY, now));
     round("a", "b");
-    Plan.EndpointShare warmingUp = advisor.plan().orElseThrow().shares().get(1);
+    Plan.EndpointAllocation warmingUp = advisor.plan().orElseThrow().allocations().get(1);
     assertTrue(
         warmingUp.load() <= 0.35 * 25, "a restarted endpoint gets its warm-up share: " + warmingUp);
     advisor.handle(now, new Event.ProxyDisconnected(new ProxyId(0)));
--- a/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
+++ b/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
@@ -42,10 +42,10 @@
         recording.add(bits(route.weightsByClass()));
       }
     }
-    for (Plan.EndpointShare share : plan.shares()) {
+    for (Plan.EndpointAllocation share : plan.allocations()) {
       recording.add(share.endpoint().name() + " " + share.reason().ordinal());
       recording.add(bits(share.capacity(), share.load(), share.target(), share.price()));
-      recording.add(bits(share.unmetPlans()));
+      recording.add(bits(share.plansBelowTarget()));
     }
     recording.add(bits(plan.cost(), plan.lowerBound(), plan.unplacedRate()));
     recording.add(bits(plan.newRoutes(), plan.changedRoutes()));
