--- a/src/main/java/stonespring/solver/AdvisedEngine.java
+++ b/src/main/java/stonespring/solver/AdvisedEngine.java
@@ -31,12 +31,12 @@
   public List<Command> endBatch(long now) {
     if (hasNewOutcomes) {
       hasNewOutcomes = false;
-      for (Event.WeightsProposed proposal : advisor.propose(now)) {
+      for (Event.WeightsProposed proposal : advisor.proposeWeights(now)) {
         engine.handle(now, proposal);
       }
     }
     List<Command> commands = engine.endBatch(now);
-    commands.forEach(advisor::commanded);
+    commands.forEach(advisor::handleCommand);
     return commands;
   }
 }
--- a/src/main/java/stonespring/solver/CapacityClaim.java
+++ b/src/main/java/stonespring/solver/CapacityClaim.java
@@ -8,7 +8,7 @@
  */
 final class CapacityClaim {
   /** DeciMillis after which half of a claim's force is left. */
-  private static final double FORCE_HALF_LIFE = 5 * DeciMillis.SECOND;
+  private static final double CONFIDENCE_HALF_LIFE = 5 * DeciMillis.SECOND;
 
   /** DeciMillis from which on a claim has no force. */
   private static final long MAX_AGE = 30 * DeciMillis.SECOND;
@@ -20,15 +20,15 @@
   private static final double CONTRADICTION_FACTOR = 0.5;
 
   private double capacity = Double.NaN;
-  private long madeAt;
+  private long claimTime;
   private double credit = 1;
-  private long creditAt;
+  private long creditUpdatedAt;
 
   /** Takes a claim unless a newer one is held. */
-  void claim(double claimedCapacity, long made) {
-    if (Double.isNaN(capacity) || made > madeAt) {
+  void update(double claimedCapacity, long claimedAt) {
+    if (Double.isNaN(capacity) || claimedAt > claimTime) {
       capacity = claimedCapacity;
-      madeAt = made;
+      claimTime = claimedAt;
     }
   }
 
@@ -38,22 +38,22 @@
   }
 
   /** The share by which the claim counts, 0 to 1. */
-  double force(long now) {
-    long age = Math.max(0, now - madeAt);
+  double confidence(long now) {
+    long age = Math.max(0, now - claimTime);
     if (Double.isNaN(capacity) || age >= MAX_AGE) {
       return 0;
     }
-    return credit(now) * Math.pow(0.5, age / FORCE_HALF_LIFE);
+    return credit(now) * Math.pow(0.5, age / CONFIDENCE_HALF_LIFE);
   }
 
   /** The claim turned out to be wrong. */
-  void contradict(long now) {
+  void recordContradiction(long now) {
     credit = credit(now) * CONTRADICTION_FACTOR;
-    creditAt = now;
+    creditUpdatedAt = now;
   }
 
   private double credit(long now) {
-    double sinceContradiction = Math.max(0, now - creditAt);
+    double sinceContradiction = Math.max(0, now - creditUpdatedAt);
     return 1 - (1 - credit) * Math.pow(0.5, sinceContradiction / CREDIT_HALF_LIFE);
   }
 }
--- a/src/main/java/stonespring/solver/ChangeDamper.java
+++ b/src/main/java/stonespring/solver/ChangeDamper.java
@@ -24,24 +24,24 @@
   }
 
   /** Keeps what is held: all of it if that is about as good, else table by table. */
-  void damp() {
-    if (!keepAll()) {
-      keepLittleChanged();
+  void dampChanges() {
+    if (!keepAllIfNearlyAsGood()) {
+      keepSlightlyChangedTables();
     }
   }
 
   /** Keeps every table whose routes neither come nor go, if all are about as good so. */
-  private boolean keepAll() {
+  private boolean keepAllIfNearlyAsGood() {
     double plannedCost = tables.cost(flow);
     double[][] planned = new double[tables.proxyCount()][];
     for (int p = 0; p < planned.length; p++) {
       planned[p] = tables.rates(p);
-      double[] held = heldWeights(p);
-      for (int i = 0; held != null && i < held.length; i++) {
-        held[i] *= tables.demand(p);
+      double[] current = currentWeights(p);
+      for (int i = 0; current != null && i < current.length; i++) {
+        current[i] *= tables.demand(p);
       }
-      if (held != null) {
-        tables.setRates(p, held);
+      if (current != null) {
+        tables.setRates(p, current);
       }
     }
     tables.recomputeLoads();
@@ -56,64 +56,66 @@
   }
 
   /** Keeps a table that would change little, unless that leaves an endpoint over its target. */
-  private void keepLittleChanged() {
+  private void keepSlightlyChangedTables() {
     for (int p = 0; p < tables.proxyCount(); p++) {
-      double[] held = heldWeights(p);
-      if (held != null && tables.demand(p) > 0 && mayKeep(p, held)) {
-        keep(p, held);
+      double[] current = currentWeights(p);
+      if (current != null && tables.demand(p) > 0 && canKeep(p, current)) {
+        keepTable(p, current);
       }
     }
     tables.recomputeLoads();
   }
 
-  private boolean mayKeep(int proxy, double[] held) {
+  private boolean canKeep(int proxy, double[] currentWeights) {
     double demand = tables.demand(proxy);
     double change = 0;
     boolean leavesOverTarget = false;
-    for (int i = 0; i < held.length; i++) {
+    for (int i = 0; i < currentWeights.length; i++) {
       double rate = tables.rate(proxy, i);
-      change += Math.abs(held[i] - rate / demand) / 2;
-      leavesOverTarget |= isOverTarget(tables.endpoint(proxy, i)) && held[i] * demand > rate;
+      change += Math.abs(currentWeights[i] - rate / demand) / 2;
+      leavesOverTarget |=
+          isOverTarget(tables.endpoint(proxy, i)) && currentWeights[i] * demand > rate;
     }
     return change <= MIN_CHANGE && !leavesOverTarget;
   }
 
   private boolean isOverTarget(int endpoint) {
-    double tolerance = SubsetSelector.SIGNIFICANT_SHARE * problem.endpoint(endpoint).capacity();
-    return tables.load(endpoint) > flow.load(endpoint) + tolerance;
+    double tolerance =
+        SubsetSelector.MEASUREMENT_ERROR_SHARE * problem.endpoint(endpoint).capacity();
+    return tables.load(endpoint) > flow.targetLoad(endpoint) + tolerance;
   }
 
-  private void keep(int proxy, double[] held) {
+  private void keepTable(int proxy, double[] currentWeights) {
     double demand = tables.demand(proxy);
     double[] loads = tables.loads();
-    for (int i = 0; i < held.length; i++) {
-      loads[tables.endpoint(proxy, i)] += held[i] * demand - tables.rate(proxy, i);
-      tables.setRate(proxy, i, held[i] * demand);
+    for (int i = 0; i < currentWeights.length; i++) {
+      loads[tables.endpoint(proxy, i)] += currentWeights[i] * demand - tables.rate(proxy, i);
+      tables.setRate(proxy, i, currentWeights[i] * demand);
     }
   }
 
   /** Weights that a proxy holds for the routes that it shall have; null if the routes differ. */
-  private double[] heldWeights(int proxy) {
+  private double[] currentWeights(int proxy) {
     List<Problem.Route> routes = problem.proxy(proxy).routes();
-    if (routes.size() != tables.size(proxy)) {
+    if (routes.size() != tables.routeCount(proxy)) {
       return null;
     }
-    double[] held = new double[routes.size()];
+    double[] current = new double[routes.size()];
     double sum = 0;
     for (Problem.Route route : routes) {
       sum += route.weight();
     }
     for (Problem.Route route : routes) {
       int endpoint = problem.indexOf(route.endpoint());
-      int position = Problem.UNKNOWN;
-      for (int i = 0; endpoint != Problem.UNKNOWN && i < held.length; i++) {
+      int position = Problem.NOT_FOUND;
+      for (int i = 0; endpoint != Problem.NOT_FOUND && i < current.length; i++) {
         position = tables.endpoint(proxy, i) == endpoint ? i : position;
       }
-      if (position == Problem.UNKNOWN || sum <= 0) {
+      if (position == Problem.NOT_FOUND || sum <= 0) {
         return null;
       }
-      held[position] = route.weight() / sum;
+      current[position] = route.weight() / sum;
     }
-    return held;
+    return current;
   }
 }
--- a/src/main/java/stonespring/solver/EndpointCredibility.java
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -11,19 +11,19 @@
   private static final double PROVEN_HALF_LIFE = 60 * DeciMillis.SECOND;
 
   /** Share of attempts that failed or were late below which an endpoint is healthy. */
-  private static final double HEALTHY_SHARE = 0.1;
+  private static final double HEALTHY_FAILURE_SHARE = 0.1;
 
   /** Share that failed or was late beyond the fleet's own above which an endpoint is overloaded. */
-  private static final double OVERLOADED_SHARE = 0.3;
+  private static final double OVERLOAD_EXCESS_FAILURE_SHARE = 0.3;
 
   /** Attempts without failure that are added to those seen, so that few attempts say little. */
   private static final double PRIOR_ATTEMPTS = 4;
 
   /** Factor of the arrived rate that the ceiling is cut to under overload. */
-  private static final double OVERLOAD_CUT = 0.7;
+  private static final double OVERLOAD_CUT_FACTOR = 0.7;
 
   /** Relative rise of the ceiling per second while the endpoint is healthy. */
-  private static final double CEILING_RISE = 0.05;
+  private static final double CEILING_GROWTH_PER_SECOND = 0.05;
 
   private double listedWeight;
   private double provenRate;
@@ -70,37 +70,39 @@
    * Takes what proxies observed.
    *
    * @param failedOrLate attempts that failed or were answered late
-   * @param otherRate what reaches it besides, from proxies of other instances
-   * @param fleetSuccess the share of all attempts in the fleet that succeed in time
+   * @param otherInstancesRate what reaches it besides, from proxies of other instances
+   * @param fleetSuccessShare the share of all attempts in the fleet that succeed in time
    */
-  void observe(
+  void recordOutcomes(
       long attempts,
       double failedOrLate,
-      long interval,
-      double otherRate,
-      double fleetSuccess,
+      long intervalDeciMillis,
+      double otherInstancesRate,
+      double fleetSuccessShare,
       long now) {
     double failedOrLateShare = failedOrLate / (attempts + PRIOR_ATTEMPTS);
-    double arrived = attempts * (double) DeciMillis.SECOND / Math.max(1, interval) + otherRate;
-    double succeeded = arrived * (1 - Math.min(1, failedOrLate / Math.max(1, attempts)));
-    double elapsed = Math.max(0, now - observedAt);
-    provenRate *= Math.pow(0.5, elapsed / PROVEN_HALF_LIFE);
+    double arrivedRate =
+        attempts * (double) DeciMillis.SECOND / Math.max(1, intervalDeciMillis)
+            + otherInstancesRate;
+    double succeededRate = arrivedRate * (1 - Math.min(1, failedOrLate / Math.max(1, attempts)));
+    double elapsedDeciMillis = Math.max(0, now - observedAt);
+    provenRate *= Math.pow(0.5, elapsedDeciMillis / PROVEN_HALF_LIFE);
     observedAt = now;
-    if (failedOrLateShare < HEALTHY_SHARE) {
-      provenRate = Math.max(provenRate, succeeded);
-      ceiling *= Math.pow(1 + CEILING_RISE, elapsed / DeciMillis.SECOND);
-    } else if (1 - (1 - failedOrLateShare) / fleetSuccess > OVERLOADED_SHARE) {
+    if (failedOrLateShare < HEALTHY_FAILURE_SHARE) {
+      provenRate = Math.max(provenRate, succeededRate);
+      ceiling *= Math.pow(1 + CEILING_GROWTH_PER_SECOND, elapsedDeciMillis / DeciMillis.SECOND);
+    } else if (1 - (1 - failedOrLateShare) / fleetSuccessShare > OVERLOAD_EXCESS_FAILURE_SHARE) {
       // In an overload, successes say too little: what arrived is cut again and again.
-      ceiling = Math.min(ceiling, Math.max(succeeded, OVERLOAD_CUT * arrived));
-      contradictClaimsOver(arrived, now);
+      ceiling = Math.min(ceiling, Math.max(succeededRate, OVERLOAD_CUT_FACTOR * arrivedRate));
+      contradictClaimsAbove(arrivedRate, now);
     }
   }
 
   /** Who claimed more than arrived when it failed was wrong, be it stale, mistaken or a lie. */
-  private void contradictClaimsOver(double arrived, long now) {
+  private void contradictClaimsAbove(double arrivedRate, long now) {
     for (CapacityClaim claim : claims) {
-      if (claim.force(now) > 0 && claim.capacity() > arrived) {
-        claim.contradict(now);
+      if (claim.confidence(now) > 0 && claim.capacity() > arrivedRate) {
+        claim.recordContradiction(now);
       }
     }
   }
--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -14,7 +14,7 @@
   private static final double CAPACITY_HALF_LIFE = 2 * DeciMillis.SECOND;
 
   /** Multiple of the latency objective that a mean latency must exceed for most to be late. */
-  private static final double LATE_MULTIPLE = 1;
+  private static final double LATE_LATENCY_MULTIPLE = 1;
 
   private ZoneId zone;
   private boolean ready;
@@ -26,17 +26,17 @@
   private long roundInterval;
   private double utilization;
   private double reportedRate;
-  private double capacity = Double.NaN;
+  private double smoothedCapacity = Double.NaN;
 
   /** Takes its record; returns whether its process started again. */
-  boolean update(EndpointRecord listed) {
+  boolean updateRecord(EndpointRecord listed) {
     zone = listed.zone();
     ready = listed.state() == EndpointRecord.State.READY;
     boolean restarted = listed.startedAt() > startedAt;
     if (restarted) {
       attempts = 0;
       failures = 0;
-      capacity = Double.NaN;
+      smoothedCapacity = Double.NaN;
       startedAt = listed.startedAt();
     }
     return restarted;
@@ -46,11 +46,11 @@
    * Takes outcomes. Each zone reports its own part of a round: only all of them together are what
    * the endpoint received.
    */
-  void observe(Event.EndpointOutcomes outcomes, long latencyObjective) {
-    double kept = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE);
-    attempts = attempts * kept + outcomes.attempts();
-    failures = failures * kept + outcomes.failures();
-    boolean mostAreLate = outcomes.successLatency() > LATE_MULTIPLE * latencyObjective;
+  void recordOutcomes(Event.EndpointOutcomes outcomes, long latencyObjective) {
+    double retainedShare = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE);
+    attempts = attempts * retainedShare + outcomes.attempts();
+    failures = failures * retainedShare + outcomes.failures();
+    boolean mostAreLate = outcomes.successLatency() > LATE_LATENCY_MULTIPLE * latencyObjective;
     roundAttempts += outcomes.attempts();
     roundFailedOrLate += mostAreLate ? outcomes.attempts() : outcomes.failures();
     roundInterval = Math.max(roundInterval, outcomes.interval());
@@ -62,14 +62,18 @@
    * Takes the capacity that a rate at the present utilization stands for into the mean; returns the
    * mean.
    */
-  double smoothCapacity(double rate) {
-    double kept = Double.isNaN(capacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
+  double updateSmoothedCapacity(double rate) {
+    double retainedShare =
+        Double.isNaN(smoothedCapacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
     // In this order of operations: another rounds differently, and plans follow it.
-    capacity = kept == 0 ? rate / utilization : kept * capacity + (1 - kept) * rate / utilization;
-    return capacity;
+    smoothedCapacity =
+        retainedShare == 0
+            ? rate / utilization
+            : retainedShare * smoothedCapacity + (1 - retainedShare) * rate / utilization;
+    return smoothedCapacity;
   }
 
-  void endRound() {
+  void resetRound() {
     roundAttempts = 0;
     roundFailedOrLate = 0;
     roundInterval = 0;
--- a/src/main/java/stonespring/solver/PlanBuilder.java
+++ b/src/main/java/stonespring/solver/PlanBuilder.java
@@ -10,10 +10,10 @@
 /** Makes the plan of finished tables: weights by request class, and the reason of each share. */
 final class PlanBuilder {
   /** Share of failing attempts above which an endpoint is failing for a request class. */
-  private static final double FAILING = 0.3;
+  private static final double MIN_FAILING_SHARE = 0.3;
 
   /** Least factor of a weight for a request class, however many of its attempts fail there. */
-  private static final double MIN_CLASS_SHARE = 0.05;
+  private static final double MIN_CLASS_FACTOR = 0.05;
 
   /** In place of a weight of 0, to divide by. */
   private static final double MIN_WEIGHT = 1e-6;
@@ -36,7 +36,7 @@
     List<Plan.Table> planned = new ArrayList<>();
     for (int p = 0; p < tables.proxyCount(); p++) {
       List<Plan.Route> routes = routes(p);
-      countChanges(problem.proxy(p), routes);
+      countChangedRoutes(problem.proxy(p), routes);
       planned.add(new Plan.Table(problem.proxy(p).id(), routes));
     }
     List<Plan.EndpointAllocation> allocations = new ArrayList<>();
@@ -56,13 +56,13 @@
   private List<Plan.Route> routes(int proxy) {
     List<Plan.Route> routes = new ArrayList<>();
     double demand = tables.demand(proxy);
-    int size = tables.size(proxy);
+    int size = tables.routeCount(proxy);
     for (int i = 0; i < size; i++) {
       double weight = demand > 0 ? tables.rate(proxy, i) / demand : 1.0 / size;
       EndpointId endpoint = problem.endpoint(tables.endpoint(proxy, i)).id();
-      routes.add(new Plan.Route(endpoint, weight, new double[problem.requestClasses()]));
+      routes.add(new Plan.Route(endpoint, weight, new double[problem.requestClassCount()]));
     }
-    for (int k = 0; k < problem.requestClasses(); k++) {
+    for (int k = 0; k < problem.requestClassCount(); k++) {
       setClassWeights(routes, k);
     }
     return routes;
@@ -74,7 +74,7 @@
       int endpoint = problem.indexOf(route.endpoint());
       double failures = problem.endpoint(endpoint).failureShares()[requestClass];
       double weight =
-          Math.max(MIN_WEIGHT, route.weight()) * Math.max(MIN_CLASS_SHARE, 1 - failures);
+          Math.max(MIN_WEIGHT, route.weight()) * Math.max(MIN_CLASS_FACTOR, 1 - failures);
       route.weightsByClass()[requestClass] = weight;
       sum += weight;
     }
@@ -83,55 +83,58 @@
     }
   }
 
-  private void countChanges(Problem.Proxy proxy, List<Plan.Route> routes) {
-    Map<EndpointId, Double> heldWeights = new HashMap<>();
+  private void countChangedRoutes(Problem.Proxy proxy, List<Plan.Route> routes) {
+    Map<EndpointId, Double> currentWeights = new HashMap<>();
     for (Problem.Route route : proxy.routes()) {
-      heldWeights.putIfAbsent(route.endpoint(), route.weight());
+      currentWeights.putIfAbsent(route.endpoint(), route.weight());
     }
-    double heldSum = proxy.routes().stream().mapToDouble(Problem.Route::weight).sum();
+    double currentWeightSum = proxy.routes().stream().mapToDouble(Problem.Route::weight).sum();
     for (Plan.Route route : routes) {
-      Double held = heldWeights.remove(route.endpoint());
-      newRoutes += held == null ? 1 : 0;
+      Double currentWeight = currentWeights.remove(route.endpoint());
+      newRoutes += currentWeight == null ? 1 : 0;
       boolean isChanged =
-          held == null || Math.abs(held / heldSum - route.weight()) > ChangeDamper.MIN_CHANGE / 2;
+          currentWeight == null
+              || Math.abs(currentWeight / currentWeightSum - route.weight())
+                  > ChangeDamper.MIN_CHANGE / 2;
       changedRoutes += isChanged ? 1 : 0;
     }
-    changedRoutes += heldWeights.size();
+    changedRoutes += currentWeights.size();
   }
 
   private Plan.EndpointAllocation allocation(int endpoint) {
-    Problem.Endpoint of = problem.endpoint(endpoint);
+    Problem.Endpoint planned = problem.endpoint(endpoint);
     double load = tables.load(endpoint);
-    boolean lacksRoutes = lacksRoutes(endpoint);
+    boolean isBelowTarget = isBelowTarget(endpoint);
     double price = Flow.endpointPrice(problem, endpoint, load);
-    int belowTarget = lacksRoutes ? plansBelowTarget[endpoint] + 1 : 0;
+    int belowTarget = isBelowTarget ? plansBelowTarget[endpoint] + 1 : 0;
     return new Plan.EndpointAllocation(
-        of.id(),
-        of.capacity(),
+        planned.id(),
+        planned.capacity(),
         load,
-        flow.load(endpoint),
+        flow.targetLoad(endpoint),
         price,
-        reason(of, load, lacksRoutes),
+        reason(planned, load, isBelowTarget),
         belowTarget);
   }
 
-  private boolean lacksRoutes(int endpoint) {
-    double missing = 0;
-    for (int z = 0; z < problem.zones(); z++) {
-      missing += Math.max(0, flow.target(z, endpoint) - tables.load(z, endpoint));
+  private boolean isBelowTarget(int endpoint) {
+    double missingRate = 0;
+    for (int z = 0; z < problem.zoneCount(); z++) {
+      missingRate += Math.max(0, flow.target(z, endpoint) - tables.load(z, endpoint));
     }
-    double tolerance = SubsetSelector.SIGNIFICANT_SHARE * problem.endpoint(endpoint).capacity();
-    return missing > tolerance && tables.load(endpoint) < flow.load(endpoint);
+    double tolerance =
+        SubsetSelector.MEASUREMENT_ERROR_SHARE * problem.endpoint(endpoint).capacity();
+    return missingRate > tolerance && tables.load(endpoint) < flow.targetLoad(endpoint);
   }
 
-  private static Plan.Reason reason(Problem.Endpoint endpoint, double load, boolean lacksRoutes) {
-    if (endpoint.maxLoad() <= load * (1 + SubsetSelector.SIGNIFICANT_SHARE)) {
+  private static Plan.Reason reason(Problem.Endpoint endpoint, double load, boolean isBelowTarget) {
+    if (endpoint.maxLoad() <= load * (1 + SubsetSelector.MEASUREMENT_ERROR_SHARE)) {
       return Plan.Reason.WARM_UP_CAP;
     }
-    if (lacksRoutes) {
+    if (isBelowTarget) {
       return Plan.Reason.FEW_ROUTES;
     }
     double failures = Arrays.stream(endpoint.failureShares()).average().orElse(0);
-    return failures > FAILING ? Plan.Reason.FAILING : Plan.Reason.BALANCED;
+    return failures > MIN_FAILING_SHARE ? Plan.Reason.FAILING : Plan.Reason.BALANCED;
   }
 }
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -18,10 +18,10 @@
  */
 public final class Problem {
   /** Figures at or above it are no rates or weights. */
-  private static final double MAX_FIGURE = 1e12;
+  private static final double VALUE_LIMIT = 1e12;
 
   /** The index of an endpoint that is not part of the problem. */
-  static final int UNKNOWN = -1;
+  static final int NOT_FOUND = -1;
 
   /**
    * A ready endpoint.
@@ -64,8 +64,8 @@
     }
   }
 
-  private final int zones;
-  private final int requestClasses;
+  private final int zoneCount;
+  private final int requestClassCount;
   private final int maxRoutes;
   private final CostModel costs;
   private final Endpoint[] endpoints;
@@ -81,18 +81,18 @@
    *     figure is none
    */
   public Problem(
-      int zones,
-      int requestClasses,
+      int zoneCount,
+      int requestClassCount,
       int maxRoutes,
       CostModel costs,
       List<Endpoint> endpoints,
       List<Proxy> proxies) {
-    if (zones < 1 || requestClasses < 1 || maxRoutes < 1) {
+    if (zoneCount < 1 || requestClassCount < 1 || maxRoutes < 1) {
       throw new IllegalArgumentException(
           "problem: zones, request classes and routes must be at least 1");
     }
-    this.zones = zones;
-    this.requestClasses = requestClasses;
+    this.zoneCount = zoneCount;
+    this.requestClassCount = requestClassCount;
     this.maxRoutes = maxRoutes;
     this.costs = costs;
     List<Endpoint> byName = new ArrayList<>(endpoints);
@@ -110,9 +110,9 @@
       Endpoint endpoint = endpoints[e];
       String name = endpoint.id().name();
       require(indexById.put(endpoint.id(), e) == null, name + " comes twice");
-      require(endpoint.zone().index() < zones, name + " is in zone " + endpoint.zone().index());
+      require(endpoint.zone().index() < zoneCount, name + " is in zone " + endpoint.zone().index());
       require(
-          endpoint.capacity() > 0 && endpoint.capacity() < MAX_FIGURE,
+          endpoint.capacity() > 0 && endpoint.capacity() < VALUE_LIMIT,
           name + ": capacity " + endpoint.capacity());
       require(
           endpoint.maxLoad() > 0 && endpoint.maxDemandOfProxiesWithRoute() > 0,
@@ -122,7 +122,7 @@
               + ", demand of proxies with a route "
               + endpoint.maxDemandOfProxiesWithRoute());
       require(
-          endpoint.failureShares().length == requestClasses,
+          endpoint.failureShares().length == requestClassCount,
           name + ": failure shares of " + endpoint.failureShares().length + " request classes");
       for (double share : endpoint.failureShares()) {
         require(share >= 0 && share <= 1, name + ": failure share " + share);
@@ -135,33 +135,33 @@
     for (Proxy proxy : proxies) {
       String name = "proxy " + proxy.id().number();
       require(seen.add(proxy.id()), name + " comes twice");
-      require(proxy.zone().index() < zones, name + " is in zone " + proxy.zone().index());
+      require(proxy.zone().index() < zoneCount, name + " is in zone " + proxy.zone().index());
       require(
-          proxy.requestRates().length == requestClasses,
+          proxy.requestRates().length == requestClassCount,
           name + ": rates of " + proxy.requestRates().length + " request classes");
       for (double rate : proxy.requestRates()) {
-        require(rate >= 0 && rate < MAX_FIGURE, name + ": rate " + rate);
+        require(rate >= 0 && rate < VALUE_LIMIT, name + ": rate " + rate);
       }
       for (Route route : proxy.routes()) {
         require(
-            route.weight() >= 0 && route.weight() < MAX_FIGURE,
+            route.weight() >= 0 && route.weight() < VALUE_LIMIT,
             name + ": weight " + route.weight());
       }
     }
   }
 
-  private static void require(boolean holds, String what) {
-    if (!holds) {
-      throw new IllegalArgumentException("problem: " + what);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException("problem: " + message);
     }
   }
 
-  int zones() {
-    return zones;
+  int zoneCount() {
+    return zoneCount;
   }
 
-  int requestClasses() {
-    return requestClasses;
+  int requestClassCount() {
+    return requestClassCount;
   }
 
   int maxRoutes() {
@@ -180,9 +180,9 @@
     return endpoints[index];
   }
 
-  /** The index of an endpoint, or {@link #UNKNOWN}. */
+  /** The index of an endpoint, or {@link #NOT_FOUND}. */
   int indexOf(EndpointId id) {
-    return indexById.getOrDefault(id, UNKNOWN);
+    return indexById.getOrDefault(id, NOT_FOUND);
   }
 
   int proxyCount() {
@@ -204,9 +204,9 @@
   double routeCost(int zone, int endpoint) {
     double failures = 0;
     for (double share : endpoints[endpoint].failureShares()) {
-      failures += share / requestClasses;
+      failures += share / requestClassCount;
     }
-    boolean crosses = endpoints[endpoint].zone().index() != zone;
-    return failures + (crosses ? costs.zoneCrossing() : 0);
+    boolean crossesZones = endpoints[endpoint].zone().index() != zone;
+    return failures + (crossesZones ? costs.zoneCrossing() : 0);
   }
 }
--- a/src/main/java/stonespring/solver/ProportionalFitter.java
+++ b/src/main/java/stonespring/solver/ProportionalFitter.java
@@ -8,13 +8,13 @@
   private static final int MAX_ROUNDS = 24;
 
   /** Mean error, as a share of an endpoint's capacity, at which the fit ends. */
-  private static final double FITTED = 0.002;
+  private static final double TARGET_ERROR = 0.002;
 
   /** Ratio of an error to the last one above which another round is not worth it. */
-  private static final double STALLED = 0.98;
+  private static final double STALL_RATIO = 0.98;
 
   /** Highest factor that a rate is scaled by in one round. */
-  private static final double MAX_SCALE = 4;
+  private static final double MAX_SCALE_FACTOR = 4;
 
   /**
    * Highest weight of one route, so that an endpoint that fails takes no more of a proxy's requests
@@ -26,10 +26,10 @@
    * Highest weight as a multiple of the even share, where a table has so few routes that it is
    * above the maximum weight.
    */
-  private static final double MAX_EVEN_MULTIPLE = 1.5;
+  private static final double MAX_EVEN_SHARE_MULTIPLE = 1.5;
 
   /** Share of a proxy's rate by which sums may differ through rounding. */
-  private static final double ROUNDING_ERROR = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /** In place of a load of 0, to divide by. */
   private static final double MIN_LOAD = 1e-12;
@@ -44,17 +44,17 @@
     this.tables = tables;
   }
 
-  void fit() {
+  void fitRates() {
     double lastError = Double.POSITIVE_INFINITY;
     for (int round = 0; round < MAX_ROUNDS; round++) {
       tables.recomputeLoads();
-      double error = error();
-      if (error < FITTED || error > STALLED * lastError) {
+      double error = meanError();
+      if (error < TARGET_ERROR || error > STALL_RATIO * lastError) {
         return;
       }
       lastError = error;
       for (int p = 0; p < tables.proxyCount(); p++) {
-        scale(p);
+        scaleRates(p);
         limitWeights(p);
       }
     }
@@ -62,9 +62,9 @@
   }
 
   /** The mean share of an endpoint's capacity by which it gets too much or too little. */
-  private double error() {
+  private double meanError() {
     double sum = 0;
-    for (int z = 0; z < problem.zones(); z++) {
+    for (int z = 0; z < problem.zoneCount(); z++) {
       for (int e = 0; e < problem.endpointCount(); e++) {
         sum += Math.abs(tables.load(z, e) - flow.target(z, e)) / problem.endpoint(e).capacity();
       }
@@ -72,14 +72,14 @@
     return sum / problem.endpointCount();
   }
 
-  private void scale(int proxy) {
+  private void scaleRates(int proxy) {
     int zone = problem.zoneOfProxy(proxy);
     double[] rates = tables.rates(proxy);
     double sum = 0;
     for (int i = 0; i < rates.length; i++) {
       int endpoint = tables.endpoint(proxy, i);
       double scale = flow.target(zone, endpoint) / Math.max(MIN_LOAD, tables.load(zone, endpoint));
-      rates[i] *= Math.max(1 / MAX_SCALE, Math.min(MAX_SCALE, scale));
+      rates[i] *= Math.max(1 / MAX_SCALE_FACTOR, Math.min(MAX_SCALE_FACTOR, scale));
       sum += rates[i];
     }
     for (int i = 0; sum > 0 && i < rates.length; i++) {
@@ -91,19 +91,19 @@
   private void limitWeights(int proxy) {
     double[] rates = tables.rates(proxy);
     double demand = tables.demand(proxy);
-    double max = demand * Math.max(MAX_WEIGHT, MAX_EVEN_MULTIPLE / rates.length);
+    double maxRate = demand * Math.max(MAX_WEIGHT, MAX_EVEN_SHARE_MULTIPLE / rates.length);
     for (int round = 0; round < rates.length; round++) {
-      double over = 0;
-      double belowMax = 0;
+      double excess = 0;
+      double rateBelowMax = 0;
       for (double rate : rates) {
-        over += Math.max(0, rate - max);
-        belowMax += rate < max ? rate : 0;
+        excess += Math.max(0, rate - maxRate);
+        rateBelowMax += rate < maxRate ? rate : 0;
       }
-      if (over <= ROUNDING_ERROR * demand || belowMax <= 0) {
+      if (excess <= ROUNDING_TOLERANCE * demand || rateBelowMax <= 0) {
         return;
       }
       for (int i = 0; i < rates.length; i++) {
-        rates[i] = rates[i] < max ? rates[i] * (1 + over / belowMax) : max;
+        rates[i] = rates[i] < maxRate ? rates[i] * (1 + excess / rateBelowMax) : maxRate;
       }
     }
   }
--- a/src/main/java/stonespring/solver/RendezvousSelector.java
+++ b/src/main/java/stonespring/solver/RendezvousSelector.java
@@ -18,7 +18,7 @@
   private static final double MIN_WEIGHT = 0.004;
 
   /** Share of the mean capacity that every endpoint weighs at least in a draw. */
-  private static final double MIN_DRAW_WEIGHT = 1e-9;
+  private static final double MIN_SELECTION_SHARE = 1e-9;
 
   /** Endpoints looked at beyond twice those wanted, as some that warm up may have no room. */
   private static final int SPARE_CANDIDATES = 8;
@@ -36,21 +36,21 @@
   }
 
   /** Draws for all proxies in need, small ones first: endpoints that warm up are theirs. */
-  void draw() {
-    List<Integer> smallFirst = new ArrayList<>();
+  void selectMissingRoutes() {
+    List<Integer> byAscendingDemand = new ArrayList<>();
     for (int p = 0; p < tables.proxyCount(); p++) {
-      boolean lacksWarm = !tables.hasWarmRoute(p) && tables.anyEndpointIsWarm();
-      if (tables.size(p) == 0 || lacksWarm) {
-        smallFirst.add(p);
+      boolean lacksWarmRoute = !tables.hasWarmRoute(p) && tables.anyEndpointIsWarm();
+      if (tables.routeCount(p) == 0 || lacksWarmRoute) {
+        byAscendingDemand.add(p);
       }
     }
-    if (smallFirst.isEmpty()) {
+    if (byAscendingDemand.isEmpty()) {
       return;
     }
-    smallFirst.sort(Comparator.comparingDouble(tables::demand));
+    byAscendingDemand.sort(Comparator.comparingDouble(tables::demand));
     int[] nameHashes = nameHashes();
-    for (int proxy : smallFirst) {
-      drawFor(proxy, nameHashes);
+    for (int proxy : byAscendingDemand) {
+      selectRoutesFor(proxy, nameHashes);
     }
   }
 
@@ -64,19 +64,19 @@
     return hashes;
   }
 
-  private void drawFor(int proxy, int[] nameHashes) {
+  private void selectRoutesFor(int proxy, int[] nameHashes) {
     double[] rank = ranks(proxy, nameHashes);
-    int count = tables.maxRoutes(proxy);
-    boolean hadNone = tables.size(proxy) == 0;
-    for (int endpoint : lowest(rank, count)) {
-      if (hadNone && tables.size(proxy) < count && tables.mayAdd(proxy, endpoint)) {
-        tables.add(proxy, endpoint, 0);
+    int maxRoutes = tables.maxRoutes(proxy);
+    boolean wasEmpty = tables.routeCount(proxy) == 0;
+    for (int endpoint : candidates(rank, maxRoutes)) {
+      if (wasEmpty && tables.routeCount(proxy) < maxRoutes && tables.canAddRoute(proxy, endpoint)) {
+        tables.addRoute(proxy, endpoint, 0);
       }
     }
     if (tables.anyEndpointIsWarm() && !tables.hasWarmRoute(proxy)) {
-      tables.add(proxy, lowestWarm(rank), 0);
+      tables.addRoute(proxy, bestWarmEndpoint(rank), 0);
     }
-    setRates(proxy, hadNone);
+    setRates(proxy, wasEmpty);
   }
 
   private double[] ranks(int proxy, int[] nameHashes) {
@@ -88,49 +88,49 @@
       key.putInt(0, problem.proxy(proxy).id().number()).putInt(Integer.BYTES, nameHashes[e]);
       hash.reset();
       hash.update(key.array());
-      double draw = (hash.getValue() + 0.5) / HASH_RANGE;
-      double weight = Math.max(MIN_DRAW_WEIGHT * tables.meanCapacity(), flow.target(zone, e));
-      rank[e] = -Math.log(draw) / weight;
+      double uniform = (hash.getValue() + 0.5) / HASH_RANGE;
+      double weight = Math.max(MIN_SELECTION_SHARE * tables.meanCapacity(), flow.target(zone, e));
+      rank[e] = -Math.log(uniform) / weight;
     }
     return rank;
   }
 
   /** The endpoints of lowest rank, lowest first, some more than wanted. */
-  private static List<Integer> lowest(double[] rank, int wanted) {
+  private static List<Integer> candidates(double[] rank, int routeCount) {
     double[] sorted = rank.clone();
     Arrays.sort(sorted);
-    double last = sorted[Math.min(sorted.length, 2 * wanted + SPARE_CANDIDATES) - 1];
-    List<Integer> order = new ArrayList<>();
+    double maxRank = sorted[Math.min(sorted.length, 2 * routeCount + SPARE_CANDIDATES) - 1];
+    List<Integer> candidates = new ArrayList<>();
     for (int e = 0; e < rank.length; e++) {
-      if (rank[e] <= last) {
-        order.add(e);
+      if (rank[e] <= maxRank) {
+        candidates.add(e);
       }
     }
-    order.sort(Comparator.comparingDouble(e -> rank[e]));
-    return order;
+    candidates.sort(Comparator.comparingDouble(e -> rank[e]));
+    return candidates;
   }
 
-  private int lowestWarm(double[] rank) {
-    int lowest = Problem.UNKNOWN;
+  private int bestWarmEndpoint(double[] rank) {
+    int best = Problem.NOT_FOUND;
     for (int e = 0; e < rank.length; e++) {
-      boolean isLower = lowest == Problem.UNKNOWN || rank[e] < rank[lowest];
-      lowest = problem.endpoint(e).isWarm() && isLower ? e : lowest;
+      boolean isLower = best == Problem.NOT_FOUND || rank[e] < rank[best];
+      best = problem.endpoint(e).isWarm() && isLower ? e : best;
     }
-    return lowest;
+    return best;
   }
 
-  private void setRates(int proxy, boolean hadNone) {
+  private void setRates(int proxy, boolean wasEmpty) {
     int zone = problem.zoneOfProxy(proxy);
-    double least = MIN_DRAW_WEIGHT * tables.meanCapacity();
+    double minRate = MIN_SELECTION_SHARE * tables.meanCapacity();
     double demand = tables.demand(proxy);
     double sum = 0;
-    for (int i = 0; i < tables.size(proxy); i++) {
-      sum += flow.target(zone, tables.endpoint(proxy, i)) + least;
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
+      sum += flow.target(zone, tables.endpoint(proxy, i)) + minRate;
     }
-    for (int i = 0; i < tables.size(proxy); i++) {
-      double byTarget = demand * (flow.target(zone, tables.endpoint(proxy, i)) + least) / sum;
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
+      double byTarget = demand * (flow.target(zone, tables.endpoint(proxy, i)) + minRate) / sum;
       double atLeast = Math.max(tables.rate(proxy, i), MIN_WEIGHT * demand);
-      tables.setRate(proxy, i, hadNone ? byTarget : atLeast);
+      tables.setRate(proxy, i, wasEmpty ? byTarget : atLeast);
     }
   }
 }
--- a/src/main/java/stonespring/solver/ReportCredibility.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -22,25 +22,25 @@
   }
 
   /** Multiple of the listed or proven rate that a claim may raise a capacity to. */
-  private static final double MAX_STEP = 1.25;
+  private static final double MAX_STEP_FACTOR = 1.25;
 
   /** Least share of attempts that the fleet is taken to succeed with; in any overload some do. */
-  private static final double MIN_FLEET_SUCCESS = 0.05;
+  private static final double MIN_FLEET_SUCCESS_SHARE = 0.05;
 
   /** Factor of the listed capacity while nothing is proven: machines listed alike differ. */
-  private static final double UNPROVEN = 0.7;
+  private static final double UNPROVEN_FACTOR = 0.7;
 
   /** Ratio of the highest to the lowest claim above which sources disagree. */
-  private static final double DISAGREEMENT = 1.5;
+  private static final double MAX_CLAIM_RATIO = 1.5;
 
   /** Factor of the listed capacity that a ceiling never goes below. */
-  private static final double MIN_CEILING = 0.25;
+  private static final double MIN_CEILING_FACTOR = 0.25;
 
   /** Least force of a claim that counts for the rate per unit of weight. */
-  private static final double MIN_FORCE_FOR_UNIT = 0.5;
+  private static final double MIN_CONFIDENCE_FOR_UNIT_RATE = 0.5;
 
   /** Capacities at or above it, requests per second, are rejected. */
-  private static final double MAX_FIGURE = 1e12;
+  private static final double VALUE_LIMIT = 1e12;
 
   /**
    * What an endpoint is trusted with.
@@ -49,7 +49,8 @@
    * @param claimed the highest claim that counts at all; NaN if there is none
    * @param reason which of the judgements set the figure
    */
-  public record Judgement(EndpointId endpoint, double capacity, double claimed, Reason reason) {}
+  public record CapacityEstimate(
+      EndpointId endpoint, double capacity, double claimed, Reason reason) {}
 
   /** What set a figure. */
   public enum Reason {
@@ -60,21 +61,21 @@
     /** The lowest of claims that are too far apart. */
     SOURCES_DISAGREE,
     /** The highest step above what is listed or proven. */
-    ONE_STEP,
+    STEP_LIMIT,
     /** What proxies observed. */
-    OBSERVED
+    OBSERVED_CEILING
   }
 
-  private final TreeMap<String, EndpointCredibility> byName = new TreeMap<>();
-  private double fleetSuccess = 1;
+  private final TreeMap<String, EndpointCredibility> endpointsByName = new TreeMap<>();
+  private double fleetSuccessShare = 1;
 
-  private EndpointCredibility of(EndpointId endpoint) {
-    return byName.computeIfAbsent(endpoint.name(), name -> new EndpointCredibility());
+  private EndpointCredibility credibilityOf(EndpointId endpoint) {
+    return endpointsByName.computeIfAbsent(endpoint.name(), name -> new EndpointCredibility());
   }
 
-  private static void require(boolean holds, EndpointId endpoint, String what) {
-    if (!holds) {
-      throw new IllegalArgumentException("endpoint " + endpoint.name() + ": " + what);
+  private static void require(boolean condition, EndpointId endpoint, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException("endpoint " + endpoint.name() + ": " + message);
     }
   }
 
@@ -83,19 +84,19 @@
    *
    * @throws IllegalArgumentException if the weight is not above 0
    */
-  public void listed(EndpointId endpoint, double weight) {
-    require(weight > 0 && weight < MAX_FIGURE, endpoint, "weight " + weight);
-    of(endpoint).setListedWeight(weight);
+  public void setListedWeight(EndpointId endpoint, double weight) {
+    require(weight > 0 && weight < VALUE_LIMIT, endpoint, "weight " + weight);
+    credibilityOf(endpoint).setListedWeight(weight);
   }
 
   /** An endpoint's process started again: it has proven nothing, and nobody was wrong about it. */
-  public void restarted(EndpointId endpoint) {
-    byName.replace(endpoint.name(), new EndpointCredibility());
+  public void reset(EndpointId endpoint) {
+    endpointsByName.replace(endpoint.name(), new EndpointCredibility());
   }
 
   /** An endpoint was removed. */
-  public void removed(EndpointId endpoint) {
-    byName.remove(endpoint.name());
+  public void remove(EndpointId endpoint) {
+    endpointsByName.remove(endpoint.name());
   }
 
   /**
@@ -103,34 +104,36 @@
    *
    * @throws IllegalArgumentException if the capacity is not above 0
    */
-  public void claimed(EndpointId endpoint, Source source, double capacity, long made) {
+  public void recordClaim(EndpointId endpoint, Source source, double capacity, long claimedAt) {
     require(
-        capacity > 0 && capacity < MAX_FIGURE, endpoint, "capacity " + capacity + " by " + source);
-    of(endpoint).claim(source).claim(capacity, made);
+        capacity > 0 && capacity < VALUE_LIMIT, endpoint, "capacity " + capacity + " by " + source);
+    credibilityOf(endpoint).claim(source).update(capacity, claimedAt);
   }
 
   /**
    * Sets the share of all attempts in the fleet that fail or are late: an overload of all says
    * nothing of one endpoint.
    */
-  public void fleetObserved(double failedOrLateShare) {
-    fleetSuccess = Math.max(MIN_FLEET_SUCCESS, 1 - failedOrLateShare);
+  public void setFleetFailureShare(double failedOrLateShare) {
+    fleetSuccessShare = Math.max(MIN_FLEET_SUCCESS_SHARE, 1 - failedOrLateShare);
   }
 
   /**
    * What proxies observed at an endpoint in an interval.
    *
    * @param failedOrLate attempts that failed or were answered after the latency objective
-   * @param otherRate what reaches it besides, from proxies of other instances
+   * @param otherInstancesRate what reaches it besides, from proxies of other instances
    */
-  public void observed(
+  public void recordOutcomes(
       EndpointId endpoint,
       long attempts,
       double failedOrLate,
-      long interval,
-      double otherRate,
+      long intervalDeciMillis,
+      double otherInstancesRate,
       long now) {
-    of(endpoint).observe(attempts, failedOrLate, interval, otherRate, fleetSuccess, now);
+    credibilityOf(endpoint)
+        .recordOutcomes(
+            attempts, failedOrLate, intervalDeciMillis, otherInstancesRate, fleetSuccessShare, now);
   }
 
   /**
@@ -139,10 +142,10 @@
    */
   private double ratePerUnitOfWeight(long now) {
     List<Double> rates = new ArrayList<>();
-    for (EndpointCredibility endpoint : byName.values()) {
+    for (EndpointCredibility endpoint : endpointsByName.values()) {
       double best = endpoint.provenRate();
       for (CapacityClaim claim : endpoint.claims()) {
-        if (claim.force(now) > MIN_FORCE_FOR_UNIT) {
+        if (claim.confidence(now) > MIN_CONFIDENCE_FOR_UNIT_RATE) {
           best = Math.max(best, Math.min(claim.capacity(), endpoint.ceiling()));
         }
       }
@@ -159,34 +162,34 @@
    * What each listed endpoint is trusted with, by name; empty while nothing tells what a unit of
    * weight does.
    */
-  public List<Judgement> judge(long now) {
-    List<Judgement> judgements = new ArrayList<>();
+  public List<CapacityEstimate> estimateCapacities(long now) {
+    List<CapacityEstimate> estimates = new ArrayList<>();
     double rate = ratePerUnitOfWeight(now);
-    byName.forEach(
+    endpointsByName.forEach(
         (name, endpoint) -> {
           if (endpoint.listedWeight() > 0 && !Double.isNaN(rate)) {
-            double byList = rate * endpoint.listedWeight();
-            judgements.add(judgeEndpoint(new EndpointId(name), endpoint, byList, now));
+            double listedCapacity = rate * endpoint.listedWeight();
+            estimates.add(estimateCapacity(new EndpointId(name), endpoint, listedCapacity, now));
           }
         });
-    return judgements;
+    return estimates;
   }
 
   /** Claims weighed by their force. */
-  private static final class WeighedClaims {
-    private double forceSum;
+  private static final class WeightedClaims {
+    private double confidenceSum;
     private double weightedSum;
     private double lowest = Double.POSITIVE_INFINITY;
     private double highest;
-    private double strongestForce;
+    private double highestConfidence;
 
-    WeighedClaims(EndpointCredibility endpoint, long now) {
+    WeightedClaims(EndpointCredibility endpoint, long now) {
       for (CapacityClaim claim : endpoint.claims()) {
-        double force = claim.force(now);
-        if (force > 0) {
-          forceSum += force;
-          weightedSum += force * claim.capacity();
-          strongestForce = Math.max(strongestForce, force);
+        double confidence = claim.confidence(now);
+        if (confidence > 0) {
+          confidenceSum += confidence;
+          weightedSum += confidence * claim.capacity();
+          highestConfidence = Math.max(highestConfidence, confidence);
           lowest = Math.min(lowest, claim.capacity());
           highest = Math.max(highest, claim.capacity());
         }
@@ -194,37 +197,38 @@
     }
 
     boolean any() {
-      return forceSum > 0;
+      return confidenceSum > 0;
     }
 
     boolean disagree() {
-      return highest > DISAGREEMENT * lowest;
+      return highest > MAX_CLAIM_RATIO * lowest;
     }
 
     double capacity() {
-      return disagree() ? lowest : weightedSum / forceSum;
+      return disagree() ? lowest : weightedSum / confidenceSum;
     }
   }
 
-  private static Judgement judgeEndpoint(
-      EndpointId id, EndpointCredibility endpoint, double byList, long now) {
-    WeighedClaims claims = new WeighedClaims(endpoint, now);
+  private static CapacityEstimate estimateCapacity(
+      EndpointId id, EndpointCredibility endpoint, double listedCapacity, long now) {
+    WeightedClaims claims = new WeightedClaims(endpoint, now);
     Reason reason = Reason.LISTED;
-    double capacity = byList * (endpoint.provenRate() > 0 ? 1 : UNPROVEN);
+    double capacity = listedCapacity * (endpoint.provenRate() > 0 ? 1 : UNPROVEN_FACTOR);
     if (claims.any()) {
-      capacity = byList + claims.strongestForce * (claims.capacity() - byList);
+      capacity = listedCapacity + claims.highestConfidence * (claims.capacity() - listedCapacity);
       reason = claims.disagree() ? Reason.SOURCES_DISAGREE : Reason.CLAIMED;
     }
-    double highestStep = MAX_STEP * Math.max(byList, endpoint.provenRate());
-    if (capacity > highestStep) {
-      capacity = highestStep;
-      reason = Reason.ONE_STEP;
+    double stepLimit = MAX_STEP_FACTOR * Math.max(listedCapacity, endpoint.provenRate());
+    if (capacity > stepLimit) {
+      capacity = stepLimit;
+      reason = Reason.STEP_LIMIT;
     }
-    double ceiling = Math.max(endpoint.ceiling(), MIN_CEILING * byList);
+    double ceiling = Math.max(endpoint.ceiling(), MIN_CEILING_FACTOR * listedCapacity);
     if (capacity > ceiling) {
       capacity = ceiling;
-      reason = Reason.OBSERVED;
+      reason = Reason.OBSERVED_CEILING;
     }
-    return new Judgement(id, capacity, claims.highest > 0 ? claims.highest : Double.NaN, reason);
+    return new CapacityEstimate(
+        id, capacity, claims.highest > 0 ? claims.highest : Double.NaN, reason);
   }
 }
--- a/src/main/java/stonespring/solver/RouteAdder.java
+++ b/src/main/java/stonespring/solver/RouteAdder.java
@@ -13,7 +13,7 @@
   private static final double HORIZON_SECONDS = 10;
 
   /** What a route gives up at most: times what its endpoint has over its target. */
-  private static final double MAX_GIVEN_MULTIPLE = 2;
+  private static final double MAX_DONATED_EXCESS_MULTIPLE = 2;
 
   private final Problem problem;
   private final Flow flow;
@@ -39,52 +39,53 @@
   /** Adds routes; returns whether there were any to add. */
   boolean addRoutes() {
     boolean added = false;
-    for (int z = 0; z < problem.zones(); z++) {
+    for (int z = 0; z < problem.zoneCount(); z++) {
       added |= addRoutes(z);
     }
     return added;
   }
 
   private boolean addRoutes(int zone) {
-    List<Integer> shortOf = endpointsShortOfTarget(zone);
-    if (shortOf.isEmpty()) {
+    List<Integer> belowTarget = endpointsBelowTarget(zone);
+    if (belowTarget.isEmpty()) {
       return false;
     }
     List<Donor> donors = donors(zone);
-    double[] price = prices(zone);
-    boolean[] hasGiven = new boolean[tables.proxyCount()];
+    double[] marginalCost = marginalCosts(zone);
+    boolean[] hasDonated = new boolean[tables.proxyCount()];
     boolean added = false;
-    for (int endpoint : shortOf) {
-      added |= addRoutesTo(zone, endpoint, donors, price, hasGiven);
+    for (int endpoint : belowTarget) {
+      added |= addRoutesTo(zone, endpoint, donors, marginalCost, hasDonated);
     }
     return added;
   }
 
-  private List<Integer> endpointsShortOfTarget(int zone) {
-    List<Integer> shortOf = new ArrayList<>();
+  private List<Integer> endpointsBelowTarget(int zone) {
+    List<Integer> belowTarget = new ArrayList<>();
     for (int e = 0; e < problem.endpointCount(); e++) {
-      if (isShort(e, flow.target(zone, e) - tables.load(zone, e))) {
-        shortOf.add(e);
+      if (isBelowTarget(e, flow.target(zone, e) - tables.load(zone, e))) {
+        belowTarget.add(e);
       }
     }
-    shortOf.sort(Comparator.comparingDouble(e -> tables.load(zone, e) - flow.target(zone, e)));
-    return shortOf;
+    belowTarget.sort(Comparator.comparingDouble(e -> tables.load(zone, e) - flow.target(zone, e)));
+    return belowTarget;
   }
 
-  private boolean isShort(int endpoint, double missing) {
-    return missing > SubsetSelector.SIGNIFICANT_SHARE * problem.endpoint(endpoint).capacity();
+  private boolean isBelowTarget(int endpoint, double missing) {
+    return missing > SubsetSelector.MEASUREMENT_ERROR_SHARE * problem.endpoint(endpoint).capacity();
   }
 
   private List<Donor> donors(int zone) {
     List<Donor> donors = new ArrayList<>();
     for (int p = 0; p < tables.proxyCount(); p++) {
-      for (int i = 0; problem.zoneOfProxy(p) == zone && i < tables.size(p); i++) {
+      for (int i = 0; problem.zoneOfProxy(p) == zone && i < tables.routeCount(p); i++) {
         int endpoint = tables.endpoint(p, i);
         double load = tables.load(zone, endpoint);
-        double over = load - flow.target(zone, endpoint);
-        if (over > 0) {
-          double given = tables.rate(p, i) * Math.min(1, MAX_GIVEN_MULTIPLE * over / load);
-          donors.add(new Donor(p, i, given));
+        double excess = load - flow.target(zone, endpoint);
+        if (excess > 0) {
+          double donatable =
+              tables.rate(p, i) * Math.min(1, MAX_DONATED_EXCESS_MULTIPLE * excess / load);
+          donors.add(new Donor(p, i, donatable));
         }
       }
     }
@@ -93,37 +94,38 @@
   }
 
   /** What one more request of a zone loses at each endpoint, by the tables as they are. */
-  private double[] prices(int zone) {
-    double[] price = new double[problem.endpointCount()];
-    for (int e = 0; e < price.length; e++) {
-      price[e] = Flow.endpointPrice(problem, e, tables.load(e)) + flow.routeCost(zone, e);
+  private double[] marginalCosts(int zone) {
+    double[] marginalCost = new double[problem.endpointCount()];
+    for (int e = 0; e < marginalCost.length; e++) {
+      marginalCost[e] = Flow.endpointPrice(problem, e, tables.load(e)) + flow.routeCost(zone, e);
     }
-    return price;
+    return marginalCost;
   }
 
   private boolean addRoutesTo(
-      int zone, int endpoint, List<Donor> donors, double[] price, boolean[] hasGiven) {
+      int zone, int endpoint, List<Donor> donors, double[] marginalCost, boolean[] hasDonated) {
     boolean added = false;
     double missing = flow.target(zone, endpoint) - tables.load(zone, endpoint);
     for (Donor donor : donors) {
-      if (!isShort(endpoint, missing)) {
+      if (!isBelowTarget(endpoint, missing)) {
         break;
       }
       int proxy = donor.proxy;
-      if (hasGiven[proxy]) {
+      if (hasDonated[proxy]) {
         continue;
       }
       double moved = Math.min(donor.rate, missing);
-      double saved = price[tables.endpoint(proxy, donor.route)] - price[endpoint];
-      double gain = moved * HORIZON_SECONDS * (1 + plansBelowTarget[endpoint]) * saved;
-      boolean pays = gain > connectionCost(proxy);
-      boolean hasRoom = tables.size(proxy) <= tables.maxRoutes(proxy);
-      if (!pays || !hasRoom || !tables.mayAdd(proxy, endpoint)) {
+      double savingPerRequest =
+          marginalCost[tables.endpoint(proxy, donor.route)] - marginalCost[endpoint];
+      double gain = moved * HORIZON_SECONDS * (1 + plansBelowTarget[endpoint]) * savingPerRequest;
+      boolean gainExceedsCost = gain > connectionCost(proxy);
+      boolean hasFreeSlot = tables.routeCount(proxy) <= tables.maxRoutes(proxy);
+      if (!gainExceedsCost || !hasFreeSlot || !tables.canAddRoute(proxy, endpoint)) {
         continue;
       }
-      hasGiven[proxy] = true;
+      hasDonated[proxy] = true;
       added = true;
-      tables.add(proxy, endpoint, moved);
+      tables.addRoute(proxy, endpoint, moved);
       tables.setRate(proxy, donor.route, tables.rate(proxy, donor.route) - moved);
       missing -= moved;
     }
--- a/src/main/java/stonespring/solver/RouteDropper.java
+++ b/src/main/java/stonespring/solver/RouteDropper.java
@@ -9,9 +9,9 @@
   private static final double MIN_WEIGHT = 0.004;
 
   /** The same as a multiple of the even share, where that is lower: tables with many routes. */
-  private static final double MIN_EVEN_MULTIPLE = 0.1;
+  private static final double MIN_EVEN_SHARE_MULTIPLE = 0.1;
 
-  private static final int NONE = -1;
+  private static final int NO_ROUTE = -1;
 
   private final Problem problem;
   private final WorkingTables tables;
@@ -21,40 +21,40 @@
     this.tables = tables;
   }
 
-  void drop() {
+  void dropRoutes() {
     for (int p = 0; p < tables.proxyCount(); p++) {
-      while (tables.size(p) > 1 && dropOne(p)) {
+      while (tables.routeCount(p) > 1 && dropLeastUsed(p)) {
         // another may be idle, or too many, after this one
       }
     }
     tables.recomputeLoads();
   }
 
-  private boolean dropOne(int proxy) {
+  private boolean dropLeastUsed(int proxy) {
     int leastUsed = leastUsedRoute(proxy);
-    if (leastUsed == NONE) {
+    if (leastUsed == NO_ROUTE) {
       return false;
     }
-    double minWeight = Math.min(MIN_WEIGHT, MIN_EVEN_MULTIPLE / tables.size(proxy));
+    double minWeight = Math.min(MIN_WEIGHT, MIN_EVEN_SHARE_MULTIPLE / tables.routeCount(proxy));
     boolean isIdle = tables.rate(proxy, leastUsed) < minWeight * tables.demand(proxy);
-    boolean tooMany = tables.size(proxy) > tables.maxRoutes(proxy);
+    boolean tooMany = tables.routeCount(proxy) > tables.maxRoutes(proxy);
     if (!isIdle && !tooMany) {
       return false;
     }
-    tables.remove(proxy, leastUsed);
+    tables.removeRoute(proxy, leastUsed);
     return true;
   }
 
   private int leastUsedRoute(int proxy) {
     int warmRoutes = 0;
-    for (int i = 0; i < tables.size(proxy); i++) {
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
       warmRoutes += isWarm(proxy, i) ? 1 : 0;
     }
-    int least = NONE;
-    for (int i = 0; i < tables.size(proxy); i++) {
+    int least = NO_ROUTE;
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
       boolean isLastWarm = warmRoutes == 1 && isWarm(proxy, i);
-      boolean isLess = least == NONE || tables.rate(proxy, i) < tables.rate(proxy, least);
-      if (!isLastWarm && isLess) {
+      boolean carriesLess = least == NO_ROUTE || tables.rate(proxy, i) < tables.rate(proxy, least);
+      if (!isLastWarm && carriesLess) {
         least = i;
       }
     }
--- a/src/main/java/stonespring/solver/Solver.java
+++ b/src/main/java/stonespring/solver/Solver.java
@@ -5,13 +5,13 @@
  * few routes.
  */
 public final class Solver {
-  private Flow flow;
-  private Plan plan;
+  private Flow lastFlow;
+  private Plan lastPlan;
 
   /** The plan for a problem; the same problems in the same order give the same plans. */
   public Plan solve(Problem problem) {
-    flow = new Flow(problem, flow);
-    plan = new SubsetSelector(problem, flow, plan).select();
-    return plan;
+    lastFlow = new Flow(problem, lastFlow);
+    lastPlan = new SubsetSelector(problem, lastFlow, lastPlan).select();
+    return lastPlan;
   }
 }
--- a/src/main/java/stonespring/solver/SubsetSelector.java
+++ b/src/main/java/stonespring/solver/SubsetSelector.java
@@ -7,19 +7,19 @@
  */
 final class SubsetSelector {
   /** Share of an endpoint's capacity below which a difference is within the error of reports. */
-  static final double SIGNIFICANT_SHARE = 0.02;
+  static final double MEASUREMENT_ERROR_SHARE = 0.02;
 
   /** Rounds of new routes and scaling, from nothing. */
-  private static final int INITIAL_ROUNDS = 10;
+  private static final int MAX_INITIAL_ROUNDS = 10;
 
   /** The same where tables stand; what is left waits for the next plan. */
-  private static final int FOLLOWING_ROUNDS = 2;
+  private static final int MAX_FOLLOW_UP_ROUNDS = 2;
 
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
   private final int[] plansBelowTarget;
-  private final int rounds;
+  private final int maxRounds;
 
   /**
    * Prepares a plan.
@@ -31,7 +31,7 @@
     this.flow = flow;
     this.tables = new WorkingTables(problem);
     this.plansBelowTarget = new int[problem.endpointCount()];
-    this.rounds = previous == null ? INITIAL_ROUNDS : FOLLOWING_ROUNDS;
+    this.maxRounds = previous == null ? MAX_INITIAL_ROUNDS : MAX_FOLLOW_UP_ROUNDS;
     if (previous != null) {
       copyPlansBelowTarget(previous);
     }
@@ -40,7 +40,7 @@
   private void copyPlansBelowTarget(Plan previous) {
     for (Plan.EndpointAllocation allocation : previous.allocations()) {
       int endpoint = problem.indexOf(allocation.endpoint());
-      if (endpoint != Problem.UNKNOWN) {
+      if (endpoint != Problem.NOT_FOUND) {
         plansBelowTarget[endpoint] = allocation.plansBelowTarget();
       }
     }
@@ -57,17 +57,17 @@
     ProportionalFitter fitter = new ProportionalFitter(problem, flow, tables);
     RouteAdder adder = new RouteAdder(problem, flow, tables, plansBelowTarget);
     RouteDropper dropper = new RouteDropper(problem, tables);
-    tables.takeOverHeldRoutes();
-    new RendezvousSelector(problem, flow, tables).draw();
+    tables.loadCurrentRoutes();
+    new RendezvousSelector(problem, flow, tables).selectMissingRoutes();
     boolean added = true;
-    for (int round = 0; added && round < rounds; round++) {
-      fitter.fit();
-      dropper.drop();
+    for (int round = 0; added && round < maxRounds; round++) {
+      fitter.fitRates();
+      dropper.dropRoutes();
       added = adder.addRoutes();
     }
-    fitter.fit();
-    dropper.drop();
-    new ChangeDamper(problem, flow, tables).damp();
-    new WarmUpCap(problem, tables).apply();
+    fitter.fitRates();
+    dropper.dropRoutes();
+    new ChangeDamper(problem, flow, tables).dampChanges();
+    new WarmUpCap(problem, tables).enforce();
   }
 }
--- a/src/main/java/stonespring/solver/WarmUpCap.java
+++ b/src/main/java/stonespring/solver/WarmUpCap.java
@@ -13,21 +13,21 @@
     this.tables = tables;
   }
 
-  void apply() {
+  void enforce() {
     for (int e = 0; e < problem.endpointCount(); e++) {
       double maxLoad = problem.endpoint(e).maxLoad();
       if (tables.load(e) > maxLoad) {
-        keepShare(e, maxLoad / tables.load(e));
+        reduceLoadToShare(e, maxLoad / tables.load(e));
       }
     }
     tables.recomputeLoads();
   }
 
-  private void keepShare(int endpoint, double share) {
+  private void reduceLoadToShare(int endpoint, double share) {
     for (int p = 0; p < tables.proxyCount(); p++) {
       double warmRate = warmRate(p);
-      int route = warmRate > 0 ? routeTo(p, endpoint) : Problem.UNKNOWN;
-      if (route != Problem.UNKNOWN) {
+      int route = warmRate > 0 ? findRoute(p, endpoint) : Problem.NOT_FOUND;
+      if (route != Problem.NOT_FOUND) {
         moveToWarmRoutes(p, route, tables.rate(p, route) * (1 - share), warmRate);
       }
     }
@@ -35,19 +35,19 @@
 
   private double warmRate(int proxy) {
     double sum = 0;
-    for (int i = 0; i < tables.size(proxy); i++) {
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
       sum += isWarm(proxy, i) ? tables.rate(proxy, i) : 0;
     }
     return sum;
   }
 
-  private int routeTo(int proxy, int endpoint) {
-    for (int i = 0; i < tables.size(proxy); i++) {
+  private int findRoute(int proxy, int endpoint) {
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
       if (tables.endpoint(proxy, i) == endpoint) {
         return i;
       }
     }
-    return Problem.UNKNOWN;
+    return Problem.NOT_FOUND;
   }
 
   private void moveToWarmRoutes(int proxy, int route, double moved, double warmRate) {
--- a/src/main/java/stonespring/solver/WeightAdvisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -40,7 +40,7 @@
    * Share of the rate at which a warming endpoint fails that all proxies with a route to it may
    * receive together.
    */
-  private static final double MAX_DEMAND_SHARE = 0.8;
+  private static final double MAX_WARMING_DEMAND_SHARE = 0.8;
 
   /** Least share of the fleet that this instance is taken to serve. */
   private static final double MIN_FLEET_SHARE = 0.01;
@@ -49,7 +49,7 @@
   private static final int ROUNDS_BEFORE_FIRST_PROPOSAL = 5;
 
   /** Requests lost for each more that a full endpoint gets; many answers are late then. */
-  private static final double LATENESS_COST = 3.5;
+  private static final double CONGESTION_COST = 3.5;
 
   /** Requests lost for each new route, as its connection costs work. */
   private static final double NEW_ROUTE_COST = 0.1;
@@ -80,7 +80,7 @@
   private final TreeMap<String, ObservedEndpoint> endpoints = new TreeMap<>();
   private final TreeMap<Integer, ConnectedProxy> proxies = new TreeMap<>();
   private Plan plan;
-  private int rounds;
+  private int completedRounds;
 
   /** Starts without any observation. */
   public WeightAdvisor(Settings settings) {
@@ -95,11 +95,11 @@
   /** Takes an event that the engine is notified of. */
   public void handle(long now, Event event) {
     if (event instanceof Event.EndpointListUpdate e) {
-      updateList(e);
+      updateEndpointList(e);
     } else if (event instanceof Event.EndpointOutcomes e) {
       ObservedEndpoint endpoint = endpoints.get(e.endpoint().name());
       if (endpoint != null) {
-        endpoint.observe(e, latencyObjective);
+        endpoint.recordOutcomes(e, latencyObjective);
       }
     } else if (event instanceof Event.ProxyConnected e) {
       int classes = settings.requestClasses().size();
@@ -107,36 +107,37 @@
     } else if (event instanceof Event.ProxyDisconnected e) {
       proxies.remove(e.proxy().number());
     } else if (event instanceof Event.ProxyRequestRate e) {
-      updateRate(e);
+      updateRequestRate(e);
     }
   }
 
-  private void updateRate(Event.ProxyRequestRate e) {
+  private void updateRequestRate(Event.ProxyRequestRate e) {
     ConnectedProxy proxy = proxies.get(e.proxy().number());
     if (proxy == null) {
       return;
     }
-    int k = e.requestClass().index();
-    double kept = Math.pow(0.5, e.interval() / ObservedEndpoint.SMOOTHING_HALF_LIFE);
+    int classIndex = e.requestClass().index();
+    double retainedShare = Math.pow(0.5, e.interval() / ObservedEndpoint.SMOOTHING_HALF_LIFE);
     double rate = e.requests() * (double) DeciMillis.SECOND / Math.max(1, e.interval());
-    proxy.requestRates[k] = kept * proxy.requestRates[k] + (1 - kept) * rate;
+    proxy.requestRates[classIndex] =
+        retainedShare * proxy.requestRates[classIndex] + (1 - retainedShare) * rate;
   }
 
-  private void updateList(Event.EndpointListUpdate update) {
+  private void updateEndpointList(Event.EndpointListUpdate update) {
     if (update.kind() == Event.ListUpdateKind.FETCH_FAILED) {
       return;
     }
-    boolean removedKeepServing = settings.endpointList().removedEndpointsKeepServing();
-    if (update.kind() == Event.ListUpdateKind.SNAPSHOT && !removedKeepServing) {
+    boolean removedEndpointsKeepServing = settings.endpointList().removedEndpointsKeepServing();
+    if (update.kind() == Event.ListUpdateKind.SNAPSHOT && !removedEndpointsKeepServing) {
       removeUnlisted(update.endpoints());
     }
     for (EndpointRecord listed : update.endpoints()) {
       if (listed.state() != EndpointRecord.State.REMOVED) {
         updateEndpoint(listed);
-      } else if (!removedKeepServing) {
+      } else if (!removedEndpointsKeepServing) {
         // Where removed endpoints may serve, one that stopped fails its attempts, which count.
         endpoints.remove(listed.endpoint().name());
-        credibility.removed(listed.endpoint());
+        credibility.remove(listed.endpoint());
       }
     }
   }
@@ -146,7 +147,7 @@
         snapshot.stream().map(endpoint -> endpoint.endpoint().name()).collect(Collectors.toSet());
     for (String name : endpoints.keySet()) {
       if (!listed.contains(name)) {
-        credibility.removed(new EndpointId(name));
+        credibility.remove(new EndpointId(name));
       }
     }
     endpoints.keySet().retainAll(listed);
@@ -155,14 +156,14 @@
   private void updateEndpoint(EndpointRecord listed) {
     ObservedEndpoint endpoint =
         endpoints.computeIfAbsent(listed.endpoint().name(), name -> new ObservedEndpoint());
-    if (endpoint.update(listed)) {
-      credibility.restarted(listed.endpoint());
+    if (endpoint.updateRecord(listed)) {
+      credibility.reset(listed.endpoint());
     }
-    credibility.listed(listed.endpoint(), listed.weight() > 0 ? listed.weight() : 1);
+    credibility.setListedWeight(listed.endpoint(), listed.weight() > 0 ? listed.weight() : 1);
   }
 
   /** Takes a command of the engine: the routes that proxies hold follow from them. */
-  public void commanded(Command command) {
+  public void handleCommand(Command command) {
     if (!(command instanceof Command.SetRoute set)) {
       return;
     }
@@ -191,16 +192,16 @@
    *
    * @return empty in the first rounds, or while no endpoint is ready
    */
-  public List<Event.WeightsProposed> propose(long now) {
+  public List<Event.WeightsProposed> proposeWeights(long now) {
     evaluateRound(now);
     List<Problem.Endpoint> ready = readyEndpoints(now);
-    boolean tooEarly = rounds++ < ROUNDS_BEFORE_FIRST_PROPOSAL;
+    boolean tooEarly = completedRounds++ < ROUNDS_BEFORE_FIRST_PROPOSAL;
     if (tooEarly || ready.isEmpty() || proxies.isEmpty() || settings.fleet().sharded()) {
       plan = null;
       return List.of();
     }
-    plan = solver.solve(problem(ready));
-    return proposals(plan);
+    plan = solver.solve(buildProblem(ready));
+    return toProposals(plan);
   }
 
   private void evaluateRound(long now) {
@@ -210,7 +211,7 @@
       attempts += endpoint.roundAttempts();
       failedOrLate += endpoint.roundFailedOrLate();
     }
-    credibility.fleetObserved(failedOrLate / Math.max(PRIOR_ATTEMPTS, attempts));
+    credibility.setFleetFailureShare(failedOrLate / Math.max(PRIOR_ATTEMPTS, attempts));
     endpoints.forEach((name, endpoint) -> evaluateEndpoint(new EndpointId(name), endpoint, now));
   }
 
@@ -224,7 +225,7 @@
         Double.isNaN(endpoint.reportedRate())
             ? ownRate / fleetShare()
             : Math.max(endpoint.reportedRate(), ownRate);
-    credibility.observed(
+    credibility.recordOutcomes(
         id,
         endpoint.roundAttempts(),
         endpoint.roundFailedOrLate(),
@@ -234,36 +235,39 @@
     // What an endpoint seems to do while it warms up says little of the warm one.
     boolean isWarm = settings.slowStart().warmUpFraction(endpoint.startedAt(), now) >= 1;
     if (endpoint.utilization() > MIN_UTILIZATION && totalRate > 0 && isWarm) {
-      double capacity = endpoint.smoothCapacity(totalRate);
-      credibility.claimed(id, ReportCredibility.Source.ENDPOINT, capacity, now);
+      double capacity = endpoint.updateSmoothedCapacity(totalRate);
+      credibility.recordClaim(id, ReportCredibility.Source.ENDPOINT, capacity, now);
     }
-    endpoint.endRound();
+    endpoint.resetRound();
   }
 
   private List<Problem.Endpoint> readyEndpoints(long now) {
     List<Problem.Endpoint> ready = new ArrayList<>();
     double share = fleetShare();
-    for (ReportCredibility.Judgement judgement : credibility.judge(now)) {
-      ObservedEndpoint endpoint = endpoints.get(judgement.endpoint().name());
-      if (endpoint != null && endpoint.isReady() && judgement.capacity() > 0) {
-        ready.add(readyEndpoint(judgement, endpoint, share, now));
+    for (ReportCredibility.CapacityEstimate estimate : credibility.estimateCapacities(now)) {
+      ObservedEndpoint endpoint = endpoints.get(estimate.endpoint().name());
+      if (endpoint != null && endpoint.isReady() && estimate.capacity() > 0) {
+        ready.add(readyEndpoint(estimate, endpoint, share, now));
       }
     }
     return ready;
   }
 
   private Problem.Endpoint readyEndpoint(
-      ReportCredibility.Judgement judgement, ObservedEndpoint endpoint, double share, long now) {
+      ReportCredibility.CapacityEstimate estimate,
+      ObservedEndpoint endpoint,
+      double share,
+      long now) {
     Settings.SlowStart slowStart = settings.slowStart();
-    double warmUp = slowStart.warmUpFraction(endpoint.startedAt(), now);
-    double capacity = judgement.capacity() * warmUp * share;
+    double warmUpFraction = slowStart.warmUpFraction(endpoint.startedAt(), now);
+    double capacity = estimate.capacity() * warmUpFraction * share;
     double[] failureShares = new double[settings.requestClasses().size()];
     double failureShare = endpoint.failures() / (endpoint.attempts() + PRIOR_ATTEMPTS);
     Arrays.fill(failureShares, Math.min(1, failureShare));
-    boolean isWarm = warmUp >= 1;
-    double maxDemand = MAX_DEMAND_SHARE * slowStart.overloadMultiple() * capacity;
+    boolean isWarm = warmUpFraction >= 1;
+    double maxDemand = MAX_WARMING_DEMAND_SHARE * slowStart.overloadMultiple() * capacity;
     return new Problem.Endpoint(
-        judgement.endpoint(),
+        estimate.endpoint(),
         endpoint.zone(),
         capacity,
         isWarm ? Double.POSITIVE_INFINITY : capacity,
@@ -276,7 +280,7 @@
    * with, the only size of a table that the settings give; proxies that so few can't carry get
    * more.
    */
-  private Problem problem(List<Problem.Endpoint> ready) {
+  private Problem buildProblem(List<Problem.Endpoint> ready) {
     List<Problem.Proxy> connected = new ArrayList<>();
     proxies.forEach(
         (number, proxy) -> {
@@ -292,12 +296,12 @@
         settings.fleet().zones(),
         settings.requestClasses().size(),
         Math.max(1, settings.routing().bootstrapRouteCount()),
-        new CostModel(LATENESS_COST, settings.routing().crossZonePenalty(), NEW_ROUTE_COST),
+        new CostModel(CONGESTION_COST, settings.routing().crossZonePenalty(), NEW_ROUTE_COST),
         ready,
         connected);
   }
 
-  private static List<Event.WeightsProposed> proposals(Plan plan) {
+  private static List<Event.WeightsProposed> toProposals(Plan plan) {
     List<Event.WeightsProposed> proposals = new ArrayList<>();
     for (Plan.Table table : plan.tables()) {
       List<Event.WeightsProposed.Share> shares = new ArrayList<>();
--- a/src/main/java/stonespring/solver/WorkingTables.java
+++ b/src/main/java/stonespring/solver/WorkingTables.java
@@ -14,7 +14,7 @@
    * Share of an endpoint's capacity that one proxy should fill at most; a few endpoints can't carry
    * a large proxy.
    */
-  private static final double MAX_FILL_BY_ONE_PROXY = 0.25;
+  private static final double MAX_CAPACITY_SHARE_PER_PROXY = 0.25;
 
   private final Problem problem;
   private final int[][] endpoints;
@@ -24,9 +24,9 @@
   private final double[][] loadByZone;
   private final double[] load;
   private final double meanCapacity;
-  private final boolean anyWarm;
+  private final boolean anyEndpointIsWarm;
 
-  /** Starts with empty tables; {@link #takeOverHeldRoutes} fills them. */
+  /** Starts with empty tables; {@link #loadCurrentRoutes} fills them. */
   WorkingTables(Problem problem) {
     this.problem = problem;
     int endpointCount = problem.endpointCount();
@@ -34,35 +34,35 @@
     rates = new double[problem.proxyCount()][0];
     demand = new double[problem.proxyCount()];
     demandOfProxiesWithRoute = new double[endpointCount];
-    loadByZone = new double[problem.zones()][endpointCount];
+    loadByZone = new double[problem.zoneCount()][endpointCount];
     load = new double[endpointCount];
     double capacitySum = 0;
-    boolean warm = false;
+    boolean hasWarmEndpoint = false;
     for (int e = 0; e < endpointCount; e++) {
       capacitySum += problem.endpoint(e).capacity() / endpointCount;
-      warm |= problem.endpoint(e).isWarm();
+      hasWarmEndpoint |= problem.endpoint(e).isWarm();
     }
     meanCapacity = capacitySum;
-    anyWarm = warm;
+    anyEndpointIsWarm = hasWarmEndpoint;
   }
 
   /** Takes over the routes that proxies hold, as far as their endpoints are part of the problem. */
-  void takeOverHeldRoutes() {
+  void loadCurrentRoutes() {
     for (int p = 0; p < endpoints.length; p++) {
-      List<Problem.Route> held = new ArrayList<>();
+      List<Problem.Route> current = new ArrayList<>();
       double weightSum = 0;
       for (Problem.Route route : problem.proxy(p).routes()) {
-        if (problem.indexOf(route.endpoint()) != Problem.UNKNOWN && route.weight() > 0) {
-          held.add(route);
+        if (problem.indexOf(route.endpoint()) != Problem.NOT_FOUND && route.weight() > 0) {
+          current.add(route);
           weightSum += route.weight();
         }
       }
       demand[p] = problem.proxy(p).totalRate();
-      endpoints[p] = new int[held.size()];
-      rates[p] = new double[held.size()];
-      for (int i = 0; i < held.size(); i++) {
-        endpoints[p][i] = problem.indexOf(held.get(i).endpoint());
-        rates[p][i] = demand[p] * held.get(i).weight() / weightSum;
+      endpoints[p] = new int[current.size()];
+      rates[p] = new double[current.size()];
+      for (int i = 0; i < current.size(); i++) {
+        endpoints[p][i] = problem.indexOf(current.get(i).endpoint());
+        rates[p][i] = demand[p] * current.get(i).weight() / weightSum;
         demandOfProxiesWithRoute[endpoints[p][i]] += demand[p];
       }
     }
@@ -73,7 +73,7 @@
   }
 
   /** The number of a proxy's routes. */
-  int size(int proxy) {
+  int routeCount(int proxy) {
     return endpoints[proxy].length;
   }
 
@@ -111,7 +111,7 @@
   }
 
   boolean anyEndpointIsWarm() {
-    return anyWarm;
+    return anyEndpointIsWarm;
   }
 
   /** The rate that an endpoint gets from a zone, as of the last {@link #recomputeLoads}. */
@@ -131,19 +131,20 @@
 
   /** How many routes a proxy should have at most. */
   int maxRoutes(int proxy) {
-    double enoughToCarry = Math.ceil(demand[proxy] / (MAX_FILL_BY_ONE_PROXY * meanCapacity));
-    int large = (int) Math.min(problem.endpointCount(), enoughToCarry);
-    return Math.min(problem.endpointCount(), Math.max(problem.maxRoutes(), large));
+    double routesToCarryDemand =
+        Math.ceil(demand[proxy] / (MAX_CAPACITY_SHARE_PER_PROXY * meanCapacity));
+    int routesByDemand = (int) Math.min(problem.endpointCount(), routesToCarryDemand);
+    return Math.min(problem.endpointCount(), Math.max(problem.maxRoutes(), routesByDemand));
   }
 
   /**
    * Whether a proxy may get a new route to an endpoint: it has none, and the proxies with a route
    * to the endpoint, this one included, stay within the endpoint's cap.
    */
-  boolean mayAdd(int proxy, int endpoint) {
-    double total = demandOfProxiesWithRoute[endpoint] + demand[proxy];
+  boolean canAddRoute(int proxy, int endpoint) {
+    double connectedDemand = demandOfProxiesWithRoute[endpoint] + demand[proxy];
     return !hasRoute(proxy, endpoint)
-        && total <= problem.endpoint(endpoint).maxDemandOfProxiesWithRoute();
+        && connectedDemand <= problem.endpoint(endpoint).maxDemandOfProxiesWithRoute();
   }
 
   private boolean hasRoute(int proxy, int endpoint) {
@@ -164,7 +165,7 @@
     return false;
   }
 
-  void add(int proxy, int endpoint, double rate) {
+  void addRoute(int proxy, int endpoint, double rate) {
     int size = endpoints[proxy].length;
     endpoints[proxy] = Arrays.copyOf(endpoints[proxy], size + 1);
     rates[proxy] = Arrays.copyOf(rates[proxy], size + 1);
@@ -174,19 +175,21 @@
   }
 
   /** Removes a route; its rate goes to the others in proportion. */
-  void remove(int proxy, int route) {
-    double rest = demand[proxy] - rates[proxy][route];
+  void removeRoute(int proxy, int route) {
+    double remainingDemand = demand[proxy] - rates[proxy][route];
     demandOfProxiesWithRoute[endpoints[proxy][route]] -= demand[proxy];
     int size = endpoints[proxy].length - 1;
     int[] remainingEndpoints = new int[size];
     double[] remainingRates = new double[size];
-    int to = 0;
+    int position = 0;
     for (int i = 0; i <= size; i++) {
       if (i != route) {
-        remainingEndpoints[to] = endpoints[proxy][i];
-        remainingRates[to] =
-            rest > 0 ? rates[proxy][i] * demand[proxy] / rest : demand[proxy] / size;
-        to++;
+        remainingEndpoints[position] = endpoints[proxy][i];
+        remainingRates[position] =
+            remainingDemand > 0
+                ? rates[proxy][i] * demand[proxy] / remainingDemand
+                : demand[proxy] / size;
+        position++;
       }
     }
     endpoints[proxy] = remainingEndpoints;
@@ -195,14 +198,14 @@
 
   /** Computes the loads of all endpoints anew from the rates of all routes. */
   void recomputeLoads() {
-    for (double[] ofZone : loadByZone) {
-      Arrays.fill(ofZone, 0);
+    for (double[] zoneLoad : loadByZone) {
+      Arrays.fill(zoneLoad, 0);
     }
     Arrays.fill(load, 0);
     for (int p = 0; p < endpoints.length; p++) {
-      double[] ofZone = loadByZone[problem.zoneOfProxy(p)];
+      double[] zoneLoad = loadByZone[problem.zoneOfProxy(p)];
       for (int i = 0; i < endpoints[p].length; i++) {
-        ofZone[endpoints[p][i]] += rates[p][i];
+        zoneLoad[endpoints[p][i]] += rates[p][i];
         load[endpoints[p][i]] += rates[p][i];
       }
     }
@@ -210,7 +213,7 @@
 
   /** Requests lost a second by the tables as they are. */
   double cost(Flow flow) {
-    double cost = Flow.lateness(problem, load);
+    double cost = Flow.congestionCost(problem, load);
     for (int p = 0; p < endpoints.length; p++) {
       for (int i = 0; i < endpoints[p].length; i++) {
         cost += rates[p][i] * flow.routeCost(problem.zoneOfProxy(p), endpoints[p][i]);
--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -25,13 +25,13 @@
 
   private void honest(int from, int to) {
     for (int i = from; i < to; i++) {
-      credibility.listed(id(i), 1);
-      credibility.claimed(id(i), ReportCredibility.Source.ENDPOINT, CAPACITY, now);
+      credibility.setListedWeight(id(i), 1);
+      credibility.recordClaim(id(i), ReportCredibility.Source.ENDPOINT, CAPACITY, now);
     }
   }
 
-  private ReportCredibility.Judgement of(int i) {
-    return credibility.judge(now).stream()
+  private ReportCredibility.CapacityEstimate of(int i) {
+    return credibility.estimateCapacities(now).stream()
         .filter(j -> j.endpoint().equals(id(i)))
         .findFirst()
         .orElseThrow();
@@ -48,13 +48,13 @@
       @ForAll @IntRange(min = 1, max = 5) int reportDelay) {
     SplittableRandom random = new SplittableRandom(seed);
     honest(0, 10);
-    credibility.claimed(id(3), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now + 1);
+    credibility.recordClaim(id(3), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now + 1);
     double[] sent = new double[60];
     int over = 0;
     for (int second = 0; second < 60; second++, now += SECOND) {
       for (int i = 0; i < 10; i++) {
         if (i != 3) {
-          credibility.claimed(
+          credibility.recordClaim(
               id(i),
               ReportCredibility.Source.ENDPOINT,
               CAPACITY * (0.95 + 0.1 * random.nextDouble()),
@@ -68,7 +68,7 @@
         double load = 0.98 * sent[second - reportDelay];
         long attempts = Math.round(load * 10);
         double failures = Math.min(0.9, Math.max(0, 4 * (load / CAPACITY - 1))) * attempts;
-        credibility.observed(id(3), attempts, failures, 10 * SECOND, 0, now);
+        credibility.recordOutcomes(id(3), attempts, failures, 10 * SECOND, 0, now);
       }
     }
     assertTrue(
@@ -80,12 +80,12 @@
   @Test
   void capsAClaimByObservations() {
     honest(0, 5);
-    credibility.observed(id(2), 60, 40, 10 * SECOND, 0, now);
-    assertEquals(ReportCredibility.Reason.OBSERVED, of(2).reason());
+    credibility.recordOutcomes(id(2), 60, 40, 10 * SECOND, 0, now);
+    assertEquals(ReportCredibility.Reason.OBSERVED_CEILING, of(2).reason());
     assertTrue(of(2).capacity() < 0.5 * CAPACITY, "2 a second succeeded: " + of(2).capacity());
     for (int second = 0; second < 60; second++) {
       now += SECOND;
-      credibility.observed(id(2), 5, 0, SECOND, 0, now);
+      credibility.recordOutcomes(id(2), 5, 0, SECOND, 0, now);
       honest(0, 5);
     }
     assertTrue(
@@ -96,7 +96,7 @@
   @Test
   void takesTheLowerOfSourcesThatDisagree() {
     honest(0, 5);
-    credibility.claimed(id(1), ReportCredibility.Source.OPERATOR, 0.5 * CAPACITY, now);
+    credibility.recordClaim(id(1), ReportCredibility.Source.OPERATOR, 0.5 * CAPACITY, now);
     assertEquals(ReportCredibility.Reason.SOURCES_DISAGREE, of(1).reason());
     assertEquals(0.5 * CAPACITY, of(1).capacity(), 0.01);
   }
@@ -108,13 +108,13 @@
     for (int second = 0; second < 40; second++) {
       now += SECOND;
       honest(0, 4);
-      credibility.listed(id(4), 1);
-      credibility.claimed(id(4), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now);
+      credibility.setListedWeight(id(4), 1);
+      credibility.recordClaim(id(4), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now);
       double trusted = of(4).capacity();
       assertTrue(
           second == 0 || trusted <= 1.26 * Math.max(CAPACITY, last), trusted + " after " + last);
       last = trusted;
-      credibility.observed(id(4), Math.round(trusted * 10), 0, 10 * SECOND, 0, now);
+      credibility.recordOutcomes(id(4), Math.round(trusted * 10), 0, 10 * SECOND, 0, now);
     }
     assertTrue(last > 2.9 * CAPACITY, "it can do 30 and gets " + last);
   }
@@ -122,8 +122,8 @@
   @Test
   void ignoresClaimsThatAreTooOldOrOvertaken() {
     honest(0, 5);
-    credibility.claimed(id(0), ReportCredibility.Source.ENDPOINT, 1.2 * CAPACITY, now + SECOND);
-    credibility.claimed(id(0), ReportCredibility.Source.ENDPOINT, 0.1 * CAPACITY, now - SECOND);
+    credibility.recordClaim(id(0), ReportCredibility.Source.ENDPOINT, 1.2 * CAPACITY, now + SECOND);
+    credibility.recordClaim(id(0), ReportCredibility.Source.ENDPOINT, 0.1 * CAPACITY, now - SECOND);
     now += SECOND;
     assertEquals(1.2 * CAPACITY, of(0).claimed(), 1e-9);
     now += 31 * SECOND;
@@ -138,32 +138,33 @@
   @Test
   void keepsNothingOfRemovedEndpoints() {
     honest(0, 5);
-    int known = credibility.judge(now).size();
-    credibility.listed(id(10), 1);
-    credibility.observed(id(10), 500, 0, 10 * SECOND, 0, now);
+    int known = credibility.estimateCapacities(now).size();
+    credibility.setListedWeight(id(10), 1);
+    credibility.recordOutcomes(id(10), 500, 0, 10 * SECOND, 0, now);
     for (int n = 11; n < 200; n++) {
-      credibility.removed(id(n - 1));
-      credibility.listed(id(n), 1);
+      credibility.remove(id(n - 1));
+      credibility.setListedWeight(id(n), 1);
       assertEquals(ReportCredibility.Reason.LISTED, of(n).reason());
       assertEquals(0.7 * CAPACITY, of(n).capacity(), 0.1 * CAPACITY);
     }
-    assertEquals(known + 1, credibility.judge(now).size());
+    assertEquals(known + 1, credibility.estimateCapacities(now).size());
   }
 
   @Test
   void judgesNothingWhileNothingIsKnown() {
-    credibility.listed(id(0), 1);
-    assertTrue(credibility.judge(now).isEmpty());
+    credibility.setListedWeight(id(0), 1);
+    assertTrue(credibility.estimateCapacities(now).isEmpty());
     assertEquals(
         "endpoint t0: weight 0.0",
-        assertThrows(IllegalArgumentException.class, () -> credibility.listed(id(0), 0))
+        assertThrows(IllegalArgumentException.class, () -> credibility.setListedWeight(id(0), 0))
             .getMessage());
     assertEquals(
         "endpoint t0: capacity NaN by ENDPOINT",
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
-                    credibility.claimed(id(0), ReportCredibility.Source.ENDPOINT, Double.NaN, now))
+                    credibility.recordClaim(
+                        id(0), ReportCredibility.Source.ENDPOINT, Double.NaN, now))
             .getMessage());
   }
 }
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -83,8 +83,8 @@
       proxies.add(new Problem.Proxy(p.id(), p.zone(), p.requestRates(), held.get(p.id())));
     }
     return new Problem(
-        problem.zones(),
-        problem.requestClasses(),
+        problem.zoneCount(),
+        problem.requestClassCount(),
         problem.maxRoutes(),
         problem.costs(),
         endpoints,
@@ -456,7 +456,7 @@
     Flow flow = new Flow(problem(), null);
     assertArrayEquals(
         new double[] {0.5, 0.5, 0},
-        new double[] {flow.load(0) / 10, flow.load(1) / 20, flow.load(2)},
+        new double[] {flow.targetLoad(0) / 10, flow.targetLoad(1) / 20, flow.targetLoad(2)},
         1e-3);
     assertEquals(flow.cost(), flow.lowerBound(), 0.002 * flow.cost());
   }
--- a/src/test/java/stonespring/solver/WeightAdvisorTest.java
+++ b/src/test/java/stonespring/solver/WeightAdvisorTest.java
@@ -62,7 +62,7 @@
     }
     advisor.handle(
         now, new Event.ProxyRequestRate(new ProxyId(0), new RequestClassId(0), 20, 0, SECOND));
-    return advisor.propose(now);
+    return advisor.proposeWeights(now);
   }
 
   private void start() {
