--- a/src/main/java/stonespring/solver/AdvisedEngine.java
+++ b/src/main/java/stonespring/solver/AdvisedEngine.java
@@ -6,15 +6,16 @@
 import stonespring.model.Event;
 
 /**
- * A decision engine with an advisor beside it: both are notified of the same events, and after
- * reports the engine is given the advisor's proposals before it decides. The engine alone commands.
+ * A decision engine combined with a weight advisor. Both receive the same events. After new
+ * outcomes the engine also receives the advisor's proposals before it decides; only the engine
+ * issues commands.
  */
 public final class AdvisedEngine implements DecisionEngine {
   private final DecisionEngine engine;
   private final WeightAdvisor advisor;
   private boolean hasNewOutcomes;
 
-  /** Puts an advisor beside an engine. */
+  /** Combines an engine with an advisor. */
   public AdvisedEngine(DecisionEngine engine, WeightAdvisor advisor) {
     this.engine = engine;
     this.advisor = advisor;
--- a/src/main/java/stonespring/solver/CapacityClaim.java
+++ b/src/main/java/stonespring/solver/CapacityClaim.java
@@ -3,28 +3,35 @@
 import stonespring.model.DeciMillis;
 
 /**
- * What one source says that an endpoint can do. A claim loses force with its age, and a source that
- * was contradicted loses credit and regains it by and by.
+ * One source's claim about the capacity of an endpoint. Confidence in a claim decays with its age.
+ * A source whose claim was contradicted loses credit and regains it over time. Instants are
+ * deci-milliseconds.
  */
 final class CapacityClaim {
-  /** DeciMillis after which half of a claim's force is left. */
+  /** Half-life of the confidence in a claim, deci-milliseconds; a few report intervals. */
   private static final double CONFIDENCE_HALF_LIFE = 5 * DeciMillis.SECOND;
 
-  /** DeciMillis from which on a claim has no force. */
+  /** Age, in deci-milliseconds, from which a claim is ignored. */
   private static final long MAX_AGE = 30 * DeciMillis.SECOND;
 
-  /** DeciMillis after which half of the credit that a contradiction took is regained. */
+  /**
+   * Time, in deci-milliseconds, after which half of the credit lost by a contradiction is regained;
+   * a source is trusted again within about a minute.
+   */
   private static final double CREDIT_HALF_LIFE = 20 * DeciMillis.SECOND;
 
-  /** Factor of the credit at each contradiction. */
+  /** Factor applied to the credit at each contradiction. */
   private static final double CONTRADICTION_FACTOR = 0.5;
 
   private double capacity = Double.NaN;
   private long claimTime;
+
+  /** Trust in the source as of the last contradiction, 0 to 1. */
   private double credit = 1;
+
   private long creditUpdatedAt;
 
-  /** Takes a claim unless a newer one is held. */
+  /** Replaces the claim, unless the one held is as new or newer. */
   void update(double claimedCapacity, long claimedAt) {
     if (Double.isNaN(capacity) || claimedAt > claimTime) {
       capacity = claimedCapacity;
@@ -32,12 +39,12 @@
     }
   }
 
-  /** The claimed capacity, requests per second; NaN if there is none. */
+  /** Returns the claimed capacity, requests per second; NaN if there is none. */
   double capacity() {
     return capacity;
   }
 
-  /** The share by which the claim counts, 0 to 1. */
+  /** Returns the weight of the claim, 0 (ignored) to 1. */
   double confidence(long now) {
     long age = Math.max(0, now - claimTime);
     if (Double.isNaN(capacity) || age >= MAX_AGE) {
@@ -46,7 +53,7 @@
     return credit(now) * Math.pow(0.5, age / CONFIDENCE_HALF_LIFE);
   }
 
-  /** The claim turned out to be wrong. */
+  /** Records that observations contradict the claim. */
   void recordContradiction(long now) {
     credit = credit(now) * CONTRADICTION_FACTOR;
     creditUpdatedAt = now;
--- a/src/main/java/stonespring/solver/ChangeDamper.java
+++ b/src/main/java/stonespring/solver/ChangeDamper.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * Leaves tables as proxies hold them where a change gains too little. Where routes can't reach all
- * targets, scaling has no end: without it each plan would move weights for nothing.
+ * Keeps the current weights of route tables where a change would gain too little. Where routes
+ * cannot reach all targets, scaling does not converge, and each plan would move weights without a
+ * gain.
  */
 final class ChangeDamper {
-  /** Share of a table below which a change is not worth a message. */
+  /** Share of a table below which a change is not worth a message to the proxy. */
   static final double MIN_CHANGE = 0.02;
 
-  /** Share of the cost below which a gain is within the noise of reports. */
+  /** Share of the cost below which a gain is within the noise of reported rates. */
   private static final double MIN_GAIN = 0.003;
 
   private final Problem problem;
@@ -23,14 +24,21 @@
     this.tables = tables;
   }
 
-  /** Keeps what is held: all of it if that is about as good, else table by table. */
+  /**
+   * Keeps all current weights if they are nearly as good as the plan, else decides table by table.
+   */
   void dampChanges() {
     if (!keepAllIfNearlyAsGood()) {
       keepSlightlyChangedTables();
     }
   }
 
-  /** Keeps every table whose routes neither come nor go, if all are about as good so. */
+  /**
+   * Restores the current weights of every table whose routes stay the same, if that raises the cost
+   * by no more than the minimum gain.
+   *
+   * @return whether the current weights were kept
+   */
   private boolean keepAllIfNearlyAsGood() {
     double plannedCost = tables.cost(flow);
     double[][] planned = new double[tables.proxyCount()][];
@@ -55,7 +63,10 @@
     return false;
   }
 
-  /** Keeps a table that would change little, unless that leaves an endpoint over its target. */
+  /**
+   * Restores the current weights of each table that would change little, unless that leaves an
+   * endpoint above its target.
+   */
   private void keepSlightlyChangedTables() {
     for (int p = 0; p < tables.proxyCount(); p++) {
       double[] current = currentWeights(p);
@@ -94,7 +105,10 @@
     }
   }
 
-  /** Weights that a proxy holds for the routes that it shall have; null if the routes differ. */
+  /**
+   * Returns a proxy's current weights, normalized to a sum of 1, in the order of its planned
+   * routes; null if the current and planned routes differ.
+   */
   private double[] currentWeights(int proxy) {
     List<Problem.Route> routes = problem.proxy(proxy).routes();
     if (routes.size() != tables.routeCount(proxy)) {
--- a/src/main/java/stonespring/solver/CostModel.java
+++ b/src/main/java/stonespring/solver/CostModel.java
@@ -1,17 +1,18 @@
 package stonespring.solver;
 
 /**
- * What things cost, all in lost requests, so that they can be added up.
+ * Weights of the parts of a plan's cost. All are in lost requests, so that they can be added.
  *
- * @param congestion lost for one more request at an endpoint that is just full; above 0
- * @param zoneCrossing lost for one request sent to another zone
- * @param newRoute lost for opening a connection for a route, once
+ * @param congestion requests lost per additional request at an endpoint that is just full; above 0
+ * @param zoneCrossing requests lost per request that is sent to another zone; at least 0
+ * @param newRoute requests lost once when a connection is opened for a new route; at least 0
  */
 public record CostModel(double congestion, double zoneCrossing, double newRoute) {
   /**
-   * Checks the figures.
+   * Validates the weights.
    *
-   * @throws IllegalArgumentException if a cost is below 0, lateness is 0 or one is no number
+   * @throws IllegalArgumentException if congestion is not above 0, another weight is below 0, or
+   *     one of them is NaN or infinite
    */
   public CostModel {
     boolean inRange = congestion > 0 && zoneCrossing >= 0 && newRoute >= 0;
--- a/src/main/java/stonespring/solver/EndpointCredibility.java
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -3,26 +3,41 @@
 import stonespring.model.DeciMillis;
 
 /**
- * What is known of one endpoint's capacity: its listed weight, claims, and what proxies observed.
- * Rates are requests per second.
+ * What is known of one endpoint's capacity: its listed weight, the claims about it, and what
+ * proxies observed. Rates are requests per second, instants and intervals deci-milliseconds.
  */
 final class EndpointCredibility {
-  /** DeciMillis after which half of a proven rate is left. */
+  /**
+   * Half-life of the proven rate, deci-milliseconds; a machine's capacity changes over minutes, not
+   * seconds.
+   */
   private static final double PROVEN_HALF_LIFE = 60 * DeciMillis.SECOND;
 
-  /** Share of attempts that failed or were late below which an endpoint is healthy. */
+  /**
+   * Share of failed or late attempts below which an endpoint is healthy; some attempts always fail
+   * or are late.
+   */
   private static final double HEALTHY_FAILURE_SHARE = 0.1;
 
-  /** Share that failed or was late beyond the fleet's own above which an endpoint is overloaded. */
+  /**
+   * Excess of an endpoint's failed or late share over the fleet's above which the endpoint is
+   * overloaded; more than chance produces.
+   */
   private static final double OVERLOAD_EXCESS_FAILURE_SHARE = 0.3;
 
-  /** Attempts without failure that are added to those seen, so that few attempts say little. */
+  /**
+   * Successful attempts that are added to those observed, so that a few failures among few attempts
+   * have little effect.
+   */
   private static final double PRIOR_ATTEMPTS = 4;
 
-  /** Factor of the arrived rate that the ceiling is cut to under overload. */
+  /**
+   * Ceiling of an overloaded endpoint as a factor of the arrived rate: one cut brings a rate that
+   * was one step of an estimate (a factor of 1.25) too high below the true capacity again.
+   */
   private static final double OVERLOAD_CUT_FACTOR = 0.7;
 
-  /** Relative rise of the ceiling per second while the endpoint is healthy. */
+  /** Relative growth of the ceiling per second while the endpoint is healthy. */
   private static final double CEILING_GROWTH_PER_SECOND = 0.05;
 
   private double listedWeight;
@@ -42,17 +57,17 @@
     listedWeight = weight;
   }
 
-  /** The listed weight; 0 if the endpoint is not listed. */
+  /** Returns the listed weight; 0 if the endpoint is not listed. */
   double listedWeight() {
     return listedWeight;
   }
 
-  /** The highest rate that was answered in time, losing half of itself by and by. */
+  /** Returns the highest rate that was answered in time, decayed with its half-life. */
   double provenRate() {
     return provenRate;
   }
 
-  /** The rate that it is trusted with at most, by what proxies observed. */
+  /** Returns the maximum rate that observations allow; infinite until an overload is observed. */
   double ceiling() {
     return ceiling;
   }
@@ -61,17 +76,18 @@
     return claims[source.ordinal()];
   }
 
-  /** All claims, by source. */
+  /** Returns the claims, indexed by source. */
   CapacityClaim[] claims() {
     return claims;
   }
 
   /**
-   * Takes what proxies observed.
+   * Updates the proven rate and the ceiling with what proxies observed in an interval.
    *
    * @param failedOrLate attempts that failed or were answered late
-   * @param otherInstancesRate what reaches it besides, from proxies of other instances
-   * @param fleetSuccessShare the share of all attempts in the fleet that succeed in time
+   * @param intervalDeciMillis length of the interval
+   * @param otherInstancesRate rate that reaches the endpoint from proxies of other instances
+   * @param fleetSuccessShare share of all attempts in the fleet that succeed in time, above 0
    */
   void recordOutcomes(
       long attempts,
@@ -92,13 +108,17 @@
       provenRate = Math.max(provenRate, succeededRate);
       ceiling *= Math.pow(1 + CEILING_GROWTH_PER_SECOND, elapsedDeciMillis / DeciMillis.SECOND);
     } else if (1 - (1 - failedOrLateShare) / fleetSuccessShare > OVERLOAD_EXCESS_FAILURE_SHARE) {
-      // In an overload, successes say too little: what arrived is cut again and again.
+      // Under overload, the successes understate the capacity, so the arrived rate is cut step by
+      // step instead, once per observation.
       ceiling = Math.min(ceiling, Math.max(succeededRate, OVERLOAD_CUT_FACTOR * arrivedRate));
       contradictClaimsAbove(arrivedRate, now);
     }
   }
 
-  /** Who claimed more than arrived when it failed was wrong, be it stale, mistaken or a lie. */
+  /**
+   * Reduces the credit of every source that claimed more capacity than the rate at which the
+   * endpoint was overloaded, whether the claim was stale, mistaken or false.
+   */
   private void contradictClaimsAbove(double arrivedRate, long now) {
     for (CapacityClaim claim : claims) {
       if (claim.confidence(now) > 0 && claim.capacity() > arrivedRate) {
--- a/src/main/java/stonespring/solver/Flow.java
+++ b/src/main/java/stonespring/solver/Flow.java
@@ -3,46 +3,78 @@
 import java.util.Arrays;
 
 /**
- * The plan without proxies and limits of routes: which rate each endpoint should get from each
- * zone. A convex flow, minimum of the endpoints' lateness and the routes' costs (Boyd and
- * Vandenberghe, Convex Optimization, section 5.2), solved zone by zone by water filling, each exact
- * while the others stand. The zones' prices give a lower bound of any plan.
+ * Optimal flow of requests from zones to endpoints: how many requests per second each endpoint
+ * should receive from each zone, ignoring individual proxies and the limit on routes per table.
+ *
+ * <p>Minimizes the sum of the endpoints' congestion cost and the routes' cost, a convex flow
+ * problem (Boyd and Vandenberghe, Convex Optimization, section 5.2). Solved by block coordinate
+ * descent: each step allocates one zone's rate exactly, by water filling, while the other zones'
+ * rates stay fixed. The zone prices (dual variables) give a lower bound on the cost of any plan.
+ *
+ * <p>Rates are requests per second; costs are lost requests per second; prices are lost requests
+ * per additional request.
  */
 final class Flow {
-  /** Exponent of the fill in the cost of lateness. */
+  /**
+   * Exponent of an endpoint's utilization in the price of congestion. With 6, congestion is low at
+   * half utilization and rises steeply towards full utilization.
+   */
   private static final double CONGESTION_EXPONENT = 6;
 
-  /** Relative distance of a flow's cost from its lower bound at which the search ends. */
+  /**
+   * Relative gap between a flow's cost and its lower bound at which iteration ends; a flow this
+   * close to the bound is good enough.
+   */
   private static final double RELATIVE_TOLERANCE = 0.001;
 
-  /** Most passes over all zones; convergence takes far fewer. */
+  /** Maximum number of passes over all zones; convergence takes far fewer. */
   private static final int MAX_SWEEPS = 200;
 
-  /** Highest price, as a multiple of a full endpoint's; beyond it only the caps bind. */
+  /**
+   * Maximum zone price, as a multiple of the price at a just full endpoint; beyond it only the load
+   * limits of endpoints that are warming up restrict the flow.
+   */
   private static final double MAX_PRICE_MULTIPLE = 1e6;
 
-  /** Halvings of the price bracket; as fine as a double. */
+  /**
+   * Maximum number of bisection steps of the price search; enough for the precision of a double.
+   */
   private static final int MAX_HALVINGS = 60;
 
-  /** Factor by which the upper end of the bracket grows until it holds the price. */
+  /**
+   * Factor by which the upper end of the price bracket grows until the bracket contains the price.
+   */
   private static final double BRACKET_GROWTH = 4;
 
-  /** Share of a zone's rate by which sums may differ through rounding. */
+  /**
+   * Relative difference from a zone's demand that is attributed to rounding when rates are summed.
+   */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Problem problem;
+
+  /** Requests per second by zone. */
   private final double[] zoneDemand;
+
+  /** Requests lost per request by zone and endpoint, apart from congestion. */
   private final double[][] routeCost;
+
+  /** Requests per second from all zones, by endpoint. */
   private final double[] load;
+
+  /** Marginal cost of a request by zone, as of the last allocation. */
   private final double[] zonePrice;
+
+  /** Requests per second by zone and endpoint. */
   private final double[][] flow;
+
   private double cost;
   private double lowerBound;
 
   /**
-   * Solves the flow.
+   * Computes the optimal flow.
    *
-   * @param previous the flow to start from; null to start from nothing
+   * @param previous flow to start the iteration from; null to start from zero
    */
   Flow(Problem problem, Flow previous) {
     this.problem = problem;
@@ -68,6 +100,10 @@
     }
   }
 
+  /**
+   * Starts from a previous flow, as far as its endpoints still exist and the loads stay within the
+   * endpoints' limits.
+   */
   private void initializeFrom(Flow previous) {
     System.arraycopy(previous.zonePrice, 0, zonePrice, 0, problem.zoneCount());
     for (int e = 0; e < problem.endpointCount(); e++) {
@@ -93,18 +129,26 @@
     }
   }
 
-  /** The rate that an endpoint takes at what is left of the price after the route's cost. */
+  /**
+   * Returns the total rate at which an endpoint's congestion price reaches the given price, limited
+   * by the endpoint's maximum load.
+   *
+   * @param priceAfterRouteCost zone price less the cost of the route
+   */
   private double rateAtPrice(int endpoint, double priceAfterRouteCost) {
     if (priceAfterRouteCost <= 0) {
       return 0;
     }
-    // The sixth root: LATENESS_POWER's inverse.
+    // The sixth root inverts the power CONGESTION_EXPONENT.
     double utilization = Math.cbrt(Math.sqrt(priceAfterRouteCost / problem.costs().congestion()));
     Problem.Endpoint candidate = problem.endpoint(endpoint);
     return Math.min(candidate.maxLoad(), candidate.capacity() * utilization);
   }
 
-  /** The rate that a zone places at a price, on top of the other zones' load. */
+  /**
+   * Returns the rate that a zone allocates to all endpoints at a price, given the load from other
+   * zones.
+   */
   private double zoneRateAtPrice(int zone, double price, double[] otherZonesLoad) {
     double sum = 0;
     for (int e = 0; e < otherZonesLoad.length; e++) {
@@ -121,7 +165,9 @@
     }
   }
 
-  /** Places one zone's rate where the next request loses least, while the other zones' stand. */
+  /**
+   * Allocates one zone's rate where the marginal cost is lowest; the other zones' rates stay fixed.
+   */
   private void allocateZone(int zone) {
     double[] otherZonesLoad = new double[load.length];
     for (int e = 0; e < otherZonesLoad.length; e++) {
@@ -131,6 +177,10 @@
     setFlow(zone, zonePrice[zone], otherZonesLoad);
   }
 
+  /**
+   * Finds the price at which a zone allocates its whole demand, or the highest price if its
+   * endpoints cannot take it all.
+   */
   private double findZonePrice(int zone, double[] otherZonesLoad) {
     double lowPrice = 0;
     double highPrice = Math.max(1e-6, 2 * zonePrice[zone]);
@@ -152,7 +202,8 @@
       } else {
         highPrice = guess;
       }
-      // By the slope that sums follow; halved where that leaves the bracket.
+      // The allocated rate grows roughly as the price to the power 1 / CONGESTION_EXPONENT; where
+      // that estimate leaves the bracket, or after half of the steps, the bracket is bisected.
       double slopeGuess =
           placed > 0 ? guess * Math.pow(zoneDemand[zone] / placed, CONGESTION_EXPONENT) : highPrice;
       boolean useSlopeGuess =
@@ -162,7 +213,12 @@
     return guess;
   }
 
-  /** Requests lost a second to lateness at endpoints that carry these loads. */
+  /**
+   * Returns the requests per second that are lost because endpoints under the given loads answer
+   * late.
+   *
+   * @param load requests per second by endpoint index
+   */
   static double congestionCost(Problem problem, double[] load) {
     double sum = 0;
     for (int e = 0; e < load.length; e++) {
@@ -187,7 +243,7 @@
     return sum;
   }
 
-  /** The Lagrangian lower bound at the zones' prices: no plan of any kind costs less. */
+  /** Returns the Lagrangian lower bound at the zones' prices; no plan costs less. */
   private double computeLowerBound() {
     double sum = 0;
     for (int z = 0; z < problem.zoneCount(); z++) {
@@ -205,28 +261,36 @@
     return sum + congestionCost(problem, loadAtBestPrice);
   }
 
-  /** The rate that an endpoint should get from a zone. */
+  /** Returns the rate that an endpoint should receive from a zone. */
   double target(int zone, int endpoint) {
     return flow[zone][endpoint];
   }
 
-  /** The rate that an endpoint should get from all zones. */
+  /** Returns the rate that an endpoint should receive from all zones together. */
   double targetLoad(int endpoint) {
     return load[endpoint];
   }
 
-  /** What one more request loses at an endpoint that carries a load, in requests. */
+  /**
+   * Returns the requests lost to congestion per additional request at an endpoint that carries the
+   * given load.
+   */
   static double endpointPrice(Problem problem, int endpoint, double load) {
     double utilization = load / problem.endpoint(endpoint).capacity();
     return problem.costs().congestion() * Math.pow(utilization, CONGESTION_EXPONENT);
   }
 
-  /** What a request of a zone loses at an endpoint besides lateness. */
+  /**
+   * Returns the requests lost per request that a zone sends to an endpoint, apart from congestion.
+   */
   double routeCost(int zone, int endpoint) {
     return routeCost[zone][endpoint];
   }
 
-  /** The rate that found no endpoint, as all are warming up and their caps are reached. */
+  /**
+   * Returns the rate that no endpoint can take, because all endpoints are warming up and have
+   * reached their maximum load.
+   */
   double unplacedRate() {
     double sum = 0;
     for (int z = 0; z < problem.zoneCount(); z++) {
--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -5,15 +5,24 @@
 import stonespring.model.Event;
 import stonespring.model.ZoneId;
 
-/** What the advisor has observed of one listed endpoint. */
+/**
+ * State of one listed endpoint as the advisor has observed it. Instants and intervals are
+ * deci-milliseconds.
+ */
 final class ObservedEndpoint {
-  /** DeciMillis after which an observation counts half. */
+  /**
+   * Half-life of observed attempts and rates, deci-milliseconds; a compromise between stability and
+   * reaction time.
+   */
   static final double SMOOTHING_HALF_LIFE = 2 * DeciMillis.SECOND;
 
-  /** DeciMillis after which a reading of the capacity counts half. */
+  /**
+   * Half-life of the smoothed capacity, deci-milliseconds; an endpoint's speed changes over
+   * minutes, its reports vary from second to second.
+   */
   private static final double CAPACITY_HALF_LIFE = 2 * DeciMillis.SECOND;
 
-  /** Multiple of the latency objective that a mean latency must exceed for most to be late. */
+  /** Ratio of the mean latency to the latency objective above which most answers are late. */
   private static final double LATE_LATENCY_MULTIPLE = 1;
 
   private ZoneId zone;
@@ -26,9 +35,14 @@
   private long roundInterval;
   private double utilization;
   private double reportedRate;
+
+  /** Requests per second; NaN until the first reading. */
   private double smoothedCapacity = Double.NaN;
 
-  /** Takes its record; returns whether its process started again. */
+  /**
+   * Updates the endpoint from its record in the endpoint list; returns whether its process
+   * restarted.
+   */
   boolean updateRecord(EndpointRecord listed) {
     zone = listed.zone();
     ready = listed.state() == EndpointRecord.State.READY;
@@ -43,8 +57,8 @@
   }
 
   /**
-   * Takes outcomes. Each zone reports its own part of a round: only all of them together are what
-   * the endpoint received.
+   * Records outcomes. Each zone reports only its own part of a round, so the attempts of all zones
+   * are added up.
    */
   void recordOutcomes(Event.EndpointOutcomes outcomes, long latencyObjective) {
     double retainedShare = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE);
@@ -59,13 +73,13 @@
   }
 
   /**
-   * Takes the capacity that a rate at the present utilization stands for into the mean; returns the
-   * mean.
+   * Updates the smoothed capacity, requests per second, with the one that follows from a rate at
+   * the current utilization; returns the smoothed value.
    */
   double updateSmoothedCapacity(double rate) {
     double retainedShare =
         Double.isNaN(smoothedCapacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
-    // In this order of operations: another rounds differently, and plans follow it.
+    // Another order of operations would round differently and thereby change plans.
     smoothedCapacity =
         retainedShare == 0
             ? rate / utilization
@@ -73,6 +87,7 @@
     return smoothedCapacity;
   }
 
+  /** Discards what was recorded in this round. */
   void resetRound() {
     roundAttempts = 0;
     roundFailedOrLate = 0;
@@ -115,7 +130,7 @@
     return utilization;
   }
 
-  /** The rate that it reports itself; NaN if it does not. */
+  /** Returns the requests per second that the endpoint itself reported; NaN if it reported none. */
   double reportedRate() {
     return reportedRate;
   }
--- a/src/main/java/stonespring/solver/Plan.java
+++ b/src/main/java/stonespring/solver/Plan.java
@@ -5,13 +5,16 @@
 import stonespring.model.ProxyId;
 
 /**
- * Weights that the fleet should have, and why. Rates are requests per second.
+ * Route tables and weights that the fleet should have, and the reason for each endpoint's
+ * allocation. Rates are requests per second.
  *
- * @param cost requests lost a second by lateness, crossings and failures, if all goes as planned
- * @param lowerBound what any plan loses at least, with no limit of routes
- * @param unplacedRate the rate for which no endpoint may be used
- * @param newRoutes routes that no proxy held
- * @param changedRoutes routes whose weight differs from the one held, new and dropped ones included
+ * @param cost requests lost per second through late answers, zone crossings and failures, if the
+ *     fleet behaves as planned
+ * @param lowerBound lower bound on the cost of any plan, with no limit on routes
+ * @param unplacedRate rate that no endpoint can take
+ * @param newRoutes number of routes that their proxy did not have before
+ * @param changedRoutes number of routes whose weight differs from the current one, including new
+ *     and dropped routes
  */
 public record Plan(
     List<Table> tables,
@@ -21,29 +24,29 @@
     double unplacedRate,
     int newRoutes,
     int changedRoutes) {
-  /** Why an endpoint gets what it gets. */
+  /** What determines an endpoint's load. */
   public enum Reason {
-    /** One more request would lose as much there as anywhere else. */
+    /** An additional request there costs as much as anywhere else. */
     BALANCED,
-    /** It is warming up, and all proxies together may bring no more. */
+    /** The endpoint is warming up, and its load is at the maximum for that. */
     WARM_UP_CAP,
     /** Too many of its attempts fail. */
     FAILING,
-    /** Routes to it don't reach its target yet; those that are missing cost more than they gain. */
+    /** It is below its target, because more routes to it would cost more than they gain. */
     FEW_ROUTES
   }
 
   /**
-   * One route.
+   * A planned route.
    *
-   * @param weight the share of the proxy's requests
-   * @param weightsByClass by request class, the share of that class's requests
+   * @param weight share of the proxy's requests, 0 to 1
+   * @param weightsByClass by request class, the share of that class's requests, 0 to 1
    */
   public record Route(EndpointId endpoint, double weight, double[] weightsByClass) {}
 
   /** The routes that one proxy should have. */
   public record Table(ProxyId proxy, List<Route> routes) {
-    /** The routes as a proxy holds them that follows the plan. */
+    /** Returns the routes that the proxy holds once it follows the plan. */
     public List<Problem.Route> toCurrentRoutes() {
       return routes.stream()
           .map(route -> new Problem.Route(route.endpoint(), route.weight()))
@@ -52,12 +55,14 @@
   }
 
   /**
-   * What one endpoint gets.
+   * What one endpoint receives under the plan.
    *
-   * @param load its rate by this plan
-   * @param target its rate if routes had no limit and no cost
-   * @param price requests lost for one more request
-   * @param plansBelowTarget plans in a row in which routes were missing
+   * @param capacity rate that it is trusted to serve
+   * @param load rate that it receives under the plan
+   * @param target rate that it would receive if routes were unlimited and free
+   * @param price requests lost per additional request
+   * @param plansBelowTarget number of consecutive plans, this one included, in which it lacked
+   *     routes
    */
   public record EndpointAllocation(
       EndpointId endpoint,
@@ -68,7 +73,7 @@
       Reason reason,
       int plansBelowTarget) {}
 
-  /** The share by which the plan costs more than the bound. */
+  /** Returns how far the cost is above the lower bound, as a share of the bound. */
   public double optimalityGap() {
     return lowerBound > 0 ? cost / lowerBound - 1 : 0;
   }
--- a/src/main/java/stonespring/solver/PlanBuilder.java
+++ b/src/main/java/stonespring/solver/PlanBuilder.java
@@ -7,21 +7,33 @@
 import java.util.Map;
 import stonespring.model.EndpointId;
 
-/** Makes the plan of finished tables: weights by request class, and the reason of each share. */
+/**
+ * Builds the plan from finished tables: weights by request class, and the reason for each
+ * endpoint's allocation.
+ */
 final class PlanBuilder {
-  /** Share of failing attempts above which an endpoint is failing for a request class. */
+  /**
+   * Share of failed attempts above which an endpoint counts as failing; endpoints in normal
+   * operation show less.
+   */
   private static final double MIN_FAILING_SHARE = 0.3;
 
-  /** Least factor of a weight for a request class, however many of its attempts fail there. */
+  /**
+   * Minimum factor applied to a weight for a request class. A class keeps some routes, however many
+   * of its attempts fail.
+   */
   private static final double MIN_CLASS_FACTOR = 0.05;
 
-  /** In place of a weight of 0, to divide by. */
+  /** Lower bound of a weight before scaling by class, so that the sum is never 0. */
   private static final double MIN_WEIGHT = 1e-6;
 
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
+
+  /** By endpoint, the number of consecutive previous plans in which it lacked routes. */
   private final int[] plansBelowTarget;
+
   private int newRoutes;
   private int changedRoutes;
 
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -12,25 +12,25 @@
 import stonespring.model.ZoneId;
 
 /**
- * The fleet as the solver needs it: endpoints in the order of their names and proxies in that of
- * their numbers, so that the order in which they were given never matters. Rates are requests per
- * second.
+ * The solver's input: the fleet's endpoints and proxies with their rates. Endpoints are sorted by
+ * name and proxies by number, so that the order of the input does not affect the plan. Rates are
+ * requests per second.
  */
 public final class Problem {
-  /** Figures at or above it are no rates or weights. */
+  /** Exclusive upper limit for rates and weights in the input. */
   private static final double VALUE_LIMIT = 1e12;
 
-  /** The index of an endpoint that is not part of the problem. */
+  /** Index returned for an endpoint that is not part of the problem. */
   static final int NOT_FOUND = -1;
 
   /**
    * A ready endpoint.
    *
-   * @param capacity the rate that it is trusted with
-   * @param maxLoad the rate that it may get at all; infinite for a warm one
-   * @param maxDemandOfProxiesWithRoute the rate that all proxies with a route to it may receive
-   *     together; infinite for a warm one
-   * @param failureShares by request class, the share of attempts there that fail
+   * @param capacity rate that it is trusted to serve; above 0
+   * @param maxLoad maximum rate that it may receive; infinite if the endpoint is warm
+   * @param maxDemandOfProxiesWithRoute maximum total rate of all proxies that have a route to it,
+   *     including what they send elsewhere; infinite if the endpoint is warm
+   * @param failureShares by request class, the share of its attempts that fail, 0 to 1
    */
   public record Endpoint(
       EndpointId id,
@@ -39,20 +39,20 @@
       double maxLoad,
       double maxDemandOfProxiesWithRoute,
       double[] failureShares) {
-    /** Whether it has its whole capacity. */
+    /** Returns whether the endpoint has finished its warm-up. */
     public boolean isWarm() {
       return maxLoad == Double.POSITIVE_INFINITY;
     }
   }
 
-  /** A route that a proxy holds; its connection is open. */
+  /** A route that a proxy holds, with an open connection. */
   public record Route(EndpointId endpoint, double weight) {}
 
   /**
    * A proxy.
    *
-   * @param requestRates what it receives, by request class
-   * @param routes the routes that it holds
+   * @param requestRates requests per second that it receives, by request class
+   * @param routes routes that it holds at present
    */
   public record Proxy(ProxyId id, ZoneId zone, double[] requestRates, List<Route> routes) {
     double totalRate() {
@@ -73,12 +73,12 @@
   private final Map<EndpointId, Integer> indexById = new HashMap<>();
 
   /**
-   * States a problem.
+   * Creates and validates a problem.
    *
-   * @param maxRoutes routes that a table may have; proxies that so few endpoints can't carry get
-   *     more
-   * @throws IllegalArgumentException if an id comes twice, a zone or request class is unknown, or a
-   *     figure is none
+   * @param maxRoutes maximum number of routes per table; a proxy whose rate is too high for so few
+   *     endpoints gets more
+   * @throws IllegalArgumentException if an id occurs twice, a zone or request class is unknown, or
+   *     a value is out of range
    */
   public Problem(
       int zoneCount,
@@ -180,7 +180,7 @@
     return endpoints[index];
   }
 
-  /** The index of an endpoint, or {@link #NOT_FOUND}. */
+  /** Returns the index of an endpoint, or {@link #NOT_FOUND}. */
   int indexOf(EndpointId id) {
     return indexById.getOrDefault(id, NOT_FOUND);
   }
@@ -193,13 +193,14 @@
     return proxies[index];
   }
 
-  /** The zone of a proxy. */
+  /** Returns the index of a proxy's zone. */
   int zoneOfProxy(int proxy) {
     return proxies[proxy].zone().index();
   }
 
   /**
-   * What a request of the mean mix loses at an endpoint besides lateness: crossing and failures.
+   * Returns the requests lost per request that a zone sends to an endpoint, through failures (mean
+   * of all request classes) and zone crossing.
    */
   double routeCost(int zone, int endpoint) {
     double failures = 0;
--- a/src/main/java/stonespring/solver/ProportionalFitter.java
+++ b/src/main/java/stonespring/solver/ProportionalFitter.java
@@ -1,37 +1,49 @@
 package stonespring.solver;
 
 /**
- * Scales the weights of routes until proxies and endpoints both have what they should (iterative
- * proportional fitting: of all tables with the same routes the one nearest to those that stand).
+ * Scales the weights of existing routes until proxies send, and endpoints receive, the rates that
+ * they should. Uses iterative proportional fitting: of all tables with the same routes, it finds
+ * the one closest to the existing weights.
  */
 final class ProportionalFitter {
+  /** Maximum number of scaling rounds in one fit; what is left is for new routes. */
   private static final int MAX_ROUNDS = 24;
 
-  /** Mean error, as a share of an endpoint's capacity, at which the fit ends. */
+  /**
+   * Mean error, as a share of an endpoint's capacity, at which scaling ends; the noise of reported
+   * rates is far larger.
+   */
   private static final double TARGET_ERROR = 0.002;
 
-  /** Ratio of an error to the last one above which another round is not worth it. */
+  /**
+   * Ratio of the error to that of the previous round above which another round is not worthwhile.
+   */
   private static final double STALL_RATIO = 0.98;
 
-  /** Highest factor that a rate is scaled by in one round. */
+  /**
+   * Maximum factor by which a rate is scaled in one round; routes with a rate near 0 recover in
+   * steps.
+   */
   private static final double MAX_SCALE_FACTOR = 4;
 
   /**
-   * Highest weight of one route, so that an endpoint that fails takes no more of a proxy's requests
-   * with it.
+   * Maximum weight of one route. Limits the share of a proxy's requests that fail when one endpoint
+   * fails.
    */
   private static final double MAX_WEIGHT = 0.5;
 
   /**
-   * Highest weight as a multiple of the even share, where a table has so few routes that it is
-   * above the maximum weight.
+   * Maximum weight as a multiple of an even share, for tables with so few routes that this exceeds
+   * the maximum weight.
    */
   private static final double MAX_EVEN_SHARE_MULTIPLE = 1.5;
 
-  /** Share of a proxy's rate by which sums may differ through rounding. */
+  /**
+   * Relative difference from a proxy's rate that is attributed to rounding when rates are summed.
+   */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
-  /** In place of a load of 0, to divide by. */
+  /** Lower bound of the divisor where a load is 0, in requests per second. */
   private static final double MIN_LOAD = 1e-12;
 
   private final Problem problem;
@@ -61,7 +73,10 @@
     tables.recomputeLoads();
   }
 
-  /** The mean share of an endpoint's capacity by which it gets too much or too little. */
+  /**
+   * Returns the mean deviation of an endpoint's load by zone from its target, as a share of its
+   * capacity.
+   */
   private double meanError() {
     double sum = 0;
     for (int z = 0; z < problem.zoneCount(); z++) {
@@ -87,7 +102,10 @@
     }
   }
 
-  /** What one route has over its maximum goes to the others. */
+  /**
+   * Limits each route's rate to the maximum weight and distributes the excess over the other routes
+   * in proportion to their rates.
+   */
   private void limitWeights(int proxy) {
     double[] rates = tables.rates(proxy);
     double demand = tables.demand(proxy);
--- a/src/main/java/stonespring/solver/RendezvousSelector.java
+++ b/src/main/java/stonespring/solver/RendezvousSelector.java
@@ -9,20 +9,27 @@
 import java.util.zip.CRC32;
 
 /**
- * Draws routes for proxies that have none, or no warm one, by weighted rendezvous hashing
- * (Schindelhauer and Schomaker, 2005): each proxy by itself finds the same endpoints again, and an
- * endpoint that comes or goes moves only its own routes.
+ * Selects routes for proxies that have no route, or no route to a warm endpoint, by weighted
+ * rendezvous hashing (Schindelhauer and Schomaker, 2005). Each proxy's selection is independent of
+ * the other proxies and stable: an endpoint that is added or removed changes only its own routes.
  */
 final class RendezvousSelector {
-  /** Share of a proxy's rate that a drawn route has at least. */
+  /** Minimum weight of a selected route, as a share of the proxy's rate. */
   private static final double MIN_WEIGHT = 0.004;
 
-  /** Share of the mean capacity that every endpoint weighs at least in a draw. */
+  /**
+   * Minimum selection weight of an endpoint, as a share of the mean capacity, so that endpoints
+   * without a target can be selected too.
+   */
   private static final double MIN_SELECTION_SHARE = 1e-9;
 
-  /** Endpoints looked at beyond twice those wanted, as some that warm up may have no room. */
+  /**
+   * Candidates beyond twice the number of routes; some endpoints that are warming up cannot take
+   * another proxy.
+   */
   private static final int SPARE_CANDIDATES = 8;
 
+  /** Number of distinct CRC-32 values. */
   private static final double HASH_RANGE = 4294967296.0;
 
   private final Problem problem;
@@ -35,7 +42,10 @@
     this.tables = tables;
   }
 
-  /** Draws for all proxies in need, small ones first: endpoints that warm up are theirs. */
+  /**
+   * Selects routes for all proxies that need them, in ascending order of their rates: endpoints
+   * that are warming up can only take small proxies.
+   */
   void selectMissingRoutes() {
     List<Integer> byAscendingDemand = new ArrayList<>();
     for (int p = 0; p < tables.proxyCount(); p++) {
@@ -79,6 +89,11 @@
     setRates(proxy, wasEmpty);
   }
 
+  /**
+   * Returns a pseudo-random rank for each endpoint, a function of the proxy's number and the
+   * endpoint's name; the lower, the better. An endpoint's probability of the lowest rank is
+   * proportional to its target for the proxy's zone.
+   */
   private double[] ranks(int proxy, int[] nameHashes) {
     int zone = problem.zoneOfProxy(proxy);
     CRC32 hash = new CRC32();
@@ -95,7 +110,9 @@
     return rank;
   }
 
-  /** The endpoints of lowest rank, lowest first, some more than wanted. */
+  /**
+   * Returns the endpoints of lowest rank, lowest first: twice the number of routes and some more.
+   */
   private static List<Integer> candidates(double[] rank, int routeCount) {
     double[] sorted = rank.clone();
     Arrays.sort(sorted);
--- a/src/main/java/stonespring/solver/ReportCredibility.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -6,14 +6,16 @@
 import stonespring.model.EndpointId;
 
 /**
- * Judges what is said of endpoints' capacity before it counts. No claim lifts an endpoint further
- * above what it is listed with or has proven than one step, and what proxies observed there caps
- * it. A claim three times too high so brings an endpoint at most a quarter of its capacity too
- * much, for about twice the time that reports take to tell of trouble. Instants and durations are
- * in {@link stonespring.model.DeciMillis}, rates are requests per second.
+ * Estimates how much load endpoints can be trusted with, from listed weights, claims about their
+ * capacity, and what proxies observed. No claim raises an estimate more than one step above what is
+ * listed or proven, and observations cap it. So a claim of three times the true capacity sends an
+ * endpoint at most a quarter of its capacity too much, for about twice the delay of reports.
+ *
+ * <p>Instants and durations are in {@link stonespring.model.DeciMillis}, rates are requests per
+ * second.
  */
 public final class ReportCredibility {
-  /** Who says what an endpoint can do. */
+  /** Source of a claim about an endpoint's capacity. */
   public enum Source {
     /** The endpoint's own load reports. */
     ENDPOINT,
@@ -21,48 +23,60 @@
     OPERATOR
   }
 
-  /** Multiple of the listed or proven rate that a claim may raise a capacity to. */
+  /**
+   * Maximum ratio of an estimate to the listed or proven rate; more than the noise of reports, and
+   * a burst of that size does little harm.
+   */
   private static final double MAX_STEP_FACTOR = 1.25;
 
-  /** Least share of attempts that the fleet is taken to succeed with; in any overload some do. */
+  /** Minimum assumed share of the fleet's attempts that succeed; some do in any overload. */
   private static final double MIN_FLEET_SUCCESS_SHARE = 0.05;
 
-  /** Factor of the listed capacity while nothing is proven: machines listed alike differ. */
+  /**
+   * Factor applied to the listed capacity while nothing is proven, because machines with the same
+   * weight differ by about that much.
+   */
   private static final double UNPROVEN_FACTOR = 0.7;
 
-  /** Ratio of the highest to the lowest claim above which sources disagree. */
+  /**
+   * Ratio of the highest to the lowest claim above which the sources disagree: they cannot both be
+   * right.
+   */
   private static final double MAX_CLAIM_RATIO = 1.5;
 
-  /** Factor of the listed capacity that a ceiling never goes below. */
+  /**
+   * Minimum ceiling, as a factor of the listed capacity: under overload, observed successes
+   * understate the capacity.
+   */
   private static final double MIN_CEILING_FACTOR = 0.25;
 
-  /** Least force of a claim that counts for the rate per unit of weight. */
+  /** Minimum confidence for a claim to count towards the rate per unit of weight. */
   private static final double MIN_CONFIDENCE_FOR_UNIT_RATE = 0.5;
 
-  /** Capacities at or above it, requests per second, are rejected. */
+  /** Exclusive upper limit for weights and capacities. */
   private static final double VALUE_LIMIT = 1e12;
 
   /**
-   * What an endpoint is trusted with.
+   * The capacity that an endpoint is trusted with.
    *
-   * @param capacity its rate when warm
-   * @param claimed the highest claim that counts at all; NaN if there is none
-   * @param reason which of the judgements set the figure
+   * @param capacity rate that it can serve when warm, requests per second
+   * @param claimed highest claim that is not ignored; NaN if there is none
+   * @param reason what determined the capacity
    */
   public record CapacityEstimate(
       EndpointId endpoint, double capacity, double claimed, Reason reason) {}
 
-  /** What set a figure. */
+  /** What determined an estimate. */
   public enum Reason {
     /** The listed weight. */
     LISTED,
-    /** The mean of claims, by their force. */
+    /** The mean of the claims, weighted by confidence. */
     CLAIMED,
-    /** The lowest of claims that are too far apart. */
+    /** The lowest claim, because the claims differ too much. */
     SOURCES_DISAGREE,
-    /** The highest step above what is listed or proven. */
+    /** The maximum step above what is listed or proven. */
     STEP_LIMIT,
-    /** What proxies observed. */
+    /** The ceiling that follows from what proxies observed. */
     OBSERVED_CEILING
   }
 
@@ -80,29 +94,34 @@
   }
 
   /**
-   * An endpoint is listed.
+   * Sets the weight that an endpoint is listed with.
    *
-   * @throws IllegalArgumentException if the weight is not above 0
+   * @throws IllegalArgumentException if the weight is not above 0 or is too large
    */
   public void setListedWeight(EndpointId endpoint, double weight) {
     require(weight > 0 && weight < VALUE_LIMIT, endpoint, "weight " + weight);
     credibilityOf(endpoint).setListedWeight(weight);
   }
 
-  /** An endpoint's process started again: it has proven nothing, and nobody was wrong about it. */
+  /**
+   * Discards what is known of an endpoint whose process restarted: its proven rate, claims and
+   * listed weight, and the sources' loss of credit.
+   */
   public void reset(EndpointId endpoint) {
     endpointsByName.replace(endpoint.name(), new EndpointCredibility());
   }
 
-  /** An endpoint was removed. */
+  /** Forgets an endpoint that was removed from the list. */
   public void remove(EndpointId endpoint) {
     endpointsByName.remove(endpoint.name());
   }
 
   /**
-   * A source says what an endpoint can do when warm. A claim older than the one held is left out.
+   * Records a source's claim about the capacity of an endpoint when warm. Ignored if the source's
+   * current claim is as new or newer.
    *
-   * @throws IllegalArgumentException if the capacity is not above 0
+   * @param claimedAt instant of the claim
+   * @throws IllegalArgumentException if the capacity is not above 0 or is too large
    */
   public void recordClaim(EndpointId endpoint, Source source, double capacity, long claimedAt) {
     require(
@@ -111,18 +130,18 @@
   }
 
   /**
-   * Sets the share of all attempts in the fleet that fail or are late: an overload of all says
-   * nothing of one endpoint.
+   * Sets the share of all attempts in the fleet that fail or are late. An overload of the whole
+   * fleet says nothing about one endpoint, so an endpoint is compared with this share.
    */
   public void setFleetFailureShare(double failedOrLateShare) {
     fleetSuccessShare = Math.max(MIN_FLEET_SUCCESS_SHARE, 1 - failedOrLateShare);
   }
 
   /**
-   * What proxies observed at an endpoint in an interval.
+   * Records what proxies observed at an endpoint in an interval.
    *
    * @param failedOrLate attempts that failed or were answered after the latency objective
-   * @param otherInstancesRate what reaches it besides, from proxies of other instances
+   * @param otherInstancesRate rate that reaches the endpoint from proxies of other instances
    */
   public void recordOutcomes(
       EndpointId endpoint,
@@ -137,8 +156,9 @@
   }
 
   /**
-   * What one unit of listed weight does: the median of claims and proofs, which half of the fleet
-   * would have to fake. NaN while nothing tells.
+   * Returns the requests per second that one unit of listed weight stands for: the median over
+   * endpoints of the highest credible claim or proven rate. Half of the fleet would have to make
+   * false claims to shift it. NaN while nothing is known.
    */
   private double ratePerUnitOfWeight(long now) {
     List<Double> rates = new ArrayList<>();
@@ -154,13 +174,13 @@
       }
     }
     rates.sort(Double::compare);
-    // Of two the lower: the other may lie.
+    // With an even number of endpoints the lower middle one, as the higher may be a false claim.
     return rates.isEmpty() ? Double.NaN : rates.get((rates.size() - 1) / 2);
   }
 
   /**
-   * What each listed endpoint is trusted with, by name; empty while nothing tells what a unit of
-   * weight does.
+   * Returns the estimate for each listed endpoint, by name; empty while the rate per unit of weight
+   * is unknown.
    */
   public List<CapacityEstimate> estimateCapacities(long now) {
     List<CapacityEstimate> estimates = new ArrayList<>();
@@ -175,7 +195,7 @@
     return estimates;
   }
 
-  /** Claims weighed by their force. */
+  /** An endpoint's claims, weighted by confidence. */
   private static final class WeightedClaims {
     private double confidenceSum;
     private double weightedSum;
--- a/src/main/java/stonespring/solver/RouteAdder.java
+++ b/src/main/java/stonespring/solver/RouteAdder.java
@@ -5,14 +5,18 @@
 import java.util.List;
 
 /**
- * Adds routes to endpoints that scaling leaves short of their target, where the gain pays for a new
- * connection. The proxies that bring most to endpoints over their target give first.
+ * Adds routes to endpoints that scaling leaves below their target, where the gain exceeds the cost
+ * of a new connection. A new route takes its rate from another route of the same proxy, whose
+ * endpoint is above its target; the largest such rates are moved first.
  */
 final class RouteAdder {
-  /** Seconds that a route surely stands, over which its gain counts. */
+  /** Time, in seconds, that a new route is certain to exist, over which its gain is counted. */
   private static final double HORIZON_SECONDS = 10;
 
-  /** What a route gives up at most: times what its endpoint has over its target. */
+  /**
+   * Maximum share of a route's rate that it gives up, as a multiple of its endpoint's relative
+   * excess.
+   */
   private static final double MAX_DONATED_EXCESS_MULTIPLE = 2;
 
   private final Problem problem;
@@ -20,14 +24,19 @@
   private final WorkingTables tables;
   private final int[] plansBelowTarget;
 
-  /** A route to an endpoint over its target, and the rate that it can give up. */
+  /**
+   * A route to an endpoint above its target.
+   *
+   * @param rate requests per second that the route can give up
+   */
   private record Donor(int proxy, int route, double rate) {}
 
   /**
-   * Prepares for one plan.
+   * Prepares one plan.
    *
-   * @param plansBelowTarget by endpoint, plans in a row in which routes were missing: a gain that
-   *     does not pay grows with them, so that no cost starves an endpoint
+   * @param plansBelowTarget by endpoint, the number of consecutive plans in which it lacked routes.
+   *     The gain of a route to it is multiplied accordingly, so that a high connection cost cannot
+   *     leave an endpoint without requests for ever.
    */
   RouteAdder(Problem problem, Flow flow, WorkingTables tables, int[] plansBelowTarget) {
     this.problem = problem;
@@ -36,7 +45,7 @@
     this.plansBelowTarget = plansBelowTarget;
   }
 
-  /** Adds routes; returns whether there were any to add. */
+  /** Adds routes in all zones; returns whether any were added. */
   boolean addRoutes() {
     boolean added = false;
     for (int z = 0; z < problem.zoneCount(); z++) {
@@ -93,7 +102,10 @@
     return donors;
   }
 
-  /** What one more request of a zone loses at each endpoint, by the tables as they are. */
+  /**
+   * Returns, by endpoint, the requests lost per additional request from a zone under the tables as
+   * they are.
+   */
   private double[] marginalCosts(int zone) {
     double[] marginalCost = new double[problem.endpointCount()];
     for (int e = 0; e < marginalCost.length; e++) {
@@ -132,7 +144,10 @@
     return added;
   }
 
-  /** A proxy without routes has to connect in any case. */
+  /**
+   * Returns the cost of a connection to an endpoint, in lost requests; 0 for a proxy without
+   * routes, which has to connect in any case.
+   */
   private double connectionCost(int proxy) {
     return problem.proxy(proxy).routes().isEmpty() ? 0 : problem.costs().newRoute();
   }
--- a/src/main/java/stonespring/solver/RouteDropper.java
+++ b/src/main/java/stonespring/solver/RouteDropper.java
@@ -1,14 +1,17 @@
 package stonespring.solver;
 
 /**
- * Drops routes that carry next to nothing, and the least used where a table has too many. The last
- * warm route always stays.
+ * Drops routes with a negligible rate, and the least used routes where a table has too many. A
+ * table's last route to a warm endpoint is always kept.
  */
 final class RouteDropper {
   /** Weight below which a route is not worth its connection. */
   private static final double MIN_WEIGHT = 0.004;
 
-  /** The same as a multiple of the even share, where that is lower: tables with many routes. */
+  /**
+   * Minimum weight as a multiple of an even share, for tables with so many routes that this is
+   * below the minimum weight: a fixed minimum would drop most routes of a very large proxy.
+   */
   private static final double MIN_EVEN_SHARE_MULTIPLE = 0.1;
 
   private static final int NO_ROUTE = -1;
@@ -24,7 +27,7 @@
   void dropRoutes() {
     for (int p = 0; p < tables.proxyCount(); p++) {
       while (tables.routeCount(p) > 1 && dropLeastUsed(p)) {
-        // another may be idle, or too many, after this one
+        // Each removal changes the shares, so the next least used route is checked too.
       }
     }
     tables.recomputeLoads();
--- a/src/main/java/stonespring/solver/SubsetSelector.java
+++ b/src/main/java/stonespring/solver/SubsetSelector.java
@@ -1,30 +1,40 @@
 package stonespring.solver;
 
 /**
- * Turns the flow into small tables. Routes that stand are kept and their weights scaled ({@link
- * ProportionalFitter}); only where that can't reach an endpoint's target, and the gain pays for a
- * connection, a route is added ({@link RouteAdder}).
+ * Turns the optimal flow into small route tables (subsets of the endpoints). Existing routes are
+ * kept and their weights scaled ({@link ProportionalFitter}). A route is added ({@link RouteAdder})
+ * only where scaling cannot reach an endpoint's target and the gain exceeds the cost of a
+ * connection.
  */
 final class SubsetSelector {
-  /** Share of an endpoint's capacity below which a difference is within the error of reports. */
+  /**
+   * Share of an endpoint's capacity below which a difference in load is within the error of the
+   * reported rates.
+   */
   static final double MEASUREMENT_ERROR_SHARE = 0.02;
 
-  /** Rounds of new routes and scaling, from nothing. */
+  /** Maximum number of rounds of adding routes and scaling when there is no previous plan. */
   private static final int MAX_INITIAL_ROUNDS = 10;
 
-  /** The same where tables stand; what is left waits for the next plan. */
+  /** Maximum number of such rounds when tables exist already; the next plan continues. */
   private static final int MAX_FOLLOW_UP_ROUNDS = 2;
 
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
+
+  /**
+   * By endpoint, the number of consecutive plans in which it lacked routes; see {@link
+   * Plan.EndpointAllocation}.
+   */
   private final int[] plansBelowTarget;
+
   private final int maxRounds;
 
   /**
-   * Prepares a plan.
+   * Prepares one plan.
    *
-   * @param previous the last plan, or null
+   * @param previous the previous plan, or null if there is none
    */
   SubsetSelector(Problem problem, Flow flow, Plan previous) {
     this.problem = problem;
--- a/src/main/java/stonespring/solver/WarmUpCap.java
+++ b/src/main/java/stonespring/solver/WarmUpCap.java
@@ -1,8 +1,8 @@
 package stonespring.solver;
 
 /**
- * Whatever fitting left: what an endpoint that warms up may not get goes to the warm routes of the
- * same tables.
+ * Enforces the maximum load of endpoints that are warming up, in case fitting left some of them
+ * above it. The excess goes to the routes of the same tables that lead to warm endpoints.
  */
 final class WarmUpCap {
   private final Problem problem;
--- a/src/main/java/stonespring/solver/WeightAdvisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -19,42 +19,52 @@
 import stonespring.model.ZoneId;
 
 /**
- * Sees what the decision engine is notified of and what it commands, and proposes weights to it. It
- * never commands anything: a proposal is an event of the engine's interface, and one that never
- * comes leaves the engine as it is.
+ * Proposes weights to the decision engine, based on the events that the engine receives and the
+ * commands that it issues. The advisor itself issues no commands. A proposal is an event of the
+ * engine's interface; without proposals the engine works as usual.
  */
 public final class WeightAdvisor {
   /**
-   * Utilization above which a capacity is read from it; noise outweighs less. The decision engine
-   * estimates capacities separately, with a bound of its own.
+   * Minimum utilization from which a capacity is derived; below it, noise dominates. The decision
+   * engine estimates capacities separately, with its own bound.
    */
   private static final double MIN_UTILIZATION = 0.1;
 
   /**
-   * Attempts without failure that are added to those seen, so that few attempts say little. The
-   * decision engine estimates failure shares separately, with a figure of its own.
+   * Successful attempts that are added to those observed, so that a few failures among few attempts
+   * have little effect. The decision engine estimates failure shares separately, with its own
+   * constant.
    */
   private static final double PRIOR_ATTEMPTS = 4;
 
   /**
-   * Share of the rate at which a warming endpoint fails that all proxies with a route to it may
-   * receive together.
+   * Limit on the total rate of all proxies with a route to an endpoint that is warming up, as a
+   * share of the rate at which the endpoint would fail.
    */
   private static final double MAX_WARMING_DEMAND_SHARE = 0.8;
 
-  /** Least share of the fleet that this instance is taken to serve. */
+  /**
+   * Minimum share of the fleet that this instance is assumed to serve; fewer proxies still need
+   * some capacity.
+   */
   private static final double MIN_FLEET_SHARE = 0.01;
 
-  /** Rounds of reports before the first proposal; an instance that just started knows little. */
+  /**
+   * Number of report rounds before the first proposal. An instance that just started knows little,
+   * and the tables that its proxies hold keep working.
+   */
   private static final int ROUNDS_BEFORE_FIRST_PROPOSAL = 5;
 
-  /** Requests lost for each more that a full endpoint gets; many answers are late then. */
+  /**
+   * Requests lost per additional request at a full endpoint: about half of its answers are late
+   * then, as the decision engine also assumes.
+   */
   private static final double CONGESTION_COST = 3.5;
 
-  /** Requests lost for each new route, as its connection costs work. */
+  /** Requests lost per new route: the work of a handshake and some more. */
   private static final double NEW_ROUTE_COST = 0.1;
 
-  /** A connected proxy: what it receives, and the routes that it holds. */
+  /** A connected proxy: the rates that it receives and the routes that it holds. */
   private static final class ConnectedProxy {
     private final ZoneId zone;
     private final double[] requestRates;
@@ -70,8 +80,8 @@
   private final Settings settings;
 
   /**
-   * The shortest latency objective of any class, DeciMillis. The decision engine's estimate of late
-   * answers is a separate one.
+   * The shortest latency objective of all request classes, deci-milliseconds. The decision engine
+   * estimates late answers separately.
    */
   private final long latencyObjective;
 
@@ -82,7 +92,7 @@
   private Plan plan;
   private int completedRounds;
 
-  /** Starts without any observation. */
+  /** Creates an advisor without observations. */
   public WeightAdvisor(Settings settings) {
     this.settings = settings;
     this.latencyObjective =
@@ -92,7 +102,7 @@
             .orElse(DeciMillis.SECOND);
   }
 
-  /** Takes an event that the engine is notified of. */
+  /** Updates the advisor from an event that the engine also receives. */
   public void handle(long now, Event event) {
     if (event instanceof Event.EndpointListUpdate e) {
       updateEndpointList(e);
@@ -135,7 +145,8 @@
       if (listed.state() != EndpointRecord.State.REMOVED) {
         updateEndpoint(listed);
       } else if (!removedEndpointsKeepServing) {
-        // Where removed endpoints may serve, one that stopped fails its attempts, which count.
+        // Where removed endpoints keep serving, they stay known: attempts at one that has stopped
+        // fail and count against it.
         endpoints.remove(listed.endpoint().name());
         credibility.remove(listed.endpoint());
       }
@@ -162,7 +173,10 @@
     credibility.setListedWeight(listed.endpoint(), listed.weight() > 0 ? listed.weight() : 1);
   }
 
-  /** Takes a command of the engine: the routes that proxies hold follow from them. */
+  /**
+   * Updates the advisor from a command of the engine; the routes that proxies hold follow from the
+   * commands.
+   */
   public void handleCommand(Command command) {
     if (!(command instanceof Command.SetRoute set)) {
       return;
@@ -178,7 +192,10 @@
     }
   }
 
-  /** This instance's share of the fleet; those of all instances never sum to more than 1. */
+  /**
+   * Returns this instance's share of the fleet. The shares of all instances add up to at most 1,
+   * unless the minimum share applies.
+   */
   private double fleetShare() {
     if (settings.fleet().instances() == 1) {
       return 1;
@@ -188,9 +205,10 @@
   }
 
   /**
-   * Proposes weights for all connected proxies. To be called once a round of reports.
+   * Proposes weights for all connected proxies. To be called once per round of reports.
    *
-   * @return empty in the first rounds, or while no endpoint is ready
+   * @return no proposals in the first rounds, while no endpoint is ready or no proxy is connected,
+   *     and in a sharded fleet
    */
   public List<Event.WeightsProposed> proposeWeights(long now) {
     evaluateRound(now);
@@ -232,7 +250,7 @@
         endpoint.roundInterval(),
         totalRate - ownRate,
         now);
-    // What an endpoint seems to do while it warms up says little of the warm one.
+    // Utilization during warm-up does not indicate the capacity of the warm endpoint.
     boolean isWarm = settings.slowStart().warmUpFraction(endpoint.startedAt(), now) >= 1;
     if (endpoint.utilization() > MIN_UTILIZATION && totalRate > 0 && isWarm) {
       double capacity = endpoint.updateSmoothedCapacity(totalRate);
@@ -276,9 +294,9 @@
   }
 
   /**
-   * The problem of this round. Routes of a table are bounded by the number that a proxy starts
-   * with, the only size of a table that the settings give; proxies that so few can't carry get
-   * more.
+   * Builds the solver's input for this round. Tables are limited to the number of routes that a
+   * proxy starts with, the only table size in the settings; a proxy whose rate is too high for so
+   * few endpoints gets more.
    */
   private Problem buildProblem(List<Problem.Endpoint> ready) {
     List<Problem.Proxy> connected = new ArrayList<>();
@@ -313,7 +331,7 @@
     return proposals;
   }
 
-  /** The last plan; empty if the last round brought none. */
+  /** Returns the plan of the last round; empty if that round produced none. */
   public Optional<Plan> plan() {
     return Optional.ofNullable(plan);
   }
--- a/src/main/java/stonespring/solver/WorkingTables.java
+++ b/src/main/java/stonespring/solver/WorkingTables.java
@@ -5,28 +5,37 @@
 import java.util.List;
 
 /**
- * The route tables that a plan is made of, while it is being made: for each proxy its endpoints and
- * the rate, requests per second, that it sends to each. Arrays under dense indexes, as a plan for
- * hundreds of proxies and endpoints is made every few seconds.
+ * The route tables of a plan under construction: for each proxy its endpoints and the rate, in
+ * requests per second, that it sends to each. Stored in arrays by index, because a plan for
+ * hundreds of proxies and endpoints is computed every few seconds.
  */
 final class WorkingTables {
   /**
-   * Share of an endpoint's capacity that one proxy should fill at most; a few endpoints can't carry
-   * a large proxy.
+   * Maximum share of the mean endpoint's capacity that one proxy should use; few endpoints cannot
+   * carry a large proxy.
    */
   private static final double MAX_CAPACITY_SHARE_PER_PROXY = 0.25;
 
   private final Problem problem;
+
+  /** Endpoint indexes by proxy and route. */
   private final int[][] endpoints;
+
+  /** Requests per second by proxy and route. */
   private final double[][] rates;
+
+  /** Requests per second that each proxy receives. */
   private final double[] demand;
+
+  /** By endpoint, the total demand of the proxies that have a route to it. */
   private final double[] demandOfProxiesWithRoute;
+
   private final double[][] loadByZone;
   private final double[] load;
   private final double meanCapacity;
   private final boolean anyEndpointIsWarm;
 
-  /** Starts with empty tables; {@link #loadCurrentRoutes} fills them. */
+  /** Creates empty tables; {@link #loadCurrentRoutes} fills them. */
   WorkingTables(Problem problem) {
     this.problem = problem;
     int endpointCount = problem.endpointCount();
@@ -46,7 +55,10 @@
     anyEndpointIsWarm = hasWarmEndpoint;
   }
 
-  /** Takes over the routes that proxies hold, as far as their endpoints are part of the problem. */
+  /**
+   * Loads the proxies' current routes and rates, omitting routes to endpoints that are not part of
+   * the problem and routes of weight 0.
+   */
   void loadCurrentRoutes() {
     for (int p = 0; p < endpoints.length; p++) {
       List<Problem.Route> current = new ArrayList<>();
@@ -72,17 +84,17 @@
     return endpoints.length;
   }
 
-  /** The number of a proxy's routes. */
+  /** Returns the number of a proxy's routes. */
   int routeCount(int proxy) {
     return endpoints[proxy].length;
   }
 
-  /** The endpoint of a proxy's route. */
+  /** Returns the index of a route's endpoint. */
   int endpoint(int proxy, int route) {
     return endpoints[proxy][route];
   }
 
-  /** The rate that a proxy sends by a route. */
+  /** Returns the rate that a proxy sends over a route. */
   double rate(int proxy, int route) {
     return rates[proxy][route];
   }
@@ -91,7 +103,7 @@
     rates[proxy][route] = rate;
   }
 
-  /** All rates of a proxy, by route; shared, not a copy. */
+  /** Returns all rates of a proxy by route; the array is shared, not a copy. */
   double[] rates(int proxy) {
     return rates[proxy];
   }
@@ -100,12 +112,12 @@
     rates[proxy] = replacement;
   }
 
-  /** The rate that a proxy receives. */
+  /** Returns the rate of requests that a proxy receives. */
   double demand(int proxy) {
     return demand[proxy];
   }
 
-  /** Mean capacity of an endpoint. */
+  /** Returns the mean capacity of all endpoints. */
   double meanCapacity() {
     return meanCapacity;
   }
@@ -114,22 +126,24 @@
     return anyEndpointIsWarm;
   }
 
-  /** The rate that an endpoint gets from a zone, as of the last {@link #recomputeLoads}. */
+  /**
+   * Returns the rate that an endpoint receives from a zone, as of the last {@link #recomputeLoads}.
+   */
   double load(int zone, int endpoint) {
     return loadByZone[zone][endpoint];
   }
 
-  /** The rate that an endpoint gets, as of the last {@link #recomputeLoads}. */
+  /** Returns the rate that an endpoint receives, as of the last {@link #recomputeLoads}. */
   double load(int endpoint) {
     return load[endpoint];
   }
 
-  /** The rates that endpoints get; shared, not a copy. */
+  /** Returns the rates that endpoints receive; the array is shared, not a copy. */
   double[] loads() {
     return load;
   }
 
-  /** How many routes a proxy should have at most. */
+  /** Returns the maximum number of routes that a proxy should have. */
   int maxRoutes(int proxy) {
     double routesToCarryDemand =
         Math.ceil(demand[proxy] / (MAX_CAPACITY_SHARE_PER_PROXY * meanCapacity));
@@ -138,8 +152,9 @@
   }
 
   /**
-   * Whether a proxy may get a new route to an endpoint: it has none, and the proxies with a route
-   * to the endpoint, this one included, stay within the endpoint's cap.
+   * Returns whether a proxy may get a new route to an endpoint: it has none yet, and the total rate
+   * of all proxies with a route to the endpoint, including this one, stays within the endpoint's
+   * limit.
    */
   boolean canAddRoute(int proxy, int endpoint) {
     double connectedDemand = demandOfProxiesWithRoute[endpoint] + demand[proxy];
@@ -174,7 +189,10 @@
     demandOfProxiesWithRoute[endpoint] += demand[proxy];
   }
 
-  /** Removes a route; its rate goes to the others in proportion. */
+  /**
+   * Removes a route and distributes its rate over the proxy's other routes in proportion to their
+   * rates.
+   */
   void removeRoute(int proxy, int route) {
     double remainingDemand = demand[proxy] - rates[proxy][route];
     demandOfProxiesWithRoute[endpoints[proxy][route]] -= demand[proxy];
@@ -196,7 +214,7 @@
     rates[proxy] = remainingRates;
   }
 
-  /** Computes the loads of all endpoints anew from the rates of all routes. */
+  /** Recomputes the loads of all endpoints from the rates of all routes. */
   void recomputeLoads() {
     for (double[] zoneLoad : loadByZone) {
       Arrays.fill(zoneLoad, 0);
@@ -211,7 +229,7 @@
     }
   }
 
-  /** Requests lost a second by the tables as they are. */
+  /** Returns the requests lost per second under the tables as they are. */
   double cost(Flow flow) {
     double cost = Flow.congestionCost(problem, load);
     for (int p = 0; p < endpoints.length; p++) {
