--- a/src/main/java/stonespring/solver/Flow.java
+++ b/src/main/java/stonespring/solver/Flow.java
@@ -193,11 +193,11 @@
     boolean lastPriceInBracket = zonePrice[zone] > lowPrice && zonePrice[zone] < highPrice;
     double guess = lastPriceInBracket ? zonePrice[zone] : (lowPrice + highPrice) / 2;
     for (int i = 0; i < MAX_HALVINGS; i++) {
-      double placed = zoneRateAtPrice(zone, guess, otherZonesLoad);
-      if (Math.abs(placed - zoneDemand[zone]) <= ROUNDING_TOLERANCE * zoneDemand[zone]) {
+      double allocatedRate = zoneRateAtPrice(zone, guess, otherZonesLoad);
+      if (Math.abs(allocatedRate - zoneDemand[zone]) <= ROUNDING_TOLERANCE * zoneDemand[zone]) {
         break;
       }
-      if (placed < zoneDemand[zone]) {
+      if (allocatedRate < zoneDemand[zone]) {
         lowPrice = guess;
       } else {
         highPrice = guess;
@@ -205,7 +205,9 @@
       // The allocated rate grows roughly as the price to the power 1 / CONGESTION_EXPONENT; where
       // that estimate leaves the bracket, or after half of the steps, the bracket is bisected.
       double slopeGuess =
-          placed > 0 ? guess * Math.pow(zoneDemand[zone] / placed, CONGESTION_EXPONENT) : highPrice;
+          allocatedRate > 0
+              ? guess * Math.pow(zoneDemand[zone] / allocatedRate, CONGESTION_EXPONENT)
+              : highPrice;
       boolean useSlopeGuess =
           slopeGuess > lowPrice && slopeGuess < highPrice && i < MAX_HALVINGS / 2;
       guess = useSlopeGuess ? slopeGuess : (lowPrice + highPrice) / 2;
