--- a/src/main/java/stonespring/solver/CostModel.java
+++ b/src/main/java/stonespring/solver/CostModel.java
@@ -18,11 +18,12 @@
     boolean inRange = congestion > 0 && zoneCrossing >= 0 && newRoute >= 0;
     if (!inRange || congestion + zoneCrossing + newRoute == Double.POSITIVE_INFINITY) {
       throw new IllegalArgumentException(
-          "costs: lateness must be above 0 and the others at least 0: "
+          "cost model: congestion must be above 0, zoneCrossing and newRoute at least 0, and all"
+              + " finite, but congestion is "
               + congestion
-              + ", "
+              + ", zoneCrossing "
               + zoneCrossing
-              + ", "
+              + " and newRoute "
               + newRoute);
     }
   }
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -89,7 +89,12 @@
       List<Proxy> proxies) {
     if (zoneCount < 1 || requestClassCount < 1 || maxRoutes < 1) {
       throw new IllegalArgumentException(
-          "problem: zones, request classes and routes must be at least 1");
+          "problem: zone count, request class count and maximum routes must be at least 1, but are "
+              + zoneCount
+              + ", "
+              + requestClassCount
+              + " and "
+              + maxRoutes);
     }
     this.zoneCount = zoneCount;
     this.requestClassCount = requestClassCount;
@@ -108,24 +113,36 @@
   private void checkEndpoints() {
     for (int e = 0; e < endpoints.length; e++) {
       Endpoint endpoint = endpoints[e];
-      String name = endpoint.id().name();
-      require(indexById.put(endpoint.id(), e) == null, name + " comes twice");
-      require(endpoint.zone().index() < zoneCount, name + " is in zone " + endpoint.zone().index());
+      String name = "endpoint " + endpoint.id().name();
+      require(indexById.put(endpoint.id(), e) == null, name + " occurs twice");
+      require(
+          endpoint.zone().index() < zoneCount,
+          name + ": zone index must be below " + zoneCount + ", but is " + endpoint.zone().index());
       require(
           endpoint.capacity() > 0 && endpoint.capacity() < VALUE_LIMIT,
-          name + ": capacity " + endpoint.capacity());
+          name
+              + ": capacity must be above 0 and below "
+              + VALUE_LIMIT
+              + ", but is "
+              + endpoint.capacity());
       require(
           endpoint.maxLoad() > 0 && endpoint.maxDemandOfProxiesWithRoute() > 0,
           name
-              + ": max load "
+              + ": maximum load and maximum demand of proxies with a route must be above 0, but are "
               + endpoint.maxLoad()
-              + ", demand of proxies with a route "
+              + " and "
               + endpoint.maxDemandOfProxiesWithRoute());
       require(
           endpoint.failureShares().length == requestClassCount,
-          name + ": failure shares of " + endpoint.failureShares().length + " request classes");
+          name
+              + ": expected failure shares of "
+              + requestClassCount
+              + " request classes, but got "
+              + endpoint.failureShares().length);
       for (double share : endpoint.failureShares()) {
-        require(share >= 0 && share <= 1, name + ": failure share " + share);
+        require(
+            share >= 0 && share <= 1,
+            name + ": failure share must be from 0 to 1, but is " + share);
       }
     }
   }
@@ -134,18 +151,36 @@
     Set<ProxyId> seen = new HashSet<>();
     for (Proxy proxy : proxies) {
       String name = "proxy " + proxy.id().number();
-      require(seen.add(proxy.id()), name + " comes twice");
-      require(proxy.zone().index() < zoneCount, name + " is in zone " + proxy.zone().index());
+      require(seen.add(proxy.id()), name + " occurs twice");
+      require(
+          proxy.zone().index() < zoneCount,
+          name + ": zone index must be below " + zoneCount + ", but is " + proxy.zone().index());
       require(
           proxy.requestRates().length == requestClassCount,
-          name + ": rates of " + proxy.requestRates().length + " request classes");
+          name
+              + ": expected request rates of "
+              + requestClassCount
+              + " request classes, but got "
+              + proxy.requestRates().length);
       for (double rate : proxy.requestRates()) {
-        require(rate >= 0 && rate < VALUE_LIMIT, name + ": rate " + rate);
+        require(
+            rate >= 0 && rate < VALUE_LIMIT,
+            name
+                + ": request rate must be at least 0 and below "
+                + VALUE_LIMIT
+                + ", but is "
+                + rate);
       }
       for (Route route : proxy.routes()) {
         require(
             route.weight() >= 0 && route.weight() < VALUE_LIMIT,
-            name + ": weight " + route.weight());
+            name
+                + ": weight of the route to "
+                + route.endpoint().name()
+                + " must be at least 0 and below "
+                + VALUE_LIMIT
+                + ", but is "
+                + route.weight());
       }
     }
   }
--- a/src/main/java/stonespring/solver/ReportCredibility.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -99,7 +99,10 @@
    * @throws IllegalArgumentException if the weight is not above 0 or is too large
    */
   public void setListedWeight(EndpointId endpoint, double weight) {
-    require(weight > 0 && weight < VALUE_LIMIT, endpoint, "weight " + weight);
+    require(
+        weight > 0 && weight < VALUE_LIMIT,
+        endpoint,
+        "listed weight must be above 0 and below " + VALUE_LIMIT + ", but is " + weight);
     credibilityOf(endpoint).setListedWeight(weight);
   }
 
@@ -125,7 +128,14 @@
    */
   public void recordClaim(EndpointId endpoint, Source source, double capacity, long claimedAt) {
     require(
-        capacity > 0 && capacity < VALUE_LIMIT, endpoint, "capacity " + capacity + " by " + source);
+        capacity > 0 && capacity < VALUE_LIMIT,
+        endpoint,
+        "capacity claimed by "
+            + source
+            + " must be above 0 and below "
+            + VALUE_LIMIT
+            + ", but is "
+            + capacity);
     credibilityOf(endpoint).claim(source).update(capacity, claimedAt);
   }
 
--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -155,11 +155,11 @@
     credibility.setListedWeight(id(0), 1);
     assertTrue(credibility.estimateCapacities(now).isEmpty());
     assertEquals(
-        "endpoint t0: weight 0.0",
+        "endpoint t0: listed weight must be above 0 and below 1.0E12, but is 0.0",
         assertThrows(IllegalArgumentException.class, () -> credibility.setListedWeight(id(0), 0))
             .getMessage());
     assertEquals(
-        "endpoint t0: capacity NaN by ENDPOINT",
+        "endpoint t0: capacity claimed by ENDPOINT must be above 0 and below 1.0E12, but is NaN",
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -434,16 +434,16 @@
   void rejectsBadInputWithItsPlace() {
     endpoints.add(warm("a", 0, -1));
     assertEquals(
-        "problem: a: capacity -1.0",
+        "problem: endpoint a: capacity must be above 0 and below 1.0E12, but is -1.0",
         assertThrows(IllegalArgumentException.class, this::problem).getMessage());
     endpoints.set(0, warm("a", 5, 1));
     assertEquals(
-        "problem: a is in zone 5",
+        "problem: endpoint a: zone index must be below 3, but is 5",
         assertThrows(IllegalArgumentException.class, this::problem).getMessage());
     endpoints.set(0, warm("a", 0, 1));
     endpoints.add(warm("a", 1, 1));
     assertEquals(
-        "problem: a comes twice",
+        "problem: endpoint a occurs twice",
         assertThrows(IllegalArgumentException.class, this::problem).getMessage());
   }
 
