--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -23,16 +23,16 @@
     return new EndpointId("t" + i);
   }
 
-  private void honest(int from, int to) {
+  private void recordHonestClaims(int from, int to) {
     for (int i = from; i < to; i++) {
       credibility.setListedWeight(id(i), 1);
       credibility.recordClaim(id(i), ReportCredibility.Source.ENDPOINT, CAPACITY, now);
     }
   }
 
-  private ReportCredibility.CapacityEstimate of(int i) {
+  private ReportCredibility.CapacityEstimate estimate(int i) {
     return credibility.estimateCapacities(now).stream()
-        .filter(j -> j.endpoint().equals(id(i)))
+        .filter(estimate -> estimate.endpoint().equals(id(i)))
         .findFirst()
         .orElseThrow();
   }
@@ -47,10 +47,10 @@
       @ForAll @IntRange(max = 100_000) int seed,
       @ForAll @IntRange(min = 1, max = 5) int reportDelay) {
     SplittableRandom random = new SplittableRandom(seed);
-    honest(0, 10);
+    recordHonestClaims(0, 10);
     credibility.recordClaim(id(3), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now + 1);
-    double[] sent = new double[60];
-    int over = 0;
+    double[] estimates = new double[60];
+    int secondsOver = 0;
     for (int second = 0; second < 60; second++, now += SECOND) {
       for (int i = 0; i < 10; i++) {
         if (i != 3) {
@@ -61,97 +61,103 @@
               now);
         }
       }
-      sent[second] = of(3).capacity();
-      assertTrue(sent[second] <= 1.25 * 1.06 * CAPACITY, "second " + second + ": " + sent[second]);
-      over += sent[second] > 1.1 * CAPACITY ? 1 : 0;
+      estimates[second] = estimate(3).capacity();
+      assertTrue(
+          estimates[second] <= 1.25 * 1.06 * CAPACITY,
+          "second " + second + ": " + estimates[second]);
+      secondsOver += estimates[second] > 1.1 * CAPACITY ? 1 : 0;
       if (second >= reportDelay) {
-        double load = 0.98 * sent[second - reportDelay];
+        double load = 0.98 * estimates[second - reportDelay];
         long attempts = Math.round(load * 10);
         double failures = Math.min(0.9, Math.max(0, 4 * (load / CAPACITY - 1))) * attempts;
         credibility.recordOutcomes(id(3), attempts, failures, 10 * SECOND, 0, now);
       }
     }
     assertTrue(
-        over <= 2 * reportDelay + 4,
-        over + " s a tenth over the truth with reports " + reportDelay + " s late");
-    assertTrue(sent[59] <= 1.05 * CAPACITY && sent[59] >= 0.5 * CAPACITY, "in the end " + sent[59]);
+        secondsOver <= 2 * reportDelay + 4,
+        secondsOver + " s a tenth over the truth with reports " + reportDelay + " s late");
+    assertTrue(
+        estimates[59] <= 1.05 * CAPACITY && estimates[59] >= 0.5 * CAPACITY,
+        "in the end " + estimates[59]);
   }
 
   @Test
   void capsAClaimByObservations() {
-    honest(0, 5);
+    recordHonestClaims(0, 5);
     credibility.recordOutcomes(id(2), 60, 40, 10 * SECOND, 0, now);
-    assertEquals(ReportCredibility.Reason.OBSERVED_CEILING, of(2).reason());
-    assertTrue(of(2).capacity() < 0.5 * CAPACITY, "2 a second succeeded: " + of(2).capacity());
+    assertEquals(ReportCredibility.Reason.OBSERVED_CEILING, estimate(2).reason());
+    assertTrue(
+        estimate(2).capacity() < 0.5 * CAPACITY, "2 a second succeeded: " + estimate(2).capacity());
     for (int second = 0; second < 60; second++) {
       now += SECOND;
       credibility.recordOutcomes(id(2), 5, 0, SECOND, 0, now);
-      honest(0, 5);
+      recordHonestClaims(0, 5);
     }
     assertTrue(
-        of(2).capacity() > 0.9 * CAPACITY,
-        "it is trusted again as all goes well: " + of(2).capacity());
+        estimate(2).capacity() > 0.9 * CAPACITY,
+        "it is trusted again as all goes well: " + estimate(2).capacity());
   }
 
   @Test
-  void takesTheLowerOfSourcesThatDisagree() {
-    honest(0, 5);
+  void usesLowestClaimWhenSourcesDisagree() {
+    recordHonestClaims(0, 5);
     credibility.recordClaim(id(1), ReportCredibility.Source.OPERATOR, 0.5 * CAPACITY, now);
-    assertEquals(ReportCredibility.Reason.SOURCES_DISAGREE, of(1).reason());
-    assertEquals(0.5 * CAPACITY, of(1).capacity(), 0.01);
+    assertEquals(ReportCredibility.Reason.SOURCES_DISAGREE, estimate(1).reason());
+    assertEquals(0.5 * CAPACITY, estimate(1).capacity(), 0.01);
   }
 
   @Test
-  void raisesAnEndpointStepByStepAsItProvesItself() {
-    honest(0, 5);
-    double last = 0;
+  void raisesEstimateStepByStepAsEndpointProvesCapacity() {
+    recordHonestClaims(0, 5);
+    double lastEstimate = 0;
     for (int second = 0; second < 40; second++) {
       now += SECOND;
-      honest(0, 4);
+      recordHonestClaims(0, 4);
       credibility.setListedWeight(id(4), 1);
       credibility.recordClaim(id(4), ReportCredibility.Source.ENDPOINT, 3 * CAPACITY, now);
-      double trusted = of(4).capacity();
+      double estimate = estimate(4).capacity();
       assertTrue(
-          second == 0 || trusted <= 1.26 * Math.max(CAPACITY, last), trusted + " after " + last);
-      last = trusted;
-      credibility.recordOutcomes(id(4), Math.round(trusted * 10), 0, 10 * SECOND, 0, now);
+          second == 0 || estimate <= 1.26 * Math.max(CAPACITY, lastEstimate),
+          estimate + " after " + lastEstimate);
+      lastEstimate = estimate;
+      credibility.recordOutcomes(id(4), Math.round(estimate * 10), 0, 10 * SECOND, 0, now);
     }
-    assertTrue(last > 2.9 * CAPACITY, "it can do 30 and gets " + last);
+    assertTrue(lastEstimate > 2.9 * CAPACITY, "it can do 30 and gets " + lastEstimate);
   }
 
   @Test
-  void ignoresClaimsThatAreTooOldOrOvertaken() {
-    honest(0, 5);
+  void ignoresExpiredAndSupersededClaims() {
+    recordHonestClaims(0, 5);
     credibility.recordClaim(id(0), ReportCredibility.Source.ENDPOINT, 1.2 * CAPACITY, now + SECOND);
     credibility.recordClaim(id(0), ReportCredibility.Source.ENDPOINT, 0.1 * CAPACITY, now - SECOND);
     now += SECOND;
-    assertEquals(1.2 * CAPACITY, of(0).claimed(), 1e-9);
+    assertEquals(1.2 * CAPACITY, estimate(0).claimed(), 1e-9);
     now += 31 * SECOND;
-    honest(1, 5);
-    assertEquals(ReportCredibility.Reason.LISTED, of(0).reason());
-    assertEquals(0.7 * CAPACITY, of(0).capacity(), 0.01, "listed, and nothing proven");
+    recordHonestClaims(1, 5);
+    assertEquals(ReportCredibility.Reason.LISTED, estimate(0).reason());
+    assertEquals(0.7 * CAPACITY, estimate(0).capacity(), 0.01, "listed, and nothing proven");
   }
 
   /**
    * Names change with each deployment: what one proved is not its successor's, and nothing grows.
    */
   @Test
-  void keepsNothingOfRemovedEndpoints() {
-    honest(0, 5);
-    int known = credibility.estimateCapacities(now).size();
+  void forgetsRemovedEndpoints() {
+    recordHonestClaims(0, 5);
+    int estimatesBefore = credibility.estimateCapacities(now).size();
     credibility.setListedWeight(id(10), 1);
     credibility.recordOutcomes(id(10), 500, 0, 10 * SECOND, 0, now);
     for (int n = 11; n < 200; n++) {
       credibility.remove(id(n - 1));
       credibility.setListedWeight(id(n), 1);
-      assertEquals(ReportCredibility.Reason.LISTED, of(n).reason());
-      assertEquals(0.7 * CAPACITY, of(n).capacity(), 0.1 * CAPACITY);
+      assertEquals(ReportCredibility.Reason.LISTED, estimate(n).reason());
+      assertEquals(0.7 * CAPACITY, estimate(n).capacity(), 0.1 * CAPACITY);
     }
-    assertEquals(known + 1, credibility.estimateCapacities(now).size());
+    assertEquals(estimatesBefore + 1, credibility.estimateCapacities(now).size());
   }
 
   @Test
-  void judgesNothingWhileNothingIsKnown() {
+  void returnsNoEstimateWithoutEvidenceAndRejectsInvalidValues() {
     credibility.setListedWeight(id(0), 1);
     assertTrue(credibility.estimateCapacities(now).isEmpty());
     assertEquals(
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -24,7 +24,7 @@
 
 final class SolverTest {
   private static final CostModel COSTS = new CostModel(1, 0.06, 0.1);
-  private static final double INFINITE = Double.POSITIVE_INFINITY;
+  private static final double UNLIMITED = Double.POSITIVE_INFINITY;
   private static final int MAX_ROUTES = 6;
 
   private final List<Problem.Endpoint> endpoints = new ArrayList<>();
@@ -32,7 +32,7 @@
 
   static Problem.Endpoint warm(String name, int zone, double capacity) {
     return new Problem.Endpoint(
-        new EndpointId(name), new ZoneId(zone), capacity, INFINITE, INFINITE, new double[2]);
+        new EndpointId(name), new ZoneId(zone), capacity, UNLIMITED, UNLIMITED, new double[2]);
   }
 
   static Problem.Endpoint warmingUp(String name, int zone, double capacity) {
@@ -40,31 +40,36 @@
         new EndpointId(name), new ZoneId(zone), capacity, capacity, 2.4 * capacity, new double[2]);
   }
 
-  static Problem.Proxy proxy(int number, int zone, double ops, List<Problem.Route> standing) {
+  static Problem.Proxy proxy(
+      int number, int zone, double requestsPerSecond, List<Problem.Route> currentRoutes) {
     return new Problem.Proxy(
-        new ProxyId(number), new ZoneId(zone), new double[] {0.7 * ops, 0.3 * ops}, standing);
+        new ProxyId(number),
+        new ZoneId(zone),
+        new double[] {0.7 * requestsPerSecond, 0.3 * requestsPerSecond},
+        currentRoutes);
   }
 
   /** A seeded fleet at a fill, with unlike sizes; every ninth endpoint warms up. */
-  private static SolverTest fleet(long seed, int endpointCount, int proxyCount, double fill) {
+  private static SolverTest fleet(
+      long seed, int endpointCount, int proxyCount, double utilization) {
     SolverTest fleet = new SolverTest();
     SplittableRandom random = new SplittableRandom(seed);
-    double able = 0;
-    for (int t = 0; t < endpointCount; t++) {
+    double warmCapacity = 0;
+    for (int e = 0; e < endpointCount; e++) {
       double capacity = 5 + 20 * random.nextDouble();
-      boolean warmsUp = t % 9 == 8;
+      boolean isWarmingUp = e % 9 == 8;
       fleet.endpoints.add(
-          warmsUp ? warmingUp("t" + t, t % 3, 0.3 * capacity) : warm("t" + t, t % 3, capacity));
-      able += warmsUp ? 0 : capacity;
+          isWarmingUp ? warmingUp("t" + e, e % 3, 0.3 * capacity) : warm("t" + e, e % 3, capacity));
+      warmCapacity += isWarmingUp ? 0 : capacity;
     }
     double[] size = new double[proxyCount];
-    double all = 0;
+    double sizeSum = 0;
     for (int p = 0; p < proxyCount; p++) {
       size[p] = Math.pow(1 - random.nextDouble(), -0.4);
-      all += size[p];
+      sizeSum += size[p];
     }
     for (int p = 0; p < proxyCount; p++) {
-      fleet.proxies.add(proxy(p, p % 3, size[p] / all * able * fill, List.of()));
+      fleet.proxies.add(proxy(p, p % 3, size[p] / sizeSum * warmCapacity * utilization, List.of()));
     }
     return fleet;
   }
@@ -73,14 +78,14 @@
     return new Problem(3, 2, MAX_ROUTES, COSTS, endpoints, proxies);
   }
 
-  static Problem followed(Problem problem, Plan plan, List<Problem.Endpoint> endpoints) {
-    Map<ProxyId, List<Problem.Route>> held = new HashMap<>();
+  static Problem withPlanApplied(Problem problem, Plan plan, List<Problem.Endpoint> endpoints) {
+    Map<ProxyId, List<Problem.Route>> routesByProxy = new HashMap<>();
     for (Plan.Table table : plan.tables()) {
-      held.put(table.proxy(), table.toCurrentRoutes());
+      routesByProxy.put(table.proxy(), table.toCurrentRoutes());
     }
     List<Problem.Proxy> proxies = new ArrayList<>();
     for (Problem.Proxy p : allProxies(problem)) {
-      proxies.add(new Problem.Proxy(p.id(), p.zone(), p.requestRates(), held.get(p.id())));
+      proxies.add(new Problem.Proxy(p.id(), p.zone(), p.requestRates(), routesByProxy.get(p.id())));
     }
     return new Problem(
         problem.zoneCount(),
@@ -100,9 +105,9 @@
   }
 
   private static Map<String, Double> loads(Problem problem, Plan plan) {
-    Map<ProxyId, Double> ops = new HashMap<>();
+    Map<ProxyId, Double> rates = new HashMap<>();
     for (Problem.Proxy p : allProxies(problem)) {
-      ops.put(p.id(), p.totalRate());
+      rates.put(p.id(), p.totalRate());
     }
     Map<String, Double> loads = new TreeMap<>();
     plan.tables()
@@ -111,23 +116,23 @@
                 table
                     .routes()
                     .forEach(
-                        l ->
+                        route ->
                             loads.merge(
-                                l.endpoint().name(),
-                                ops.get(table.proxy()) * l.weight(),
+                                route.endpoint().name(),
+                                rates.get(table.proxy()) * route.weight(),
                                 Double::sum)));
     return loads;
   }
 
-  private static double beyond(Problem problem, Plan plan) {
+  private static double excessShare(Problem problem, Plan plan) {
     Map<String, Double> loads = loads(problem, plan);
-    double over = 0;
-    double all = 0;
-    for (Problem.Endpoint t : allEndpoints(problem)) {
-      over += Math.max(0, loads.getOrDefault(t.id().name(), 0.0) - t.capacity());
-      all += t.capacity();
+    double excess = 0;
+    double totalCapacity = 0;
+    for (Problem.Endpoint endpoint : allEndpoints(problem)) {
+      excess += Math.max(0, loads.getOrDefault(endpoint.id().name(), 0.0) - endpoint.capacity());
+      totalCapacity += endpoint.capacity();
     }
-    return over / all;
+    return excess / totalCapacity;
   }
 
   @Property(tries = 60, seed = "1")
@@ -135,28 +140,32 @@
       @ForAll @IntRange(max = 100_000) int seed,
       @ForAll @IntRange(min = 1, max = 40) int endpointCount,
       @ForAll @IntRange(min = 1, max = 30) int proxyCount,
-      @ForAll @DoubleRange(min = 0.1, max = 3) double fill) {
-    SolverTest fleet = fleet(seed, endpointCount, proxyCount, fill);
+      @ForAll @DoubleRange(min = 0.1, max = 3) double utilization) {
+    SolverTest fleet = fleet(seed, endpointCount, proxyCount, utilization);
     Problem problem = fleet.problem();
     Solver solver = new Solver();
     Plan plan = solver.solve(problem);
-    for (int again = 0; again < 3; again++) {
+    for (int iteration = 0; iteration < 3; iteration++) {
       for (Plan.Table table : plan.tables()) {
         assertEquals(1, table.routes().stream().mapToDouble(Plan.Route::weight).sum(), 1e-6);
         for (int k = 0; k < 2; k++) {
-          int type = k;
+          int requestClass = k;
           assertEquals(
-              1, table.routes().stream().mapToDouble(l -> l.weightsByClass()[type]).sum(), 1e-6);
+              1,
+              table.routes().stream()
+                  .mapToDouble(route -> route.weightsByClass()[requestClass])
+                  .sum(),
+              1e-6);
           assertTrue(
               table.routes().stream()
                   .anyMatch(
-                      l ->
-                          l.weightsByClass()[type] > 0
-                              && problem.endpoint(problem.indexOf(l.endpoint())).isWarm()),
-              "a warm route for request class " + type);
+                      route ->
+                          route.weightsByClass()[requestClass] > 0
+                              && problem.endpoint(problem.indexOf(route.endpoint())).isWarm()),
+              "a warm route for request class " + requestClass);
         }
       }
-      plan = solver.solve(followed(problem, plan, fleet.endpoints));
+      plan = solver.solve(withPlanApplied(problem, plan, fleet.endpoints));
     }
   }
 
@@ -165,24 +174,24 @@
    * fleet's capacity.
    */
   @Property(tries = 60, seed = "1")
-  void exceedsCapacityByNoMoreThanTheBound(
+  void keepsExcessOverCapacityWithinBound(
       @ForAll @IntRange(max = 100_000) int seed,
       @ForAll @IntRange(min = 12, max = 60) int endpointCount,
       @ForAll @IntRange(min = 12, max = 60) int proxyCount,
-      @ForAll @DoubleRange(min = 0.1, max = 0.8) double fill) {
-    SolverTest fleet = fleet(seed, endpointCount, proxyCount, fill);
+      @ForAll @DoubleRange(min = 0.1, max = 0.8) double utilization) {
+    SolverTest fleet = fleet(seed, endpointCount, proxyCount, utilization);
     Problem problem = fleet.problem();
     Solver solver = new Solver();
     Plan plan = solver.solve(problem);
-    for (int again = 0; again < 4; again++) {
-      double beyond = beyond(problem, plan);
-      assertTrue(beyond < 0.02, beyond + " of all capacity, plan " + again);
-      plan = solver.solve(followed(problem, plan, fleet.endpoints));
+    for (int iteration = 0; iteration < 4; iteration++) {
+      double excessShare = excessShare(problem, plan);
+      assertTrue(excessShare < 0.02, excessShare + " of all capacity, plan " + iteration);
+      plan = solver.solve(withPlanApplied(problem, plan, fleet.endpoints));
     }
   }
 
   @Property(tries = 40, seed = "1")
-  void doesNotDependOnTheOrderOfItsInput(@ForAll @IntRange(max = 100_000) int seed) {
+  void doesNotDependOnInputOrder(@ForAll @IntRange(max = 100_000) int seed) {
     SolverTest fleet = fleet(seed, 30, 20, 0.7);
     Plan plan = new Solver().solve(fleet.problem());
     java.util.Collections.shuffle(fleet.endpoints, new Random(seed));
@@ -196,37 +205,39 @@
   @Property(tries = 40, seed = "1")
   void lowersNoProxysShareWhenCapacityDoubles(
       @ForAll @IntRange(max = 100_000) int seed,
-      @ForAll @DoubleRange(min = 0.5, max = 2) double fill) {
-    SolverTest fleet = fleet(seed, 30, 20, fill);
-    Map<ProxyId, Double> once = within(fleet.problem());
+      @ForAll @DoubleRange(min = 0.5, max = 2) double utilization) {
+    SolverTest fleet = fleet(seed, 30, 20, utilization);
+    Map<ProxyId, Double> sharesBefore = servedShares(fleet.problem());
     fleet.endpoints.replaceAll(
-        t ->
+        endpoint ->
             new Problem.Endpoint(
-                t.id(),
-                t.zone(),
-                2 * t.capacity(),
-                2 * t.maxLoad(),
-                2 * t.maxDemandOfProxiesWithRoute(),
-                t.failureShares()));
-    within(fleet.problem())
+                endpoint.id(),
+                endpoint.zone(),
+                2 * endpoint.capacity(),
+                2 * endpoint.maxLoad(),
+                2 * endpoint.maxDemandOfProxiesWithRoute(),
+                endpoint.failureShares()));
+    servedShares(fleet.problem())
         .forEach(
             (p, share) ->
-                assertTrue(share >= once.get(p) - 1e-6, p + ": " + once.get(p) + " to " + share));
+                assertTrue(
+                    share >= sharesBefore.get(p) - 1e-6,
+                    p + ": " + sharesBefore.get(p) + " to " + share));
   }
 
-  private static Map<ProxyId, Double> within(Problem problem) {
+  private static Map<ProxyId, Double> servedShares(Problem problem) {
     Plan plan = new Solver().solve(problem);
     Map<String, Double> loads = loads(problem, plan);
     Map<ProxyId, Double> shares = new HashMap<>();
     for (Plan.Table table : plan.tables()) {
       double share = 0;
-      for (Plan.Route l : table.routes()) {
+      for (Plan.Route route : table.routes()) {
         share +=
-            l.weight()
+            route.weight()
                 * Math.min(
                     1,
-                    problem.endpoint(problem.indexOf(l.endpoint())).capacity()
-                        / loads.get(l.endpoint().name()));
+                    problem.endpoint(problem.indexOf(route.endpoint())).capacity()
+                        / loads.get(route.endpoint().name()));
       }
       shares.put(table.proxy(), share);
     }
@@ -238,91 +249,92 @@
    * warms up gets more than its present capacity.
    */
   @Property(tries = 60, seed = "1")
-  void keepsTheWarmUpCapOverAllInstances(
+  void keepsWarmingEndpointsWithinCapacityAcrossInstances(
       @ForAll @IntRange(max = 100_000) int seed,
       @ForAll @IntRange(min = 1, max = 5) int instances,
-      @ForAll @DoubleRange(min = 0.2, max = 2) double fill) {
-    SolverTest fleet = fleet(seed, 40, 40, fill);
+      @ForAll @DoubleRange(min = 0.2, max = 2) double utilization) {
+    SolverTest fleet = fleet(seed, 40, 40, utilization);
     SplittableRandom random = new SplittableRandom(seed);
-    List<List<Problem.Proxy>> parts = new ArrayList<>();
+    List<List<Problem.Proxy>> proxiesByInstance = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
-      parts.add(new ArrayList<>());
+      proxiesByInstance.add(new ArrayList<>());
     }
     for (Problem.Proxy p : fleet.proxies) {
-      List<Problem.Route> old =
+      List<Problem.Route> currentRoutes =
           List.of(
               new Problem.Route(new EndpointId("t8"), 1),
               new Problem.Route(new EndpointId("t1"), 1));
-      parts
+      proxiesByInstance
           .get(random.nextInt(instances))
           .add(
               random.nextInt(3) == 0
-                  ? new Problem.Proxy(p.id(), p.zone(), p.requestRates(), old)
+                  ? new Problem.Proxy(p.id(), p.zone(), p.requestRates(), currentRoutes)
                   : p);
     }
-    Map<String, Double> sum = new TreeMap<>();
-    for (List<Problem.Proxy> own : parts) {
-      double part = (double) own.size() / fleet.proxies.size();
-      if (own.isEmpty()) {
+    Map<String, Double> totalLoads = new TreeMap<>();
+    for (List<Problem.Proxy> ownProxies : proxiesByInstance) {
+      double fleetShare = (double) ownProxies.size() / fleet.proxies.size();
+      if (ownProxies.isEmpty()) {
         continue;
       }
-      List<Problem.Endpoint> share =
+      List<Problem.Endpoint> ownEndpoints =
           fleet.endpoints.stream()
               .map(
-                  t ->
+                  endpoint ->
                       new Problem.Endpoint(
-                          t.id(),
-                          t.zone(),
-                          part * t.capacity(),
-                          part * t.maxLoad(),
-                          part * t.maxDemandOfProxiesWithRoute(),
-                          t.failureShares()))
+                          endpoint.id(),
+                          endpoint.zone(),
+                          fleetShare * endpoint.capacity(),
+                          fleetShare * endpoint.maxLoad(),
+                          fleetShare * endpoint.maxDemandOfProxiesWithRoute(),
+                          endpoint.failureShares()))
               .toList();
-      Problem problem = new Problem(3, 2, MAX_ROUTES, COSTS, share, own);
+      Problem problem = new Problem(3, 2, MAX_ROUTES, COSTS, ownEndpoints, ownProxies);
       loads(problem, new Solver().solve(problem))
-          .forEach((task, load) -> sum.merge(task, load, Double::sum));
+          .forEach((name, load) -> totalLoads.merge(name, load, Double::sum));
     }
-    for (Problem.Endpoint t : fleet.endpoints) {
-      if (!t.isWarm()) {
-        double load = sum.getOrDefault(t.id().name(), 0.0);
+    for (Problem.Endpoint endpoint : fleet.endpoints) {
+      if (!endpoint.isWarm()) {
+        double load = totalLoads.getOrDefault(endpoint.id().name(), 0.0);
         assertTrue(
-            load <= t.maxLoad() * (1 + 1e-6), t.id() + " gets " + load + " of " + t.maxLoad());
+            load <= endpoint.maxLoad() * (1 + 1e-6),
+            endpoint.id() + " gets " + load + " of " + endpoint.maxLoad());
       }
     }
   }
 
   @Property(tries = 30, seed = "1")
-  void leavesGoodTablesAsTheyAre(@ForAll @IntRange(max = 100_000) int seed) {
+  void keepsTablesOfUnchangedFleet(@ForAll @IntRange(max = 100_000) int seed) {
     SolverTest fleet = fleet(seed, 40, 40, 0.6);
     Problem problem = fleet.problem();
     Solver solver = new Solver();
     Plan plan = solver.solve(problem);
-    int routes = plan.newRoutes();
-    for (int again = 0; again < 5; again++) {
-      Plan next = solver.solve(followed(problem, plan, fleet.endpoints));
-      boolean gains =
+    int initialRoutes = plan.newRoutes();
+    for (int iteration = 0; iteration < 5; iteration++) {
+      Plan next = solver.solve(withPlanApplied(problem, plan, fleet.endpoints));
+      boolean lowersCost =
           next.cost()
               < 0.998
                   * plan.cost(); // a route that was added at last may move many weights, for a gain
       assertTrue(
-          again < 4 || gains || next.changedRoutes() <= routes / 10,
-          next.changedRoutes() + " of " + routes + " routes changed though nothing did");
+          iteration < 4 || lowersCost || next.changedRoutes() <= initialRoutes / 10,
+          next.changedRoutes() + " of " + initialRoutes + " routes changed though nothing did");
       plan = next;
     }
   }
 
   /** Routes that can't reach their targets are not scaled on and on. */
   @Test
-  void endsScalingThatGainsNothing() {
+  void stopsMovingWeightsWhenTargetsAreUnreachable() {
     SolverTest fleet = fleet(13, 40, 40, 0.6);
     Solver solver = new Solver();
     Plan plan = solver.solve(fleet.problem());
-    int moved = 0;
-    for (int again = 0; again < 12; again++) {
-      plan = solver.solve(followed(fleet.problem(), plan, fleet.endpoints));
-      moved += plan.newRoutes() == 0 ? plan.changedRoutes() : 0;
+    int changedWeights = 0;
+    for (int iteration = 0; iteration < 12; iteration++) {
+      plan = solver.solve(withPlanApplied(fleet.problem(), plan, fleet.endpoints));
+      changedWeights += plan.newRoutes() == 0 ? plan.changedRoutes() : 0;
     }
-    assertTrue(moved < 20, moved + " weights moved in plans without a new route");
+    assertTrue(changedWeights < 20, changedWeights + " weights moved in plans without a new route");
   }
 
   /**
@@ -330,12 +342,12 @@
    * for ever.
    */
   @Test
-  void addsAnExpensiveRouteInTheEnd() {
-    List<Problem.Route> held = List.of(new Problem.Route(new EndpointId("a"), 1));
+  void addsExpensiveRouteAfterRepeatedShortfall() {
+    List<Problem.Route> currentRoutes = List.of(new Problem.Route(new EndpointId("a"), 1));
     endpoints.add(warm("a", 0, 10));
     endpoints.add(warm("b", 0, 10));
     for (int p = 0; p < 10; p++) {
-      proxies.add(proxy(p, 0, 0.9, held));
+      proxies.add(proxy(p, 0, 0.9, currentRoutes));
     }
     Solver solver = new Solver();
     Problem problem = new Problem(3, 2, 2, new CostModel(1, 0.06, 40), endpoints, proxies);
@@ -344,7 +356,7 @@
     assertEquals(Plan.Reason.FEW_ROUTES, plan.allocations().get(1).reason());
     int plans = 1;
     for (; plan.newRoutes() == 0 && plans < 100; plans++) {
-      plan = solver.solve(followed(problem, plan, endpoints));
+      plan = solver.solve(withPlanApplied(problem, plan, endpoints));
     }
     assertTrue(plan.newRoutes() > 0, "b got no route in " + plans + " plans");
   }
@@ -354,12 +366,12 @@
    * limit's.
    */
   @Test
-  void isNearItsLowerBound() {
+  void staysNearLowerBound() {
     SolverTest fleet = fleet(7, 120, 120, 0.65);
     Solver solver = new Solver();
     Plan plan = solver.solve(fleet.problem());
-    for (int again = 0; again < 3; again++) {
-      plan = solver.solve(followed(fleet.problem(), plan, fleet.endpoints));
+    for (int iteration = 0; iteration < 3; iteration++) {
+      plan = solver.solve(withPlanApplied(fleet.problem(), plan, fleet.endpoints));
     }
     assertTrue(
         plan.lowerBound() > 0 && plan.optimalityGap() > -1e-6 && plan.optimalityGap() < 0.06,
@@ -368,7 +380,7 @@
 
   /** Each of a very large proxy's many routes has little, and must not be dropped as idle. */
   @Test
-  void spreadsAVeryLargeProxyWidely() {
+  void spreadsVeryLargeProxyOverManyEndpoints() {
     SolverTest fleet = fleet(11, 300, 60, 0.4);
     fleet.proxies.set(
         0,
@@ -379,31 +391,31 @@
             List.of()));
     Plan plan = new Solver().solve(fleet.problem());
     assertTrue(plan.optimalityGap() < 0.1, "gap " + plan.optimalityGap());
-    assertTrue(beyond(fleet.problem(), plan) < 0.005);
+    assertTrue(excessShare(fleet.problem(), plan) < 0.005);
   }
 
   @Test
-  void givesLessOfAClassToAnEndpointThatFailsIt() {
-    Problem.Endpoint unfit =
+  void lowersClassWeightOfEndpointThatFailsTheClass() {
+    Problem.Endpoint failing =
         new Problem.Endpoint(
-            new EndpointId("b"), new ZoneId(0), 10, INFINITE, INFINITE, new double[] {0, 0.9});
+            new EndpointId("b"), new ZoneId(0), 10, UNLIMITED, UNLIMITED, new double[] {0, 0.9});
     endpoints.add(warm("a", 0, 10));
-    endpoints.add(unfit);
+    endpoints.add(failing);
     proxies.add(proxy(0, 0, 15, List.of()));
     Plan plan = new Solver().solve(problem());
-    Plan.Route line =
+    Plan.Route failingRoute =
         plan.tables().get(0).routes().stream()
-            .filter(l -> l.endpoint().name().equals("b"))
+            .filter(route -> route.endpoint().name().equals("b"))
             .findFirst()
             .orElseThrow();
     assertTrue(
-        line.weightsByClass()[1] < 0.3 * line.weightsByClass()[0],
-        line.weightsByClass()[0] + " and " + line.weightsByClass()[1]);
+        failingRoute.weightsByClass()[1] < 0.3 * failingRoute.weightsByClass()[0],
+        failingRoute.weightsByClass()[0] + " and " + failingRoute.weightsByClass()[1]);
     assertEquals(Plan.Reason.FAILING, plan.allocations().get(1).reason());
   }
 
   @Test
-  void plansNothingWithoutEndpoints() {
+  void returnsEmptyTablesWithoutEndpoints() {
     proxies.add(proxy(0, 0, 8, List.of()));
     Plan plan = new Solver().solve(problem());
     assertEquals(List.of(), plan.allocations());
@@ -416,7 +428,7 @@
    * caps leave over.
    */
   @Test
-  void reportsTheRateThatEndpointsWarmingUpCannotTake() {
+  void reportsRateThatWarmingEndpointsCannotTake() {
     endpoints.add(warmingUp("a", 0, 2));
     endpoints.add(warmingUp("b", 1, 2));
     proxies.add(proxy(0, 0, 4.5, List.of()));
@@ -431,7 +443,7 @@
   }
 
   @Test
-  void rejectsBadInputWithItsPlace() {
+  void rejectsInvalidInputNamingPlaceAndField() {
     endpoints.add(warm("a", 0, -1));
     assertEquals(
         "problem: endpoint a: capacity must be above 0 and below 1.0E12, but is -1.0",
@@ -448,7 +460,7 @@
   }
 
   @Test
-  void fillsTheCheapestEndpointsEvenly() {
+  void equalizesUtilizationOfEndpointsInOwnZone() {
     endpoints.add(warm("a", 0, 10));
     endpoints.add(warm("b", 0, 20));
     endpoints.add(warm("c", 1, 10));
--- a/src/test/java/stonespring/solver/WeightAdvisorTest.java
+++ b/src/test/java/stonespring/solver/WeightAdvisorTest.java
@@ -36,15 +36,16 @@
   private final WeightAdvisor advisor = new WeightAdvisor(settings);
   private long now = 100 * SECOND;
 
-  private static EndpointRecord record(String endpoint, EndpointRecord.State state, long started) {
-    return new EndpointRecord(new EndpointId(endpoint), new ZoneId(0), 1, state, started);
+  private static EndpointRecord record(
+      String endpoint, EndpointRecord.State state, long startedAt) {
+    return new EndpointRecord(new EndpointId(endpoint), new ZoneId(0), 1, state, startedAt);
   }
 
   private void updateList(EndpointRecord... records) {
     advisor.handle(now, new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(records)));
   }
 
-  private List<Event.WeightsProposed> round(String... endpoints) {
+  private List<Event.WeightsProposed> reportRoundAndPropose(String... endpoints) {
     now += SECOND;
     for (String endpoint : endpoints) {
       for (int zone = 0; zone < 2; zone++) {
@@ -65,23 +66,24 @@
     return advisor.proposeWeights(now);
   }
 
-  private void start() {
+  private void completeInitialRounds() {
     updateList(
         record("a", EndpointRecord.State.READY, 0), record("b", EndpointRecord.State.READY, 0));
     advisor.handle(now, new Event.ProxyConnected(new ProxyId(0), new ZoneId(0), 20, true));
     for (int i = 0; i < ROUNDS_BEFORE_FIRST_PROPOSAL; i++) {
       assertTrue(
-          round("a", "b").isEmpty(), "a started instance leaves tables as they are, round " + i);
+          reportRoundAndPropose("a", "b").isEmpty(),
+          "a started instance leaves tables as they are, round " + i);
     }
   }
 
   /** Each zone's outcomes are a part of what an endpoint received. */
   @Test
-  void readsCapacityFromAllZonesTogether() {
-    start();
-    List<Event.WeightsProposed> all = round("a", "b");
-    assertEquals(1, all.size());
-    assertEquals(2, all.get(0).routes().size());
+  void sumsOutcomesOfAllZonesForCapacity() {
+    completeInitialRounds();
+    List<Event.WeightsProposed> proposals = reportRoundAndPropose("a", "b");
+    assertEquals(1, proposals.size());
+    assertEquals(2, proposals.get(0).routes().size());
     assertEquals(
         20,
         advisor.plan().orElseThrow().allocations().get(0).capacity(),
@@ -90,18 +92,21 @@
   }
 
   @Test
-  void proposesByWhatIsListedNow() {
-    start();
+  void followsEndpointListAndProxyConnections() {
+    completeInitialRounds();
     updateList(record("b", EndpointRecord.State.DRAINING, 0));
     assertEquals(
-        List.of("a"), round("a").get(0).routes().stream().map(l -> l.endpoint().name()).toList());
+        List.of("a"),
+        reportRoundAndPropose("a").get(0).routes().stream()
+            .map(route -> route.endpoint().name())
+            .toList());
     updateList(record("b", EndpointRecord.State.READY, now));
-    round("a", "b");
+    reportRoundAndPropose("a", "b");
     Plan.EndpointAllocation warmingUp = advisor.plan().orElseThrow().allocations().get(1);
     assertTrue(
         warmingUp.load() <= 0.35 * 25, "a restarted endpoint gets its warm-up share: " + warmingUp);
     advisor.handle(now, new Event.ProxyDisconnected(new ProxyId(0)));
-    assertTrue(round("a", "b").isEmpty());
+    assertTrue(reportRoundAndPropose("a", "b").isEmpty());
     assertEquals(Optional.empty(), advisor.plan());
   }
 }
