--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -14,7 +14,7 @@
 
 final class ReportCredibilityTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final double CAPACITY = 10; // requests per second of every endpoint
+  private static final double CAPACITY = 10; // true requests per second of every endpoint
 
   private final ReportCredibility credibility = new ReportCredibility();
   private long now = 1_000 * SECOND;
@@ -38,9 +38,10 @@
   }
 
   /**
-   * A claim of three times the truth, made once and never again, with late reports: the load that
-   * follows the judgement is over the truth by no more than a quarter, for no longer than twice the
-   * reports' delay and 4 s, then by less than a tenth, and in the end not at all.
+   * One claim of three times the true capacity, never repeated, and load reports that arrive late.
+   * The estimate, and so the load, may exceed the true capacity by at most a quarter. It may be
+   * more than a tenth above it for no longer than twice the delay of reports plus 4 s, and the
+   * excess must be gone at the end.
    */
   @Property(tries = 40, seed = "1")
   void boundsTheEffectOfAStaleClaim(
@@ -64,7 +65,7 @@
       estimates[second] = estimate(3).capacity();
       assertTrue(
           estimates[second] <= 1.25 * 1.06 * CAPACITY,
-          "second " + second + ": " + estimates[second]);
+          "estimate at second " + second + ": " + estimates[second]);
       secondsOver += estimates[second] > 1.1 * CAPACITY ? 1 : 0;
       if (second >= reportDelay) {
         double load = 0.98 * estimates[second - reportDelay];
@@ -75,10 +76,13 @@
     }
     assertTrue(
         secondsOver <= 2 * reportDelay + 4,
-        secondsOver + " s a tenth over the truth with reports " + reportDelay + " s late");
+        secondsOver
+            + " s more than a tenth above the true capacity with reports "
+            + reportDelay
+            + " s late");
     assertTrue(
         estimates[59] <= 1.05 * CAPACITY && estimates[59] >= 0.5 * CAPACITY,
-        "in the end " + estimates[59]);
+        "estimate at the end: " + estimates[59]);
   }
 
   @Test
@@ -87,7 +91,8 @@
     credibility.recordOutcomes(id(2), 60, 40, 10 * SECOND, 0, now);
     assertEquals(ReportCredibility.Reason.OBSERVED_CEILING, estimate(2).reason());
     assertTrue(
-        estimate(2).capacity() < 0.5 * CAPACITY, "2 a second succeeded: " + estimate(2).capacity());
+        estimate(2).capacity() < 0.5 * CAPACITY,
+        "estimate after 2 successes per second: " + estimate(2).capacity());
     for (int second = 0; second < 60; second++) {
       now += SECOND;
       credibility.recordOutcomes(id(2), 5, 0, SECOND, 0, now);
@@ -95,7 +100,7 @@
     }
     assertTrue(
         estimate(2).capacity() > 0.9 * CAPACITY,
-        "it is trusted again as all goes well: " + estimate(2).capacity());
+        "estimate after 60 s without failures: " + estimate(2).capacity());
   }
 
   @Test
@@ -118,11 +123,11 @@
       double estimate = estimate(4).capacity();
       assertTrue(
           second == 0 || estimate <= 1.26 * Math.max(CAPACITY, lastEstimate),
-          estimate + " after " + lastEstimate);
+          "estimate " + estimate + " after " + lastEstimate);
       lastEstimate = estimate;
       credibility.recordOutcomes(id(4), Math.round(estimate * 10), 0, 10 * SECOND, 0, now);
     }
-    assertTrue(lastEstimate > 2.9 * CAPACITY, "it can do 30 and gets " + lastEstimate);
+    assertTrue(lastEstimate > 2.9 * CAPACITY, "estimate " + lastEstimate + " for a capacity of 30");
   }
 
   @Test
@@ -135,11 +140,16 @@
     now += 31 * SECOND;
     recordHonestClaims(1, 5);
     assertEquals(ReportCredibility.Reason.LISTED, estimate(0).reason());
-    assertEquals(0.7 * CAPACITY, estimate(0).capacity(), 0.01, "listed, and nothing proven");
+    assertEquals(
+        0.7 * CAPACITY,
+        estimate(0).capacity(),
+        0.01,
+        "listed capacity, reduced while nothing is proven");
   }
 
   /**
-   * Names change with each deployment: what one proved is not its successor's, and nothing grows.
+   * Endpoint names change with each deployment: a new endpoint must not inherit the proven rate of
+   * a removed one, and the stored state must not grow.
    */
   @Test
   void forgetsRemovedEndpoints() {
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -49,7 +49,10 @@
         currentRoutes);
   }
 
-  /** A seeded fleet at a fill, with unlike sizes; every ninth endpoint warms up. */
+  /**
+   * Creates a fleet from a seed, with endpoints and proxies of different sizes. Every ninth
+   * endpoint is warming up; the others together are loaded to the given utilization.
+   */
   private static SolverTest fleet(
       long seed, int endpointCount, int proxyCount, double utilization) {
     SolverTest fleet = new SolverTest();
@@ -78,6 +81,7 @@
     return new Problem(3, 2, MAX_ROUTES, COSTS, endpoints, proxies);
   }
 
+  /** Returns the problem in which proxies hold the routes of a plan. */
   static Problem withPlanApplied(Problem problem, Plan plan, List<Problem.Endpoint> endpoints) {
     Map<ProxyId, List<Problem.Route>> routesByProxy = new HashMap<>();
     for (Plan.Table table : plan.tables()) {
@@ -104,6 +108,7 @@
     return IntStream.range(0, problem.endpointCount()).mapToObj(problem::endpoint).toList();
   }
 
+  /** Returns the requests per second that each endpoint receives under a plan, by name. */
   private static Map<String, Double> loads(Problem problem, Plan plan) {
     Map<ProxyId, Double> rates = new HashMap<>();
     for (Problem.Proxy p : allProxies(problem)) {
@@ -124,6 +129,7 @@
     return loads;
   }
 
+  /** Returns the rate above endpoints' capacities, as a share of the fleet's capacity. */
   private static double excessShare(Problem problem, Plan plan) {
     Map<String, Double> loads = loads(problem, plan);
     double excess = 0;
@@ -162,7 +168,7 @@
                       route ->
                           route.weightsByClass()[requestClass] > 0
                               && problem.endpoint(problem.indexOf(route.endpoint())).isWarm()),
-              "a warm route for request class " + requestClass);
+              "no route to a warm endpoint for request class " + requestClass);
         }
       }
       plan = solver.solve(withPlanApplied(problem, plan, fleet.endpoints));
@@ -170,8 +176,8 @@
   }
 
   /**
-   * The stated bound: with room for all, what plans place above capacities is under 2% of the
-   * fleet's capacity.
+   * Bound on the excess: where the fleet has capacity for all requests, a plan places less than 2%
+   * of the fleet's capacity above the capacity of single endpoints.
    */
   @Property(tries = 60, seed = "1")
   void keepsExcessOverCapacityWithinBound(
@@ -185,7 +191,12 @@
     Plan plan = solver.solve(problem);
     for (int iteration = 0; iteration < 4; iteration++) {
       double excessShare = excessShare(problem, plan);
-      assertTrue(excessShare < 0.02, excessShare + " of all capacity, plan " + iteration);
+      assertTrue(
+          excessShare < 0.02,
+          "share of the fleet's capacity above endpoints' capacity: "
+              + excessShare
+              + ", plan "
+              + iteration);
       plan = solver.solve(withPlanApplied(problem, plan, fleet.endpoints));
     }
   }
@@ -201,7 +212,10 @@
     assertEquals(loads(fleet.problem(), plan), loads(fleet.problem(), other));
   }
 
-  /** No proxy's share of requests within capacity falls when every capacity doubles. */
+  /**
+   * When every capacity doubles, no proxy's share of requests that are served within capacity may
+   * fall.
+   */
   @Property(tries = 40, seed = "1")
   void lowersNoProxysShareWhenCapacityDoubles(
       @ForAll @IntRange(max = 100_000) int seed,
@@ -222,9 +236,16 @@
             (p, share) ->
                 assertTrue(
                     share >= sharesBefore.get(p) - 1e-6,
-                    p + ": " + sharesBefore.get(p) + " to " + share));
+                    p
+                        + ": share served within capacity fell from "
+                        + sharesBefore.get(p)
+                        + " to "
+                        + share));
   }
 
+  /**
+   * Returns, by proxy, the share of its requests that its endpoints serve within their capacity.
+   */
   private static Map<ProxyId, Double> servedShares(Problem problem) {
     Plan plan = new Solver().solve(problem);
     Map<String, Double> loads = loads(problem, plan);
@@ -245,8 +266,8 @@
   }
 
   /**
-   * However many instances plan without communication, and whatever tables stand: no endpoint that
-   * warms up gets more than its present capacity.
+   * Instances plan without communication. Whatever their number and the current tables, no endpoint
+   * that is warming up may receive more than its current capacity.
    */
   @Property(tries = 60, seed = "1")
   void keepsWarmingEndpointsWithinCapacityAcrossInstances(
@@ -298,7 +319,7 @@
         double load = totalLoads.getOrDefault(endpoint.id().name(), 0.0);
         assertTrue(
             load <= endpoint.maxLoad() * (1 + 1e-6),
-            endpoint.id() + " gets " + load + " of " + endpoint.maxLoad());
+            endpoint.id() + " receives " + load + ", maximum " + endpoint.maxLoad());
       }
     }
   }
@@ -312,18 +333,16 @@
     int initialRoutes = plan.newRoutes();
     for (int iteration = 0; iteration < 5; iteration++) {
       Plan next = solver.solve(withPlanApplied(problem, plan, fleet.endpoints));
-      boolean lowersCost =
-          next.cost()
-              < 0.998
-                  * plan.cost(); // a route that was added at last may move many weights, for a gain
+      // A route that is added late may change many weights, but then it must lower the cost.
+      boolean lowersCost = next.cost() < 0.998 * plan.cost();
       assertTrue(
           iteration < 4 || lowersCost || next.changedRoutes() <= initialRoutes / 10,
-          next.changedRoutes() + " of " + initialRoutes + " routes changed though nothing did");
+          next.changedRoutes() + " of " + initialRoutes + " routes changed in an unchanged fleet");
       plan = next;
     }
   }
 
-  /** Routes that can't reach their targets are not scaled on and on. */
+  /** Where routes cannot reach their targets, scaling must not move weights in plan after plan. */
   @Test
   void stopsMovingWeightsWhenTargetsAreUnreachable() {
     SolverTest fleet = fleet(13, 40, 40, 0.6);
@@ -334,12 +353,13 @@
       plan = solver.solve(withPlanApplied(fleet.problem(), plan, fleet.endpoints));
       changedWeights += plan.newRoutes() == 0 ? plan.changedRoutes() : 0;
     }
-    assertTrue(changedWeights < 20, changedWeights + " weights moved in plans without a new route");
+    assertTrue(
+        changedWeights < 20, changedWeights + " weights changed in plans without a new route");
   }
 
   /**
-   * A route that never pays at once is added after some plans: no endpoint stays without its part
-   * for ever.
+   * A route whose gain never exceeds its cost at once must be added after some plans, so that no
+   * endpoint stays below its target for ever.
    */
   @Test
   void addsExpensiveRouteAfterRepeatedShortfall() {
@@ -352,18 +372,19 @@
     Solver solver = new Solver();
     Problem problem = new Problem(3, 2, 2, new CostModel(1, 0.06, 40), endpoints, proxies);
     Plan plan = solver.solve(problem);
-    assertEquals(0, plan.newRoutes(), "costs more than it gains at first");
+    assertEquals(
+        0, plan.newRoutes(), "the first plan must not add a route that costs more than it gains");
     assertEquals(Plan.Reason.FEW_ROUTES, plan.allocations().get(1).reason());
     int plans = 1;
     for (; plan.newRoutes() == 0 && plans < 100; plans++) {
       plan = solver.solve(withPlanApplied(problem, plan, endpoints));
     }
-    assertTrue(plan.newRoutes() > 0, "b got no route in " + plans + " plans");
+    assertTrue(plan.newRoutes() > 0, "endpoint b got no route in " + plans + " plans");
   }
 
   /**
-   * Against the bound, which knows no limit of routes: with six of them some of the gap is the
-   * limit's.
+   * The lower bound assumes unlimited routes; with six routes per table, part of the gap is due to
+   * that limit.
    */
   @Test
   void staysNearLowerBound() {
@@ -375,10 +396,13 @@
     }
     assertTrue(
         plan.lowerBound() > 0 && plan.optimalityGap() > -1e-6 && plan.optimalityGap() < 0.06,
-        "gap " + plan.optimalityGap());
+        "optimality gap " + plan.optimalityGap());
   }
 
-  /** Each of a very large proxy's many routes has little, and must not be dropped as idle. */
+  /**
+   * Each of the many routes of a very large proxy carries a small share and must not be dropped as
+   * unused.
+   */
   @Test
   void spreadsVeryLargeProxyOverManyEndpoints() {
     SolverTest fleet = fleet(11, 300, 60, 0.4);
@@ -390,7 +414,7 @@
             0.25 * fleet.endpoints.stream().mapToDouble(Problem.Endpoint::capacity).sum(),
             List.of()));
     Plan plan = new Solver().solve(fleet.problem());
-    assertTrue(plan.optimalityGap() < 0.1, "gap " + plan.optimalityGap());
+    assertTrue(plan.optimalityGap() < 0.1, "optimality gap " + plan.optimalityGap());
     assertTrue(excessShare(fleet.problem(), plan) < 0.005);
   }
 
@@ -410,7 +434,10 @@
             .orElseThrow();
     assertTrue(
         failingRoute.weightsByClass()[1] < 0.3 * failingRoute.weightsByClass()[0],
-        failingRoute.weightsByClass()[0] + " and " + failingRoute.weightsByClass()[1]);
+        "weights by class: "
+            + failingRoute.weightsByClass()[0]
+            + " and "
+            + failingRoute.weightsByClass()[1]);
     assertEquals(Plan.Reason.FAILING, plan.allocations().get(1).reason());
   }
 
@@ -424,8 +451,8 @@
   }
 
   /**
-   * Where every endpoint warms up, tables still have routes: admission limits must shed what the
-   * caps leave over.
+   * Where every endpoint is warming up, proxies small enough still get routes; the rate above the
+   * maximum loads is left to admission limits to shed.
    */
   @Test
   void reportsRateThatWarmingEndpointsCannotTake() {
@@ -439,7 +466,7 @@
     assertEquals(
         0,
         plan.tables().get(1).routes().size(),
-        "a proxy that could overload both has routes to neither");
+        "a proxy that could overload either endpoint has no route");
   }
 
   @Test
--- a/src/test/java/stonespring/solver/WeightAdvisorTest.java
+++ b/src/test/java/stonespring/solver/WeightAdvisorTest.java
@@ -73,11 +73,14 @@
     for (int i = 0; i < ROUNDS_BEFORE_FIRST_PROPOSAL; i++) {
       assertTrue(
           reportRoundAndPropose("a", "b").isEmpty(),
-          "a started instance leaves tables as they are, round " + i);
+          "an instance that just started must not propose weights, round " + i);
     }
   }
 
-  /** Each zone's outcomes are a part of what an endpoint received. */
+  /**
+   * Each zone reports only part of an endpoint's outcomes, so the capacity must follow from the
+   * sum.
+   */
   @Test
   void sumsOutcomesOfAllZonesForCapacity() {
     completeInitialRounds();
@@ -88,7 +91,7 @@
         20,
         advisor.plan().orElseThrow().allocations().get(0).capacity(),
         1,
-        "ten requests a second at a utilization of a half");
+        "capacity from 10 requests per second at a utilization of 0.5");
   }
 
   @Test
@@ -104,7 +107,8 @@
     reportRoundAndPropose("a", "b");
     Plan.EndpointAllocation warmingUp = advisor.plan().orElseThrow().allocations().get(1);
     assertTrue(
-        warmingUp.load() <= 0.35 * 25, "a restarted endpoint gets its warm-up share: " + warmingUp);
+        warmingUp.load() <= 0.35 * 25,
+        "a restarted endpoint gets no more than its warm-up fraction: " + warmingUp);
     advisor.handle(now, new Event.ProxyDisconnected(new ProxyId(0)));
     assertTrue(reportRoundAndPropose("a", "b").isEmpty());
     assertEquals(Optional.empty(), advisor.plan());
