--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -12,25 +12,25 @@
 import stonespring.model.ZoneId;
 
 /**
- * The fleet as the solver needs it: endpoints in the order of their names and proxies in that of
- * their numbers, so that the order in which they were given never matters. Rates are requests per
- * second.
+ * The solver's input: the fleet's endpoints and proxies with their rates. Endpoints are sorted by
+ * name and proxies by number, so that the order of the input does not affect the plan. Rates are
+ * requests per second.
  */
 public final class Problem {
-  /** Figures at or above it are no rates or weights. */
-  private static final double MAX_FIGURE = 1e12;
+  /** Exclusive upper limit for rates and weights in the input. */
+  private static final double VALUE_LIMIT = 1e12;
 
-  /** The index of an endpoint that is not part of the problem. */
-  static final int UNKNOWN = -1;
+  /** Index returned for an endpoint that is not part of the problem. */
+  static final int NOT_FOUND = -1;
 
   /**
    * A ready endpoint.
    *
-   * @param capacity the rate that it is trusted with
-   * @param maxLoad the rate that it may get at all; infinite for a warm one
-   * @param maxDemandOfProxiesWithRoute the rate that all proxies with a route to it may receive
-   *     together; infinite for a warm one
-   * @param failureShares by request class, the share of attempts there that fail
+   * @param capacity rate that it is trusted to serve; above 0
+   * @param maxLoad maximum rate that it may receive; infinite if the endpoint is warm
+   * @param maxDemandOfProxiesWithRoute maximum total rate of all proxies that have a route to it,
+   *     including what they send elsewhere; infinite if the endpoint is warm
+   * @param failureShares by request class, the share of its attempts that fail, 0 to 1
    */
   public record Endpoint(
       EndpointId id,
@@ -39,20 +39,20 @@
       double maxLoad,
       double maxDemandOfProxiesWithRoute,
       double[] failureShares) {
-    /** Whether it has its whole capacity. */
+    /** Returns whether the endpoint has finished its warm-up. */
     public boolean isWarm() {
       return maxLoad == Double.POSITIVE_INFINITY;
     }
   }
 
-  /** A route that a proxy holds; its connection is open. */
+  /** A route that a proxy holds, with an open connection. */
   public record Route(EndpointId endpoint, double weight) {}
 
   /**
    * A proxy.
    *
-   * @param requestRates what it receives, by request class
-   * @param routes the routes that it holds
+   * @param requestRates requests per second that it receives, by request class
+   * @param routes routes that it holds at present
    */
   public record Proxy(ProxyId id, ZoneId zone, double[] requestRates, List<Route> routes) {
     double totalRate() {
@@ -64,8 +64,8 @@
     }
   }
 
-  private final int zones;
-  private final int requestClasses;
+  private final int zoneCount;
+  private final int requestClassCount;
   private final int maxRoutes;
   private final CostModel costs;
   private final Endpoint[] endpoints;
@@ -73,26 +73,31 @@
   private final Map<EndpointId, Integer> indexById = new HashMap<>();
 
   /**
-   * States a problem.
+   * Creates and validates a problem.
    *
-   * @param maxRoutes routes that a table may have; proxies that so few endpoints can't carry get
-   *     more
-   * @throws IllegalArgumentException if an id comes twice, a zone or request class is unknown, or a
-   *     figure is none
+   * @param maxRoutes maximum number of routes per table; a proxy whose rate is too high for so few
+   *     endpoints gets more
+   * @throws IllegalArgumentException if an id occurs twice, a zone or request class is unknown, or
+   *     a value is out of range
    */
   public Problem(
-      int zones,
-      int requestClasses,
+      int zoneCount,
+      int requestClassCount,
       int maxRoutes,
       CostModel costs,
       List<Endpoint> endpoints,
       List<Proxy> proxies) {
-    if (zones < 1 || requestClasses < 1 || maxRoutes < 1) {
+    if (zoneCount < 1 || requestClassCount < 1 || maxRoutes < 1) {
       throw new IllegalArgumentException(
-          "problem: zones, request classes and routes must be at least 1");
+          "problem: zone count, request class count and maximum routes must be at least 1, but are "
+              + zoneCount
+              + ", "
+              + requestClassCount
+              + " and "
+              + maxRoutes);
     }
-    this.zones = zones;
-    this.requestClasses = requestClasses;
+    this.zoneCount = zoneCount;
+    this.requestClassCount = requestClassCount;
     this.maxRoutes = maxRoutes;
     this.costs = costs;
     List<Endpoint> byName = new ArrayList<>(endpoints);
@@ -108,24 +113,36 @@
   private void checkEndpoints() {
     for (int e = 0; e < endpoints.length; e++) {
       Endpoint endpoint = endpoints[e];
-      String name = endpoint.id().name();
-      require(indexById.put(endpoint.id(), e) == null, name + " comes twice");
-      require(endpoint.zone().index() < zones, name + " is in zone " + endpoint.zone().index());
+      String name = "endpoint " + endpoint.id().name();
+      require(indexById.put(endpoint.id(), e) == null, name + " occurs twice");
       require(
-          endpoint.capacity() > 0 && endpoint.capacity() < MAX_FIGURE,
-          name + ": capacity " + endpoint.capacity());
+          endpoint.zone().index() < zoneCount,
+          name + ": zone index must be below " + zoneCount + ", but is " + endpoint.zone().index());
+      require(
+          endpoint.capacity() > 0 && endpoint.capacity() < VALUE_LIMIT,
+          name
+              + ": capacity must be above 0 and below "
+              + VALUE_LIMIT
+              + ", but is "
+              + endpoint.capacity());
       require(
           endpoint.maxLoad() > 0 && endpoint.maxDemandOfProxiesWithRoute() > 0,
           name
-              + ": max load "
+              + ": maximum load and maximum demand of proxies with a route must be above 0, but are "
               + endpoint.maxLoad()
-              + ", demand of proxies with a route "
+              + " and "
               + endpoint.maxDemandOfProxiesWithRoute());
       require(
-          endpoint.failureShares().length == requestClasses,
-          name + ": failure shares of " + endpoint.failureShares().length + " request classes");
+          endpoint.failureShares().length == requestClassCount,
+          name
+              + ": expected failure shares of "
+              + requestClassCount
+              + " request classes, but got "
+              + endpoint.failureShares().length);
       for (double share : endpoint.failureShares()) {
-        require(share >= 0 && share <= 1, name + ": failure share " + share);
+        require(
+            share >= 0 && share <= 1,
+            name + ": failure share must be from 0 to 1, but is " + share);
       }
     }
   }
@@ -134,34 +151,52 @@
     Set<ProxyId> seen = new HashSet<>();
     for (Proxy proxy : proxies) {
       String name = "proxy " + proxy.id().number();
-      require(seen.add(proxy.id()), name + " comes twice");
-      require(proxy.zone().index() < zones, name + " is in zone " + proxy.zone().index());
+      require(seen.add(proxy.id()), name + " occurs twice");
       require(
-          proxy.requestRates().length == requestClasses,
-          name + ": rates of " + proxy.requestRates().length + " request classes");
+          proxy.zone().index() < zoneCount,
+          name + ": zone index must be below " + zoneCount + ", but is " + proxy.zone().index());
+      require(
+          proxy.requestRates().length == requestClassCount,
+          name
+              + ": expected request rates of "
+              + requestClassCount
+              + " request classes, but got "
+              + proxy.requestRates().length);
       for (double rate : proxy.requestRates()) {
-        require(rate >= 0 && rate < MAX_FIGURE, name + ": rate " + rate);
+        require(
+            rate >= 0 && rate < VALUE_LIMIT,
+            name
+                + ": request rate must be at least 0 and below "
+                + VALUE_LIMIT
+                + ", but is "
+                + rate);
       }
       for (Route route : proxy.routes()) {
         require(
-            route.weight() >= 0 && route.weight() < MAX_FIGURE,
-            name + ": weight " + route.weight());
+            route.weight() >= 0 && route.weight() < VALUE_LIMIT,
+            name
+                + ": weight of the route to "
+                + route.endpoint().name()
+                + " must be at least 0 and below "
+                + VALUE_LIMIT
+                + ", but is "
+                + route.weight());
       }
     }
   }
 
-  private static void require(boolean holds, String what) {
-    if (!holds) {
-      throw new IllegalArgumentException("problem: " + what);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException("problem: " + message);
     }
   }
 
-  int zones() {
-    return zones;
+  int zoneCount() {
+    return zoneCount;
   }
 
-  int requestClasses() {
-    return requestClasses;
+  int requestClassCount() {
+    return requestClassCount;
   }
 
   int maxRoutes() {
@@ -180,9 +215,9 @@
     return endpoints[index];
   }
 
-  /** The index of an endpoint, or {@link #UNKNOWN}. */
+  /** Returns the index of an endpoint, or {@link #NOT_FOUND}. */
   int indexOf(EndpointId id) {
-    return indexById.getOrDefault(id, UNKNOWN);
+    return indexById.getOrDefault(id, NOT_FOUND);
   }
 
   int proxyCount() {
@@ -193,20 +228,21 @@
     return proxies[index];
   }
 
-  /** The zone of a proxy. */
+  /** Returns the index of a proxy's zone. */
   int zoneOfProxy(int proxy) {
     return proxies[proxy].zone().index();
   }
 
   /**
-   * What a request of the mean mix loses at an endpoint besides lateness: crossing and failures.
+   * Returns the requests lost per request that a zone sends to an endpoint, through failures (mean
+   * of all request classes) and zone crossing.
    */
   double routeCost(int zone, int endpoint) {
     double failures = 0;
     for (double share : endpoints[endpoint].failureShares()) {
-      failures += share / requestClasses;
+      failures += share / requestClassCount;
     }
-    boolean crosses = endpoints[endpoint].zone().index() != zone;
-    return failures + (crosses ? costs.crossing() : 0);
+    boolean crossesZones = endpoints[endpoint].zone().index() != zone;
+    return failures + (crossesZones ? costs.zoneCrossing() : 0);
   }
 }
--- a/src/main/java/stonespring/solver/SubsetSelector.java
+++ b/src/main/java/stonespring/solver/SubsetSelector.java
@@ -1,47 +1,57 @@
 package stonespring.solver;
 
 /**
- * Turns the flow into small tables. Routes that stand are kept and their weights scaled ({@link
- * ProportionalFitter}); only where that can't reach an endpoint's target, and the gain pays for a
- * connection, a route is added ({@link RouteAdder}).
+ * Turns the optimal flow into small route tables (subsets of the endpoints). Existing routes are
+ * kept and their weights scaled ({@link ProportionalFitter}). A route is added ({@link RouteAdder})
+ * only where scaling cannot reach an endpoint's target and the gain exceeds the cost of a
+ * connection.
  */
 final class SubsetSelector {
-  /** Share of an endpoint's capacity below which a difference is within the error of reports. */
-  static final double SIGNIFICANT_SHARE = 0.02;
+  /**
+   * Share of an endpoint's capacity below which a difference in load is within the error of the
+   * reported rates.
+   */
+  static final double MEASUREMENT_ERROR_SHARE = 0.02;
 
-  /** Rounds of new routes and scaling, from nothing. */
-  private static final int INITIAL_ROUNDS = 10;
+  /** Maximum number of rounds of adding routes and scaling when there is no previous plan. */
+  private static final int MAX_INITIAL_ROUNDS = 10;
 
-  /** The same where tables stand; what is left waits for the next plan. */
-  private static final int FOLLOWING_ROUNDS = 2;
+  /** Maximum number of such rounds when tables exist already; the next plan continues. */
+  private static final int MAX_FOLLOW_UP_ROUNDS = 2;
 
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
-  private final int[] unmetPlans;
-  private final int rounds;
 
   /**
-   * Prepares a plan.
+   * By endpoint, the number of consecutive plans in which it lacked routes; see {@link
+   * Plan.EndpointAllocation}.
+   */
+  private final int[] plansBelowTarget;
+
+  private final int maxRounds;
+
+  /**
+   * Prepares one plan.
    *
-   * @param previous the last plan, or null
+   * @param previous the previous plan, or null if there is none
    */
   SubsetSelector(Problem problem, Flow flow, Plan previous) {
     this.problem = problem;
     this.flow = flow;
     this.tables = new WorkingTables(problem);
-    this.unmetPlans = new int[problem.endpointCount()];
-    this.rounds = previous == null ? INITIAL_ROUNDS : FOLLOWING_ROUNDS;
+    this.plansBelowTarget = new int[problem.endpointCount()];
+    this.maxRounds = previous == null ? MAX_INITIAL_ROUNDS : MAX_FOLLOW_UP_ROUNDS;
     if (previous != null) {
-      takeOverUnmetPlans(previous);
+      copyPlansBelowTarget(previous);
     }
   }
 
-  private void takeOverUnmetPlans(Plan previous) {
-    for (Plan.EndpointShare share : previous.shares()) {
-      int endpoint = problem.indexOf(share.endpoint());
-      if (endpoint != Problem.UNKNOWN) {
-        unmetPlans[endpoint] = share.unmetPlans();
+  private void copyPlansBelowTarget(Plan previous) {
+    for (Plan.EndpointAllocation allocation : previous.allocations()) {
+      int endpoint = problem.indexOf(allocation.endpoint());
+      if (endpoint != Problem.NOT_FOUND) {
+        plansBelowTarget[endpoint] = allocation.plansBelowTarget();
       }
     }
   }
@@ -50,24 +60,24 @@
     if (problem.endpointCount() > 0) {
       selectRoutes();
     }
-    return new PlanBuilder(problem, flow, tables, unmetPlans).build();
+    return new PlanBuilder(problem, flow, tables, plansBelowTarget).build();
   }
 
   private void selectRoutes() {
     ProportionalFitter fitter = new ProportionalFitter(problem, flow, tables);
-    RouteAdder adder = new RouteAdder(problem, flow, tables, unmetPlans);
+    RouteAdder adder = new RouteAdder(problem, flow, tables, plansBelowTarget);
     RouteDropper dropper = new RouteDropper(problem, tables);
-    tables.takeOverHeldRoutes();
-    new RendezvousSelector(problem, flow, tables).draw();
+    tables.loadCurrentRoutes();
+    new RendezvousSelector(problem, flow, tables).selectMissingRoutes();
     boolean added = true;
-    for (int round = 0; added && round < rounds; round++) {
-      fitter.fit();
-      dropper.drop();
+    for (int round = 0; added && round < maxRounds; round++) {
+      fitter.fitRates();
+      dropper.dropRoutes();
       added = adder.addRoutes();
     }
-    fitter.fit();
-    dropper.drop();
-    new ChangeDamper(problem, flow, tables).damp();
-    new WarmUpCap(problem, tables).apply();
+    fitter.fitRates();
+    dropper.dropRoutes();
+    new ChangeDamper(problem, flow, tables).dampChanges();
+    new WarmUpCap(problem, tables).enforce();
   }
 }
