--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -5,16 +5,25 @@
 import stonespring.model.Event;
 import stonespring.model.ZoneId;
 
-/** What the advisor has observed of one listed endpoint. */
+/**
+ * State of one listed endpoint as the advisor has observed it. Instants and intervals are
+ * deci-milliseconds.
+ */
 final class ObservedEndpoint {
-  /** DeciMillis after which an observation counts half. */
+  /**
+   * Half-life of observed attempts and rates, deci-milliseconds; a compromise between stability and
+   * reaction time.
+   */
   static final double SMOOTHING_HALF_LIFE = 2 * DeciMillis.SECOND;
 
-  /** DeciMillis after which a reading of the capacity counts half. */
+  /**
+   * Half-life of the smoothed capacity, deci-milliseconds; an endpoint's speed changes over
+   * minutes, its reports vary from second to second.
+   */
   private static final double CAPACITY_HALF_LIFE = 2 * DeciMillis.SECOND;
 
-  /** Multiple of the latency objective that a mean latency must exceed for most to be late. */
-  private static final double LATE_MULTIPLE = 1;
+  /** Ratio of the mean latency to the latency objective above which most answers are late. */
+  private static final double LATE_LATENCY_MULTIPLE = 1;
 
   private ZoneId zone;
   private boolean ready;
@@ -26,31 +35,36 @@
   private long roundInterval;
   private double utilization;
   private double reportedRate;
-  private double capacity = Double.NaN;
 
-  /** Takes its record; returns whether its process started again. */
-  boolean update(EndpointRecord listed) {
+  /** Requests per second; NaN until the first reading. */
+  private double smoothedCapacity = Double.NaN;
+
+  /**
+   * Updates the endpoint from its record in the endpoint list; returns whether its process
+   * restarted.
+   */
+  boolean updateRecord(EndpointRecord listed) {
     zone = listed.zone();
     ready = listed.state() == EndpointRecord.State.READY;
     boolean restarted = listed.startedAt() > startedAt;
     if (restarted) {
       attempts = 0;
       failures = 0;
-      capacity = Double.NaN;
+      smoothedCapacity = Double.NaN;
       startedAt = listed.startedAt();
     }
     return restarted;
   }
 
   /**
-   * Takes outcomes. Each zone reports its own part of a round: only all of them together are what
-   * the endpoint received.
+   * Records outcomes. Each zone reports only its own part of a round, so the attempts of all zones
+   * are added up.
    */
-  void observe(Event.EndpointOutcomes outcomes, long latencyObjective) {
-    double kept = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE);
-    attempts = attempts * kept + outcomes.attempts();
-    failures = failures * kept + outcomes.failures();
-    boolean mostAreLate = outcomes.successLatency() > LATE_MULTIPLE * latencyObjective;
+  void recordOutcomes(Event.EndpointOutcomes outcomes, long latencyObjective) {
+    double retainedShare = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE);
+    attempts = attempts * retainedShare + outcomes.attempts();
+    failures = failures * retainedShare + outcomes.failures();
+    boolean mostAreLate = outcomes.successLatency() > LATE_LATENCY_MULTIPLE * latencyObjective;
     roundAttempts += outcomes.attempts();
     roundFailedOrLate += mostAreLate ? outcomes.attempts() : outcomes.failures();
     roundInterval = Math.max(roundInterval, outcomes.interval());
@@ -59,17 +73,22 @@
   }
 
   /**
-   * Takes the capacity that a rate at the present utilization stands for into the mean; returns the
-   * mean.
+   * Updates the smoothed capacity, requests per second, with the one that follows from a rate at
+   * the current utilization; returns the smoothed value.
    */
-  double smoothCapacity(double rate) {
-    double kept = Double.isNaN(capacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
-    // In this order of operations: another rounds differently, and plans follow it.
-    capacity = kept == 0 ? rate / utilization : kept * capacity + (1 - kept) * rate / utilization;
-    return capacity;
+  double updateSmoothedCapacity(double rate) {
+    double retainedShare =
+        Double.isNaN(smoothedCapacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
+    // Another order of operations would round differently and thereby change plans.
+    smoothedCapacity =
+        retainedShare == 0
+            ? rate / utilization
+            : retainedShare * smoothedCapacity + (1 - retainedShare) * rate / utilization;
+    return smoothedCapacity;
   }
 
-  void endRound() {
+  /** Discards what was recorded in this round. */
+  void resetRound() {
     roundAttempts = 0;
     roundFailedOrLate = 0;
     roundInterval = 0;
@@ -111,7 +130,7 @@
     return utilization;
   }
 
-  /** The rate that it reports itself; NaN if it does not. */
+  /** Returns the requests per second that the endpoint itself reported; NaN if it reported none. */
   double reportedRate() {
     return reportedRate;
   }
--- a/src/main/java/stonespring/solver/RendezvousSelector.java
+++ b/src/main/java/stonespring/solver/RendezvousSelector.java
@@ -9,20 +9,27 @@
 import java.util.zip.CRC32;
 
 /**
- * Draws routes for proxies that have none, or no warm one, by weighted rendezvous hashing
- * (Schindelhauer and Schomaker, 2005): each proxy by itself finds the same endpoints again, and an
- * endpoint that comes or goes moves only its own routes.
+ * Selects routes for proxies that have no route, or no route to a warm endpoint, by weighted
+ * rendezvous hashing (Schindelhauer and Schomaker, 2005). Each proxy's selection is independent of
+ * the other proxies and stable: an endpoint that is added or removed changes only its own routes.
  */
 final class RendezvousSelector {
-  /** Share of a proxy's rate that a drawn route has at least. */
+  /** Minimum weight of a selected route, as a share of the proxy's rate. */
   private static final double MIN_WEIGHT = 0.004;
 
-  /** Share of the mean capacity that every endpoint weighs at least in a draw. */
-  private static final double MIN_DRAW_WEIGHT = 1e-9;
+  /**
+   * Minimum selection weight of an endpoint, as a share of the mean capacity, so that endpoints
+   * without a target can be selected too.
+   */
+  private static final double MIN_SELECTION_SHARE = 1e-9;
 
-  /** Endpoints looked at beyond twice those wanted, as some that warm up may have no room. */
+  /**
+   * Candidates beyond twice the number of routes; some endpoints that are warming up cannot take
+   * another proxy.
+   */
   private static final int SPARE_CANDIDATES = 8;
 
+  /** Number of distinct CRC-32 values. */
   private static final double HASH_RANGE = 4294967296.0;
 
   private final Problem problem;
@@ -35,22 +42,25 @@
     this.tables = tables;
   }
 
-  /** Draws for all proxies in need, small ones first: endpoints that warm up are theirs. */
-  void draw() {
-    List<Integer> smallFirst = new ArrayList<>();
+  /**
+   * Selects routes for all proxies that need them, in ascending order of their rates: endpoints
+   * that are warming up can only take small proxies.
+   */
+  void selectMissingRoutes() {
+    List<Integer> byAscendingDemand = new ArrayList<>();
     for (int p = 0; p < tables.proxyCount(); p++) {
-      boolean lacksWarm = !tables.hasWarmRoute(p) && tables.anyEndpointIsWarm();
-      if (tables.size(p) == 0 || lacksWarm) {
-        smallFirst.add(p);
+      boolean lacksWarmRoute = !tables.hasWarmRoute(p) && tables.anyEndpointIsWarm();
+      if (tables.routeCount(p) == 0 || lacksWarmRoute) {
+        byAscendingDemand.add(p);
       }
     }
-    if (smallFirst.isEmpty()) {
+    if (byAscendingDemand.isEmpty()) {
       return;
     }
-    smallFirst.sort(Comparator.comparingDouble(tables::demand));
+    byAscendingDemand.sort(Comparator.comparingDouble(tables::demand));
     int[] nameHashes = nameHashes();
-    for (int proxy : smallFirst) {
-      drawFor(proxy, nameHashes);
+    for (int proxy : byAscendingDemand) {
+      selectRoutesFor(proxy, nameHashes);
     }
   }
 
@@ -64,21 +74,26 @@
     return hashes;
   }
 
-  private void drawFor(int proxy, int[] nameHashes) {
+  private void selectRoutesFor(int proxy, int[] nameHashes) {
     double[] rank = ranks(proxy, nameHashes);
-    int count = tables.maxRoutes(proxy);
-    boolean hadNone = tables.size(proxy) == 0;
-    for (int endpoint : lowest(rank, count)) {
-      if (hadNone && tables.size(proxy) < count && tables.mayAdd(proxy, endpoint)) {
-        tables.add(proxy, endpoint, 0);
+    int maxRoutes = tables.maxRoutes(proxy);
+    boolean wasEmpty = tables.routeCount(proxy) == 0;
+    for (int endpoint : candidates(rank, maxRoutes)) {
+      if (wasEmpty && tables.routeCount(proxy) < maxRoutes && tables.canAddRoute(proxy, endpoint)) {
+        tables.addRoute(proxy, endpoint, 0);
       }
     }
     if (tables.anyEndpointIsWarm() && !tables.hasWarmRoute(proxy)) {
-      tables.add(proxy, lowestWarm(rank), 0);
+      tables.addRoute(proxy, bestWarmEndpoint(rank), 0);
     }
-    setRates(proxy, hadNone);
+    setRates(proxy, wasEmpty);
   }
 
+  /**
+   * Returns a pseudo-random rank for each endpoint, a function of the proxy's number and the
+   * endpoint's name; the lower, the better. An endpoint's probability of the lowest rank is
+   * proportional to its target for the proxy's zone.
+   */
   private double[] ranks(int proxy, int[] nameHashes) {
     int zone = problem.zoneOfProxy(proxy);
     CRC32 hash = new CRC32();
@@ -88,49 +103,51 @@
       key.putInt(0, problem.proxy(proxy).id().number()).putInt(Integer.BYTES, nameHashes[e]);
       hash.reset();
       hash.update(key.array());
-      double draw = (hash.getValue() + 0.5) / HASH_RANGE;
-      double weight = Math.max(MIN_DRAW_WEIGHT * tables.meanCapacity(), flow.target(zone, e));
-      rank[e] = -Math.log(draw) / weight;
+      double uniform = (hash.getValue() + 0.5) / HASH_RANGE;
+      double weight = Math.max(MIN_SELECTION_SHARE * tables.meanCapacity(), flow.target(zone, e));
+      rank[e] = -Math.log(uniform) / weight;
     }
     return rank;
   }
 
-  /** The endpoints of lowest rank, lowest first, some more than wanted. */
-  private static List<Integer> lowest(double[] rank, int wanted) {
+  /**
+   * Returns the endpoints of lowest rank, lowest first: twice the number of routes and some more.
+   */
+  private static List<Integer> candidates(double[] rank, int routeCount) {
     double[] sorted = rank.clone();
     Arrays.sort(sorted);
-    double last = sorted[Math.min(sorted.length, 2 * wanted + SPARE_CANDIDATES) - 1];
-    List<Integer> order = new ArrayList<>();
+    double maxRank = sorted[Math.min(sorted.length, 2 * routeCount + SPARE_CANDIDATES) - 1];
+    List<Integer> candidates = new ArrayList<>();
     for (int e = 0; e < rank.length; e++) {
-      if (rank[e] <= last) {
-        order.add(e);
+      if (rank[e] <= maxRank) {
+        candidates.add(e);
       }
     }
-    order.sort(Comparator.comparingDouble(e -> rank[e]));
-    return order;
+    candidates.sort(Comparator.comparingDouble(e -> rank[e]));
+    return candidates;
   }
 
-  private int lowestWarm(double[] rank) {
-    int lowest = Problem.UNKNOWN;
+  private int bestWarmEndpoint(double[] rank) {
+    int best = Problem.NOT_FOUND;
     for (int e = 0; e < rank.length; e++) {
-      boolean isLower = lowest == Problem.UNKNOWN || rank[e] < rank[lowest];
-      lowest = problem.endpoint(e).isWarm() && isLower ? e : lowest;
+      boolean isLower = best == Problem.NOT_FOUND || rank[e] < rank[best];
+      best = problem.endpoint(e).isWarm() && isLower ? e : best;
     }
-    return lowest;
+    return best;
   }
 
-  private void setRates(int proxy, boolean hadNone) {
+  private void setRates(int proxy, boolean wasEmpty) {
     int zone = problem.zoneOfProxy(proxy);
-    double least = MIN_DRAW_WEIGHT * tables.meanCapacity();
+    double minRate = MIN_SELECTION_SHARE * tables.meanCapacity();
     double demand = tables.demand(proxy);
     double sum = 0;
-    for (int i = 0; i < tables.size(proxy); i++) {
-      sum += flow.target(zone, tables.endpoint(proxy, i)) + least;
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
+      sum += flow.target(zone, tables.endpoint(proxy, i)) + minRate;
     }
-    for (int i = 0; i < tables.size(proxy); i++) {
-      double byTarget = demand * (flow.target(zone, tables.endpoint(proxy, i)) + least) / sum;
+    for (int i = 0; i < tables.routeCount(proxy); i++) {
+      double byTarget = demand * (flow.target(zone, tables.endpoint(proxy, i)) + minRate) / sum;
       double atLeast = Math.max(tables.rate(proxy, i), MIN_WEIGHT * demand);
-      tables.setRate(proxy, i, hadNone ? byTarget : atLeast);
+      tables.setRate(proxy, i, wasEmpty ? byTarget : atLeast);
     }
   }
 }
