--- a/src/main/java/stonespring/model/DeciMillis.java
+++ b/src/main/java/stonespring/model/DeciMillis.java
@@ -9,13 +9,13 @@
   public static final long SECOND = 10_000;
 
   /** Absorbs the rounding error of a decimal number of seconds. */
-  private static final double ROUNDING_ERROR = 1e-6;
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private DeciMillis() {}
 
   /** Converts seconds, rounded down. */
   public static long ofSeconds(double seconds) {
-    return (long) Math.floor(seconds * SECOND + ROUNDING_ERROR);
+    return (long) Math.floor(seconds * SECOND + ROUNDING_TOLERANCE);
   }
 
   /** Converts to seconds. */
--- a/src/main/java/stonespring/model/DeterministicRandom.java
+++ b/src/main/java/stonespring/model/DeterministicRandom.java
@@ -7,10 +7,10 @@
  * A random sequence that depends on nothing but its seed and the number of draws. Not thread-safe.
  */
 public final class DeterministicRandom {
-  private static final double RANGE = 4294967296.0; // values of a CRC-32
+  private static final double CRC32_VALUE_COUNT = 4294967296.0; // values of a CRC-32
 
   private final long seed;
-  private long draws;
+  private long drawCount;
 
   /** Starts the sequence of a seed. */
   public DeterministicRandom(long seed) {
@@ -20,7 +20,7 @@
   /** Draws a number from 0, inclusive, to 1, exclusive. */
   public double nextDouble() {
     CRC32 checksum = new CRC32();
-    checksum.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(draws++).flip());
-    return checksum.getValue() / RANGE;
+    checksum.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(drawCount++).flip());
+    return checksum.getValue() / CRC32_VALUE_COUNT;
   }
 }
--- a/src/main/java/stonespring/model/Settings.java
+++ b/src/main/java/stonespring/model/Settings.java
@@ -96,8 +96,8 @@
       if (startedAt <= 0) {
         return 1;
       }
-      double age = (double) Math.max(0, now - startedAt) / Math.max(1, window);
-      return Math.min(1, initialFraction + (1 - initialFraction) * age);
+      double elapsedShare = (double) Math.max(0, now - startedAt) / Math.max(1, window);
+      return Math.min(1, initialFraction + (1 - initialFraction) * elapsedShare);
     }
   }
 
--- a/src/main/java/stonespring/state/ConnectedProxy.java
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -14,7 +14,7 @@
  */
 final class ConnectedProxy {
   private final ProxyId id;
-  private final RouteTableId[] assigned;
+  private final RouteTableId[] assignedTables;
   private final AdmissionLimit[] limitsForAllTables;
   private final Optional<Set<EndpointId>> initialEndpoints;
 
@@ -23,10 +23,10 @@
    *
    * @param initialEndpoints the endpoints that the tables it brought along name; empty if unknown
    */
-  ConnectedProxy(ProxyId id, int requestClasses, Optional<List<EndpointId>> initialEndpoints) {
+  ConnectedProxy(ProxyId id, int requestClassCount, Optional<List<EndpointId>> initialEndpoints) {
     this.id = id;
-    this.assigned = new RouteTableId[requestClasses];
-    this.limitsForAllTables = new AdmissionLimit[requestClasses];
+    this.assignedTables = new RouteTableId[requestClassCount];
+    this.limitsForAllTables = new AdmissionLimit[requestClassCount];
     this.initialEndpoints = initialEndpoints.map(HashSet::new);
   }
 
@@ -35,16 +35,16 @@
   }
 
   /** The table that it uses for a request class; null for one that it brought along. */
-  RouteTableId assigned(int requestClass) {
-    return assigned[requestClass];
+  RouteTableId assignedTable(int requestClass) {
+    return assignedTables[requestClass];
   }
 
-  void assign(int requestClass, RouteTableId table) {
-    assigned[requestClass] = table;
+  void assignTable(int requestClass, RouteTableId table) {
+    assignedTables[requestClass] = table;
   }
 
   boolean uses(RouteTableId table) {
-    for (RouteTableId used : assigned) {
+    for (RouteTableId used : assignedTables) {
       if (table.equals(used)) {
         return true;
       }
@@ -53,17 +53,17 @@
   }
 
   /** Whether it may use the endpoint by a table that it brought along. */
-  boolean mayUseInitially(EndpointId endpoint) {
-    for (RouteTableId used : assigned) {
+  boolean mayUseByInitialTable(EndpointId endpoint) {
+    for (RouteTableId used : assignedTables) {
       if (used == null) {
-        return initialEndpoints.map(known -> known.contains(endpoint)).orElse(true);
+        return initialEndpoints.map(endpoints -> endpoints.contains(endpoint)).orElse(true);
       }
     }
     return false;
   }
 
   /** Replaces a limit for all tables; false if it equals the last one sent. */
-  boolean replaceLimitIfDifferent(int requestClass, AdmissionLimit limit) {
+  boolean replaceLimitForAllTablesIfDifferent(int requestClass, AdmissionLimit limit) {
     if (limit.equals(limitsForAllTables[requestClass])) {
       return false;
     }
--- a/src/main/java/stonespring/state/KeyStore.java
+++ b/src/main/java/stonespring/state/KeyStore.java
@@ -55,20 +55,20 @@
 
   /** Drops a subtree without updates: for keys that nobody follows any more. */
   public void discardSubtree(String subtree) {
-    entriesOf(subtree).clear();
+    entriesIn(subtree).clear();
   }
 
   /** The keys of a subtree as they stand, by name; the empty subtree is the whole store. */
   public List<KeyUpdate> snapshot(String subtree) {
     List<KeyUpdate> keys = new ArrayList<>();
-    for (Map.Entry<String, Entry> entry : entriesOf(subtree).entrySet()) {
+    for (Map.Entry<String, Entry> entry : entriesIn(subtree).entrySet()) {
       keys.add(
           new KeyUpdate(entry.getKey(), entry.getValue().sequence(), entry.getValue().value()));
     }
     return keys;
   }
 
-  private NavigableMap<String, Entry> entriesOf(String subtree) {
+  private NavigableMap<String, Entry> entriesIn(String subtree) {
     return subtree.isEmpty()
         ? entries
         : entries.subMap(subtree, true, subtree + Character.MAX_VALUE, false);
--- a/src/main/java/stonespring/state/ProxyHello.java
+++ b/src/main/java/stonespring/state/ProxyHello.java
@@ -22,12 +22,12 @@
     boolean withoutTables,
     Optional<List<EndpointId>> tableEndpoints) {
   /** Whether this announces a later session of the same process. */
-  boolean replaces(ProxyHello earlier) {
+  boolean isLaterSessionThan(ProxyHello earlier) {
     return processId.equals(earlier.processId) && sessionSequence > earlier.sessionSequence;
   }
 
   /** Whether both announce the same session of the same process. */
-  boolean renews(ProxyHello earlier) {
+  boolean isSameSessionAs(ProxyHello earlier) {
     return processId.equals(earlier.processId) && sessionSequence == earlier.sessionSequence;
   }
 }
--- a/src/main/java/stonespring/state/ProxySessions.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -27,8 +27,8 @@
     private final ProxyId id;
     private ProxyHello hello;
     private C connection;
-    private long expiresAt;
-    private long number;
+    private long expiresAtDeciMillis;
+    private long sessionNumber;
 
     Session(String name, ProxyId id) {
       this.name = name;
@@ -46,7 +46,7 @@
   private final Map<C, Set<Session<C>>> byConnection = new IdentityHashMap<>();
   private final LinkedHashSet<Session<C>> disconnected = new LinkedHashSet<>();
   private final ArrayDeque<Session<C>> connected = new ArrayDeque<>();
-  private long sessionsBegun;
+  private long startedSessionCount;
 
   /** Creates an empty set of sessions for at most so many proxies. */
   public ProxySessions(int maxProxies) {
@@ -56,13 +56,13 @@
   /**
    * Takes a hello that was received on a connection.
    *
-   * @param expiresAt when the session ends if it is not renewed
+   * @param expiresAtDeciMillis when the session ends if it is not renewed
    */
   public HelloResult<C> handleHello(
-      String name, ProxyHello hello, C connection, long now, long expiresAt) {
+      String name, ProxyHello hello, C connection, long now, long expiresAtDeciMillis) {
     Session<C> session = byName.get(name);
     if (session != null && session.isConnected()) {
-      return helloAgain(session, hello, connection, now, expiresAt);
+      return handleHelloOfConnectedProxy(session, hello, connection, now, expiresAtDeciMillis);
     }
     if (session == null) {
       Optional<ProxyId> id = allocateId();
@@ -74,25 +74,25 @@
       byName.put(name, session);
       byId.put(session.id.number(), session);
     }
-    begin(session, hello, connection, expiresAt);
+    startSession(session, hello, connection, expiresAtDeciMillis);
     return new HelloResult.Connected<>(session.id, Optional.empty());
   }
 
-  private HelloResult<C> helloAgain(
-      Session<C> session, ProxyHello hello, C connection, long now, long expiresAt) {
-    if (session.connection == connection && hello.renews(session.hello)) {
-      session.expiresAt = expiresAt;
+  private HelloResult<C> handleHelloOfConnectedProxy(
+      Session<C> session, ProxyHello hello, C connection, long now, long expiresAtDeciMillis) {
+    if (session.connection == connection && hello.isSameSessionAs(session.hello)) {
+      session.expiresAtDeciMillis = expiresAtDeciMillis;
       session.hello = hello;
       return new HelloResult.Renewed<>(session.id);
     }
     // Another process of the same name waits for the lease to end; the same process in a later
     // session knows that its earlier one is dead, even if that is half open here.
-    if (session.expiresAt > now && !hello.replaces(session.hello)) {
+    if (session.expiresAtDeciMillis > now && !hello.isLaterSessionThan(session.hello)) {
       return new HelloResult.Refused<>("proxy " + session.name + " is here already");
     }
     C replaced = session.connection;
-    end(session);
-    begin(session, hello, connection, expiresAt);
+    endSession(session);
+    startSession(session, hello, connection, expiresAtDeciMillis);
     return new HelloResult.Connected<>(session.id, Optional.of(replaced));
   }
 
@@ -103,23 +103,24 @@
     if (disconnected.isEmpty()) {
       return Optional.empty();
     }
-    Session<C> oldest = disconnected.iterator().next();
-    disconnected.remove(oldest);
-    byName.remove(oldest.name);
-    return Optional.of(oldest.id);
+    Session<C> longestDisconnected = disconnected.iterator().next();
+    disconnected.remove(longestDisconnected);
+    byName.remove(longestDisconnected.name);
+    return Optional.of(longestDisconnected.id);
   }
 
-  private void begin(Session<C> session, ProxyHello hello, C connection, long expiresAt) {
+  private void startSession(
+      Session<C> session, ProxyHello hello, C connection, long expiresAtDeciMillis) {
     disconnected.remove(session);
     session.hello = hello;
     session.connection = connection;
-    session.expiresAt = expiresAt;
-    session.number = ++sessionsBegun;
+    session.expiresAtDeciMillis = expiresAtDeciMillis;
+    session.sessionNumber = ++startedSessionCount;
     byConnection.computeIfAbsent(connection, key -> new LinkedHashSet<>()).add(session);
     connected.add(session);
   }
 
-  private void end(Session<C> session) {
+  private void endSession(Session<C> session) {
     Set<Session<C>> sessions = byConnection.get(session.connection);
     sessions.remove(session);
     if (sessions.isEmpty()) {
@@ -134,7 +135,7 @@
   public List<ProxyId> endSessions(C connection) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(byConnection.getOrDefault(connection, Set.of()))) {
-      end(session);
+      endSession(session);
       ended.add(session.id);
     }
     return ended;
@@ -144,8 +145,8 @@
   public List<ProxyId> endExpiredSessions(long now) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(connected)) {
-      if (session.expiresAt <= now) {
-        end(session);
+      if (session.expiresAtDeciMillis <= now) {
+        endSession(session);
         ended.add(session.id);
       }
     }
@@ -177,7 +178,7 @@
 
   /** Counts the sessions of all proxies: tells a proxy's session from every other. */
   public long sessionNumber(ProxyId proxy) {
-    return byId.get(proxy.number()).number;
+    return byId.get(proxy.number()).sessionNumber;
   }
 
   /** How many proxies are connected. */
--- a/src/main/java/stonespring/state/PublishedKeyCodec.java
+++ b/src/main/java/stonespring/state/PublishedKeyCodec.java
@@ -14,12 +14,12 @@
  * out/ENDPOINT}. {@code docs/channel.md} describes them for authors of proxies.
  */
 public final class PublishedKeyCodec {
-  private static final String ROUTE = "line/";
-  private static final String ASSIGNED_TABLE = "bind/";
-  private static final String LIMIT = "level/";
-  private static final String EXCLUSION = "out/";
-  private static final String ALL_TABLES = "every";
-  private static final String EXCLUDED = "1";
+  private static final String ROUTE_PREFIX = "line/";
+  private static final String ASSIGNED_TABLE_PREFIX = "bind/";
+  private static final String LIMIT_PREFIX = "level/";
+  private static final String EXCLUSION_PREFIX = "out/";
+  private static final String ALL_TABLES_NAME = "every";
+  private static final String EXCLUDED_VALUE = "1";
 
   private final List<String> requestClassNames;
 
@@ -35,15 +35,15 @@
   /** The key of what is changed, relative to the proxy's subtree. */
   public String key(ProxyChange.Subject subject) {
     if (subject instanceof ProxyChange.Subject.Route route) {
-      return ROUTE + route.table().number() + "/" + route.endpoint().name();
+      return ROUTE_PREFIX + route.table().number() + "/" + route.endpoint().name();
     }
     if (subject instanceof ProxyChange.Subject.AssignedTable assigned) {
-      return ASSIGNED_TABLE + name(assigned.requestClass());
+      return ASSIGNED_TABLE_PREFIX + requestClassName(assigned.requestClass());
     }
     if (subject instanceof ProxyChange.Subject.Limit limit) {
-      return LIMIT + name(limit.table()) + "/" + name(limit.requestClass());
+      return LIMIT_PREFIX + tableName(limit.table()) + "/" + requestClassName(limit.requestClass());
     }
-    return EXCLUSION + ((ProxyChange.Subject.Exclusion) subject).endpoint().name();
+    return EXCLUSION_PREFIX + ((ProxyChange.Subject.Exclusion) subject).endpoint().name();
   }
 
   /** The new value of the key, or empty if the key is deleted. */
@@ -57,10 +57,10 @@
       return Optional.of(String.valueOf(assignment.table().number()));
     }
     if (change instanceof ProxyChange.AdmissionLimitChange limit) {
-      return limit.limit().map(PublishedKeyCodec::text);
+      return limit.limit().map(PublishedKeyCodec::limitText);
     }
     return ((ProxyChange.ExclusionChange) change).excluded()
-        ? Optional.of(EXCLUDED)
+        ? Optional.of(EXCLUDED_VALUE)
         : Optional.empty();
   }
 
@@ -73,19 +73,19 @@
     return text.toString();
   }
 
-  private String name(RequestClassId requestClass) {
+  private String requestClassName(RequestClassId requestClass) {
     return requestClassNames.get(requestClass.index());
   }
 
-  private static String name(RouteTableId table) {
-    return table.equals(Command.ALL_TABLES) ? ALL_TABLES : String.valueOf(table.number());
+  private static String tableName(RouteTableId table) {
+    return table.equals(Command.ALL_TABLES) ? ALL_TABLES_NAME : String.valueOf(table.number());
   }
 
-  private static String text(AdmissionLimit limit) {
-    return PlainDecimal.format(limit.limit()) + " " + name(limit.retryPolicy());
+  private static String limitText(AdmissionLimit limit) {
+    return PlainDecimal.format(limit.limit()) + " " + retryPolicyName(limit.retryPolicy());
   }
 
-  private static String name(RetryPolicy policy) {
+  private static String retryPolicyName(RetryPolicy policy) {
     return switch (policy) {
       case NEVER -> "never";
       case IF_NOT_EXECUTED -> "on_proof";
--- a/src/main/java/stonespring/state/PublishedState.java
+++ b/src/main/java/stonespring/state/PublishedState.java
@@ -21,20 +21,20 @@
  * present, is the acknowledgement that is requested.
  */
 public final class PublishedState {
-  private static final String PROXIES = "/proxy/";
-  private static final String PRESENCE = "/presence/";
-  private static final String STATUS = "/assigner/status";
-  private static final String COMMIT = "commit";
+  private static final String PROXY_PREFIX = "/proxy/";
+  private static final String PRESENCE_PREFIX = "/presence/";
+  private static final String STATUS_KEY = "/assigner/status";
+  private static final String COMMIT_KEY = "commit";
 
   /** Acknowledgements that one proxy may owe; the oldest beyond are forgotten. */
   private static final int MAX_PENDING_ACKS = 4096;
 
   /** What was published in one proxy's session. */
   private static final class Session {
-    private int commits;
+    private int commitCount;
     private final LinkedHashMap<AckId, Long> pendingAcks = new LinkedHashMap<>();
 
-    void await(AckId ack, long commandedAt) {
+    void addPendingAck(AckId ack, long commandedAt) {
       if (pendingAcks.size() >= MAX_PENDING_ACKS) {
         pendingAcks.remove(pendingAcks.keySet().iterator().next());
       }
@@ -46,7 +46,7 @@
   private final PublishedKeyCodec codec;
   private final String epoch;
   private final ProxySessions<?> proxies;
-  private final Map<Integer, Session> sessions = new HashMap<>();
+  private final Map<Integer, Session> sessionsByProxy = new HashMap<>();
 
   /**
    * Creates a state over a store.
@@ -82,44 +82,46 @@
     String subtree = subtree(update.proxy());
     List<KeyUpdate> published = new ArrayList<>();
     for (ProxyChange change : update.changes()) {
-      Optional<KeyUpdate> key = publish(subtree + codec.key(change.subject()), change);
-      if (key.isEmpty()) {
+      Optional<KeyUpdate> changedKey = publishChange(subtree + codec.key(change.subject()), change);
+      if (changedKey.isEmpty()) {
         // Without all its keys an update must not commit: the proxy keeps what it has.
         return List.of();
       }
-      published.add(key.get());
+      published.add(changedKey.get());
     }
-    Session session = sessions.computeIfAbsent(update.proxy().number(), number -> new Session());
-    session.commits++;
-    update.ack().ifPresent(ack -> session.await(ack, update.commandedAt()));
-    String commit = commit(update, session.commits, published.size());
-    Optional<KeyUpdate> last = put(subtree + COMMIT, commit);
-    if (last.isEmpty()) {
+    Session session =
+        sessionsByProxy.computeIfAbsent(update.proxy().number(), number -> new Session());
+    session.commitCount++;
+    update.ack().ifPresent(ack -> session.addPendingAck(ack, update.commandedAt()));
+    String commitValue = commitJson(update, session.commitCount, published.size());
+    Optional<KeyUpdate> commitKey = putText(subtree + COMMIT_KEY, commitValue);
+    if (commitKey.isEmpty()) {
       return List.of();
     }
-    published.add(last.get());
+    published.add(commitKey.get());
     return published;
   }
 
-  private Optional<KeyUpdate> publish(String key, ProxyChange change) {
+  private Optional<KeyUpdate> publishChange(String key, ProxyChange change) {
     Optional<String> value = codec.value(change);
-    return value.isPresent() ? put(key, value.get()) : Optional.of(keys.delete(key));
+    return value.isPresent() ? putText(key, value.get()) : Optional.of(keys.delete(key));
   }
 
-  private String commit(ProxyUpdate update, int count, int changedKeys) {
+  private String commitJson(ProxyUpdate update, int updateNumber, int changedKeyCount) {
     return "{\"origin\":\""
         + sessionId(update.proxy())
         + "\",\"at\":"
-        + count
+        + updateNumber
         + ",\"keys\":"
-        + changedKeys
+        + changedKeyCount
         + update.ack().map(ack -> ",\"mark\":" + ack.number()).orElse("")
         + "}";
   }
 
   /** Publishes that a proxy's session began. */
   public List<KeyUpdate> publishSessionStart(ProxyId proxy) {
-    return put(presenceKey(proxy), "{\"origin\":\"" + sessionId(proxy) + "\"}").stream().toList();
+    return putText(presenceKey(proxy), "{\"origin\":\"" + sessionId(proxy) + "\"}").stream()
+        .toList();
   }
 
   /**
@@ -128,12 +130,12 @@
    */
   public List<KeyUpdate> publishSessionEnd(ProxyId proxy) {
     String subtree = subtree(proxy);
-    boolean committed = keys.contains(subtree + COMMIT);
-    sessions.remove(proxy.number());
+    boolean committed = keys.contains(subtree + COMMIT_KEY);
+    sessionsByProxy.remove(proxy.number());
     keys.discardSubtree(subtree);
     List<KeyUpdate> updates = new ArrayList<>();
     if (committed) {
-      updates.add(keys.delete(subtree + COMMIT));
+      updates.add(keys.delete(subtree + COMMIT_KEY));
     }
     updates.add(keys.delete(presenceKey(proxy)));
     return updates;
@@ -146,25 +148,25 @@
    *     given already
    */
   public OptionalLong acknowledge(ProxyId proxy, AckId ack) {
-    Session session = sessions.get(proxy.number());
+    Session session = sessionsByProxy.get(proxy.number());
     Long commandedAt = session == null ? null : session.pendingAcks.remove(ack);
     return commandedAt == null ? OptionalLong.empty() : OptionalLong.of(commandedAt);
   }
 
   /** Publishes the instance's status, a JSON object. */
   public List<KeyUpdate> publishStatus(String json) {
-    return put(STATUS, json).stream().toList();
+    return putText(STATUS_KEY, json).stream().toList();
   }
 
   private String subtree(ProxyId proxy) {
-    return PROXIES + proxies.name(proxy) + "/";
+    return PROXY_PREFIX + proxies.name(proxy) + "/";
   }
 
   private String presenceKey(ProxyId proxy) {
-    return PRESENCE + proxies.name(proxy);
+    return PRESENCE_PREFIX + proxies.name(proxy);
   }
 
-  private Optional<KeyUpdate> put(String key, String value) {
+  private Optional<KeyUpdate> putText(String key, String value) {
     return keys.put(key, value.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/main/java/stonespring/state/RateLimitedChannel.java
+++ b/src/main/java/stonespring/state/RateLimitedChannel.java
@@ -18,75 +18,75 @@
  * one whole table for each proxy. Not safe for several threads.
  */
 public final class RateLimitedChannel {
-  private static final class Waiting {
+  private static final class QueuedUpdate {
     private ProxyUpdate update;
-    private int cost; // entries, overhead included
+    private int costEntries; // entries, overhead included
 
-    Waiting(ProxyUpdate update, int cost) {
+    QueuedUpdate(ProxyUpdate update, int costEntries) {
       this.update = update;
-      this.cost = cost;
+      this.costEntries = costEntries;
     }
   }
 
   private final double entriesPerSecond;
   private final int messageOverheadEntries;
   private final int maxBacklogEntries;
-  private final long messageWindow;
-  private final LinkedList<Waiting> queue = new LinkedList<>();
-  private final TreeMap<Integer, ArrayDeque<Long>> departures = new TreeMap<>();
+  private final long messageWindowDeciMillis;
+  private final LinkedList<QueuedUpdate> queue = new LinkedList<>();
+  private final TreeMap<Integer, ArrayDeque<Long>> departuresByProxy = new TreeMap<>();
   private long backlogEntries;
   private long peakBacklogEntries;
   private int peakMessagesPerProxy;
   private long mergedUpdates;
-  private double freeAt;
+  private double idleAtDeciMillis;
 
   /** Creates an idle channel. */
   public RateLimitedChannel(Settings.ChannelLimits limits) {
     this.entriesPerSecond = limits.entriesPerSecond();
     this.messageOverheadEntries = limits.messageOverheadEntries();
     this.maxBacklogEntries = limits.maxBacklogEntries();
-    this.messageWindow = limits.messageWindow();
+    this.messageWindowDeciMillis = limits.messageWindow();
   }
 
   /** Queues the updates of one event batch, in order. */
   public void offer(List<ProxyUpdate> updates, long now) {
     for (ProxyUpdate update : updates) {
-      int cost = update.entries() + messageOverheadEntries;
-      Optional<Waiting> earlier =
-          backlogEntries + cost > maxBacklogEntries
-              ? lastWaiting(update.proxy())
+      int costEntries = update.entries() + messageOverheadEntries;
+      Optional<QueuedUpdate> earlier =
+          backlogEntries + costEntries > maxBacklogEntries
+              ? findLastQueued(update.proxy())
               : Optional.empty();
       if (earlier.isPresent()) {
-        merge(earlier.get(), update);
+        mergeInto(earlier.get(), update);
         continue;
       }
       if (queue.isEmpty()) {
-        freeAt = Math.max(freeAt, now);
+        idleAtDeciMillis = Math.max(idleAtDeciMillis, now);
       }
-      queue.add(new Waiting(update, cost));
-      backlogEntries += cost;
+      queue.add(new QueuedUpdate(update, costEntries));
+      backlogEntries += costEntries;
     }
     peakBacklogEntries = Math.max(peakBacklogEntries, backlogEntries);
   }
 
-  private Optional<Waiting> lastWaiting(ProxyId proxy) {
-    for (Iterator<Waiting> it = queue.descendingIterator(); it.hasNext(); ) {
-      Waiting waiting = it.next();
-      if (waiting.update.proxy().equals(proxy)) {
-        return Optional.of(waiting);
+  private Optional<QueuedUpdate> findLastQueued(ProxyId proxy) {
+    for (Iterator<QueuedUpdate> it = queue.descendingIterator(); it.hasNext(); ) {
+      QueuedUpdate queued = it.next();
+      if (queued.update.proxy().equals(proxy)) {
+        return Optional.of(queued);
       }
     }
     return Optional.empty();
   }
 
-  private void merge(Waiting earlier, ProxyUpdate later) {
+  private void mergeInto(QueuedUpdate earlier, ProxyUpdate later) {
     ProxyChangeSet changes = new ProxyChangeSet();
     earlier.update.changes().forEach(changes::putLast);
     later.changes().forEach(changes::putLast);
     int entries = changes.size() + (later.ack().isPresent() ? 1 : 0);
-    int cost = entries + messageOverheadEntries;
-    backlogEntries += cost - earlier.cost;
-    earlier.cost = cost;
+    int costEntries = entries + messageOverheadEntries;
+    backlogEntries += costEntries - earlier.costEntries;
+    earlier.costEntries = costEntries;
     // A replaced acknowledgement is never given: the decisions stop waiting for it by themselves.
     earlier.update =
         new ProxyUpdate(
@@ -102,44 +102,44 @@
   public List<ProxyUpdate> takeDue(long now) {
     List<ProxyUpdate> due = new ArrayList<>();
     while (!queue.isEmpty() && nextDepartureAt() <= now) {
-      Waiting next = queue.removeFirst();
-      freeAt = freeAt + transmissionTime(next);
-      backlogEntries -= next.cost;
-      countDeparture(next.update.proxy(), now);
+      QueuedUpdate next = queue.removeFirst();
+      idleAtDeciMillis = idleAtDeciMillis + transmissionDeciMillis(next);
+      backlogEntries -= next.costEntries;
+      recordDeparture(next.update.proxy(), now);
       due.add(next.update);
     }
     return due;
   }
 
-  private void countDeparture(ProxyId proxy, long now) {
-    ArrayDeque<Long> times =
-        departures.computeIfAbsent(proxy.number(), number -> new ArrayDeque<>());
-    times.removeIf(at -> now - at > messageWindow);
-    times.add(now);
-    peakMessagesPerProxy = Math.max(peakMessagesPerProxy, times.size());
+  private void recordDeparture(ProxyId proxy, long now) {
+    ArrayDeque<Long> departureTimes =
+        departuresByProxy.computeIfAbsent(proxy.number(), number -> new ArrayDeque<>());
+    departureTimes.removeIf(at -> now - at > messageWindowDeciMillis);
+    departureTimes.add(now);
+    peakMessagesPerProxy = Math.max(peakMessagesPerProxy, departureTimes.size());
   }
 
-  private double transmissionTime(Waiting waiting) {
-    return waiting.cost * DeciMillis.SECOND / entriesPerSecond;
+  private double transmissionDeciMillis(QueuedUpdate queued) {
+    return queued.costEntries * DeciMillis.SECOND / entriesPerSecond;
   }
 
   /** When the next update leaves; {@code Long.MAX_VALUE} if none waits. */
   public long nextDepartureAt() {
     return queue.isEmpty()
         ? Long.MAX_VALUE
-        : (long) Math.ceil(freeAt + transmissionTime(queue.getFirst()));
+        : (long) Math.ceil(idleAtDeciMillis + transmissionDeciMillis(queue.getFirst()));
   }
 
   /** A proxy disconnected: what waits for it is dropped, and its messages are counted anew. */
   public void removeProxy(ProxyId proxy) {
-    for (Iterator<Waiting> it = queue.iterator(); it.hasNext(); ) {
-      Waiting waiting = it.next();
-      if (waiting.update.proxy().equals(proxy)) {
-        backlogEntries -= waiting.cost;
+    for (Iterator<QueuedUpdate> it = queue.iterator(); it.hasNext(); ) {
+      QueuedUpdate queued = it.next();
+      if (queued.update.proxy().equals(proxy)) {
+        backlogEntries -= queued.costEntries;
         it.remove();
       }
     }
-    departures.remove(proxy.number());
+    departuresByProxy.remove(proxy.number());
   }
 
   /** Entries that wait, overhead included. */
--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -27,9 +27,9 @@
     private final ZoneId zone;
     private long attempts;
     private long failures;
-    private double totalSuccessLatency;
+    private double successLatencySumDeciMillis;
     private LoadReport load = LoadReport.NONE;
-    private final Map<Integer, Long> intervalsByProxy = new HashMap<>();
+    private final Map<Integer, Long> intervalDeciMillisByProxy = new HashMap<>();
 
     EndpointTotals(EndpointId endpoint, ZoneId zone) {
       this.endpoint = endpoint;
@@ -40,8 +40,8 @@
       long successes = observation.attempts() - observation.failures();
       attempts += observation.attempts();
       failures += observation.failures();
-      totalSuccessLatency += (double) observation.successLatency() * successes;
-      intervalsByProxy.merge(proxy.number(), interval, Long::sum);
+      successLatencySumDeciMillis += (double) observation.successLatency() * successes;
+      intervalDeciMillisByProxy.merge(proxy.number(), interval, Long::sum);
       if (observation.load() != LoadReport.NONE) {
         load = observation.load();
       }
@@ -49,11 +49,18 @@
 
     Event.EndpointOutcomes toEvent() {
       long successes = attempts - failures;
-      long interval = intervalsByProxy.values().stream().mapToLong(s -> s).max().orElse(1);
-      long meanLatency =
-          successes > 0 ? Math.max(1, Math.round(totalSuccessLatency / successes)) : 0;
+      long longestIntervalDeciMillis =
+          intervalDeciMillisByProxy.values().stream().mapToLong(s -> s).max().orElse(1);
+      long meanLatencyDeciMillis =
+          successes > 0 ? Math.max(1, Math.round(successLatencySumDeciMillis / successes)) : 0;
       return new Event.EndpointOutcomes(
-          endpoint, zone, attempts, failures, interval, meanLatency, load);
+          endpoint,
+          zone,
+          attempts,
+          failures,
+          longestIntervalDeciMillis,
+          meanLatencyDeciMillis,
+          load);
     }
   }
 
@@ -63,21 +70,22 @@
     private final RequestClassId requestClass;
     private long requests;
     private long unanswered;
-    private long interval;
+    private long intervalDeciMillis;
 
     RequestTotals(ProxyId proxy, RequestClassId requestClass) {
       this.proxy = proxy;
       this.requestClass = requestClass;
     }
 
-    void add(long reportInterval, ProxyReport.RequestCount count) {
+    void add(long reportIntervalDeciMillis, ProxyReport.RequestCount count) {
       requests += count.requests();
       unanswered += count.unanswered();
-      interval += reportInterval;
+      intervalDeciMillis += reportIntervalDeciMillis;
     }
 
     Event.ProxyRequestRate toEvent() {
-      return new Event.ProxyRequestRate(proxy, requestClass, requests, unanswered, interval);
+      return new Event.ProxyRequestRate(
+          proxy, requestClass, requests, unanswered, intervalDeciMillis);
     }
   }
 
@@ -102,7 +110,7 @@
       addObservation(proxy, zone, report.interval(), observation);
     }
     for (ProxyReport.RequestCount count : report.requests()) {
-      addCount(proxy, report.interval(), count);
+      addRequestCount(proxy, report.interval(), count);
     }
   }
 
@@ -121,8 +129,8 @@
     totals.add(proxy, interval, observation);
   }
 
-  private void addCount(ProxyId proxy, long interval, ProxyReport.RequestCount count) {
-    long key = firstKey(proxy.number()) | count.requestClass().index();
+  private void addRequestCount(ProxyId proxy, long interval, ProxyReport.RequestCount count) {
+    long key = firstRequestKey(proxy.number()) | count.requestClass().index();
     RequestTotals totals = requestTotals.get(key);
     if (totals == null) {
       if (requestTotals.size() >= maxPairs) {
@@ -135,7 +143,7 @@
     totals.add(interval, count);
   }
 
-  private static long firstKey(long proxyNumber) {
+  private static long firstRequestKey(long proxyNumber) {
     return proxyNumber << REQUEST_CLASS_BITS;
   }
 
@@ -144,7 +152,9 @@
    * endpoints stays true.
    */
   public void discardRequestCounts(ProxyId proxy) {
-    requestTotals.subMap(firstKey(proxy.number()), firstKey(proxy.number() + 1L)).clear();
+    requestTotals
+        .subMap(firstRequestKey(proxy.number()), firstRequestKey(proxy.number() + 1L))
+        .clear();
   }
 
   /** Returns all totals as events, and starts anew. */
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -22,7 +22,7 @@
  * concerns. Not safe for several threads.
  */
 public final class RouteTables {
-  private final int requestClasses;
+  private final int requestClassCount;
   private final TreeMap<Integer, ConnectedProxy> proxies = new TreeMap<>();
   private final Map<Integer, StoredTable> tables = new TreeMap<>();
   private final Set<EndpointId> excluded = new HashSet<>();
@@ -31,11 +31,11 @@
   /**
    * Creates an empty state.
    *
-   * @param requestClasses how many request classes the settings have
+   * @param requestClassCount how many request classes the settings have
    */
-  public RouteTables(int requestClasses) {
-    this.requestClasses = requestClasses;
-    this.limitsForAllTables = new AdmissionLimit[requestClasses];
+  public RouteTables(int requestClassCount) {
+    this.requestClassCount = requestClassCount;
+    this.limitsForAllTables = new AdmissionLimit[requestClassCount];
   }
 
   /**
@@ -45,7 +45,7 @@
    */
   public void addProxy(ProxyId proxy, Optional<List<EndpointId>> tableEndpoints) {
     removeProxy(proxy);
-    proxies.put(proxy.number(), new ConnectedProxy(proxy, requestClasses, tableEndpoints));
+    proxies.put(proxy.number(), new ConnectedProxy(proxy, requestClassCount, tableEndpoints));
   }
 
   /** A proxy's connection ended; unknown proxies are ignored. */
@@ -54,9 +54,9 @@
     if (proxy == null) {
       return;
     }
-    for (int k = 0; k < requestClasses; k++) {
-      if (proxy.assigned(k) != null) {
-        table(proxy.assigned(k)).users().remove(id.number());
+    for (int k = 0; k < requestClassCount; k++) {
+      if (proxy.assignedTable(k) != null) {
+        getOrCreateTable(proxy.assignedTable(k)).proxyNumbers().remove(id.number());
       }
     }
   }
@@ -77,24 +77,24 @@
    * @return an update for each proxy concerned, in the order in which they were reached
    */
   public List<ProxyUpdate> apply(List<Command> commands, long now) {
-    Updates updates = new Updates();
+    BatchUpdates updates = new BatchUpdates();
     Optional<AckId> ack = Optional.empty();
-    boolean ackFromAll = false;
+    boolean ackFromEveryProxy = false;
     for (Command command : commands) {
       if (command instanceof Command.RequestAck request) {
         ack = Optional.of(request.ack());
-        ackFromAll = request.everyProxy();
+        ackFromEveryProxy = request.everyProxy();
       } else {
         apply(command, updates);
       }
     }
-    if (ackFromAll) {
-      proxies.values().forEach(proxy -> updates.of(proxy));
+    if (ackFromEveryProxy) {
+      proxies.values().forEach(proxy -> updates.forProxy(proxy));
     }
     return updates.build(ack, now);
   }
 
-  private void apply(Command command, Updates updates) {
+  private void apply(Command command, BatchUpdates updates) {
     if (command instanceof Command.SetRoute route) {
       setRoute(route, updates);
     } else if (command instanceof Command.ClearRouteTable clear) {
@@ -108,69 +108,69 @@
     }
   }
 
-  private void setRoute(Command.SetRoute command, Updates updates) {
-    StoredTable table = table(command.table());
+  private void setRoute(Command.SetRoute command, BatchUpdates updates) {
+    StoredTable table = getOrCreateTable(command.table());
     double weight = command.weight() > 0 ? command.weight() : 0;
     if (weight > 0) {
       table.weights().put(command.endpoint(), weight);
     } else {
       table.weights().remove(command.endpoint());
     }
-    for (int user : table.users()) {
-      updates.of(user).addCounted(routeChange(table, command.endpoint(), weight));
+    for (int proxyNumber : table.proxyNumbers()) {
+      updates.forProxy(proxyNumber).addCounted(routeChange(table, command.endpoint(), weight));
     }
   }
 
-  private void clearTable(RouteTableId id, Updates updates) {
-    StoredTable table = table(id);
+  private void clearTable(RouteTableId id, BatchUpdates updates) {
+    StoredTable table = getOrCreateTable(id);
     List<EndpointId> endpoints = List.copyOf(table.weights().keySet());
-    List<Integer> limited = limitedClasses(table);
+    List<Integer> limitedClasses = limitedRequestClasses(table);
     table.clear();
-    if (endpoints.isEmpty() && limited.isEmpty()) {
+    if (endpoints.isEmpty() && limitedClasses.isEmpty()) {
       return; // nothing changes: the table's users get no update
     }
-    for (int user : table.users()) {
-      ProxyUpdateBuilder update = updates.of(user);
+    for (int proxyNumber : table.proxyNumbers()) {
+      ProxyUpdateBuilder update = updates.forProxy(proxyNumber);
       endpoints.forEach(endpoint -> update.addCounted(routeChange(table, endpoint, 0)));
-      limited.forEach(k -> update.addCounted(table.limitChange(k)));
+      limitedClasses.forEach(k -> update.addCounted(table.limitChange(k)));
     }
   }
 
-  private void assignTable(Command.AssignRouteTable command, Updates updates) {
+  private void assignTable(Command.AssignRouteTable command, BatchUpdates updates) {
     ConnectedProxy proxy = proxies.get(command.proxy().number());
     if (proxy == null) {
       return; // it disconnected before the command
     }
     boolean usedBefore = proxy.uses(command.table());
-    ProxyUpdateBuilder update = updates.of(proxy);
-    for (int k = 0; k < requestClasses; k++) {
-      if (masked(command.requestClassMask(), k)) {
-        RouteTableId previous = proxy.assigned(k);
-        proxy.assign(k, command.table());
+    ProxyUpdateBuilder update = updates.forProxy(proxy);
+    for (int k = 0; k < requestClassCount; k++) {
+      if (isInMask(command.requestClassMask(), k)) {
+        RouteTableId previous = proxy.assignedTable(k);
+        proxy.assignTable(k, command.table());
         if (previous != null && !proxy.uses(previous)) {
-          dropTable(proxy, table(previous), update);
+          removeFromTable(proxy, getOrCreateTable(previous), update);
         }
         update.addUncounted(
             new ProxyChange.TableAssignment(new RequestClassId(k), command.table()));
       }
     }
     update.countEntry();
-    StoredTable table = table(command.table());
-    table.users().add(proxy.id().number());
+    StoredTable table = getOrCreateTable(command.table());
+    table.proxyNumbers().add(proxy.id().number());
     if (!usedBefore) {
-      sendTable(table, update);
+      addTableContent(table, update);
     }
   }
 
-  private static void dropTable(
+  private static void removeFromTable(
       ConnectedProxy proxy, StoredTable table, ProxyUpdateBuilder update) {
-    table.users().remove(proxy.id().number());
+    table.proxyNumbers().remove(proxy.id().number());
     for (EndpointId endpoint : table.weights().keySet()) {
       update.addUncounted(routeChange(table, endpoint, 0));
     }
   }
 
-  private void sendTable(StoredTable table, ProxyUpdateBuilder update) {
+  private void addTableContent(StoredTable table, ProxyUpdateBuilder update) {
     for (Map.Entry<EndpointId, Double> route : table.weights().entrySet()) {
       EndpointId endpoint = route.getKey();
       update.addCounted(routeChange(table, endpoint, route.getValue()));
@@ -178,10 +178,10 @@
         update.addCounted(new ProxyChange.ExclusionChange(endpoint, true));
       }
     }
-    limitedClasses(table).forEach(k -> update.addCounted(table.limitChange(k)));
+    limitedRequestClasses(table).forEach(k -> update.addCounted(table.limitChange(k)));
   }
 
-  private void excludeEndpoint(Command.ExcludeEndpoint command, Updates updates) {
+  private void excludeEndpoint(Command.ExcludeEndpoint command, BatchUpdates updates) {
     EndpointId endpoint = command.endpoint();
     if (command.excluded()) {
       excluded.add(endpoint);
@@ -189,45 +189,47 @@
       excluded.remove(endpoint);
     }
     for (ConnectedProxy proxy : proxies.values()) {
-      if (proxy.mayUseInitially(endpoint) || hasRouteTo(proxy, endpoint)) {
-        updates.of(proxy).addCounted(new ProxyChange.ExclusionChange(endpoint, command.excluded()));
+      if (proxy.mayUseByInitialTable(endpoint) || hasRouteTo(proxy, endpoint)) {
+        updates
+            .forProxy(proxy)
+            .addCounted(new ProxyChange.ExclusionChange(endpoint, command.excluded()));
       }
     }
   }
 
   private boolean hasRouteTo(ConnectedProxy proxy, EndpointId endpoint) {
-    for (int k = 0; k < requestClasses; k++) {
-      RouteTableId assigned = proxy.assigned(k);
-      if (assigned != null && table(assigned).hasRouteTo(endpoint)) {
+    for (int k = 0; k < requestClassCount; k++) {
+      RouteTableId assigned = proxy.assignedTable(k);
+      if (assigned != null && getOrCreateTable(assigned).hasRouteTo(endpoint)) {
         return true;
       }
     }
     return false;
   }
 
-  private void limitAdmission(Command.LimitAdmission command, Updates updates) {
+  private void limitAdmission(Command.LimitAdmission command, BatchUpdates updates) {
     AdmissionLimit limit = new AdmissionLimit(command.limit(), command.retryPolicy());
     if (command.table().equals(Command.ALL_TABLES)) {
-      for (int k = 0; k < requestClasses; k++) {
-        if (masked(command.requestClassMask(), k)) {
+      for (int k = 0; k < requestClassCount; k++) {
+        if (isInMask(command.requestClassMask(), k)) {
           limitsForAllTables[k] = limit;
         }
       }
-      // The changes themselves are added late, see addPendingGlobalLimits.
-      proxies.values().forEach(proxy -> updates.of(proxy).countEntry());
+      // The changes themselves are added late, see addPendingLimitsForAllTables.
+      proxies.values().forEach(proxy -> updates.forProxy(proxy).countEntry());
       return;
     }
-    StoredTable table = table(command.table());
-    for (int k = 0; k < requestClasses; k++) {
-      if (masked(command.requestClassMask(), k)) {
+    StoredTable table = getOrCreateTable(command.table());
+    for (int k = 0; k < requestClassCount; k++) {
+      if (isInMask(command.requestClassMask(), k)) {
         table.setLimit(k, limit);
       }
     }
-    for (int user : table.users()) {
-      ProxyUpdateBuilder update = updates.of(user);
+    for (int proxyNumber : table.proxyNumbers()) {
+      ProxyUpdateBuilder update = updates.forProxy(proxyNumber);
       update.countEntry();
-      for (int k = 0; k < requestClasses; k++) {
-        if (masked(command.requestClassMask(), k)) {
+      for (int k = 0; k < requestClassCount; k++) {
+        if (isInMask(command.requestClassMask(), k)) {
           update.addUncounted(table.limitChange(k));
         }
       }
@@ -238,10 +240,10 @@
    * Adds the limits for all tables that the proxy does not have yet. This happens late, when an
    * update is built, so that any update brings them to a proxy that connected after the command.
    */
-  private void addPendingGlobalLimits(ConnectedProxy proxy, ProxyUpdateBuilder update) {
-    for (int k = 0; k < requestClasses; k++) {
+  private void addPendingLimitsForAllTables(ConnectedProxy proxy, ProxyUpdateBuilder update) {
+    for (int k = 0; k < requestClassCount; k++) {
       AdmissionLimit limit = limitsForAllTables[k];
-      if (limit != null && proxy.replaceLimitIfDifferent(k, limit)) {
+      if (limit != null && proxy.replaceLimitForAllTablesIfDifferent(k, limit)) {
         update.addUncounted(
             new ProxyChange.AdmissionLimitChange(
                 Command.ALL_TABLES, new RequestClassId(k), Optional.of(limit)));
@@ -249,21 +251,21 @@
     }
   }
 
-  private StoredTable table(RouteTableId id) {
-    return tables.computeIfAbsent(id.number(), number -> new StoredTable(id, requestClasses));
+  private StoredTable getOrCreateTable(RouteTableId id) {
+    return tables.computeIfAbsent(id.number(), number -> new StoredTable(id, requestClassCount));
   }
 
-  private List<Integer> limitedClasses(StoredTable table) {
-    List<Integer> limited = new ArrayList<>();
-    for (int k = 0; k < requestClasses; k++) {
+  private List<Integer> limitedRequestClasses(StoredTable table) {
+    List<Integer> limitedClasses = new ArrayList<>();
+    for (int k = 0; k < requestClassCount; k++) {
       if (table.limit(k).isPresent()) {
-        limited.add(k);
+        limitedClasses.add(k);
       }
     }
-    return limited;
+    return limitedClasses;
   }
 
-  private static boolean masked(int requestClassMask, int requestClass) {
+  private static boolean isInMask(int requestClassMask, int requestClass) {
     return requestClassMask == 0 || (requestClassMask >> requestClass & 1) == 1;
   }
 
@@ -272,23 +274,23 @@
   }
 
   /** The updates of one event batch, by the order in which its proxies were reached. */
-  private final class Updates {
+  private final class BatchUpdates {
     private final Map<Integer, ProxyUpdateBuilder> builders = new LinkedHashMap<>();
 
-    ProxyUpdateBuilder of(ConnectedProxy proxy) {
+    ProxyUpdateBuilder forProxy(ConnectedProxy proxy) {
       return builders.computeIfAbsent(
           proxy.id().number(), number -> new ProxyUpdateBuilder(proxy.id()));
     }
 
-    ProxyUpdateBuilder of(int proxyNumber) {
-      return of(proxies.get(proxyNumber));
+    ProxyUpdateBuilder forProxy(int proxyNumber) {
+      return forProxy(proxies.get(proxyNumber));
     }
 
     /** Adds the pending global limits to each update, and completes it. */
     List<ProxyUpdate> build(Optional<AckId> ack, long now) {
       List<ProxyUpdate> updates = new ArrayList<>();
       for (Map.Entry<Integer, ProxyUpdateBuilder> entry : builders.entrySet()) {
-        addPendingGlobalLimits(proxies.get(entry.getKey()), entry.getValue());
+        addPendingLimitsForAllTables(proxies.get(entry.getKey()), entry.getValue());
         updates.add(entry.getValue().build(ack, now));
       }
       return updates;
--- a/src/main/java/stonespring/state/StoredTable.java
+++ b/src/main/java/stonespring/state/StoredTable.java
@@ -15,11 +15,11 @@
   private final TreeMap<EndpointId, Double> weights =
       new TreeMap<>(Comparator.comparing(EndpointId::name));
   private final AdmissionLimit[] limits;
-  private final TreeSet<Integer> users = new TreeSet<>();
+  private final TreeSet<Integer> proxyNumbers = new TreeSet<>();
 
-  StoredTable(RouteTableId id, int requestClasses) {
+  StoredTable(RouteTableId id, int requestClassCount) {
     this.id = id;
-    this.limits = new AdmissionLimit[requestClasses];
+    this.limits = new AdmissionLimit[requestClassCount];
   }
 
   RouteTableId id() {
@@ -32,8 +32,8 @@
   }
 
   /** The numbers of the proxies that use it, ascending. */
-  TreeSet<Integer> users() {
-    return users;
+  TreeSet<Integer> proxyNumbers() {
+    return proxyNumbers;
   }
 
   boolean hasRouteTo(EndpointId endpoint) {
--- a/src/test/java/stonespring/state/ProxySessionsTest.java
+++ b/src/test/java/stonespring/state/ProxySessionsTest.java
@@ -15,7 +15,7 @@
 
 final class ProxySessionsTest {
   @Test
-  void proxiesAreBoundedAndIdsOfTheDisconnectedAreReused() {
+  void refusesProxiesOverTheLimitAndReusesIdsOfDisconnectedOnes() {
     ProxySessions<Object> sessions = new ProxySessions<>(2);
     ProxyHello hello = hello("l", 1);
     Object connection = new Object();
@@ -25,13 +25,14 @@
         HelloResult.Connected.class, sessions.handleHello("b", hello, new Object(), 0, 10));
     assertInstanceOf(
         HelloResult.Refused.class, sessions.handleHello("c", hello, new Object(), 0, 10));
-    long before = sessions.sessionNumber(new ProxyId(0));
+    long earlierSessionNumber = sessions.sessionNumber(new ProxyId(0));
     assertEquals(List.of(new ProxyId(0)), sessions.endSessions(connection));
     HelloResult.Connected<Object> connected =
         (HelloResult.Connected<Object>) sessions.handleHello("c", hello, new Object(), 1, 10);
     assertEquals(new ProxyId(0), connected.proxy());
     assertTrue(
-        sessions.sessionNumber(connected.proxy()) > before, "a reused id is another session");
+        sessions.sessionNumber(connected.proxy()) > earlierSessionNumber,
+        "a reused id is another session");
     assertEquals(Optional.empty(), sessions.find("a", connection));
     assertEquals(2, sessions.endExpiredSessions(10).size());
     assertEquals(0, sessions.connectedCount());
@@ -39,7 +40,7 @@
 
   /** Random hellos of many proxies: no name is ever connected twice, and the count stays true. */
   @Test
-  void countMatchesTheConnectedInASeededRun() {
+  void connectedCountMatchesConnectedProxiesAfterEachRandomStep() {
     SplittableRandom random = new SplittableRandom(4);
     ProxySessions<Object> sessions = new ProxySessions<>(20);
     List<Object> connections = new ArrayList<>(List.of(new Object(), new Object(), new Object()));
--- a/src/test/java/stonespring/state/PublishedKeyCodecTest.java
+++ b/src/test/java/stonespring/state/PublishedKeyCodecTest.java
@@ -20,7 +20,7 @@
   private static final EndpointId ENDPOINT = new EndpointId("s/1");
   private final PublishedKeyCodec codec = new PublishedKeyCodec(List.of("look/up"));
 
-  private Map<String, Optional<String>> keys(ProxyChange... changes) {
+  private Map<String, Optional<String>> encode(ProxyChange... changes) {
     Map<String, Optional<String>> keys = new LinkedHashMap<>();
     for (ProxyChange change : changes) {
       keys.put(codec.key(change.subject()), codec.value(change));
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void writesEachKindOfChangeUnderItsKey() {
+  void encodesEachKindOfChangeUnderItsKey() {
     AdmissionLimit limit = new AdmissionLimit(0.5, RetryPolicy.TWICE_ON_FAILURE);
     assertEquals(
         Map.of(
@@ -43,7 +43,7 @@
             Optional.of("0.5 twice_on_failure"),
             "out/s/1",
             Optional.of("1")),
-        keys(
+        encode(
             new ProxyChange.RouteChange(TABLE, ENDPOINT, 0.25),
             new ProxyChange.TableAssignment(CLASS, TABLE),
             new ProxyChange.AdmissionLimitChange(TABLE, CLASS, Optional.of(limit)),
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void describesAnUpdateByItsKeys() {
+  void describesAnUpdateByItsKeysAndValues() {
     ProxyUpdate update =
         new ProxyUpdate(
             new ProxyId(0),
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void deletesTheKeysOfWhatIsRemoved() {
+  void deletesTheKeyWhenAnElementIsRemoved() {
     assertEquals(
         Map.of(
             "line/3/s/1",
@@ -75,7 +75,7 @@
             Optional.empty(),
             "out/s/1",
             Optional.empty()),
-        keys(
+        encode(
             new ProxyChange.RouteChange(TABLE, ENDPOINT, 0),
             new ProxyChange.AdmissionLimitChange(TABLE, CLASS, Optional.empty()),
             new ProxyChange.ExclusionChange(ENDPOINT, false)));
--- a/src/test/java/stonespring/state/PublishedStateTest.java
+++ b/src/test/java/stonespring/state/PublishedStateTest.java
@@ -12,7 +12,7 @@
 
 final class PublishedStateTest {
   @Test
-  void keysAreBoundedAndAnUpdateWithoutRoomDoesNotCommit() {
+  void doesNotCommitAnUpdateWhenTheStoreIsFull() {
     ProxySessions<Object> sessions = new ProxySessions<>(5);
     KeyStore keys = new KeyStore(10, 3);
     PublishedState published =
--- a/src/test/java/stonespring/state/RateLimitedChannelTest.java
+++ b/src/test/java/stonespring/state/RateLimitedChannelTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void updatesLeaveInOrderAtTheRateOfTheirEntries() {
+  void sendsUpdatesInOrderAtTheEntryRate() {
     RateLimitedChannel channel = channel(100);
     channel.offer(List.of(update(PROXY, 10), update(OTHER_PROXY, 30)), 0);
     assertEquals(60, channel.backlogEntries());
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void mergesUpdatesOfOneProxyOverTheBoundAndLosesNothing() {
+  void mergesUpdatesOfOneProxyWithoutLossWhenTheBacklogIsFull() {
     RateLimitedChannel channel = channel(50);
     for (int i = 0; i < 1000; i++) {
       ProxyUpdate update =
@@ -47,10 +47,11 @@
     }
     assertTrue(channel.backlogEntries() <= 60, "backlog " + channel.backlogEntries());
     assertTrue(channel.mergedUpdates() > 900);
-    Map<String, String> last = new LinkedHashMap<>();
-    channel.takeDue(1_000_000).forEach(update -> last.putAll(keys(update)));
+    Map<String, String> latestValues = new LinkedHashMap<>();
+    channel.takeDue(1_000_000).forEach(update -> latestValues.putAll(keys(update)));
     for (int k = 0; k < 5; k++) {
-      assertEquals(String.valueOf(995 + k), last.get("line/7/t" + k), "the later value stands");
+      assertEquals(
+          String.valueOf(995 + k), latestValues.get("line/7/t" + k), "the later value stands");
     }
     channel.offer(List.of(update(PROXY, 3), update(OTHER_PROXY, 3)), 2_000_000);
     channel.removeProxy(PROXY);
--- a/src/test/java/stonespring/state/ReportAggregatorTest.java
+++ b/src/test/java/stonespring/state/ReportAggregatorTest.java
@@ -17,7 +17,7 @@
 
 final class ReportAggregatorTest {
   @Test
-  void sumsEachPairAndDropsPairsOverTheBound() {
+  void sumsReportsOfEachPairAndDropsPairsOverTheLimit() {
     ReportAggregator reports = new ReportAggregator(2);
     LoadReport load = new LoadReport(0.5, 1, 1, 1, 1);
     ProxyReport report =
--- a/src/test/java/stonespring/state/RouteTablesTest.java
+++ b/src/test/java/stonespring/state/RouteTablesTest.java
@@ -20,13 +20,13 @@
 final class RouteTablesTest {
   private final RouteTables tables = new RouteTables(StateFixture.REQUEST_CLASSES.size());
 
-  private static Map<String, String> keysOf(ProxyUpdate update, int entries) {
+  private static Map<String, String> checkEntriesAndReadKeys(ProxyUpdate update, int entries) {
     assertEquals(entries, update.entries());
     return keys(update);
   }
 
   @Test
-  void updatesHoldTheFewestKeysAndTheirEntries() {
+  void buildsUpdatesOnlyForConcernedProxiesAndCountsTheirEntries() {
     tables.addProxy(PROXY, Optional.of(List.of(ENDPOINT_A)));
     tables.addProxy(OTHER_PROXY, Optional.of(List.of()));
     List<ProxyUpdate> first =
@@ -56,10 +56,10 @@
             "1 on_proof",
             "level/every/extract",
             "1 on_proof"),
-        keysOf(first.get(0), 7));
+        checkEntriesAndReadKeys(first.get(0), 7));
     assertEquals(
         Map.of("level/every/view", "1 on_proof", "level/every/extract", "1 on_proof"),
-        keysOf(first.get(1), 2));
+        checkEntriesAndReadKeys(first.get(1), 2));
     List<ProxyUpdate> second =
         tables.apply(
             List.of(
@@ -67,7 +67,7 @@
                 new Command.SetRoute(TABLE, ENDPOINT_B, 1)),
             6);
     assertEquals(1, second.size(), "a proxy that does not use the table gets no update");
-    Map<String, String> changes = keysOf(second.get(0), 2);
+    Map<String, String> changes = checkEntriesAndReadKeys(second.get(0), 2);
     assertTrue(changes.containsKey("line/7/a@h:1") && changes.get("line/7/a@h:1") == null);
     tables.removeProxy(PROXY);
     assertEquals(
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void firstUpdateOfALaterProxyHoldsLimitsAndTheExclusionsOfItsTable() {
+  void firstUpdateOfALateProxyHoldsEarlierLimitsAndItsTablesExclusions() {
     tables.apply(
         List.of(
             new Command.LimitAdmission(Command.ALL_TABLES, 1, RetryPolicy.NEVER, 0.5),
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void clearingAnEmptyTableCausesNoUpdate() {
+  void buildsNoUpdateWhenAnEmptyTableIsCleared() {
     tables.addProxy(PROXY, Optional.empty());
     tables.apply(List.of(new Command.AssignRouteTable(TABLE, PROXY, 0)), 1);
     assertEquals(List.of(), tables.apply(List.of(new Command.ClearRouteTable(TABLE)), 2));
