--- a/src/main/java/stonespring/model/AckId.java
+++ b/src/main/java/stonespring/model/AckId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** The number that an acknowledgement carries back. */
+/** Identifies a requested acknowledgement; the proxy returns the number with it. */
 public record AckId(int number) {}
--- a/src/main/java/stonespring/model/AdmissionLimitKind.java
+++ b/src/main/java/stonespring/model/AdmissionLimitKind.java
@@ -1,11 +1,11 @@
 package stonespring.model;
 
-/** What the number of an admission limit means. */
+/** Unit of an admission limit, the same for the whole fleet. */
 public enum AdmissionLimitKind {
-  /** Proxies limit nothing. */
+  /** Proxies admit every request. */
   NONE,
-  /** A fraction of the requests, 0 to 1. */
+  /** The limit is the fraction of requests that a proxy admits, 0 to 1. */
   FRACTION,
-  /** Requests per second at each proxy. */
+  /** The limit is the number of requests per second that each proxy admits. */
   RATE
 }
--- a/src/main/java/stonespring/model/Command.java
+++ b/src/main/java/stonespring/model/Command.java
@@ -1,62 +1,74 @@
 package stonespring.model;
 
 /**
- * What a {@link DecisionEngine} wants carried out, in the order given. Durations are in {@link
- * DeciMillis}; no component is null. Commands are immutable.
+ * A command of a {@link DecisionEngine}. The host executes the commands of a batch in the order
+ * returned. Durations are in {@link DeciMillis}; no component is null. Commands are immutable.
  *
- * <p>A request class mask is the sum of 2^k over the positions k of the classes meant; 0 stands for
- * all classes.
+ * <p>A request class mask has bit k set for each selected class, where k is the class's position in
+ * the settings; a mask of 0 selects all classes.
  */
 public sealed interface Command {
-  /** Stands for the tables of every connected proxy; only {@link LimitAdmission} takes it. */
+  /** Denotes the tables of all connected proxies; valid only in {@link LimitAdmission}. */
   RouteTableId ALL_TABLES = new RouteTableId(65535);
 
-  /** Fire a timer after the delay; it cannot be cancelled. */
+  /** Starts a timer that fires once after the delay; it cannot be cancelled. */
   record StartTimer(long delay, TimerToken token) implements Command {}
 
-  /** Fetch the whole endpoint list once. The present engine watches the list and never sends it. */
+  /**
+   * Fetches the whole endpoint list once. The current engine watches the list instead and never
+   * issues this command.
+   */
   record FetchEndpoints() implements Command {}
 
-  /** Start or end the watch on the endpoint list. */
+  /** Starts watching the endpoint list for changes, or stops watching it. */
   record WatchEndpoints(boolean enabled) implements Command {}
 
-  /** Set one route of a table; the others stay. A weight of 0 removes the route. */
+  /**
+   * Sets one route of a table and leaves its other routes as they are; weight 0 removes the route.
+   */
   record SetRoute(RouteTableId table, EndpointId endpoint, double weight) implements Command {}
 
-  /** Remove all routes and admission limits of a table. The present engine never sends it. */
+  /** Removes all routes and admission limits of a table. The current engine never issues it. */
   record ClearRouteTable(RouteTableId table) implements Command {}
 
-  /** Have a proxy use a table, and follow its changes, for the classes of the mask. */
+  /**
+   * Assigns a table to a proxy for the request classes of the mask. The proxy also receives later
+   * changes of the table.
+   */
   record AssignRouteTable(RouteTableId table, ProxyId proxy, int requestClassMask)
       implements Command {}
 
-  /** Stop connected proxies from using an endpoint whatever their tables say, or allow it again. */
+  /**
+   * Excludes an endpoint from use by connected proxies even where their tables have a route to it,
+   * or ends the exclusion.
+   */
   record ExcludeEndpoint(EndpointId endpoint, boolean excluded) implements Command {}
 
   /**
-   * Limit what proxies admit of the masked classes, and when they retry.
+   * Limits the requests of the masked classes that proxies admit, and sets their retry policy.
    *
-   * @param limit a fraction from 0 to 1, or requests per second at each proxy, as the settings'
-   *     {@link AdmissionLimitKind} has it
+   * @param table the table whose proxies are limited, or {@link #ALL_TABLES}
+   * @param limit a fraction from 0 to 1, or requests per second at each proxy, depending on the
+   *     {@link AdmissionLimitKind} in the settings
    */
   record LimitAdmission(
       RouteTableId table, int requestClassMask, RetryPolicy retryPolicy, double limit)
       implements Command {}
 
   /**
-   * Have each proxy that this batch reaches acknowledge it.
+   * Requests an acknowledgement from each proxy that this batch of commands changes.
    *
-   * @param everyProxy whether proxies that it does not reach are sent a message too; always false
-   *     from the present engine
+   * @param everyProxy whether proxies that the batch does not change also receive a message and
+   *     acknowledge it; the current engine always passes false
    */
   record RequestAck(AckId ack, boolean everyProxy) implements Command {}
 
-  /** Check an endpoint's health from this instance. The present engine never sends it. */
+  /** Checks an endpoint's health from this instance. The current engine never issues it. */
   record HealthCheck(EndpointId endpoint) implements Command {}
 
-  /** Send bytes to another instance, or to all. The present engine never sends it. */
+  /** Sends bytes to one or all other instances. The current engine never issues it. */
   record SendToPeer(PeerId peer, byte[] bytes) implements Command {}
 
-  /** Log one line. */
+  /** Writes one line to the log. */
   record Log(String text) implements Command {}
 }
--- a/src/main/java/stonespring/model/DecisionEngine.java
+++ b/src/main/java/stonespring/model/DecisionEngine.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * One instance of the decision logic. A host passes all events of a batch to {@link #handle}, then
- * carries out, in order, what {@link #endBatch} returns. An engine does no I/O, reads no clock and
- * starts no thread; it must be called from one thread at a time.
+ * The decision logic of one instance. Its host passes each event of a batch to {@link #handle},
+ * then calls {@link #endBatch} and executes the returned commands in order. An engine performs no
+ * I/O, reads no clock and starts no thread. Callers must not invoke it from two threads at once.
  */
 public interface DecisionEngine {
   /**
-   * Takes one event.
+   * Processes one event.
    *
-   * @param now the host's clock, {@link DeciMillis}; never goes back
+   * @param now the time by the host's clock, {@link DeciMillis}; never less than in an earlier call
    */
   void handle(long now, Event event);
 
   /**
-   * Ends the batch.
+   * Ends the current batch of events and returns the resulting commands.
    *
-   * @param now the host's clock, {@link DeciMillis}
-   * @return the commands to carry out, in order; empty if there are none
+   * @param now the time by the host's clock, {@link DeciMillis}
+   * @return the commands in the order in which the host executes them; may be empty
    */
   List<Command> endBatch(long now);
 }
--- a/src/main/java/stonespring/model/EndpointId.java
+++ b/src/main/java/stonespring/model/EndpointId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** An endpoint's name as the endpoint list gives it; passed on unaltered. */
+/** Identifies an endpoint by its name in the endpoint list, unchanged. */
 public record EndpointId(String name) {}
--- a/src/main/java/stonespring/model/EndpointRecord.java
+++ b/src/main/java/stonespring/model/EndpointRecord.java
@@ -1,20 +1,21 @@
 package stonespring.model;
 
 /**
- * One endpoint as the endpoint list has it.
+ * An entry of the endpoint list.
  *
- * @param weight relative capacity; no unit
- * @param startedAt when its process last started, {@link DeciMillis}; 0 for long ago
+ * @param weight capacity relative to other endpoints; has no unit
+ * @param startedAt when the process of the endpoint last started, {@link DeciMillis}; 0 if it
+ *     started long ago
  */
 public record EndpointRecord(
     EndpointId endpoint, ZoneId zone, double weight, State state, long startedAt) {
-  /** Whether an endpoint takes requests. */
+  /** Availability of an endpoint for requests. */
   public enum State {
-    /** It takes requests. */
+    /** The endpoint accepts requests. */
     READY,
-    /** It completes what it has and takes no new requests. */
+    /** The endpoint completes its requests in flight and accepts no new ones. */
     DRAINING,
-    /** It is no longer listed. */
+    /** The endpoint is no longer in the endpoint list. */
     REMOVED
   }
 }
--- a/src/main/java/stonespring/model/Event.java
+++ b/src/main/java/stonespring/model/Event.java
@@ -3,65 +3,68 @@
 import java.util.List;
 
 /**
- * What a {@link DecisionEngine} is notified of. Instants and durations are in {@link DeciMillis};
- * no component is null. Events are immutable and may be passed between threads.
+ * An event that the host reports to a {@link DecisionEngine}. Instants and durations are in {@link
+ * DeciMillis}; no component is null. Events are immutable and may be passed between threads.
  */
 public sealed interface Event {
-  /** How an update of the endpoint list relates to the list that the engine holds. */
+  /** How an update of the endpoint list applies to the list that the engine holds. */
   enum ListUpdateKind {
-    /** Entries that changed; all others stand. */
+    /** The update contains only changed entries; all others remain. */
     DELTA,
-    /** The whole list; an endpoint that it lacks is removed. */
+    /** The update contains the whole list; endpoints missing from it are removed. */
     SNAPSHOT,
-    /** The whole list as this instance last held it, before a restart; it may be stale. */
+    /**
+     * The update contains the whole list as this instance held it before a restart; it may be
+     * stale.
+     */
     CACHED,
-    /** A fetch or a watch failed, or the watch ended; the list held stands. */
+    /** A fetch or the watch failed, or the watch ended; the list that the engine holds remains. */
     FETCH_FAILED
   }
 
-  /** An event of one connected proxy. */
+  /** An event that concerns one connected proxy. */
   sealed interface ProxyEvent extends Event {
-    /** The proxy that the event is about. */
+    /** Returns the proxy that the event concerns. */
     ProxyId proxy();
   }
 
-  /** The endpoint list changed, or could not be had. */
+  /** The endpoint list changed or could not be obtained. */
   record EndpointListUpdate(ListUpdateKind kind, List<EndpointRecord> endpoints) implements Event {}
 
   /**
-   * Another instance sent a message; its bytes have no meaning outside the engine. The present
-   * engine ignores it.
+   * A message from another instance; only engines interpret its bytes. The current engine ignores
+   * it.
    */
   record PeerMessage(PeerId from, byte[] bytes) implements Event {}
 
   /**
-   * A proxy connected.
+   * A proxy connected to this instance.
    *
-   * @param requestsPerSecond what it usually receives; rough
-   * @param withoutTables whether it holds at most its bootstrap routes; if false, it may also hold
-   *     tables that another instance, or an earlier connection, assigned to it
+   * @param requestsPerSecond rough estimate of the request rate that the proxy usually receives
+   * @param withoutTables whether the proxy holds no tables beyond its bootstrap routes; if false,
+   *     it may also hold tables assigned by another instance or during an earlier connection
    */
   record ProxyConnected(ProxyId proxy, ZoneId zone, double requestsPerSecond, boolean withoutTables)
       implements ProxyEvent {}
 
-  /** A proxy's connection ended. */
+  /** The connection of a proxy ended. */
   record ProxyDisconnected(ProxyId proxy) implements ProxyEvent {}
 
   /**
-   * Requests of one class that a proxy received.
+   * The requests of one class that a proxy received during an interval.
    *
-   * @param requests all that were received, rejected ones and repeats of clients included
-   * @param unanswered requests that were admitted and never answered; the present engine does not
-   *     read it
-   * @param interval the time that they were counted over
+   * @param requests number of requests received, including rejected ones and clients' retries
+   * @param unanswered number of requests that were admitted but never answered; the current engine
+   *     does not read it
+   * @param interval duration over which the requests were counted
    */
   record ProxyRequestRate(
       ProxyId proxy, RequestClassId requestClass, long requests, long unanswered, long interval)
       implements ProxyEvent {}
 
   /**
-   * Requests of one class that all connected proxies received for a shard; components as in {@link
-   * ProxyRequestRate}. The present engine ignores it.
+   * The requests of one class that all connected proxies received for a shard; the components match
+   * those of {@link ProxyRequestRate}. The current engine ignores it.
    */
   record ShardRequestRate(
       RouteTableId shard,
@@ -71,23 +74,24 @@
       long interval)
       implements Event {}
 
-  /** A shard was assigned to this instance or taken from it. The present engine ignores it. */
+  /** This instance gained or lost ownership of a shard. The current engine ignores it. */
   record ShardOwnership(RouteTableId shard, boolean owned) implements Event {}
 
   /**
-   * A route of a shard's stored table, following the shard's assignment. The present engine ignores
-   * it.
+   * A route of a shard's stored table, reported after this instance gained ownership of the shard.
+   * The current engine ignores it.
    */
   record ShardRoute(RouteTableId shard, EndpointId endpoint, double weight) implements Event {}
 
   /**
-   * What the connected proxies of one zone observed at an endpoint.
+   * The outcomes of attempts at an endpoint, summed over the connected proxies of one zone.
    *
-   * @param attempts attempts that ended
-   * @param failures attempts without a successful answer
-   * @param interval the time that they were counted over
-   * @param successLatency mean duration of the successful ones, 0 if there were none
-   * @param report the latest load report among the answers
+   * @param attempts number of attempts that ended
+   * @param failures number of attempts that ended without a successful response
+   * @param interval duration over which the attempts were counted
+   * @param successLatency mean duration of successful attempts; 0 if there were none
+   * @param report the latest load report received with a response; {@link LoadReport#NONE} if there
+   *     was none
    */
   record EndpointOutcomes(
       EndpointId endpoint,
@@ -99,24 +103,24 @@
       LoadReport report)
       implements Event {}
 
-  /** The result of a {@link Command.HealthCheck}. The present engine ignores it. */
+  /** The result of a {@link Command.HealthCheck}. The current engine ignores it. */
   record HealthCheckResult(EndpointId endpoint, boolean healthy, long duration, LoadReport report)
       implements Event {}
 
   /**
-   * A proxy applied the update that carried an acknowledgement request.
+   * A proxy acknowledged that it applied an update.
    *
-   * @param duration how long the update took; some hosts measure from the command to its effect,
-   *     others from the update's arrival at the proxy. The present engine does not read it.
+   * @param duration time until the update took effect; some hosts measure it from the command,
+   *     others from the update's arrival at the proxy. The current engine does not read it.
    */
   record UpdateAcknowledged(ProxyId proxy, AckId ack, long duration) implements ProxyEvent {}
 
-  /** Weights that the solver proposes for a proxy: advice that the engine may follow in part. */
+  /** Route weights that the solver proposes for a proxy; the engine may adopt them in part. */
   record WeightsProposed(ProxyId proxy, List<Share> routes) implements ProxyEvent {
-    /** The share of the proxy's requests, 0 to 1, that an endpoint would get. */
+    /** The proposed share of the proxy's requests for one endpoint; the weight is 0 to 1. */
     public record Share(EndpointId endpoint, double weight) {}
   }
 
-  /** A timer that the engine started has run out. */
+  /** A timer that the engine started has fired. */
   record TimerFired(TimerToken token) implements Event {}
 }
--- a/src/main/java/stonespring/model/LoadReport.java
+++ b/src/main/java/stonespring/model/LoadReport.java
@@ -1,13 +1,13 @@
 package stonespring.model;
 
 /**
- * An endpoint's own account of its load. A figure that it does not give is NaN.
+ * The load that an endpoint reports about itself. A value that the endpoint omits is NaN.
  *
- * @param utilization busy share of its capacity, 0 to 1
- * @param queueLength requests that wait
- * @param inFlight requests that are being served
- * @param serviceTimeMillis mean time of a request, milliseconds
- * @param requestsPerSecond requests that it completes
+ * @param utilization busy fraction of the endpoint's capacity; nominally 0 to 1
+ * @param queueLength number of queued requests
+ * @param inFlight number of requests being served
+ * @param serviceTimeMillis mean service time of a request, milliseconds
+ * @param requestsPerSecond rate of completed requests
  */
 public record LoadReport(
     double utilization,
@@ -15,7 +15,7 @@
     double inFlight,
     double serviceTimeMillis,
     double requestsPerSecond) {
-  /** Tells nothing. */
+  /** A report without any value. */
   public static final LoadReport NONE =
       new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 }
--- a/src/main/java/stonespring/model/PeerId.java
+++ b/src/main/java/stonespring/model/PeerId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** Another instance's number; -1 stands for every peer. */
+/** Identifies another instance by its number; -1 denotes all other instances. */
 public record PeerId(int number) {}
--- a/src/main/java/stonespring/model/ProxyId.java
+++ b/src/main/java/stonespring/model/ProxyId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** A proxy's number at this instance. */
+/** Identifies a proxy by the number that it has at this instance. */
 public record ProxyId(int number) {}
--- a/src/main/java/stonespring/model/RequestClass.java
+++ b/src/main/java/stonespring/model/RequestClass.java
@@ -1,9 +1,9 @@
 package stonespring.model;
 
 /**
- * A class of requests that are treated alike.
+ * A class of requests that share a latency objective, a priority and a retry safety.
  *
- * @param latencyObjective when an answer is wanted, {@link DeciMillis} after the request
- * @param priorityWeight what a timely answer is worth, relative to the other classes
+ * @param latencyObjective target time from a request to its response, {@link DeciMillis}
+ * @param priorityWeight value of a response within the objective, relative to other classes
  */
 public record RequestClass(RetrySafety retrySafety, long latencyObjective, double priorityWeight) {}
--- a/src/main/java/stonespring/model/RequestClassId.java
+++ b/src/main/java/stonespring/model/RequestClassId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** A request class, by its position in the settings. */
+/** Identifies a request class by its position in the settings, from 0. */
 public record RequestClassId(int index) {}
--- a/src/main/java/stonespring/model/RetryPolicy.java
+++ b/src/main/java/stonespring/model/RetryPolicy.java
@@ -1,13 +1,13 @@
 package stonespring.model;
 
-/** When a proxy repeats a request at another endpoint. */
+/** When a proxy retries a failed request at another endpoint. */
 public enum RetryPolicy {
-  /** Not at all. */
+  /** The proxy never retries. */
   NEVER,
-  /** Once, if it is proven that the first attempt was not executed. */
+  /** The proxy retries once, if the first attempt provably was not executed. */
   IF_NOT_EXECUTED,
-  /** Once, after any failure. The present engine never commands it. */
+  /** The proxy retries once, after any failure. The current engine never uses this policy. */
   ONCE_ON_FAILURE,
-  /** Twice, after any failure. The present engine never commands it. */
+  /** The proxy retries up to twice, after any failure. The current engine never uses it. */
   TWICE_ON_FAILURE
 }
--- a/src/main/java/stonespring/model/RetrySafety.java
+++ b/src/main/java/stonespring/model/RetrySafety.java
@@ -1,11 +1,11 @@
 package stonespring.model;
 
-/** Whether a request may be executed more than once. */
+/** Whether executing a request more than once is safe. */
 public enum RetrySafety {
-  /** Any number of executions has the effect of one. */
+  /** Repeated executions have the same effect as one. */
   IDEMPOTENT,
-  /** Endpoints recognise a repeat by its key. */
+  /** Endpoints recognize a repeated request by its idempotency key. */
   IDEMPOTENCY_KEYED,
-  /** A repeat may take effect again. */
+  /** A repeated execution may take effect a second time. */
   NON_IDEMPOTENT
 }
--- a/src/main/java/stonespring/model/RouteTableId.java
+++ b/src/main/java/stonespring/model/RouteTableId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** A route table's number; in sharded fleets, a shard's number. */
+/** Identifies a route table by its number; in sharded fleets, the number of a shard. */
 public record RouteTableId(int number) {}
--- a/src/main/java/stonespring/model/Settings.java
+++ b/src/main/java/stonespring/model/Settings.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a {@link DecisionEngine} is given at its start. Immutable; no component is null. Instants
- * and durations are in {@link DeciMillis}.
+ * The settings of a {@link DecisionEngine}, fixed at its start. Immutable; no component is null.
+ * Instants and durations are in {@link DeciMillis}.
  *
- * @param requestClasses the classes of requests; a {@link RequestClassId} is a position in it
- * @param reportInterval how often proxies' reports arrive
+ * @param requestClasses the request classes; a {@link RequestClassId} is a position in this list
+ * @param reportInterval the interval at which reports from proxies arrive
  */
 public record Settings(
     Fleet fleet,
@@ -19,36 +19,39 @@
     SlowStart slowStart,
     long reportInterval) {
   /**
-   * How large the fleet is.
+   * The size and kind of the fleet.
    *
-   * @param instances instances of stonespring that share the proxies
+   * @param instances number of stonespring instances that share the proxies
    * @param zones number of zones; a {@link ZoneId} is a position among them
-   * @param proxies about how many proxies there are, over all instances
-   * @param sharded whether route tables belong to shards in place of proxies; the present engine
-   *     sends such a fleet no route tables
+   * @param proxies approximate number of proxies over all instances
+   * @param sharded whether route tables belong to shards instead of proxies; the current engine
+   *     sends no route tables to a sharded fleet
    */
   public record Fleet(int instances, int zones, int proxies, boolean sharded) {}
 
   /**
-   * How the endpoint list is to be read.
+   * Rules for interpreting the endpoint list.
    *
-   * @param watchRequired whether changes come only to who watches the list
-   * @param removedEndpointsKeepServing whether a removed endpoint may be used while it answers
+   * @param watchRequired whether only a watch on the list delivers its changes
+   * @param removedEndpointsKeepServing whether an endpoint removed from the list may still be used
+   *     as long as it responds
    */
   public record EndpointListRules(boolean watchRequired, boolean removedEndpointsKeepServing) {}
 
   /**
-   * Limits of the channel to the proxies. An entry is a route, limit, exclusion or acknowledgement
-   * request, counted at each proxy that it reaches.
+   * Limits of the channel to the proxies. An entry is a route, an admission limit, an exclusion or
+   * an acknowledgement request; it counts once for each proxy that receives it.
    *
-   * @param maxBacklogEntries entries that may wait
-   * @param messageOverheadEntries entries that a message costs besides its content
-   * @param maxMessagesPerProxy messages to one proxy within the window; 0 for no limit
-   * @param messageWindow the window that the limit of messages counts over
-   * @param entriesPerSecond entries that the channel carries
-   * @param proxyTablesUnknown whether proxies do not say which endpoints the tables name that they
-   *     bring along: an exclusion is then an entry at each of them, and what a first table names
-   *     must be allowed again, an entry each, as another instance may have excluded it
+   * @param maxBacklogEntries maximum number of entries that wait in the channel
+   * @param messageOverheadEntries cost of a message in entries, in addition to its content
+   * @param maxMessagesPerProxy maximum number of messages to one proxy within the message window; 0
+   *     if unlimited
+   * @param messageWindow duration of the window for which messages to a proxy are counted
+   * @param entriesPerSecond number of entries that the channel transmits per second
+   * @param proxyTablesUnknown whether connecting proxies do not report the endpoints in the tables
+   *     that they already hold. If so, an exclusion costs an entry at each such proxy, and each
+   *     endpoint in the first table assigned to a proxy must be allowed explicitly, at one entry
+   *     each, because another instance may have excluded it
    */
   public record ChannelLimits(
       int maxBacklogEntries,
@@ -59,15 +62,15 @@
       boolean proxyTablesUnknown) {}
 
   /**
-   * Rules and costs of routing.
+   * Routing rules and costs.
    *
-   * @param maxTimeWithoutEndpoint how long a connected proxy may have no route while a warm
-   *     endpoint is listed
-   * @param bootstrapRouteCount the most routes of the table that a proxy starts with
-   * @param crossZonePenalty cost of a request to another zone, as a share of its value
-   * @param worstClassWeight share of the objective that the worst served class decides
-   * @param ejectAfterConsecutiveFailures failures in a row after which a proxy ejects an endpoint
-   *     by itself; 0 for never
+   * @param maxTimeWithoutEndpoint maximum time that a connected proxy may have no route while the
+   *     list contains a warm endpoint
+   * @param bootstrapRouteCount maximum number of routes in the table that a proxy starts with
+   * @param crossZonePenalty cost of a request to another zone, as a fraction of the request's value
+   * @param worstClassWeight fraction of the objective that depends on the worst served class alone
+   * @param ejectAfterConsecutiveFailures number of consecutive failures after which a proxy ejects
+   *     an endpoint on its own; 0 if it never does
    */
   public record RoutingRules(
       long maxTimeWithoutEndpoint,
@@ -77,20 +80,20 @@
       int ejectAfterConsecutiveFailures) {}
 
   /**
-   * How an endpoint warms up.
+   * The slow start of endpoints: their capacity grows while they warm up.
    *
-   * @param window time from its start until it has its whole capacity
-   * @param initialFraction share of its capacity that it has at its start, 0 to 1
-   * @param overloadMultiple times its present capacity at which an endpoint that is warming up
-   *     fails
+   * @param window time from the start of an endpoint until it has its full capacity
+   * @param initialFraction fraction of the full capacity that an endpoint has at its start, 0 to 1
+   * @param overloadMultiple load at which an endpoint that is warming up fails, as a multiple of
+   *     its current capacity
    */
   public record SlowStart(long window, double initialFraction, double overloadMultiple) {
     /**
-     * The share of its capacity that an endpoint has at least: it rises from the initial fraction,
-     * linearly at worst.
+     * Returns a lower bound of the fraction of its full capacity that an endpoint has. The bound
+     * rises linearly from the initial fraction; the actual capacity may rise faster.
      *
-     * @param startedAt when it started; 0 for long ago
-     * @return a fraction from 0 to 1; 1 once it is warm
+     * @param startedAt when the endpoint started; 0 if it started long ago
+     * @return a fraction from 0 to 1; 1 once the endpoint is warm
      */
     public double warmUpFraction(long startedAt, long now) {
       if (startedAt <= 0) {
@@ -102,8 +105,8 @@
   }
 
   /**
-   * These settings as they hold on the operators' platform: the endpoint list comes only to who
-   * watches it, and proxies do not say what their tables hold.
+   * Returns a copy of these settings with the constraints of the operators' platform: only a watch
+   * delivers changes of the endpoint list, and proxies do not report what their tables contain.
    */
   public Settings withPlatformConstraints() {
     ChannelLimits platformChannel =
--- a/src/main/java/stonespring/model/TimerToken.java
+++ b/src/main/java/stonespring/model/TimerToken.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** Tells one timer from another; chosen by who starts it. */
+/** Identifies a timer; the engine that starts the timer chooses the value. */
 public record TimerToken(long value) {}
--- a/src/main/java/stonespring/model/ZoneId.java
+++ b/src/main/java/stonespring/model/ZoneId.java
@@ -1,4 +1,4 @@
 package stonespring.model;
 
-/** A zone, by its position in the settings. */
+/** Identifies a zone by its position in the settings, from 0. */
 public record ZoneId(int index) {}
--- a/src/main/java/stonespring/state/AdmissionLimit.java
+++ b/src/main/java/stonespring/state/AdmissionLimit.java
@@ -3,17 +3,17 @@
 import stonespring.model.RetryPolicy;
 
 /**
- * What proxies admit of a request class, and when they retry it.
+ * The admission limit of a request class and the retry policy of its requests.
  *
- * @param limit a fraction from 0 to 1, or requests per second at each proxy, as the settings'
- *     {@link stonespring.model.AdmissionLimitKind} has it; finite
+ * @param limit a fraction from 0 to 1, or requests per second at each proxy, depending on the
+ *     {@link stonespring.model.AdmissionLimitKind} in the settings; finite
  */
 public record AdmissionLimit(double limit, RetryPolicy retryPolicy) {
-  /** Checks that the limit can be written as a decimal; -0.0 becomes 0.0. */
+  /** Rejects a limit that is not finite, since it has no decimal form; converts -0.0 to 0.0. */
   public AdmissionLimit {
     if (!Double.isFinite(limit)) {
       throw new IllegalArgumentException("admission limit " + limit);
     }
-    limit += 0.0; // both zeros are published alike and must be equal
+    limit += 0.0; // -0.0 and 0.0 have the same published form, so they must be equal
   }
 }
--- a/src/main/java/stonespring/state/ConnectedProxy.java
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -9,8 +9,8 @@
 import stonespring.model.RouteTableId;
 
 /**
- * What was sent to one connected proxy: its tables, by request class, and the limits for all
- * tables.
+ * What this instance has sent to one connected proxy: the table of each request class, and the
+ * limits that apply to all tables.
  */
 final class ConnectedProxy {
   private final ProxyId id;
@@ -19,9 +19,10 @@
   private final Optional<Set<EndpointId>> initialEndpoints;
 
   /**
-   * Creates a proxy without tables of this instance.
+   * Creates a proxy to which this instance has assigned no table yet.
    *
-   * @param initialEndpoints the endpoints that the tables it brought along name; empty if unknown
+   * @param initialEndpoints the endpoints in the tables that the proxy held when it connected;
+   *     empty if they are unknown
    */
   ConnectedProxy(ProxyId id, int requestClassCount, Optional<List<EndpointId>> initialEndpoints) {
     this.id = id;
@@ -34,7 +35,10 @@
     return id;
   }
 
-  /** The table that it uses for a request class; null for one that it brought along. */
+  /**
+   * Returns the table assigned for a request class; null if the proxy still uses the table that it
+   * held when it connected.
+   */
   RouteTableId assignedTable(int requestClass) {
     return assignedTables[requestClass];
   }
@@ -52,7 +56,7 @@
     return false;
   }
 
-  /** Whether it may use the endpoint by a table that it brought along. */
+  /** Whether the proxy may use the endpoint through a table that it held when it connected. */
   boolean mayUseByInitialTable(EndpointId endpoint) {
     for (RouteTableId used : assignedTables) {
       if (used == null) {
@@ -62,7 +66,11 @@
     return false;
   }
 
-  /** Replaces a limit for all tables; false if it equals the last one sent. */
+  /**
+   * Replaces the limit of a request class for all tables.
+   *
+   * @return false if the limit equals the last one sent
+   */
   boolean replaceLimitForAllTablesIfDifferent(int requestClass, AdmissionLimit limit) {
     if (limit.equals(limitsForAllTables[requestClass])) {
       return false;
--- a/src/main/java/stonespring/state/HelloResult.java
+++ b/src/main/java/stonespring/state/HelloResult.java
@@ -4,21 +4,21 @@
 import stonespring.model.ProxyId;
 
 /**
- * What a {@link ProxyHello} led to.
+ * The outcome of a {@link ProxyHello}.
  *
- * @param <C> stands for a connection
+ * @param <C> type of a connection
  */
 public sealed interface HelloResult<C> {
   /**
-   * A session began.
+   * A session started.
    *
-   * @param replaced the connection of the same proxy's earlier session, if this ended one
+   * @param replaced the connection of the earlier session of the same name, if this hello ended one
    */
   record Connected<C>(ProxyId proxy, Optional<C> replaced) implements HelloResult<C> {}
 
-  /** The session goes on. */
+  /** The existing session was renewed. */
   record Renewed<C>(ProxyId proxy) implements HelloResult<C> {}
 
-  /** There is no session. */
+  /** The hello was refused: no session started. */
   record Refused<C>(String reason) implements HelloResult<C> {}
 }
--- a/src/main/java/stonespring/state/KeyStore.java
+++ b/src/main/java/stonespring/state/KeyStore.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * The published keys with their sequence numbers, which rise strictly. Not safe for several
- * threads.
+ * The published keys and their values. Each update has a sequence number higher than all before it.
+ * Not thread-safe.
  */
 public final class KeyStore {
   private static final byte[] DELETED = new byte[0];
@@ -23,8 +23,8 @@
   /**
    * Creates an empty store.
    *
-   * @param sequence the highest sequence number that an earlier run may have given out
-   * @param maxKeys the most keys that it holds
+   * @param sequence the highest sequence number that an earlier run may have assigned
+   * @param maxKeys maximum number of keys
    */
   public KeyStore(long sequence, int maxKeys) {
     this.sequence = sequence;
@@ -34,7 +34,8 @@
   /**
    * Sets a key; an empty value deletes it.
    *
-   * @return the update, or empty if the store is full: then nothing changed
+   * @return the update; empty if the key is new and the store is full, in which case nothing
+   *     changes
    */
   public Optional<KeyUpdate> put(String key, byte[] value) {
     if (value.length == 0) {
@@ -47,18 +48,22 @@
     return Optional.of(new KeyUpdate(key, sequence, value));
   }
 
-  /** Deletes a key; there is an update even if the key did not exist. */
+  /** Deletes a key; returns an update even if the key did not exist. */
   public KeyUpdate delete(String key) {
     entries.remove(key);
     return new KeyUpdate(key, ++sequence, DELETED);
   }
 
-  /** Drops a subtree without updates: for keys that nobody follows any more. */
+  /** Removes the keys of a subtree without updates, for keys that have no subscriber any more. */
   public void discardSubtree(String subtree) {
     entriesIn(subtree).clear();
   }
 
-  /** The keys of a subtree as they stand, by name; the empty subtree is the whole store. */
+  /**
+   * Returns the current keys of a subtree, ordered by name.
+   *
+   * @param subtree prefix of the keys; the empty string selects the whole store
+   */
   public List<KeyUpdate> snapshot(String subtree) {
     List<KeyUpdate> keys = new ArrayList<>();
     for (Map.Entry<String, Entry> entry : entriesIn(subtree).entrySet()) {
@@ -79,7 +84,7 @@
     return entries.containsKey(key);
   }
 
-  /** The highest sequence number given out. */
+  /** Returns the highest sequence number assigned. */
   public long sequence() {
     return sequence;
   }
--- a/src/main/java/stonespring/state/KeyUpdate.java
+++ b/src/main/java/stonespring/state/KeyUpdate.java
@@ -1,9 +1,9 @@
 package stonespring.state;
 
 /**
- * One change of a published key.
+ * A change of one published key.
  *
- * @param sequence higher than that of every earlier update
- * @param value the new value; empty if the key is deleted
+ * @param sequence sequence number, higher than that of every earlier update
+ * @param value the new value; an empty array if the key is deleted
  */
 public record KeyUpdate(String key, long sequence, byte[] value) {}
--- a/src/main/java/stonespring/state/PlainDecimal.java
+++ b/src/main/java/stonespring/state/PlainDecimal.java
@@ -2,11 +2,11 @@
 
 import java.math.BigDecimal;
 
-/** Numbers as the proxies' protocols write them. */
+/** The number format of the protocols to the proxies. */
 public final class PlainDecimal {
   private PlainDecimal() {}
 
-  /** Writes a finite number as a plain decimal, never with an exponent. */
+  /** Formats a finite number as a decimal without exponent or trailing zeros. */
   public static String format(double number) {
     return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
   }
--- a/src/main/java/stonespring/state/ProxyAcknowledgement.java
+++ b/src/main/java/stonespring/state/ProxyAcknowledgement.java
@@ -3,10 +3,11 @@
 import stonespring.model.AckId;
 
 /**
- * A proxy's notice that it applied the update that requested this acknowledgement.
+ * An acknowledgement by a proxy: it applied the update that requested it.
  *
- * @param sessionId the session that the update belongs to, as {@link PublishedState#sessionId}
- *     names it
- * @param duration from the update's arrival to its effect, {@link stonespring.model.DeciMillis}
+ * @param sessionId the session in which the update was published, see {@link
+ *     PublishedState#sessionId}
+ * @param duration time from the arrival of the update at the proxy to its effect, {@link
+ *     stonespring.model.DeciMillis}
  */
 public record ProxyAcknowledgement(String sessionId, AckId ack, long duration) {}
--- a/src/main/java/stonespring/state/ProxyChange.java
+++ b/src/main/java/stonespring/state/ProxyChange.java
@@ -5,14 +5,14 @@
 import stonespring.model.RequestClassId;
 import stonespring.model.RouteTableId;
 
-/** One change of what a proxy holds. Immutable; no component is null. */
+/** A change of the state that a proxy holds. Immutable; no component is null. */
 public sealed interface ProxyChange {
-  /** What is changed: of two changes with equal subjects the later one stands. */
+  /** Returns the element that changes; a later change with an equal subject replaces this one. */
   Subject subject();
 
-  /** Something that a proxy holds and that changes as a whole. */
+  /** An element of the state of a proxy. Each change replaces the element as a whole. */
   sealed interface Subject {
-    /** A route of a table. */
+    /** The route of a table to an endpoint. */
     record Route(RouteTableId table, EndpointId endpoint) implements Subject {}
 
     /** The table that the proxy uses for a request class. */
@@ -21,7 +21,8 @@
     /**
      * The admission limit of a request class.
      *
-     * @param table the table that it holds for, or {@link stonespring.model.Command#ALL_TABLES}
+     * @param table the table to which the limit applies, or {@link
+     *     stonespring.model.Command#ALL_TABLES}
      */
     record Limit(RouteTableId table, RequestClassId requestClass) implements Subject {}
 
@@ -30,13 +31,13 @@
   }
 
   /**
-   * A route is set or removed.
+   * Sets or removes a route.
    *
-   * @param weight finite; 0 removes the route
+   * @param weight weight of the route; finite; 0 removes the route
    */
   record RouteChange(RouteTableId table, EndpointId endpoint, double weight)
       implements ProxyChange {
-    /** Checks that the weight can be written as a decimal. */
+    /** Rejects a weight that is not finite, since it has no decimal form. */
     public RouteChange {
       if (!Double.isFinite(weight)) {
         throw new IllegalArgumentException("route to " + endpoint + ": weight " + weight);
@@ -49,7 +50,7 @@
     }
   }
 
-  /** The proxy uses the table for the request class. */
+  /** Makes the proxy use the table for the request class. */
   record TableAssignment(RequestClassId requestClass, RouteTableId table) implements ProxyChange {
     @Override
     public Subject subject() {
@@ -58,10 +59,11 @@
   }
 
   /**
-   * The admission limit of a request class is set or removed.
+   * Sets or removes the admission limit of a request class.
    *
-   * @param table the table that it holds for, or {@link stonespring.model.Command#ALL_TABLES}
-   * @param limit the limit, or empty if it is removed
+   * @param table the table to which the limit applies, or {@link
+   *     stonespring.model.Command#ALL_TABLES}
+   * @param limit the new limit; empty if the limit is removed
    */
   record AdmissionLimitChange(
       RouteTableId table, RequestClassId requestClass, Optional<AdmissionLimit> limit)
@@ -72,7 +74,7 @@
     }
   }
 
-  /** An endpoint is excluded, or allowed again. */
+  /** Excludes an endpoint, or ends its exclusion. */
   record ExclusionChange(EndpointId endpoint, boolean excluded) implements ProxyChange {
     @Override
     public Subject subject() {
--- a/src/main/java/stonespring/state/ProxyChangeSet.java
+++ b/src/main/java/stonespring/state/ProxyChangeSet.java
@@ -4,16 +4,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** The changes of an update while it is put together: ordered, one for each subject. */
+/** The ordered changes of an update that is being built, at most one for each subject. */
 final class ProxyChangeSet {
   private final Map<ProxyChange.Subject, ProxyChange> changes = new LinkedHashMap<>();
 
-  /** Adds a change in the place of an earlier one of the same subject, else at the end. */
+  /**
+   * Adds a change. It takes the position of an earlier change with the same subject, or the last
+   * position if there is none.
+   */
   void putInPlace(ProxyChange change) {
     changes.put(change.subject(), change);
   }
 
-  /** Adds a change at the end; an earlier one of the same subject is dropped. */
+  /** Adds a change at the end and removes an earlier change with the same subject. */
   void putLast(ProxyChange change) {
     ProxyChange.Subject subject = change.subject();
     changes.remove(subject);
--- a/src/main/java/stonespring/state/ProxyHello.java
+++ b/src/main/java/stonespring/state/ProxyHello.java
@@ -6,13 +6,16 @@
 import stonespring.model.ZoneId;
 
 /**
- * A proxy's announcement that it is connected.
+ * The message by which a proxy opens or renews its session.
  *
- * @param processId drawn by the proxy at its start; tells it from another that claims its name
- * @param sessionSequence counts the process's sessions: a later one replaces the earlier one
- * @param requestsPerSecond what it usually receives; rough
- * @param withoutTables whether it holds only the route tables that it started with
- * @param tableEndpoints the endpoints that its tables name; empty if it does not say
+ * @param processId random identifier chosen by the proxy process at its start; distinguishes it
+ *     from another process that uses the same proxy name
+ * @param sessionSequence number of the session within the process; a session with a higher number
+ *     replaces earlier ones
+ * @param requestsPerSecond rough estimate of the request rate that the proxy usually receives
+ * @param withoutTables whether the proxy holds no route tables beyond its bootstrap routes
+ * @param tableEndpoints the endpoints in the route tables that the proxy holds; empty if the proxy
+ *     does not report them
  */
 public record ProxyHello(
     String processId,
@@ -21,12 +24,12 @@
     double requestsPerSecond,
     boolean withoutTables,
     Optional<List<EndpointId>> tableEndpoints) {
-  /** Whether this announces a later session of the same process. */
+  /** Whether this hello announces a later session of the same process. */
   boolean isLaterSessionThan(ProxyHello earlier) {
     return processId.equals(earlier.processId) && sessionSequence > earlier.sessionSequence;
   }
 
-  /** Whether both announce the same session of the same process. */
+  /** Whether both hellos announce the same session of the same process. */
   boolean isSameSessionAs(ProxyHello earlier) {
     return processId.equals(earlier.processId) && sessionSequence == earlier.sessionSequence;
   }
--- a/src/main/java/stonespring/state/ProxyReport.java
+++ b/src/main/java/stonespring/state/ProxyReport.java
@@ -6,29 +6,30 @@
 import stonespring.model.RequestClassId;
 
 /**
- * What a proxy observed since its last report.
+ * The observations of a proxy since its previous report.
  *
- * @param interval the time that it was counted over, {@link stonespring.model.DeciMillis}
+ * @param interval duration over which the observations were counted, {@link
+ *     stonespring.model.DeciMillis}
  */
 public record ProxyReport(
     long interval, List<EndpointObservation> endpoints, List<RequestCount> requests) {
   /**
-   * What a proxy observed at one endpoint.
+   * The outcomes of attempts of a proxy at one endpoint.
    *
-   * @param attempts attempts that ended
-   * @param failures attempts without a successful answer
-   * @param successLatency mean duration of the successful ones, {@link
+   * @param attempts number of attempts that ended
+   * @param failures number of attempts that ended without a successful response
+   * @param successLatency mean duration of successful attempts, {@link
    *     stonespring.model.DeciMillis}
-   * @param load the latest load report among the answers
+   * @param load the latest load report received with a response
    */
   public record EndpointObservation(
       EndpointId endpoint, long attempts, long failures, long successLatency, LoadReport load) {}
 
   /**
-   * Requests of one class that a proxy received.
+   * The number of requests of one class that a proxy received.
    *
-   * @param requests all that were received
-   * @param unanswered requests that were admitted and never answered
+   * @param requests number of requests received
+   * @param unanswered number of requests that were admitted but never answered
    */
   public record RequestCount(RequestClassId requestClass, long requests, long unanswered) {}
 }
--- a/src/main/java/stonespring/state/ProxySessions.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -13,13 +13,15 @@
 import stonespring.model.ProxyId;
 
 /**
- * Which proxies are connected. A session begins with a hello that claims a name, is kept by
- * renewing it, and ends with its lease, its connection, or a later session of the same process.
- * Proxies' ids are dense and bounded: when all are used, that of the proxy longest disconnected is
- * reused; if there is none, the newcomer is refused. Instants are passed in as {@link
- * stonespring.model.DeciMillis}. Not safe for several threads.
+ * The sessions of connected proxies. A session starts with a hello for a proxy name. Further hellos
+ * renew its lease. It ends when the lease expires, when its connection closes, or when the same
+ * process starts a later session.
  *
- * @param <C> stands for a connection; connections are told apart by identity
+ * <p>Proxy ids are dense and less than the maximum number of proxies. When all are in use, a new
+ * proxy takes over the id of the proxy that has been disconnected longest; if none is disconnected,
+ * the new proxy is refused. Instants are in {@link stonespring.model.DeciMillis}. Not thread-safe.
+ *
+ * @param <C> type of a connection; connections are compared by identity
  */
 public final class ProxySessions<C> {
   private static final class Session<C> {
@@ -48,15 +50,19 @@
   private final ArrayDeque<Session<C>> connected = new ArrayDeque<>();
   private long startedSessionCount;
 
-  /** Creates an empty set of sessions for at most so many proxies. */
+  /**
+   * Creates an empty set of sessions.
+   *
+   * @param maxProxies maximum number of proxies with an id, connected or not
+   */
   public ProxySessions(int maxProxies) {
     this.maxProxies = maxProxies;
   }
 
   /**
-   * Takes a hello that was received on a connection.
+   * Starts or renews a session, or refuses a hello received on a connection.
    *
-   * @param expiresAtDeciMillis when the session ends if it is not renewed
+   * @param expiresAtDeciMillis when the session ends if it is not renewed again
    */
   public HelloResult<C> handleHello(
       String name, ProxyHello hello, C connection, long now, long expiresAtDeciMillis) {
@@ -85,8 +91,9 @@
       session.hello = hello;
       return new HelloResult.Renewed<>(session.id);
     }
-    // Another process of the same name waits for the lease to end; the same process in a later
-    // session knows that its earlier one is dead, even if that is half open here.
+    // Another process with the same name is refused until the lease expires. A later session of the
+    // same process replaces the earlier one at once: the process knows that its earlier connection
+    // is dead, even if that connection is still half open at this end.
     if (session.expiresAtDeciMillis > now && !hello.isLaterSessionThan(session.hello)) {
       return new HelloResult.Refused<>("proxy " + session.name + " is here already");
     }
@@ -131,7 +138,7 @@
     disconnected.add(session);
   }
 
-  /** A connection closed: ends all sessions on it, and returns their proxies. */
+  /** Ends all sessions on a connection that closed, and returns their proxies. */
   public List<ProxyId> endSessions(C connection) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(byConnection.getOrDefault(connection, Set.of()))) {
@@ -141,7 +148,7 @@
     return ended;
   }
 
-  /** Ends the sessions that were not renewed in time, and returns their proxies. */
+  /** Ends the sessions whose lease has expired, and returns their proxies. */
   public List<ProxyId> endExpiredSessions(long now) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(connected)) {
@@ -153,7 +160,7 @@
     return ended;
   }
 
-  /** The proxy of that name, if its session is on this connection. */
+  /** Returns the proxy with the name, if its session is on this connection. */
   public Optional<ProxyId> find(String name, C connection) {
     Session<C> session = byName.get(name);
     return session != null && session.connection == connection
@@ -166,22 +173,25 @@
     return session != null && session.isConnected();
   }
 
-  /** The name of a proxy that connected at least once. */
+  /** Returns the name of a proxy that has connected at least once. */
   public String name(ProxyId proxy) {
     return byId.get(proxy.number()).name;
   }
 
-  /** The latest hello of a proxy that connected at least once. */
+  /** Returns the latest hello of a proxy that has connected at least once. */
   public ProxyHello hello(ProxyId proxy) {
     return byId.get(proxy.number()).hello;
   }
 
-  /** Counts the sessions of all proxies: tells a proxy's session from every other. */
+  /**
+   * Returns the number of the latest session of a proxy that has connected at least once. Numbers
+   * are unique across all proxies and rise in the order in which sessions start.
+   */
   public long sessionNumber(ProxyId proxy) {
     return byId.get(proxy.number()).sessionNumber;
   }
 
-  /** How many proxies are connected. */
+  /** Returns the number of connected proxies. */
   public int connectedCount() {
     return connected.size();
   }
--- a/src/main/java/stonespring/state/ProxyUpdate.java
+++ b/src/main/java/stonespring/state/ProxyUpdate.java
@@ -6,12 +6,14 @@
 import stonespring.model.ProxyId;
 
 /**
- * What one event batch changes for one proxy. The changes take effect together or not at all.
+ * The changes that the commands of one event batch cause for one proxy. They take effect together
+ * or not at all.
  *
- * @param changes in the order in which they are published, one for each subject
- * @param entries what the channel charges for it, the overhead of the message not counted
- * @param ack the acknowledgement that is requested, if any
- * @param commandedAt when the decisions commanded it, {@link stonespring.model.DeciMillis}
+ * @param changes the changes in the order of their publication, one for each subject
+ * @param entries cost of the update in entries of the channel, without the overhead of the message
+ * @param ack the requested acknowledgement, if any
+ * @param commandedAt when the decision engine returned the commands, {@link
+ *     stonespring.model.DeciMillis}
  */
 public record ProxyUpdate(
     ProxyId proxy, List<ProxyChange> changes, int entries, Optional<AckId> ack, long commandedAt) {}
--- a/src/main/java/stonespring/state/ProxyUpdateBuilder.java
+++ b/src/main/java/stonespring/state/ProxyUpdateBuilder.java
@@ -4,7 +4,7 @@
 import stonespring.model.AckId;
 import stonespring.model.ProxyId;
 
-/** An update for one proxy while the commands of an event batch are applied. */
+/** Builds the update for one proxy while the commands of an event batch are applied. */
 final class ProxyUpdateBuilder {
   private final ProxyId proxy;
   private final ProxyChangeSet changes = new ProxyChangeSet();
@@ -14,18 +14,18 @@
     this.proxy = proxy;
   }
 
-  /** Adds a change and counts an entry for it; it stands behind all others. */
+  /** Adds a change behind all others and counts one entry for it. */
   void addCounted(ProxyChange change) {
     changes.putLast(change);
     entries++;
   }
 
-  /** Adds a change whose entry is counted by {@link #countEntry}, or that costs none. */
+  /** Adds a change that costs no entry or whose entry {@link #countEntry} counts. */
   void addUncounted(ProxyChange change) {
     changes.putInPlace(change);
   }
 
-  /** Counts an entry, for changes that are added uncounted. */
+  /** Counts one entry for one or more changes added with {@link #addUncounted}. */
   void countEntry() {
     entries++;
   }
--- a/src/main/java/stonespring/state/PublishedKeyCodec.java
+++ b/src/main/java/stonespring/state/PublishedKeyCodec.java
@@ -9,9 +9,11 @@
 import stonespring.model.RouteTableId;
 
 /**
- * Writes changes as published keys, relative to a proxy's subtree: {@code line/TABLE/ENDPOINT},
- * {@code bind/CLASS}, {@code level/TABLE/CLASS} ({@code every} for all tables) and {@code
- * out/ENDPOINT}. {@code docs/channel.md} describes them for authors of proxies.
+ * Encodes changes as published keys relative to the subtree of a proxy: {@code line/TABLE/ENDPOINT}
+ * for a route, {@code bind/CLASS} for the table assigned to a request class, {@code
+ * level/TABLE/CLASS} for an admission limit ({@code every} as the table denotes all tables) and
+ * {@code out/ENDPOINT} for an exclusion. {@code docs/channel.md} describes the keys for developers
+ * of proxies.
  */
 public final class PublishedKeyCodec {
   private static final String ROUTE_PREFIX = "line/";
@@ -26,13 +28,13 @@
   /**
    * Creates a codec.
    *
-   * @param requestClassNames the settings' names, by position
+   * @param requestClassNames names of the request classes, in the order of the settings
    */
   public PublishedKeyCodec(List<String> requestClassNames) {
     this.requestClassNames = List.copyOf(requestClassNames);
   }
 
-  /** The key of what is changed, relative to the proxy's subtree. */
+  /** Returns the key of a subject, relative to the subtree of the proxy. */
   public String key(ProxyChange.Subject subject) {
     if (subject instanceof ProxyChange.Subject.Route route) {
       return ROUTE_PREFIX + route.table().number() + "/" + route.endpoint().name();
@@ -46,7 +48,7 @@
     return EXCLUSION_PREFIX + ((ProxyChange.Subject.Exclusion) subject).endpoint().name();
   }
 
-  /** The new value of the key, or empty if the key is deleted. */
+  /** Returns the value that a change sets, or empty if the change deletes the key. */
   public Optional<String> value(ProxyChange change) {
     if (change instanceof ProxyChange.RouteChange route) {
       return route.weight() > 0
@@ -64,7 +66,7 @@
         : Optional.empty();
   }
 
-  /** Writes an update's keys with their new values for a log line; null marks a deleted key. */
+  /** Formats the keys and new values of an update for the log; a deleted key has the value null. */
   public String describe(ProxyUpdate update) {
     StringJoiner text = new StringJoiner(", ", "{", "}");
     for (ProxyChange change : update.changes()) {
--- a/src/main/java/stonespring/state/PublishedState.java
+++ b/src/main/java/stonespring/state/PublishedState.java
@@ -12,13 +12,14 @@
 import stonespring.model.ProxyId;
 
 /**
- * The published keys: a subtree for each proxy, changed by whole updates that end with a commit
- * key; presence keys; the instance's status. A snapshot taken between two calls ends at a commit
- * for every proxy. Not safe for several threads.
+ * Publishes the state of the instance as keys: a subtree for each proxy, a presence key for each
+ * session, and the status of the instance. An update of a proxy changes keys of its subtree and
+ * ends with the commit key. A snapshot taken between two method calls contains only whole updates,
+ * except those that failed because the store was full. Not thread-safe.
  *
- * <p>The commit is a JSON object: {@code origin} names the proxy's session, {@code at} counts the
- * session's updates from 1, {@code keys} is how many keys the update changed, {@code mark}, if
- * present, is the acknowledgement that is requested.
+ * <p>The value of the commit key is a JSON object: {@code origin} is the id of the session, {@code
+ * at} is the number of the update within the session, from 1, {@code keys} is the number of keys
+ * that the update changed, and {@code mark}, if present, is the requested acknowledgement.
  */
 public final class PublishedState {
   private static final String PROXY_PREFIX = "/proxy/";
@@ -26,10 +27,13 @@
   private static final String STATUS_KEY = "/assigner/status";
   private static final String COMMIT_KEY = "commit";
 
-  /** Acknowledgements that one proxy may owe; the oldest beyond are forgotten. */
+  /**
+   * Maximum number of outstanding acknowledgements for each proxy; the oldest is discarded when the
+   * number is exceeded. A proxy that exceeds it does not send acknowledgements at all.
+   */
   private static final int MAX_PENDING_ACKS = 4096;
 
-  /** What was published in one proxy's session. */
+  /** The updates published in the session of one proxy. */
   private static final class Session {
     private int commitCount;
     private final LinkedHashMap<AckId, Long> pendingAcks = new LinkedHashMap<>();
@@ -49,9 +53,10 @@
   private final Map<Integer, Session> sessionsByProxy = new HashMap<>();
 
   /**
-   * Creates a state over a store.
+   * Creates the published state.
    *
-   * @param epoch names this start of the instance
+   * @param keys the store for the published keys
+   * @param epoch identifies this start of the instance; unique among all starts
    * @param proxies the names and sessions of the proxies
    */
   public PublishedState(
@@ -63,20 +68,22 @@
   }
 
   /**
-   * Returns the name of a proxy's session, the wire's {@code origin}: this start of the instance
-   * and the number of the session.
+   * Returns the id of the session of a proxy, which consists of the epoch and the session number.
+   * The protocol calls it {@code origin}.
    */
   public String sessionId(ProxyId proxy) {
     return epoch + "-" + proxies.sessionNumber(proxy);
   }
 
   /**
-   * Publishes an update that left the channel. If the store is full, the update is not committed
-   * and nobody is notified of it: keys set before the store was full stay in it and appear in
-   * snapshots, and it is not tried again. No metric counts this. Where only the commit key has no
-   * room, the session's count of updates and the pending acknowledgement include the update.
+   * Publishes an update that left the channel. If the store becomes full, the update is not
+   * committed, subscribers are not notified, and it is not published again later. Keys set before
+   * the store became full remain in it and appear in snapshots. No metric counts such updates. If
+   * only the commit key does not fit, the number of the session's updates and the pending
+   * acknowledgements still include the update.
    *
-   * @return its keys and then the commit; empty if the store has no room for them
+   * @return the updates of the changed keys, then that of the commit key; empty if the store is
+   *     full
    */
   public List<KeyUpdate> publish(ProxyUpdate update) {
     String subtree = subtree(update.proxy());
@@ -84,7 +91,7 @@
     for (ProxyChange change : update.changes()) {
       Optional<KeyUpdate> changedKey = publishChange(subtree + codec.key(change.subject()), change);
       if (changedKey.isEmpty()) {
-        // Without all its keys an update must not commit: the proxy keeps what it has.
+        // An incomplete update must not be committed; the proxy keeps its previous state.
         return List.of();
       }
       published.add(changedKey.get());
@@ -118,15 +125,15 @@
         + "}";
   }
 
-  /** Publishes that a proxy's session began. */
+  /** Publishes the presence key of a proxy whose session started. */
   public List<KeyUpdate> publishSessionStart(ProxyId proxy) {
     return putText(presenceKey(proxy), "{\"origin\":\"" + sessionId(proxy) + "\"}").stream()
         .toList();
   }
 
   /**
-   * Publishes that a proxy's session ended. Its keys are dropped; the deleted commit notifies
-   * whoever follows them.
+   * Deletes the presence key and the subtree of a proxy whose session ended. Of the subtree only
+   * the commit key causes an update, which notifies the subscribers.
    */
   public List<KeyUpdate> publishSessionEnd(ProxyId proxy) {
     String subtree = subtree(proxy);
@@ -142,10 +149,10 @@
   }
 
   /**
-   * Takes an acknowledgement.
+   * Records an acknowledgement.
    *
-   * @return when its update was commanded; empty if it was never requested in this session, or
-   *     given already
+   * @return when the update was commanded, {@link stonespring.model.DeciMillis}; empty if the
+   *     acknowledgement is not pending in this session
    */
   public OptionalLong acknowledge(ProxyId proxy, AckId ack) {
     Session session = sessionsByProxy.get(proxy.number());
@@ -153,7 +160,7 @@
     return commandedAt == null ? OptionalLong.empty() : OptionalLong.of(commandedAt);
   }
 
-  /** Publishes the instance's status, a JSON object. */
+  /** Publishes the status of the instance, a JSON object. */
   public List<KeyUpdate> publishStatus(String json) {
     return putText(STATUS_KEY, json).stream().toList();
   }
--- a/src/main/java/stonespring/state/RateLimitedChannel.java
+++ b/src/main/java/stonespring/state/RateLimitedChannel.java
@@ -12,15 +12,16 @@
 import stonespring.model.Settings;
 
 /**
- * The channel to the proxies: updates leave in order, at a steady rate of entries, each with the
- * overhead of a message. The decisions keep the backlog under its limit. Should they fail to, an
- * update for a proxy that has one waiting is merged into that one, so that no more can wait than
- * one whole table for each proxy. Not safe for several threads.
+ * The queue of updates to the proxies. Updates leave in order, at a constant rate of entries; each
+ * update costs its own entries and the overhead of a message. The decision engine is expected to
+ * keep the backlog below its limit. An update that would exceed the limit is merged into the last
+ * queued update for the same proxy, if there is one, so that at most one whole table for each proxy
+ * is queued beyond the limit. Not thread-safe.
  */
 public final class RateLimitedChannel {
   private static final class QueuedUpdate {
     private ProxyUpdate update;
-    private int costEntries; // entries, overhead included
+    private int costEntries; // includes the message overhead
 
     QueuedUpdate(ProxyUpdate update, int costEntries) {
       this.update = update;
@@ -38,7 +39,9 @@
   private long peakBacklogEntries;
   private int peakMessagesPerProxy;
   private long mergedUpdates;
-  private double idleAtDeciMillis;
+
+  /** When all earlier transmissions have ended and that of the head of the queue starts. */
+  private double availableAtDeciMillis;
 
   /** Creates an idle channel. */
   public RateLimitedChannel(Settings.ChannelLimits limits) {
@@ -61,7 +64,7 @@
         continue;
       }
       if (queue.isEmpty()) {
-        idleAtDeciMillis = Math.max(idleAtDeciMillis, now);
+        availableAtDeciMillis = Math.max(availableAtDeciMillis, now);
       }
       queue.add(new QueuedUpdate(update, costEntries));
       backlogEntries += costEntries;
@@ -87,7 +90,8 @@
     int costEntries = entries + messageOverheadEntries;
     backlogEntries += costEntries - earlier.costEntries;
     earlier.costEntries = costEntries;
-    // A replaced acknowledgement is never given: the decisions stop waiting for it by themselves.
+    // An acknowledgement request replaced here is never answered. The decision engine stops waiting
+    // for it on its own.
     earlier.update =
         new ProxyUpdate(
             later.proxy(),
@@ -98,12 +102,12 @@
     mergedUpdates++;
   }
 
-  /** Removes and returns what has left the channel by now, in order. */
+  /** Removes and returns the updates whose transmission has ended by now, in order. */
   public List<ProxyUpdate> takeDue(long now) {
     List<ProxyUpdate> due = new ArrayList<>();
     while (!queue.isEmpty() && nextDepartureAt() <= now) {
       QueuedUpdate next = queue.removeFirst();
-      idleAtDeciMillis = idleAtDeciMillis + transmissionDeciMillis(next);
+      availableAtDeciMillis = availableAtDeciMillis + transmissionDeciMillis(next);
       backlogEntries -= next.costEntries;
       recordDeparture(next.update.proxy(), now);
       due.add(next.update);
@@ -123,14 +127,17 @@
     return queued.costEntries * DeciMillis.SECOND / entriesPerSecond;
   }
 
-  /** When the next update leaves; {@code Long.MAX_VALUE} if none waits. */
+  /**
+   * Returns when the next update leaves, {@link DeciMillis}; {@code Long.MAX_VALUE} if none is
+   * queued.
+   */
   public long nextDepartureAt() {
     return queue.isEmpty()
         ? Long.MAX_VALUE
-        : (long) Math.ceil(idleAtDeciMillis + transmissionDeciMillis(queue.getFirst()));
+        : (long) Math.ceil(availableAtDeciMillis + transmissionDeciMillis(queue.getFirst()));
   }
 
-  /** A proxy disconnected: what waits for it is dropped, and its messages are counted anew. */
+  /** Removes the queued updates and the message count of a proxy that disconnected. */
   public void removeProxy(ProxyId proxy) {
     for (Iterator<QueuedUpdate> it = queue.iterator(); it.hasNext(); ) {
       QueuedUpdate queued = it.next();
@@ -142,27 +149,27 @@
     departuresByProxy.remove(proxy.number());
   }
 
-  /** Entries that wait, overhead included. */
+  /** Returns the number of queued entries, including the message overhead. */
   public long backlogEntries() {
     return backlogEntries;
   }
 
-  /** The most entries that ever waited. */
+  /** Returns the highest number of queued entries since creation, including the overhead. */
   public long peakBacklogEntries() {
     return peakBacklogEntries;
   }
 
-  /** The most messages that ever left for one proxy within the window of the limit. */
+  /** Returns the highest number of messages that left for one proxy within the message window. */
   public int peakMessagesPerProxy() {
     return peakMessagesPerProxy;
   }
 
-  /** How many updates were merged into earlier ones, ever. */
+  /** Returns the number of updates merged into earlier ones since creation. */
   public long mergedUpdates() {
     return mergedUpdates;
   }
 
-  /** Whether nothing waits. */
+  /** Whether no update is queued. */
   public boolean isEmpty() {
     return queue.isEmpty();
   }
--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -13,15 +13,15 @@
 import stonespring.model.ZoneId;
 
 /**
- * Sums the reports of proxies until they are drained: one figure for each pair of endpoint and
- * zone, one for each pair of proxy and request class, however often proxies report. The number of
- * pairs is bounded; what is reported of pairs beyond it is dropped and counted. Not safe for
- * several threads.
+ * Sums the reports of proxies until the totals are drained. It keeps one total for each pair of
+ * endpoint and proxy zone, and one for each pair of proxy and request class. The number of pairs of
+ * each kind is limited; observations of further pairs are dropped and counted. Not thread-safe.
  */
 public final class ReportAggregator {
+  /** Width of the request class index in the keys of the request totals. */
   private static final int REQUEST_CLASS_BITS = 16;
 
-  /** What the proxies of one zone observed at one endpoint. */
+  /** The totals of the observations that the proxies of one zone made at one endpoint. */
   private static final class EndpointTotals {
     private final EndpointId endpoint;
     private final ZoneId zone;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** What one proxy received of one request class. */
+  /** The totals of the requests of one class that one proxy received. */
   private static final class RequestTotals {
     private final ProxyId proxy;
     private final RequestClassId requestClass;
@@ -90,21 +90,21 @@
   }
 
   private final int maxPairs;
-  // The order of these keys is the order of the events, which decisions depend on.
+  // The order of the keys determines the order of the events, on which decisions depend.
   private final TreeMap<String, EndpointTotals> endpointTotals = new TreeMap<>();
   private final TreeMap<Long, RequestTotals> requestTotals = new TreeMap<>();
   private long droppedObservations;
 
   /**
-   * Creates an aggregator that holds nothing.
+   * Creates an aggregator without totals.
    *
-   * @param maxPairs the most pairs of each kind that are held
+   * @param maxPairs maximum number of pairs of each kind
    */
   public ReportAggregator(int maxPairs) {
     this.maxPairs = maxPairs;
   }
 
-  /** Adds one report of a proxy. */
+  /** Adds a report of a proxy to the totals. */
   public void add(ProxyId proxy, ZoneId zone, ProxyReport report) {
     for (ProxyReport.EndpointObservation observation : report.endpoints()) {
       addObservation(proxy, zone, report.interval(), observation);
@@ -148,8 +148,8 @@
   }
 
   /**
-   * A proxy disconnected: what it received is no demand here any more. What it observed at
-   * endpoints stays true.
+   * Discards the request totals of a proxy that disconnected, since its requests are no longer
+   * demand at this instance. Its observations of endpoints remain valid and are kept.
    */
   public void discardRequestCounts(ProxyId proxy) {
     requestTotals
@@ -157,7 +157,7 @@
         .clear();
   }
 
-  /** Returns all totals as events, and starts anew. */
+  /** Returns all totals as events and resets them. */
   public List<Event> drain() {
     List<Event> events = new ArrayList<>();
     for (EndpointTotals totals : endpointTotals.values()) {
@@ -173,7 +173,10 @@
     return events;
   }
 
-  /** How many observations and request counts were dropped at the bound of pairs, ever. */
+  /**
+   * Returns the number of observations and request counts dropped since creation because of the
+   * limit on pairs.
+   */
   public long droppedObservations() {
     return droppedObservations;
   }
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -16,10 +16,12 @@
 import stonespring.model.RouteTableId;
 
 /**
- * Turns commands of the decisions into updates for the proxies that they concern. It decides
- * nothing: it holds the route tables, admission limits and exclusions that were commanded, and
- * knows which connected proxy uses which table. A command costs one entry at each proxy that it
- * concerns. Not safe for several threads.
+ * Converts commands of the decision engine to updates for the affected proxies. It holds the route
+ * tables, admission limits and exclusions that the engine commanded, and the assignment of tables
+ * to connected proxies; it makes no decisions of its own. A command costs one entry at each
+ * affected proxy, with two exceptions: clearing a table costs one for each removed route and limit,
+ * and assigning a table that the proxy does not use yet costs one more for each route, exclusion
+ * and limit sent with it. Not thread-safe.
  */
 public final class RouteTables {
   private final int requestClassCount;
@@ -31,7 +33,7 @@
   /**
    * Creates an empty state.
    *
-   * @param requestClassCount how many request classes the settings have
+   * @param requestClassCount number of request classes in the settings
    */
   public RouteTables(int requestClassCount) {
     this.requestClassCount = requestClassCount;
@@ -39,16 +41,17 @@
   }
 
   /**
-   * A proxy connected; no table is assigned to it yet.
+   * Adds a proxy that connected; it has no assigned table yet.
    *
-   * @param tableEndpoints the endpoints that the tables it brought along name; empty if unknown
+   * @param tableEndpoints the endpoints in the tables that the proxy already holds; empty if they
+   *     are unknown
    */
   public void addProxy(ProxyId proxy, Optional<List<EndpointId>> tableEndpoints) {
     removeProxy(proxy);
     proxies.put(proxy.number(), new ConnectedProxy(proxy, requestClassCount, tableEndpoints));
   }
 
-  /** A proxy's connection ended; unknown proxies are ignored. */
+  /** Removes a proxy whose connection ended; does nothing if the proxy is unknown. */
   public void removeProxy(ProxyId id) {
     ConnectedProxy proxy = proxies.remove(id.number());
     if (proxy == null) {
@@ -61,12 +64,12 @@
     }
   }
 
-  /** Whether an endpoint is excluded now. */
+  /** Whether an endpoint is excluded. */
   public boolean isExcluded(EndpointId endpoint) {
     return excluded.contains(endpoint);
   }
 
-  /** Ends the exclusion of an endpoint that no proxy holds any more, without an update. */
+  /** Ends the exclusion of an endpoint without an update, once no proxy can use the endpoint. */
   public void discardExclusion(EndpointId endpoint) {
     excluded.remove(endpoint);
   }
@@ -74,7 +77,8 @@
   /**
    * Applies the commands of an event batch.
    *
-   * @return an update for each proxy concerned, in the order in which they were reached
+   * @param now when the engine returned the commands, {@link stonespring.model.DeciMillis}
+   * @return an update for each affected proxy, in the order in which the commands first affect them
    */
   public List<ProxyUpdate> apply(List<Command> commands, long now) {
     BatchUpdates updates = new BatchUpdates();
@@ -127,7 +131,7 @@
     List<Integer> limitedClasses = limitedRequestClasses(table);
     table.clear();
     if (endpoints.isEmpty() && limitedClasses.isEmpty()) {
-      return; // nothing changes: the table's users get no update
+      return; // nothing changes, so the proxies that use the table get no update
     }
     for (int proxyNumber : table.proxyNumbers()) {
       ProxyUpdateBuilder update = updates.forProxy(proxyNumber);
@@ -139,7 +143,7 @@
   private void assignTable(Command.AssignRouteTable command, BatchUpdates updates) {
     ConnectedProxy proxy = proxies.get(command.proxy().number());
     if (proxy == null) {
-      return; // it disconnected before the command
+      return; // the proxy disconnected before the command
     }
     boolean usedBefore = proxy.uses(command.table());
     ProxyUpdateBuilder update = updates.forProxy(proxy);
@@ -215,7 +219,7 @@
           limitsForAllTables[k] = limit;
         }
       }
-      // The changes themselves are added late, see addPendingLimitsForAllTables.
+      // addPendingLimitsForAllTables adds the changes when the updates are built.
       proxies.values().forEach(proxy -> updates.forProxy(proxy).countEntry());
       return;
     }
@@ -237,8 +241,9 @@
   }
 
   /**
-   * Adds the limits for all tables that the proxy does not have yet. This happens late, when an
-   * update is built, so that any update brings them to a proxy that connected after the command.
+   * Adds those limits for all tables that the proxy does not have yet. This happens when an update
+   * is built rather than when the command is applied, so that the next update of any kind delivers
+   * them to a proxy that connected after the command.
    */
   private void addPendingLimitsForAllTables(ConnectedProxy proxy, ProxyUpdateBuilder update) {
     for (int k = 0; k < requestClassCount; k++) {
@@ -273,7 +278,9 @@
     return new ProxyChange.RouteChange(table.id(), endpoint, weight);
   }
 
-  /** The updates of one event batch, by the order in which its proxies were reached. */
+  /**
+   * The updates of one event batch, in the order in which its commands first affect the proxies.
+   */
   private final class BatchUpdates {
     private final Map<Integer, ProxyUpdateBuilder> builders = new LinkedHashMap<>();
 
@@ -286,7 +293,7 @@
       return forProxy(proxies.get(proxyNumber));
     }
 
-    /** Adds the pending global limits to each update, and completes it. */
+    /** Adds the pending limits for all tables to each update, and completes it. */
     List<ProxyUpdate> build(Optional<AckId> ack, long now) {
       List<ProxyUpdate> updates = new ArrayList<>();
       for (Map.Entry<Integer, ProxyUpdateBuilder> entry : builders.entrySet()) {
--- a/src/main/java/stonespring/state/StoredTable.java
+++ b/src/main/java/stonespring/state/StoredTable.java
@@ -9,7 +9,7 @@
 import stonespring.model.RequestClassId;
 import stonespring.model.RouteTableId;
 
-/** One route table with its admission limits and the proxies that use it. */
+/** A route table, its admission limits and the proxies that use it. */
 final class StoredTable {
   private final RouteTableId id;
   private final TreeMap<EndpointId, Double> weights =
@@ -26,12 +26,12 @@
     return id;
   }
 
-  /** The weights of its routes, by the endpoints' names. */
+  /** Returns the weights of the routes, ordered by the names of their endpoints. */
   TreeMap<EndpointId, Double> weights() {
     return weights;
   }
 
-  /** The numbers of the proxies that use it, ascending. */
+  /** Returns the numbers of the proxies that use this table, ascending. */
   TreeSet<Integer> proxyNumbers() {
     return proxyNumbers;
   }
@@ -48,13 +48,13 @@
     limits[requestClass] = limit;
   }
 
-  /** Removes all routes and limits; who uses it stays. */
+  /** Removes all routes and limits; proxies that use the table still use it. */
   void clear() {
     weights.clear();
     Arrays.fill(limits, null);
   }
 
-  /** The change that gives a proxy the limit that a request class has now. */
+  /** Returns the change that sets the current limit of a request class at a proxy. */
   ProxyChange limitChange(int requestClass) {
     return new ProxyChange.AdmissionLimitChange(
         id, new RequestClassId(requestClass), limit(requestClass));
