--- a/src/main/java/stonespring/state/AdmissionLimit.java
+++ b/src/main/java/stonespring/state/AdmissionLimit.java
@@ -12,7 +12,7 @@
   /** Rejects a limit that is not finite, since it has no decimal form; converts -0.0 to 0.0. */
   public AdmissionLimit {
     if (!Double.isFinite(limit)) {
-      throw new IllegalArgumentException("admission limit " + limit);
+      throw new IllegalArgumentException("admission limit must be finite, got " + limit);
     }
     limit += 0.0; // -0.0 and 0.0 have the same published form, so they must be equal
   }
--- a/src/main/java/stonespring/state/ProxyChange.java
+++ b/src/main/java/stonespring/state/ProxyChange.java
@@ -40,7 +40,13 @@
     /** Rejects a weight that is not finite, since it has no decimal form. */
     public RouteChange {
       if (!Double.isFinite(weight)) {
-        throw new IllegalArgumentException("route to " + endpoint + ": weight " + weight);
+        throw new IllegalArgumentException(
+            "route of table "
+                + table.number()
+                + " to endpoint "
+                + endpoint.name()
+                + ": weight must be finite, got "
+                + weight);
       }
     }
 
--- a/src/main/java/stonespring/state/ProxySessions.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -74,7 +74,11 @@
       Optional<ProxyId> id = allocateId();
       if (id.isEmpty()) {
         return new HelloResult.Refused<>(
-            "proxy " + name + ": " + maxProxies + " proxies are here, the limit");
+            "proxy "
+                + name
+                + " refused: "
+                + maxProxies
+                + " proxies are connected, which is the limit");
       }
       session = new Session<>(name, id.get());
       byName.put(name, session);
@@ -95,7 +99,8 @@
     // same process replaces the earlier one at once: the process knows that its earlier connection
     // is dead, even if that connection is still half open at this end.
     if (session.expiresAtDeciMillis > now && !hello.isLaterSessionThan(session.hello)) {
-      return new HelloResult.Refused<>("proxy " + session.name + " is here already");
+      return new HelloResult.Refused<>(
+          "proxy " + session.name + " refused: another session with this name is active");
     }
     C replaced = session.connection;
     endSession(session);
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -78,7 +78,8 @@
     ProxyHello otherProcess =
         new ProxyHello("another-life", 99, new ZoneId(0), 1, true, Optional.empty());
     host.handleHello("p0", otherProcess, SECOND, impostor, simulation.now());
-    assertEquals("proxy p0 is here already", impostor.closeReason());
+    assertEquals(
+        "proxy p0 refused: another session with this name is active", impostor.closeReason());
 
     RecordingConnection late = new RecordingConnection();
     host.handleAcknowledgement("p0", acknowledgement(proxy.stream(), 1), late, simulation.now());
--- a/src/test/java/stonespring/state/ProxySessionsTest.java
+++ b/src/test/java/stonespring/state/ProxySessionsTest.java
@@ -32,13 +32,16 @@
     assertEquals(new ProxyId(0), connected.proxy());
     assertTrue(
         sessions.sessionNumber(connected.proxy()) > earlierSessionNumber,
-        "a reused id is another session");
+        "a reused id must have a new session number");
     assertEquals(Optional.empty(), sessions.find("a", connection));
     assertEquals(2, sessions.endExpiredSessions(10).size());
     assertEquals(0, sessions.connectedCount());
   }
 
-  /** Random hellos of many proxies: no name is ever connected twice, and the count stays true. */
+  /**
+   * Guards against a name that is connected twice and against a wrong number of connected proxies,
+   * after random hellos, expirations and closed connections.
+   */
   @Test
   void connectedCountMatchesConnectedProxiesAfterEachRandomStep() {
     SplittableRandom random = new SplittableRandom(4);
@@ -68,7 +71,7 @@
         try {
           connected += sessions.isConnected(new ProxyId(number)) ? 1 : 0;
         } catch (RuntimeException e) {
-          throw new AssertionError("number " + number, e);
+          throw new AssertionError("isConnected failed for proxy " + number, e);
         }
       }
       assertEquals(connected, sessions.connectedCount());
--- a/src/test/java/stonespring/state/RateLimitedChannelTest.java
+++ b/src/test/java/stonespring/state/RateLimitedChannelTest.java
@@ -17,7 +17,7 @@
 import stonespring.model.Settings;
 
 final class RateLimitedChannelTest {
-  /** Carries 1000 entries a second, with an overhead of 10 entries for each message. */
+  /** Creates a channel for 1000 entries per second with an overhead of 10 entries per message. */
   private static RateLimitedChannel channel(int maxBacklogEntries) {
     return new RateLimitedChannel(
         new Settings.ChannelLimits(maxBacklogEntries, 10, 0, 10 * DeciMillis.SECOND, 1000, false));
@@ -34,7 +34,8 @@
     assertEquals(OTHER_PROXY, channel.takeDue(600).get(0).proxy());
     assertTrue(channel.isEmpty());
     channel.offer(List.of(update(PROXY, 10)), 10_000);
-    assertEquals(10_200, channel.nextDepartureAt(), "an idle channel saves nothing up");
+    assertEquals(
+        10_200, channel.nextDepartureAt(), "idle time must not shorten a later transmission");
   }
 
   @Test
@@ -45,13 +46,16 @@
           new ProxyUpdate(PROXY, List.of(routeChange("t" + i % 5, i)), 1, Optional.empty(), 0);
       channel.offer(List.of(update), 0);
     }
-    assertTrue(channel.backlogEntries() <= 60, "backlog " + channel.backlogEntries());
+    assertTrue(
+        channel.backlogEntries() <= 60, "backlog over 60 entries: " + channel.backlogEntries());
     assertTrue(channel.mergedUpdates() > 900);
     Map<String, String> latestValues = new LinkedHashMap<>();
     channel.takeDue(1_000_000).forEach(update -> latestValues.putAll(keys(update)));
     for (int k = 0; k < 5; k++) {
       assertEquals(
-          String.valueOf(995 + k), latestValues.get("line/7/t" + k), "the later value stands");
+          String.valueOf(995 + k),
+          latestValues.get("line/7/t" + k),
+          "the later value of a merged route must remain");
     }
     channel.offer(List.of(update(PROXY, 3), update(OTHER_PROXY, 3)), 2_000_000);
     channel.removeProxy(PROXY);
--- a/src/test/java/stonespring/state/RouteTablesTest.java
+++ b/src/test/java/stonespring/state/RouteTablesTest.java
@@ -66,7 +66,7 @@
                 new Command.SetRoute(TABLE, ENDPOINT_A, 0),
                 new Command.SetRoute(TABLE, ENDPOINT_B, 1)),
             6);
-    assertEquals(1, second.size(), "a proxy that does not use the table gets no update");
+    assertEquals(1, second.size(), "a proxy that does not use the table must get no update");
     Map<String, String> changes = checkEntriesAndReadKeys(second.get(0), 2);
     assertTrue(changes.containsKey("line/7/a@h:1") && changes.get("line/7/a@h:1") == null);
     tables.removeProxy(PROXY);
--- a/src/test/java/stonespring/state/StateFixture.java
+++ b/src/test/java/stonespring/state/StateFixture.java
@@ -10,7 +10,7 @@
 import stonespring.model.RouteTableId;
 import stonespring.model.ZoneId;
 
-/** The proxies, endpoints and updates that the tests of this package share. */
+/** Proxies, endpoints and updates shared by the tests of this package. */
 final class StateFixture {
   static final List<String> REQUEST_CLASSES = List.of("view", "extract");
   static final ProxyId PROXY = new ProxyId(0);
@@ -22,7 +22,7 @@
 
   private StateFixture() {}
 
-  /** The published keys that an update changes, in order; a deleted key has the value null. */
+  /** Returns the published keys that an update changes, in order; a deleted key maps to null. */
   static Map<String, String> keys(ProxyUpdate update) {
     Map<String, String> keys = new LinkedHashMap<>();
     for (ProxyChange change : update.changes()) {
@@ -31,7 +31,7 @@
     return keys;
   }
 
-  /** An update of as many routes as it has entries. */
+  /** Creates an update with the given number of entries, one route for each. */
   static ProxyUpdate update(ProxyId proxy, int entries) {
     List<ProxyChange> changes = new ArrayList<>();
     for (int i = 0; i < entries; i++) {
