--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -36,12 +36,12 @@
       this.zone = zone;
     }
 
-    void add(ProxyId proxy, long interval, ProxyReport.EndpointObservation observation) {
+    void add(ProxyId proxy, long intervalDeciMillis, ProxyReport.EndpointObservation observation) {
       long successes = observation.attempts() - observation.failures();
       attempts += observation.attempts();
       failures += observation.failures();
       successLatencySumDeciMillis += (double) observation.successLatency() * successes;
-      intervalDeciMillisByProxy.merge(proxy.number(), interval, Long::sum);
+      intervalDeciMillisByProxy.merge(proxy.number(), intervalDeciMillis, Long::sum);
       if (observation.load() != LoadReport.NONE) {
         load = observation.load();
       }
@@ -50,7 +50,10 @@
     Event.EndpointOutcomes toEvent() {
       long successes = attempts - failures;
       long longestIntervalDeciMillis =
-          intervalDeciMillisByProxy.values().stream().mapToLong(s -> s).max().orElse(1);
+          intervalDeciMillisByProxy.values().stream()
+              .mapToLong(interval -> interval)
+              .max()
+              .orElse(1);
       long meanLatencyDeciMillis =
           successes > 0 ? Math.max(1, Math.round(successLatencySumDeciMillis / successes)) : 0;
       return new Event.EndpointOutcomes(
@@ -115,7 +118,10 @@
   }
 
   private void addObservation(
-      ProxyId proxy, ZoneId zone, long interval, ProxyReport.EndpointObservation observation) {
+      ProxyId proxy,
+      ZoneId zone,
+      long intervalDeciMillis,
+      ProxyReport.EndpointObservation observation) {
     String key = zone.index() + "|" + observation.endpoint().name();
     EndpointTotals totals = endpointTotals.get(key);
     if (totals == null) {
@@ -126,10 +132,11 @@
       totals = new EndpointTotals(observation.endpoint(), zone);
       endpointTotals.put(key, totals);
     }
-    totals.add(proxy, interval, observation);
+    totals.add(proxy, intervalDeciMillis, observation);
   }
 
-  private void addRequestCount(ProxyId proxy, long interval, ProxyReport.RequestCount count) {
+  private void addRequestCount(
+      ProxyId proxy, long intervalDeciMillis, ProxyReport.RequestCount count) {
     long key = firstRequestKey(proxy.number()) | count.requestClass().index();
     RequestTotals totals = requestTotals.get(key);
     if (totals == null) {
@@ -140,7 +147,7 @@
       totals = new RequestTotals(proxy, count.requestClass());
       requestTotals.put(key, totals);
     }
-    totals.add(interval, count);
+    totals.add(intervalDeciMillis, count);
   }
 
   private static long firstRequestKey(long proxyNumber) {
