--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -150,7 +150,7 @@
   }
 
   /** The part of the offered traffic that proxies pass on, where they limit it by a fraction. */
-  double admittedTraffic() {
+  double admittedTrafficShare() {
     return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? fraction : 1;
   }
 
@@ -165,7 +165,7 @@
    * Admits what the listed endpoints can serve. Between rounds the fraction follows the endpoint
    * list alone; the confidence changes in rounds.
    */
-  void update(boolean inRound) {
+  void updateLimits(boolean inRound) {
     if (estimates.traffic().offeredRate() <= 0) {
       return;
     }
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -112,14 +112,14 @@
       proxy.requestRate().record(report);
     } else if (event instanceof Event.UpdateAcknowledged acknowledged) {
       budget
-          .acknowledged(proxy, acknowledged.ack())
-          .ifPresent(position -> inFlight.acknowledged(proxy, position));
+          .recordAcknowledgement(proxy, acknowledged.ack())
+          .ifPresent(position -> inFlight.recordAcknowledgement(proxy, position));
     } else if (event instanceof Event.WeightsProposed proposed) {
       takeProposal(proxy, proposed);
     } else if (event instanceof Event.ProxyDisconnected) {
       proxy.disconnect(clock.now());
-      budget.disconnected(proxy);
-      inFlight.disconnected(proxy);
+      budget.recordDisconnection(proxy);
+      inFlight.recordDisconnection(proxy);
     }
   }
 
@@ -174,7 +174,7 @@
     if (inRound) {
       startRound();
     }
-    boolean postponed = urgent.select();
+    boolean postponed = urgent.selectDueUpdates();
     if (postponed) {
       timers.ensureRetry();
     }
@@ -183,13 +183,13 @@
     }
     estimates.traffic().refresh();
     estimates.capacity().refresh();
-    admission.update(inRound);
+    admission.updateLimits(inRound);
     if (inRound) {
       entrants.admitEntrants();
-      proxies.all().forEach(proposals::proposeReplacement);
+      proxies.all().forEach(proposals::scheduleReplacement);
     }
     List<ProxyState> known = setTargets(inRound);
-    urgent.send(updater);
+    urgent.sendSelected(updater);
     if (inRound) {
       scheduler.runRound(known.stream().filter(proxy -> !urgent.contains(proxy)).toList());
     }
@@ -229,8 +229,8 @@
       }
     }
     weights.optimize(known, adjustable);
-    adjustable.forEach(proposals::blend);
-    slowStart.limit(known, urgent);
+    adjustable.forEach(proposals::blendTargets);
+    slowStart.limitTargets(known, urgent);
     return known;
   }
 }
--- a/src/main/java/stonespring/decision/ChannelBudget.java
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -23,7 +23,7 @@
  */
 final class ChannelBudget {
   /** DeciMillis between urgent updates, or exclusion notices, that may wait for each other. */
-  static final long BATCH_INTERVAL = 6 * DeciMillis.SECOND / 10;
+  static final long BATCH_INTERVAL_DECI_MILLIS = 6 * DeciMillis.SECOND / 10;
 
   /** DeciMillis for which the last acknowledgement tells how far the channel is. */
   private static final long ACKNOWLEDGEMENTS_CURRENT_FOR = 3 * DeciMillis.SECOND;
@@ -78,7 +78,7 @@
   }
 
   /** The position at which the current batch starts. */
-  double sentPosition() {
+  double batchStartPosition() {
     return sentPosition;
   }
 
@@ -105,7 +105,7 @@
     assumedEmptyAt = Math.max(assumedEmptyAt, clock.now()) + (long) assumedTime;
     for (ProxyState proxy : batch.proxies()) {
       int entries = batch.messageOverhead() + batch.entriesFor(proxy);
-      proxy.channel().sent(entries, sentPosition, acknowledgedPosition, clock.now());
+      proxy.channel().recordMessage(entries, sentPosition, acknowledgedPosition, clock.now());
     }
   }
 
@@ -114,7 +114,7 @@
    *
    * @return the position at which the batch started; empty if it is unknown
    */
-  OptionalDouble acknowledged(ProxyState proxy, AckId ack) {
+  OptionalDouble recordAcknowledgement(ProxyState proxy, AckId ack) {
     SentBatch sent = sentBatches.get(ack.number());
     if (sent == null) {
       return OptionalDouble.empty();
@@ -123,13 +123,13 @@
     double reached =
         Math.max(acknowledgedPosition, sent.start()) + sent.entries() / sent.messages();
     acknowledgedPosition = Math.max(acknowledgedPosition, Math.min(reached, sent.end()));
-    proxy.channel().acknowledged(sent.end());
+    proxy.channel().recordAcknowledgement(sent.end());
     return OptionalDouble.of(sent.start());
   }
 
   /** Takes off what waits for a connection that ended: it is lost and never acknowledged. */
-  void disconnected(ProxyState proxy) {
-    double lost = proxy.channel().disconnected(acknowledgedPosition);
+  void recordDisconnection(ProxyState proxy) {
+    double lost = proxy.channel().dropUnacknowledgedEntries(acknowledgedPosition);
     acknowledgedPosition = Math.min(sentPosition, acknowledgedPosition + lost);
   }
 
@@ -165,7 +165,7 @@
    *
    * @param exclusionsCrowdedOut whether first tables go out in place of exclusion notices
    */
-  boolean hasRoomForUrgent(ProxyState proxy, boolean exclusionsCrowdedOut) {
+  boolean hasRoomForUrgentUpdate(ProxyState proxy, boolean exclusionsCrowdedOut) {
     double firstTable = exclusionsCrowdedOut ? EXCLUSION_BACKLOG : FIRST_TABLE_BACKLOG;
     double share = proxy.isTableAssigned() ? URGENT_BACKLOG : firstTable;
     if (backlog() > share * limits.maxBacklogEntries()) {
@@ -175,11 +175,11 @@
       return true;
     }
     return recentMessages(proxy) < limits.maxMessagesPerProxy() - RESERVED_MESSAGES
-        && clock.since(proxy.channel().lastMessageAt()) >= BATCH_INTERVAL;
+        && clock.since(proxy.channel().lastMessageSentAt()) >= BATCH_INTERVAL_DECI_MILLIS;
   }
 
   /** Whether a routine update leaves enough of the channel to drains and empty tables. */
-  boolean hasRoomForRoutine(ProxyState proxy) {
+  boolean hasRoomForRoutineUpdate(ProxyState proxy) {
     return backlog() < ROUTINE_BACKLOG * limits.maxBacklogEntries() && hasRoutineMessages(proxy);
   }
 
@@ -200,6 +200,6 @@
   }
 
   private int recentMessages(ProxyState proxy) {
-    return proxy.channel().recentMessages(clock.now(), limits.messageWindow());
+    return proxy.channel().countRecentMessages(clock.now(), limits.messageWindow());
   }
 }
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -38,8 +38,8 @@
   /** Has postponed updates looked at again soon. */
   void ensureRetry() {
     if (clock.now() >= retryAt) {
-      retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL;
-      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL, RETRY));
+      retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL_DECI_MILLIS;
+      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL_DECI_MILLIS, RETRY));
     }
   }
 }
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -33,17 +33,17 @@
   }
 
   /** Asks for notices, as a proxy connected with tables that may name what left. */
-  void request() {
+  void requestNotices() {
     pending = true;
   }
 
   /** Whether notices wait for their time. */
-  boolean isPending() {
+  boolean areNoticesPending() {
     return pending;
   }
 
   /** Whether the channel can take notices of all endpoints that left, at all unknown tables. */
-  boolean hasRoom() {
+  boolean hasRoomForNotices() {
     long excluded = endpoints.notReady().limit(maxRoutesOfUnknownTable()).count();
     return budget.hasRoomForExclusions(proxies.withUnknownTable().count(), excluded);
   }
@@ -56,10 +56,10 @@
    * @param permitted whether any endpoint left and the channel has room; otherwise pending notices
    *     are dropped
    */
-  void notifyIfDue(boolean permitted) {
+  void sendNoticesIfDue(boolean permitted) {
     pending |= endpoints.takeExclusionsNeeded();
     pending &= permitted;
-    if (pending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL) {
+    if (pending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL_DECI_MILLIS) {
       endpoints.notReady().forEach(endpoint -> setExcluded(endpoint, true));
       pending = false;
       lastNotifiedAt = clock.now();
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -8,7 +8,7 @@
 /** Moves that were sent and that reports do not show yet: the headroom that they take and free. */
 final class InFlightMoves {
   /** DeciMillis until reports show a move: message delivery, a report interval and its delay. */
-  static final long VISIBLE_AFTER = 3 * DeciMillis.SECOND;
+  static final long VISIBLE_AFTER_DECI_MILLIS = 3 * DeciMillis.SECOND;
 
   /**
    * DeciMillis after which the room that a move frees counts although no proxy acknowledged it, as
@@ -46,14 +46,14 @@
   }
 
   /** Notes that a proxy applied all updates up to the batch that starts at a position. */
-  void acknowledged(ProxyState proxy, double position) {
+  void recordAcknowledgement(ProxyState proxy, double position) {
     for (InFlightMove move : moves) {
       move.acknowledged |= move.proxy == proxy && move.position <= position;
     }
   }
 
   /** Notes that a proxy is gone, and with it the load that its moves took away. */
-  void disconnected(ProxyState proxy) {
+  void recordDisconnection(ProxyState proxy) {
     for (InFlightMove move : moves) {
       move.acknowledged |= move.proxy == proxy;
     }
@@ -61,7 +61,7 @@
 
   /** Drops moves that reports show by now. */
   void removeVisible() {
-    moves.removeIf(move -> clock.since(move.sentAt) > VISIBLE_AFTER);
+    moves.removeIf(move -> clock.since(move.sentAt) > VISIBLE_AFTER_DECI_MILLIS);
   }
 
   /** Whether a move's freed room may still be acknowledged. */
--- a/src/main/java/stonespring/decision/PendingMove.java
+++ b/src/main/java/stonespring/decision/PendingMove.java
@@ -8,8 +8,8 @@
   private static final double UNKNOWN = -1;
 
   private final ProxyState proxy;
-  private double potentialTime = UNKNOWN;
-  private boolean onPath;
+  private double potentialUpdateTime = UNKNOWN;
+  private boolean onSearchPath;
 
   PendingMove(ProxyState proxy) {
     this.proxy = proxy;
@@ -20,34 +20,34 @@
   }
 
   /** Whether it adds more than a rounding error to a route's endpoint. */
-  boolean adds(Route route) {
+  boolean addsLoadTo(Route route) {
     return proxy.rateChange(route) > MIN_RATE_CHANGE;
   }
 
   /** Whether it takes more than a rounding error from a route's endpoint. */
-  boolean frees(Route route) {
+  boolean removesLoadFrom(Route route) {
     return proxy.rateChange(route) < -MIN_RATE_CHANGE;
   }
 
-  boolean isPotentialTimeKnown() {
-    return potentialTime >= 0;
+  boolean isPotentialUpdateTimeKnown() {
+    return potentialUpdateTime >= 0;
   }
 
   /** Potential update time, DeciMillis. */
-  double potentialTime() {
-    return potentialTime;
+  double potentialUpdateTime() {
+    return potentialUpdateTime;
   }
 
-  void setPotentialTime(double potentialTime) {
-    this.potentialTime = potentialTime;
+  void setPotentialUpdateTime(double potentialUpdateTime) {
+    this.potentialUpdateTime = potentialUpdateTime;
   }
 
   /** Whether the search for the deepest dependency passes it at present. */
-  boolean isOnPath() {
-    return onPath;
+  boolean isOnSearchPath() {
+    return onSearchPath;
   }
 
-  void setOnPath(boolean onPath) {
-    this.onPath = onPath;
+  void setOnSearchPath(boolean onSearchPath) {
+    this.onSearchPath = onSearchPath;
   }
 }
--- a/src/main/java/stonespring/decision/ProposalBlender.java
+++ b/src/main/java/stonespring/decision/ProposalBlender.java
@@ -22,7 +22,7 @@
    * Replaces the smallest route that the proposal does not want by the endpoint that it wants most:
    * one a round, as routes cost channel entries.
    */
-  void proposeReplacement(ProxyState proxy) {
+  void scheduleReplacement(ProxyState proxy) {
     if (!proxy.isTableAssigned() || proxy.proposal().influence(clock.now()) == 0) {
       return;
     }
@@ -51,7 +51,7 @@
   }
 
   /** Moves the targets towards the proposal; the sum of those that follow it stays. */
-  void blend(ProxyState proxy) {
+  void blendTargets(ProxyState proxy) {
     WeightProposal proposal = proxy.proposal();
     double influence = proposal.influence(clock.now());
     List<Route> routes =
--- a/src/main/java/stonespring/decision/ProxyChannel.java
+++ b/src/main/java/stonespring/decision/ProxyChannel.java
@@ -12,12 +12,12 @@
   private double lastPosition;
 
   /** Starts anew for a new connection; what the old one had in the backlog still counts. */
-  void connected() {
+  void clearRecentMessages() {
     messagesSentAt.clear();
   }
 
   /** Books a message of so many entries that ends at a position. */
-  void sent(double entries, double position, double acknowledgedPosition, long now) {
+  void recordMessage(double entries, double position, double acknowledgedPosition, long now) {
     messagesSentAt.add(now);
     double waiting = lastPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
     unacknowledgedEntries = waiting + entries;
@@ -25,27 +25,27 @@
   }
 
   /** Nothing waits once all up to the last message is acknowledged. */
-  void acknowledged(double position) {
+  void recordAcknowledgement(double position) {
     if (position >= lastPosition) {
       unacknowledgedEntries = 0;
     }
   }
 
   /** Drops what waits for a connection that ended, and returns how many entries that were. */
-  double disconnected(double acknowledgedPosition) {
+  double dropUnacknowledgedEntries(double acknowledgedPosition) {
     double lost = lastPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
     unacknowledgedEntries = 0;
     return lost;
   }
 
   /** Messages within the window up to now; older ones are dropped. */
-  int recentMessages(long now, long window) {
+  int countRecentMessages(long now, long window) {
     messagesSentAt.removeIf(sentAt -> now - sentAt > window);
     return messagesSentAt.size();
   }
 
   /** When the last message was sent; there must be a recent one. */
-  long lastMessageAt() {
+  long lastMessageSentAt() {
     return messagesSentAt.getLast();
   }
 }
--- a/src/main/java/stonespring/decision/ProxyState.java
+++ b/src/main/java/stonespring/decision/ProxyState.java
@@ -35,7 +35,7 @@
     withoutTables = event.withoutTables();
     exclusionsRequested = false;
     connectedAt = now;
-    channel.connected();
+    channel.clearRecentMessages();
     requestRate.proxyConnected(event.requestsPerSecond());
   }
 
--- a/src/main/java/stonespring/decision/SlowStartGuard.java
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -57,9 +57,9 @@
    * Removes the targets of routes that exceed the budgets; a proxy that holds such a route is added
    * to the urgent updates.
    */
-  void limit(List<ProxyState> known, UrgentUpdates urgent) {
+  void limitTargets(List<ProxyState> known, UrgentUpdates urgent) {
     Budgets budgets = budgets();
-    double admitted = admission.admittedTraffic();
+    double admitted = admission.admittedTrafficShare();
     for (ProxyState proxy : byPriority(known)) {
       boolean removed = true;
       while (removed) {
--- a/src/main/java/stonespring/decision/TableUpdater.java
+++ b/src/main/java/stonespring/decision/TableUpdater.java
@@ -33,7 +33,7 @@
    *
    * @param share 0 to 1
    */
-  void send(ProxyState proxy, double share) {
+  void sendTable(ProxyState proxy, double share) {
     SortedMap<EndpointState, Double> rateChanges = sendRoutes(proxy, share);
     proxy.resetRoundsWaited();
     if (share >= 1) {
@@ -46,7 +46,7 @@
       batch.assignTable(proxy);
       proxy.markTableAssigned();
     }
-    inFlight.add(proxy, budget.sentPosition(), rateChanges);
+    inFlight.add(proxy, budget.batchStartPosition(), rateChanges);
   }
 
   private SortedMap<EndpointState, Double> sendRoutes(ProxyState proxy, double share) {
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -79,10 +79,10 @@
       }
     }
     for (PendingMove move : moves) {
-      potentialTime(move, waiting);
+      potentialUpdateTime(move, waiting);
     }
     moves.sort(
-        Comparator.<PendingMove>comparingDouble(move -> -move.potentialTime())
+        Comparator.<PendingMove>comparingDouble(move -> -move.potentialUpdateTime())
             .thenComparingDouble(move -> -move.proxy().averageRate())
             .thenComparingInt(move -> move.proxy().id().number()));
     boolean admitted = admit(moves, headroom);
@@ -171,32 +171,33 @@
       PendingMove move, double[] headroom, Map<EndpointState, List<PendingMove>> waiting) {
     for (Route route : move.proxy().table().routes()) {
       EndpointState endpoint = route.endpoint();
-      if (move.adds(route) && move.proxy().rateChange(route) > headroom[endpoint.index()]) {
+      if (move.addsLoadTo(route) && move.proxy().rateChange(route) > headroom[endpoint.index()]) {
         waiting.computeIfAbsent(endpoint, key -> new ArrayList<>()).add(move);
       }
     }
   }
 
   /** Potential update time (IV-B), DeciMillis. */
-  private double potentialTime(PendingMove move, Map<EndpointState, List<PendingMove>> waiting) {
-    if (move.isOnPath()) {
+  private double potentialUpdateTime(
+      PendingMove move, Map<EndpointState, List<PendingMove>> waiting) {
+    if (move.isOnSearchPath()) {
       return CYCLE_TIME;
     }
-    if (move.isPotentialTimeKnown()) {
-      return move.potentialTime();
+    if (move.isPotentialUpdateTimeKnown()) {
+      return move.potentialUpdateTime();
     }
-    move.setOnPath(true);
+    move.setOnSearchPath(true);
     double deepest = 0;
     for (Route route : move.proxy().table().routes()) {
-      if (move.frees(route)) {
+      if (move.removesLoadFrom(route)) {
         for (PendingMove waiter : waiting.getOrDefault(route.endpoint(), List.of())) {
-          deepest = Math.max(deepest, potentialTime(waiter, waiting));
+          deepest = Math.max(deepest, potentialUpdateTime(waiter, waiting));
         }
       }
     }
-    move.setOnPath(false);
-    move.setPotentialTime(Math.min(CYCLE_TIME, channelTime(move) + deepest));
-    return move.potentialTime();
+    move.setOnSearchPath(false);
+    move.setPotentialUpdateTime(Math.min(CYCLE_TIME, channelTime(move) + deepest));
+    return move.potentialUpdateTime();
   }
 
   /** Time that a move's message takes in the channel, DeciMillis. */
@@ -215,7 +216,7 @@
     for (PendingMove move : moves) {
       double yieldRatio = yieldRatio(move, headroom);
       boolean fits = yieldRatio <= 0 || isStarved(move, yieldRatio, headroom);
-      if (fits && budget.hasRoomForRoutine(move.proxy())) {
+      if (fits && budget.hasRoomForRoutineUpdate(move.proxy())) {
         send(move, 1 - yieldRatio, headroom);
         admitted = true;
       } else {
@@ -233,7 +234,7 @@
     ProxyState proxy = move.proxy();
     long waited = proxy.roundsWaited() * settings.reportInterval();
     return yieldRatio < 1
-        && waited >= InFlightMoves.VISIBLE_AFTER
+        && waited >= InFlightMoves.VISIBLE_AFTER_DECI_MILLIS
         && proxy.table().routes().stream()
             .anyMatch(
                 route -> proxy.rateChange(route) < 0 && headroom[route.endpoint().index()] < 0);
@@ -241,7 +242,8 @@
 
   private void resolveDeadlock(List<PendingMove> moves, double[] headroom) {
     moves.stream()
-        .filter(move -> yieldRatio(move, headroom) < 1 && budget.hasRoomForRoutine(move.proxy()))
+        .filter(
+            move -> yieldRatio(move, headroom) < 1 && budget.hasRoomForRoutineUpdate(move.proxy()))
         .min(Comparator.comparingDouble(move -> yieldRatio(move, headroom)))
         .ifPresent(move -> send(move, 1 - yieldRatio(move, headroom), headroom));
   }
@@ -254,7 +256,7 @@
   private static double yieldRatio(PendingMove move, double[] headroom) {
     double fitting = 1;
     for (Route route : move.proxy().table().routes()) {
-      if (move.adds(route)) {
+      if (move.addsLoadTo(route)) {
         double ratio = headroom[route.endpoint().index()] / move.proxy().rateChange(route);
         fitting = Math.min(fitting, ratio);
       }
@@ -268,6 +270,6 @@
       double change = move.proxy().rateChange(route) * share;
       headroom[route.endpoint().index()] -= Math.max(0, change);
     }
-    updater.send(move.proxy(), share);
+    updater.sendTable(move.proxy(), share);
   }
 }
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -48,10 +48,10 @@
    *
    * @return whether an update or a notice was postponed
    */
-  boolean select() {
+  boolean selectDueUpdates() {
     selected.clear();
     boolean anyLeft = endpoints.notReady().findAny().isPresent();
-    exclusionsCrowdedOut = anyLeft && !exclusions.hasRoom();
+    exclusionsCrowdedOut = anyLeft && !exclusions.hasRoomForNotices();
     boolean postponed = false;
     for (ProxyState proxy : proxies.all()) {
       boolean due = isDue(proxy, anyLeft);
@@ -62,14 +62,14 @@
         requestExclusions(proxy);
       }
     }
-    exclusions.notifyIfDue(anyLeft && !exclusionsCrowdedOut);
-    return postponed || exclusions.isPending();
+    exclusions.sendNoticesIfDue(anyLeft && !exclusionsCrowdedOut);
+    return postponed || exclusions.areNoticesPending();
   }
 
   /** Has a proxy told, once after it connected, what its unknown table must not use. */
   private void requestExclusions(ProxyState proxy) {
     if (proxy.mayHoldUnknownTables() && !proxy.areExclusionsRequested()) {
-      exclusions.request();
+      exclusions.requestNotices();
       proxy.markExclusionsRequested();
     }
   }
@@ -96,7 +96,7 @@
   }
 
   private boolean hasRoom(ProxyState proxy) {
-    return budget.hasRoomForUrgent(proxy, exclusionsCrowdedOut);
+    return budget.hasRoomForUrgentUpdate(proxy, exclusionsCrowdedOut);
   }
 
   void add(ProxyState proxy) {
@@ -112,12 +112,12 @@
   }
 
   /** Sends the selected tables as far as there is room, those that are in use first. */
-  void send(TableUpdater updater) {
+  void sendSelected(TableUpdater updater) {
     List<ProxyState> byUse =
         selected.stream().sorted(Comparator.comparing(proxy -> !proxy.isTableAssigned())).toList();
     for (ProxyState proxy : byUse) {
       if (hasRoom(proxy)) {
-        updater.send(proxy, 1);
+        updater.sendTable(proxy, 1);
       }
     }
   }
--- a/src/test/java/stonespring/decision/InFlightMovesTest.java
+++ b/src/test/java/stonespring/decision/InFlightMovesTest.java
@@ -32,11 +32,11 @@
   void freedHeadroomCountsOnceAcknowledged() {
     addMove(100);
     assertArrayEquals(new double[] {10, 5}, headroom(), "what it takes counts at once");
-    moves.acknowledged(new ProxyState(new ProxyId(1), 1), 100);
-    moves.acknowledged(proxy, 99);
+    moves.recordAcknowledgement(new ProxyState(new ProxyId(1), 1), 100);
+    moves.recordAcknowledgement(proxy, 99);
     assertArrayEquals(new double[] {10, 5}, headroom(), "another proxy, or an earlier update");
     assertTrue(moves.isAwaitingCredit());
-    moves.acknowledged(proxy, 100);
+    moves.recordAcknowledgement(proxy, 100);
     assertArrayEquals(new double[] {15, 5}, headroom());
     assertFalse(moves.isAwaitingCredit());
   }
@@ -54,7 +54,7 @@
   @Test
   void disconnectedProxyFreesItsHeadroom() {
     addMove(0);
-    moves.disconnected(proxy);
+    moves.recordDisconnection(proxy);
     assertFalse(moves.isAwaitingCredit());
   }
 
