--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -21,7 +21,7 @@
  * confidence that overload reduces and normal operation restores.
  *
  * <p>Only where proxies limit by a fraction does this shed load. Limits by a rate are never
- * lowered: they stay at {@link #RATE_WITHOUT_LIMIT}. Proxies without admission limits ignore the
+ * lowered: they stay at {@link #UNLIMITED_RATE}. Proxies without admission limits ignore the
  * number. In both cases a fraction below 1 only stops retries.
  */
 final class AdmissionController {
@@ -41,13 +41,13 @@
   private static final double LOCAL_CAPACITY_SHARE = 0.25;
 
   /** Factor of the confidence at the first reduction, when all is admitted. */
-  private static final double FIRST_REDUCTION = 0.5;
+  private static final double FIRST_REDUCTION_FACTOR = 0.5;
 
   /** Factor of the confidence at each further reduction. */
-  private static final double REDUCTION = 0.7;
+  private static final double REDUCTION_FACTOR = 0.7;
 
   /** DeciMillis between reductions; the last one shows in reports by then. */
-  private static final long REDUCTION_INTERVAL = 2 * DeciMillis.SECOND;
+  private static final long REDUCTION_INTERVAL_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   private static final double MIN_CONFIDENCE = 0.4;
 
@@ -55,7 +55,7 @@
   private static final double MIN_CONFIDENCE_IF_IDLE = 0.5;
 
   /** Least confidence while reports are delayed: the overload that they show may be over. */
-  private static final double MIN_CONFIDENCE_IF_DELAYED = 0.7;
+  private static final double MIN_CONFIDENCE_IF_REPORTS_DELAYED = 0.7;
 
   /** Confidence that normal operation restores at once. */
   private static final double RECOVERED_CONFIDENCE = 0.7;
@@ -63,11 +63,11 @@
   private static final double MAX_CONFIDENCE = 2;
   private static final double CONFIDENCE_STEP_PER_SECOND = 0.04;
 
-  /** Least admitted fraction; some requests must show whether endpoints work. */
-  private static final double MIN_FRACTION = 0.05;
+  /** Least admitted admittedFraction; some requests must show whether endpoints work. */
+  private static final double MIN_ADMITTED_FRACTION = 0.05;
 
   /** Relative change of the fraction that is worth a message to every proxy. */
-  private static final double MIN_CHANGE = 0.05;
+  private static final double MIN_RELATIVE_CHANGE = 0.05;
 
   /** Least fraction of any class, as a multiple of the worst class's weight in the objective. */
   private static final double CLASS_FLOOR_MULTIPLE = 3;
@@ -76,7 +76,7 @@
   private static final double MIN_SUCCESS_SHARE = 1e-9;
 
   /** Requests per second at a proxy, above what any receives: it limits nothing. */
-  private static final double RATE_WITHOUT_LIMIT = 1e6;
+  private static final double UNLIMITED_RATE = 1e6;
 
   private final Settings settings;
   private final EngineClock clock;
@@ -85,11 +85,11 @@
   private final Estimates estimates;
   private final CommandBatch batch;
   private final ChannelBudget budget;
-  private double fraction = 1;
+  private double admittedFraction = 1;
   private double confidence = 1;
   private long lastReductionAt = EngineClock.NEVER;
   private double roundAttempts;
-  private double roundFailedOrLate;
+  private double roundFailedOrLateAttempts;
 
   /**
    * What is seen of the load at an update.
@@ -97,30 +97,31 @@
    * @param capacityPerOfferedRate what the endpoints can serve over what is offered; below 1 some
    *     requests cannot be served
    * @param utilization mean utilization of the endpoints that report one, by capacity
-   * @param failedOrLateCapacity share of the capacity at endpoints where more than usual fails or
-   *     is late
-   * @param failedOrLateAttempts share of the attempts since the last round that failed or were late
+   * @param failedOrLateCapacityShare share of the capacity at endpoints where more than usual fails
+   *     or is late
+   * @param failedOrLateAttemptShare share of the attempts since the last round that failed or were
+   *     late
    */
   private record Load(
       double capacityPerOfferedRate,
       double utilization,
-      double failedOrLateCapacity,
-      double failedOrLateAttempts) {
+      double failedOrLateCapacityShare,
+      double failedOrLateAttemptShare) {
     boolean isOverloaded() {
-      return failedOrLateAttempts > OVERLOAD_FAILED_OR_LATE_SHARE
-          && failedOrLateCapacity > OVERLOAD_CAPACITY_SHARE;
+      return failedOrLateAttemptShare > OVERLOAD_FAILED_OR_LATE_SHARE
+          && failedOrLateCapacityShare > OVERLOAD_CAPACITY_SHARE;
     }
 
     boolean isNormal() {
-      return failedOrLateAttempts < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
-          || failedOrLateCapacity < LOCAL_CAPACITY_SHARE;
+      return failedOrLateAttemptShare < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
+          || failedOrLateCapacityShare < LOCAL_CAPACITY_SHARE;
     }
 
     boolean needsLimit() {
       return capacityPerOfferedRate < 1
           || utilization > HIGH_UTILIZATION
-          || failedOrLateAttempts > EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
-              && failedOrLateCapacity > OVERLOAD_CAPACITY_SHARE;
+          || failedOrLateAttemptShare > EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
+              && failedOrLateCapacityShare > OVERLOAD_CAPACITY_SHARE;
     }
   }
 
@@ -146,19 +147,19 @@
     double lateShare = estimates.latency().lateShare(outcomes.successLatency());
     long successes = outcomes.attempts() - outcomes.failures();
     roundAttempts += outcomes.attempts();
-    roundFailedOrLate += outcomes.failures() + successes * lateShare;
+    roundFailedOrLateAttempts += outcomes.failures() + successes * lateShare;
   }
 
   /** The part of the offered traffic that proxies pass on, where they limit it by a fraction. */
   double admittedTrafficShare() {
-    return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? fraction : 1;
+    return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? admittedFraction : 1;
   }
 
   /** Admits all requests; sent once, with the first batch. */
   void publishInitialLimits() {
     double[] fractions = new double[settings.requestClasses().size()];
     Arrays.fill(fractions, 1);
-    publish(1, fractions);
+    publishLimits(1, fractions);
   }
 
   /**
@@ -169,28 +170,30 @@
     if (estimates.traffic().offeredRate() <= 0) {
       return;
     }
-    Load load = observe();
+    Load load = observeLoad();
     if (inRound) {
       adjustConfidence(load);
       roundAttempts = 0;
-      roundFailedOrLate = 0;
+      roundFailedOrLateAttempts = 0;
     }
-    boolean limited = fraction < 1 || load.needsLimit();
+    boolean limited = admittedFraction < 1 || load.needsLimit();
     double admissible = limited ? TARGET_FILL * load.capacityPerOfferedRate() * confidence : 1;
-    double wanted = Math.max(MIN_FRACTION, Math.min(1, admissible));
+    double newFraction = Math.max(MIN_ADMITTED_FRACTION, Math.min(1, admissible));
     boolean changed =
-        wanted == 1 ? fraction < 1 : Math.abs(wanted - fraction) > MIN_CHANGE * fraction;
+        newFraction == 1
+            ? admittedFraction < 1
+            : Math.abs(newFraction - admittedFraction) > MIN_RELATIVE_CHANGE * admittedFraction;
     if (changed && budget.hasRoomForAdmissionLimits()) {
-      if (wanted == 1) {
+      if (newFraction == 1) {
         log("Endpoints have spare capacity: all requests are admitted again.");
       }
-      fraction = wanted;
-      publish(fraction, fractionsByClass());
+      admittedFraction = newFraction;
+      publishLimits(admittedFraction, fractionsByClass());
     }
   }
 
   /** An endpoint that fails more than the rest counts less: one that fails all serves nothing. */
-  private Load observe() {
+  private Load observeLoad() {
     TrafficEstimator traffic = estimates.traffic();
     double totalCapacity =
         Math.max(CapacityEstimator.MIN_CAPACITY, estimates.capacity().totalCapacity());
@@ -209,12 +212,12 @@
         reportingCapacity > 0
             ? endpoints.sumOverReady(AdmissionController::busyCapacity) / reportingCapacity
             : 0;
-    double failedOrLateCapacity =
+    double failedOrLateCapacityShare =
         endpoints.sumOverReady(AdmissionController::failedOrLateCapacity) / totalCapacity;
-    double failedOrLateAttempts =
-        roundFailedOrLate / Math.max(EndpointStatistics.PRIOR_ATTEMPTS, roundAttempts);
+    double failedOrLateAttemptShare =
+        roundFailedOrLateAttempts / Math.max(EndpointStatistics.PRIOR_ATTEMPTS, roundAttempts);
     return new Load(
-        capacityPerOfferedRate, utilization, failedOrLateCapacity, failedOrLateAttempts);
+        capacityPerOfferedRate, utilization, failedOrLateCapacityShare, failedOrLateAttemptShare);
   }
 
   private static double servedCapacity(EndpointState endpoint, double meanSuccess) {
@@ -241,7 +244,8 @@
   private void adjustConfidence(Load load) {
     long delay = estimates.cadence().delay();
     double step = CONFIDENCE_STEP_PER_SECOND * settings.reportInterval() / DeciMillis.SECOND;
-    if (load.isOverloaded() && clock.since(lastReductionAt) > REDUCTION_INTERVAL + delay) {
+    if (load.isOverloaded()
+        && clock.since(lastReductionAt) > REDUCTION_INTERVAL_DECI_MILLIS + delay) {
       reduceConfidence(load, delay > settings.reportInterval());
     } else if (load.isNormal() && load.utilization() < TARGET_FILL) {
       restoreConfidence(step);
@@ -252,7 +256,7 @@
 
   /** Restores at least what normal operation shows at once; beyond 1 only while limited. */
   private void restoreConfidence(double step) {
-    double limit = fraction < 1 ? MAX_CONFIDENCE : 1;
+    double limit = admittedFraction < 1 ? MAX_CONFIDENCE : 1;
     double raised = Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step));
     confidence = Math.min(limit, raised);
   }
@@ -267,10 +271,11 @@
     if (confidence == 1) {
       log("Overload: endpoints fail requests, admission limits are lowered.");
     }
-    double floorIfIdle = reportsDelayed ? MIN_CONFIDENCE_IF_DELAYED : MIN_CONFIDENCE_IF_IDLE;
+    double floorIfIdle =
+        reportsDelayed ? MIN_CONFIDENCE_IF_REPORTS_DELAYED : MIN_CONFIDENCE_IF_IDLE;
     double floor =
         load.utilization() > HIGH_UTILIZATION ? MIN_CONFIDENCE : Math.min(confidence, floorIfIdle);
-    double factor = fraction == 1 ? FIRST_REDUCTION : REDUCTION;
+    double factor = admittedFraction == 1 ? FIRST_REDUCTION_FACTOR : REDUCTION_FACTOR;
     confidence = Math.max(floor, confidence * factor);
     lastReductionAt = clock.now();
   }
@@ -284,15 +289,17 @@
     List<RequestClass> classes = settings.requestClasses();
     double[] rates = ratesByClass();
     double floor =
-        fraction * Math.min(1, CLASS_FLOOR_MULTIPLE * settings.routing().worstClassWeight());
-    double remaining = (fraction - floor) * Arrays.stream(rates).sum();
+        admittedFraction
+            * Math.min(1, CLASS_FLOOR_MULTIPLE * settings.routing().worstClassWeight());
+    double remaining = (admittedFraction - floor) * Arrays.stream(rates).sum();
     double[] fractions = new double[rates.length];
-    Arrays.fill(fractions, fraction);
-    List<Integer> byValue = new ArrayList<>(IntStream.range(0, rates.length).boxed().toList());
-    byValue.sort(Comparator.comparingDouble(index -> -valueForWork(classes.get(index))));
-    for (int index : byValue) {
+    Arrays.fill(fractions, admittedFraction);
+    List<Integer> indexesByValue =
+        new ArrayList<>(IntStream.range(0, rates.length).boxed().toList());
+    indexesByValue.sort(Comparator.comparingDouble(index -> -valuePerWork(classes.get(index))));
+    for (int index : indexesByValue) {
       double added = Math.max(0, Math.min(remaining, (1 - floor) * rates[index]));
-      if (fraction < 1 && rates[index] > 0) {
+      if (admittedFraction < 1 && rates[index] > 0) {
         fractions[index] = floor + added / rates[index];
       }
       remaining -= added;
@@ -300,7 +307,7 @@
     return fractions;
   }
 
-  private static double valueForWork(RequestClass requestClass) {
+  private static double valuePerWork(RequestClass requestClass) {
     return requestClass.priorityWeight() / requestClass.latencyObjective();
   }
 
@@ -321,12 +328,12 @@
    * Sends the limits, one for all classes of equal fraction. Proxies retry only while all requests
    * are admitted, and then only what was proven not to be executed.
    */
-  private void publish(double overall, double[] fractions) {
-    RetryPolicy retryPolicy = overall < 1 ? RetryPolicy.NEVER : RetryPolicy.IF_NOT_EXECUTED;
+  private void publishLimits(double overallFraction, double[] fractions) {
+    RetryPolicy retryPolicy = overallFraction < 1 ? RetryPolicy.NEVER : RetryPolicy.IF_NOT_EXECUTED;
     SortedMap<Double, Integer> maskByLimit = new TreeMap<>();
     for (int index = 0; index < fractions.length; index++) {
       boolean byRate = settings.admissionLimitKind() == AdmissionLimitKind.RATE;
-      double limit = byRate ? RATE_WITHOUT_LIMIT : fractions[index];
+      double limit = byRate ? UNLIMITED_RATE : fractions[index];
       maskByLimit.merge(limit, 1 << index, Integer::sum);
     }
     List<Command.LimitAdmission> limits = new ArrayList<>();
--- a/src/main/java/stonespring/decision/ChannelBudget.java
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -26,22 +26,22 @@
   static final long BATCH_INTERVAL_DECI_MILLIS = 6 * DeciMillis.SECOND / 10;
 
   /** DeciMillis for which the last acknowledgement tells how far the channel is. */
-  private static final long ACKNOWLEDGEMENTS_CURRENT_FOR = 3 * DeciMillis.SECOND;
+  private static final long ACKNOWLEDGEMENT_VALIDITY_DECI_MILLIS = 3 * DeciMillis.SECOND;
 
   /** Times slower than configured, while nothing is acknowledged. */
   private static final double ASSUMED_SLOWDOWN = 5;
 
   // Shares of the backlog's limit up to which updates go out; the rest is left to what follows.
-  private static final double ROUTINE_BACKLOG = 0.3;
-  private static final double FIRST_TABLE_BACKLOG = 0.35;
-  private static final double EXCLUSION_BACKLOG = 0.6;
-  private static final double URGENT_BACKLOG = 0.85;
+  private static final double ROUTINE_BACKLOG_SHARE = 0.3;
+  private static final double FIRST_TABLE_BACKLOG_SHARE = 0.35;
+  private static final double EXCLUSION_BACKLOG_SHARE = 0.6;
+  private static final double URGENT_BACKLOG_SHARE = 0.85;
 
   /** Share of a proxy's messages up to which routine updates go out. */
-  private static final double ROUTINE_MESSAGES = 0.33;
+  private static final double ROUTINE_MESSAGE_SHARE = 0.33;
 
   /** Share of a proxy's messages up to which admission limits go out. */
-  private static final double ADMISSION_MESSAGES = 2 * ROUTINE_MESSAGES;
+  private static final double ADMISSION_MESSAGE_SHARE = 2 * ROUTINE_MESSAGE_SHARE;
 
   private static final double UNLIMITED_MESSAGES = 1e9;
 
@@ -49,12 +49,12 @@
   private static final int RESERVED_MESSAGES = 2;
 
   /** Acknowledgement numbers before they start over; about an hour's batches. */
-  private static final int ACK_NUMBERS = 4_000;
+  private static final int ACK_NUMBER_COUNT = 4_000;
 
   /** What was sent in one batch. */
-  private record SentBatch(double start, double entries, int messages) {
-    double end() {
-      return start + entries;
+  private record SentBatch(double startPosition, double entries, int messages) {
+    double endPosition() {
+      return startPosition + entries;
     }
   }
 
@@ -63,7 +63,7 @@
   private final ProxyRegistry proxies;
   private final CommandBatch batch;
   private final Map<Integer, SentBatch> sentBatches = new HashMap<>();
-  private int nextAck = 1;
+  private int nextAckNumber = 1;
   private double sentPosition;
   private double acknowledgedPosition;
   private long assumedEmptyAt;
@@ -88,7 +88,7 @@
   List<Command> endBatch() {
     List<Command> commands = batch.takeCommands();
     if (!batch.proxies().isEmpty()) {
-      commands.add(new Command.RequestAck(new AckId(nextAck), false));
+      commands.add(new Command.RequestAck(new AckId(nextAckNumber), false));
       recordBatch();
     }
     batch.clearEntries();
@@ -97,12 +97,12 @@
 
   private void recordBatch() {
     int messages = batch.proxies().size();
-    sentBatches.put(nextAck, new SentBatch(sentPosition, batch.entries(), messages));
-    nextAck = nextAck % ACK_NUMBERS + 1;
+    sentBatches.put(nextAckNumber, new SentBatch(sentPosition, batch.entries(), messages));
+    nextAckNumber = nextAckNumber % ACK_NUMBER_COUNT + 1;
     sentPosition += batch.entries();
-    double assumedTime =
+    double assumedTimeDeciMillis =
         batch.entries() * DeciMillis.SECOND * ASSUMED_SLOWDOWN / limits.entriesPerSecond();
-    assumedEmptyAt = Math.max(assumedEmptyAt, clock.now()) + (long) assumedTime;
+    assumedEmptyAt = Math.max(assumedEmptyAt, clock.now()) + (long) assumedTimeDeciMillis;
     for (ProxyState proxy : batch.proxies()) {
       int entries = batch.messageOverhead() + batch.entriesFor(proxy);
       proxy.channel().recordMessage(entries, sentPosition, acknowledgedPosition, clock.now());
@@ -120,11 +120,12 @@
       return OptionalDouble.empty();
     }
     lastAcknowledgedAt = clock.now();
-    double reached =
-        Math.max(acknowledgedPosition, sent.start()) + sent.entries() / sent.messages();
-    acknowledgedPosition = Math.max(acknowledgedPosition, Math.min(reached, sent.end()));
-    proxy.channel().recordAcknowledgement(sent.end());
-    return OptionalDouble.of(sent.start());
+    double reachedPosition =
+        Math.max(acknowledgedPosition, sent.startPosition()) + sent.entries() / sent.messages();
+    acknowledgedPosition =
+        Math.max(acknowledgedPosition, Math.min(reachedPosition, sent.endPosition()));
+    proxy.channel().recordAcknowledgement(sent.endPosition());
+    return OptionalDouble.of(sent.startPosition());
   }
 
   /** Takes off what waits for a connection that ended: it is lost and never acknowledged. */
@@ -139,7 +140,7 @@
    */
   private double backlog() {
     double unacknowledged = sentPosition - acknowledgedPosition;
-    if (clock.since(lastAcknowledgedAt) < ACKNOWLEDGEMENTS_CURRENT_FOR) {
+    if (clock.since(lastAcknowledgedAt) < ACKNOWLEDGEMENT_VALIDITY_DECI_MILLIS) {
       return batch.entries() + unacknowledged;
     }
     double waitingAtAssumedPace =
@@ -154,33 +155,35 @@
    * Whether all unknown tables can be told of exclusions. Otherwise first tables say the same for
    * fewer entries.
    */
-  boolean hasRoomForExclusions(long unknownTables, long exclusions) {
-    double entries = backlog() + unknownTables * (batch.messageOverhead() + exclusions);
-    return entries <= EXCLUSION_BACKLOG * limits.maxBacklogEntries();
+  boolean hasRoomForExclusions(long unknownTableCount, long excludedCount) {
+    double entries = backlog() + unknownTableCount * (batch.messageOverhead() + excludedCount);
+    return entries <= EXCLUSION_BACKLOG_SHARE * limits.maxBacklogEntries();
   }
 
   /**
    * Whether an update may go out that cannot wait for a round. Once a proxy had many messages, its
    * urgent updates are batched; first tables can wait for the backlog.
    *
-   * @param exclusionsCrowdedOut whether first tables go out in place of exclusion notices
+   * @param exclusionsDoNotFit whether first tables go out in place of exclusion notices
    */
-  boolean hasRoomForUrgentUpdate(ProxyState proxy, boolean exclusionsCrowdedOut) {
-    double firstTable = exclusionsCrowdedOut ? EXCLUSION_BACKLOG : FIRST_TABLE_BACKLOG;
-    double share = proxy.isTableAssigned() ? URGENT_BACKLOG : firstTable;
-    if (backlog() > share * limits.maxBacklogEntries()) {
+  boolean hasRoomForUrgentUpdate(ProxyState proxy, boolean exclusionsDoNotFit) {
+    double firstTableShare =
+        exclusionsDoNotFit ? EXCLUSION_BACKLOG_SHARE : FIRST_TABLE_BACKLOG_SHARE;
+    double backlogShare = proxy.isTableAssigned() ? URGENT_BACKLOG_SHARE : firstTableShare;
+    if (backlog() > backlogShare * limits.maxBacklogEntries()) {
       return false;
     }
-    if (hasRoutineMessages(proxy)) {
+    if (hasRoutineMessageAllowance(proxy)) {
       return true;
     }
-    return recentMessages(proxy) < limits.maxMessagesPerProxy() - RESERVED_MESSAGES
+    return recentMessageCount(proxy) < limits.maxMessagesPerProxy() - RESERVED_MESSAGES
         && clock.since(proxy.channel().lastMessageSentAt()) >= BATCH_INTERVAL_DECI_MILLIS;
   }
 
   /** Whether a routine update leaves enough of the channel to drains and empty tables. */
   boolean hasRoomForRoutineUpdate(ProxyState proxy) {
-    return backlog() < ROUTINE_BACKLOG * limits.maxBacklogEntries() && hasRoutineMessages(proxy);
+    return backlog() < ROUTINE_BACKLOG_SHARE * limits.maxBacklogEntries()
+        && hasRoutineMessageAllowance(proxy);
   }
 
   /** Whether admission limits may go out to all proxies. */
@@ -188,18 +191,18 @@
     double maxMessages =
         limits.maxMessagesPerProxy() == 0
             ? UNLIMITED_MESSAGES
-            : ADMISSION_MESSAGES * limits.maxMessagesPerProxy();
-    return backlog() < FIRST_TABLE_BACKLOG * limits.maxBacklogEntries()
+            : ADMISSION_MESSAGE_SHARE * limits.maxMessagesPerProxy();
+    return backlog() < FIRST_TABLE_BACKLOG_SHARE * limits.maxBacklogEntries()
         && proxies.all().stream()
-            .allMatch(proxy -> !proxy.isConnected() || recentMessages(proxy) < maxMessages);
+            .allMatch(proxy -> !proxy.isConnected() || recentMessageCount(proxy) < maxMessages);
   }
 
-  private boolean hasRoutineMessages(ProxyState proxy) {
+  private boolean hasRoutineMessageAllowance(ProxyState proxy) {
     return limits.maxMessagesPerProxy() == 0
-        || recentMessages(proxy) < ROUTINE_MESSAGES * limits.maxMessagesPerProxy();
+        || recentMessageCount(proxy) < ROUTINE_MESSAGE_SHARE * limits.maxMessagesPerProxy();
   }
 
-  private int recentMessages(ProxyState proxy) {
+  private int recentMessageCount(ProxyState proxy) {
     return proxy.channel().countRecentMessages(clock.now(), limits.messageWindow());
   }
 }
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -14,7 +14,7 @@
   private final ProxyRegistry proxies;
   private final CommandBatch batch;
   private final ChannelBudget budget;
-  private boolean pending;
+  private boolean noticesPending;
   private long lastNotifiedAt = EngineClock.NEVER;
 
   ExclusionNotifier(
@@ -34,18 +34,18 @@
 
   /** Asks for notices, as a proxy connected with tables that may name what left. */
   void requestNotices() {
-    pending = true;
+    noticesPending = true;
   }
 
   /** Whether notices wait for their time. */
   boolean areNoticesPending() {
-    return pending;
+    return noticesPending;
   }
 
   /** Whether the channel can take notices of all endpoints that left, at all unknown tables. */
   boolean hasRoomForNotices() {
-    long excluded = endpoints.notReady().limit(maxRoutesOfUnknownTable()).count();
-    return budget.hasRoomForExclusions(proxies.withUnknownTable().count(), excluded);
+    long excludedCount = endpoints.notReady().limit(maxRouteCountOfUnknownTable()).count();
+    return budget.hasRoomForExclusions(proxies.withUnknownTable().count(), excludedCount);
   }
 
   /**
@@ -57,11 +57,11 @@
    *     are dropped
    */
   void sendNoticesIfDue(boolean permitted) {
-    pending |= endpoints.takeExclusionsNeeded();
-    pending &= permitted;
-    if (pending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL_DECI_MILLIS) {
+    noticesPending |= endpoints.takeExclusionsNeeded();
+    noticesPending &= permitted;
+    if (noticesPending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL_DECI_MILLIS) {
       endpoints.notReady().forEach(endpoint -> setExcluded(endpoint, true));
-      pending = false;
+      noticesPending = false;
       lastNotifiedAt = clock.now();
     }
   }
@@ -79,20 +79,20 @@
     endpoint.setExcluded(excluded);
     batch.addExclusion(new Command.ExcludeEndpoint(endpoint.id(), excluded));
     for (ProxyState proxy : proxies.all()) {
-      if (proxy.isConnected() && reaches(proxy, endpoint)) {
+      if (proxy.isConnected() && costsEntry(proxy, endpoint)) {
         batch.countEntries(proxy, 1);
       }
     }
   }
 
   /** Whether a notice counts at a proxy: its table names the endpoint, or may do so. */
-  private boolean reaches(ProxyState proxy, EndpointState endpoint) {
+  private boolean costsEntry(ProxyState proxy, EndpointState endpoint) {
     return proxy.isTableAssigned()
         ? proxy.table().holds(endpoint)
-        : batch.entriesFor(proxy) < maxRoutesOfUnknownTable();
+        : batch.entriesFor(proxy) < maxRouteCountOfUnknownTable();
   }
 
-  private int maxRoutesOfUnknownTable() {
+  private int maxRouteCountOfUnknownTable() {
     return settings.channel().proxyTablesUnknown()
         ? endpoints.size()
         : settings.routing().bootstrapRouteCount();
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -14,20 +14,23 @@
    * DeciMillis after which the room that a move frees counts although no proxy acknowledged it, as
    * in the paper that {@link UpdateScheduler} follows; an acknowledgement may be lost.
    */
-  private static final long CREDIT_TIMEOUT = 2 * DeciMillis.SECOND;
+  private static final long CREDIT_TIMEOUT_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   /** One move; rate changes are in requests per second, below 0 where it takes load away. */
   private static final class InFlightMove {
     private final ProxyState proxy;
-    private final double position;
+    private final double batchStartPosition;
     private final long sentAt;
     private final Map<EndpointState, Double> rateChanges;
     private boolean acknowledged;
 
     InFlightMove(
-        ProxyState proxy, double position, long sentAt, Map<EndpointState, Double> rateChanges) {
+        ProxyState proxy,
+        double batchStartPosition,
+        long sentAt,
+        Map<EndpointState, Double> rateChanges) {
       this.proxy = proxy;
-      this.position = position;
+      this.batchStartPosition = batchStartPosition;
       this.sentAt = sentAt;
       this.rateChanges = rateChanges;
     }
@@ -41,14 +44,14 @@
   }
 
   /** Adds a move of the batch that starts at a position of the channel. */
-  void add(ProxyState proxy, double position, Map<EndpointState, Double> rateChanges) {
-    moves.add(new InFlightMove(proxy, position, clock.now(), rateChanges));
+  void add(ProxyState proxy, double batchStartPosition, Map<EndpointState, Double> rateChanges) {
+    moves.add(new InFlightMove(proxy, batchStartPosition, clock.now(), rateChanges));
   }
 
   /** Notes that a proxy applied all updates up to the batch that starts at a position. */
-  void recordAcknowledgement(ProxyState proxy, double position) {
+  void recordAcknowledgement(ProxyState proxy, double batchStartPosition) {
     for (InFlightMove move : moves) {
-      move.acknowledged |= move.proxy == proxy && move.position <= position;
+      move.acknowledged |= move.proxy == proxy && move.batchStartPosition <= batchStartPosition;
     }
   }
 
@@ -70,7 +73,7 @@
   }
 
   private boolean isCredited(InFlightMove move) {
-    return move.acknowledged || clock.since(move.sentAt) >= CREDIT_TIMEOUT;
+    return move.acknowledged || clock.since(move.sentAt) >= CREDIT_TIMEOUT_DECI_MILLIS;
   }
 
   /**
--- a/src/main/java/stonespring/decision/OutlierEjectionModel.java
+++ b/src/main/java/stonespring/decision/OutlierEjectionModel.java
@@ -41,15 +41,15 @@
       return 0;
     }
     double failureShare = endpoint.statistics().failureShare(proxy.zone());
-    double ejections;
+    double ejectedSecondsPerAttempt;
     if (scenario == EjectionScenario.WORST_CASE) {
-      ejections = worstEjections(failureShare);
+      ejectedSecondsPerAttempt = worstEjectedSecondsPerAttempt(failureShare);
     } else if (endpoints.isWarm(endpoint)) {
-      ejections = OBSERVED_EJECTION_SECONDS * runProbability(failureShare);
+      ejectedSecondsPerAttempt = OBSERVED_EJECTION_SECONDS * runProbability(failureShare);
     } else {
       return 0;
     }
-    return Math.min(1, proxy.averageRate() * trafficShare * ejections);
+    return Math.min(1, proxy.averageRate() * trafficShare * ejectedSecondsPerAttempt);
   }
 
   /**
@@ -57,11 +57,11 @@
    * of failures. For that number see Feller, <i>An Introduction to Probability Theory</i>, vol. 1,
    * XIII.7.
    */
-  private double worstEjections(double observedFailureShare) {
+  private double worstEjectedSecondsPerAttempt(double observedFailureShare) {
     double failureShare =
         Math.min(MAX_WORST_FAILURE_SHARE, Math.max(WORST_FAILURE_SHARE, observedFailureShare));
-    double run = runProbability(failureShare);
-    return WORST_EJECTION_SECONDS * run * (1 - failureShare) / (1 - run);
+    double runProbability = runProbability(failureShare);
+    return WORST_EJECTION_SECONDS * runProbability * (1 - failureShare) / (1 - runProbability);
   }
 
   private double runProbability(double failureShare) {
--- a/src/main/java/stonespring/decision/ProposalBlender.java
+++ b/src/main/java/stonespring/decision/ProposalBlender.java
@@ -26,14 +26,14 @@
     if (!proxy.isTableAssigned() || proxy.proposal().influence(clock.now()) == 0) {
       return;
     }
-    Optional<EndpointState> wanted =
+    Optional<EndpointState> mostWanted =
         proxy.proposal().weights().entrySet().stream()
             .filter(entry -> isMissing(proxy, entry.getKey()))
             .max(Map.Entry.comparingByValue())
             .map(Map.Entry::getKey);
-    if (wanted.isPresent()) {
-      smallestUnwanted(proxy)
-          .ifPresent(route -> proxy.replacements().put(route.endpoint(), wanted.get()));
+    if (mostWanted.isPresent()) {
+      smallestRouteOutsideProposal(proxy)
+          .ifPresent(route -> proxy.replacements().put(route.endpoint(), mostWanted.get()));
     }
   }
 
@@ -43,7 +43,7 @@
         && !proxy.replacements().containsValue(endpoint);
   }
 
-  private static Optional<Route> smallestUnwanted(ProxyState proxy) {
+  private static Optional<Route> smallestRouteOutsideProposal(ProxyState proxy) {
     return proxy.table().routes().stream()
         .filter(route -> route.isApplied() && proxy.proposal().weight(route.endpoint()) <= 0)
         .filter(route -> !proxy.replacements().containsKey(route.endpoint()))
--- a/src/main/java/stonespring/decision/ProxyChannel.java
+++ b/src/main/java/stonespring/decision/ProxyChannel.java
@@ -9,7 +9,7 @@
 final class ProxyChannel {
   private final ArrayDeque<Long> messagesSentAt = new ArrayDeque<>();
   private double unacknowledgedEntries;
-  private double lastPosition;
+  private double lastMessageEndPosition;
 
   /** Starts anew for a new connection; what the old one had in the backlog still counts. */
   void clearRecentMessages() {
@@ -17,25 +17,27 @@
   }
 
   /** Books a message of so many entries that ends at a position. */
-  void recordMessage(double entries, double position, double acknowledgedPosition, long now) {
+  void recordMessage(double entries, double endPosition, double acknowledgedPosition, long now) {
     messagesSentAt.add(now);
-    double waiting = lastPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
-    unacknowledgedEntries = waiting + entries;
-    lastPosition = position;
+    double unacknowledgedBefore =
+        lastMessageEndPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
+    unacknowledgedEntries = unacknowledgedBefore + entries;
+    lastMessageEndPosition = endPosition;
   }
 
   /** Nothing waits once all up to the last message is acknowledged. */
   void recordAcknowledgement(double position) {
-    if (position >= lastPosition) {
+    if (position >= lastMessageEndPosition) {
       unacknowledgedEntries = 0;
     }
   }
 
   /** Drops what waits for a connection that ended, and returns how many entries that were. */
   double dropUnacknowledgedEntries(double acknowledgedPosition) {
-    double lost = lastPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
+    double droppedEntries =
+        lastMessageEndPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
     unacknowledgedEntries = 0;
-    return lost;
+    return droppedEntries;
   }
 
   /** Messages within the window up to now; older ones are dropped. */
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -24,7 +24,7 @@
   private static final double OTHER_ZONE_INITIAL_WEIGHT = 0.3;
 
   /** Factor of the chance that remains to an endpoint without free capacity. */
-  private static final double MIN_FREE_FACTOR = 0.1;
+  private static final double MIN_FREE_CAPACITY_FACTOR = 0.1;
 
   /** The factor of failures is this minus the share that fails: not 0 if all fail. */
   private static final double FAILURE_FACTOR_BASE = 1.02;
@@ -58,7 +58,7 @@
     if (table.routes().stream().noneMatch(this::isWarmTarget)) {
       routeCount = addWarmEndpoint(proxy, routeCount);
     }
-    grow(proxy, routeCount, keptWeight);
+    addRoutes(proxy, routeCount, keptWeight);
     table.normalizeTargets();
   }
 
@@ -83,10 +83,10 @@
       double capacityRatio =
           entrant.capacity()
               / Math.max(CapacityEstimator.MIN_CAPACITY, replacement.getKey().capacity());
-      double affordable = replaced.target() * Math.min(1, capacityRatio);
-      double present =
+      double scaledTarget = replaced.target() * Math.min(1, capacityRatio);
+      double currentTarget =
           table.holds(entrant) ? table.find(entrant).orElseThrow().target() : Route.MIN_WEIGHT;
-      Route route = table.setTarget(entrant, Math.max(affordable, present));
+      Route route = table.setTarget(entrant, Math.max(scaledTarget, currentTarget));
       if (endpoints.isWarm(entrant)) {
         route.setTarget(Math.max(route.target(), replaced.target()));
         replaced.setTarget(0);
@@ -100,7 +100,7 @@
    * @return the number of routes with the one added
    */
   private int addWarmEndpoint(ProxyState proxy, int routeCount) {
-    Optional<EndpointState> drawn = draw(proxy, 1);
+    Optional<EndpointState> drawn = drawEndpoint(proxy, 1);
     if (drawn.isEmpty()) {
       return routeCount;
     }
@@ -110,23 +110,25 @@
     return routeCount + 1;
   }
 
-  private void grow(ProxyState proxy, int routeCount, double keptWeight) {
+  private void addRoutes(ProxyState proxy, int routeCount, double keptWeight) {
     // In the first rounds what a warming endpoint can bear is unknown.
     double minWarmUp = estimates.cadence().hasEnoughRounds() ? 0 : 1;
-    int wanted = wantedRoutes(proxy);
-    for (int count = routeCount; count < wanted; count++) {
-      Optional<EndpointState> drawn = draw(proxy, minWarmUp);
+    int wantedCount = wantedRouteCount(proxy);
+    for (int count = routeCount; count < wantedCount; count++) {
+      Optional<EndpointState> drawn = drawEndpoint(proxy, minWarmUp);
       if (drawn.isEmpty() && count == 0) {
-        drawn = draw(proxy, 0);
+        drawn = drawEndpoint(proxy, 0);
       }
       if (drawn.isEmpty()) {
         return;
       }
       EndpointState endpoint = drawn.get();
-      double shareOfRest =
-          endpoints.warmUpFraction(endpoint) * (1 - keptWeight) / Math.max(1, wanted - count);
+      double shareOfRemainder =
+          endpoints.warmUpFraction(endpoint) * (1 - keptWeight) / Math.max(1, wantedCount - count);
       double target =
-          keptWeight > 0 ? Math.max(Route.MIN_WEIGHT, shareOfRest) : initialWeight(proxy, endpoint);
+          keptWeight > 0
+              ? Math.max(Route.MIN_WEIGHT, shareOfRemainder)
+              : initialWeight(proxy, endpoint);
       proxy.table().setTarget(endpoint, target);
     }
   }
@@ -136,10 +138,10 @@
     return endpoint.capacity() * (sameZone ? 1 : OTHER_ZONE_INITIAL_WEIGHT);
   }
 
-  private int wantedRoutes(ProxyState proxy) {
-    int least = Math.max(MIN_ROUTES, settings.routing().bootstrapRouteCount());
+  private int wantedRouteCount(ProxyState proxy) {
+    int minRouteCount = Math.max(MIN_ROUTES, settings.routing().bootstrapRouteCount());
     double usableCapacity = MAX_CAPACITY_SHARE * estimates.capacity().meanCapacity();
-    return Math.max(least, (int) Math.ceil(proxy.averageRate() / usableCapacity));
+    return Math.max(minRouteCount, (int) Math.ceil(proxy.averageRate() / usableCapacity));
   }
 
   /**
@@ -148,26 +150,26 @@
    *
    * @param minWarmUp the least warm-up fraction
    */
-  private Optional<EndpointState> draw(ProxyState proxy, double minWarmUp) {
-    double[] chances = new double[endpoints.size()];
+  private Optional<EndpointState> drawEndpoint(ProxyState proxy, double minWarmUp) {
+    double[] samplingWeights = new double[endpoints.size()];
     double total = 0;
     for (EndpointState endpoint : endpoints.all()) {
       if (isEligible(endpoint, minWarmUp)) {
-        chances[endpoint.index()] = chance(proxy, endpoint);
-        total += chances[endpoint.index()];
+        samplingWeights[endpoint.index()] = samplingWeight(proxy, endpoint);
+        total += samplingWeights[endpoint.index()];
       }
     }
     for (Route route : proxy.table().routes()) {
       if (route.isTargeted()) {
-        total -= chances[route.endpoint().index()];
-        chances[route.endpoint().index()] = 0;
+        total -= samplingWeights[route.endpoint().index()];
+        samplingWeights[route.endpoint().index()] = 0;
       }
     }
     double remaining = random.nextDouble() * total;
     for (EndpointState endpoint : endpoints.all()) {
-      double chance = chances[endpoint.index()];
-      if (chance > 0) {
-        remaining -= chance;
+      double samplingWeight = samplingWeights[endpoint.index()];
+      if (samplingWeight > 0) {
+        remaining -= samplingWeight;
         if (remaining < 0) {
           return Optional.of(endpoint);
         }
@@ -185,16 +187,18 @@
     return endpoint.isReady() && endpoints.warmUpFraction(endpoint) >= required;
   }
 
-  private double chance(ProxyState proxy, EndpointState endpoint) {
-    double usable = endpoint.capacity() * estimates.traffic().share();
-    double free = 1 - endpoint.plannedLoad() / usable;
-    double freeFactor =
-        endpoint.isRemovalPending() ? MIN_FREE_FACTOR : Math.max(MIN_FREE_FACTOR, free);
+  private double samplingWeight(ProxyState proxy, EndpointState endpoint) {
+    double usableCapacity = endpoint.capacity() * estimates.traffic().share();
+    double freeShare = 1 - endpoint.plannedLoad() / usableCapacity;
+    double freeCapacityFactor =
+        endpoint.isRemovalPending()
+            ? MIN_FREE_CAPACITY_FACTOR
+            : Math.max(MIN_FREE_CAPACITY_FACTOR, freeShare);
     double zoneFactor = endpoint.zone() == proxy.zone() ? SAME_ZONE_FACTOR : 1;
     double failureShare = endpoint.statistics().failureShare(proxy.zone());
     return endpoint.listedWeight()
         * endpoints.warmUpFraction(endpoint)
-        * freeFactor
+        * freeCapacityFactor
         * zoneFactor
         * (FAILURE_FACTOR_BASE - failureShare);
   }
--- a/src/main/java/stonespring/decision/SlowStartGuard.java
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -15,13 +15,13 @@
  */
 final class SlowStartGuard {
   /** Share of the overload limit that observed failures may use; the rest is for variation. */
-  private static final double OBSERVED_BUDGET = 0.5;
+  private static final double OBSERVED_BUDGET_MULTIPLE = 0.5;
 
   /** Times the overload limit that the worst case may reach; with less, deployments stall. */
-  private static final double WORST_CASE_BUDGET = 1.6;
+  private static final double WORST_CASE_BUDGET_MULTIPLE = 1.6;
 
   /** The same during a surge, as retries come on top. */
-  private static final double SURGE_BUDGET = 0.8;
+  private static final double SURGE_BUDGET_MULTIPLE = 0.8;
 
   /** Times the mean rate at which the offered requests are a surge. */
   private static final double SURGE_MULTIPLE = 1.15;
@@ -58,20 +58,20 @@
    * to the urgent updates.
    */
   void limitTargets(List<ProxyState> known, UrgentUpdates urgent) {
-    Budgets budgets = budgets();
-    double admitted = admission.admittedTrafficShare();
+    Budgets budgets = computeBudgets();
+    double admittedShare = admission.admittedTrafficShare();
     for (ProxyState proxy : byPriority(known)) {
       boolean removed = true;
       while (removed) {
-        removed = removeExcess(proxy, budgets, admitted, urgent);
+        removed = removeExcessTargets(proxy, budgets, admittedShare, urgent);
       }
       for (Route route : proxy.table().routes()) {
         if (isGuarded(route)) {
           int index = route.endpoint().index();
           budgets.observed[index] -=
-              possibleRate(proxy, route, admitted, EjectionScenario.OBSERVED);
+              possibleRate(proxy, route, admittedShare, EjectionScenario.OBSERVED);
           budgets.worstCase[index] -=
-              possibleRate(proxy, route, admitted, EjectionScenario.WORST_CASE);
+              possibleRate(proxy, route, admittedShare, EjectionScenario.WORST_CASE);
         }
       }
     }
@@ -91,30 +91,30 @@
         .anyMatch(route -> route.isApplied() && !endpoints.isWarm(route.endpoint()));
   }
 
-  private Budgets budgets() {
+  private Budgets computeBudgets() {
     double overloadLimit = settings.slowStart().overloadMultiple() * traffic.share();
     double meanRate =
         proxies.all().stream()
             .mapToDouble(proxy -> proxy.isConnected() ? proxy.averageRate() : 0)
             .sum();
     boolean surge = traffic.offeredRate() > SURGE_MULTIPLE * meanRate;
-    double worstCaseBudget = surge ? SURGE_BUDGET : WORST_CASE_BUDGET;
+    double worstCaseMultiple = surge ? SURGE_BUDGET_MULTIPLE : WORST_CASE_BUDGET_MULTIPLE;
     double[] observed = new double[endpoints.size()];
     double[] worstCase = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
       int index = endpoint.index();
-      observed[index] = OBSERVED_BUDGET * overloadLimit * endpoint.capacity();
-      worstCase[index] = worstCaseBudget * overloadLimit * endpoint.capacity();
+      observed[index] = OBSERVED_BUDGET_MULTIPLE * overloadLimit * endpoint.capacity();
+      worstCase[index] = worstCaseMultiple * overloadLimit * endpoint.capacity();
     }
     return new Budgets(observed, worstCase);
   }
 
   /** Returns whether a target was removed; the others then get more, and must be checked again. */
-  private boolean removeExcess(
-      ProxyState proxy, Budgets budgets, double admitted, UrgentUpdates urgent) {
+  private boolean removeExcessTargets(
+      ProxyState proxy, Budgets budgets, double admittedShare, UrgentUpdates urgent) {
     boolean removed = false;
     for (Route route : proxy.table().routes()) {
-      if (isGuarded(route) && !fits(proxy, route, budgets, admitted)) {
+      if (isGuarded(route) && !fitsBudgets(proxy, route, budgets, admittedShare)) {
         removed = true;
         route.setTarget(0);
         if (route.isApplied()) {
@@ -131,11 +131,12 @@
     return !unwanted && !endpoints.isWarm(route.endpoint());
   }
 
-  private boolean fits(ProxyState proxy, Route route, Budgets budgets, double admitted) {
+  private boolean fitsBudgets(
+      ProxyState proxy, Route route, Budgets budgets, double admittedShare) {
     int index = route.endpoint().index();
-    return possibleRate(proxy, route, admitted, EjectionScenario.WORST_CASE)
+    return possibleRate(proxy, route, admittedShare, EjectionScenario.WORST_CASE)
             <= budgets.worstCase[index]
-        && possibleRate(proxy, route, admitted, EjectionScenario.OBSERVED)
+        && possibleRate(proxy, route, admittedShare, EjectionScenario.OBSERVED)
             <= budgets.observed[index];
   }
 
@@ -144,12 +145,12 @@
    * one that is wanted: routes that left are removed at once while new ones wait for headroom.
    */
   private double possibleRate(
-      ProxyState proxy, Route route, double admitted, EjectionScenario scenario) {
-    double byTarget =
-        route.target() / availableWeight(proxy, route, Route::target, admitted, scenario);
-    double byWeight =
-        route.weight() / availableWeight(proxy, route, Route::weight, admitted, scenario);
-    return admitted * proxy.averageRate() * Math.max(byTarget, byWeight);
+      ProxyState proxy, Route route, double admittedShare, EjectionScenario scenario) {
+    double rateShareByTarget =
+        route.target() / availableWeight(proxy, route, Route::target, admittedShare, scenario);
+    double rateShareByWeight =
+        route.weight() / availableWeight(proxy, route, Route::weight, admittedShare, scenario);
+    return admittedShare * proxy.averageRate() * Math.max(rateShareByTarget, rateShareByWeight);
   }
 
   /**
@@ -161,7 +162,7 @@
       ProxyState proxy,
       Route route,
       ToDoubleFunction<Route> weightOf,
-      double admitted,
+      double admittedShare,
       EjectionScenario scenario) {
     boolean worstCase = scenario == EjectionScenario.WORST_CASE;
     double total = 0;
@@ -173,7 +174,7 @@
     for (Route other : proxy.table().routes()) {
       double weight = weightOf.applyAsDouble(other);
       if (other != route && weight > 0) {
-        double trafficShare = admitted * (worstCase ? 1 : weight) / total;
+        double trafficShare = admittedShare * (worstCase ? 1 : weight) / total;
         double ejected = ejection.ejectedShare(proxy, other.endpoint(), trafficShare, scenario);
         available += weight * (1 - ejected);
       }
--- a/src/main/java/stonespring/decision/TableUpdater.java
+++ b/src/main/java/stonespring/decision/TableUpdater.java
@@ -6,7 +6,7 @@
 /** Sends a proxy's table towards its targets, and books the load that this shifts. */
 final class TableUpdater {
   /** Weights are sent in steps of a thousandth. */
-  private static final double WEIGHT_STEPS = 1000;
+  private static final double WEIGHT_STEPS_PER_UNIT = 1000;
 
   private final EndpointRegistry endpoints;
   private final CommandBatch batch;
@@ -61,8 +61,8 @@
       if (weight > 0) {
         exclusions.setExcluded(endpoint, false);
       }
-      double before = proxy.isTableAssigned() ? route.weight() : 0;
-      rateChanges.put(endpoint, proxy.averageRate() * (weight - before));
+      double weightBefore = proxy.isTableAssigned() ? route.weight() : 0;
+      rateChanges.put(endpoint, proxy.averageRate() * (weight - weightBefore));
       route.setWeight(weight);
     }
     return rateChanges;
@@ -73,6 +73,6 @@
       return 0;
     }
     double weight = route.weight() + share * (route.target() - route.weight());
-    return Math.round(weight * WEIGHT_STEPS) / WEIGHT_STEPS;
+    return Math.round(weight * WEIGHT_STEPS_PER_UNIT) / WEIGHT_STEPS_PER_UNIT;
   }
 }
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -28,16 +28,16 @@
    * The mean fill of all endpoints over the fill that one may be brought to: an endpoint may take 1
    * / 0.8 = 1.25 times the load that its capacity would get at the mean fill.
    */
-  private static final double MEAN_FILL_OVER_LIMIT = 0.8;
+  private static final double MEAN_TO_MAX_FILL_RATIO = 0.8;
 
   /** Potential update time of a move in a cycle, DeciMillis; above that of any chain. */
-  private static final double CYCLE_TIME = 1e9;
+  private static final double CYCLE_TIME_DECI_MILLIS = 1e9;
 
   /** Share of a table's requests; a smaller change is within the noise of reports. */
-  private static final double MIN_TABLE_CHANGE = 0.05;
+  private static final double MIN_TABLE_CHANGE_SHARE = 0.05;
 
   /** Share of an endpoint's capacity that a large proxy's table may take away for a smaller one. */
-  private static final double MIN_CAPACITY_CHANGE = 0.1;
+  private static final double MIN_CAPACITY_CHANGE_SHARE = 0.1;
 
   private final Settings settings;
   private final EndpointRegistry endpoints;
@@ -67,35 +67,35 @@
   /** Runs a round over the tables of these proxies. */
   void runRound(List<ProxyState> candidates) {
     inFlight.removeVisible();
-    double[] headroom = headroom();
+    double[] headroom = computeHeadroom();
     List<PendingMove> moves = new ArrayList<>();
-    Map<EndpointState, List<PendingMove>> waiting = new HashMap<>();
+    Map<EndpointState, List<PendingMove>> waitingByEndpoint = new HashMap<>();
     for (ProxyState proxy : candidates) {
       limitTargets(proxy, headroom);
-      if (isWorthMove(proxy)) {
+      if (isWorthSending(proxy)) {
         PendingMove move = new PendingMove(proxy);
         moves.add(move);
-        addWaiting(move, headroom, waiting);
+        registerWaiting(move, headroom, waitingByEndpoint);
       }
     }
     for (PendingMove move : moves) {
-      potentialUpdateTime(move, waiting);
+      potentialUpdateTime(move, waitingByEndpoint);
     }
     moves.sort(
         Comparator.<PendingMove>comparingDouble(move -> -move.potentialUpdateTime())
             .thenComparingDouble(move -> -move.proxy().averageRate())
             .thenComparingInt(move -> move.proxy().id().number()));
-    boolean admitted = admit(moves, headroom);
+    boolean admitted = admitMoves(moves, headroom);
     if (!admitted && !inFlight.isAwaitingCredit()) {
       resolveDeadlock(moves, headroom);
     }
   }
 
   /** Requests per second that endpoints can be given by this instance, by endpoint index. */
-  private double[] headroom() {
+  private double[] computeHeadroom() {
     double[] headroom = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
-      headroom[endpoint.index()] = endpoint.isReady() ? headroom(endpoint) : 0;
+      headroom[endpoint.index()] = endpoint.isReady() ? headroomOf(endpoint) : 0;
     }
     for (ProxyState proxy : proxies.all()) {
       if (proxy.isTableAssigned()) {
@@ -106,10 +106,10 @@
     return headroom;
   }
 
-  private double headroom(EndpointState endpoint) {
+  private double headroomOf(EndpointState endpoint) {
     CapacityEstimator capacity = estimates.capacity();
-    double limit = endpoint.capacity() * capacity.meanFill() / MEAN_FILL_OVER_LIMIT;
-    return (limit - capacity.load(endpoint)) * estimates.traffic().share();
+    double maxLoad = endpoint.capacity() * capacity.meanFill() / MEAN_TO_MAX_FILL_RATIO;
+    return (maxLoad - capacity.load(endpoint)) * estimates.traffic().share();
   }
 
   /** Takes what a table may bring to endpoints whose load no report shows. */
@@ -148,55 +148,57 @@
   }
 
   /** Whether a table changes by enough, relieves an endpoint by enough, or takes one in. */
-  private boolean isWorthMove(ProxyState proxy) {
+  private boolean isWorthSending(ProxyState proxy) {
     List<Route> routes = proxy.table().routes();
     double change =
         routes.stream().mapToDouble(route -> Math.abs(route.target() - route.weight()) / 2).sum();
-    boolean negligible = change < MIN_TABLE_CHANGE;
+    boolean negligible = change < MIN_TABLE_CHANGE_SHARE;
     return !negligible
         || routes.stream().anyMatch(route -> relievesEndpoint(proxy, route))
-        || proxy.replacements().values().stream().anyMatch(entrant -> enters(proxy, entrant));
+        || proxy.replacements().values().stream().anyMatch(entrant -> entersTable(proxy, entrant));
   }
 
   private static boolean relievesEndpoint(ProxyState proxy, Route route) {
-    return -proxy.rateChange(route) > MIN_CAPACITY_CHANGE * route.endpoint().capacity();
+    return -proxy.rateChange(route) > MIN_CAPACITY_CHANGE_SHARE * route.endpoint().capacity();
   }
 
-  private boolean enters(ProxyState proxy, EndpointState entrant) {
+  private boolean entersTable(ProxyState proxy, EndpointState entrant) {
     return !proxy.table().holds(entrant) || endpoints.isWarm(entrant);
   }
 
   /** Enters a move at each endpoint that has no headroom for it. */
-  private static void addWaiting(
-      PendingMove move, double[] headroom, Map<EndpointState, List<PendingMove>> waiting) {
+  private static void registerWaiting(
+      PendingMove move,
+      double[] headroom,
+      Map<EndpointState, List<PendingMove>> waitingByEndpoint) {
     for (Route route : move.proxy().table().routes()) {
       EndpointState endpoint = route.endpoint();
       if (move.addsLoadTo(route) && move.proxy().rateChange(route) > headroom[endpoint.index()]) {
-        waiting.computeIfAbsent(endpoint, key -> new ArrayList<>()).add(move);
+        waitingByEndpoint.computeIfAbsent(endpoint, key -> new ArrayList<>()).add(move);
       }
     }
   }
 
   /** Potential update time (IV-B), DeciMillis. */
   private double potentialUpdateTime(
-      PendingMove move, Map<EndpointState, List<PendingMove>> waiting) {
+      PendingMove move, Map<EndpointState, List<PendingMove>> waitingByEndpoint) {
     if (move.isOnSearchPath()) {
-      return CYCLE_TIME;
+      return CYCLE_TIME_DECI_MILLIS;
     }
     if (move.isPotentialUpdateTimeKnown()) {
       return move.potentialUpdateTime();
     }
     move.setOnSearchPath(true);
-    double deepest = 0;
+    double longestWait = 0;
     for (Route route : move.proxy().table().routes()) {
       if (move.removesLoadFrom(route)) {
-        for (PendingMove waiter : waiting.getOrDefault(route.endpoint(), List.of())) {
-          deepest = Math.max(deepest, potentialUpdateTime(waiter, waiting));
+        for (PendingMove waiter : waitingByEndpoint.getOrDefault(route.endpoint(), List.of())) {
+          longestWait = Math.max(longestWait, potentialUpdateTime(waiter, waitingByEndpoint));
         }
       }
     }
     move.setOnSearchPath(false);
-    move.setPotentialUpdateTime(Math.min(CYCLE_TIME, channelTime(move) + deepest));
+    move.setPotentialUpdateTime(Math.min(CYCLE_TIME_DECI_MILLIS, channelTime(move) + longestWait));
     return move.potentialUpdateTime();
   }
 
@@ -211,13 +213,13 @@
   }
 
   /** Sends the moves that fit, in order; returns whether there was one. */
-  private boolean admit(List<PendingMove> moves, double[] headroom) {
+  private boolean admitMoves(List<PendingMove> moves, double[] headroom) {
     boolean admitted = false;
     for (PendingMove move : moves) {
       double yieldRatio = yieldRatio(move, headroom);
       boolean fits = yieldRatio <= 0 || isStarved(move, yieldRatio, headroom);
       if (fits && budget.hasRoomForRoutineUpdate(move.proxy())) {
-        send(move, 1 - yieldRatio, headroom);
+        sendPart(move, 1 - yieldRatio, headroom);
         admitted = true;
       } else {
         move.proxy().waitAnotherRound();
@@ -232,9 +234,9 @@
    */
   private boolean isStarved(PendingMove move, double yieldRatio, double[] headroom) {
     ProxyState proxy = move.proxy();
-    long waited = proxy.roundsWaited() * settings.reportInterval();
+    long waitedDeciMillis = proxy.roundsWaited() * settings.reportInterval();
     return yieldRatio < 1
-        && waited >= InFlightMoves.VISIBLE_AFTER_DECI_MILLIS
+        && waitedDeciMillis >= InFlightMoves.VISIBLE_AFTER_DECI_MILLIS
         && proxy.table().routes().stream()
             .anyMatch(
                 route -> proxy.rateChange(route) < 0 && headroom[route.endpoint().index()] < 0);
@@ -245,7 +247,7 @@
         .filter(
             move -> yieldRatio(move, headroom) < 1 && budget.hasRoomForRoutineUpdate(move.proxy()))
         .min(Comparator.comparingDouble(move -> yieldRatio(move, headroom)))
-        .ifPresent(move -> send(move, 1 - yieldRatio(move, headroom), headroom));
+        .ifPresent(move -> sendPart(move, 1 - yieldRatio(move, headroom), headroom));
   }
 
   /**
@@ -265,7 +267,7 @@
   }
 
   /** Sends a share of a move and takes its headroom at once. */
-  private void send(PendingMove move, double share, double[] headroom) {
+  private void sendPart(PendingMove move, double share, double[] headroom) {
     for (Route route : move.proxy().table().routes()) {
       double change = move.proxy().rateChange(route) * share;
       headroom[route.endpoint().index()] -= Math.max(0, change);
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -13,7 +13,7 @@
  */
 final class UrgentUpdates {
   /** DeciMillis; the time that proxies allow for what left, less a message's way. */
-  private static final long UNKNOWN_TABLE_TIMEOUT = 17 * DeciMillis.SECOND / 10;
+  private static final long UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS = 17 * DeciMillis.SECOND / 10;
 
   private final Settings settings;
   private final EngineClock clock;
@@ -23,7 +23,7 @@
   private final ChannelBudget budget;
   private final ExclusionNotifier exclusions;
   private final Set<ProxyState> selected = new LinkedHashSet<>();
-  private boolean exclusionsCrowdedOut;
+  private boolean exclusionsDoNotFit;
 
   UrgentUpdates(
       Settings settings,
@@ -50,11 +50,11 @@
    */
   boolean selectDueUpdates() {
     selected.clear();
-    boolean anyLeft = endpoints.notReady().findAny().isPresent();
-    exclusionsCrowdedOut = anyLeft && !exclusions.hasRoomForNotices();
+    boolean anyNotReady = endpoints.notReady().findAny().isPresent();
+    exclusionsDoNotFit = anyNotReady && !exclusions.hasRoomForNotices();
     boolean postponed = false;
     for (ProxyState proxy : proxies.all()) {
-      boolean due = isDue(proxy, anyLeft);
+      boolean due = isDue(proxy, anyNotReady);
       if (due && hasRoom(proxy)) {
         selected.add(proxy);
       } else {
@@ -62,7 +62,7 @@
         requestExclusions(proxy);
       }
     }
-    exclusions.sendNoticesIfDue(anyLeft && !exclusionsCrowdedOut);
+    exclusions.sendNoticesIfDue(anyNotReady && !exclusionsDoNotFit);
     return postponed || exclusions.areNoticesPending();
   }
 
@@ -75,28 +75,28 @@
   }
 
   /** Tables of shards stand as they are stored. */
-  private boolean isDue(ProxyState proxy, boolean anyLeft) {
+  private boolean isDue(ProxyState proxy, boolean anyNotReady) {
     if (!proxy.isConnected() || settings.fleet().sharded()) {
       return false;
     }
     return proxy.isTableAssigned()
         ? proxy.table().isBroken()
-        : proxy.isWithoutTables() || cadence.hasEnoughRounds() || isOverdue(proxy, anyLeft);
+        : proxy.isWithoutTables() || cadence.hasEnoughRounds() || isOverdue(proxy, anyNotReady);
   }
 
   /**
    * Tables from before a start stand for the first rounds, but not for long: all that one names may
    * have left, or be about to as this instance's predecessor died, and no list tells of it.
    */
-  private boolean isOverdue(ProxyState proxy, boolean anyLeft) {
-    long connectedFor = clock.since(proxy.connectedAt());
-    return exclusionsCrowdedOut
-        || anyLeft && connectedFor > settings.routing().maxTimeWithoutEndpoint() / 2
-        || cadence.hasStarted() && connectedFor > UNKNOWN_TABLE_TIMEOUT;
+  private boolean isOverdue(ProxyState proxy, boolean anyNotReady) {
+    long connectedForDeciMillis = clock.since(proxy.connectedAt());
+    return exclusionsDoNotFit
+        || anyNotReady && connectedForDeciMillis > settings.routing().maxTimeWithoutEndpoint() / 2
+        || cadence.hasStarted() && connectedForDeciMillis > UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS;
   }
 
   private boolean hasRoom(ProxyState proxy) {
-    return budget.hasRoomForUrgentUpdate(proxy, exclusionsCrowdedOut);
+    return budget.hasRoomForUrgentUpdate(proxy, exclusionsDoNotFit);
   }
 
   void add(ProxyState proxy) {
@@ -113,9 +113,9 @@
 
   /** Sends the selected tables as far as there is room, those that are in use first. */
   void sendSelected(TableUpdater updater) {
-    List<ProxyState> byUse =
+    List<ProxyState> assignedTablesFirst =
         selected.stream().sorted(Comparator.comparing(proxy -> !proxy.isTableAssigned())).toList();
-    for (ProxyState proxy : byUse) {
+    for (ProxyState proxy : assignedTablesFirst) {
       if (hasRoom(proxy)) {
         updater.sendTable(proxy, 1);
       }
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -57,7 +57,7 @@
     }
     for (int iteration = 0; iteration < ITERATIONS; iteration++) {
       for (ProxyState proxy : adjustable) {
-        adjust(proxy, load, minSlope);
+        adjustTargets(proxy, load, minSlope);
       }
     }
   }
@@ -87,9 +87,9 @@
   }
 
   /** Moves the weights of one table by a step, and its load with them. */
-  private void adjust(ProxyState proxy, double[] load, double minSlope) {
+  private void adjustTargets(ProxyState proxy, double[] load, double minSlope) {
     List<Route> routes = proxy.table().routes();
-    ensureCapacity(routes.size());
+    ensureArrayLength(routes.size());
     double meanPrice = 0;
     for (int i = 0; i < routes.size(); i++) {
       Route route = routes.get(i);
@@ -121,7 +121,7 @@
     return endpoint.zone() == proxy.zone() ? 0 : settings.routing().crossZonePenalty();
   }
 
-  private void ensureCapacity(int routeCount) {
+  private void ensureArrayLength(int routeCount) {
     if (prices.length < routeCount) {
       prices = new double[2 * routeCount];
       slopes = new double[2 * routeCount];
--- a/src/main/java/stonespring/decision/WeightProposal.java
+++ b/src/main/java/stonespring/decision/WeightProposal.java
@@ -8,7 +8,7 @@
 /** The weights that the solver last proposed for a proxy. */
 final class WeightProposal {
   /** DeciMillis; about as old as reports are when they arrive. */
-  private static final double HALF_LIFE = 3 * DeciMillis.SECOND;
+  private static final double HALF_LIFE_DECI_MILLIS = 3 * DeciMillis.SECOND;
 
   private static final double MIN_INFLUENCE = 0.1;
 
@@ -37,7 +37,7 @@
 
   /** How far the proposal replaces the engine's own weights, 0 to 1; less as it grows older. */
   double influence(long now) {
-    double influence = Math.pow(0.5, (now - proposedAt) / HALF_LIFE);
+    double influence = Math.pow(0.5, (now - proposedAt) / HALF_LIFE_DECI_MILLIS);
     return influence < MIN_INFLUENCE ? 0 : influence;
   }
 }
