--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -16,66 +16,89 @@
 import stonespring.model.Settings;
 
 /**
- * Sheds load: admits the fraction of requests that the listed endpoints can serve, by request
- * class. Capacity is read from normal operation and may be read too high, so that it is scaled by a
- * confidence that overload reduces and normal operation restores.
+ * Computes the admission limits of the request classes: the fraction of the offered requests that
+ * the listed endpoints can serve. Capacity is estimated in normal operation, and the estimate may
+ * be too high. It is therefore multiplied by a confidence, which overload reduces and normal
+ * operation restores.
  *
- * <p>Only where proxies limit by a fraction does this shed load. Limits by a rate are never
- * lowered: they stay at {@link #UNLIMITED_RATE}. Proxies without admission limits ignore the
- * number. In both cases a fraction below 1 only stops retries.
+ * <p>This sheds load only where proxies enforce a fraction. Where they enforce a rate, the limit is
+ * always {@link #UNLIMITED_RATE}, and proxies without admission limits ignore the value. In these
+ * two cases a fraction below 1 only disables retries.
  */
 final class AdmissionController {
-  /** Share of capacity; at more of it queues grow beyond the latency objectives. */
+  /**
+   * Load over capacity that admitted requests may reach; above it queues grow beyond the latency
+   * objectives.
+   */
   private static final double TARGET_FILL = 0.9;
 
-  /** Utilization above which the fraction is limited whatever the estimates say. */
+  /** Mean utilization above which the fraction is limited whatever the capacity estimates say. */
   private static final double HIGH_UTILIZATION = 0.8;
 
-  /** Share of attempts above which failures and late answers may be overload. */
+  /**
+   * Share of attempts that fail or are late above which the fleet may be overloaded; well above
+   * that of normal operation.
+   */
   private static final double OVERLOAD_FAILED_OR_LATE_SHARE = 0.2;
 
-  /** Share of capacity, at endpoints that fail or are late, above which it is overload. */
+  /**
+   * Share of the capacity at endpoints with many failed or late attempts above which the whole
+   * fleet counts as overloaded.
+   */
   private static final double OVERLOAD_CAPACITY_SHARE = 0.5;
 
-  /** Share of capacity, at endpoints that fail or are late, below which it is a few endpoints. */
+  /**
+   * Share of the capacity at endpoints with many failed or late attempts below which only a few
+   * endpoints have a problem.
+   */
   private static final double LOCAL_CAPACITY_SHARE = 0.25;
 
-  /** Factor of the confidence at the first reduction, when all is admitted. */
+  /** Factor on the confidence at the first reduction, while all requests are admitted. */
   private static final double FIRST_REDUCTION_FACTOR = 0.5;
 
-  /** Factor of the confidence at each further reduction. */
+  /** Factor on the confidence at each further reduction; a few of them end an overload. */
   private static final double REDUCTION_FACTOR = 0.7;
 
-  /** DeciMillis between reductions; the last one shows in reports by then. */
+  /** Least time between reductions; by then reports show the effect of the last one. */
   private static final long REDUCTION_INTERVAL_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
+  /** Least confidence; failures and late answers reduce it no further. */
   private static final double MIN_CONFIDENCE = 0.4;
 
   /** Least confidence while endpoints report spare capacity: the failures may have other causes. */
   private static final double MIN_CONFIDENCE_IF_IDLE = 0.5;
 
-  /** Least confidence while reports are delayed: the overload that they show may be over. */
+  /** The same while reports are delayed, since the overload that they show may be over. */
   private static final double MIN_CONFIDENCE_IF_REPORTS_DELAYED = 0.7;
 
-  /** Confidence that normal operation restores at once. */
+  /** Confidence that is restored in one step as soon as operation is normal. */
   private static final double RECOVERED_CONFIDENCE = 0.7;
 
+  /** Greatest confidence; the capacity estimate may be too low by this factor. */
   private static final double MAX_CONFIDENCE = 2;
+
+  /**
+   * Relative change of the confidence per second; reports show a step before the third one follows.
+   */
   private static final double CONFIDENCE_STEP_PER_SECOND = 0.04;
 
-  /** Least admitted admittedFraction; some requests must show whether endpoints work. */
+  /** Least admitted fraction; some requests must get through to show whether endpoints work. */
   private static final double MIN_ADMITTED_FRACTION = 0.05;
 
-  /** Relative change of the fraction that is worth a message to every proxy. */
+  /** Relative change of the fraction above which a message to every proxy is worth its cost. */
   private static final double MIN_RELATIVE_CHANGE = 0.05;
 
-  /** Least fraction of any class, as a multiple of the worst class's weight in the objective. */
+  /**
+   * Least fraction of any class relative to the overall one, as a multiple of the weight of the
+   * worst served class in the objective. With a weight of a third or more, all classes are limited
+   * alike.
+   */
   private static final double CLASS_FLOOR_MULTIPLE = 3;
 
-  /** Keeps the divisor above 0 where all attempts fail. */
+  /** Keeps the divisor above 0 if all attempts fail. */
   private static final double MIN_SUCCESS_SHARE = 1e-9;
 
-  /** Requests per second at a proxy, above what any receives: it limits nothing. */
+  /** Requests per second at a proxy; none receives as many, so that this limit has no effect. */
   private static final double UNLIMITED_RATE = 1e6;
 
   private final Settings settings;
@@ -92,13 +115,14 @@
   private double roundFailedOrLateAttempts;
 
   /**
-   * What is seen of the load at an update.
+   * Load of the fleet as observed at one update.
    *
-   * @param capacityPerOfferedRate what the endpoints can serve over what is offered; below 1 some
-   *     requests cannot be served
-   * @param utilization mean utilization of the endpoints that report one, by capacity
-   * @param failedOrLateCapacityShare share of the capacity at endpoints where more than usual fails
-   *     or is late
+   * @param capacityPerOfferedRate what the ready endpoints can serve, divided by the offered
+   *     request rate; if it is below 1, some requests cannot be served
+   * @param utilization mean utilization of the endpoints that report one, weighted by capacity; 0
+   *     if none does
+   * @param failedOrLateCapacityShare share of the capacity at endpoints with more failed or late
+   *     attempts than normal
    * @param failedOrLateAttemptShare share of the attempts since the last round that failed or were
    *     late
    */
@@ -142,7 +166,10 @@
     this.budget = budget;
   }
 
-  /** Counts attempts that failed or were late until the next round. */
+  /**
+   * Adds the attempts of a report, and those that failed or were late, to the counts of the next
+   * round.
+   */
   void recordOutcomes(Event.EndpointOutcomes outcomes) {
     double lateShare = estimates.latency().lateShare(outcomes.successLatency());
     long successes = outcomes.attempts() - outcomes.failures();
@@ -150,12 +177,15 @@
     roundFailedOrLateAttempts += outcomes.failures() + successes * lateShare;
   }
 
-  /** The part of the offered traffic that proxies pass on, where they limit it by a fraction. */
+  /**
+   * Returns the share of the offered requests that proxies admit; always 1 unless they enforce a
+   * fraction.
+   */
   double admittedTrafficShare() {
     return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? admittedFraction : 1;
   }
 
-  /** Admits all requests; sent once, with the first batch. */
+  /** Publishes limits that admit all requests; called once, with the first batch. */
   void publishInitialLimits() {
     double[] fractions = new double[settings.requestClasses().size()];
     Arrays.fill(fractions, 1);
@@ -163,8 +193,8 @@
   }
 
   /**
-   * Admits what the listed endpoints can serve. Between rounds the fraction follows the endpoint
-   * list alone; the confidence changes in rounds.
+   * Updates the limits to what the listed endpoints can serve. Between rounds the fraction follows
+   * only the endpoint list; the confidence changes in rounds.
    */
   void updateLimits(boolean inRound) {
     if (estimates.traffic().offeredRate() <= 0) {
@@ -192,7 +222,10 @@
     }
   }
 
-  /** An endpoint that fails more than the rest counts less: one that fails all serves nothing. */
+  /**
+   * Observes the present load. An endpoint whose attempts succeed less often than the mean counts
+   * with less capacity; one whose attempts all fail counts with none.
+   */
   private Load observeLoad() {
     TrafficEstimator traffic = estimates.traffic();
     double totalCapacity =
@@ -237,9 +270,9 @@
   }
 
   /**
-   * Reduces the confidence under overload, at most once an interval; restores it in normal
-   * operation, beyond 1 while requests are limited; lowers it to 1 slowly while endpoints are too
-   * full.
+   * Adjusts the confidence in a round. Overload reduces it, at most once per interval. Normal
+   * operation restores it, beyond 1 only while requests are limited. Utilization above the target
+   * fill lowers a confidence above 1 slowly to 1.
    */
   private void adjustConfidence(Load load) {
     long delay = estimates.cadence().delay();
@@ -254,14 +287,17 @@
     }
   }
 
-  /** Restores at least what normal operation shows at once; beyond 1 only while limited. */
+  /**
+   * Raises the confidence by a step, and at least to {@link #RECOVERED_CONFIDENCE}. It exceeds 1
+   * only while requests are limited.
+   */
   private void restoreConfidence(double step) {
     double limit = admittedFraction < 1 ? MAX_CONFIDENCE : 1;
     double raised = Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step));
     confidence = Math.min(limit, raised);
   }
 
-  /** Takes back what was restored beyond 1; a confidence of 1 or less stays. */
+  /** Lowers a confidence above 1 by a step, to no less than 1; a confidence of 1 or less stays. */
   private void lowerConfidenceToOne(double step) {
     double lowest = Math.min(1, confidence);
     confidence = Math.max(lowest, confidence * (1 - step));
@@ -281,9 +317,12 @@
   }
 
   /**
-   * Divides the admitted requests among the classes, those of most value for their work first.
-   * Nothing reports the work of a class; its latency objective stands for it. No class falls below
-   * a floor, which is higher the more the worst served class counts in the objective.
+   * Divides the admitted requests among the classes, in descending order of priority weight per
+   * unit of work. The work of a class is not reported; its latency objective is used instead. No
+   * class falls below a floor, which rises with the weight of the worst served class in the
+   * objective.
+   *
+   * @return admitted fractions by position of the class
    */
   private double[] fractionsByClass() {
     List<RequestClass> classes = settings.requestClasses();
@@ -311,7 +350,7 @@
     return requestClass.priorityWeight() / requestClass.latencyObjective();
   }
 
-  /** Requests per second of the connected proxies, by class. */
+  /** Returns the requests per second of all connected proxies, by position of the class. */
   private double[] ratesByClass() {
     double[] rates = new double[settings.requestClasses().size()];
     for (ProxyState proxy : proxies.all()) {
@@ -325,8 +364,9 @@
   }
 
   /**
-   * Sends the limits, one for all classes of equal fraction. Proxies retry only while all requests
-   * are admitted, and then only what was proven not to be executed.
+   * Adds the limits to the batch, one command for all classes of the same limit. Proxies retry only
+   * while all requests are admitted, and then only attempts that are proven not to have been
+   * executed.
    */
   private void publishLimits(double overallFraction, double[] fractions) {
     RetryPolicy retryPolicy = overallFraction < 1 ? RetryPolicy.NEVER : RetryPolicy.IF_NOT_EXECUTED;
--- a/src/main/java/stonespring/decision/ChannelBudget.java
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -11,47 +11,81 @@
 
 /**
  * Estimates the backlog of the channel to the proxies, and decides which updates it has room for.
- * Acknowledgements tell how far the channel is, at whatever pace; without them it is taken to be
- * much slower than configured.
+ * Acknowledgements show how much of the queue has been delivered, whatever the pace of the channel.
+ * Without recent ones the channel is assumed to be much slower than configured.
  *
- * <p>The channel is seen as one queue of entries to all proxies, in the order of sending. An entry
- * is a route, limit, exclusion or acknowledgement request at one proxy, or part of a message's
- * overhead. A position in the queue is the number of entries sent before it, since the engine's
- * start. A batch is recorded when it ends: it takes the positions from where the last one ended,
- * and its acknowledgement number leads back to them. The backlog is what lies between the position
- * that acknowledgements have reached and the end of the queue.
+ * <p>The channel is modelled as one queue of entries to all proxies, in the order of sending. An
+ * entry is a route, limit, exclusion or acknowledgement request at one proxy, or part of a
+ * message's overhead. A position in the queue is the number of entries sent before it since the
+ * engine's start. A batch is recorded when it ends: it takes the positions after those of the
+ * previous batch, and its acknowledgement number identifies it. The backlog is the distance from
+ * the position that acknowledgements have reached to the end of the queue.
  */
 final class ChannelBudget {
-  /** DeciMillis between urgent updates, or exclusion notices, that may wait for each other. */
+  /**
+   * Least time between exclusion notices, and between urgent updates of a proxy that got many
+   * messages; also the delay until postponed updates are tried again. It is well below the time
+   * that a proxy may be without a route.
+   */
   static final long BATCH_INTERVAL_DECI_MILLIS = 6 * DeciMillis.SECOND / 10;
 
-  /** DeciMillis for which the last acknowledgement tells how far the channel is. */
+  /** Time for which the last acknowledgement counts as recent. */
   private static final long ACKNOWLEDGEMENT_VALIDITY_DECI_MILLIS = 3 * DeciMillis.SECOND;
 
-  /** Times slower than configured, while nothing is acknowledged. */
+  /**
+   * Factor by which the channel is assumed to be slower than configured while nothing is
+   * acknowledged; above that of the slowest channel known.
+   */
   private static final double ASSUMED_SLOWDOWN = 5;
 
-  // Shares of the backlog's limit up to which updates go out; the rest is left to what follows.
+  /**
+   * Share of the backlog limit up to which routine updates are sent; the rest is left to drains.
+   */
   private static final double ROUTINE_BACKLOG_SHARE = 0.3;
+
+  /**
+   * Share of the backlog limit up to which first tables and admission limits are sent; they can
+   * wait.
+   */
   private static final double FIRST_TABLE_BACKLOG_SHARE = 0.35;
+
+  /**
+   * Share of the backlog limit up to which exclusion notices are sent, or first tables in their
+   * place.
+   */
   private static final double EXCLUSION_BACKLOG_SHARE = 0.6;
+
+  /**
+   * Share of the backlog limit up to which urgent updates are sent; the rest allows for the error
+   * of the estimate.
+   */
   private static final double URGENT_BACKLOG_SHARE = 0.85;
 
-  /** Share of a proxy's messages up to which routine updates go out. */
+  /** Share of the message limit per proxy up to which routine updates are sent. */
   private static final double ROUTINE_MESSAGE_SHARE = 0.33;
 
-  /** Share of a proxy's messages up to which admission limits go out. */
+  /** Share of the message limit per proxy up to which admission limits are sent. */
   private static final double ADMISSION_MESSAGE_SHARE = 2 * ROUTINE_MESSAGE_SHARE;
 
+  /** Stands for the message limit if none is configured; it is never reached. */
   private static final double UNLIMITED_MESSAGES = 1e9;
 
-  /** Messages of a proxy that are left to exclusion notices. */
+  /** Messages per proxy and window that are reserved for exclusion notices. */
   private static final int RESERVED_MESSAGES = 2;
 
-  /** Acknowledgement numbers before they start over; about an hour's batches. */
+  /**
+   * Count of acknowledgement numbers before they repeat, enough for the batches of about an hour;
+   * older batches are forgotten.
+   */
   private static final int ACK_NUMBER_COUNT = 4_000;
 
-  /** What was sent in one batch. */
+  /**
+   * A batch that was sent.
+   *
+   * @param startPosition the position of its first entry
+   * @param entries its entries at all proxies, with the overhead of its messages
+   * @param messages its messages, one for each proxy that it reaches
+   */
   private record SentBatch(double startPosition, double entries, int messages) {
     double endPosition() {
       return startPosition + entries;
@@ -64,9 +98,16 @@
   private final CommandBatch batch;
   private final Map<Integer, SentBatch> sentBatches = new HashMap<>();
   private int nextAckNumber = 1;
+
+  /** End of the queue: the entries sent so far. */
   private double sentPosition;
+
+  /** Position up to which entries count as delivered. */
   private double acknowledgedPosition;
+
+  /** When the queue would be empty at the assumed pace. */
   private long assumedEmptyAt;
+
   private long lastAcknowledgedAt = EngineClock.NEVER;
 
   ChannelBudget(
@@ -77,13 +118,14 @@
     this.batch = batch;
   }
 
-  /** The position at which the current batch starts. */
+  /** Returns the position at which the current batch starts. */
   double batchStartPosition() {
     return sentPosition;
   }
 
   /**
-   * Ends the batch: records its entries and returns its commands with an acknowledgement request.
+   * Ends the batch: records its entries and returns its commands, with an acknowledgement request
+   * at the end if it reaches any proxy.
    */
   List<Command> endBatch() {
     List<Command> commands = batch.takeCommands();
@@ -110,9 +152,10 @@
   }
 
   /**
-   * Notes that a proxy applied a batch: all earlier batches left the channel, and its own message.
+   * Records that a proxy applied a batch. All earlier batches, and the proxy's message of this
+   * batch, count as delivered.
    *
-   * @return the position at which the batch started; empty if it is unknown
+   * @return the position at which the batch started; empty if no batch is recorded under the number
    */
   OptionalDouble recordAcknowledgement(ProxyState proxy, AckId ack) {
     SentBatch sent = sentBatches.get(ack.number());
@@ -128,15 +171,19 @@
     return OptionalDouble.of(sent.startPosition());
   }
 
-  /** Takes off what waits for a connection that ended: it is lost and never acknowledged. */
+  /**
+   * Removes the undelivered entries of a connection that ended from the backlog: they are lost and
+   * never acknowledged.
+   */
   void recordDisconnection(ProxyState proxy) {
     double lost = proxy.channel().dropUnacknowledgedEntries(acknowledgedPosition);
     acknowledgedPosition = Math.min(sentPosition, acknowledgedPosition + lost);
   }
 
   /**
-   * Entries that wait, with those of the current batch. Without current acknowledgements it is no
-   * more than what waits at the assumed pace: acknowledgements may have been lost.
+   * Returns the number of undelivered entries, including those of the current batch. Without a
+   * recent acknowledgement it is at most what would still be undelivered at the assumed pace, since
+   * acknowledgements may have been lost.
    */
   private double backlog() {
     double unacknowledged = sentPosition - acknowledgedPosition;
@@ -152,8 +199,11 @@
   }
 
   /**
-   * Whether all unknown tables can be told of exclusions. Otherwise first tables say the same for
-   * fewer entries.
+   * Returns whether exclusion notices can be sent to all proxies with unknown tables. If not, first
+   * tables have the same effect with fewer entries.
+   *
+   * @param unknownTableCount the number of proxies with unknown tables
+   * @param excludedCount the number of endpoints to exclude at each of them
    */
   boolean hasRoomForExclusions(long unknownTableCount, long excludedCount) {
     double entries = backlog() + unknownTableCount * (batch.messageOverhead() + excludedCount);
@@ -161,10 +211,12 @@
   }
 
   /**
-   * Whether an update may go out that cannot wait for a round. Once a proxy had many messages, its
-   * urgent updates are batched; first tables can wait for the backlog.
+   * Returns whether an update that cannot wait for a round can be sent. After many messages to a
+   * proxy, its urgent updates are at least {@link #BATCH_INTERVAL_DECI_MILLIS} apart. First tables
+   * can wait for a smaller backlog.
    *
-   * @param exclusionsDoNotFit whether first tables go out in place of exclusion notices
+   * @param exclusionsDoNotFit whether first tables replace exclusion notices, which the channel has
+   *     no room for
    */
   boolean hasRoomForUrgentUpdate(ProxyState proxy, boolean exclusionsDoNotFit) {
     double firstTableShare =
@@ -180,13 +232,16 @@
         && clock.since(proxy.channel().lastMessageSentAt()) >= BATCH_INTERVAL_DECI_MILLIS;
   }
 
-  /** Whether a routine update leaves enough of the channel to drains and empty tables. */
+  /**
+   * Returns whether a routine update can be sent and leaves enough of the channel to updates for
+   * draining endpoints and empty tables.
+   */
   boolean hasRoomForRoutineUpdate(ProxyState proxy) {
     return backlog() < ROUTINE_BACKLOG_SHARE * limits.maxBacklogEntries()
         && hasRoutineMessageAllowance(proxy);
   }
 
-  /** Whether admission limits may go out to all proxies. */
+  /** Returns whether admission limits can be sent to all proxies. */
   boolean hasRoomForAdmissionLimits() {
     double maxMessages =
         limits.maxMessagesPerProxy() == 0
--- a/src/main/java/stonespring/decision/EjectionScenario.java
+++ b/src/main/java/stonespring/decision/EjectionScenario.java
@@ -1,9 +1,12 @@
 package stonespring.decision;
 
-/** Which failures the {@link OutlierEjectionModel} takes into account. */
+/** The failures that the {@link OutlierEjectionModel} assumes. */
 enum EjectionScenario {
-  /** Those that reports show. */
+  /** Failures as reports show them. */
   OBSERVED,
-  /** Those that may begin before reports show them, everywhere but at the endpoint in question. */
+  /**
+   * Failures that may have begun before reports show them, at all endpoints but the one in
+   * question.
+   */
   WORST_CASE
 }
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -4,8 +4,8 @@
 import stonespring.model.Settings;
 
 /**
- * Notifies proxies with unknown tables which endpoints to exclude. A table that this instance knows
- * loses such endpoints by its own routes.
+ * Notifies proxies whose tables this instance does not know which endpoints to exclude. From a
+ * table that it knows, the routes to such endpoints are removed instead.
  */
 final class ExclusionNotifier {
   private final Settings settings;
@@ -32,26 +32,30 @@
     this.budget = budget;
   }
 
-  /** Asks for notices, as a proxy connected with tables that may name what left. */
+  /** Requests notices because a proxy connected whose tables may name endpoints that left. */
   void requestNotices() {
     noticesPending = true;
   }
 
-  /** Whether notices wait for their time. */
+  /** Returns whether notices are needed but not sent yet. */
   boolean areNoticesPending() {
     return noticesPending;
   }
 
-  /** Whether the channel can take notices of all endpoints that left, at all unknown tables. */
+  /**
+   * Returns whether the channel has room to notify all proxies with unknown tables of all endpoints
+   * that left.
+   */
   boolean hasRoomForNotices() {
     long excludedCount = endpoints.notReady().limit(maxRouteCountOfUnknownTable()).count();
     return budget.hasRoomForExclusions(proxies.withUnknownTable().count(), excludedCount);
   }
 
   /**
-   * Sends notices if an endpoint left or a proxy connected. All are repeated in one batch: an
-   * earlier notice did not reach a proxy that connected later, and a batch for each would use up
-   * the messages of all proxies.
+   * Sends notices if an endpoint left or a proxy connected, and the last ones are long enough ago.
+   * A batch repeats the notices of all endpoints that left, since earlier ones did not reach
+   * proxies that connected later. A batch for each proxy that connected once used up the messages
+   * of all proxies.
    *
    * @param permitted whether any endpoint left and the channel has room; otherwise pending notices
    *     are dropped
@@ -66,7 +70,7 @@
     }
   }
 
-  /** Excludes an endpoint, if any unknown table may name it, or allows an excluded one again. */
+  /** Excludes an endpoint if any unknown table may name it, or allows an excluded one again. */
   void setExcluded(EndpointState endpoint, boolean excluded) {
     if (endpoint.isForgotten()) {
       return;
@@ -85,7 +89,10 @@
     }
   }
 
-  /** Whether a notice counts at a proxy: its table names the endpoint, or may do so. */
+  /**
+   * Returns whether a notice counts as an entry at a proxy: its table holds the endpoint, or may do
+   * so.
+   */
   private boolean costsEntry(ProxyState proxy, EndpointState endpoint) {
     return proxy.isTableAssigned()
         ? proxy.table().holds(endpoint)
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -5,18 +5,22 @@
 import java.util.Map;
 import stonespring.model.DeciMillis;
 
-/** Moves that were sent and that reports do not show yet: the headroom that they take and free. */
+/**
+ * Moves that were sent and that reports do not show yet, with the headroom that they take and free.
+ */
 final class InFlightMoves {
-  /** DeciMillis until reports show a move: message delivery, a report interval and its delay. */
+  /**
+   * Time until reports show a move: message delivery, a report interval and the delay of reports.
+   */
   static final long VISIBLE_AFTER_DECI_MILLIS = 3 * DeciMillis.SECOND;
 
   /**
-   * DeciMillis after which the room that a move frees counts although no proxy acknowledged it, as
-   * in the paper that {@link UpdateScheduler} follows; an acknowledgement may be lost.
+   * Time after which the headroom that a move frees is credited without an acknowledgement, which
+   * may be lost. The value is that of the paper that {@link UpdateScheduler} follows.
    */
   private static final long CREDIT_TIMEOUT_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
-  /** One move; rate changes are in requests per second, below 0 where it takes load away. */
+  /** One move. Rate changes are in requests per second, negative where the move takes load away. */
   private static final class InFlightMove {
     private final ProxyState proxy;
     private final double batchStartPosition;
@@ -43,31 +47,39 @@
     this.clock = clock;
   }
 
-  /** Adds a move of the batch that starts at a position of the channel. */
+  /**
+   * Adds a move.
+   *
+   * @param batchStartPosition the channel position at which its batch starts
+   * @param rateChanges requests per second; negative where the move takes load away
+   */
   void add(ProxyState proxy, double batchStartPosition, Map<EndpointState, Double> rateChanges) {
     moves.add(new InFlightMove(proxy, batchStartPosition, clock.now(), rateChanges));
   }
 
-  /** Notes that a proxy applied all updates up to the batch that starts at a position. */
+  /** Records that a proxy applied all updates up to the batch that starts at a channel position. */
   void recordAcknowledgement(ProxyState proxy, double batchStartPosition) {
     for (InFlightMove move : moves) {
       move.acknowledged |= move.proxy == proxy && move.batchStartPosition <= batchStartPosition;
     }
   }
 
-  /** Notes that a proxy is gone, and with it the load that its moves took away. */
+  /**
+   * Records that a proxy disconnected. The headroom that its moves free is credited at once, since
+   * it sends no more requests.
+   */
   void recordDisconnection(ProxyState proxy) {
     for (InFlightMove move : moves) {
       move.acknowledged |= move.proxy == proxy;
     }
   }
 
-  /** Drops moves that reports show by now. */
+  /** Removes the moves that reports show by now. */
   void removeVisible() {
     moves.removeIf(move -> clock.since(move.sentAt) > VISIBLE_AFTER_DECI_MILLIS);
   }
 
-  /** Whether a move's freed room may still be acknowledged. */
+  /** Returns whether the headroom that any move frees is not credited yet. */
   boolean isAwaitingCredit() {
     return moves.stream().anyMatch(move -> !isCredited(move));
   }
@@ -77,9 +89,9 @@
   }
 
   /**
-   * Takes what the moves add from the headroom, and adds what they free once it is credited.
+   * Subtracts what the moves add from the headroom, and adds what they free once it is credited.
    *
-   * @param headroom requests per second by endpoint index
+   * @param headroom requests per second by endpoint index; changed in place
    */
   void applyTo(double[] headroom) {
     for (InFlightMove move : moves) {
--- a/src/main/java/stonespring/decision/OutlierEjectionModel.java
+++ b/src/main/java/stonespring/decision/OutlierEjectionModel.java
@@ -3,22 +3,27 @@
 import stonespring.model.Settings;
 
 /**
- * Outlier ejection as proxies do it by themselves: after some consecutive failures a proxy keeps
- * away from an endpoint for some seconds, and the other routes get its requests.
+ * Models the outlier ejection that proxies do by themselves: after a number of consecutive failures
+ * a proxy sends an endpoint no requests for some seconds, and its other routes get them.
  */
 final class OutlierEjectionModel {
   /**
-   * Seconds that an observed ejection counts for: three times a proxy's ejection time, since
-   * failures are correlated.
+   * Seconds of ejection that a run of observed failures counts for: three times the ejection time
+   * of a proxy, since failures are correlated.
    */
   private static final double OBSERVED_EJECTION_SECONDS = 15;
 
-  /** Seconds that an ejection counts for while it is not reported yet. */
+  /**
+   * Seconds of ejection that a run of failures counts for while reports do not show it. The value
+   * allows for reports that are late by a third of it, and for repeated requests, which triple the
+   * attempts.
+   */
   private static final double WORST_EJECTION_SECONDS = 12;
 
   /** Share of attempts that fail under overload that is not reported yet. */
   private static final double WORST_FAILURE_SHARE = 0.8;
 
+  /** Keeps the divisor above 0 if all attempts fail. */
   private static final double MAX_WORST_FAILURE_SHARE = 0.99;
 
   private final Settings.RoutingRules routing;
@@ -30,10 +35,9 @@
   }
 
   /**
-   * The share of the time for which a proxy may eject an endpoint.
+   * Returns the share of the time for which a proxy may eject an endpoint, 0 to 1.
    *
    * @param trafficShare the share of the proxy's requests that the endpoint gets
-   * @return 0 to 1
    */
   double ejectedShare(
       ProxyState proxy, EndpointState endpoint, double trafficShare, EjectionScenario scenario) {
@@ -53,9 +57,9 @@
   }
 
   /**
-   * Seconds of ejection an attempt: the ejection time over the mean number of attempts until a run
-   * of failures. For that number see Feller, <i>An Introduction to Probability Theory</i>, vol. 1,
-   * XIII.7.
+   * Returns the seconds of ejection per attempt in the worst case: the ejection time over the mean
+   * number of attempts until a run of failures. For that number see Feller, <i>An Introduction to
+   * Probability Theory</i>, vol. 1, XIII.7.
    */
   private double worstEjectedSecondsPerAttempt(double observedFailureShare) {
     double failureShare =
@@ -64,6 +68,7 @@
     return WORST_EJECTION_SECONDS * runProbability * (1 - failureShare) / (1 - runProbability);
   }
 
+  /** Returns the probability that as many attempts in a row fail as cause an ejection. */
   private double runProbability(double failureShare) {
     return Math.pow(failureShare, routing.ejectAfterConsecutiveFailures());
   }
--- a/src/main/java/stonespring/decision/PendingMove.java
+++ b/src/main/java/stonespring/decision/PendingMove.java
@@ -2,9 +2,10 @@
 
 /** The change of one proxy's table from its weights to its targets, in one scheduling round. */
 final class PendingMove {
-  /** Requests per second; less is a rounding error. */
+  /** Requests per second; a smaller change is a rounding error. */
   private static final double MIN_RATE_CHANGE = 1e-6;
 
+  /** Stands for a potential update time that is not computed yet. */
   private static final double UNKNOWN = -1;
 
   private final ProxyState proxy;
@@ -19,12 +20,14 @@
     return proxy;
   }
 
-  /** Whether it adds more than a rounding error to a route's endpoint. */
+  /** Returns whether the move adds more than a rounding error to the load of a route's endpoint. */
   boolean addsLoadTo(Route route) {
     return proxy.rateChange(route) > MIN_RATE_CHANGE;
   }
 
-  /** Whether it takes more than a rounding error from a route's endpoint. */
+  /**
+   * Returns whether the move takes more than a rounding error from the load of a route's endpoint.
+   */
   boolean removesLoadFrom(Route route) {
     return proxy.rateChange(route) < -MIN_RATE_CHANGE;
   }
@@ -33,7 +36,7 @@
     return potentialUpdateTime >= 0;
   }
 
-  /** Potential update time, DeciMillis. */
+  /** Returns the potential update time, DeciMillis; {@link UpdateScheduler} says what it is. */
   double potentialUpdateTime() {
     return potentialUpdateTime;
   }
@@ -42,7 +45,10 @@
     this.potentialUpdateTime = potentialUpdateTime;
   }
 
-  /** Whether the search for the deepest dependency passes it at present. */
+  /**
+   * Returns whether the move is on the path that the search for the longest chain of waiting moves
+   * follows at present.
+   */
   boolean isOnSearchPath() {
     return onSearchPath;
   }
--- a/src/main/java/stonespring/decision/ProposalBlender.java
+++ b/src/main/java/stonespring/decision/ProposalBlender.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Moves tables towards the weights that the solver proposes, the less the older the proposal is.
- * Only endpoints that are warm and healthy follow it; the others go by what this instance knows.
+ * Moves the targets of tables towards the weights that the solver proposes, the less the older the
+ * proposal is. Only warm and healthy endpoints follow a proposal; the others keep the weights that
+ * this instance computes.
  */
 final class ProposalBlender {
   private final EngineClock clock;
@@ -19,8 +20,9 @@
   }
 
   /**
-   * Replaces the smallest route that the proposal does not want by the endpoint that it wants most:
-   * one a round, as routes cost channel entries.
+   * Schedules the replacement of the smallest route outside the proposal by the endpoint with the
+   * largest proposed weight that the table lacks. It is at most one for each proxy and round, since
+   * routes cost channel entries.
    */
   void scheduleReplacement(ProxyState proxy) {
     if (!proxy.isTableAssigned() || proxy.proposal().influence(clock.now()) == 0) {
@@ -50,7 +52,9 @@
         .min(Comparator.comparingDouble(Route::weight));
   }
 
-  /** Moves the targets towards the proposal; the sum of those that follow it stays. */
+  /**
+   * Moves the targets towards the proposal. The sum over the routes that follow it stays the same.
+   */
   void blendTargets(ProxyState proxy) {
     WeightProposal proposal = proxy.proposal();
     double influence = proposal.influence(clock.now());
@@ -72,6 +76,10 @@
     proxy.table().normalizeTargets();
   }
 
+  /**
+   * Returns whether the proposed weight of an endpoint counts: it is warm, healthy and not
+   * excluded.
+   */
   private boolean followsProposal(ProxyState proxy, EndpointState endpoint) {
     return endpoint.isReady()
         && !endpoint.isExcluded()
--- a/src/main/java/stonespring/decision/ProxyChannel.java
+++ b/src/main/java/stonespring/decision/ProxyChannel.java
@@ -3,20 +3,30 @@
 import java.util.ArrayDeque;
 
 /**
- * What was sent to one proxy: its recent messages and its part of the backlog. Positions count the
- * entries that this instance has sent to all proxies since it started.
+ * Recent messages to one proxy, and its part of the backlog. Positions count the entries that this
+ * instance has sent to all proxies since it started, as in {@link ChannelBudget}.
  */
 final class ProxyChannel {
   private final ArrayDeque<Long> messagesSentAt = new ArrayDeque<>();
   private double unacknowledgedEntries;
   private double lastMessageEndPosition;
 
-  /** Starts anew for a new connection; what the old one had in the backlog still counts. */
+  /**
+   * Clears the recent messages for a new connection; undelivered entries of the previous one still
+   * count.
+   */
   void clearRecentMessages() {
     messagesSentAt.clear();
   }
 
-  /** Books a message of so many entries that ends at a position. */
+  /**
+   * Records a message.
+   *
+   * @param entries its entries, with its overhead
+   * @param endPosition the position at which its batch ends
+   * @param acknowledgedPosition the position that acknowledgements of all proxies have reached
+   * @param now when it is sent, DeciMillis
+   */
   void recordMessage(double entries, double endPosition, double acknowledgedPosition, long now) {
     messagesSentAt.add(now);
     double unacknowledgedBefore =
@@ -25,14 +35,21 @@
     lastMessageEndPosition = endPosition;
   }
 
-  /** Nothing waits once all up to the last message is acknowledged. */
+  /**
+   * Records that the proxy applied everything up to a position. If that includes its last message,
+   * none of its entries are left unacknowledged.
+   */
   void recordAcknowledgement(double position) {
     if (position >= lastMessageEndPosition) {
       unacknowledgedEntries = 0;
     }
   }
 
-  /** Drops what waits for a connection that ended, and returns how many entries that were. */
+  /**
+   * Drops the unacknowledged entries of a connection that ended.
+   *
+   * @return the number of entries dropped
+   */
   double dropUnacknowledgedEntries(double acknowledgedPosition) {
     double droppedEntries =
         lastMessageEndPosition > acknowledgedPosition ? unacknowledgedEntries : 0;
@@ -40,13 +57,16 @@
     return droppedEntries;
   }
 
-  /** Messages within the window up to now; older ones are dropped. */
+  /**
+   * Counts the messages within a window that ends now, and forgets older ones; times are in
+   * DeciMillis.
+   */
   int countRecentMessages(long now, long window) {
     messagesSentAt.removeIf(sentAt -> now - sentAt > window);
     return messagesSentAt.size();
   }
 
-  /** When the last message was sent; there must be a recent one. */
+  /** Returns when the last message was sent, DeciMillis; there must be a recent message. */
   long lastMessageSentAt() {
     return messagesSentAt.getLast();
   }
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -6,27 +6,38 @@
 import stonespring.model.Settings;
 
 /**
- * Selects the endpoints of a proxy's table: it keeps its routes, replaces those to endpoints that
- * left, and grows until its endpoints can carry the proxy's requests. Weights are set by the {@link
- * WeightOptimizer} afterwards.
+ * Selects the endpoints of a proxy's table. Routes stay while their endpoints are ready, those to
+ * endpoints that left are replaced, and routes are added until the endpoints can carry the proxy's
+ * requests. The {@link WeightOptimizer} sets the weights afterwards.
  */
 final class RouteSelector {
-  /** With fewer routes, one bad endpoint gets a third of a proxy's requests. */
+  /**
+   * Least number of routes; with fewer, one failing endpoint gets a third of a proxy's requests.
+   */
   private static final int MIN_ROUTES = 4;
 
   /** Share of the capacity of its endpoints that one proxy may use. */
   private static final double MAX_CAPACITY_SHARE = 0.3;
 
-  /** Factor of the chance of an endpoint in the proxy's zone. */
+  /**
+   * Factor on the sampling weight of an endpoint in the proxy's zone. With three zones of equal
+   * capacity, two routes in three stay in the zone.
+   */
   private static final double SAME_ZONE_FACTOR = 4;
 
-  /** Factor of the initial weight of an endpoint in another zone, until loads are reported. */
+  /**
+   * Factor on the initial weight of an endpoint in another zone, which holds until loads are
+   * reported.
+   */
   private static final double OTHER_ZONE_INITIAL_WEIGHT = 0.3;
 
-  /** Factor of the chance that remains to an endpoint without free capacity. */
+  /** Least factor for free capacity, so that a fully used endpoint can still be drawn. */
   private static final double MIN_FREE_CAPACITY_FACTOR = 0.1;
 
-  /** The factor of failures is this minus the share that fails: not 0 if all fail. */
+  /**
+   * The factor for failures is this number minus the share of attempts that fail, so that it is
+   * above 0 even if all fail.
+   */
   private static final double FAILURE_FACTOR_BASE = 1.02;
 
   private final Settings settings;
@@ -45,7 +56,10 @@
     this.estimates = estimates;
   }
 
-  /** Sets the targets of a proxy's table to the routes that it shall have. */
+  /**
+   * Sets the targets of a proxy's table, and adds the routes that it needs. The targets sum to 1 if
+   * there are any.
+   */
   void selectRoutes(ProxyState proxy) {
     RouteTable table = proxy.table();
     table.removeUnapplied();
@@ -66,7 +80,10 @@
     return route.isTargeted() && endpoints.isWarm(route.endpoint());
   }
 
-  /** Lets entering endpoints take routes over; while one warms up, both routes stand. */
+  /**
+   * Transfers routes to the endpoints that replace their own. While such an endpoint warms up, both
+   * routes stay. Replacements that are no longer possible are dropped.
+   */
   private void applyReplacements(ProxyState proxy) {
     RouteTable table = proxy.table();
     proxy
@@ -95,23 +112,29 @@
   }
 
   /**
-   * A table of warming endpoints alone would overload them, or be empty once they are held back.
+   * Adds a route to a warm endpoint if one can be drawn. A table of warming endpoints alone would
+   * overload them, or be empty once the {@link SlowStartGuard} removes their targets.
    *
-   * @return the number of routes with the one added
+   * @return the number of routes, including the one added
    */
   private int addWarmEndpoint(ProxyState proxy, int routeCount) {
     Optional<EndpointState> drawn = drawEndpoint(proxy, 1);
     if (drawn.isEmpty()) {
       return routeCount;
     }
-    // Targets are relative. Those of a table without routes are capacities, requests per second;
-    // beside existing routes, whose targets are shares of 1, the warm one counts like all of them.
+    // Targets are relative. In a table without routes they are capacities in requests per second.
+    // Targets of existing routes are shares of 1; with a target of 1 the warm endpoint gets as
+    // much as all of them together.
     proxy.table().setTarget(drawn.get(), routeCount == 0 ? drawn.get().capacity() : 1);
     return routeCount + 1;
   }
 
+  /**
+   * Adds routes until the table has as many as the proxy's request rate needs, or no endpoint can
+   * be drawn.
+   */
   private void addRoutes(ProxyState proxy, int routeCount, double keptWeight) {
-    // In the first rounds what a warming endpoint can bear is unknown.
+    // The capacity of warming endpoints is not known in the first rounds.
     double minWarmUp = estimates.cadence().hasEnoughRounds() ? 0 : 1;
     int wantedCount = wantedRouteCount(proxy);
     for (int count = routeCount; count < wantedCount; count++) {
@@ -145,10 +168,11 @@
   }
 
   /**
-   * Draws an endpoint that the proxy has no target for, by listed weight, warm-up, free capacity,
-   * zone and failures.
+   * Draws a random endpoint for which the proxy has no target. The sampling weight depends on
+   * listed weight, warm-up fraction, free capacity, zone and failures.
    *
-   * @param minWarmUp the least warm-up fraction
+   * @param minWarmUp the least warm-up fraction, 0 to 1
+   * @return empty if no endpoint is eligible
    */
   private Optional<EndpointState> drawEndpoint(ProxyState proxy, double minWarmUp) {
     double[] samplingWeights = new double[endpoints.size()];
@@ -179,8 +203,9 @@
   }
 
   /**
-   * An excluded endpoint that warms up comes back as an entrant only, once no table is unknown: a
-   * route would allow it at all of them.
+   * Returns whether an endpoint may be drawn. An excluded one must be warm, since a route to it
+   * would allow it at all proxies with unknown tables. While it warms up, only {@link
+   * EntrantSelector} brings it back, once no table is unknown.
    */
   private boolean isEligible(EndpointState endpoint, double minWarmUp) {
     double required = endpoint.isExcluded() ? 1 : minWarmUp;
--- a/src/main/java/stonespring/decision/SlowStartGuard.java
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -7,25 +7,35 @@
 import stonespring.model.Settings;
 
 /**
- * Holds back endpoints that warm up: one fails when it gets a multiple of what it can serve yet. A
- * proxy that ejects failing endpoints sends their requests to its other routes, whatever the
- * weights. A route to an endpoint that warms up is therefore allowed only while the requests that
- * may come to it from all proxies stay within a budget, by the failures that reports show and by
- * those that may begin before reports show them.
+ * Limits the load of endpoints that warm up: one fails when it gets a multiple of what it can serve
+ * at present. A proxy that ejects failing endpoints sends their requests to its other routes,
+ * whatever the weights. A route to a warming endpoint is therefore allowed only while the requests
+ * that all proxies may send to it stay within two budgets: one for the failures that reports show,
+ * and one for failures that may begin before reports show them.
  */
 final class SlowStartGuard {
-  /** Share of the overload limit that observed failures may use; the rest is for variation. */
+  /**
+   * Multiple of the overload limit that may be reached under observed failures; the rest of the
+   * limit allows for random variation.
+   */
   private static final double OBSERVED_BUDGET_MULTIPLE = 0.5;
 
-  /** Times the overload limit that the worst case may reach; with less, deployments stall. */
+  /**
+   * Multiple of the overload limit that may be reached in the worst case. A lower one keeps out
+   * endpoints that a deployment needs, so that the deployment stalls.
+   */
   private static final double WORST_CASE_BUDGET_MULTIPLE = 1.6;
 
-  /** The same during a surge, as retries come on top. */
+  /** The same during a surge, where retries add to the load. */
   private static final double SURGE_BUDGET_MULTIPLE = 0.8;
 
-  /** Times the mean rate at which the offered requests are a surge. */
+  /**
+   * Multiple of the mean rate above which the offered requests count as a surge; the rate varies by
+   * less than that from second to second.
+   */
   private static final double SURGE_MULTIPLE = 1.15;
 
+  /** Keeps the divisor above 0 if no weight is available. */
   private static final double MIN_AVAILABLE_WEIGHT = 1e-9;
 
   private final Settings settings;
@@ -35,7 +45,9 @@
   private final OutlierEjectionModel ejection;
   private final AdmissionController admission;
 
-  /** Requests per second that endpoints can still be given, by endpoint index. */
+  /**
+   * Requests per second that endpoints may still be given in either scenario, by endpoint index.
+   */
   private record Budgets(double[] observed, double[] worstCase) {}
 
   SlowStartGuard(
@@ -54,8 +66,8 @@
   }
 
   /**
-   * Removes the targets of routes that exceed the budgets; a proxy that holds such a route is added
-   * to the urgent updates.
+   * Removes the targets of routes that exceed the budgets. A proxy that already uses such a route
+   * is added to the urgent updates.
    */
   void limitTargets(List<ProxyState> known, UrgentUpdates urgent) {
     Budgets budgets = computeBudgets();
@@ -77,7 +89,11 @@
     }
   }
 
-  /** Proxies that hold a route to a warming endpoint keep it; among the others small ones lead. */
+  /**
+   * Sorts the proxies. Those with a route to a warming endpoint come first, so that they keep it;
+   * otherwise routes would move back and forth between proxies in each round. Within both groups,
+   * proxies of few requests come first.
+   */
   private List<ProxyState> byPriority(List<ProxyState> known) {
     List<ProxyState> sorted = new ArrayList<>(known);
     sorted.sort(
@@ -109,7 +125,11 @@
     return new Budgets(observed, worstCase);
   }
 
-  /** Returns whether a target was removed; the others then get more, and must be checked again. */
+  /**
+   * Removes the targets of a proxy that exceed the budgets.
+   *
+   * @return whether a target was removed; the others then get more, and must be checked again
+   */
   private boolean removeExcessTargets(
       ProxyState proxy, Budgets budgets, double admittedShare, UrgentUpdates urgent) {
     boolean removed = false;
@@ -125,7 +145,10 @@
     return removed;
   }
 
-  /** Whether a route is wanted whose endpoint is warming up; a target that is NaN counts. */
+  /**
+   * Returns whether a route has a target and its endpoint is warming up. A target of NaN counts as
+   * one.
+   */
   private boolean isGuarded(Route route) {
     boolean unwanted = route.target() <= 0;
     return !unwanted && !endpoints.isWarm(route.endpoint());
@@ -141,8 +164,9 @@
   }
 
   /**
-   * Requests per second that a proxy may bring to a route, by the table that it holds and by the
-   * one that is wanted: routes that left are removed at once while new ones wait for headroom.
+   * Returns the requests per second that a proxy may send over a route: the larger of the rates by
+   * the table in use and by the targets. Routes to endpoints that left are removed at once, while
+   * new ones wait for headroom.
    */
   private double possibleRate(
       ProxyState proxy, Route route, double admittedShare, EjectionScenario scenario) {
@@ -154,9 +178,11 @@
   }
 
   /**
-   * The weight of a proxy's routes that it may not eject, with the whole weight of the route in
-   * question. In the worst case each route gets an equal share of the attempts, as those of large
-   * routes that were ejected go to the small ones.
+   * Returns the weight of a proxy's routes that remains while it ejects endpoints; the route in
+   * question counts with its whole weight. In the worst case each route gets an equal share of the
+   * attempts, as the requests of large routes that were ejected go to the small ones.
+   *
+   * @param weightOf the weights of the table in use, or the targets
    */
   private double availableWeight(
       ProxyState proxy,
--- a/src/main/java/stonespring/decision/TableUpdater.java
+++ b/src/main/java/stonespring/decision/TableUpdater.java
@@ -3,9 +3,9 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Sends a proxy's table towards its targets, and books the load that this shifts. */
+/** Sends changes of a proxy's table towards its targets, and records the load that they shift. */
 final class TableUpdater {
-  /** Weights are sent in steps of a thousandth. */
+  /** Weights are rounded to thousandths. */
   private static final double WEIGHT_STEPS_PER_UNIT = 1000;
 
   private final EndpointRegistry endpoints;
@@ -28,10 +28,10 @@
   }
 
   /**
-   * Sends a share of the way from weights to targets; routes to endpoints that are not ready go at
-   * once. A proxy with an unknown table is assigned its own.
+   * Sends part of the change from weights to targets, but removes routes to endpoints that are not
+   * ready at once. A proxy with an unknown table is assigned its own table.
    *
-   * @param share 0 to 1
+   * @param share the part of the change, 0 to 1
    */
   void sendTable(ProxyState proxy, double share) {
     SortedMap<EndpointState, Double> rateChanges = sendRoutes(proxy, share);
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -9,34 +9,40 @@
 import stonespring.model.Settings;
 
 /**
- * Schedules changes of route tables so that no endpoint gets more than it has headroom for, after
- * Wu, Liang, Lee, Tseng, <i>Efficient and Consistent Flow Update for Software Defined Networks</i>,
- * IEEE JSAC 2018. A proxy's table takes the place of a flow, an endpoint that of a link.
+ * Schedules changes of route tables so that no endpoint gets more load than it has headroom for,
+ * after Wu, Liang, Lee, Tseng, <i>Efficient and Consistent Flow Update for Software Defined
+ * Networks</i>, IEEE JSAC 2018. A proxy's table corresponds to a flow of the paper, an endpoint to
+ * a link.
  *
- * <p>In a round (Algorithm 3), moves are sorted by potential update time (IV-B): a move's own time
- * in the channel plus that of the deepest chain of moves that wait for what it frees. Each is
- * admitted if all endpoints that it adds to have headroom; room that it frees counts once it is
- * acknowledged, or after 2 s. If none can be admitted and none is awaited, the move with the least
- * yield ratio goes at a reduced rate (Algorithm 4).
+ * <p>In a round (Algorithm 3), moves are sorted by potential update time (IV-B), the longest first:
+ * the time that the move takes in the channel, plus that of the longest chain of moves that wait
+ * for the headroom it frees. A move is admitted if all endpoints that it adds load to have
+ * headroom. Headroom that it frees counts once the move is acknowledged, or after 2 s. If no move
+ * can be admitted and no freed headroom is awaited, the move with the least yield ratio is sent at
+ * a reduced rate (Algorithm 4).
  *
- * <p>In short: a change that frees an endpoint which others wait for goes first. A change is sent
- * whole if each endpoint that it adds load to has room for it, and waits otherwise. If all wait for
- * each other, the one that comes closest to fitting is sent in part, to break the deadlock.
+ * <p>In short: a change that frees an endpoint which others wait for is sent first. A change is
+ * sent whole if each endpoint that it adds load to has room for it, and waits otherwise. If all
+ * wait for each other, the one that comes closest to fitting is sent in part, to resolve the
+ * deadlock.
  */
 final class UpdateScheduler {
   /**
-   * The mean fill of all endpoints over the fill that one may be brought to: an endpoint may take 1
-   * / 0.8 = 1.25 times the load that its capacity would get at the mean fill.
+   * Mean fill of all endpoints, divided by the fill that a move may bring an endpoint to. An
+   * endpoint may take 1 / 0.8 = 1.25 times the load that its capacity would get at the mean fill.
    */
   private static final double MEAN_TO_MAX_FILL_RATIO = 0.8;
 
-  /** Potential update time of a move in a cycle, DeciMillis; above that of any chain. */
+  /** Potential update time of a move in a cycle of waiting moves; above that of any chain. */
   private static final double CYCLE_TIME_DECI_MILLIS = 1e9;
 
   /** Share of a table's requests; a smaller change is within the noise of reports. */
   private static final double MIN_TABLE_CHANGE_SHARE = 0.05;
 
-  /** Share of an endpoint's capacity that a large proxy's table may take away for a smaller one. */
+  /**
+   * Share of an endpoint's capacity. In the table of a large proxy, a change that takes more than
+   * this away is sent even if it is a small share of the table.
+   */
   private static final double MIN_CAPACITY_CHANGE_SHARE = 0.1;
 
   private final Settings settings;
@@ -64,7 +70,7 @@
     this.updater = updater;
   }
 
-  /** Runs a round over the tables of these proxies. */
+  /** Runs a scheduling round over the tables of the given proxies. */
   void runRound(List<ProxyState> candidates) {
     inFlight.removeVisible();
     double[] headroom = computeHeadroom();
@@ -91,7 +97,9 @@
     }
   }
 
-  /** Requests per second that endpoints can be given by this instance, by endpoint index. */
+  /**
+   * Returns the requests per second that this instance may add at each endpoint, by endpoint index.
+   */
   private double[] computeHeadroom() {
     double[] headroom = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
@@ -112,7 +120,7 @@
     return (maxLoad - capacity.load(endpoint)) * estimates.traffic().share();
   }
 
-  /** Takes what a table may bring to endpoints whose load no report shows. */
+  /** Subtracts the load that a table may bring to endpoints whose load no report shows. */
   private void reserveUnreported(ProxyState proxy, double[] headroom) {
     double share = estimates.traffic().share();
     for (Route route : proxy.table().routes()) {
@@ -124,8 +132,8 @@
   }
 
   /**
-   * Leaves the routes to full endpoints as they are, and takes from the others only what the rest
-   * can be given.
+   * Keeps routes to full endpoints from growing, and reduces other routes only by as much as the
+   * growing ones can take.
    */
   private static void limitTargets(ProxyState proxy, double[] headroom) {
     double added = 0;
@@ -147,7 +155,10 @@
     }
   }
 
-  /** Whether a table changes by enough, relieves an endpoint by enough, or takes one in. */
+  /**
+   * Returns whether a table changes by enough, takes enough load off an endpoint, or takes an
+   * endpoint in.
+   */
   private boolean isWorthSending(ProxyState proxy) {
     List<Route> routes = proxy.table().routes();
     double change =
@@ -166,7 +177,7 @@
     return !proxy.table().holds(entrant) || endpoints.isWarm(entrant);
   }
 
-  /** Enters a move at each endpoint that has no headroom for it. */
+  /** Registers a move as waiting at each endpoint that has no headroom for it. */
   private static void registerWaiting(
       PendingMove move,
       double[] headroom,
@@ -179,7 +190,10 @@
     }
   }
 
-  /** Potential update time (IV-B), DeciMillis. */
+  /**
+   * Computes the potential update time (IV-B) of a move and of all moves that wait for it,
+   * DeciMillis.
+   */
   private double potentialUpdateTime(
       PendingMove move, Map<EndpointState, List<PendingMove>> waitingByEndpoint) {
     if (move.isOnSearchPath()) {
@@ -202,7 +216,7 @@
     return move.potentialUpdateTime();
   }
 
-  /** Time that a move's message takes in the channel, DeciMillis. */
+  /** Returns the time that a move's message takes in the channel, DeciMillis. */
   private double channelTime(PendingMove move) {
     double entries =
         settings.channel().messageOverheadEntries()
@@ -212,7 +226,7 @@
     return entries * DeciMillis.SECOND / settings.channel().entriesPerSecond();
   }
 
-  /** Sends the moves that fit, in order; returns whether there was one. */
+  /** Sends the moves that fit, in the given order, and returns whether there was one. */
   private boolean admitMoves(List<PendingMove> moves, double[] headroom) {
     boolean admitted = false;
     for (PendingMove move : moves) {
@@ -229,8 +243,8 @@
   }
 
   /**
-   * Whether smaller moves have long kept the headroom from one that relieves a full endpoint. It
-   * then goes at a reduced rate although others are admitted.
+   * Returns whether smaller moves have long taken the headroom of a move that relieves a full
+   * endpoint. Such a move is sent at a reduced rate even though others are admitted.
    */
   private boolean isStarved(PendingMove move, double yieldRatio, double[] headroom) {
     ProxyState proxy = move.proxy();
@@ -242,6 +256,7 @@
                 route -> proxy.rateChange(route) < 0 && headroom[route.endpoint().index()] < 0);
   }
 
+  /** Sends the part that fits of the move with the least yield ratio. */
   private void resolveDeadlock(List<PendingMove> moves, double[] headroom) {
     moves.stream()
         .filter(
@@ -251,9 +266,9 @@
   }
 
   /**
-   * The paper's yield ratio: the part of a move by which it must be reduced for its fullest
-   * endpoint to have headroom for the rest. 0 if the whole move fits, 1 or more if no part of it
-   * does.
+   * Returns the paper's yield ratio: the share by which a move must be reduced until all endpoints
+   * that it adds load to have headroom for the rest. It is 0 if the whole move fits, and 1 or more
+   * if no part of it does.
    */
   private static double yieldRatio(PendingMove move, double[] headroom) {
     double fitting = 1;
@@ -266,7 +281,7 @@
     return 1 - fitting;
   }
 
-  /** Sends a share of a move and takes its headroom at once. */
+  /** Sends a share of a move, and subtracts the load that it adds from the headroom at once. */
   private void sendPart(PendingMove move, double share, double[] headroom) {
     for (Route route : move.proxy().table().routes()) {
       double change = move.proxy().rateChange(route) * share;
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -8,11 +8,14 @@
 import stonespring.model.Settings;
 
 /**
- * The proxies whose tables cannot wait for a round: they hold no route, or one to an endpoint that
- * left, or their table is unknown.
+ * Selects and sends the table updates that cannot wait for a round: those of proxies that have no
+ * route, a route to an endpoint that left, or an unknown table.
  */
 final class UrgentUpdates {
-  /** DeciMillis; the time that proxies allow for what left, less a message's way. */
+  /**
+   * Time that an unknown table may stay in use: the time that proxies allow for endpoints that
+   * left, less the delivery time of a message.
+   */
   private static final long UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS = 17 * DeciMillis.SECOND / 10;
 
   private final Settings settings;
@@ -23,6 +26,8 @@
   private final ChannelBudget budget;
   private final ExclusionNotifier exclusions;
   private final Set<ProxyState> selected = new LinkedHashSet<>();
+
+  /** Whether the channel has no room for exclusion notices, so that first tables replace them. */
   private boolean exclusionsDoNotFit;
 
   UrgentUpdates(
@@ -66,7 +71,9 @@
     return postponed || exclusions.areNoticesPending();
   }
 
-  /** Has a proxy told, once after it connected, what its unknown table must not use. */
+  /**
+   * Requests exclusion notices once for each connection of a proxy that may hold unknown tables.
+   */
   private void requestExclusions(ProxyState proxy) {
     if (proxy.mayHoldUnknownTables() && !proxy.areExclusionsRequested()) {
       exclusions.requestNotices();
@@ -74,7 +81,10 @@
     }
   }
 
-  /** Tables of shards stand as they are stored. */
+  /**
+   * Returns whether a proxy needs an update now. Proxies of sharded fleets never do: they keep the
+   * tables that are stored for their shards.
+   */
   private boolean isDue(ProxyState proxy, boolean anyNotReady) {
     if (!proxy.isConnected() || settings.fleet().sharded()) {
       return false;
@@ -85,8 +95,10 @@
   }
 
   /**
-   * Tables from before a start stand for the first rounds, but not for long: all that one names may
-   * have left, or be about to as this instance's predecessor died, and no list tells of it.
+   * Returns whether an unknown table must be replaced although few rounds have passed. Tables from
+   * before this instance started stay for the first rounds, but not for long: all endpoints of one
+   * may have left, or may have begun to leave when this instance's predecessor died, and the
+   * endpoint list no longer shows them.
    */
   private boolean isOverdue(ProxyState proxy, boolean anyNotReady) {
     long connectedForDeciMillis = clock.since(proxy.connectedAt());
@@ -111,7 +123,10 @@
     return selected.isEmpty();
   }
 
-  /** Sends the selected tables as far as there is room, those that are in use first. */
+  /**
+   * Sends the selected tables while the channel has room; updates of tables in use come before
+   * first tables.
+   */
   void sendSelected(TableUpdater updater) {
     List<ProxyState> assignedTablesFirst =
         selected.stream().sorted(Comparator.comparing(proxy -> !proxy.isTableAssigned())).toList();
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -4,37 +4,50 @@
 import stonespring.model.Settings;
 
 /**
- * Sets the weights of routes so that requests go where one more of them loses least. Each route has
- * a price: the loss at its endpoint's load, failures and late answers there, and crossing zones.
- * Weights of all tables move together, in small steps towards equal prices.
+ * Sets the targets of routes so that requests go where one more of them causes the least loss. Each
+ * route has a price: the marginal loss at the load of its endpoint, the failures and late answers
+ * there, and the penalty for crossing zones. The targets of all tables are adjusted together, in
+ * small steps towards equal prices.
  */
 final class WeightOptimizer {
+  /** Number of steps for each table; after that many, targets change by less than one percent. */
   private static final int ITERATIONS = 40;
 
-  /** The loss is this power of the fill: half at full load, little at half of it. */
+  /**
+   * The share of requests that is lost is half the fill to this power: half at full load, little at
+   * half load.
+   */
   private static final double LOSS_EXPONENT = 6;
 
-  /** Fill above which losses are equal; keeps prices bounded. */
+  /** Fill above which the loss no longer grows; keeps prices bounded. */
   private static final double MAX_FILL = 1.2;
 
-  /** Price of a failed attempt: the request, and the time that it took. */
+  /**
+   * Price of a failed attempt, in requests: the request itself, and the time that the attempt took.
+   */
   private static final double FAILURE_PRICE = 1.5;
 
-  /** Least slope of the loss; reports are old, and other instances move the same endpoints. */
+  /**
+   * Least slope of the loss, which limits the steps: reports are old, and other instances shift
+   * load between the same endpoints.
+   */
   private static final double MIN_SLOPE = 30;
 
-  /** Power of the mean fill, over a typical one, by which the least slope falls. */
+  /** Exponent by which the least slope falls with the mean fill, relative to a typical one. */
   private static final double SPARE_CAPACITY_EXPONENT = 4;
 
-  /** Readings of the capacity until it may be trusted; the first show less load than there is. */
+  /**
+   * Number of capacity readings before the estimate is trusted; the first ones show less load than
+   * there is.
+   */
   private static final int SETTLING_READINGS = 20;
 
   private final Settings settings;
   private final EndpointRegistry endpoints;
   private final CapacityEstimator capacity;
   private double[] lateShares = new double[0]; // by endpoint index
-  private double[] prices = new double[0]; // by position in the table that is adjusted
-  private double[] slopes = new double[0];
+  private double[] prices = new double[0]; // by position of the route in the table being adjusted
+  private double[] slopes = new double[0]; // by position of the route, as prices
 
   WeightOptimizer(Settings settings, EndpointRegistry endpoints, CapacityEstimator capacity) {
     this.settings = settings;
@@ -43,7 +56,7 @@
   }
 
   /**
-   * Sets the targets of some proxies' routes.
+   * Sets the targets of the adjustable proxies' routes.
    *
    * @param known all proxies whose tables bring load
    * @param adjustable the proxies among them whose targets may change
@@ -62,7 +75,10 @@
     }
   }
 
-  /** Requests per second by endpoint index: the targets', and what others bring. */
+  /**
+   * Returns the requests per second by endpoint index: those of the targets, and those that other
+   * instances send.
+   */
   private double[] plannedLoad(List<ProxyState> known) {
     double[] load = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
@@ -77,7 +93,11 @@
     return load;
   }
 
-  /** Smaller, for larger steps, while the fleet is known to have capacity to spare. */
+  /**
+   * Returns the least slope. It is lower, for larger steps, while the fleet is known to have spare
+   * capacity. Near full load, or before that is known, large steps would send all tables to the
+   * same free capacity.
+   */
   private double minSlope() {
     if (capacity.readings() < SETTLING_READINGS) {
       return MIN_SLOPE;
@@ -86,7 +106,7 @@
     return MIN_SLOPE * Math.min(1, Math.pow(relativeFill, SPARE_CAPACITY_EXPONENT));
   }
 
-  /** Moves the weights of one table by a step, and its load with them. */
+  /** Moves the targets of one table by a step, and updates the planned load accordingly. */
   private void adjustTargets(ProxyState proxy, double[] load, double minSlope) {
     List<Route> routes = proxy.table().routes();
     ensureArrayLength(routes.size());
@@ -128,7 +148,7 @@
     }
   }
 
-  /** Requests lost for one more at an endpoint. */
+  /** Returns how many requests are lost for each additional one at an endpoint. */
   private static double marginalLoss(EndpointState endpoint, double load) {
     double fill = endpoint.capacity() > 0 ? Math.min(MAX_FILL, load / endpoint.capacity()) : 0;
     return (LOSS_EXPONENT + 1) * Math.pow(fill, LOSS_EXPONENT) / 2;
