--- a/src/test/java/stonespring/decision/AdmissionControlTest.java
+++ b/src/test/java/stonespring/decision/AdmissionControlTest.java
@@ -18,7 +18,7 @@
    * lost.
    */
   @Test
-  void requestsOfLostProxiesLeaveNoSpareCapacityAtOnce() {
+  void keepsLimitLowRightAfterProxiesDisconnect() {
     Fleet fleet = Fleet.create(8, 8);
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void limitsRequestsUnderOverloadAndRecovers() {
+  void limitsRequestsUnderOverloadAndAdmitsAllAfterwards() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.rounds(5, 0.05, Map.of());
     fleet.rounds(60, 0.2, Map.of());
@@ -63,7 +63,7 @@
 
   /** Utilization may stand still while endpoints slow down. */
   @Test
-  void failuresAndLateAnswersShowOverloadWhateverEndpointsReport() {
+  void limitsRequestsWhenAttemptsFailOrAreLateDespiteLowUtilization() {
     for (boolean late : List.of(false, true)) {
       Fleet fleet = Fleet.create(8, 8);
       fleet.rounds(12, 0.07, Map.of());
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void limitsFollowTheEndpointListBeforeReports() {
+  void lowersLimitWhenEndpointsDrainBeforeReportsArrive() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.rounds(12, 0.07, Map.of());
     for (int i = 0; i < 4; i++) {
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void limitsFollowTheFirstReportsOfASurge() {
+  void lowersLimitOnFirstReportsOfSurge() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.rounds(12, 0.08, Map.of());
     fleet.trafficFactor = 3;
@@ -105,23 +105,25 @@
 
   /** While endpoints report spare capacity, failures may have another cause. */
   @Test
-  void failuresOfIdleEndpointsLimitLess() {
+  void limitsLessWhenFailingEndpointsAreIdle() {
     Map<String, Double> failureShares = new TreeMap<>();
-    double[] least = {1, 1};
+    double[] lowestLimits = {1, 1};
     for (int busy = 0; busy < 2; busy++) {
       Fleet fleet = Fleet.create(8, 8);
       fleet.rounds(12, 0.07, Map.of());
       fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.5));
       for (int i = 0; i < 12; i++) {
         fleet.rounds(1, busy == 1 ? 0.2 : 0.05, failureShares);
-        least[busy] = Math.min(least[busy], fleet.meanLimit());
+        lowestLimits[busy] = Math.min(lowestLimits[busy], fleet.meanLimit());
       }
     }
-    assertTrue(least[0] > 1.15 * least[1], least[0] + " idle, " + least[1] + " busy");
+    assertTrue(
+        lowestLimits[0] > 1.15 * lowestLimits[1],
+        lowestLimits[0] + " idle, " + lowestLimits[1] + " busy");
   }
 
   @Test
-  void failuresOfAFewEndpointsLimitNothing() {
+  void admitsAllRequestsWhenFewEndpointsFail() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.rounds(12, 0.05, Map.of());
     fleet.rounds(12, 0.05, Map.of("t0", 1.0, "t1", 1.0, "t2", 1.0));
@@ -129,7 +131,7 @@
   }
 
   @Test
-  void requestClassWithoutTrafficHasALimit() {
+  void limitsRequestClassesWhenOneHasNoTraffic() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.reportedClasses = 2;
     fleet.rounds(5, 0.05, Map.of());
--- a/src/test/java/stonespring/decision/ChannelBudgetTest.java
+++ b/src/test/java/stonespring/decision/ChannelBudgetTest.java
@@ -12,7 +12,7 @@
 /** What routine updates leave of the channel. */
 final class ChannelBudgetTest {
   @Test
-  void routineUpdatesLeaveMessagesToUrgentOnes() {
+  void reservesMessagesForUrgentUpdates() {
     Fleet fleet = Fleet.create(8, 4);
     for (int i = 0; i < 100; i++) {
       fleet.report(0.03 + (i % 7) / 100.0, Map.of("t" + i % 8, 0.9));
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void routineUpdatesLeaveBacklogToDrains() {
+  void reservesBacklogForDrains() {
     Fleet fleet =
         Fleet.create(
             new FleetSettings()
@@ -47,7 +47,7 @@
 
   /** The channel is far slower than its configured pace, and than assumed. */
   @Test
-  void routineUpdatesStopWhileAcknowledgementsLag() {
+  void stopsRoutineUpdatesWhileAcknowledgementsLag() {
     Fleet fleet =
         Fleet.create(
             new FleetSettings()
--- a/src/test/java/stonespring/decision/InFlightMovesTest.java
+++ b/src/test/java/stonespring/decision/InFlightMovesTest.java
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void freedHeadroomCountsOnceAcknowledged() {
+  void creditsFreedHeadroomOnceAcknowledged() {
     addMove(100);
     assertArrayEquals(new double[] {10, 5}, headroom(), "what it takes counts at once");
     moves.recordAcknowledgement(new ProxyState(new ProxyId(1), 1), 100);
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void freedHeadroomCountsAfterTwoSecondsWithoutAcknowledgement() {
+  void creditsFreedHeadroomAfterTwoSecondsWithoutAcknowledgement() {
     addMove(0);
     clock.advanceTo(2 * Fleet.SECOND - 1);
     assertTrue(moves.isAwaitingCredit());
@@ -52,14 +52,14 @@
   }
 
   @Test
-  void disconnectedProxyFreesItsHeadroom() {
+  void creditsFreedHeadroomWhenProxyDisconnects() {
     addMove(0);
     moves.recordDisconnection(proxy);
     assertFalse(moves.isAwaitingCredit());
   }
 
   @Test
-  void movesEndOnceReportsShowThem() {
+  void removesMovesOnceReportsShowThem() {
     addMove(0);
     clock.advanceTo(3 * Fleet.SECOND);
     moves.removeVisible();
--- a/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
+++ b/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
@@ -49,27 +49,27 @@
   }
 
   @Test
-  void observedEjectionGrowsWithARunOfFailures() {
+  void computesObservedEjectionFromProbabilityOfFailureRun() {
     // Ten requests per second, a hundredth of them here, half of which fail: 15 s for each run.
     assertEquals(10 * 0.01 * 15 * Math.pow(0.5, 3), ejectedShare(endpoint(0, 18, 10), OBSERVED));
   }
 
   @Test
-  void worstCaseReckonsWithFailuresThatAreNotReported() {
+  void assumesUnreportedFailuresInWorstCase() {
     EndpointState healthy = endpoint(0, 18, 0);
     assertEquals(0, ejectedShare(healthy, OBSERVED));
     assertTrue(ejectedShare(healthy, WORST_CASE) > 0.1);
   }
 
   @Test
-  void failuresOfAWarmingEndpointAreNotObservedEjection() {
+  void ignoresObservedFailuresOfWarmingEndpoint() {
     EndpointState warming = endpoint(clock.now(), 18, 10);
     assertEquals(0, ejectedShare(warming, OBSERVED));
     assertTrue(ejectedShare(warming, WORST_CASE) > 0.1);
   }
 
   @Test
-  void proxiesThatEjectNothingAreTakenAtTheirWord() {
+  void expectsNoEjectionWhenProxiesDoNotEject() {
     EndpointState failing = endpoint(0, 18, 18);
     OutlierEjectionModel none =
         new OutlierEjectionModel(new FleetSettings().ejectAfter(0).build().routing(), endpoints);
--- a/src/test/java/stonespring/decision/RouteWeightsTest.java
+++ b/src/test/java/stonespring/decision/RouteWeightsTest.java
@@ -10,7 +10,7 @@
 /** Which endpoints tables name, and with which weights. */
 final class RouteWeightsTest {
   @Test
-  void tableGrowsWithItsProxysTraffic() {
+  void addsRoutesWhenProxyHasMuchTraffic() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 5, 100, 5);
     fleet.rounds(20, 0.05, Map.of());
     assertTrue(fleet.shares(0).size() >= 10, "routes: " + fleet.shares(0).size());
@@ -18,17 +18,17 @@
   }
 
   @Test
-  void failingEndpointKeepsARouteThatShowsItsRecovery() {
+  void keepsSmallRouteToFailingEndpoint() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.rounds(5, 0.03, Map.of());
-    double before = fleet.load("t3");
+    double loadBefore = fleet.load("t3");
     fleet.rounds(10, 0.03, Map.of("t3", 1.0));
-    assertTrue(fleet.load("t3") < before / 3, before + " to " + fleet.load("t3"));
+    assertTrue(fleet.load("t3") < loadBefore / 3, loadBefore + " to " + fleet.load("t3"));
     assertTrue(fleet.load("t3") > 0);
   }
 
   @Test
-  void equalFailuresEverywhereMoveNothing() {
+  void keepsLoadWhenAllEndpointsFailAlike() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.rounds(10, 0.03, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void utilizationShowsWhatOtherInstancesSend() {
+  void avoidsEndpointsLoadedByOtherInstances() {
     Fleet fleet = new Fleet(new FleetSettings().instances(2).build());
     for (int i = 0; i < 8; i++) {
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, READY, 0));
@@ -52,15 +52,18 @@
     }
     fleet.step(1);
     fleet.rounds(30, 0.03, Map.of());
-    double full = fleet.load("t0") + fleet.load("t1") + fleet.load("t2") + fleet.load("t3");
-    assertTrue(full < 0.45 * 80, full + " of 80 go where others send most");
+    double rateAtLoadedEndpoints =
+        fleet.load("t0") + fleet.load("t1") + fleet.load("t2") + fleet.load("t3");
+    assertTrue(
+        rateAtLoadedEndpoints < 0.45 * 80,
+        rateAtLoadedEndpoints + " of 80 go where others send most");
   }
 
   @Test
-  void requestsStayInTheirZoneWhileCapacityIsAmple() {
+  void keepsRequestsInZoneWhileCapacityIsAmple() {
     Fleet fleet = Fleet.create(12, 8);
     fleet.rounds(60, 0.03, Map.of());
-    double away =
+    double crossZoneRate =
         fleet.proxies.values().stream()
             .mapToDouble(
                 p ->
@@ -69,29 +72,30 @@
                         .mapToDouble(e -> p.requestRate * e.getValue())
                         .sum())
             .sum();
-    assertTrue(away < 3, away + " of 80 requests cross zones");
+    assertTrue(crossZoneRate < 3, crossZoneRate + " of 80 requests cross zones");
   }
 
   @Test
-  void idleEndpointsEnterTables() {
+  void addsIdleEndpointsToTables() {
     Fleet fleet = Fleet.create(16, 3);
     fleet.rounds(60, 0.05, Map.of());
-    long idle = fleet.endpoints.keySet().stream().filter(name -> fleet.load(name) == 0).count();
-    assertTrue(idle <= 6, idle + " of 16 endpoints idle with 3 tables of 4 routes");
+    long idleCount =
+        fleet.endpoints.keySet().stream().filter(name -> fleet.load(name) == 0).count();
+    assertTrue(idleCount <= 6, idleCount + " of 16 endpoints idle with 3 tables of 4 routes");
   }
 
   @Test
-  void newEndpointsAreUsed() {
+  void addsNewEndpointsToTables() {
     Fleet fleet = Fleet.create(6, 8);
     fleet.rounds(5, 0.04, Map.of());
     for (int i = 0; i < 10; i++) {
       fleet.updateEndpoint("new" + i, i % 2, READY, fleet.now);
     }
     fleet.rounds(25, 0.04, Map.of());
-    long used =
+    long usedCount =
         fleet.endpoints.keySet().stream()
             .filter(name -> name.startsWith("new") && fleet.load(name) > 0.5)
             .count();
-    assertTrue(used >= 8, used + " of 10 new endpoints used");
+    assertTrue(usedCount >= 8, usedCount + " of 10 new endpoints used");
   }
 }
--- a/src/test/java/stonespring/decision/ScaleOutSimulation.java
+++ b/src/test/java/stonespring/decision/ScaleOutSimulation.java
@@ -25,18 +25,18 @@
  */
 final class ScaleOutSimulation {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final long STEP = SECOND / 10;
-  private static final int PROXIES = 30;
-  private static final int ENDPOINTS = 16;
+  private static final long STEP_DECI_MILLIS = SECOND / 10;
+  private static final int PROXY_COUNT = 30;
+  private static final int ENDPOINT_COUNT = 16;
 
-  private static final double CAPACITY = 20; // requests per second of a warm endpoint
+  private static final double WARM_CAPACITY = 20; // requests per second of a warm endpoint
 
   /** Requests that came to an endpoint in one step. */
   private record StepLoad(long at, double requests) {}
 
   private final Fleet fleet = new Fleet(settings());
   private final SplittableRandom random;
-  private final long reportDelay;
+  private final long reportDelayDeciMillis;
   private final TreeMap<String, Double> failureShares = new TreeMap<>();
   private final TreeMap<String, double[]> attemptsByZone = new TreeMap<>();
   private final TreeMap<String, double[]> failuresByZone = new TreeMap<>();
@@ -46,49 +46,52 @@
   private final Map<Integer, Double> requestsByProxy = new HashMap<>();
   private final List<Map.Entry<Long, Event>> delayedReports = new ArrayList<>();
   private double repeatedShare;
-  private double worst;
-  private String worstWhen = "";
+  private double worstLoadShare;
+  private String worstLoadDescription = "";
 
-  ScaleOutSimulation(long seed, long reportDelay) {
+  ScaleOutSimulation(long seed, long reportDelayDeciMillis) {
     this.random = new SplittableRandom(seed);
-    this.reportDelay = reportDelay;
+    this.reportDelayDeciMillis = reportDelayDeciMillis;
   }
 
   private static Settings settings() {
-    return new FleetSettings().proxies(PROXIES).bootstrapRoutes(5).channel(6000, 6000).build();
+    return new FleetSettings().proxies(PROXY_COUNT).bootstrapRoutes(5).channel(6000, 6000).build();
   }
 
   /** What one step of requests does to endpoints, by the tables that proxies hold now. */
-  private void passTraffic(double surge) {
+  private void sendRequests(double surge) {
     TreeMap<String, Double> load = new TreeMap<>();
     boolean retries =
         fleet.retryPolicies.getOrDefault(0, RetryPolicy.IF_NOT_EXECUTED) != RetryPolicy.NEVER;
     for (FleetProxy proxy : fleet.proxies.values()) {
-      double requests = proxy.requestRate * surge * (1 + 2 * repeatedShare) * STEP / SECOND;
+      double requests =
+          proxy.requestRate * surge * (1 + 2 * repeatedShare) * STEP_DECI_MILLIS / SECOND;
       requestsByProxy.merge(proxy.number, requests, Double::sum);
-      spread(proxy, requests * fleet.meanLimit(), load, retries);
+      distributeAttempts(proxy, requests * fleet.meanLimit(), load, retries);
     }
-    double failed = 0;
-    double all = 0;
+    double failedAttempts = 0;
+    double allAttempts = 0;
     for (Map.Entry<String, Double> e : load.entrySet()) {
       EndpointRecord endpoint = fleet.endpoints.get(e.getKey());
       double capacity =
-          endpoint == null ? 0 : CAPACITY * fleet.warmUpFraction(endpoint) * STEP / SECOND;
+          endpoint == null
+              ? 0
+              : WARM_CAPACITY * fleet.warmUpFraction(endpoint) * STEP_DECI_MILLIS / SECOND;
       double excess = capacity <= 0 ? 1 : Math.max(0, 1 - capacity / e.getValue());
       failureShares.merge(e.getKey(), excess, (a, b) -> 0.8 * a + 0.2 * b);
-      failed += e.getValue() * failureShares.get(e.getKey());
-      all += e.getValue();
+      failedAttempts += e.getValue() * failureShares.get(e.getKey());
+      allAttempts += e.getValue();
       if (endpoint != null && fleet.warmUpFraction(endpoint) < 1) {
-        recordWarming(e.getKey(), e.getValue(), capacity);
+        recordWarmingLoad(e.getKey(), e.getValue(), capacity);
       }
     }
-    if (all > 0) {
+    if (allAttempts > 0) {
       // Clients repeat once they have waited without success.
-      repeatedShare = 0.95 * repeatedShare + 0.05 * failed / all;
+      repeatedShare = 0.95 * repeatedShare + 0.05 * failedAttempts / allAttempts;
     }
   }
 
-  private void spread(
+  private void distributeAttempts(
       FleetProxy proxy, double attempts, TreeMap<String, Double> load, boolean retries) {
     TreeMap<String, Double> shares = proxy.shares();
     TreeMap<String, Double> available = new TreeMap<>(shares);
@@ -98,27 +101,28 @@
     TreeMap<String, Double> used = available.isEmpty() ? shares : available;
     double sum = used.values().stream().mapToDouble(w -> w).sum();
     for (Map.Entry<String, Double> e : used.entrySet()) {
-      double part = attempts * e.getValue() / sum;
+      double routeAttempts = attempts * e.getValue() / sum;
       double failureShare = failureShares.getOrDefault(e.getKey(), 0.0);
-      load.merge(e.getKey(), part, Double::sum);
-      attemptsByZone.computeIfAbsent(e.getKey(), n -> new double[2])[proxy.zone] += part;
+      load.merge(e.getKey(), routeAttempts, Double::sum);
+      attemptsByZone.computeIfAbsent(e.getKey(), n -> new double[2])[proxy.zone] += routeAttempts;
       failuresByZone.computeIfAbsent(e.getKey(), n -> new double[2])[proxy.zone] +=
-          part * failureShare;
-      eject(proxy.number + e.getKey(), part, failureShare);
+          routeAttempts * failureShare;
+      drawOutcomes(proxy.number + e.getKey(), routeAttempts, failureShare);
       if (retries && failureShare > 0) {
         TreeMap<String, Double> others = new TreeMap<>(available);
         others.remove(e.getKey());
-        double rest = others.values().stream().mapToDouble(w -> w).sum();
+        double otherWeight = others.values().stream().mapToDouble(w -> w).sum();
         others.forEach(
-            (name, w) -> load.merge(name, part * failureShare / 2 * w / rest, Double::sum));
+            (name, w) ->
+                load.merge(name, routeAttempts * failureShare / 2 * w / otherWeight, Double::sum));
       }
     }
   }
 
   /** Draws the outcome of each attempt of a proxy at an endpoint. */
-  private void eject(String proxyAndEndpoint, double attempts, double failureShare) {
-    int whole = (int) attempts + (random.nextDouble() < attempts - (int) attempts ? 1 : 0);
-    for (int i = 0; i < whole; i++) {
+  private void drawOutcomes(String proxyAndEndpoint, double attempts, double failureShare) {
+    int attemptCount = (int) attempts + (random.nextDouble() < attempts - (int) attempts ? 1 : 0);
+    for (int i = 0; i < attemptCount; i++) {
       int failures =
           random.nextDouble() < failureShare
               ? consecutiveFailures.merge(proxyAndEndpoint, 1, Integer::sum)
@@ -131,30 +135,30 @@
     }
   }
 
-  private void recordWarming(String endpoint, double requests, double capacity) {
+  private void recordWarmingLoad(String endpoint, double requests, double capacity) {
     ArrayDeque<StepLoad> recent = recentLoads.computeIfAbsent(endpoint, n -> new ArrayDeque<>());
     recent.add(new StepLoad(fleet.now, requests));
     while (fleet.now - recent.peek().at() > 2 * SECOND) {
       recent.poll();
     }
     double overloadLimit =
-        fleet.settings.slowStart().overloadMultiple() * capacity * 2 * SECOND / STEP;
+        fleet.settings.slowStart().overloadMultiple() * capacity * 2 * SECOND / STEP_DECI_MILLIS;
     double share = recent.stream().mapToDouble(StepLoad::requests).sum() / overloadLimit;
-    if (share > worst) {
-      worst = share;
-      worstWhen = endpoint + " at " + (fleet.now / (double) SECOND - 100) + " s";
+    if (share > worstLoadShare) {
+      worstLoadShare = share;
+      worstLoadDescription = endpoint + " at " + (fleet.now / (double) SECOND - 100) + " s";
     }
   }
 
   /** Reports of an interval, which arrive late. */
-  private void report() {
+  private void queueReports() {
     attemptsByZone.forEach(this::reportOutcomes);
     attemptsByZone.clear();
     failuresByZone.clear();
     requestsByProxy.forEach(
         (proxy, requests) -> {
           for (int k = 0; k < 3; k++) {
-            delay(
+            delayReport(
                 new Event.ProxyRequestRate(
                     new ProxyId(proxy),
                     new RequestClassId(k),
@@ -168,15 +172,15 @@
 
   private void reportOutcomes(String name, double[] attemptsByZone) {
     EndpointRecord endpoint = fleet.endpoints.get(name);
-    double all = attemptsByZone[0] + attemptsByZone[1];
+    double allAttempts = attemptsByZone[0] + attemptsByZone[1];
     double utilization =
         endpoint == null
             ? Double.NaN
-            : Math.min(1, all / (CAPACITY * fleet.warmUpFraction(endpoint)));
+            : Math.min(1, allAttempts / (WARM_CAPACITY * fleet.warmUpFraction(endpoint)));
     for (int zone = 0; zone < 2; zone++) {
       long attempts = Math.round(attemptsByZone[zone]);
       if (attempts > 0) {
-        delay(
+        delayReport(
             new Event.EndpointOutcomes(
                 new EndpointId(name),
                 new ZoneId(zone),
@@ -189,21 +193,21 @@
     }
   }
 
-  private void delay(Event event) {
-    delayedReports.add(Map.entry(fleet.now + reportDelay, event));
+  private void delayReport(Event event) {
+    delayedReports.add(Map.entry(fleet.now + reportDelayDeciMillis, event));
   }
 
   /** The endpoint of the worst load, and when it was. */
-  String worstWhen() {
-    return worstWhen;
+  String worstLoadDescription() {
+    return worstLoadDescription;
   }
 
   private void setUp() {
-    for (int i = 0; i < ENDPOINTS; i++) {
+    for (int i = 0; i < ENDPOINT_COUNT; i++) {
       fleet.updateEndpoint("t" + i, i % 2, Fleet.READY, 0);
     }
     fleet.start(random.nextLong());
-    for (int i = 0; i < PROXIES; i++) {
+    for (int i = 0; i < PROXY_COUNT; i++) {
       double size = Math.pow(1 - random.nextDouble(), -0.5);
       fleet.connect(i, i % 2, Math.min(40, 5 * size), true);
     }
@@ -217,28 +221,29 @@
    */
   double run(double surge, int addedAtOnce) {
     setUp();
-    int added = 0;
-    int surgeAt = 20 + random.nextInt(120);
-    for (int step = 0; step < surgeAt + 250; step++) {
-      int inSurge = step - surgeAt;
-      if (inSurge >= 20 && inSurge % 10 == 0 && added < ENDPOINTS) {
+    int addedCount = 0;
+    int surgeStep = 20 + random.nextInt(120);
+    for (int step = 0; step < surgeStep + 250; step++) {
+      int stepsSinceSurge = step - surgeStep;
+      if (stepsSinceSurge >= 20 && stepsSinceSurge % 10 == 0 && addedCount < ENDPOINT_COUNT) {
         for (int i = 0; i < addedAtOnce; i++) {
           fleet.updateEndpoint(
-              "entrant" + added++,
+              "entrant" + addedCount++,
               random.nextInt(2),
               Fleet.READY,
               fleet.now - random.nextInt(5_000));
         }
       }
-      passTraffic(inSurge >= 0 ? Math.min(surge, 0.8 + inSurge * (surge - 0.8) / 30) : 0.8);
+      sendRequests(
+          stepsSinceSurge >= 0 ? Math.min(surge, 0.8 + stepsSinceSurge * (surge - 0.8) / 30) : 0.8);
       if (step % 10 == 9) {
-        report();
+        queueReports();
       }
       delayedReports.removeIf(e -> e.getKey() <= fleet.now && fleet.events.add(e.getValue()));
       fleet.acknowledgeAll();
-      fleet.step(STEP);
+      fleet.step(STEP_DECI_MILLIS);
       fleet.checkInvariants("step " + step);
     }
-    return worst;
+    return worstLoadShare;
   }
 }
--- a/src/test/java/stonespring/decision/ScaleOutUnderSurgeTest.java
+++ b/src/test/java/stonespring/decision/ScaleOutUnderSurgeTest.java
@@ -9,7 +9,7 @@
 /** Endpoints that warm up while the fleet scales out during a surge. */
 final class ScaleOutUnderSurgeTest {
   /** Times the overload limit, 3.8 without the guard; the aim is less than 0.8. */
-  private static final double KNOWN_WORST = 2;
+  private static final double KNOWN_WORST_SHARE = 2;
 
   /**
    * The overload limit of endpoints that warm up is passed in this harsh a run: the share asserted
@@ -18,15 +18,15 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void scaleOutKeepsInvariantsAndTheKnownWorstLoad(long seed) {
+  void keepsInvariantsAndLoadBelowKnownWorst(long seed) {
     ScaleOutSimulation simulation =
         new ScaleOutSimulation(seed, (1 + seed % 3) * DeciMillis.SECOND);
     double share = simulation.run(1.5 + seed % 3 / 2.0, 1 + (int) (seed % 4) * 2);
     assertTrue(
-        share < KNOWN_WORST,
+        share < KNOWN_WORST_SHARE,
         "a warming endpoint reached "
             + share
             + " of the overload limit: "
-            + simulation.worstWhen());
+            + simulation.worstLoadDescription());
   }
 }
--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -16,7 +16,7 @@
 /** What endpoints that warm up get. */
 final class SlowStartTest {
   @Test
-  void restartedEndpointGetsNoMoreThanItCanServe() {
+  void limitsLoadOfRestartedEndpointToItsCapacity() {
     Fleet fleet = Fleet.create(6, 8);
     fleet.rounds(10, 0.04, Map.of());
     assertTrue(fleet.load("t2") > 5);
@@ -35,7 +35,7 @@
 
   /** A proxy that ejects its other endpoints sends all requests to a warming one. */
   @Test
-  void onlySmallProxiesUseWarmingEndpointsUnderOverload() {
+  void keepsLargeProxyOffWarmingEndpointsUnderOverload() {
     Fleet fleet = Fleet.createWithLargeProxy(6, 8, 100, 2);
     fleet.rounds(10, 0.03, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
@@ -52,7 +52,7 @@
 
   /** A surge that reports do not show yet may make proxies eject all their warm endpoints. */
   @Test
-  void possibleLoadOfAWarmingEndpointStaysWithinItsBudget() {
+  void keepsPossibleLoadOfWarmingEndpointWithinBudget() {
     Fleet fleet = Fleet.create(6, 40);
     fleet.rounds(10, 0.02, Map.of());
     for (int i = 0; i < 4; i++) {
@@ -98,7 +98,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {8, 10, 50, 143, 175})
-  void budgetHoldsForTablesThatWaitForHeadroom(long seed) {
+  void appliesBudgetToTablesWaitingForHeadroom(long seed) {
     Fleet fleet =
         Fleet.create(
             new FleetSettings()
@@ -159,7 +159,7 @@
 
   /** Each of several instances has a part of an entrant's budget; it must suffice for one route. */
   @Test
-  void entrantsAreUsedWhileProxiesEjectLittle() {
+  void usesEntrantsWhileProxiesEjectLittle() {
     Fleet fleet = Fleet.create(new FleetSettings().instances(4).build(), 8, 4);
     fleet.rounds(10, 0.04, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
--- a/src/test/java/stonespring/decision/UpdateSchedulingTest.java
+++ b/src/test/java/stonespring/decision/UpdateSchedulingTest.java
@@ -8,7 +8,7 @@
 /** How changes of tables wait for headroom. */
 final class UpdateSchedulingTest {
   @Test
-  void oneFullEndpointDoesNotDelayTheOthers() {
+  void movesLoadToOtherZoneThoughOneEndpointIsFull() {
     Fleet fleet = Fleet.create(20, 0);
     fleet.otherInstancesLoad.put("t0", 60.0);
     for (int p = 0; p < 20; p++) {
@@ -25,7 +25,7 @@
 
   /** Freed headroom counts once it is acknowledged, or after two seconds. */
   @Test
-  void routesToFullEndpointsDoNotGrow() {
+  void keepsEndpointsBelowTwiceMeanLoadWhenTwoFail() {
     Fleet fleet = Fleet.create(6, 8);
     fleet.rounds(10, 0.04, Map.of());
     double mean = 80.0 / 6;
@@ -41,7 +41,7 @@
 
   /** All proxies prefer their own zone; no endpoint may take more than its part over 0.8. */
   @Test
-  void movesWaitForHeadroom() {
+  void delaysMovesUntilEndpointsHaveHeadroom() {
     Fleet fleet = Fleet.create(6, 0);
     for (int p = 0; p < 8; p++) {
       fleet.connect(p, 0, 10, true);
@@ -59,7 +59,7 @@
 
   /** In a large table one endpoint has less than the share that makes a move worth while. */
   @Test
-  void largeProxyMovesOffAFailingEndpoint() {
+  void movesLargeProxyOffFailingEndpoint() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 8, 200, 3);
     fleet.rounds(4, 0.05, Map.of());
     String full = fleet.shares(0).firstKey();
--- a/src/test/java/stonespring/decision/WeightProposalTest.java
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void followsFreshProposalsAndForgetsOldOnes() {
+  void followsFreshProposalsAndIgnoresOldOnes() {
     Fleet fleet = createFleet(6, 8);
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void replacesAnUnwantedRouteByTheMostWantedEndpoint() {
+  void replacesUnproposedRouteByMostProposedEndpoint() {
     Fleet fleet = createFleet(12, 8);
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
@@ -120,7 +120,7 @@
 
   /** All proxies are proposed a single route, to an endpoint that warms up. */
   @Test
-  void proposalsDoNotOverloadAWarmingEndpoint() {
+  void doesNotOverloadWarmingEndpointThatIsProposed() {
     Fleet fleet = createFleet(6, 8);
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
@@ -141,7 +141,7 @@
   /** Proposals at random, while endpoints come and go. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void randomProposalsBreakNoInvariant(long seed) {
+  void keepsInvariantsUnderRandomProposals(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     Fleet fleet = createFleet(10, 10);
     for (int i = 0; i < 80; i++) {
