--- a/src/test/java/stonespring/decision/AdmissionControlTest.java
+++ b/src/test/java/stonespring/decision/AdmissionControlTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static stonespring.decision.Fleet.SECOND;
 
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -11,11 +12,11 @@
 import stonespring.model.EndpointRecord;
 import stonespring.model.RetryPolicy;
 
-/** When requests are rejected, and of which classes. */
+/** Admission limits: when requests are rejected, and of which classes. */
 final class AdmissionControlTest {
   /**
-   * Half of the proxies disconnect with their zone; the list does not tell yet which endpoints are
-   * lost.
+   * Half of the proxies disconnect with their zone, and the endpoint list does not show yet which
+   * endpoints are lost. The requests of these proxies must not count as spare capacity at once.
    */
   @Test
   void keepsLimitLowRightAfterProxiesDisconnect() {
@@ -24,7 +25,7 @@
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
     fleet.rounds(8, 0.1, failureShares);
     double before = fleet.meanLimit();
-    assertTrue(before < 0.6, "limit " + before);
+    assertTrue(before < 0.6, "mean limit under overload: " + before);
     for (int p = 0; p < 8; p += 2) {
       fleet.disconnect(p);
     }
@@ -32,10 +33,11 @@
       fleet.rounds(1, 0.1, failureShares);
       assertTrue(
           fleet.meanLimit() < 1.3 * before,
-          "round " + round + ": " + before + " to " + fleet.meanLimit());
+          "round " + round + ": mean limit rose from " + before + " to " + fleet.meanLimit());
     }
     fleet.rounds(15, 0.03, Map.of());
-    assertEquals(1, fleet.meanLimit(), 1e-9, "in the end they no longer count");
+    assertEquals(
+        1, fleet.meanLimit(), 1e-9, "mean limit once requests of lost proxies no longer count");
   }
 
   @Test
@@ -51,17 +53,20 @@
     Fleet fleet = Fleet.create(8, 8);
     fleet.rounds(5, 0.05, Map.of());
     fleet.rounds(60, 0.2, Map.of());
-    assertTrue(fleet.lowestLimit < 0.95, "limit " + fleet.lowestLimit);
-    assertEquals(RetryPolicy.NEVER, fleet.retryPolicies.get(0), "no retries under overload");
+    assertTrue(fleet.lowestLimit < 0.95, "lowest limit " + fleet.lowestLimit);
+    assertEquals(RetryPolicy.NEVER, fleet.retryPolicies.get(0), "retry policy under overload");
     assertTrue(
         fleet.limits[0] >= fleet.limits[1] && fleet.limits[1] > fleet.limits[2],
-        "the least value for its work is limited first");
-    assertTrue(fleet.limits[2] > 0.2, "but not all of it");
+        "classes with the least value for their work must be limited most: "
+            + Arrays.toString(fleet.limits));
+    assertTrue(
+        fleet.limits[2] > 0.2,
+        "the most limited class must still be admitted: limit " + fleet.limits[2]);
     fleet.rounds(30, 0.03, Map.of());
     assertEquals(1, fleet.lowestLimit);
   }
 
-  /** Utilization may stand still while endpoints slow down. */
+  /** Reported utilization may stay the same while endpoints slow down. */
   @Test
   void limitsRequestsWhenAttemptsFailOrAreLateDespiteLowUtilization() {
     for (boolean late : List.of(false, true)) {
@@ -72,7 +77,8 @@
       fleet.endpoints.keySet().forEach(name -> failureShares.put(name, late ? 0 : 0.5));
       fleet.successLatency = late ? 2 * SECOND : fleet.successLatency;
       fleet.rounds(12, 0.03, failureShares);
-      assertTrue(fleet.lowestLimit < 0.9, "limit " + fleet.lowestLimit);
+      assertTrue(
+          fleet.lowestLimit < 0.9, "lowest limit " + fleet.lowestLimit + ", late answers " + late);
       fleet.successLatency = 1000;
       fleet.rounds(30, 0.03, Map.of());
       assertEquals(1, fleet.lowestLimit);
@@ -89,7 +95,7 @@
     fleet.step(10);
     assertTrue(
         fleet.lowestLimit < 0.9 && fleet.retryPolicies.get(0) == RetryPolicy.NEVER,
-        "limit " + fleet.lowestLimit);
+        "lowest limit " + fleet.lowestLimit + ", retry policies " + fleet.retryPolicies);
   }
 
   @Test
@@ -100,10 +106,10 @@
     fleet.reportSpan = SECOND;
     fleet.rounds(1, 0.08, Map.of());
     double limit = fleet.meanLimit();
-    assertTrue(limit < 0.5, "limit " + limit);
+    assertTrue(limit < 0.5, "mean limit after the first reports: " + limit);
   }
 
-  /** While endpoints report spare capacity, failures may have another cause. */
+  /** While endpoints report spare capacity, failures may have another cause than overload. */
   @Test
   void limitsLessWhenFailingEndpointsAreIdle() {
     Map<String, Double> failureShares = new TreeMap<>();
@@ -119,7 +125,7 @@
     }
     assertTrue(
         lowestLimits[0] > 1.15 * lowestLimits[1],
-        lowestLimits[0] + " idle, " + lowestLimits[1] + " busy");
+        "lowest mean limit: " + lowestLimits[0] + " idle, " + lowestLimits[1] + " busy");
   }
 
   @Test
@@ -136,6 +142,8 @@
     fleet.reportedClasses = 2;
     fleet.rounds(5, 0.05, Map.of());
     fleet.rounds(60, 0.2, Map.of());
-    assertTrue(fleet.limits[0] > 0 && fleet.limits[2] > 0 && fleet.limits[1] < 1);
+    assertTrue(
+        fleet.limits[0] > 0 && fleet.limits[2] > 0 && fleet.limits[1] < 1,
+        "limits by class: " + Arrays.toString(fleet.limits));
   }
 }
--- a/src/test/java/stonespring/decision/ChannelBudgetTest.java
+++ b/src/test/java/stonespring/decision/ChannelBudgetTest.java
@@ -9,7 +9,7 @@
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointRecord;
 
-/** What routine updates leave of the channel. */
+/** Room that routine updates leave in the channel for urgent ones. */
 final class ChannelBudgetTest {
   @Test
   void reservesMessagesForUrgentUpdates() {
@@ -19,7 +19,9 @@
       fleet.step(SECOND);
       fleet.checkInvariants("round " + i);
       for (FleetProxy p : fleet.proxies.values()) {
-        assertTrue(p.messagesSentAt.size() <= 20, "routine messages: " + p.messagesSentAt.size());
+        assertTrue(
+            p.messagesSentAt.size() <= 20,
+            "routine messages in the window: " + p.messagesSentAt.size() + ", expected at most 20");
       }
     }
   }
@@ -38,14 +40,19 @@
     for (int i = 0; i < 40; i++) {
       fleet.report(0.03, Map.of("t" + i / 3 % 8, 0.9));
       fleet.step(SECOND);
-      assertTrue(fleet.backlog < 0.5 * 300, "round " + i + ": " + fleet.backlog);
+      assertTrue(
+          fleet.backlog < 0.5 * 300,
+          "round " + i + ": backlog of " + fleet.backlog + " entries, limit 300");
     }
     fleet.updateEndpoint("t0", 0, EndpointRecord.State.REMOVED, 0);
     fleet.step(1);
     assertEquals(0, fleet.load("t0"));
   }
 
-  /** The channel is far slower than its configured pace, and than assumed. */
+  /**
+   * The channel delivers one message per second, far less than configured and than assumed without
+   * acknowledgements.
+   */
   @Test
   void stopsRoutineUpdatesWhileAcknowledgementsLag() {
     Fleet fleet =
@@ -65,7 +72,11 @@
       fleet.step(SECOND);
       assertTrue(
           fleet.acknowledgements.size() * 12 < 300,
-          "round " + i + ": " + fleet.acknowledgements.size() + " messages not acknowledged");
+          "round "
+              + i
+              + ": "
+              + fleet.acknowledgements.size()
+              + " messages not acknowledged, at about 12 entries each");
     }
   }
 }
--- a/src/test/java/stonespring/decision/InFlightMovesTest.java
+++ b/src/test/java/stonespring/decision/InFlightMovesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import stonespring.model.ProxyId;
 
-/** When what a sent move takes and frees counts. */
+/** When the headroom that a sent move takes and frees is counted. */
 final class InFlightMovesTest {
   private final EngineClock clock = new EngineClock(0);
   private final InFlightMoves moves = new InFlightMoves(clock);
@@ -31,10 +31,14 @@
   @Test
   void creditsFreedHeadroomOnceAcknowledged() {
     addMove(100);
-    assertArrayEquals(new double[] {10, 5}, headroom(), "what it takes counts at once");
+    assertArrayEquals(
+        new double[] {10, 5}, headroom(), "headroom that the move takes is subtracted at once");
     moves.recordAcknowledgement(new ProxyState(new ProxyId(1), 1), 100);
     moves.recordAcknowledgement(proxy, 99);
-    assertArrayEquals(new double[] {10, 5}, headroom(), "another proxy, or an earlier update");
+    assertArrayEquals(
+        new double[] {10, 5},
+        headroom(),
+        "acknowledgements of another proxy or an earlier update must not credit the move");
     assertTrue(moves.isAwaitingCredit());
     moves.recordAcknowledgement(proxy, 100);
     assertArrayEquals(new double[] {15, 5}, headroom());
--- a/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
+++ b/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 
-/** For how much of the time proxies are taken to eject an endpoint. */
+/** Share of the time for which proxies are expected to eject an endpoint. */
 final class OutlierEjectionModelTest {
   private final EngineClock clock = new EngineClock(100 * Fleet.SECOND);
   private final Settings settings = new FleetSettings().ejectAfter(3).build();
@@ -50,7 +50,7 @@
 
   @Test
   void computesObservedEjectionFromProbabilityOfFailureRun() {
-    // Ten requests per second, a hundredth of them here, half of which fail: 15 s for each run.
+    // 10 requests per second, a hundredth of them here, half of which fail; 15 s for each run of 3.
     assertEquals(10 * 0.01 * 15 * Math.pow(0.5, 3), ejectedShare(endpoint(0, 18, 10), OBSERVED));
   }
 
--- a/src/test/java/stonespring/decision/RouteWeightsTest.java
+++ b/src/test/java/stonespring/decision/RouteWeightsTest.java
@@ -7,14 +7,15 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints tables name, and with which weights. */
+/** Endpoints that tables name, and their weights. */
 final class RouteWeightsTest {
   @Test
   void addsRoutesWhenProxyHasMuchTraffic() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 5, 100, 5);
     fleet.rounds(20, 0.05, Map.of());
-    assertTrue(fleet.shares(0).size() >= 10, "routes: " + fleet.shares(0).size());
-    assertTrue(fleet.shares(1).size() <= 6, "a small proxy's table stays small");
+    assertTrue(
+        fleet.shares(0).size() >= 10, "routes of the large proxy: " + fleet.shares(0).size());
+    assertTrue(fleet.shares(1).size() <= 6, "routes of a small proxy: " + fleet.shares(1).size());
   }
 
   @Test
@@ -23,8 +24,10 @@
     fleet.rounds(5, 0.03, Map.of());
     double loadBefore = fleet.load("t3");
     fleet.rounds(10, 0.03, Map.of("t3", 1.0));
-    assertTrue(fleet.load("t3") < loadBefore / 3, loadBefore + " to " + fleet.load("t3"));
-    assertTrue(fleet.load("t3") > 0);
+    assertTrue(
+        fleet.load("t3") < loadBefore / 3,
+        "load of t3 went from " + loadBefore + " to " + fleet.load("t3"));
+    assertTrue(fleet.load("t3") > 0, "a route must remain to show when t3 recovers");
   }
 
   @Test
@@ -35,7 +38,8 @@
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
     fleet.rounds(6, 0.03, failureShares);
     for (String endpoint : fleet.endpoints.keySet()) {
-      assertTrue(fleet.load(endpoint) > 2, endpoint + " kept " + fleet.load(endpoint));
+      assertTrue(
+          fleet.load(endpoint) > 2, endpoint + " has a load of only " + fleet.load(endpoint));
     }
   }
 
@@ -56,7 +60,7 @@
         fleet.load("t0") + fleet.load("t1") + fleet.load("t2") + fleet.load("t3");
     assertTrue(
         rateAtLoadedEndpoints < 0.45 * 80,
-        rateAtLoadedEndpoints + " of 80 go where others send most");
+        rateAtLoadedEndpoints + " of 80 requests per second go to endpoints loaded by others");
   }
 
   @Test
@@ -72,7 +76,7 @@
                         .mapToDouble(e -> p.requestRate * e.getValue())
                         .sum())
             .sum();
-    assertTrue(crossZoneRate < 3, crossZoneRate + " of 80 requests cross zones");
+    assertTrue(crossZoneRate < 3, crossZoneRate + " of 80 requests per second cross zones");
   }
 
   @Test
--- a/src/test/java/stonespring/decision/ScaleOutSimulation.java
+++ b/src/test/java/stonespring/decision/ScaleOutSimulation.java
@@ -19,9 +19,9 @@
 import stonespring.model.ZoneId;
 
 /**
- * A fleet that scales out during a surge: proxies eject failing endpoints, clients repeat, refused
- * attempts are retried elsewhere, reports are late. Invariants are checked after every step, and
- * the requests that really come to each endpoint that warms up.
+ * Simulates a fleet that scales out during a surge. Proxies eject failing endpoints, clients repeat
+ * requests, refused attempts are retried at other endpoints, and reports arrive late. After every
+ * step it checks the invariants, and it measures the requests that reach each warming endpoint.
  */
 final class ScaleOutSimulation {
   private static final long SECOND = DeciMillis.SECOND;
@@ -31,7 +31,12 @@
 
   private static final double WARM_CAPACITY = 20; // requests per second of a warm endpoint
 
-  /** Requests that came to an endpoint in one step. */
+  /**
+   * Load of an endpoint in one step.
+   *
+   * @param at when, DeciMillis
+   * @param requests the number of requests that reached it
+   */
   private record StepLoad(long at, double requests) {}
 
   private final Fleet fleet = new Fleet(settings());
@@ -58,7 +63,12 @@
     return new FleetSettings().proxies(PROXY_COUNT).bootstrapRoutes(5).channel(6000, 6000).build();
   }
 
-  /** What one step of requests does to endpoints, by the tables that proxies hold now. */
+  /**
+   * Sends the requests of one step over the tables that proxies hold now, and updates the failure
+   * shares of endpoints.
+   *
+   * @param surge factor on the usual requests of all proxies
+   */
   private void sendRequests(double surge) {
     TreeMap<String, Double> load = new TreeMap<>();
     boolean retries =
@@ -86,11 +96,17 @@
       }
     }
     if (allAttempts > 0) {
-      // Clients repeat once they have waited without success.
+      // Clients repeat only after waiting without success, so that repeats follow failures slowly.
       repeatedShare = 0.95 * repeatedShare + 0.05 * failedAttempts / allAttempts;
     }
   }
 
+  /**
+   * Distributes a proxy's attempts over its routes, without the endpoints that it has ejected.
+   *
+   * @param load attempts by endpoint, to which these are added
+   * @param retries whether proxies retry failed attempts at their other endpoints
+   */
   private void distributeAttempts(
       FleetProxy proxy, double attempts, TreeMap<String, Double> load, boolean retries) {
     TreeMap<String, Double> shares = proxy.shares();
@@ -119,7 +135,10 @@
     }
   }
 
-  /** Draws the outcome of each attempt of a proxy at an endpoint. */
+  /**
+   * Draws the outcome of each attempt of a proxy at an endpoint, and ejects the endpoint for 2.6 to
+   * 6.4 s after too many consecutive failures.
+   */
   private void drawOutcomes(String proxyAndEndpoint, double attempts, double failureShare) {
     int attemptCount = (int) attempts + (random.nextDouble() < attempts - (int) attempts ? 1 : 0);
     for (int i = 0; i < attemptCount; i++) {
@@ -135,6 +154,7 @@
     }
   }
 
+  /** Updates the worst load with that of a warming endpoint over the last two seconds. */
   private void recordWarmingLoad(String endpoint, double requests, double capacity) {
     ArrayDeque<StepLoad> recent = recentLoads.computeIfAbsent(endpoint, n -> new ArrayDeque<>());
     recent.add(new StepLoad(fleet.now, requests));
@@ -150,7 +170,7 @@
     }
   }
 
-  /** Reports of an interval, which arrive late. */
+  /** Queues the reports of the last second, which arrive after the delay. */
   private void queueReports() {
     attemptsByZone.forEach(this::reportOutcomes);
     attemptsByZone.clear();
@@ -197,7 +217,7 @@
     delayedReports.add(Map.entry(fleet.now + reportDelayDeciMillis, event));
   }
 
-  /** The endpoint of the worst load, and when it was. */
+  /** Returns the endpoint with the worst load, and when it was reached. */
   String worstLoadDescription() {
     return worstLoadDescription;
   }
@@ -214,10 +234,12 @@
   }
 
   /**
-   * Runs normal operation for a while, then the surge, and two seconds later the growth.
+   * Runs normal operation for a while, then the surge; two seconds into the surge, endpoints are
+   * added.
    *
-   * @param addedAtOnce endpoints that are added each second of the growth
-   * @return the worst load of an endpoint that warms up, as a share of the overload limit
+   * @param surge factor on the usual requests that the surge reaches
+   * @param addedAtOnce endpoints that are added each second
+   * @return the worst load of a warming endpoint, as a multiple of the overload limit
    */
   double run(double surge, int addedAtOnce) {
     setUp();
--- a/src/test/java/stonespring/decision/ScaleOutUnderSurgeTest.java
+++ b/src/test/java/stonespring/decision/ScaleOutUnderSurgeTest.java
@@ -6,15 +6,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stonespring.model.DeciMillis;
 
-/** Endpoints that warm up while the fleet scales out during a surge. */
+/** Load of endpoints that warm up while the fleet scales out during a surge. */
 final class ScaleOutUnderSurgeTest {
-  /** Times the overload limit, 3.8 without the guard; the aim is less than 0.8. */
+  /**
+   * Accepted load as a multiple of the overload limit. Without the guard it is 3.8; the goal is
+   * less than 0.8.
+   */
   private static final double KNOWN_WORST_SHARE = 2;
 
   /**
-   * The overload limit of endpoints that warm up is passed in this harsh a run: the share asserted
-   * is the worst that is known, so that nothing makes it worse unseen;
-   * docs/incidents/growth-in-a-surge.md has what was tried.
+   * In this harsh scenario, warming endpoints exceed their overload limit. The asserted bound is
+   * the worst share that is known, so that a regression is noticed;
+   * docs/incidents/growth-in-a-surge.md describes what was tried.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -26,7 +29,7 @@
         share < KNOWN_WORST_SHARE,
         "a warming endpoint reached "
             + share
-            + " of the overload limit: "
+            + " times the overload limit: "
             + simulation.worstLoadDescription());
   }
 }
--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -13,7 +13,7 @@
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointRecord;
 
-/** What endpoints that warm up get. */
+/** Load of endpoints that warm up. */
 final class SlowStartTest {
   @Test
   void limitsLoadOfRestartedEndpointToItsCapacity() {
@@ -28,12 +28,15 @@
       double capacity = Math.min(1, 0.2 + 0.8 * (i + 1) / 10) / 0.04;
       assertTrue(
           fleet.load("t2") <= 1.3 * capacity,
-          "round " + i + ": " + fleet.load("t2") + " of " + capacity);
+          "round " + i + ": load " + fleet.load("t2") + " at a capacity of " + capacity);
     }
-    assertTrue(fleet.load("t2") > 5, "it comes back as it warms: " + fleet.load("t2"));
+    assertTrue(fleet.load("t2") > 5, "load once warm: " + fleet.load("t2"));
   }
 
-  /** A proxy that ejects its other endpoints sends all requests to a warming one. */
+  /**
+   * A proxy that ejects its other endpoints sends all its requests to a warming one, which cannot
+   * serve those of a large proxy.
+   */
   @Test
   void keepsLargeProxyOffWarmingEndpointsUnderOverload() {
     Fleet fleet = Fleet.createWithLargeProxy(6, 8, 100, 2);
@@ -47,7 +50,7 @@
     fleet.rounds(15, 0.03, Map.of());
     assertTrue(
         fleet.shares(0).keySet().stream().anyMatch(name -> name.startsWith("entrant")),
-        "used once warm");
+        "the large proxy must use the entrants once they are warm");
   }
 
   /** A surge that reports do not show yet may make proxies eject all their warm endpoints. */
@@ -76,25 +79,27 @@
         used |= all > 0;
         double limit =
             fleet.settings.slowStart().overloadMultiple() * (warmUpFraction + 0.1) / 0.02;
-        // The budget is 1.6 times the limit; the rest is the error of estimated capacities.
+        // The budget is 1.6 times the limit; the rest of 2.4 allows for errors of estimated
+        // capacities.
         assertTrue(
             all <= 2.4 * limit,
             "round "
                 + round
                 + ": "
                 + all
-                + " requests may come to "
+                + " requests per second may reach "
                 + entrant
-                + ", limit "
+                + ", overload limit "
                 + limit);
       }
     }
-    assertTrue(used, "small proxies use it");
+    assertTrue(used, "some proxy must use a warming endpoint");
   }
 
   /**
-   * A surge without admission limits: larger tables wait for headroom, and proxies send what they
-   * have by the tables that they hold, not by those that they are to get.
+   * Guards against a budget that counts only the planned tables. In a surge without admission
+   * limits, larger tables wait for headroom; meanwhile proxies send requests by the tables that
+   * they hold, not by the planned ones.
    */
   @ParameterizedTest
   @ValueSource(longs = {8, 10, 50, 143, 175})
@@ -140,7 +145,9 @@
     assertTrue(worst < 1.6, "a warming endpoint may get " + worst + " times the overload limit");
   }
 
-  /** Requests per second at an endpoint while all proxies have ejected those that fail. */
+  /**
+   * Returns the requests per second at an endpoint while all proxies have ejected the failing ones.
+   */
   private static double rateWithFailingEndpointsEjected(
       Fleet fleet, String endpoint, Map<String, Double> failureShares) {
     double all = 0;
@@ -157,7 +164,9 @@
     return all;
   }
 
-  /** Each of several instances has a part of an entrant's budget; it must suffice for one route. */
+  /**
+   * Each of several instances has a part of an entrant's budget. It must be enough for one route.
+   */
   @Test
   void usesEntrantsWhileProxiesEjectLittle() {
     Fleet fleet = Fleet.create(new FleetSettings().instances(4).build(), 8, 4);
@@ -170,6 +179,7 @@
     fleet.rounds(5, 0.04, failureShares);
     assertTrue(
         fleet.endpoints.keySet().stream()
-            .anyMatch(name -> name.startsWith("entrant") && fleet.load(name) > 0));
+            .anyMatch(name -> name.startsWith("entrant") && fleet.load(name) > 0),
+        "no entrant gets requests");
   }
 }
--- a/src/test/java/stonespring/decision/UpdateSchedulingTest.java
+++ b/src/test/java/stonespring/decision/UpdateSchedulingTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How changes of tables wait for headroom. */
+/** Changes of tables wait for headroom. */
 final class UpdateSchedulingTest {
   @Test
   void movesLoadToOtherZoneThoughOneEndpointIsFull() {
@@ -16,14 +16,17 @@
     }
     fleet.step(1);
     fleet.rounds(6, 0.03, Map.of());
-    double away = 0;
+    double otherZoneRate = 0;
     for (int i = 1; i < 20; i += 2) {
-      away += fleet.load("t" + i);
+      otherZoneRate += fleet.load("t" + i);
     }
-    assertTrue(away > 125, "away " + away);
+    assertTrue(otherZoneRate > 125, "requests per second to the other zone: " + otherZoneRate);
   }
 
-  /** Freed headroom counts once it is acknowledged, or after two seconds. */
+  /**
+   * Headroom that a move frees counts once the move is acknowledged, or after two seconds; until
+   * then other moves must not use it.
+   */
   @Test
   void keepsEndpointsBelowTwiceMeanLoadWhenTwoFail() {
     Fleet fleet = Fleet.create(6, 8);
@@ -34,12 +37,14 @@
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 2 * mean,
-            endpoint + " took " + fleet.load(endpoint) + ", the mean is " + mean);
+            endpoint + " has a load of " + fleet.load(endpoint) + ", mean " + mean);
       }
     }
   }
 
-  /** All proxies prefer their own zone; no endpoint may take more than its part over 0.8. */
+  /**
+   * All proxies prefer their own zone. No endpoint may take more than the mean load divided by 0.8.
+   */
   @Test
   void delaysMovesUntilEndpointsHaveHeadroom() {
     Fleet fleet = Fleet.create(6, 0);
@@ -52,21 +57,26 @@
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 1.45 * 80 / 6,
-            "round " + i + ": " + endpoint + " took " + fleet.load(endpoint));
+            "round " + i + ": " + endpoint + " has a load of " + fleet.load(endpoint));
       }
     }
   }
 
-  /** In a large table one endpoint has less than the share that makes a move worth while. */
+  /**
+   * In a large table, one endpoint has less than the share of requests that makes a change worth
+   * sending.
+   */
   @Test
   void movesLargeProxyOffFailingEndpoint() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 8, 200, 3);
     fleet.rounds(4, 0.05, Map.of());
-    String full = fleet.shares(0).firstKey();
-    double before = fleet.load(full);
+    String failing = fleet.shares(0).firstKey();
+    double before = fleet.load(failing);
     for (int i = 0; i < 12; i++) {
-      fleet.rounds(1, 0.05, Map.of(full, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
+      fleet.rounds(1, 0.05, Map.of(failing, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
     }
-    assertTrue(fleet.load(full) < 0.9 * before, before + " to " + fleet.load(full));
+    assertTrue(
+        fleet.load(failing) < 0.9 * before,
+        "load of the failing endpoint went from " + before + " to " + fleet.load(failing));
   }
 }
--- a/src/test/java/stonespring/decision/WeightProposalTest.java
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 
-/** Proposed weights: fresh and sound ones are followed, within the engine's own limits. */
+/** Weights proposed by the solver: fresh ones are followed, within the limits of the engine. */
 final class WeightProposalTest {
   private static final long SECOND = DeciMillis.SECOND;
 
@@ -64,15 +64,18 @@
       round(fleet, Map.of());
     }
     double followed = weight(fleet, 0, largest);
-    assertTrue(before < 0.4 && followed > 0.5, before + " before, then " + followed);
-    // Now others load that endpoint: with no proposal since, the engine's own weights come back.
+    assertTrue(
+        before < 0.4 && followed > 0.5,
+        "weight before the proposals: " + before + ", with them: " + followed);
+    // Other instances load that endpoint now. Without new proposals, the engine's own weights
+    // return.
     fleet.otherInstancesLoad.put(largest, 20.0);
     for (int i = 0; i < 30; i++) {
       round(fleet, Map.of());
     }
     assertTrue(
         weight(fleet, 0, largest) < 0.6 * followed,
-        "from " + followed + " to " + weight(fleet, 0, largest));
+        "weight without new proposals went from " + followed + " to " + weight(fleet, 0, largest));
   }
 
   @Test
@@ -93,13 +96,18 @@
       round(fleet, Map.of());
     }
     assertTrue(
-        weight(fleet, 0, wanted) > 0.05, "no more than its headroom: " + weight(fleet, 0, wanted));
+        weight(fleet, 0, wanted) > 0.05,
+        "weight of the proposed endpoint: " + weight(fleet, 0, wanted));
     assertTrue(
         fleet.shares(0).size() <= routes + 1,
-        "one is replaced; both stand while it has no headroom");
+        "one route is replaced, and both stay until the new one has headroom: "
+            + fleet.shares(0).size()
+            + " routes, "
+            + routes
+            + " before");
   }
 
-  /** Attempts at the endpoint fail, so that its proposed weight is left out. */
+  /** Attempts at the endpoint fail, so that its proposed weight must not count. */
   @Test
   void ignoresProposalsForFailingEndpoints() {
     Fleet fleet = createFleet(6, 8);
@@ -115,10 +123,11 @@
       round(fleet, Map.of(failing, 0.5));
     }
     assertTrue(
-        weight(fleet, 0, failing) <= before, "from " + before + " to " + weight(fleet, 0, failing));
+        weight(fleet, 0, failing) <= before,
+        "weight of the failing endpoint went from " + before + " to " + weight(fleet, 0, failing));
   }
 
-  /** All proxies are proposed a single route, to an endpoint that warms up. */
+  /** The proposal for every proxy is a single route, to an endpoint that warms up. */
   @Test
   void doesNotOverloadWarmingEndpointThatIsProposed() {
     Fleet fleet = createFleet(6, 8);
@@ -134,11 +143,13 @@
       double capacity = (0.2 + 0.8 * (i + 1) / 10) / 0.04;
       assertTrue(
           fleet.load("entrant") <= 1.3 * capacity,
-          "round " + i + ": " + fleet.load("entrant") + " of " + capacity);
+          "round " + i + ": load " + fleet.load("entrant") + " at a capacity of " + capacity);
     }
   }
 
-  /** Proposals at random, while endpoints come and go. */
+  /**
+   * Proposals are random, some for unknown proxies and endpoints, while endpoints enter and leave.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void keepsInvariantsUnderRandomProposals(long seed) {
@@ -155,7 +166,7 @@
                       random.nextDouble() * 9,
                       "t" + random.nextInt(3),
                       random.nextInt(2) * 1e-9,
-                      "nobody",
+                      "unknown",
                       1.0)));
         }
       }
@@ -178,7 +189,7 @@
                 : Math.min(1, 0.2 + 0.8 * (fleet.now - record.startedAt()) / (10.0 * SECOND));
         assertTrue(
             warmUpFraction >= 1 || fleet.load(name) <= 3 * warmUpFraction / 0.04,
-            name + " gets " + fleet.load(name) + " at warm-up fraction " + warmUpFraction);
+            name + " has a load of " + fleet.load(name) + " at warm-up fraction " + warmUpFraction);
       }
     }
   }
