--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Updates the limits to what the listed endpoints can serve. Between rounds the fraction follows
-   * only the endpoint list; the confidence changes in rounds.
+   * Updates the limits to what the listed endpoints can serve. Between rounds the confidence stays,
+   * and the fraction follows changes of the endpoint list.
    */
   void updateLimits(boolean inRound) {
     if (estimates.traffic().offeredRate() <= 0) {
