--- a/src/main/java/stonespring/decision/SlowStartGuard.java
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -7,25 +7,35 @@
 import stonespring.model.Settings;
 
 /**
- * Holds back endpoints that warm up: one fails when it gets a multiple of what it can serve yet. A
- * proxy that ejects failing endpoints sends their requests to its other routes, whatever the
- * weights. A route to an endpoint that warms up is therefore allowed only while the requests that
- * may come to it from all proxies stay within a budget, by the failures that reports show and by
- * those that may begin before reports show them.
+ * Limits the load of endpoints that warm up: one fails when it gets a multiple of what it can serve
+ * at present. A proxy that ejects failing endpoints sends their requests to its other routes,
+ * whatever the weights. A route to a warming endpoint is therefore allowed only while the requests
+ * that all proxies may send to it stay within two budgets: one for the failures that reports show,
+ * and one for failures that may begin before reports show them.
  */
 final class SlowStartGuard {
-  /** Share of the overload limit that observed failures may use; the rest is for variation. */
-  private static final double OBSERVED_BUDGET = 0.5;
+  /**
+   * Multiple of the overload limit that may be reached under observed failures; the rest of the
+   * limit allows for random variation.
+   */
+  private static final double OBSERVED_BUDGET_MULTIPLE = 0.5;
 
-  /** Times the overload limit that the worst case may reach; with less, deployments stall. */
-  private static final double WORST_CASE_BUDGET = 1.6;
+  /**
+   * Multiple of the overload limit that may be reached in the worst case. A lower one keeps out
+   * endpoints that a deployment needs, so that the deployment stalls.
+   */
+  private static final double WORST_CASE_BUDGET_MULTIPLE = 1.6;
 
-  /** The same during a surge, as retries come on top. */
-  private static final double SURGE_BUDGET = 0.8;
+  /** The same during a surge, where retries add to the load. */
+  private static final double SURGE_BUDGET_MULTIPLE = 0.8;
 
-  /** Times the mean rate at which the offered requests are a surge. */
+  /**
+   * Multiple of the mean rate above which the offered requests count as a surge; the rate varies by
+   * less than that from second to second.
+   */
   private static final double SURGE_MULTIPLE = 1.15;
 
+  /** Keeps the divisor above 0 if no weight is available. */
   private static final double MIN_AVAILABLE_WEIGHT = 1e-9;
 
   private final Settings settings;
@@ -35,7 +45,9 @@
   private final OutlierEjectionModel ejection;
   private final AdmissionController admission;
 
-  /** Requests per second that endpoints can still be given, by endpoint index. */
+  /**
+   * Requests per second that endpoints may still be given in either scenario, by endpoint index.
+   */
   private record Budgets(double[] observed, double[] worstCase) {}
 
   SlowStartGuard(
@@ -54,30 +66,34 @@
   }
 
   /**
-   * Removes the targets of routes that exceed the budgets; a proxy that holds such a route is added
-   * to the urgent updates.
+   * Removes the targets of routes that exceed the budgets. A proxy that already uses such a route
+   * is added to the urgent updates.
    */
-  void limit(List<ProxyState> known, UrgentUpdates urgent) {
-    Budgets budgets = budgets();
-    double admitted = admission.admittedTraffic();
+  void limitTargets(List<ProxyState> known, UrgentUpdates urgent) {
+    Budgets budgets = computeBudgets();
+    double admittedShare = admission.admittedTrafficShare();
     for (ProxyState proxy : byPriority(known)) {
       boolean removed = true;
       while (removed) {
-        removed = removeExcess(proxy, budgets, admitted, urgent);
+        removed = removeExcessTargets(proxy, budgets, admittedShare, urgent);
       }
       for (Route route : proxy.table().routes()) {
         if (isGuarded(route)) {
           int index = route.endpoint().index();
           budgets.observed[index] -=
-              possibleRate(proxy, route, admitted, EjectionScenario.OBSERVED);
+              possibleRate(proxy, route, admittedShare, EjectionScenario.OBSERVED);
           budgets.worstCase[index] -=
-              possibleRate(proxy, route, admitted, EjectionScenario.WORST_CASE);
+              possibleRate(proxy, route, admittedShare, EjectionScenario.WORST_CASE);
         }
       }
     }
   }
 
-  /** Proxies that hold a route to a warming endpoint keep it; among the others small ones lead. */
+  /**
+   * Sorts the proxies. Those with a route to a warming endpoint come first, so that they keep it;
+   * otherwise routes would move back and forth between proxies in each round. Within both groups,
+   * proxies of few requests come first.
+   */
   private List<ProxyState> byPriority(List<ProxyState> known) {
     List<ProxyState> sorted = new ArrayList<>(known);
     sorted.sort(
@@ -91,30 +107,34 @@
         .anyMatch(route -> route.isApplied() && !endpoints.isWarm(route.endpoint()));
   }
 
-  private Budgets budgets() {
+  private Budgets computeBudgets() {
     double overloadLimit = settings.slowStart().overloadMultiple() * traffic.share();
     double meanRate =
         proxies.all().stream()
             .mapToDouble(proxy -> proxy.isConnected() ? proxy.averageRate() : 0)
             .sum();
     boolean surge = traffic.offeredRate() > SURGE_MULTIPLE * meanRate;
-    double worstCaseBudget = surge ? SURGE_BUDGET : WORST_CASE_BUDGET;
+    double worstCaseMultiple = surge ? SURGE_BUDGET_MULTIPLE : WORST_CASE_BUDGET_MULTIPLE;
     double[] observed = new double[endpoints.size()];
     double[] worstCase = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
       int index = endpoint.index();
-      observed[index] = OBSERVED_BUDGET * overloadLimit * endpoint.capacity();
-      worstCase[index] = worstCaseBudget * overloadLimit * endpoint.capacity();
+      observed[index] = OBSERVED_BUDGET_MULTIPLE * overloadLimit * endpoint.capacity();
+      worstCase[index] = worstCaseMultiple * overloadLimit * endpoint.capacity();
     }
     return new Budgets(observed, worstCase);
   }
 
-  /** Returns whether a target was removed; the others then get more, and must be checked again. */
-  private boolean removeExcess(
-      ProxyState proxy, Budgets budgets, double admitted, UrgentUpdates urgent) {
+  /**
+   * Removes the targets of a proxy that exceed the budgets.
+   *
+   * @return whether a target was removed; the others then get more, and must be checked again
+   */
+  private boolean removeExcessTargets(
+      ProxyState proxy, Budgets budgets, double admittedShare, UrgentUpdates urgent) {
     boolean removed = false;
     for (Route route : proxy.table().routes()) {
-      if (isGuarded(route) && !fits(proxy, route, budgets, admitted)) {
+      if (isGuarded(route) && !fitsBudgets(proxy, route, budgets, admittedShare)) {
         removed = true;
         route.setTarget(0);
         if (route.isApplied()) {
@@ -125,43 +145,50 @@
     return removed;
   }
 
-  /** Whether a route is wanted whose endpoint is warming up; a target that is NaN counts. */
+  /**
+   * Returns whether a route has a target and its endpoint is warming up. A target of NaN counts as
+   * one.
+   */
   private boolean isGuarded(Route route) {
     boolean unwanted = route.target() <= 0;
     return !unwanted && !endpoints.isWarm(route.endpoint());
   }
 
-  private boolean fits(ProxyState proxy, Route route, Budgets budgets, double admitted) {
+  private boolean fitsBudgets(
+      ProxyState proxy, Route route, Budgets budgets, double admittedShare) {
     int index = route.endpoint().index();
-    return possibleRate(proxy, route, admitted, EjectionScenario.WORST_CASE)
+    return possibleRate(proxy, route, admittedShare, EjectionScenario.WORST_CASE)
             <= budgets.worstCase[index]
-        && possibleRate(proxy, route, admitted, EjectionScenario.OBSERVED)
+        && possibleRate(proxy, route, admittedShare, EjectionScenario.OBSERVED)
             <= budgets.observed[index];
   }
 
   /**
-   * Requests per second that a proxy may bring to a route, by the table that it holds and by the
-   * one that is wanted: routes that left are removed at once while new ones wait for headroom.
+   * Returns the requests per second that a proxy may send over a route: the larger of the rates by
+   * the table in use and by the targets. Routes to endpoints that left are removed at once, while
+   * new ones wait for headroom.
    */
   private double possibleRate(
-      ProxyState proxy, Route route, double admitted, EjectionScenario scenario) {
-    double byTarget =
-        route.target() / availableWeight(proxy, route, Route::target, admitted, scenario);
-    double byWeight =
-        route.weight() / availableWeight(proxy, route, Route::weight, admitted, scenario);
-    return admitted * proxy.averageRate() * Math.max(byTarget, byWeight);
+      ProxyState proxy, Route route, double admittedShare, EjectionScenario scenario) {
+    double rateShareByTarget =
+        route.target() / availableWeight(proxy, route, Route::target, admittedShare, scenario);
+    double rateShareByWeight =
+        route.weight() / availableWeight(proxy, route, Route::weight, admittedShare, scenario);
+    return admittedShare * proxy.averageRate() * Math.max(rateShareByTarget, rateShareByWeight);
   }
 
   /**
-   * The weight of a proxy's routes that it may not eject, with the whole weight of the route in
-   * question. In the worst case each route gets an equal share of the attempts, as those of large
-   * routes that were ejected go to the small ones.
+   * Returns the weight of a proxy's routes that remains while it ejects endpoints; the route in
+   * question counts with its whole weight. In the worst case each route gets an equal share of the
+   * attempts, as the requests of large routes that were ejected go to the small ones.
+   *
+   * @param weightOf the weights of the table in use, or the targets
    */
   private double availableWeight(
       ProxyState proxy,
       Route route,
       ToDoubleFunction<Route> weightOf,
-      double admitted,
+      double admittedShare,
       EjectionScenario scenario) {
     boolean worstCase = scenario == EjectionScenario.WORST_CASE;
     double total = 0;
@@ -173,7 +200,7 @@
     for (Route other : proxy.table().routes()) {
       double weight = weightOf.applyAsDouble(other);
       if (other != route && weight > 0) {
-        double trafficShare = admitted * (worstCase ? 1 : weight) / total;
+        double trafficShare = admittedShare * (worstCase ? 1 : weight) / total;
         double ejected = ejection.ejectedShare(proxy, other.endpoint(), trafficShare, scenario);
         available += weight * (1 - ejected);
       }
