--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -113,14 +113,14 @@
       proxy.requestRate().record(report);
     } else if (event instanceof Event.UpdateAcknowledged acknowledged) {
       budget
-          .acknowledged(proxy, acknowledged.ack())
-          .ifPresent(position -> inFlight.acknowledged(proxy, position));
+          .recordAcknowledgement(proxy, acknowledged.ack())
+          .ifPresent(position -> inFlight.recordAcknowledgement(proxy, position));
     } else if (event instanceof Event.WeightsProposed proposed) {
       storeProposal(proxy, proposed);
     } else if (event instanceof Event.ProxyDisconnected) {
       proxy.markDisconnected(clock.now());
-      budget.disconnected(proxy);
-      inFlight.disconnected(proxy);
+      budget.recordDisconnection(proxy);
+      inFlight.recordDisconnection(proxy);
     }
   }
 
@@ -176,7 +176,7 @@
     if (inRound) {
       startRound();
     }
-    boolean postponed = urgent.select();
+    boolean postponed = urgent.selectDueUpdates();
     if (postponed) {
       timers.ensureRetryTimer();
     }
@@ -185,13 +185,13 @@
     }
     estimates.traffic().refresh();
     estimates.capacity().refresh();
-    admission.update(inRound);
+    admission.updateLimits(inRound);
     if (inRound) {
       introducer.introduceEndpoints();
-      proxies.all().forEach(proposals::proposeReplacement);
+      proxies.all().forEach(proposals::scheduleReplacement);
     }
     List<ProxyState> plannedProxies = setTargets(inRound);
-    urgent.send(updater);
+    urgent.sendSelected(updater);
     if (inRound) {
       scheduler.runRound(plannedProxies.stream().filter(proxy -> !urgent.contains(proxy)).toList());
     }
@@ -235,8 +235,8 @@
       }
     }
     weights.optimize(plannedProxies, adjustable);
-    adjustable.forEach(proposals::blend);
-    slowStart.limit(plannedProxies, urgent);
+    adjustable.forEach(proposals::blendTargets);
+    slowStart.limitTargets(plannedProxies, urgent);
     return plannedProxies;
   }
 }
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -39,8 +39,8 @@
   /** Starts the retry timer unless it runs, so that postponed updates are tried again soon. */
   void ensureRetryTimer() {
     if (clock.now() >= retryAt) {
-      retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL;
-      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL, RETRY_TIMER));
+      retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL_DECI_MILLIS;
+      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL_DECI_MILLIS, RETRY_TIMER));
     }
   }
 }
--- a/src/main/java/stonespring/decision/ProxyState.java
+++ b/src/main/java/stonespring/decision/ProxyState.java
@@ -38,7 +38,7 @@
     withoutTables = event.withoutTables();
     exclusionsRequested = false;
     connectedAt = now;
-    channel.connected();
+    channel.clearRecentMessages();
     requestRate.applyStatedRate(event.requestsPerSecond());
   }
 
