--- a/src/main/java/stonespring/daemon/ChpDaemon.java
+++ b/src/main/java/stonespring/daemon/ChpDaemon.java
@@ -48,35 +48,35 @@
   private final EngineThread engineThread;
   private final ChpServer server;
   private final EndpointSource source;
-  private final CachedEndpointList savedList;
+  private final CachedEndpointList cachedEndpointList;
 
   /** Creates an instance; {@link #start} starts it. */
   public ChpDaemon(InstanceSettings settings) {
     this.settings = settings;
-    InstanceSettings.Limits bounds = settings.limits();
-    this.engineThread = new EngineThread(clock, bounds.inboxMessages(), bounds.batchMillis());
-    NameTable names = new NameTable(settings.zones(), settings.requestClasses().names());
+    InstanceSettings.Limits limits = settings.limits();
+    this.engineThread = new EngineThread(clock, limits.inboxMessages(), limits.batchMillis());
+    NameTable nameTable = new NameTable(settings.zones(), settings.requestClasses().names());
     this.server =
         new ChpServer(
             eventLoops,
-            connectionLimits(bounds),
-            new ChpProxyApi(new QueuedMessageHandler(engineThread), names));
+            connectionLimits(limits),
+            new ChpProxyApi(new QueuedMessageHandler(engineThread), nameTable));
     EndpointListCodec codec = new EndpointListCodec(settings.zones(), clock.unixOffset());
     this.source =
         createSource(settings.endpointList().source(), codec, (EventLoop) eventLoops.next());
-    this.savedList = new CachedEndpointList(settings.endpointList().cacheFile(), codec);
+    this.cachedEndpointList = new CachedEndpointList(settings.endpointList().cacheFile(), codec);
   }
 
-  private static ZmtpLimits connectionLimits(InstanceSettings.Limits bounds) {
-    ZmtpLimits usual = ZmtpLimits.DEFAULT;
+  private static ZmtpLimits connectionLimits(InstanceSettings.Limits limits) {
+    ZmtpLimits defaults = ZmtpLimits.DEFAULT;
     return new ZmtpLimits(
-        usual.maxFrameBytes(),
-        usual.maxMessageBytes(),
-        usual.maxFrames(),
-        bounds.pendingBytes(),
-        usual.maxSubscriptions(),
-        usual.handshakeTimeoutMillis(),
-        bounds.connections());
+        defaults.maxFrameBytes(),
+        defaults.maxMessageBytes(),
+        defaults.maxFrames(),
+        limits.pendingBytes(),
+        defaults.maxSubscriptions(),
+        defaults.handshakeTimeoutMillis(),
+        limits.connections());
   }
 
   private static EndpointSource createSource(
@@ -102,10 +102,11 @@
   public void start() throws IOException, InterruptedException {
     EngineHost host = createHost();
     server.start(settings.listen().host(), settings.listen().port());
-    List<EndpointRecord> saved = savedList.read();
+    List<EndpointRecord> cachedEndpoints = cachedEndpointList.read();
     engineThread.start(settings.name(), host);
-    onEndpointListUpdate(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, saved));
-    source.start(this::onEndpointListUpdate, savedList::store);
+    onEndpointListUpdate(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, cachedEndpoints));
+    source.start(this::onEndpointListUpdate, cachedEndpointList::store);
     LOG.info(
         "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints of the saved list",
         settings.name(),
@@ -113,7 +114,7 @@
         port(),
         port() + 1,
         port() + 2,
-        saved.size());
+        cachedEndpoints.size());
   }
 
   private EngineHost createHost() {
@@ -153,7 +154,7 @@
 
   /** Publishes by the server, and passes requests on to the endpoint source. */
   private final class ServerEnvironment implements HostEnvironment {
-    private final EndpointListRequests endpointList = EndpointListRequests.to(source);
+    private final EndpointListRequests endpointListRequests = EndpointListRequests.to(source);
 
     @Override
     public void publish(List<KeyUpdate> updates) {
@@ -164,12 +165,12 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-      endpointList.watchEndpoints(enabled);
+      endpointListRequests.watchEndpoints(enabled);
     }
 
     @Override
     public void fetchEndpoints() {
-      endpointList.fetchEndpoints();
+      endpointListRequests.fetchEndpoints();
     }
   }
 
@@ -190,15 +191,15 @@
     server.stopListening();
     engineThread.stop();
     server.stop(STOP_TIMEOUT_MILLIS);
-    savedList.stop();
-    DurationHistogram batches = engineThread.batches();
+    cachedEndpointList.stop();
+    DurationHistogram batchDurations = engineThread.batchDurations();
     LOG.info(
         "assigner {} stopped: {} batches, p50 {} us, p99 {} us, max {} us; {} messages refused",
         settings.name(),
-        batches.count(),
-        batches.atPercentile(50) / NANOS_PER_MICRO,
-        batches.atPercentile(99) / NANOS_PER_MICRO,
-        batches.max() / NANOS_PER_MICRO,
+        batchDurations.count(),
+        batchDurations.atPercentile(50) / NANOS_PER_MICRO,
+        batchDurations.atPercentile(99) / NANOS_PER_MICRO,
+        batchDurations.max() / NANOS_PER_MICRO,
         engineThread.refusedJobs());
     eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
--- a/src/main/java/stonespring/daemon/ConfigReloader.java
+++ b/src/main/java/stonespring/daemon/ConfigReloader.java
@@ -18,7 +18,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
 
   private final Path file;
-  private final AtomicBoolean backgroundReload = new AtomicBoolean();
+  private final AtomicBoolean backgroundReloadRunning = new AtomicBoolean();
   private PlatformDaemon daemon; // null before attach; guarded by this
   private boolean reloadRequested; // guarded by this
 
@@ -56,23 +56,23 @@
 
   /** Reloads on a thread of its own, unless one does already; does not block. */
   private void reloadInBackground() {
-    if (!backgroundReload.compareAndSet(false, true)) {
+    if (!backgroundReloadRunning.compareAndSet(false, true)) {
       return;
     }
-    Thread thread = new Thread(this::reloadOnce, "configuration");
+    Thread thread = new Thread(this::runBackgroundReload, "configuration");
     thread.setDaemon(true); // a file that can't be read to its end must not delay the exit
     try {
       thread.start();
     } catch (OutOfMemoryError e) {
-      backgroundReload.set(false); // no thread is available: the next failure tries again
+      backgroundReloadRunning.set(false); // no thread is available: the next failure tries again
     }
   }
 
-  private void reloadOnce() {
+  private void runBackgroundReload() {
     try {
       reload();
     } finally {
-      backgroundReload.set(false);
+      backgroundReloadRunning.set(false);
     }
   }
 }
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -42,25 +42,25 @@
   private static final Logger LOG = LoggerFactory.getLogger(EngineHost.class);
   private static final long STATUS_INTERVAL = DeciMillis.SECOND;
   private static final long MAX_ACKNOWLEDGEMENT_DURATION = 600 * DeciMillis.SECOND;
-  private static final int ACKNOWLEDGEMENT_DIGITS = 2;
+  private static final int ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS = 2;
 
   private final Settings settings;
   private final HostEnvironment environment;
-  private final EngineRunner engine;
+  private final EngineRunner engineRunner;
   private final ProxySessions<ProxyConnection> sessions;
   private final RouteTables routeTables;
   private final ReportAggregator reports;
   private final RateLimitedChannel channel;
   private final KeyStore keys;
   private final PublishedKeyCodec keyCodec;
-  private final PublishedState published;
+  private final PublishedState publishedState;
   private final ListedEndpoints endpoints = new ListedEndpoints();
-  private final DurationHistogram acknowledgements =
-      new DurationHistogram(MAX_ACKNOWLEDGEMENT_DURATION, ACKNOWLEDGEMENT_DIGITS);
+  private final DurationHistogram acknowledgementDurations =
+      new DurationHistogram(MAX_ACKNOWLEDGEMENT_DURATION, ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS);
   private final CommandCauses causes = new CommandCauses();
   private long nextReportsAt;
   private long nextStatusAt;
-  private long reportsOfUnknownEndpoints;
+  private long observationsOfUnknownEndpoints;
 
   /**
    * Creates a host without proxies and endpoints.
@@ -80,21 +80,21 @@
       long now) {
     this.settings = settings;
     this.environment = environment;
-    this.engine = new EngineRunner(engine, environment);
+    this.engineRunner = new EngineRunner(engine, environment);
     this.sessions = new ProxySessions<>(limits.proxies());
     this.routeTables = new RouteTables(requestClassNames.size());
     this.reports = new ReportAggregator(limits.reportPairs());
     this.channel = new RateLimitedChannel(settings.channel());
     this.keys = new KeyStore(firstSequence, limits.keys());
     this.keyCodec = new PublishedKeyCodec(requestClassNames);
-    this.published = new PublishedState(keys, keyCodec, epoch, sessions);
+    this.publishedState = new PublishedState(keys, keyCodec, epoch, sessions);
     this.nextReportsAt = now + settings.reportInterval();
     this.nextStatusAt = now;
   }
 
-  private void handle(long now, Event event, String cause) {
+  private void passToEngine(long now, Event event, String cause) {
     causes.add(cause);
-    engine.handle(now, event);
+    engineRunner.handle(now, event);
   }
 
   /**
@@ -130,13 +130,13 @@
     Event connected =
         new Event.ProxyConnected(
             id, hello.zone(), hello.requestsPerSecond(), hello.withoutTables());
-    handle(now, connected, "connect " + proxy);
-    environment.publish(published.proxyConnected(id));
+    passToEngine(now, connected, "connect " + proxy);
+    environment.publish(publishedState.proxyConnected(id));
     LOG.info(
         "proxy {} connected as {}, session {}, {}",
         proxy,
         id.number(),
-        published.sessionId(id),
+        publishedState.sessionId(id),
         hello.withoutTables() ? "with its bootstrap table" : "with route tables of its own");
   }
 
@@ -144,8 +144,8 @@
     routeTables.proxyDisconnected(id);
     channel.proxyDisconnected(id);
     reports.proxyDisconnected(id);
-    environment.publish(published.proxyDisconnected(id));
-    handle(now, new Event.ProxyDisconnected(id), "disconnect " + sessions.name(id));
+    environment.publish(publishedState.proxyDisconnected(id));
+    passToEngine(now, new Event.ProxyDisconnected(id), "disconnect " + sessions.name(id));
     LOG.info("proxy {} disconnected: {}", sessions.name(id), reason);
   }
 
@@ -164,8 +164,8 @@
       return;
     }
     ProxyHello hello = sessions.hello(id.get());
-    List<ProxyReport.EndpointObservation> known = ofKnownEndpoints(report.endpoints(), hello);
-    reportsOfUnknownEndpoints += report.endpoints().size() - known.size();
+    List<ProxyReport.EndpointObservation> known = selectKnownEndpoints(report.endpoints(), hello);
+    observationsOfUnknownEndpoints += report.endpoints().size() - known.size();
     reports.add(
         id.get(), hello.zone(), new ProxyReport(report.interval(), known, report.requests()));
   }
@@ -174,7 +174,7 @@
    * Selects the observations of endpoints that were listed or that the proxy's own route tables
    * name: those may have left the list before this start, and the engine must know of them.
    */
-  private List<ProxyReport.EndpointObservation> ofKnownEndpoints(
+  private List<ProxyReport.EndpointObservation> selectKnownEndpoints(
       List<ProxyReport.EndpointObservation> observations, ProxyHello hello) {
     List<EndpointId> ownRoutes = hello.tableEndpoints().orElse(List.of());
     List<ProxyReport.EndpointObservation> known = new ArrayList<>(observations.size());
@@ -198,26 +198,26 @@
       connection.close("answer: proxy " + proxy + " has no session on this connection");
       return;
     }
-    if (!published.sessionId(id).equals(acknowledgement.sessionId())) {
+    if (!publishedState.sessionId(id).equals(acknowledgement.sessionId())) {
       return;
     }
     AckId ack = acknowledgement.ack();
-    OptionalLong commandedAt = published.acknowledge(id, ack);
+    OptionalLong commandedAt = publishedState.acknowledge(id, ack);
     if (commandedAt.isEmpty()) {
       connection.close(
           "answer: acknowledgement " + ack.number() + " was never requested of proxy " + proxy);
       return;
     }
-    acknowledgements.record(now - commandedAt.getAsLong());
+    acknowledgementDurations.record(now - commandedAt.getAsLong());
     Event acknowledged = new Event.UpdateAcknowledged(id, ack, acknowledgement.duration());
-    handle(now, acknowledged, "ack " + proxy);
+    passToEngine(now, acknowledged, "ack " + proxy);
   }
 
   /** Takes an update of the endpoint list. */
   public void handleEndpointListUpdate(Event.EndpointListUpdate update, long now) {
     endpoints.update(update);
     LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
-    handle(now, update, "list " + update.kind() + " of " + update.endpoints().size());
+    passToEngine(now, update, "list " + update.kind() + " of " + update.endpoints().size());
   }
 
   /** Returns the keys below a prefix, with their values. */
@@ -236,34 +236,34 @@
    * @return when something is due next
    */
   public long runDue(long now) {
-    if (engine.fireDueTimers(now)) {
+    if (engineRunner.fireDueTimers(now)) {
       causes.add("timer");
     }
     for (ProxyId id : sessions.expire(now)) {
       endSession(id, "its session expired", now);
     }
     if (now >= nextReportsAt) {
-      passReports(now);
+      passReportsToEngine(now);
     }
-    if (engine.hasPendingEvents()) {
-      carryOut(engine.endBatch(now), now);
+    if (engineRunner.hasPendingEvents()) {
+      applyCommands(engineRunner.endBatch(now), now);
       causes.clear();
     }
     for (ProxyUpdate update : channel.takeDue(now)) {
-      environment.publish(published.publish(update));
+      environment.publish(publishedState.publish(update));
     }
     if (now >= nextStatusAt) {
       nextStatusAt = now + STATUS_INTERVAL;
-      environment.publish(published.publishStatus(status()));
+      environment.publish(publishedState.publishStatus(statusJson()));
     }
     long nextAt = Math.min(Math.min(nextReportsAt, nextStatusAt), channel.nextDepartureAt());
-    return Math.min(nextAt, engine.nextTimerAt());
+    return Math.min(nextAt, engineRunner.nextTimerAt());
   }
 
-  private void passReports(long now) {
+  private void passReportsToEngine(long now) {
     List<Event> aggregated = reports.drain();
     for (Event event : aggregated) {
-      engine.handle(now, event);
+      engineRunner.handle(now, event);
     }
     if (!aggregated.isEmpty()) {
       causes.add("reports");
@@ -273,7 +273,7 @@
     nextReportsAt = Math.max(nextReportsAt + interval, now + interval / 2);
   }
 
-  private void carryOut(List<Command> commands, long now) {
+  private void applyCommands(List<Command> commands, long now) {
     List<ProxyUpdate> updates = routeTables.apply(commands, now);
     channel.offer(updates, now);
     if (LOG.isDebugEnabled()) {
@@ -291,15 +291,15 @@
     }
   }
 
-  private String status() {
+  private String statusJson() {
     return HostStatus.toJson(
         sessions,
         endpoints,
         channel,
         settings.channel(),
-        reports.droppedObservations() + reportsOfUnknownEndpoints,
-        engine.endedBatches(),
-        acknowledgements);
+        reports.droppedObservations() + observationsOfUnknownEndpoints,
+        engineRunner.endedBatches(),
+        acknowledgementDurations);
   }
 
   /** Returns the number of connected proxies. */
@@ -309,6 +309,6 @@
 
   /** Returns how many batches the engine has ended. */
   public long endedBatches() {
-    return engine.endedBatches();
+    return engineRunner.endedBatches();
   }
 }
--- a/src/main/java/stonespring/daemon/EngineRunner.java
+++ b/src/main/java/stonespring/daemon/EngineRunner.java
@@ -26,16 +26,16 @@
   private record Timer(long dueAt, long sequence, TimerToken token) {}
 
   private final DecisionEngine engine;
-  private final EndpointListRequests endpointList;
+  private final EndpointListRequests endpointListRequests;
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(Comparator.comparingLong(Timer::dueAt).thenComparing(Timer::sequence));
   private long startedTimers;
   private long endedBatches;
   private boolean eventsPending;
 
-  EngineRunner(DecisionEngine engine, EndpointListRequests endpointList) {
+  EngineRunner(DecisionEngine engine, EndpointListRequests endpointListRequests) {
     this.engine = engine;
-    this.endpointList = endpointList;
+    this.endpointListRequests = endpointListRequests;
   }
 
   /**
@@ -94,7 +94,7 @@
     }
     List<Command> proxyCommands = new ArrayList<>();
     for (Command command : commands) {
-      if (!carryOut(command, now)) {
+      if (!executeIfLocal(command, now)) {
         proxyCommands.add(command);
       }
     }
@@ -102,15 +102,15 @@
   }
 
   /** Carries a command out; false if it concerns proxies. */
-  private boolean carryOut(Command command, long now) {
+  private boolean executeIfLocal(Command command, long now) {
     if (command instanceof Command.StartTimer start) {
       // Never due in the batch that started it: the engine could keep the thread busy for ever.
       long delay = Math.max(1, start.delay());
       timers.add(new Timer(now + delay, startedTimers++, start.token()));
     } else if (command instanceof Command.FetchEndpoints) {
-      endpointList.fetchEndpoints();
+      endpointListRequests.fetchEndpoints();
     } else if (command instanceof Command.WatchEndpoints watch) {
-      endpointList.watchEndpoints(watch.enabled());
+      endpointListRequests.watchEndpoints(watch.enabled());
     } else if (command instanceof Command.Log log) {
       LOG.info("decision: {}", log.text());
     } else if (command instanceof Command.HealthCheck || command instanceof Command.SendToPeer) {
--- a/src/main/java/stonespring/daemon/EngineThread.java
+++ b/src/main/java/stonespring/daemon/EngineThread.java
@@ -22,7 +22,7 @@
 final class EngineThread {
   private static final Logger LOG = LoggerFactory.getLogger(EngineThread.class);
   private static final long MAX_BATCH_NANOS = TimeUnit.MINUTES.toNanos(1);
-  private static final int BATCH_DIGITS = 3;
+  private static final int BATCH_SIGNIFICANT_DIGITS = 3;
   private static final long STOP_TIMEOUT_SECONDS = 10;
 
   /** A job on the engine thread. */
@@ -47,7 +47,8 @@
   private volatile Optional<Throwable> failure = Optional.empty();
 
   /** Nanoseconds; written by the engine thread, read after its end. */
-  private final DurationHistogram batches = new DurationHistogram(MAX_BATCH_NANOS, BATCH_DIGITS);
+  private final DurationHistogram batchDurations =
+      new DurationHistogram(MAX_BATCH_NANOS, BATCH_SIGNIFICANT_DIGITS);
 
   /**
    * Creates a thread that does not run yet; its queue takes jobs already.
@@ -91,8 +92,8 @@
 
   /** Waits for jobs or the time, and runs a batch; returns when something is due next. */
   private long runBatch(EngineHost host, long wakeAt) throws InterruptedException {
-    long wait = Math.max(0, wakeAt - clock.now());
-    Job job = queue.poll(InstanceClock.toMicros(wait), TimeUnit.MICROSECONDS);
+    long waitDeciMillis = Math.max(0, wakeAt - clock.now());
+    Job job = queue.poll(InstanceClock.toMicros(waitDeciMillis), TimeUnit.MICROSECONDS);
     if (job != null && batchDelayMillis > 0) {
       Thread.sleep(batchDelayMillis); // for jobs that arrive together
     }
@@ -105,7 +106,7 @@
     long batchesBefore = host.endedBatches();
     long nextAt = host.runDue(now);
     if (host.endedBatches() > batchesBefore) {
-      batches.record(System.nanoTime() - startedNanos);
+      batchDurations.record(System.nanoTime() - startedNanos);
     }
     return nextAt;
   }
@@ -161,8 +162,8 @@
    * Returns how long batches with events took, from their first job to their last update, in
    * nanoseconds. To be used after the thread's end.
    */
-  DurationHistogram batches() {
-    return batches;
+  DurationHistogram batchDurations() {
+    return batchDurations;
   }
 
   /** Returns how many offered jobs were refused. */
--- a/src/main/java/stonespring/daemon/EngineTimer.java
+++ b/src/main/java/stonespring/daemon/EngineTimer.java
@@ -7,13 +7,13 @@
 /** Wakes the event loop when the engine's next timer is due. Confined to the event loop. */
 final class EngineTimer {
   private final EventLoop eventLoop;
-  private final Runnable onDue;
+  private final Runnable onTimerDue;
   private long scheduledAt = EngineRunner.NO_TIMER;
   private Future<?> scheduled;
 
-  EngineTimer(EventLoop eventLoop, Runnable onDue) {
+  EngineTimer(EventLoop eventLoop, Runnable onTimerDue) {
     this.eventLoop = eventLoop;
-    this.onDue = onDue;
+    this.onTimerDue = onTimerDue;
   }
 
   /**
@@ -30,12 +30,13 @@
     }
     scheduledAt = dueAt;
     long delay = Math.max(0, dueAt - now);
-    scheduled = eventLoop.schedule(this::due, InstanceClock.toMicros(delay), TimeUnit.MICROSECONDS);
+    scheduled =
+        eventLoop.schedule(this::fire, InstanceClock.toMicros(delay), TimeUnit.MICROSECONDS);
   }
 
-  private void due() {
+  private void fire() {
     scheduledAt = EngineRunner.NO_TIMER;
-    onDue.run();
+    onTimerDue.run();
   }
 
   /** Forgets what is scheduled, so that any time is scheduled anew. */
--- a/src/main/java/stonespring/daemon/HostStatus.java
+++ b/src/main/java/stonespring/daemon/HostStatus.java
@@ -30,9 +30,9 @@
       ListedEndpoints endpoints,
       RateLimitedChannel channel,
       Settings.ChannelLimits limits,
-      long reportsLeftOut,
+      long droppedReportItems,
       long batches,
-      DurationHistogram acknowledgements) {
+      DurationHistogram acknowledgementDurations) {
     return "{\"proxies\":"
         + sessions.connectedCount()
         + ",\"tasks_ready\":"
@@ -50,13 +50,13 @@
         + ",\"merged\":"
         + channel.mergedUpdates()
         + ",\"reports_left_out\":"
-        + reportsLeftOut
+        + droppedReportItems
         + ",\"decisions\":"
         + batches
         + ",\"answer_ms_p50\":"
-        + InstanceClock.toMillis(acknowledgements.atPercentile(50))
+        + InstanceClock.toMillis(acknowledgementDurations.atPercentile(50))
         + ",\"answer_ms_p99\":"
-        + InstanceClock.toMillis(acknowledgements.atPercentile(99))
+        + InstanceClock.toMillis(acknowledgementDurations.atPercentile(99))
         + "}";
   }
 }
--- a/src/main/java/stonespring/daemon/InstanceClock.java
+++ b/src/main/java/stonespring/daemon/InstanceClock.java
@@ -13,17 +13,17 @@
    * The clock's time at its creation: a day, so that an endpoint that started within the day before
    * has a positive start time, from which its warm-up is computed.
    */
-  private static final long START = TimeUnit.DAYS.toSeconds(1) * DeciMillis.SECOND;
+  private static final long INITIAL_TIME = TimeUnit.DAYS.toSeconds(1) * DeciMillis.SECOND;
 
   private static final long NANOS_PER_DECI_MILLI = 100_000;
   private static final long MICROS_PER_DECI_MILLI = 100;
   private static final long DECI_MILLIS_PER_MILLI = 10;
 
   private final long createdAtNanos = System.nanoTime();
-  private final long unixOffset = System.currentTimeMillis() * DECI_MILLIS_PER_MILLI - START;
+  private final long unixOffset = System.currentTimeMillis() * DECI_MILLIS_PER_MILLI - INITIAL_TIME;
 
   public long now() {
-    return START + (System.nanoTime() - createdAtNanos) / NANOS_PER_DECI_MILLI;
+    return INITIAL_TIME + (System.nanoTime() - createdAtNanos) / NANOS_PER_DECI_MILLI;
   }
 
   /** Converts milliseconds to deci-milliseconds. */
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -58,14 +58,15 @@
             new PlatformEndpointCodec(config.settings().zones(), clock.unixOffset()),
             eventLoop);
     this.engine =
-        new PlatformEngine(config, factory, eventLoop, clock, proxyApi, source, this::onGiveUp);
+        new PlatformEngine(
+            config, factory, eventLoop, clock, proxyApi, source, this::endWithFailure);
   }
 
   private void onProxyEvent(Event event) {
     engine.handle(event);
   }
 
-  private void onGiveUp(Throwable cause) {
+  private void endWithFailure(Throwable cause) {
     ended.complete(Optional.of(cause));
   }
 
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -26,20 +26,21 @@
   private final InstanceClock clock;
   private final PlatformProxyApi proxyApi;
   private final PlatformEndpointSource source;
-  private final Consumer<Throwable> onGiveUp;
-  private final EndpointListRequests endpointList;
-  private final EventBatcher events;
-  private final ReportBatcher reports;
+  private final Consumer<Throwable> onRestartsExhausted;
+  private final EndpointListRequests endpointListRequests;
+  private final EventBatcher eventBatcher;
+  private final ReportBatcher reportBatcher;
   private final EngineTimer timer;
   private final PlatformStatistics statistics = new PlatformStatistics();
   private final RestartBudget restartBudget = new RestartBudget();
-  private EngineRunner runner;
-  private int failures;
+  private EngineRunner engineRunner;
+  private int engineFailures;
 
   /**
    * Creates what runs the engine; the engine itself is created by {@link #start}.
    *
-   * @param onGiveUp takes the cause when the engine failed too often; it is not restarted then
+   * @param onRestartsExhausted takes the cause when the engine failed too often; it is not
+   *     restarted then
    */
   PlatformEngine(
       PlatformConfig config,
@@ -48,83 +49,83 @@
       InstanceClock clock,
       PlatformProxyApi proxyApi,
       PlatformEndpointSource source,
-      Consumer<Throwable> onGiveUp) {
+      Consumer<Throwable> onRestartsExhausted) {
     this.config = config;
     this.factory = factory;
     this.clock = clock;
     this.proxyApi = proxyApi;
     this.source = source;
-    this.onGiveUp = onGiveUp;
-    this.endpointList = EndpointListRequests.to(source);
-    this.events =
+    this.onRestartsExhausted = onRestartsExhausted;
+    this.endpointListRequests = EndpointListRequests.to(source);
+    this.eventBatcher =
         new EventBatcher(eventLoop, clock, config.settings().minBatchInterval(), this::runBatch);
-    this.reports = new ReportBatcher(eventLoop, clock, this::reportsGathered);
-    this.timer = new EngineTimer(eventLoop, events::requestBatch);
+    this.reportBatcher = new ReportBatcher(eventLoop, clock, this::handleReports);
+    this.timer = new EngineTimer(eventLoop, eventBatcher::requestBatch);
   }
 
   /** Creates the engine; must be called before anything else. */
   void start() {
-    runner = createRunner(config.seed());
+    engineRunner = createRunner(config.seed());
   }
 
   private EngineRunner createRunner(long seed) {
     DecisionEngine engine = factory.create(config.settings().settings(), seed, clock.now());
-    return new EngineRunner(engine, endpointList);
+    return new EngineRunner(engine, endpointListRequests);
   }
 
   /** Passes an event to the engine with one of the next batches. */
   void handle(Event event) {
     if (ReportBatcher.isReport(event)) {
-      reports.add(event);
+      reportBatcher.add(event);
     } else {
-      events.add(event);
+      eventBatcher.add(event);
     }
   }
 
-  private void reportsGathered(List<Event> gathered, long firstAt) {
-    statistics.reportsGathered(firstAt);
-    events.addAll(gathered);
+  private void handleReports(List<Event> reports, long firstArrivedAt) {
+    statistics.recordFirstReport(firstArrivedAt);
+    eventBatcher.addAll(reports);
   }
 
   /** Runs a batch of the events so far, without the minimum interval. */
   void runBatchNow() {
-    events.runBatch();
+    eventBatcher.runBatch();
   }
 
   private void runBatch(List<Event> batch, long now) {
     try {
-      runner.fireDueTimers(now);
+      engineRunner.fireDueTimers(now);
       for (Event event : batch) {
-        runner.handle(now, event);
+        engineRunner.handle(now, event);
       }
-      if (runner.hasPendingEvents()) {
-        proxyApi.execute(runner.endBatch(now), now);
-        statistics.batchEnded(now, clock.now());
+      if (engineRunner.hasPendingEvents()) {
+        proxyApi.execute(engineRunner.endBatch(now), now);
+        statistics.recordBatch(now, clock.now());
       }
     } catch (DecisionFailedException e) {
-      restart(e.getCause());
+      restartEngine(e.getCause());
     } catch (RuntimeException | Error e) {
       // Also after an error: the batch's events are lost, and a proxy that connected in it would
       // never get a route table.
-      restart(e);
+      restartEngine(e);
     }
-    timer.schedule(runner.nextTimerAt(), now);
+    timer.schedule(engineRunner.nextTimerAt(), now);
   }
 
-  private void restart(Throwable cause) {
-    failures++;
+  private void restartEngine(Throwable cause) {
+    engineFailures++;
     if (!restartBudget.tryRestart(clock.now())) {
       LOG.error(
           "the decision engine failed too often, {} times in all: the instance ends",
-          failures,
+          engineFailures,
           cause);
-      onGiveUp.accept(cause);
+      onRestartsExhausted.accept(cause);
       return;
     }
     LOG.error("the decision engine failed and restarts", cause);
-    events.clear();
-    reports.clear();
-    runner = createRunner(config.seed() + failures);
+    eventBatcher.clear();
+    reportBatcher.clear();
+    engineRunner = createRunner(config.seed() + engineFailures);
     timer.reset();
     handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
     proxyApi.engineRestarted();
@@ -135,7 +136,7 @@
    * could undo one from there.
    */
   void stop() {
-    events.stop();
+    eventBatcher.stop();
   }
 
   PlatformStatistics statistics() {
--- a/src/main/java/stonespring/daemon/PlatformStatistics.java
+++ b/src/main/java/stonespring/daemon/PlatformStatistics.java
@@ -11,21 +11,22 @@
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final long NO_REPORTS = -1;
 
-  private final DurationHistogram batches = new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
-  private final DurationHistogram reportsToCommands =
+  private final DurationHistogram batchDurations =
       new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
-  private long firstReportAt = NO_REPORTS;
+  private final DurationHistogram reportToCommandDurations =
+      new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
+  private long firstReportArrivedAt = NO_REPORTS;
 
   /** The next batch contains reports, of which the first arrived at this time. */
-  void reportsGathered(long firstAt) {
-    firstReportAt = firstAt;
+  void recordFirstReport(long firstArrivedAt) {
+    firstReportArrivedAt = firstArrivedAt;
   }
 
-  void batchEnded(long startedAt, long endedAt) {
-    batches.record(endedAt - startedAt);
-    if (firstReportAt != NO_REPORTS) {
-      reportsToCommands.record(endedAt - firstReportAt);
-      firstReportAt = NO_REPORTS;
+  void recordBatch(long startedAt, long endedAt) {
+    batchDurations.record(endedAt - startedAt);
+    if (firstReportArrivedAt != NO_REPORTS) {
+      reportToCommandDurations.record(endedAt - firstReportArrivedAt);
+      firstReportArrivedAt = NO_REPORTS;
     }
   }
 
@@ -33,9 +34,9 @@
   @Override
   public String toString() {
     return "batches "
-        + describe(batches)
+        + describe(batchDurations)
         + "; from an interval's first report to the last byte of its commands "
-        + describe(reportsToCommands);
+        + describe(reportToCommandDurations);
   }
 
   private static String describe(DurationHistogram histogram) {
--- a/src/main/java/stonespring/daemon/ReportBatcher.java
+++ b/src/main/java/stonespring/daemon/ReportBatcher.java
@@ -14,7 +14,7 @@
  * event loop.
  */
 final class ReportBatcher {
-  private static final long QUIET_MILLIS = 30;
+  private static final long QUIET_PERIOD_MILLIS = 30;
   private static final long MAX_DELAY_MILLIS = 200;
   private static final int MAX_REPORTS = 20_000;
 
@@ -25,17 +25,17 @@
      * Takes reports in the order of their arrival.
      *
      * @param reports valid during the call only; may be empty
-     * @param firstAt when the first of them arrived, {@link DeciMillis}
+     * @param firstArrivedAt when the first of them arrived, {@link DeciMillis}
      */
-    void reportsGathered(List<Event> reports, long firstAt);
+    void handleReports(List<Event> reports, long firstArrivedAt);
   }
 
   private final EventLoop eventLoop;
   private final InstanceClock clock;
   private final Listener listener;
   private final List<Event> reports = new ArrayList<>();
-  private long firstAt;
-  private long lastAt;
+  private long firstArrivedAt;
+  private long lastArrivedAt;
 
   ReportBatcher(EventLoop eventLoop, InstanceClock clock, Listener listener) {
     this.eventLoop = eventLoop;
@@ -49,10 +49,10 @@
   }
 
   void add(Event report) {
-    lastAt = clock.now();
+    lastArrivedAt = clock.now();
     if (reports.isEmpty()) {
-      firstAt = lastAt;
-      eventLoop.schedule(this::deliverIfQuiet, QUIET_MILLIS, TimeUnit.MILLISECONDS);
+      firstArrivedAt = lastArrivedAt;
+      eventLoop.schedule(this::deliverIfDue, QUIET_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
     reports.add(report);
     if (reports.size() >= MAX_REPORTS) {
@@ -65,22 +65,22 @@
     reports.clear();
   }
 
-  private void deliverIfQuiet() {
+  private void deliverIfDue() {
     long now = clock.now();
     long dueAt =
         Math.min(
-            lastAt + InstanceClock.ofMillis(QUIET_MILLIS),
-            firstAt + InstanceClock.ofMillis(MAX_DELAY_MILLIS));
+            lastArrivedAt + InstanceClock.ofMillis(QUIET_PERIOD_MILLIS),
+            firstArrivedAt + InstanceClock.ofMillis(MAX_DELAY_MILLIS));
     if (now >= dueAt) {
       deliver();
     } else {
       eventLoop.schedule(
-          this::deliverIfQuiet, InstanceClock.toMicros(dueAt - now), TimeUnit.MICROSECONDS);
+          this::deliverIfDue, InstanceClock.toMicros(dueAt - now), TimeUnit.MICROSECONDS);
     }
   }
 
   private void deliver() {
-    listener.reportsGathered(reports, firstAt);
+    listener.handleReports(reports, firstArrivedAt);
     reports.clear();
   }
 }
--- a/src/main/java/stonespring/daemon/RestartBudget.java
+++ b/src/main/java/stonespring/daemon/RestartBudget.java
@@ -11,14 +11,14 @@
   private static final int MAX_RESTARTS = 10;
   private static final long WINDOW = 3_600 * DeciMillis.SECOND;
 
-  private final ArrayDeque<Long> restartedAt = new ArrayDeque<>();
+  private final ArrayDeque<Long> restartTimes = new ArrayDeque<>();
 
   /** Counts a restart; returns false if it exceeds the budget. */
   boolean tryRestart(long now) {
-    while (!restartedAt.isEmpty() && now - restartedAt.peek() > WINDOW) {
-      restartedAt.poll();
+    while (!restartTimes.isEmpty() && now - restartTimes.peek() > WINDOW) {
+      restartTimes.poll();
     }
-    restartedAt.add(now);
-    return restartedAt.size() <= MAX_RESTARTS;
+    restartTimes.add(now);
+    return restartTimes.size() <= MAX_RESTARTS;
   }
 }
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -32,8 +32,8 @@
   /** An upper bound; every wait ends with its event. */
   private static final int TIMEOUT_MILLIS = 10_000;
 
-  private static final byte[] READY_PUB = join(greeting("NULL"), ready("PUB"));
-  private static final String SEQUENCE = "\0".repeat(8);
+  private static final byte[] PUB_HANDSHAKE = join(greeting("NULL"), readyCommand("PUB"));
+  private static final String ZERO_SEQUENCE = "\0".repeat(8);
 
   private static ChpDaemon daemon;
   private static MultiThreadIoEventLoopGroup eventLoops;
@@ -76,7 +76,7 @@
     return out;
   }
 
-  private static byte[] ready(String type) {
+  private static byte[] readyCommand(String type) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     body.write(5);
     body.writeBytes("READY".getBytes(StandardCharsets.US_ASCII));
@@ -126,72 +126,74 @@
   }
 
   /** Sets a key at the collector's port, which must close the connection. */
-  private static void rejectsKey(String key, String uuid, String properties, String value)
+  private static void assertClosesOnKey(String key, String uuid, String properties, String value)
       throws IOException {
-    assertCloses(2, join(READY_PUB, message(key, SEQUENCE, uuid, properties, value)));
+    assertCloses(2, join(PUB_HANDSHAKE, message(key, ZERO_SEQUENCE, uuid, properties, value)));
   }
 
   @Test
-  void closesConnectionsThatViolateTheTransport() throws Exception {
+  void closesConnectionsThatViolateZmtp() throws Exception {
     for (int port = 0; port < 3; port++) {
       assertCloses(port, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       assertCloses(port, greeting("CURVE"));
-      assertCloses(port, join(greeting("NULL"), ready("REQ")));
-      assertCloses(port, join(greeting("NULL"), ready("PUSH"), message("x")));
+      assertCloses(port, join(greeting("NULL"), readyCommand("REQ")));
+      assertCloses(port, join(greeting("NULL"), readyCommand("PUSH"), message("x")));
       assertCloses(port, join(greeting("NULL"), message("before READY")));
       assertCloses(port, join(greeting("NULL"), new byte[] {2, 0, 0, 0, 1, 0, 0, 0, 0}));
     }
-    assertCloses(1, join(greeting("NULL"), ready("SUB"), message("not", "a subscription")));
-    stillServes();
+    assertCloses(1, join(greeting("NULL"), readyCommand("SUB"), message("not", "a subscription")));
+    assertStillServes();
   }
 
   @Test
-  void closesConnectionsThatViolateTheChannelProtocol() throws Exception {
-    assertCloses(0, join(greeting("NULL"), ready("DEALER"), message("WHATIS?", "")));
-    assertCloses(0, join(greeting("NULL"), ready("DEALER"), message("ICANHAZ?", "no-slashes")));
-    assertCloses(0, join(greeting("NULL"), ready("DEALER"), message("ICANHAZ?")));
-    rejectsKey("/presence/p", "", "", "{}");
-    rejectsKey("/presence/p", "", "ttl=0\n", "{}");
-    rejectsKey("/presence/p", "short", "ttl=3\n", "{}");
-    rejectsKey("/presence/p", "", "ttl=3", "{}");
-    rejectsKey("/presence/p", "", "ttl=3\n", "not json");
-    rejectsKey(
+  void closesConnectionsThatViolateChp() throws Exception {
+    assertCloses(0, join(greeting("NULL"), readyCommand("DEALER"), message("WHATIS?", "")));
+    assertCloses(
+        0, join(greeting("NULL"), readyCommand("DEALER"), message("ICANHAZ?", "no-slashes")));
+    assertCloses(0, join(greeting("NULL"), readyCommand("DEALER"), message("ICANHAZ?")));
+    assertClosesOnKey("/presence/p", "", "", "{}");
+    assertClosesOnKey("/presence/p", "", "ttl=0\n", "{}");
+    assertClosesOnKey("/presence/p", "short", "ttl=3\n", "{}");
+    assertClosesOnKey("/presence/p", "", "ttl=3", "{}");
+    assertClosesOnKey("/presence/p", "", "ttl=3\n", "not json");
+    assertClosesOnKey(
         "/presence/p",
         "",
         "ttl=3\n",
         "{\"life\":\"l\",\"stream\":1,\"zone\":\"nowhere\",\"ops\":1,\"fresh\":true}");
-    rejectsKey(
+    assertClosesOnKey(
         "/presence/p",
         "",
         "ttl=3\n",
         "{\"life\":\"l\",\"stream\":1,\"zone\":\"west\",\"ops\":-1,\"fresh\":true}");
-    rejectsKey("/presence/p", "", "ttl=3\n", "");
-    rejectsKey("/assigner/status", "", "", "mine now");
-    rejectsKey("/up/nobody/report", "", "", "{\"span\":1}");
-    rejectsKey("/up/nobody/answer", "", "", "{\"origin\":\"o\",\"mark\":1,\"took\":0}");
-    rejectsKey("/up/p/report", "", "", "{\"span\":1,\"tasks\":[[\"a\",1,2,0]]}");
-    rejectsKey("/up/p/report", "", "", "{\"span\":1,\"ops\":[[\"no such type\",1,0]]}");
-    rejectsKey("no slash", "", "", "x");
-    assertCloses(2, join(READY_PUB, message("/presence/p", "short", "", "", "x")));
-    stillServes();
+    assertClosesOnKey("/presence/p", "", "ttl=3\n", "");
+    assertClosesOnKey("/assigner/status", "", "", "mine now");
+    assertClosesOnKey("/up/nobody/report", "", "", "{\"span\":1}");
+    assertClosesOnKey("/up/nobody/answer", "", "", "{\"origin\":\"o\",\"mark\":1,\"took\":0}");
+    assertClosesOnKey("/up/p/report", "", "", "{\"span\":1,\"tasks\":[[\"a\",1,2,0]]}");
+    assertClosesOnKey("/up/p/report", "", "", "{\"span\":1,\"ops\":[[\"no such type\",1,0]]}");
+    assertClosesOnKey("no slash", "", "", "x");
+    assertCloses(2, join(PUB_HANDSHAKE, message("/presence/p", "short", "", "", "x")));
+    assertStillServes();
   }
 
   @Test
-  void closesTheConnectionThatClaimsAnotherProxysName() throws Exception {
+  void closesConnectionThatClaimsNameOfConnectedProxy() throws Exception {
     String hello = "{\"life\":\"%s\",\"stream\":1,\"zone\":\"west\",\"ops\":1,\"fresh\":true}";
     try (Socket first = new Socket("127.0.0.1", daemon.port() + 2)) {
       first
           .getOutputStream()
           .write(
               join(
-                  READY_PUB,
-                  message("/presence/taken", SEQUENCE, "", "ttl=9\n", String.format(hello, "a"))));
+                  PUB_HANDSHAKE,
+                  message(
+                      "/presence/taken", ZERO_SEQUENCE, "", "ttl=9\n", String.format(hello, "a"))));
       first.setSoTimeout(TIMEOUT_MILLIS);
       awaitPresence("/presence/taken");
-      rejectsKey("/presence/taken", "", "ttl=9\n", String.format(hello, "b"));
+      assertClosesOnKey("/presence/taken", "", "ttl=9\n", String.format(hello, "b"));
       assertTrue(keys("/presence/").contains("/presence/taken"), "the first proxy keeps the name");
     }
-    stillServes();
+    assertStillServes();
   }
 
   private static void awaitPresence(String key) throws Exception {
@@ -229,7 +231,7 @@
     return keys;
   }
 
-  private static void stillServes() throws Exception {
+  private static void assertStillServes() throws Exception {
     assertEquals("[/assigner/status]", keys("/assigner/"));
   }
 }
--- a/src/test/java/stonespring/daemon/ChpServerStopTest.java
+++ b/src/test/java/stonespring/daemon/ChpServerStopTest.java
@@ -36,7 +36,7 @@
 /** Start and stop of a server that subscribers read from. */
 final class ChpServerStopTest {
   /** 7 MB: more than the buffers of both sockets hold, less than a peer may leave unread. */
-  private static final int KEYS = 7_000;
+  private static final int KEY_COUNT = 7_000;
 
   private static final int TIMEOUT_MILLIS = 10_000;
 
@@ -48,7 +48,7 @@
 
   /** Answers each request for a snapshot with a large one, at once. */
   private static final class LargeSnapshotHandler implements ProxyMessageHandler {
-    private final CountDownLatch requested = new CountDownLatch(1);
+    private final CountDownLatch snapshotSent = new CountDownLatch(1);
 
     @Override
     public boolean hello(
@@ -70,11 +70,11 @@
     @Override
     public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
       List<KeyUpdate> keys = new ArrayList<>();
-      for (int i = 0; i < KEYS; i++) {
+      for (int i = 0; i < KEY_COUNT; i++) {
         keys.add(new KeyUpdate("/x/" + i, i + 1, new byte[1000]));
       }
-      receiver.accept(new KeySnapshot(keys, KEYS));
-      requested.countDown();
+      receiver.accept(new KeySnapshot(keys, KEY_COUNT));
+      snapshotSent.countDown();
       return true;
     }
 
@@ -88,7 +88,7 @@
 
   /** The reader gets every key and the command that ends the snapshot. */
   @Test
-  void sendsASnapshotToItsEndWhenStopped() throws Exception {
+  void sendsPendingSnapshotCompletelyWhenStopped() throws Exception {
     MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     LargeSnapshotHandler handler = new LargeSnapshotHandler();
@@ -108,10 +108,10 @@
       socket.getOutputStream().write(new byte[] {1, 8});
       socket.getOutputStream().write("ICANHAZ?".getBytes(StandardCharsets.US_ASCII));
       socket.getOutputStream().write(new byte[] {0, 3, '/', 'x', '/'});
-      handler.requested.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      handler.snapshotSent.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       Thread stop = new Thread(() -> stop(server));
       stop.start();
-      assertEquals(KEYS, readSnapshot(in));
+      assertEquals(KEY_COUNT, readSnapshot(in));
       stop.join(TIMEOUT_MILLIS);
       assertTrue(!stop.isAlive());
     } finally {
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void namesAPortThatIsInUse() throws Exception {
+  void reportsPortThatIsInUseWhenStarted() throws Exception {
     MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (ServerSocket inUse = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -26,24 +26,24 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-  void keepsItsPromisesToProxiesAfterEveryStepOfASeededRun(long seed) {
+  void keepsInvariantsAfterEveryStepOfRandomRun(long seed) {
     HostSimulation simulation = new HostSimulation(seed, seed > 6);
     simulation.run(3000);
     assertEquals(0, simulation.resyncs(), "no update is lost in virtual time");
-    assertTrue(simulation.starts() > 1);
+    assertTrue(simulation.hostStarts() > 1);
   }
 
   @Test
-  void aSnapshotHoldsTheSameRoutesAsTheUpdatesBefore() {
+  void snapshotContainsSameRoutesAsEarlierUpdates() {
     HostSimulation simulation = new HostSimulation(9, false);
     simulation.run(1500);
     int compared = 0;
     for (SimulatedProxy proxy : simulation.proxies()) {
-      SimulatedProxy late = simulation.newProxy(proxy.name(), 0);
-      late.startEmpty();
-      late.applySnapshot(simulation.host(), simulation.now());
-      Map<String, Double> weights = late.router().weights(VIEW);
-      if (proxy.isConnected() && !late.router().isWithoutTables() && !weights.isEmpty()) {
+      SimulatedProxy lateProxy = simulation.createProxy(proxy.name(), 0);
+      lateProxy.startEmpty();
+      lateProxy.applySnapshot(simulation.host(), simulation.now());
+      Map<String, Double> weights = lateProxy.router().weights(VIEW);
+      if (proxy.isConnected() && !lateProxy.router().isWithoutTables() && !weights.isEmpty()) {
         assertEquals(proxy.router().weights(VIEW), weights);
         compared++;
       }
@@ -51,9 +51,9 @@
     assertTrue(compared > 5, "compared " + compared);
   }
 
-  private static HostSimulation simulationOfOneEndpoint() {
+  private static HostSimulation createSimulationWithOneEndpoint() {
     HostSimulation simulation = new HostSimulation(1, false);
-    simulation.list("a@h:1", 0);
+    simulation.addEndpoint("a@h:1", 0);
     simulation.startHost();
     return simulation;
   }
@@ -63,26 +63,27 @@
   }
 
   @Test
-  void closesTheConnectionOfAFaultyPeerAndNoOther() {
-    HostSimulation simulation = simulationOfOneEndpoint();
+  void closesOnlyConnectionThatViolatesTheSessionProtocol() {
+    HostSimulation simulation = createSimulationWithOneEndpoint();
     EngineHost host = simulation.host();
     SimulatedProxy proxy = simulation.addProxy("p0", 0);
-    RecordingConnection stranger = new RecordingConnection();
-    host.handleReport("p0", new ProxyReport(SECOND, List.of(), List.of()), stranger);
-    assertTrue(stranger.closeReason().contains("has no session on this connection"));
+    RecordingConnection unknownConnection = new RecordingConnection();
+    host.handleReport("p0", new ProxyReport(SECOND, List.of(), List.of()), unknownConnection);
+    assertTrue(unknownConnection.closeReason().contains("has no session on this connection"));
 
     simulation.connect(proxy);
     simulation.advance(STEP);
     simulation.advance(SECOND);
-    RecordingConnection impostor = new RecordingConnection();
+    RecordingConnection conflictingConnection = new RecordingConnection();
     ProxyHello otherProcess =
         new ProxyHello("another-life", 99, new ZoneId(0), 1, true, Optional.empty());
-    host.handleHello("p0", otherProcess, SECOND, impostor, simulation.now());
-    assertEquals("proxy p0 is here already", impostor.closeReason());
+    host.handleHello("p0", otherProcess, SECOND, conflictingConnection, simulation.now());
+    assertEquals("proxy p0 is here already", conflictingConnection.closeReason());
 
-    RecordingConnection late = new RecordingConnection();
-    host.handleAcknowledgement("p0", acknowledgement(proxy.stream(), 1), late, simulation.now());
-    assertTrue(late.closeReason().contains("has no session on this connection"));
+    RecordingConnection otherConnection = new RecordingConnection();
+    host.handleAcknowledgement(
+        "p0", acknowledgement(proxy.stream(), 1), otherConnection, simulation.now());
+    assertTrue(otherConnection.closeReason().contains("has no session on this connection"));
 
     host.handleAcknowledgement(
         "p0", acknowledgement("some-other-stream", 1), proxy.connection(), simulation.now());
@@ -97,8 +98,8 @@
 
   /** A half-open connection hides that the old stream is dead. */
   @Test
-  void replacesTheSessionOfAProxyThatConnectsOnANewerStream() {
-    HostSimulation simulation = simulationOfOneEndpoint();
+  void replacesSessionWhenProxyConnectsOnNewerStream() {
+    HostSimulation simulation = createSimulationWithOneEndpoint();
     EngineHost host = simulation.host();
     SimulatedProxy proxy = simulation.addProxy("p0", 0);
     simulation.connect(proxy);
@@ -111,7 +112,7 @@
     assertEquals(1, host.connectedProxies());
 
     for (int i = 0; i < 100 && proxy.stream().equals(oldStream); i++) {
-      simulation.passTime(STEP);
+      simulation.advanceClock(STEP);
       proxy.sendHello(host, simulation.now());
       simulation.report(proxy);
       simulation.advance(0);
--- a/src/test/java/stonespring/daemon/HostSimulation.java
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -44,7 +44,7 @@
   static final long SESSION_TIMEOUT = 3 * SECOND;
 
   /** Within which a proxy must have stopped sending to an endpoint that left. */
-  private static final long REMOVAL_GRACE = 3 * SECOND;
+  private static final long MAX_REMOVAL_DELAY = 3 * SECOND;
 
   private static final int ZONES = 2;
   private static final int ENDPOINTS = 8;
@@ -54,25 +54,25 @@
   private static final RequestClassId EXTRACT = new RequestClassId(1);
 
   private final SplittableRandom random;
-  private final boolean advised;
+  private final boolean withWeightAdvisor;
   private final Settings settings = settings();
   private final List<SimulatedProxy> proxies = new ArrayList<>();
   private final TreeMap<String, EndpointRecord> listed = new TreeMap<>();
-  private final Map<String, Long> leftAt = new LinkedHashMap<>();
-  private final Map<SimulatedProxy, Long> withoutEndpointSince = new HashMap<>();
+  private final Map<String, Long> notReadySince = new LinkedHashMap<>();
+  private final Map<SimulatedProxy, Long> withoutRouteSince = new HashMap<>();
   private long now = 100 * SECOND;
   private long lastSequence;
   private EngineHost host;
-  private int starts;
+  private int hostStarts;
 
   /**
    * Creates a simulation that has no host yet.
    *
-   * @param advised whether the engine gets advice from the solver
+   * @param withWeightAdvisor whether the engine gets advice from the solver
    */
-  HostSimulation(long seed, boolean advised) {
+  HostSimulation(long seed, boolean withWeightAdvisor) {
     this.random = new SplittableRandom(seed);
-    this.advised = advised;
+    this.withWeightAdvisor = withWeightAdvisor;
   }
 
   private static Settings settings() {
@@ -102,8 +102,8 @@
   }
 
   /** How often a host was started. */
-  int starts() {
-    return starts;
+  int hostStarts() {
+    return hostStarts;
   }
 
   /** How often a proxy lost an update. */
@@ -113,13 +113,13 @@
 
   /** Starts a host in place of the one before; all proxies lose their connections. */
   void startHost() {
-    starts++;
+    hostStarts++;
     host =
         new EngineHost(
             settings,
             List.of("view", "extract"),
             HostLimits.DEFAULT,
-            "e" + starts,
+            "e" + hostStarts,
             now << 20,
             createEngine(),
             new Environment(),
@@ -132,13 +132,13 @@
 
   private DecisionEngine createEngine() {
     AssignmentEngine engine = new AssignmentEngine(settings, random.nextLong(), now);
-    return advised ? new AdvisedEngine(engine, new WeightAdvisor(settings)) : engine;
+    return withWeightAdvisor ? new AdvisedEngine(engine, new WeightAdvisor(settings)) : engine;
   }
 
   private final class Environment implements HostEnvironment {
     @Override
     public void publish(List<KeyUpdate> updates) {
-      updates.forEach(HostSimulation.this::keyPublished);
+      updates.forEach(HostSimulation.this::deliverUpdate);
     }
 
     @Override
@@ -148,14 +148,15 @@
     public void fetchEndpoints() {}
   }
 
-  private void keyPublished(KeyUpdate update) {
+  private void deliverUpdate(KeyUpdate update) {
     assertTrue(update.sequence() > lastSequence, "sequences rise strictly, over restarts too");
     lastSequence = update.sequence();
     for (SimulatedProxy proxy : proxies) {
-      proxy.keyPublished(update, host, now);
+      proxy.receiveUpdate(update, host, now);
     }
     if (update.key().equals("/assigner/status")) {
-      JsonNode status = SimulatedProxy.json(new String(update.value(), StandardCharsets.UTF_8));
+      JsonNode status =
+          SimulatedProxy.parseJson(new String(update.value(), StandardCharsets.UTF_8));
       assertTrue(
           status.path("backlog_high").asInt() <= settings.channel().maxBacklogEntries(),
           () -> "channel limit: " + status);
@@ -164,20 +165,20 @@
   }
 
   /** Adds an endpoint to the list that the next host starts with. */
-  void list(String name, int zone) {
+  void addEndpoint(String name, int zone) {
     EndpointId endpoint = new EndpointId(name);
     listed.put(
         name, new EndpointRecord(endpoint, new ZoneId(zone), 1, EndpointRecord.State.READY, 0));
   }
 
   SimulatedProxy addProxy(String name, int zone) {
-    SimulatedProxy proxy = newProxy(name, zone);
+    SimulatedProxy proxy = createProxy(name, zone);
     proxies.add(proxy);
     return proxy;
   }
 
   /** Creates a proxy that the simulation does not drive. */
-  SimulatedProxy newProxy(String name, int zone) {
+  SimulatedProxy createProxy(String name, int zone) {
     return new SimulatedProxy(name, zone, settings.channel());
   }
 
@@ -188,12 +189,12 @@
   }
 
   /** Moves the time on, before the host does anything. */
-  void passTime(long duration) {
+  void advanceClock(long duration) {
     now += duration;
   }
 
   void connect(SimulatedProxy proxy) {
-    if (!proxy.hasStarted()) {
+    if (!proxy.isStarted()) {
       long seed = random.nextLong();
       proxy.start(
           seed,
@@ -233,7 +234,7 @@
   /** Runs a fleet with random restarts, list changes and lost connections, and checks each step. */
   void run(int steps) {
     for (int i = 0; i < ENDPOINTS; i++) {
-      list("t" + i + "@h:" + (i + 1), i % ZONES);
+      addEndpoint("t" + i + "@h:" + (i + 1), i % ZONES);
     }
     for (int i = 0; i < PROXIES; i++) {
       addProxy("p" + i, i % ZONES);
@@ -241,14 +242,14 @@
     startHost();
     for (int i = 0; i < steps; i++) {
       now += STEP;
-      disturb();
-      proxies.forEach(this::step);
+      injectRandomEvent();
+      proxies.forEach(this::stepProxy);
       host.runDue(now);
-      check();
+      checkInvariants();
     }
   }
 
-  private void step(SimulatedProxy proxy) {
+  private void stepProxy(SimulatedProxy proxy) {
     if (!proxy.isConnected() && random.nextInt(12) == 0) {
       connect(proxy);
     } else if (proxy.isConnected() && (now / STEP + proxy.name().hashCode()) % 20 == 0) {
@@ -261,10 +262,10 @@
     }
   }
 
-  private void disturb() {
+  private void injectRandomEvent() {
     int draw = random.nextInt(400);
     String name = "t" + random.nextInt(10) + "@h:" + (1 + random.nextInt(10));
-    String known =
+    String listedName =
         listed.isEmpty()
             ? name
             : new ArrayList<>(listed.keySet()).get(random.nextInt(listed.size()));
@@ -273,7 +274,7 @@
     } else if (draw < 12 && listed.size() > 3) {
       boolean drains = random.nextBoolean();
       changeEndpoint(
-          known, drains ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED, 0);
+          listedName, drains ? EndpointRecord.State.DRAINING : EndpointRecord.State.REMOVED, 0);
     } else if (draw < 16) {
       SimulatedProxy proxy = proxies.get(random.nextInt(proxies.size()));
       if (proxy.isConnected()) {
@@ -293,47 +294,47 @@
       listed.put(name, changed);
     }
     if (state == EndpointRecord.State.READY) {
-      leftAt.remove(name);
+      notReadySince.remove(name);
     } else {
-      leftAt.putIfAbsent(name, now);
+      notReadySince.putIfAbsent(name, now);
     }
     host.handleEndpointListUpdate(
         new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(changed)), now);
   }
 
-  private void check() {
-    boolean anyWarm = listed.values().stream().anyMatch(this::isWarm);
+  private void checkInvariants() {
+    boolean anyWarmedUp = listed.values().stream().anyMatch(this::isWarmedUp);
     for (SimulatedProxy proxy : proxies) {
       if (!proxy.isConnected()) {
-        withoutEndpointSince.remove(proxy);
+        withoutRouteSince.remove(proxy);
         continue;
       }
       for (int requestClass = 0; requestClass < REQUEST_CLASSES; requestClass++) {
         checkRemovedEndpoints(proxy, new RequestClassId(requestClass));
       }
-      if (anyWarm && proxy.router().weights(VIEW).isEmpty()) {
-        withoutEndpointSince.putIfAbsent(proxy, now);
+      if (anyWarmedUp && proxy.router().weights(VIEW).isEmpty()) {
+        withoutRouteSince.putIfAbsent(proxy, now);
       } else {
-        withoutEndpointSince.remove(proxy);
+        withoutRouteSince.remove(proxy);
       }
-      long since = withoutEndpointSince.getOrDefault(proxy, now);
+      long since = withoutRouteSince.getOrDefault(proxy, now);
       assertTrue(
           now - since <= settings.routing().maxTimeWithoutEndpoint(),
           () -> "time without endpoint: " + proxy.name() + " has no route at " + now);
     }
   }
 
-  private boolean isWarm(EndpointRecord endpoint) {
+  private boolean isWarmedUp(EndpointRecord endpoint) {
     return endpoint.state() == EndpointRecord.State.READY
         && now - endpoint.startedAt() >= settings.slowStart().window();
   }
 
   private void checkRemovedEndpoints(SimulatedProxy proxy, RequestClassId requestClass) {
     for (String endpoint : proxy.router().weights(requestClass).keySet()) {
-      long left = leftAt.getOrDefault(endpoint, Long.MAX_VALUE / 2);
-      long notifiedAt = Math.max(left, proxy.connectedAt());
+      long endpointNotReadySince = notReadySince.getOrDefault(endpoint, Long.MAX_VALUE / 2);
+      long notifiedAt = Math.max(endpointNotReadySince, proxy.connectedAt());
       assertTrue(
-          now - notifiedAt <= REMOVAL_GRACE,
+          now - notifiedAt <= MAX_REMOVAL_DELAY,
           () -> "removed endpoint: " + proxy.name() + " still sends to " + endpoint + " at " + now);
     }
   }
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -21,7 +21,7 @@
 final class PlatformConfigurationTest {
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
-  private static void write(OutputStream pipe, String text) throws Exception {
+  private static void writeToPipe(OutputStream pipe, String text) throws Exception {
     pipe.write(text.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -37,20 +37,20 @@
    * the test holds back, the second one's is newer: what the first reads must not be applied last.
    */
   @Test
-  void appliesTheLaterOfTwoReloads() throws Exception {
+  void appliesNewerConfigurationWhenTwoReloadsOverlap() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcess();
     process.awaitPort();
     answerFirstWatch();
     ServerSocket older = platform.listen();
     ServerSocket newer = platform.listen();
-    platform.replaceConfigByPipe();
-    process.hangUp();
+    platform.replaceConfigWithPipe();
+    process.sendSighup();
     try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
       platform.replaceConfig(platform.config(newer));
-      process.hangUp();
+      process.sendSighup();
       process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery moves from");
-      write(pipe, platform.config(older));
+      writeToPipe(pipe, platform.config(older));
     }
     // The older address may have been asked or not; the one asked in the end is the newer one.
     EndpointListRequest last = platform.acceptListRequest(newer);
@@ -65,14 +65,14 @@
 
   /** The signal arrives while the file is read for the first time, from a pipe held back. */
   @Test
-  void reloadsAfterTheStartWhereTheSignalArrivesDuringIt() throws Exception {
+  void reloadsAfterStartWhenSignalArrivesDuringStart() throws Exception {
     ServerSocket newer = platform.listen();
-    platform.replaceConfigByPipe();
+    platform.replaceConfigWithPipe();
     PlatformProcess process = platform.startProcess();
     try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
       platform.replaceConfig(platform.config(newer));
-      process.hangUp();
-      write(pipe, platform.config());
+      process.sendSighup();
+      writeToPipe(pipe, platform.config());
     }
     assertEquals(
         "/registry/instances?stream=1&index=4", platform.acceptListRequest(newer).target());
@@ -80,7 +80,7 @@
 
   /** The old address ends the watch and accepts nobody; there is no signal. */
   @Test
-  void findsAMovedDiscoveryWithoutASignal() throws Exception {
+  void followsDiscoveryToNewAddressWithoutSignal() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcess();
     process.awaitPort();
@@ -95,7 +95,7 @@
 
   /** As under nohup, where no handler of the process is called. */
   @Test
-  void findsAMovedDiscoveryWhereSignalsAreIgnoredAndSaysSo() throws Exception {
+  void followsDiscoveryToNewAddressAndLogsThatSighupIsIgnored() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcessAfter("trap '' HUP");
     process.awaitPort();
@@ -103,7 +103,7 @@
     EndpointListRequest watch = answerFirstWatch();
     ServerSocket moved = platform.listen();
     platform.writeConfig(platform.config(moved));
-    process.hangUp();
+    process.sendSighup();
     platform.discovery().close();
     watch.close();
     assertEquals(
@@ -112,7 +112,7 @@
 
   /** The settings tell of the simulator's discovery; on the platform a list must be watched. */
   @Test
-  void watchesTheListWhereSettingsSayThatItIsPushed() throws Exception {
+  void watchesEndpointListWhenSettingsSayThatItIsPushed() throws Exception {
     platform.writeConfig(platform.config().replace("\"on_request\"", "\"pushed\""));
     PlatformDaemon daemon = new PlatformDaemon(PlatformConfig.read(platform.configFile()));
     daemon.start();
@@ -123,9 +123,9 @@
   }
 
   @Test
-  void rejectsABadConfigurationWithOneLineThatNamesTheField() throws Exception {
+  void rejectsInvalidConfigurationWithOneLineThatNamesTheField() throws Exception {
     String good = PlatformFixture.config(1);
-    String[][] rows = {
+    String[][] configsAndErrors = {
       {"{", "line 1"},
       {"[]", "no JSON object"},
       {good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "field 'listen'"},
@@ -143,12 +143,16 @@
       {good.replace("\"sockets\":256", "\"sockets\":0"), "limits.sockets"}
     };
     Path file = platform.file("bad.json");
-    for (String[] row : rows) {
-      Files.writeString(file, row[0]);
+    for (String[] configAndError : configsAndErrors) {
+      Files.writeString(file, configAndError[0]);
       Exception e =
           assertThrows(
-              InvalidConfigException.class, () -> PlatformConfig.read(file), "taken: " + row[0]);
-      assertTrue(e.getMessage().contains(row[1]) && !e.getMessage().contains("\n"), e.getMessage());
+              InvalidConfigException.class,
+              () -> PlatformConfig.read(file),
+              "taken: " + configAndError[0]);
+      assertTrue(
+          e.getMessage().contains(configAndError[1]) && !e.getMessage().contains("\n"),
+          e.getMessage());
     }
     platform.writeConfig("{}");
     PlatformProcess process = platform.startProcess();
--- a/src/test/java/stonespring/daemon/PlatformEngineTest.java
+++ b/src/test/java/stonespring/daemon/PlatformEngineTest.java
@@ -21,7 +21,7 @@
 /** Batches, restarts and the stop of the decision engine on the platform, with scripted engines. */
 final class PlatformEngineTest {
   private static final RouteTableId TABLE = new RouteTableId(1);
-  private static final String FAILURE = "as the test wants it";
+  private static final String FAILURE_MESSAGE = "as the test wants it";
 
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
@@ -51,9 +51,9 @@
     public void handle(long now, Event event) {
       if (event instanceof Event.ProxyConnected connected) {
         if (connected.proxy().number() == 3) {
-          throw new NoClassDefFoundError(FAILURE);
+          throw new NoClassDefFoundError(FAILURE_MESSAGE);
         }
-        throw new IllegalStateException(FAILURE);
+        throw new IllegalStateException(FAILURE_MESSAGE);
       }
     }
   }
@@ -80,7 +80,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {2, 3}) // an exception, an error
-  void restartsAFailedEngineWithoutClosingConnections(int proxyId) throws Exception {
+  void restartsFailedEngineWithoutClosingConnections(int proxyId) throws Exception {
     List<DecisionEngine> engines = new ArrayList<>();
     PlatformDaemon daemon =
         platform.createDaemon(
@@ -97,19 +97,19 @@
   }
 
   @Test
-  void endsWhereTheEngineAlwaysFails() throws Exception {
+  void endsWithEngineFailureWhenEveryRestartFails() throws Exception {
     PlatformDaemon daemon = platform.createDaemon((settings, seed, now) -> new FailingEngine());
     daemon.start();
     LineClient proxy = platform.connect(daemon.port());
     proxy.send("SUBSCRIBE id=2 site=west rps=3.0 new=1");
-    assertEquals(FAILURE, daemon.awaitEnd().orElseThrow().getMessage());
+    assertEquals(FAILURE_MESSAGE, daemon.awaitEnd().orElseThrow().getMessage());
     daemon.stop();
   }
 
   /** Blocks in a report until the test goes on, and then changes the table. */
   private static final class EngineBlockedByReport extends ScriptedEngine {
     private final CountDownLatch blocked = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch resume = new CountDownLatch(1);
 
     @Override
     public void handle(long now, Event event) {
@@ -118,7 +118,7 @@
         assignTable(connected.proxy());
       } else if (event instanceof Event.ProxyRequestRate) {
         blocked.countDown();
-        await(goOn);
+        await(resume);
         setRoute("s-2", 0.5);
       }
     }
@@ -129,7 +129,7 @@
    * change must not go out on the new connection, whose first message is the whole table.
    */
   @Test
-  void sendsNoChangeForABrokenConnectionOnTheNewOne() throws Exception {
+  void sendsNoUpdateOfOldConnectionOnNewConnection() throws Exception {
     EngineBlockedByReport engine = new EngineBlockedByReport();
     PlatformDaemon daemon = platform.createDaemon((settings, seed, now) -> engine);
     daemon.start();
@@ -141,7 +141,7 @@
     old.close();
     LineClient newer = platform.connect(daemon.port());
     newer.send("SUBSCRIBE id=2 site=west rps=3.0 new=0");
-    engine.goOn.countDown();
+    engine.resume.countDown();
     assertEquals("CONFIG replace=1 rows=s-1:1,s-2:0.5 undrop=s-1,s-2", newer.readLine());
     daemon.stop();
   }
@@ -150,21 +150,21 @@
   private static final class EngineBlockedByConnection extends ScriptedEngine {
     private final List<Event> connected = Collections.synchronizedList(new ArrayList<>());
     private final CountDownLatch blocked = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch resume = new CountDownLatch(1);
 
     @Override
     public void handle(long now, Event event) {
       if (event instanceof Event.ProxyConnected) {
         connected.add(event);
         blocked.countDown();
-        await(goOn);
+        await(resume);
       }
     }
   }
 
   /** The stop comes while a batch runs, and a second proxy's message waits at its socket. */
   @Test
-  void runsNoBatchOnceTheStopHasBegun() throws Exception {
+  void runsNoBatchAfterStopHasBegun() throws Exception {
     EngineBlockedByConnection engine = new EngineBlockedByConnection();
     PlatformDaemon daemon = platform.createDaemon((settings, seed, now) -> engine);
     daemon.start();
@@ -181,7 +181,7 @@
         && stop.getState() != Thread.State.WAITING) {
       Thread.onSpinWait(); // it waits for the event loop, behind what it queued there
     }
-    engine.goOn.countDown();
+    engine.resume.countDown();
     stop.join();
     assertEquals(1, engine.connected.size(), engine.connected.toString());
   }
--- a/src/test/java/stonespring/daemon/PlatformFixture.java
+++ b/src/test/java/stonespring/daemon/PlatformFixture.java
@@ -32,7 +32,7 @@
                            "bootstrap":3,"proxyCount":8,"reportEveryS":0.5},
              "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1}}""";
 
-  private final Deque<AutoCloseable> opened = new ArrayDeque<>();
+  private final Deque<AutoCloseable> openResources = new ArrayDeque<>();
   private Path folder;
   private ServerSocket discovery;
 
@@ -60,7 +60,7 @@
   }
 
   <T extends AutoCloseable> T closeLater(T resource) {
-    opened.add(resource);
+    openResources.add(resource);
     return resource;
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Puts a pipe in the configuration file's place: its reader waits for what the test writes. */
-  void replaceConfigByPipe() throws Exception {
+  void replaceConfigWithPipe() throws Exception {
     Path pipe = folder.resolve("pipe");
     int exitCode = new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor();
     if (exitCode != 0) {
@@ -159,12 +159,12 @@
   @Override
   public void afterEach(ExtensionContext context) throws Exception {
     // The process first, so that it does not react to the other ends.
-    for (AutoCloseable resource : opened) {
+    for (AutoCloseable resource : openResources) {
       if (resource instanceof PlatformProcess) {
         resource.close();
       }
     }
-    for (AutoCloseable resource : opened) {
+    for (AutoCloseable resource : openResources) {
       resource.close();
     }
     try (Stream<Path> files = Files.list(folder)) {
--- a/src/test/java/stonespring/daemon/PlatformProcess.java
+++ b/src/test/java/stonespring/daemon/PlatformProcess.java
@@ -13,7 +13,7 @@
 
 /** An instance as a process of its own, started as the platform does. */
 final class PlatformProcess implements AutoCloseable {
-  private static final String SERVES = " serves at 127.0.0.1:";
+  private static final String SERVES_AT = " serves at 127.0.0.1:";
 
   private final Process process;
   private final Path logFile;
@@ -69,10 +69,10 @@
 
   /** Waits until the process has started, and returns the port that it serves. */
   int awaitPort() throws Exception {
-    awaitLog(SERVES);
+    awaitLog(SERVES_AT);
     awaitLog("have not joined");
     String log = log();
-    String rest = log.substring(log.indexOf(SERVES) + SERVES.length());
+    String rest = log.substring(log.indexOf(SERVES_AT) + SERVES_AT.length());
     return Integer.parseInt(rest.substring(0, rest.indexOf(',')));
   }
 
@@ -108,13 +108,13 @@
   }
 
   /** Sends SIGHUP. */
-  void hangUp() throws Exception {
+  void sendSighup() throws Exception {
     String pid = String.valueOf(process.pid());
     assertEquals(0, new ProcessBuilder("kill", "-HUP", pid).start().waitFor());
   }
 
   /** Sends SIGTERM and returns how long the process took to end. */
-  long terminateNanos() throws Exception {
+  long measureTerminationNanos() throws Exception {
     process.destroy();
     long startedNanos = System.nanoTime();
     assertTrue(process.waitFor(PlatformFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
--- a/src/test/java/stonespring/daemon/PlatformProcessTest.java
+++ b/src/test/java/stonespring/daemon/PlatformProcessTest.java
@@ -19,7 +19,7 @@
 
   /** From the first answer over a route table, reloads and a move of discovery to the end. */
   @Test
-  void servesThroughReloadsUntilAnOrderlyEnd() throws Exception {
+  void servesThroughReloadsUntilOrderlyStop() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcess();
     LineClient proxy = platform.connect(process.awaitPort());
@@ -38,10 +38,10 @@
 
     ServerSocket moved = platform.listen();
     platform.writeConfig("{\"name\":");
-    process.hangUp();
+    process.sendSighup();
     process.awaitLog("the new configuration is not used");
     platform.writeConfig(platform.config(moved));
-    process.hangUp();
+    process.sendSighup();
     EndpointListRequest second = platform.acceptListRequest(moved);
     assertEquals("/registry/instances?stream=1&index=5", second.target());
     second.beginWatch(endpointList(6, endpoint("s-1", "west"), endpoint("s-2", "east")));
@@ -50,7 +50,7 @@
     proxy.send("PING");
     assertEquals("PONG", proxy.readLineAfterUpdates(), "the connection stays");
 
-    assertTrue(process.terminateNanos() < TimeUnit.SECONDS.toNanos(5), "it ends soon");
+    assertTrue(process.measureTerminationNanos() < TimeUnit.SECONDS.toNanos(5), "it ends soon");
     String rest = proxy.readRest();
     assertTrue(rest.isEmpty() || rest.endsWith("\r\n"), "no half message: " + rest);
   }
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void endsWithOneLineWhereThePortIsInUse() throws Exception {
+  void exitsWithOneLogLineWhenPortIsInUse() throws Exception {
     String inUse = "\"listen\":\"127.0.0.1:" + platform.discovery().getLocalPort() + "\"";
     platform.writeConfig(platform.config().replace("\"listen\":\"127.0.0.1:0\"", inUse));
     PlatformProcess process = platform.startProcess();
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -9,7 +9,7 @@
 /** How often the engine may be restarted. */
 final class RestartBudgetTest {
   @Test
-  void limitsRestartsWithinAnHourButNotOverWeeks() {
+  void limitsRestartsPerHourButNotOverWeeks() {
     RestartBudget budget = new RestartBudget();
     long hour = 3_600 * DeciMillis.SECOND;
     for (long week = 0; week < 500; week++) {
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -27,7 +27,7 @@
 /** A proxy in virtual time: it follows what a host publishes and routes by it. */
 final class SimulatedProxy {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final RouterSettings ROUTING =
+  private static final RouterSettings ROUTER_SETTINGS =
       new RouterSettings(
           List.of(
               new RouterSettings.ClassSettings("view", RetrySafety.IDEMPOTENT, 0),
@@ -41,10 +41,10 @@
 
   private final String name;
   private final int zone;
-  private final Settings.ChannelLimits limits;
+  private final Settings.ChannelLimits channelLimits;
   private final TableSubscriber subscriber = new TableSubscriber();
-  private final ArrayDeque<Long> updatesAt = new ArrayDeque<>();
-  private final List<Integer> acksDue = new ArrayList<>();
+  private final ArrayDeque<Long> updateTimes = new ArrayDeque<>();
+  private final List<Integer> pendingAcks = new ArrayList<>();
   private Router router; // null until it first connects
   private RecordingConnection connection; // null while it is disconnected
   private long streamNumber;
@@ -52,10 +52,10 @@
   private String stream = "";
   private int resyncs;
 
-  SimulatedProxy(String name, int zone, Settings.ChannelLimits limits) {
+  SimulatedProxy(String name, int zone, Settings.ChannelLimits channelLimits) {
     this.name = name;
     this.zone = zone;
-    this.limits = limits;
+    this.channelLimits = channelLimits;
   }
 
   String name() {
@@ -88,19 +88,19 @@
     return resyncs;
   }
 
-  boolean hasStarted() {
+  boolean isStarted() {
     return router != null;
   }
 
   /** Starts with a table of its own. */
   void start(long seed, List<EndpointId> bootstrapRoutes) {
-    router = new Router(ROUTING, seed);
+    router = new Router(ROUTER_SETTINGS, seed);
     router.useBootstrapRoutes(bootstrapRoutes);
   }
 
   /** Starts without any table. */
   void startEmpty() {
-    router = new Router(ROUTING, 1);
+    router = new Router(ROUTER_SETTINGS, 1);
   }
 
   /** Opens a connection, on a stream of its own. */
@@ -108,7 +108,7 @@
     connection = new RecordingConnection();
     streamNumber++;
     connectedAt = now;
-    updatesAt.clear();
+    updateTimes.clear();
     applySnapshot(host, now);
     sendHello(host, now);
   }
@@ -134,14 +134,14 @@
 
   /** Acknowledges the updates that asked for it since the last call. */
   void acknowledge(EngineHost host, long now) {
-    for (int ack : acksDue) {
+    for (int ack : pendingAcks) {
       if (connection != null) {
         ProxyAcknowledgement acknowledgement =
             new ProxyAcknowledgement(stream, new AckId(ack), 100);
         host.handleAcknowledgement(name, acknowledgement, connection, now);
       }
     }
-    acksDue.clear();
+    pendingAcks.clear();
   }
 
   private String subtree() {
@@ -149,14 +149,14 @@
   }
 
   /** Takes a key that the host published, if it is this proxy's and it is connected. */
-  void keyPublished(KeyUpdate update, EngineHost host, long now) {
+  void receiveUpdate(KeyUpdate update, EngineHost host, long now) {
     if (connection == null || !update.key().startsWith(subtree())) {
       return;
     }
     String key = update.key().substring(subtree().length());
     String value = update.value().length == 0 ? null : text(update);
-    boolean committed = value != null && key.equals(TableSubscriber.COMMIT_KEY);
-    apply(subscriber.keyChanged(key, value, committed ? commit(value) : null), host, now);
+    boolean isCommit = value != null && key.equals(TableSubscriber.COMMIT_KEY);
+    apply(subscriber.keyChanged(key, value, isCommit ? parseCommit(value) : null), host, now);
   }
 
   /** Takes all that the host has published for this proxy. */
@@ -165,7 +165,7 @@
     TableSubscriber.Commit commit = null;
     for (KeyUpdate key : host.snapshot(subtree())) {
       keys.put(key.key().substring(subtree().length()), text(key));
-      commit = key.key().endsWith("/commit") ? commit(text(key)) : commit;
+      commit = key.key().endsWith("/commit") ? parseCommit(text(key)) : commit;
     }
     apply(subscriber.snapshot(keys, commit), host, now);
   }
@@ -174,9 +174,9 @@
     if (step instanceof TableSubscriber.Step.Update update) {
       router.apply(update);
       stream = update.stream();
-      countUpdate(now);
+      recordUpdate(now);
       if (update.ackId() >= 0) {
-        acksDue.add(update.ackId());
+        pendingAcks.add(update.ackId());
       }
     } else if (step instanceof TableSubscriber.Step.Resync) {
       resyncs++;
@@ -184,18 +184,19 @@
     }
   }
 
-  private void countUpdate(long now) {
-    updatesAt.add(now);
-    updatesAt.removeIf(at -> now - at > limits.messageWindow() || at < connectedAt);
+  private void recordUpdate(long now) {
+    updateTimes.add(now);
+    updateTimes.removeIf(at -> now - at > channelLimits.messageWindow() || at < connectedAt);
     assertTrue(
-        updatesAt.size() <= limits.maxMessagesPerProxy(), "channel limit: messages to " + name);
+        updateTimes.size() <= channelLimits.maxMessagesPerProxy(),
+        "channel limit: messages to " + name);
   }
 
   private static String text(KeyUpdate update) {
     return new String(update.value(), StandardCharsets.UTF_8);
   }
 
-  static JsonNode json(String text) {
+  static JsonNode parseJson(String text) {
     try {
       return JSON.readTree(text);
     } catch (java.io.IOException e) {
@@ -203,8 +204,8 @@
     }
   }
 
-  private static TableSubscriber.Commit commit(String value) {
-    JsonNode node = json(value);
+  private static TableSubscriber.Commit parseCommit(String value) {
+    JsonNode node = parseJson(value);
     return new TableSubscriber.Commit(
         node.path("origin").asText(),
         node.path("at").asInt(),
