--- a/src/main/java/stonespring/daemon/ChpDaemon.java
+++ b/src/main/java/stonespring/daemon/ChpDaemon.java
@@ -27,16 +27,20 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * An instance that serves proxies by CHP: one event loop for its sockets, one thread for its
- * decision engine. It starts with the endpoint list that was saved last and without route tables.
+ * An instance that serves proxies over the Clustered Hashmap Protocol (CHP). One event loop handles
+ * its sockets, a thread of its own runs its decision engine. It starts with the last saved endpoint
+ * list and without route tables.
  */
 public final class ChpDaemon implements Instance {
   private static final Logger LOG = LoggerFactory.getLogger(ChpDaemon.class);
 
-  /** For what waits to be sent; peers that read have it long before. */
+  /**
+   * Time allowed for sending pending data at the stop. Peers that read their sockets receive it
+   * well before that.
+   */
   private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
-  /** Room for a million updates in each millisecond of a run. */
+  /** Sequence numbers reserved for each millisecond of a run, in bits: about a million updates. */
   private static final int SEQUENCE_BITS_PER_MILLI = 20;
 
   private static final long NANOS_PER_MICRO = 1_000;
@@ -95,9 +99,9 @@
   }
 
   /**
-   * Listens and starts the decision engine.
+   * Binds the ports and starts the decision engine.
    *
-   * @throws IOException if a port can't be had; the message names it
+   * @throws IOException if a port cannot be bound; the message names the port
    */
   public void start() throws IOException, InterruptedException {
     EngineHost host = createHost();
@@ -125,8 +129,8 @@
             settings.limits().proxies(),
             HostLimits.DEFAULT.reportPairs(),
             HostLimits.DEFAULT.keys());
-    // Sequences rise over restarts: subscribers drop an update whose sequence is not above the
-    // last.
+    // Sequence numbers must increase across restarts: subscribers drop an update whose sequence
+    // number is not above that of the update before.
     long firstSequence = unixMillis << SEQUENCE_BITS_PER_MILLI;
     return new EngineHost(
         settings.settings(),
@@ -152,7 +156,7 @@
     engineThread.post((host, now) -> host.handleEndpointListUpdate(update, now));
   }
 
-  /** Publishes by the server, and passes requests on to the endpoint source. */
+  /** Publishes updates through the server and forwards endpoint list requests to the source. */
   private final class ServerEnvironment implements HostEnvironment {
     private final EndpointListRequests endpointListRequests = EndpointListRequests.to(source);
 
@@ -174,7 +178,9 @@
     }
   }
 
-  /** Returns the port of snapshots; those of updates and of the collector follow it. */
+  /**
+   * Returns the port for snapshots; the next two ports are those for updates and for the collector.
+   */
   public int port() {
     return server.port();
   }
@@ -184,7 +190,7 @@
     return engineThread.awaitEnd();
   }
 
-  /** Closes the listeners, sends what waits, snapshots included, and closes all connections. */
+  /** Closes the listeners, sends pending data including snapshots, and closes all connections. */
   @Override
   public void stop() throws InterruptedException {
     source.stop();
--- a/src/main/java/stonespring/daemon/CommandCauses.java
+++ b/src/main/java/stonespring/daemon/CommandCauses.java
@@ -3,8 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What led to a batch, for the log of its commands; bounded. Not thread-safe. */
+/**
+ * The causes of one batch of commands, as texts for the debug log. Keeps the first {@link
+ * #MAX_CAUSES} and counts the others. Not thread-safe.
+ */
 final class CommandCauses {
+  /** Maximum number of causes in one log line. */
   private static final int MAX_CAUSES = 8;
 
   private final List<String> causes = new ArrayList<>();
@@ -23,7 +27,7 @@
     omitted = 0;
   }
 
-  /** Lists the causes in order, and how many more there were. */
+  /** Lists the kept causes in the order of their arrival, and the number of the others. */
   @Override
   public String toString() {
     return String.join(", ", causes) + (omitted > 0 ? " and " + omitted + " more" : "");
--- a/src/main/java/stonespring/daemon/ConfigReloader.java
+++ b/src/main/java/stonespring/daemon/ConfigReloader.java
@@ -9,10 +9,10 @@
 import stonespring.config.PlatformConfig;
 
 /**
- * Reads the platform's configuration again: on request, and after each failed fetch of the endpoint
- * list, since the address of discovery may have changed without a request. Only that address is
- * applied, see {@link PlatformDaemon#reload}. A file that can't be used leaves the configuration as
- * it is. Thread-safe.
+ * Reloads the platform's configuration file: on request, and after each failed fetch of the
+ * endpoint list, since the discovery address may have changed without a request. Only that address
+ * is applied, see {@link PlatformDaemon#reload}. If the file is invalid, the current configuration
+ * stays in use. Thread-safe.
  */
 public final class ConfigReloader {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
@@ -22,12 +22,14 @@
   private PlatformDaemon daemon; // null before attach; guarded by this
   private boolean reloadRequested; // guarded by this
 
-  /** Creates a reloader that notes requests until an instance is attached. */
+  /**
+   * Creates a reloader. A reload that is requested before {@link #attach} is postponed until then.
+   */
   public ConfigReloader(Path file) {
     this.file = file;
   }
 
-  /** Attaches an instance that has started; a reload requested before is done now. */
+  /** Attaches an instance that has started, and runs the postponed reload if there is one. */
   public synchronized void attach(PlatformDaemon started) {
     daemon = started;
     if (reloadRequested) {
@@ -37,8 +39,8 @@
   }
 
   /**
-   * Reads the file and applies it. Concurrent requests are done one after the other, so that no
-   * older file is applied last.
+   * Reads the file and applies it. Concurrent calls run one after the other, so that an older
+   * version of the file is never applied after a newer one.
    */
   public synchronized void reload() {
     if (daemon == null) {
@@ -54,17 +56,18 @@
     }
   }
 
-  /** Reloads on a thread of its own, unless one does already; does not block. */
+  /** Reloads on a new thread, unless a background reload is running already. Does not block. */
   private void reloadInBackground() {
     if (!backgroundReloadRunning.compareAndSet(false, true)) {
       return;
     }
     Thread thread = new Thread(this::runBackgroundReload, "configuration");
-    thread.setDaemon(true); // a file that can't be read to its end must not delay the exit
+    thread.setDaemon(true); // a blocked read of the file must not delay the exit
     try {
       thread.start();
     } catch (OutOfMemoryError e) {
-      backgroundReloadRunning.set(false); // no thread is available: the next failure tries again
+      // No thread could be created; the next failed fetch retries.
+      backgroundReloadRunning.set(false);
     }
   }
 
--- a/src/main/java/stonespring/daemon/DecisionFailedException.java
+++ b/src/main/java/stonespring/daemon/DecisionFailedException.java
@@ -1,8 +1,8 @@
 package stonespring.daemon;
 
 /**
- * A decision engine threw while it handled an event or ended a batch; its state can't be relied on
- * any more. The cause, never null, is what the engine threw.
+ * Thrown if a decision engine fails while it handles an event or ends a batch. Its state is
+ * unreliable from then on. The cause is what the engine threw and is never null.
  */
 final class DecisionFailedException extends RuntimeException {
   private static final long serialVersionUID = 1;
--- a/src/main/java/stonespring/daemon/DurationHistogram.java
+++ b/src/main/java/stonespring/daemon/DurationHistogram.java
@@ -3,8 +3,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A histogram of durations in a unit of the caller's choice. Durations outside its range are
- * counted at the range's end. Not thread-safe.
+ * A histogram of durations from 0 to a maximum, in a unit of the caller's choice. Durations outside
+ * that range are recorded as its nearest limit. Not thread-safe.
  */
 final class DurationHistogram {
   private final Histogram histogram;
@@ -13,8 +13,8 @@
   /**
    * Creates an empty histogram.
    *
-   * @param max the longest duration that is told apart
-   * @param significantDigits decimal digits of a value that are kept
+   * @param max upper limit of the range, inclusive
+   * @param significantDigits precision of a recorded duration, in decimal digits
    */
   DurationHistogram(long max, int significantDigits) {
     this.max = max;
@@ -25,7 +25,10 @@
     histogram.recordValue(Math.min(max, Math.max(0, duration)));
   }
 
-  /** Returns the duration that {@code percentile} percent do not exceed; 0 if there are none. */
+  /**
+   * Returns the duration that {@code percentile} percent of the recorded ones do not exceed, or 0
+   * if none is recorded.
+   */
   long atPercentile(double percentile) {
     return histogram.getValueAtPercentile(percentile);
   }
--- a/src/main/java/stonespring/daemon/EndpointListRequests.java
+++ b/src/main/java/stonespring/daemon/EndpointListRequests.java
@@ -3,17 +3,20 @@
 import stonespring.discovery.EndpointSource;
 
 /**
- * What a decision engine asks of the source of the endpoint list. Called on the thread that drives
- * the engine; the answers arrive as endpoint list events.
+ * Requests of a decision engine to the source of the endpoint list. Called on the thread that runs
+ * the engine; the responses arrive as endpoint list events.
  */
 public interface EndpointListRequests {
-  /** Starts or stops watching the endpoint list. A started watch is answered, also if it fails. */
+  /**
+   * Starts or stops watching the endpoint list. A started watch always leads to an event, also if
+   * it fails.
+   */
   void watchEndpoints(boolean enabled);
 
   /** Fetches the whole endpoint list once. */
   void fetchEndpoints();
 
-  /** Passes requests on to an endpoint source. */
+  /** Returns an implementation that forwards requests to an endpoint source. */
   static EndpointListRequests to(EndpointSource source) {
     return new EndpointListRequests() {
       @Override
--- a/src/main/java/stonespring/daemon/EngineFactory.java
+++ b/src/main/java/stonespring/daemon/EngineFactory.java
@@ -9,8 +9,8 @@
   /**
    * Creates an engine without state.
    *
-   * @param seed for its random draws
-   * @param now the host's clock, {@link stonespring.model.DeciMillis}
+   * @param seed seed of the engine's random number generator
+   * @param now current time of the instance, in {@link stonespring.model.DeciMillis}
    */
   DecisionEngine create(Settings settings, long seed, long now);
 }
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -30,18 +30,23 @@
 import stonespring.state.RouteTables;
 
 /**
- * An instance without threads, clock and sockets: it passes what proxies and the endpoint list say
- * to the decision engine, and publishes what the engine commands. Reports of proxies are aggregated
- * and passed on once per report interval.
+ * An instance without threads, clock and sockets. It passes messages of proxies and updates of the
+ * endpoint list to the decision engine, and publishes the engine's commands as keys. Reports of
+ * proxies are aggregated and passed to the engine once per report interval.
  *
- * <p>All times and durations are {@link DeciMillis} and are passed in, so that tests drive a host
+ * <p>All times and durations are {@link DeciMillis} and are passed in, so that tests can run a host
  * in virtual time. Not thread-safe. Methods that pass events to the engine throw {@link
  * DecisionFailedException} if it fails; the host must not be used after that.
  */
 public final class EngineHost {
   private static final Logger LOG = LoggerFactory.getLogger(EngineHost.class);
+
+  /** Operators and monitoring probes do not read the status more often. */
   private static final long STATUS_INTERVAL = DeciMillis.SECOND;
+
+  /** Upper limit of the histogram; longer durations are recorded as this one. */
   private static final long MAX_ACKNOWLEDGEMENT_DURATION = 600 * DeciMillis.SECOND;
+
   private static final int ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS = 2;
 
   private final Settings settings;
@@ -65,9 +70,9 @@
   /**
    * Creates a host without proxies and endpoints.
    *
-   * @param epoch names this start of the instance; unlike that of any other start
-   * @param firstSequence the highest sequence number that an earlier start may have given out; the
-   *     first key update has the next one
+   * @param epoch identifies this start of the instance; must differ from that of any other start
+   * @param firstSequence the highest sequence number that an earlier start may have used; the first
+   *     key update gets the next one
    */
   public EngineHost(
       Settings settings,
@@ -98,9 +103,9 @@
   }
 
   /**
-   * Opens or renews a proxy's session, or closes its connection if that is refused.
+   * Opens or renews a proxy's session, or closes the connection if the session is refused.
    *
-   * @param sessionTimeout from now
+   * @param sessionTimeout time from {@code now} after which the session expires unless renewed
    */
   public void handleHello(
       String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection, long now) {
@@ -149,14 +154,14 @@
     LOG.info("proxy {} disconnected: {}", sessions.name(id), reason);
   }
 
-  /** Ends the sessions of all proxies on a connection that was closed. */
+  /** Ends all sessions on a connection that has been closed. */
   public void handleConnectionClosed(ProxyConnection connection, long now) {
     for (ProxyId id : sessions.connectionClosed(connection)) {
       endSession(id, "its connection was closed", now);
     }
   }
 
-  /** Takes a proxy's report, or closes the connection if the proxy has no session on it. */
+  /** Handles a proxy's report, or closes the connection if the proxy has no session on it. */
   public void handleReport(String proxy, ProxyReport report, ProxyConnection connection) {
     Optional<ProxyId> id = sessions.find(proxy, connection);
     if (id.isEmpty()) {
@@ -171,8 +176,9 @@
   }
 
   /**
-   * Selects the observations of endpoints that were listed or that the proxy's own route tables
-   * name: those may have left the list before this start, and the engine must know of them.
+   * Selects the observations of endpoints that were listed since the start or that are in the
+   * proxy's own route tables. The latter may have left the list before the start, and the engine
+   * must know about them.
    */
   private List<ProxyReport.EndpointObservation> selectKnownEndpoints(
       List<ProxyReport.EndpointObservation> observations, ProxyHello hello) {
@@ -188,8 +194,8 @@
   }
 
   /**
-   * Takes a proxy's acknowledgement of an update. One for an earlier session is ignored; one that
-   * was never requested closes the connection.
+   * Handles a proxy's acknowledgement of an update. An acknowledgement for an earlier session is
+   * ignored; if it was never requested, the connection is closed.
    */
   public void handleAcknowledgement(
       String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection, long now) {
@@ -213,14 +219,14 @@
     passToEngine(now, acknowledged, "ack " + proxy);
   }
 
-  /** Takes an update of the endpoint list. */
+  /** Handles an update of the endpoint list. */
   public void handleEndpointListUpdate(Event.EndpointListUpdate update, long now) {
     endpoints.update(update);
     LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
     passToEngine(now, update, "list " + update.kind() + " of " + update.endpoints().size());
   }
 
-  /** Returns the keys below a prefix, with their values. */
+  /** Returns the published keys below a prefix, with their values. */
   public List<KeyUpdate> snapshot(String subtree) {
     return keys.snapshot(subtree);
   }
@@ -231,9 +237,10 @@
   }
 
   /**
-   * Does all that is due.
+   * Runs all work that is due: timers, expiry of sessions, reports, the engine's batch, pending
+   * updates and the status.
    *
-   * @return when something is due next
+   * @return when work is due next
    */
   public long runDue(long now) {
     if (engineRunner.fireDueTimers(now)) {
@@ -269,7 +276,8 @@
       causes.add("reports");
     }
     long interval = settings.reportInterval();
-    // After a delay the schedule is resumed, but no two intervals follow closely on each other.
+    // After a delay the original schedule resumes, but no interval is shorter than half of the
+    // usual one.
     nextReportsAt = Math.max(nextReportsAt + interval, now + interval / 2);
   }
 
@@ -307,7 +315,7 @@
     return sessions.connectedCount();
   }
 
-  /** Returns how many batches the engine has ended. */
+  /** Returns the number of batches that the engine has ended. */
   public long endedBatches() {
     return engineRunner.endedBatches();
   }
--- a/src/main/java/stonespring/daemon/EngineRunner.java
+++ b/src/main/java/stonespring/daemon/EngineRunner.java
@@ -12,17 +12,20 @@
 import stonespring.model.TimerToken;
 
 /**
- * A decision engine with its timers, as every instance drives it: events go in, a batch is ended,
- * commands about the endpoint list, timers and the log are carried out here, and those about
- * proxies are returned. Time is passed in, {@link stonespring.model.DeciMillis}. Not thread-safe.
+ * Runs a decision engine and its timers in the same way for every kind of instance. It passes
+ * events to the engine, executes the commands of a batch that concern the endpoint list, timers and
+ * the log, and returns those that concern proxies. Time is passed in, {@link
+ * stonespring.model.DeciMillis}. Not thread-safe.
  */
 final class EngineRunner {
   private static final Logger LOG = LoggerFactory.getLogger(EngineRunner.class);
 
-  /** {@link #nextTimerAt} where no timer runs. */
+  /** Result of {@link #nextTimerAt} if no timer is running. */
   static final long NO_TIMER = Long.MAX_VALUE;
 
-  /** {@code sequence} keeps timers that are due at the same time in the order of their start. */
+  /**
+   * A running timer. {@code sequence} orders timers that are due at the same time by their start.
+   */
   private record Timer(long dueAt, long sequence, TimerToken token) {}
 
   private final DecisionEngine engine;
@@ -55,7 +58,7 @@
   /**
    * Fires the timers that are due.
    *
-   * @return whether there were any
+   * @return whether any timer was due
    * @throws DecisionFailedException if the engine throws
    */
   boolean fireDueTimers(long now) {
@@ -67,18 +70,18 @@
     return fired;
   }
 
-  /** Returns when the next timer is due, {@link #NO_TIMER} if none runs. */
+  /** Returns when the next timer is due, or {@link #NO_TIMER} if none is running. */
   long nextTimerAt() {
     return timers.isEmpty() ? NO_TIMER : timers.peek().dueAt;
   }
 
-  /** Returns whether the engine handled an event since the last batch ended. */
+  /** Returns whether the engine has handled an event since the last batch ended. */
   boolean hasPendingEvents() {
     return eventsPending;
   }
 
   /**
-   * Ends the batch and carries out what does not concern proxies.
+   * Ends the batch and executes the commands that do not concern proxies.
    *
    * @return the commands that concern proxies, in order
    * @throws DecisionFailedException if the engine throws
@@ -101,10 +104,10 @@
     return proxyCommands;
   }
 
-  /** Carries a command out; false if it concerns proxies. */
+  /** Executes a command that does not concern proxies; returns false for one that does. */
   private boolean executeIfLocal(Command command, long now) {
     if (command instanceof Command.StartTimer start) {
-      // Never due in the batch that started it: the engine could keep the thread busy for ever.
+      // Never due in the batch that starts it, or the engine could keep the thread busy forever.
       long delay = Math.max(1, start.delay());
       timers.add(new Timer(now + delay, startedTimers++, start.token()));
     } else if (command instanceof Command.FetchEndpoints) {
@@ -121,7 +124,7 @@
     return true;
   }
 
-  /** Returns how many batches have ended. */
+  /** Returns the number of batches that have ended. */
   long endedBatches() {
     return endedBatches;
   }
--- a/src/main/java/stonespring/daemon/EngineThread.java
+++ b/src/main/java/stonespring/daemon/EngineThread.java
@@ -10,18 +10,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The thread that drives an {@link EngineHost}: jobs from other threads wait in a queue, those of
- * one batch are run together, then the host does what is due. A job that throws a {@link
- * RuntimeException} is logged and the next one runs; a failure of the decision engine ({@link
- * DecisionFailedException}), of the host's own work after the jobs, or an {@link Error} ends the
- * thread.
+ * The thread that runs an {@link EngineHost}. Jobs from other threads wait in a queue; the thread
+ * runs all waiting jobs as one batch and then the host's due work. If a job throws a {@link
+ * RuntimeException}, it is logged and the next job runs. The thread ends if the decision engine
+ * fails ({@link DecisionFailedException}), if the host's due work throws, or on an {@link Error}.
  *
- * <p>Jobs that are offered are refused when the queue is full; those that are posted are not, so
- * only jobs that are few may be posted. Methods may be called from any thread.
+ * <p>Offered jobs are refused when too many of them wait. Posted jobs are never refused, so only
+ * rare ones may be posted, such as updates of the endpoint list and closed connections. Methods may
+ * be called from any thread.
  */
 final class EngineThread {
   private static final Logger LOG = LoggerFactory.getLogger(EngineThread.class);
+
+  /** Upper limit of the histogram; longer batches are recorded as this duration. */
   private static final long MAX_BATCH_NANOS = TimeUnit.MINUTES.toNanos(1);
+
   private static final int BATCH_SIGNIFICANT_DIGITS = 3;
   private static final long STOP_TIMEOUT_SECONDS = 10;
 
@@ -31,7 +34,8 @@
     /**
      * Runs the job.
      *
-     * @param now the clock, the same for all jobs of a batch; {@link stonespring.model.DeciMillis}
+     * @param now the time at the start of the batch, the same for all its jobs, in {@link
+     *     stonespring.model.DeciMillis}
      */
     void run(EngineHost host, long now);
   }
@@ -46,15 +50,15 @@
   private volatile boolean stopping;
   private volatile Optional<Throwable> failure = Optional.empty();
 
-  /** Nanoseconds; written by the engine thread, read after its end. */
+  /** In nanoseconds; written by the engine thread, read only after it has ended. */
   private final DurationHistogram batchDurations =
       new DurationHistogram(MAX_BATCH_NANOS, BATCH_SIGNIFICANT_DIGITS);
 
   /**
-   * Creates a thread that does not run yet; its queue takes jobs already.
+   * Creates the thread without starting it; jobs can be queued already.
    *
-   * @param maxOfferedJobs offered jobs that may wait
-   * @param batchDelayMillis how long a batch's first job waits for others
+   * @param maxOfferedJobs maximum number of offered jobs that wait at a time
+   * @param batchDelayMillis how long the first job of a batch waits for others
    */
   EngineThread(InstanceClock clock, int maxOfferedJobs, int batchDelayMillis) {
     this.clock = clock;
@@ -62,7 +66,7 @@
     this.batchDelayMillis = batchDelayMillis;
   }
 
-  /** Starts the thread. The host must not be used by any other thread from now on. */
+  /** Starts the thread. From then on no other thread may use the host. */
   void start(String name, EngineHost host) {
     Thread thread = new Thread(() -> run(host), name + "-loop");
     thread.setUncaughtExceptionHandler((t, e) -> LOG.error("event loop ended", e));
@@ -90,12 +94,12 @@
     }
   }
 
-  /** Waits for jobs or the time, and runs a batch; returns when something is due next. */
+  /** Waits for a job or for due work, and runs a batch; returns when work is due next. */
   private long runBatch(EngineHost host, long wakeAt) throws InterruptedException {
     long waitDeciMillis = Math.max(0, wakeAt - clock.now());
     Job job = queue.poll(InstanceClock.toMicros(waitDeciMillis), TimeUnit.MICROSECONDS);
     if (job != null && batchDelayMillis > 0) {
-      Thread.sleep(batchDelayMillis); // for jobs that arrive together
+      Thread.sleep(batchDelayMillis); // collects jobs that arrive together
     }
     long startedNanos = System.nanoTime();
     long now = clock.now();
@@ -121,7 +125,7 @@
     }
   }
 
-  /** Queues a job; returns false if there is no room or the thread stops. */
+  /** Queues a job; returns false if too many offered jobs wait or the thread is stopping. */
   boolean offer(Job job) {
     if (offeredJobs.incrementAndGet() > maxOfferedJobs || stopping) {
       offeredJobs.decrementAndGet();
@@ -136,15 +140,18 @@
     return true;
   }
 
-  /** Queues a job, whether or not there is room. */
+  /** Queues a job, however many wait. */
   void post(Job job) {
     queue.add(job);
   }
 
-  /** Ends the thread after the batch that it runs, and waits for that. */
+  /**
+   * Ends the thread after its current batch, and waits up to {@link #STOP_TIMEOUT_SECONDS} for its
+   * end.
+   */
   void stop() throws InterruptedException {
     stopping = true;
-    post((host, now) -> {}); // wakes it
+    post((host, now) -> {}); // wakes the thread
     ended.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
@@ -159,14 +166,14 @@
   }
 
   /**
-   * Returns how long batches with events took, from their first job to their last update, in
-   * nanoseconds. To be used after the thread's end.
+   * Returns the durations of batches with events, from the first job to the last published update,
+   * in nanoseconds. May be called only after the thread has ended.
    */
   DurationHistogram batchDurations() {
     return batchDurations;
   }
 
-  /** Returns how many offered jobs were refused. */
+  /** Returns the number of offered jobs that were refused. */
   long refusedJobs() {
     return refusedJobs.get();
   }
--- a/src/main/java/stonespring/daemon/EngineTimer.java
+++ b/src/main/java/stonespring/daemon/EngineTimer.java
@@ -4,7 +4,9 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Wakes the event loop when the engine's next timer is due. Confined to the event loop. */
+/**
+ * Runs an action on the event loop when the engine's next timer is due. Confined to the event loop.
+ */
 final class EngineTimer {
   private final EventLoop eventLoop;
   private final Runnable onTimerDue;
@@ -17,9 +19,9 @@
   }
 
   /**
-   * Schedules the wake-up in place of the one before.
+   * Schedules the action in place of the one that was scheduled before.
    *
-   * @param dueAt {@link EngineRunner#NO_TIMER} leaves the one before
+   * @param dueAt {@link EngineRunner#NO_TIMER} leaves the earlier one in place
    */
   void schedule(long dueAt, long now) {
     if (dueAt == scheduledAt || dueAt == EngineRunner.NO_TIMER) {
@@ -39,7 +41,10 @@
     onTimerDue.run();
   }
 
-  /** Forgets what is scheduled, so that any time is scheduled anew. */
+  /**
+   * Clears the recorded due time, so that the next {@link #schedule} takes effect even for the same
+   * time.
+   */
   void reset() {
     scheduledAt = EngineRunner.NO_TIMER;
   }
--- a/src/main/java/stonespring/daemon/EventBatcher.java
+++ b/src/main/java/stonespring/daemon/EventBatcher.java
@@ -7,7 +7,7 @@
 import stonespring.model.Event;
 
 /**
- * Collects events that arrive together and hands them over as one batch, with a minimum interval
+ * Collects events that arrive together and delivers them as one batch, with a minimum interval
  * between batches. Confined to its event loop.
  */
 final class EventBatcher {
@@ -18,7 +18,7 @@
      * Runs a batch of events in the order of their arrival.
      *
      * @param events may be empty, as a batch may be requested for timers alone
-     * @param now the clock at the batch's start, {@link stonespring.model.DeciMillis}
+     * @param now the time at the start of the batch, in {@link stonespring.model.DeciMillis}
      */
     void runBatch(List<Event> events, long now);
   }
@@ -35,7 +35,8 @@
   /**
    * Creates a batcher.
    *
-   * @param minInterval between the starts of batches, {@link stonespring.model.DeciMillis}
+   * @param minInterval minimum time between the starts of two batches, in {@link
+   *     stonespring.model.DeciMillis}
    */
   EventBatcher(EventLoop eventLoop, InstanceClock clock, long minInterval, Listener listener) {
     this.eventLoop = eventLoop;
@@ -56,7 +57,7 @@
     }
   }
 
-  /** Discards the events that wait for a batch. */
+  /** Discards the events that wait for the next batch. */
   void clear() {
     events.clear();
   }
@@ -69,13 +70,13 @@
     batchScheduled = true;
     long delay = lastBatchAt + minInterval - clock.now();
     if (delay <= 0) {
-      eventLoop.execute(this::runBatch); // behind the messages that were read together
+      eventLoop.execute(this::runBatch); // after the messages read in the same pass
     } else {
       eventLoop.schedule(this::runBatch, InstanceClock.toMicros(delay), TimeUnit.MICROSECONDS);
     }
   }
 
-  /** Runs a batch now. */
+  /** Runs a batch of the collected events now. */
   void runBatch() {
     batchScheduled = false;
     if (stopped) {
@@ -88,7 +89,7 @@
     listener.runBatch(batch, now);
   }
 
-  /** Runs no more batches. */
+  /** Prevents all further batches. */
   void stop() {
     stopped = true;
   }
--- a/src/main/java/stonespring/daemon/Instance.java
+++ b/src/main/java/stonespring/daemon/Instance.java
@@ -2,15 +2,15 @@
 
 import java.util.Optional;
 
-/** A running instance, as the process that runs it sees it. Thread-safe. */
+/** A running instance, as seen by the process around it. Thread-safe. */
 public interface Instance {
   /**
    * Waits until the instance has ended.
    *
-   * @return the failure that ended it, empty if it was stopped
+   * @return the failure that ended the instance, or empty if it was stopped
    */
   Optional<Throwable> awaitEnd() throws InterruptedException;
 
-  /** Stops an instance that has started, in order. May be called once. */
+  /** Stops a started instance in an orderly way. May be called only once. */
   void stop() throws InterruptedException;
 }
--- a/src/main/java/stonespring/daemon/InstanceClock.java
+++ b/src/main/java/stonespring/daemon/InstanceClock.java
@@ -4,14 +4,13 @@
 import stonespring.model.DeciMillis;
 
 /**
- * An instance's clock, in {@link DeciMillis}. It follows the monotonic clock from the wall clock's
- * time at its creation, so it never goes back and does not move when the wall clock is set.
- * Immutable.
+ * An instance's clock, in {@link DeciMillis}. It advances with the monotonic clock from the time of
+ * its creation, so it never goes back and does not jump when the wall clock is set. Immutable.
  */
 public final class InstanceClock {
   /**
-   * The clock's time at its creation: a day, so that an endpoint that started within the day before
-   * has a positive start time, from which its warm-up is computed.
+   * The clock's time at its creation: one day, so that an endpoint that started up to a day earlier
+   * has a positive start time. Its warm-up is computed from that time.
    */
   private static final long INITIAL_TIME = TimeUnit.DAYS.toSeconds(1) * DeciMillis.SECOND;
 
@@ -41,7 +40,10 @@
     return deciMillis / (double) DECI_MILLIS_PER_MILLI;
   }
 
-  /** Returns what is subtracted from a Unix time in deci-milliseconds to get this clock's time. */
+  /**
+   * Returns the difference to subtract from a Unix time in deci-milliseconds to get this clock's
+   * time.
+   */
   public long unixOffset() {
     return unixOffset;
   }
--- a/src/main/java/stonespring/daemon/ListedEndpoints.java
+++ b/src/main/java/stonespring/daemon/ListedEndpoints.java
@@ -6,7 +6,10 @@
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
-/** The endpoints that the list ever named, and those that are ready. Not thread-safe. */
+/**
+ * All endpoints that have been in the endpoint list since the start, and those that are ready now.
+ * Not thread-safe.
+ */
 final class ListedEndpoints {
   private final Set<EndpointId> everListed = new HashSet<>();
   private final Set<EndpointId> ready = new HashSet<>();
--- a/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
+++ b/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
@@ -5,9 +5,15 @@
 import stonespring.model.Settings;
 import stonespring.proxyapi.platform.PlatformProxyApi;
 
-/** Derives the limits of connections on the platform from the process's file descriptors. */
+/**
+ * Derives the connection limits on the platform from the number of file descriptors that the
+ * process may use.
+ */
 final class PlatformConnectionLimits {
+  /** Limit for a received line; the longest valid one has a few hundred bytes. */
   private static final int MAX_LINE_BYTES = 16 << 10;
+
+  /** Limit for unsent data of one connection: over a hundred messages. */
   private static final int MAX_PENDING_BYTES = 64 << 10;
 
   /**
@@ -15,21 +21,24 @@
    */
   private static final int HANDSHAKE_TIMEOUT_MILLIS = 1_500;
 
-  /** Descriptors of the process itself, of the listener and of requests to discovery. */
+  /** Descriptors for the process itself, the listener and the requests to discovery. */
   private static final int RESERVED_DESCRIPTORS = 56;
 
+  /** Some clients must always be able to connect and complete their handshakes. */
   private static final int MIN_PENDING_HANDSHAKES = 8;
+
+  /** More connections of this kind would only use memory. */
   private static final int MAX_PENDING_HANDSHAKES = 256;
 
   private PlatformConnectionLimits() {}
 
   /**
-   * Connections with a pending handshake may use the descriptors left over by proxies, collectors
-   * and the process itself.
+   * Computes the limits. Connections with a pending handshake may use the descriptors that proxies,
+   * collectors and the process itself leave over.
    */
   static LineLimits of(PlatformConfig config) {
     Settings.Fleet fleet = config.settings().settings().fleet();
-    // One collector above its zone's bound is accepted before the oldest is closed.
+    // In each zone one collector above the limit is accepted before the oldest one is closed.
     int collectors = (PlatformProxyApi.MAX_COLLECTORS_PER_ZONE + 1) * fleet.zones();
     int available = config.sockets() - fleet.proxies() - collectors - RESERVED_DESCRIPTORS;
     int pendingHandshakes =
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -19,12 +19,13 @@
 
 /**
  * An instance on the operators' platform. Its sockets and its decision engine share one event loop,
- * since the process has a part of one core. Public methods may be called from any thread.
+ * since the process may use only a fraction of one core. Public methods may be called from any
+ * thread.
  */
 public final class PlatformDaemon implements Instance {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformDaemon.class);
 
-  /** Per step of the stop; what was written is sent well within it. */
+  /** Time limit for each step of the stop; written data is sent well within it. */
   private static final long STOP_TIMEOUT_MILLIS = 300;
 
   private final PlatformConfig config;
@@ -71,8 +72,8 @@
   }
 
   /**
-   * Runs a first batch and then listens: whoever gets an answer finds an engine that has the
-   * endpoint list.
+   * Runs a first batch and then starts to listen, so that the engine has the endpoint list before
+   * any client gets an answer.
    */
   public void start() throws InterruptedException {
     eventLoop.submit(this::startEngine).sync();
@@ -106,16 +107,17 @@
   }
 
   /**
-   * Sets what is done besides when the endpoint list can't be fetched or watched. It runs on the
-   * event loop and must not block.
+   * Sets an action that runs after each failure to fetch or watch the endpoint list. The action
+   * runs on the event loop and must not block.
    */
   public void onFetchFailed(Runnable action) {
     eventLoop.execute(() -> onFetchFailed = action);
   }
 
   /**
-   * Applies the address of discovery of a new configuration. Other settings or another listen
-   * address need a restart of the process: a warning says so. All other fields are ignored.
+   * Applies the discovery address of a new configuration. A change of the settings or of the listen
+   * address needs a restart of the process and is logged as a warning. All other fields are
+   * ignored.
    */
   public void reload(PlatformConfig newConfig) {
     boolean sameSettings = newConfig.settings().equals(config.settings());
@@ -126,7 +128,7 @@
     source.moveTo(newConfig.discovery());
   }
 
-  /** Returns the port that the instance listens at. */
+  /** Returns the port that the instance listens on. */
   public int port() {
     return server.port();
   }
@@ -136,7 +138,7 @@
     return ended.join();
   }
 
-  /** Takes no new connections, sends what was written and closes all connections. */
+  /** Accepts no new connections, sends written data and closes all connections. */
   @Override
   public void stop() throws InterruptedException {
     eventLoop.execute(engine::stop);
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -12,10 +12,10 @@
 import stonespring.proxyapi.platform.PlatformProxyApi;
 
 /**
- * Runs the decision engine of a {@link PlatformDaemon}: events are passed to it in batches, its
- * commands are carried out by the proxy API. An engine that fails is replaced by a new one, which
- * starts with the current endpoint list and the connected proxies, so that no proxy loses its
- * connection; {@link RestartBudget} limits how often. Confined to the event loop, but for the
+ * Runs the decision engine of a {@link PlatformDaemon}: passes events to it in batches and has the
+ * proxy API execute its commands. A failed engine is replaced by a new one that starts with the
+ * current endpoint list and the connected proxies, so that no proxy loses its connection. {@link
+ * RestartBudget} limits how often this happens. Confined to the event loop, except for the
  * constructor.
  */
 final class PlatformEngine {
@@ -37,10 +37,10 @@
   private int engineFailures;
 
   /**
-   * Creates what runs the engine; the engine itself is created by {@link #start}.
+   * Creates an object without an engine; {@link #start} creates the engine.
    *
-   * @param onRestartsExhausted takes the cause when the engine failed too often; it is not
-   *     restarted then
+   * @param onRestartsExhausted receives the cause when the engine has failed too often to be
+   *     restarted
    */
   PlatformEngine(
       PlatformConfig config,
@@ -63,7 +63,7 @@
     this.timer = new EngineTimer(eventLoop, eventBatcher::requestBatch);
   }
 
-  /** Creates the engine; must be called before anything else. */
+  /** Creates the engine. Must be called before any other method. */
   void start() {
     engineRunner = createRunner(config.seed());
   }
@@ -73,7 +73,7 @@
     return new EngineRunner(engine, endpointListRequests);
   }
 
-  /** Passes an event to the engine with one of the next batches. */
+  /** Passes an event to the engine in one of the next batches. */
   void handle(Event event) {
     if (ReportBatcher.isReport(event)) {
       reportBatcher.add(event);
@@ -87,7 +87,7 @@
     eventBatcher.addAll(reports);
   }
 
-  /** Runs a batch of the events so far, without the minimum interval. */
+  /** Runs a batch of the events so far without waiting for the minimum interval. */
   void runBatchNow() {
     eventBatcher.runBatch();
   }
@@ -105,8 +105,8 @@
     } catch (DecisionFailedException e) {
       restartEngine(e.getCause());
     } catch (RuntimeException | Error e) {
-      // Also after an error: the batch's events are lost, and a proxy that connected in it would
-      // never get a route table.
+      // Any other exception or error needs a restart too: the events of the batch are lost, and a
+      // proxy that connected in it would never get a route table.
       restartEngine(e);
     }
     timer.schedule(engineRunner.nextTimerAt(), now);
@@ -132,8 +132,8 @@
   }
 
   /**
-   * Runs no more batches: proxies connect to other instances from now on, and a command from here
-   * could undo one from there.
+   * Prevents all further batches. Proxies connect to other instances from now on, and a command of
+   * this instance could undo one of theirs.
    */
   void stop() {
     eventBatcher.stop();
--- a/src/main/java/stonespring/daemon/PlatformStatistics.java
+++ b/src/main/java/stonespring/daemon/PlatformStatistics.java
@@ -3,11 +3,13 @@
 import stonespring.model.DeciMillis;
 
 /**
- * Durations of batches, and of the way from an interval's first report to the commands that follow
+ * Durations of batches, and delays from the first report of an interval to the commands that result
  * from it. Times are {@link DeciMillis}. Confined to the event loop.
  */
 final class PlatformStatistics {
+  /** Upper limit of the histograms; longer durations are recorded as this one. */
   private static final long MAX_DURATION = 60 * DeciMillis.SECOND;
+
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final long NO_REPORTS = -1;
 
@@ -17,7 +19,7 @@
       new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
   private long firstReportArrivedAt = NO_REPORTS;
 
-  /** The next batch contains reports, of which the first arrived at this time. */
+  /** Records that the next batch contains reports, and when the first of them arrived. */
   void recordFirstReport(long firstArrivedAt) {
     firstReportArrivedAt = firstArrivedAt;
   }
@@ -30,7 +32,7 @@
     }
   }
 
-  /** Describes both distributions for the log. */
+  /** Formats both distributions for the log. */
   @Override
   public String toString() {
     return "batches "
--- a/src/main/java/stonespring/daemon/QueuedMessageHandler.java
+++ b/src/main/java/stonespring/daemon/QueuedMessageHandler.java
@@ -9,9 +9,9 @@
 import stonespring.state.ProxyReport;
 
 /**
- * Hands messages of proxies over to the thread that drives the {@link EngineHost}. A message that
- * the thread's queue has no room for is refused, and the proxy connects again; that a connection
- * was closed is never refused. Thread-safe.
+ * Passes messages of proxies to the thread that runs the {@link EngineHost}. A message is refused
+ * if the thread's queue is full, and the proxy has to connect again. The closing of a connection is
+ * always passed on. Thread-safe.
  */
 final class QueuedMessageHandler implements ProxyMessageHandler {
   private final EngineThread thread;
--- a/src/main/java/stonespring/daemon/ReportBatcher.java
+++ b/src/main/java/stonespring/daemon/ReportBatcher.java
@@ -8,24 +8,27 @@
 import stonespring.model.Event;
 
 /**
- * Gathers the reports of one interval, which arrive in pieces on many connections, and delivers
- * them together: a part of them would look to the engine like an interval without requests. They
- * are delivered once none arrived for a short while, but no later than a bound. Confined to its
- * event loop.
+ * Collects the reports of one interval, which arrive in pieces on many connections, and delivers
+ * them together. If only a part were delivered, the missing ones would look to the engine like an
+ * interval without requests. The reports are delivered once none has arrived for {@link
+ * #QUIET_PERIOD_MILLIS}, but at the latest {@link #MAX_DELAY_MILLIS} after the first; they describe
+ * a past interval and nothing else waits for them. Confined to its event loop.
  */
 final class ReportBatcher {
   private static final long QUIET_PERIOD_MILLIS = 30;
   private static final long MAX_DELAY_MILLIS = 200;
+
+  /** Number of collected reports that are delivered at once. */
   private static final int MAX_REPORTS = 20_000;
 
-  /** Takes gathered reports, on the event loop. */
+  /** Receives the collected reports on the event loop. */
   @FunctionalInterface
   interface Listener {
     /**
-     * Takes reports in the order of their arrival.
+     * Handles reports in the order of their arrival.
      *
      * @param reports valid during the call only; may be empty
-     * @param firstArrivedAt when the first of them arrived, {@link DeciMillis}
+     * @param firstArrivedAt arrival time of the first report, in {@link DeciMillis}
      */
     void handleReports(List<Event> reports, long firstArrivedAt);
   }
@@ -43,7 +46,7 @@
     this.listener = listener;
   }
 
-  /** Returns whether an event is a report, to be gathered here. */
+  /** Returns whether an event is a report, which this class collects. */
   static boolean isReport(Event event) {
     return event instanceof Event.EndpointOutcomes || event instanceof Event.ProxyRequestRate;
   }
@@ -60,7 +63,7 @@
     }
   }
 
-  /** Discards what was gathered and not delivered. */
+  /** Discards the collected reports. */
   void clear() {
     reports.clear();
   }
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -27,9 +27,11 @@
 import stonespring.config.InstanceSettings;
 import stonespring.zmtp.ZmtpLimits;
 
-/** Peers that violate a protocol: each loses its own connection, and the instance goes on. */
+/**
+ * Peers that violate a protocol: the instance closes their connections and keeps serving others.
+ */
 final class BadPeerTest {
-  /** An upper bound; every wait ends with its event. */
+  /** Upper bound of each wait, which ends as soon as its event happens. */
   private static final int TIMEOUT_MILLIS = 10_000;
 
   private static final byte[] PUB_HANDSHAKE = join(greeting("NULL"), readyCommand("PUB"));
@@ -115,17 +117,17 @@
       byte[] buffer = new byte[4096];
       try {
         while (in.read(buffer) >= 0) {
-          // what was sent before the close does not matter
+          // data sent before the close is irrelevant
         }
       } catch (SocketTimeoutException e) {
         throw new AssertionError("the connection is still open", e);
       } catch (IOException e) {
-        // a reset closes it too
+        // a reset closes the connection too
       }
     }
   }
 
-  /** Sets a key at the collector's port, which must close the connection. */
+  /** Sends a key to the collector port and waits until the instance closes the connection. */
   private static void assertClosesOnKey(String key, String uuid, String properties, String value)
       throws IOException {
     assertCloses(2, join(PUB_HANDSHAKE, message(key, ZERO_SEQUENCE, uuid, properties, value)));
--- a/src/test/java/stonespring/daemon/ChpServerStopTest.java
+++ b/src/test/java/stonespring/daemon/ChpServerStopTest.java
@@ -33,20 +33,23 @@
 import stonespring.state.ProxyReport;
 import stonespring.zmtp.ZmtpLimits;
 
-/** Start and stop of a server that subscribers read from. */
+/** Start and stop of a CHP server. */
 final class ChpServerStopTest {
-  /** 7 MB: more than the buffers of both sockets hold, less than a peer may leave unread. */
+  /**
+   * Snapshot of 7 MB: more than the buffers of both sockets hold, less than a peer may leave
+   * unread.
+   */
   private static final int KEY_COUNT = 7_000;
 
   private static final int TIMEOUT_MILLIS = 10_000;
 
-  /** A greeting without security, and the READY command of a DEALER socket. */
+  /** A ZMTP greeting without security, and the READY command of a DEALER socket. */
   private static final String GREETING_AND_READY =
       "FF 0000000000000000 7F 03 01 4E554C4C 00000000000000000000000000000000 00"
           + "00".repeat(31)
           + "04 1C 05 5245414459 0B 536F636B65742D54797065 00000006 4445414C4552";
 
-  /** Answers each request for a snapshot with a large one, at once. */
+  /** Answers each snapshot request immediately with a large snapshot. */
   private static final class LargeSnapshotHandler implements ProxyMessageHandler {
     private final CountDownLatch snapshotSent = new CountDownLatch(1);
 
@@ -86,7 +89,10 @@
     return HexFormat.of().parseHex(digits.replace(" ", ""));
   }
 
-  /** The reader gets every key and the command that ends the snapshot. */
+  /**
+   * The client receives every key and the command that ends the snapshot, although the stop begins
+   * while the snapshot is being sent.
+   */
   @Test
   void sendsPendingSnapshotCompletelyWhenStopped() throws Exception {
     MultiThreadIoEventLoopGroup eventLoops =
@@ -127,7 +133,7 @@
     }
   }
 
-  /** Reads a greeting and frames up to the end of a snapshot; returns the number of its keys. */
+  /** Reads a greeting and all frames of a snapshot; returns the number of keys. */
   private static int readSnapshot(DataInputStream in) throws IOException {
     in.readFully(new byte[64]);
     int keys = 0;
--- a/src/test/java/stonespring/daemon/EndpointListRequest.java
+++ b/src/test/java/stonespring/daemon/EndpointListRequest.java
@@ -4,7 +4,7 @@
 import java.net.ServerSocket;
 import stonespring.http.ManualHttpExchange;
 
-/** A request for the endpoint list, which the test answers in discovery's place. */
+/** A request for the endpoint list that the test answers in place of the discovery server. */
 final class EndpointListRequest implements AutoCloseable {
   private final ManualHttpExchange exchange;
 
@@ -12,17 +12,17 @@
     exchange = new ManualHttpExchange(discovery);
   }
 
-  /** The request's path and query. */
+  /** Returns the request's path and query. */
   String target() {
     return exchange.target();
   }
 
-  /** Begins the answer to a watch with a list; the answer stays open. */
+  /** Starts the response to a watch with an endpoint list; the response stays open. */
   void beginWatch(String endpointList) throws IOException {
     exchange.writeRaw(ManualHttpExchange.CHUNKED_HEAD).writeChunk(endpointList + "\n");
   }
 
-  /** Waits for the client's end of the connection, or the next byte from it. */
+  /** Waits until the client closes the connection or sends a byte; returns whether it closed it. */
   boolean closedByClient() throws IOException {
     return exchange.closedByClient();
   }
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -20,7 +20,7 @@
 import stonespring.state.ProxyHello;
 import stonespring.state.ProxyReport;
 
-/** A whole host in virtual time, with proxies that follow what it publishes. */
+/** A complete host in virtual time, with proxies that apply what it publishes. */
 final class EngineHostTest {
   private static final RequestClassId VIEW = new RequestClassId(0);
 
@@ -96,7 +96,7 @@
         proxy.connection().closeReason());
   }
 
-  /** A half-open connection hides that the old stream is dead. */
+  /** The old connection is half open, so the host has not noticed that its stream is dead. */
   @Test
   void replacesSessionWhenProxyConnectsOnNewerStream() {
     HostSimulation simulation = createSimulationWithOneEndpoint();
--- a/src/test/java/stonespring/daemon/HostSimulation.java
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -32,18 +32,18 @@
 import stonespring.state.ProxyReport;
 
 /**
- * A host with proxies in virtual time, all from one seed. {@link #run} asserts after each step what
- * a host promises to proxies.
+ * A host with proxies in virtual time, driven by one random seed. {@link #run} checks the host's
+ * guarantees to proxies after each step.
  */
 final class HostSimulation {
   static final long SECOND = DeciMillis.SECOND;
 
-  /** Deci-milliseconds of one step. */
+  /** Duration of one step, in deci-milliseconds. */
   static final long STEP = 500;
 
   static final long SESSION_TIMEOUT = 3 * SECOND;
 
-  /** Within which a proxy must have stopped sending to an endpoint that left. */
+  /** Time within which a proxy must stop sending to an endpoint that drains or is removed. */
   private static final long MAX_REMOVAL_DELAY = 3 * SECOND;
 
   private static final int ZONES = 2;
@@ -68,7 +68,7 @@
   /**
    * Creates a simulation that has no host yet.
    *
-   * @param withWeightAdvisor whether the engine gets advice from the solver
+   * @param withWeightAdvisor whether the solver advises the engine on weights
    */
   HostSimulation(long seed, boolean withWeightAdvisor) {
     this.random = new SplittableRandom(seed);
@@ -101,17 +101,17 @@
     return proxies;
   }
 
-  /** How often a host was started. */
+  /** Returns how often a host has been started. */
   int hostStarts() {
     return hostStarts;
   }
 
-  /** How often a proxy lost an update. */
+  /** Returns how many updates the proxies have lost. */
   int resyncs() {
     return proxies.stream().mapToInt(SimulatedProxy::resyncs).sum();
   }
 
-  /** Starts a host in place of the one before; all proxies lose their connections. */
+  /** Starts a host that replaces the previous one; all proxies lose their connections. */
   void startHost() {
     hostStarts++;
     host =
@@ -182,13 +182,13 @@
     return new SimulatedProxy(name, zone, settings.channel());
   }
 
-  /** Moves the time on and lets the host do what is due. */
+  /** Advances the time and runs the due work of the host. */
   void advance(long duration) {
     now += duration;
     host.runDue(now);
   }
 
-  /** Moves the time on, before the host does anything. */
+  /** Advances the time without running the host. */
   void advanceClock(long duration) {
     now += duration;
   }
@@ -207,7 +207,10 @@
     proxy.connect(host, now);
   }
 
-  /** Sends a report as if requests were spread by the proxy's weights; removed endpoints fail. */
+  /**
+   * Sends a report as if requests were distributed by the proxy's weights; attempts to removed
+   * endpoints fail.
+   */
   void report(SimulatedProxy proxy) {
     List<ProxyReport.EndpointObservation> observations = new ArrayList<>();
     proxy
@@ -231,7 +234,10 @@
         new LoadReport(0.5, 1, Double.NaN, Double.NaN, Double.NaN));
   }
 
-  /** Runs a fleet with random restarts, list changes and lost connections, and checks each step. */
+  /**
+   * Simulates a fleet with random host restarts, changes of the endpoint list and lost connections,
+   * and checks the invariants after each step.
+   */
   void run(int steps) {
     for (int i = 0; i < ENDPOINTS; i++) {
       addEndpoint("t" + i + "@h:" + (i + 1), i % ZONES);
--- a/src/test/java/stonespring/daemon/LineClient.java
+++ b/src/test/java/stonespring/daemon/LineClient.java
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A proxy's connection to an instance on the platform, by a plain socket. */
+/** A proxy's connection to an instance on the platform, over a plain socket. */
 final class LineClient implements AutoCloseable {
   private final Socket socket;
   private final BufferedReader reader;
@@ -25,12 +25,15 @@
     socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Reads a line, null at the end. */
+  /** Reads a line; returns null at the end of the stream. */
   String readLine() throws IOException {
     return reader.readLine();
   }
 
-  /** Reads on until a line that changes no route table. */
+  /**
+   * Skips lines that change a route table and returns the next other line, or null at the end of
+   * the stream.
+   */
   String readLineAfterUpdates() throws IOException {
     String line = reader.readLine();
     while (line != null && line.startsWith("CONFIG")) {
@@ -39,7 +42,7 @@
     return line;
   }
 
-  /** Reads all that is left until the end. */
+  /** Reads everything up to the end of the stream. */
   String readRest() throws IOException {
     StringBuilder rest = new StringBuilder();
     for (int next = reader.read(); next >= 0; next = reader.read()) {
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -17,7 +17,7 @@
 import stonespring.config.InvalidConfigException;
 import stonespring.config.PlatformConfig;
 
-/** The platform's configuration: at the start, and read again by a SIGHUP or without one. */
+/** Reading of the platform's configuration at the start, and reloads with and without SIGHUP. */
 final class PlatformConfigurationTest {
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
@@ -25,7 +25,7 @@
     pipe.write(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Answers the first watch with a list of version 5. */
+  /** Answers the first watch with version 5 of the endpoint list. */
   private EndpointListRequest answerFirstWatch() throws Exception {
     EndpointListRequest watch = platform.acceptListRequest(platform.discovery());
     watch.beginWatch(endpointList(5, endpoint("s-1", "west")));
@@ -33,8 +33,9 @@
   }
 
   /**
-   * Two signals follow closely, each with a thread of its own. The first one's file is a pipe that
-   * the test holds back, the second one's is newer: what the first reads must not be applied last.
+   * Two signals arrive shortly after each other and are handled on threads of their own. The first
+   * reload reads an older configuration from a pipe that the test holds back, the second one reads
+   * a newer file. The older configuration must not be applied last.
    */
   @Test
   void appliesNewerConfigurationWhenTwoReloadsOverlap() throws Exception {
@@ -46,13 +47,13 @@
     ServerSocket newer = platform.listen();
     platform.replaceConfigWithPipe();
     process.sendSighup();
-    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
+    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // waits for the reader
       platform.replaceConfig(platform.config(newer));
       process.sendSighup();
       process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery moves from");
       writeToPipe(pipe, platform.config(older));
     }
-    // The older address may have been asked or not; the one asked in the end is the newer one.
+    // Whether or not the older address is contacted, the newer one is used in the end.
     EndpointListRequest last = platform.acceptListRequest(newer);
     last.beginWatch(endpointList(6, endpoint("s-1", "west")));
     process.awaitLog("/127.0.0.1:" + newer.getLocalPort() + " answers");
@@ -63,13 +64,16 @@
             + newer.getLocalPort());
   }
 
-  /** The signal arrives while the file is read for the first time, from a pipe held back. */
+  /**
+   * The signal arrives while the first read of the configuration waits for a pipe that the test
+   * holds back.
+   */
   @Test
   void reloadsAfterStartWhenSignalArrivesDuringStart() throws Exception {
     ServerSocket newer = platform.listen();
     platform.replaceConfigWithPipe();
     PlatformProcess process = platform.startProcess();
-    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
+    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // waits for the reader
       platform.replaceConfig(platform.config(newer));
       process.sendSighup();
       writeToPipe(pipe, platform.config());
@@ -78,7 +82,7 @@
         "/registry/instances?stream=1&index=4", platform.acceptListRequest(newer).target());
   }
 
-  /** The old address ends the watch and accepts nobody; there is no signal. */
+  /** The old address ends the watch and accepts no connections; no signal is sent. */
   @Test
   void followsDiscoveryToNewAddressWithoutSignal() throws Exception {
     platform.writeConfig(platform.config());
@@ -93,7 +97,7 @@
         "/registry/instances?stream=1&index=5", platform.acceptListRequest(moved).target());
   }
 
-  /** As under nohup, where no handler of the process is called. */
+  /** SIGHUP is ignored as under nohup, so no signal handler of the process is called. */
   @Test
   void followsDiscoveryToNewAddressAndLogsThatSighupIsIgnored() throws Exception {
     platform.writeConfig(platform.config());
@@ -110,7 +114,10 @@
         "/registry/instances?stream=1&index=5", platform.acceptListRequest(moved).target());
   }
 
-  /** The settings tell of the simulator's discovery; on the platform a list must be watched. */
+  /**
+   * The setting {@code pushed} describes discovery in the simulator; on the platform the endpoint
+   * list must be watched in any case.
+   */
   @Test
   void watchesEndpointListWhenSettingsSayThatItIsPushed() throws Exception {
     platform.writeConfig(platform.config().replace("\"on_request\"", "\"pushed\""));
--- a/src/test/java/stonespring/daemon/PlatformEngineTest.java
+++ b/src/test/java/stonespring/daemon/PlatformEngineTest.java
@@ -18,14 +18,16 @@
 import stonespring.model.ProxyId;
 import stonespring.model.RouteTableId;
 
-/** Batches, restarts and the stop of the decision engine on the platform, with scripted engines. */
+/** Batches, restarts and stop of the decision engine on the platform, with scripted engines. */
 final class PlatformEngineTest {
   private static final RouteTableId TABLE = new RouteTableId(1);
   private static final String FAILURE_MESSAGE = "as the test wants it";
 
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
-  /** An engine that returns at each batch's end what it queued while it handled events. */
+  /**
+   * An engine that returns at the end of each batch the commands it queued while it handled events.
+   */
   private abstract static class ScriptedEngine implements DecisionEngine {
     private final List<Command> queued = new ArrayList<>();
 
@@ -45,7 +47,7 @@
     }
   }
 
-  /** Fails when a proxy connects: with an error for proxy 3, with an exception for others. */
+  /** Fails when a proxy connects: with an error for proxy 3, with an exception for all others. */
   private static final class FailingEngine extends ScriptedEngine {
     @Override
     public void handle(long now, Event event) {
@@ -58,7 +60,7 @@
     }
   }
 
-  /** Takes over from a failed engine. */
+  /** Replaces a failed engine. */
   private static final class SucceedingEngine extends ScriptedEngine {
     @Override
     public void handle(long now, Event event) {
@@ -79,7 +81,7 @@
   }
 
   @ParameterizedTest
-  @ValueSource(ints = {2, 3}) // an exception, an error
+  @ValueSource(ints = {2, 3}) // proxy 2: exception, proxy 3: error
   void restartsFailedEngineWithoutClosingConnections(int proxyId) throws Exception {
     List<DecisionEngine> engines = new ArrayList<>();
     PlatformDaemon daemon =
@@ -106,7 +108,7 @@
     daemon.stop();
   }
 
-  /** Blocks in a report until the test goes on, and then changes the table. */
+  /** Blocks at a report until the test resumes it, and then changes the route table. */
   private static final class EngineBlockedByReport extends ScriptedEngine {
     private final CountDownLatch blocked = new CountDownLatch(1);
     private final CountDownLatch resume = new CountDownLatch(1);
@@ -125,8 +127,9 @@
   }
 
   /**
-   * A proxy's connection breaks and it connects again while the engine changes its table: the
-   * change must not go out on the new connection, whose first message is the whole table.
+   * A proxy's connection breaks and the proxy connects again while the engine changes its route
+   * table. The change must not be sent on the new connection, whose first message is the whole
+   * table.
    */
   @Test
   void sendsNoUpdateOfOldConnectionOnNewConnection() throws Exception {
@@ -146,7 +149,7 @@
     daemon.stop();
   }
 
-  /** Notes the proxies that connect, and blocks at each until the test goes on. */
+  /** Records the proxies that connect, and blocks at each one until the test resumes it. */
   private static final class EngineBlockedByConnection extends ScriptedEngine {
     private final List<Event> connected = Collections.synchronizedList(new ArrayList<>());
     private final CountDownLatch blocked = new CountDownLatch(1);
@@ -162,7 +165,7 @@
     }
   }
 
-  /** The stop comes while a batch runs, and a second proxy's message waits at its socket. */
+  /** The stop begins while a batch runs and the message of a second proxy waits in its socket. */
   @Test
   void runsNoBatchAfterStopHasBegun() throws Exception {
     EngineBlockedByConnection engine = new EngineBlockedByConnection();
@@ -179,7 +182,7 @@
     stop.start();
     while (stop.getState() != Thread.State.TIMED_WAITING
         && stop.getState() != Thread.State.WAITING) {
-      Thread.onSpinWait(); // it waits for the event loop, behind what it queued there
+      Thread.onSpinWait(); // until it waits for the event loop to run what it queued there
     }
     engine.resume.countDown();
     stop.join();
--- a/src/test/java/stonespring/daemon/PlatformFixture.java
+++ b/src/test/java/stonespring/daemon/PlatformFixture.java
@@ -16,11 +16,11 @@
 import stonespring.config.PlatformConfig;
 
 /**
- * What tests of an instance on the platform share: a configuration file, a discovery server on
- * loopback that the test answers for, clients, and the instance's process.
+ * Shared setup of tests of an instance on the platform: a configuration file, a discovery server on
+ * loopback whose responses the test writes, clients, and the process of the instance.
  */
 final class PlatformFixture implements BeforeEachCallback, AfterEachCallback {
-  /** An upper bound; every wait ends with its event. */
+  /** Upper bound of each wait, which ends as soon as its event happens. */
   static final int TIMEOUT_MILLIS = 20_000;
 
   private static final String SETTINGS =
@@ -42,17 +42,17 @@
     discovery = listen();
   }
 
-  /** The discovery server that {@link #config()} names. */
+  /** Returns the discovery server whose address is in {@link #config()}. */
   ServerSocket discovery() {
     return discovery;
   }
 
-  /** Where the configuration is. */
+  /** Returns the path of the configuration file. */
   Path configFile() {
     return folder.resolve("config.json");
   }
 
-  /** A port on loopback that this test accepts connections of. */
+  /** Listens on a loopback port whose connections the test accepts. */
   ServerSocket listen() throws IOException {
     ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     server.setSoTimeout(TIMEOUT_MILLIS);
@@ -64,7 +64,7 @@
     return resource;
   }
 
-  /** An endpoint that is ready, as discovery writes it. */
+  /** Returns a ready endpoint in the JSON form of discovery. */
   static String endpoint(String name, String zone) {
     return "{\"host\":\""
         + name
@@ -73,7 +73,7 @@
         + "\",\"health\":\"Ready\",\"share\":1.0,\"born_ms\":0}";
   }
 
-  /** A whole endpoint list, as discovery writes it. */
+  /** Returns a whole endpoint list in the JSON form of discovery. */
   static String endpointList(int version, String... endpoints) {
     return "{\"seq\":"
         + version
@@ -82,7 +82,10 @@
         + "]}";
   }
 
-  /** A configuration with a known list of version 4, and the discovery server of this fixture. */
+  /**
+   * Returns a configuration with version 4 of the endpoint list and the address of this fixture's
+   * discovery server.
+   */
   String config() {
     return config(discovery);
   }
@@ -101,7 +104,7 @@
         + "}";
   }
 
-  /** A file in a folder of this test's own. */
+  /** Returns the path of a file in the folder of this test. */
   Path file(String name) {
     return folder.resolve(name);
   }
@@ -111,13 +114,16 @@
     Files.writeString(configFile(), text);
   }
 
-  /** Replaces the configuration file by a new one; whoever reads the old one goes on with it. */
+  /**
+   * Replaces the configuration file by a new one; a process that has the old one open keeps reading
+   * the old one.
+   */
   void replaceConfig(String text) throws IOException {
     Path next = Files.writeString(folder.resolve("next.json"), text);
     Files.move(next, configFile(), StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Puts a pipe in the configuration file's place: its reader waits for what the test writes. */
+  /** Replaces the configuration file by a pipe, whose reader waits until the test writes to it. */
   void replaceConfigWithPipe() throws Exception {
     Path pipe = folder.resolve("pipe");
     int exitCode = new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor();
@@ -127,17 +133,19 @@
     Files.move(pipe, configFile(), StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Starts an instance as a process, by the configuration file as it is. */
+  /** Starts an instance in a process of its own with the current configuration file. */
   PlatformProcess startProcess() throws IOException {
     return closeLater(PlatformProcess.start(folder, configFile()));
   }
 
-  /** As {@link #startProcess}, with a shell command first whose effect the process inherits. */
+  /**
+   * Like {@link #startProcess}, but runs a shell command first whose effect the process inherits.
+   */
   PlatformProcess startProcessAfter(String shellCommand) throws IOException {
     return closeLater(PlatformProcess.startAfter(shellCommand, folder, configFile()));
   }
 
-  /** Creates an instance inside this process, with engines of the test. */
+  /** Creates an instance inside this process, with the test's engines. */
   PlatformDaemon createDaemon(EngineFactory engines) throws Exception {
     writeConfig(config());
     return new PlatformDaemon(PlatformConfig.read(configFile()), engines);
@@ -155,10 +163,10 @@
     return new LineClient(socket);
   }
 
-  /** Ends the process, closes all that was opened and deletes the files. */
+  /** Ends the process, closes all open resources and deletes the files. */
   @Override
   public void afterEach(ExtensionContext context) throws Exception {
-    // The process first, so that it does not react to the other ends.
+    // The process is ended first, so that it does not react to the closing of the others.
     for (AutoCloseable resource : openResources) {
       if (resource instanceof PlatformProcess) {
         resource.close();
--- a/src/test/java/stonespring/daemon/PlatformProcess.java
+++ b/src/test/java/stonespring/daemon/PlatformProcess.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An instance as a process of its own, started as the platform does. */
+/** An instance in a process of its own, started in the way the platform starts it. */
 final class PlatformProcess implements AutoCloseable {
   private static final String SERVES_AT = " serves at 127.0.0.1:";
 
@@ -27,7 +27,7 @@
     return start(command(), folder, configFile);
   }
 
-  /** Starts it from a shell, after a command whose effect the process inherits. */
+  /** Starts the process from a shell, after a command whose effect it inherits. */
   static PlatformProcess startAfter(String shellCommand, Path folder, Path configFile)
       throws IOException {
     List<String> command =
@@ -67,7 +67,7 @@
     return process.isAlive();
   }
 
-  /** Waits until the process has started, and returns the port that it serves. */
+  /** Waits until the process has started, and returns the port that it listens on. */
   int awaitPort() throws Exception {
     awaitLog(SERVES_AT);
     awaitLog("have not joined");
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Waits until so many threads of a name run, or the log contains a text. */
+  /** Waits until {@code count} threads of a name are running or the log contains a text. */
   void awaitThreadsOrLog(String name, int count, String text) throws Exception {
     long deadlineNanos = deadlineNanos();
     int found = 0;
@@ -121,7 +121,7 @@
     return System.nanoTime() - startedNanos;
   }
 
-  /** Waits for the process to end by itself. */
+  /** Waits until the process ends by itself, and returns its exit code. */
   int awaitExitCode() throws InterruptedException {
     return process.waitFor();
   }
--- a/src/test/java/stonespring/daemon/PlatformProcessTest.java
+++ b/src/test/java/stonespring/daemon/PlatformProcessTest.java
@@ -13,11 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Life of an instance's process on the platform: start, service, exhaustion, end. */
+/**
+ * Life cycle of an instance's process on the platform: start, service, exhausted descriptors, exit.
+ */
 final class PlatformProcessTest {
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
-  /** From the first answer over a route table, reloads and a move of discovery to the end. */
+  /** Covers the first answer, a route table, reloads, a move of discovery and the stop. */
   @Test
   void servesThroughReloadsUntilOrderlyStop() throws Exception {
     platform.writeConfig(platform.config());
@@ -56,8 +58,8 @@
   }
 
   /**
-   * Clients take every descriptor that the process may have, and the watch ends meanwhile: it can't
-   * be opened again before they are gone.
+   * Clients use up all descriptors that the process may have, and the watch ends meanwhile. It
+   * can't be reopened before the connections of those clients are closed.
    */
   @Test
   void recoversFromRunningOutOfDescriptors() throws Exception {
--- a/src/test/java/stonespring/daemon/RecordingConnection.java
+++ b/src/test/java/stonespring/daemon/RecordingConnection.java
@@ -2,7 +2,7 @@
 
 import stonespring.proxyapi.ProxyConnection;
 
-/** A proxy's connection that records why it was closed. */
+/** A proxy's connection that records the reason for its close. */
 final class RecordingConnection implements ProxyConnection {
   private String closeReason;
 
@@ -11,7 +11,7 @@
     closeReason = reason;
   }
 
-  /** Why it was closed, null while it is open. */
+  /** Returns the reason for the close, or null while the connection is open. */
   String closeReason() {
     return closeReason;
   }
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import stonespring.model.DeciMillis;
 
-/** How often the engine may be restarted. */
+/** The limit on how often the engine may be restarted. */
 final class RestartBudgetTest {
   @Test
   void limitsRestartsPerHourButNotOverWeeks() {
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -24,7 +24,7 @@
 import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
 
-/** A proxy in virtual time: it follows what a host publishes and routes by it. */
+/** A proxy in virtual time that applies what a host publishes and routes by it. */
 final class SimulatedProxy {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final RouterSettings ROUTER_SETTINGS =
@@ -45,8 +45,8 @@
   private final TableSubscriber subscriber = new TableSubscriber();
   private final ArrayDeque<Long> updateTimes = new ArrayDeque<>();
   private final List<Integer> pendingAcks = new ArrayList<>();
-  private Router router; // null until it first connects
-  private RecordingConnection connection; // null while it is disconnected
+  private Router router; // null before the first connection
+  private RecordingConnection connection; // null while disconnected
   private long streamNumber;
   private long connectedAt;
   private String stream = "";
@@ -78,12 +78,12 @@
     return connectedAt;
   }
 
-  /** The stream of the update applied last. */
+  /** Returns the stream of the last applied update. */
   String stream() {
     return stream;
   }
 
-  /** How often an update was lost. */
+  /** Returns how many updates were lost. */
   int resyncs() {
     return resyncs;
   }
@@ -92,18 +92,18 @@
     return router != null;
   }
 
-  /** Starts with a table of its own. */
+  /** Starts with a bootstrap table. */
   void start(long seed, List<EndpointId> bootstrapRoutes) {
     router = new Router(ROUTER_SETTINGS, seed);
     router.useBootstrapRoutes(bootstrapRoutes);
   }
 
-  /** Starts without any table. */
+  /** Starts without a route table. */
   void startEmpty() {
     router = new Router(ROUTER_SETTINGS, 1);
   }
 
-  /** Opens a connection, on a stream of its own. */
+  /** Opens a connection with a new stream. */
   void connect(EngineHost host, long now) {
     connection = new RecordingConnection();
     streamNumber++;
@@ -113,7 +113,7 @@
     sendHello(host, now);
   }
 
-  /** Forgets the connection; the host must be told by the caller, if it is to know. */
+  /** Drops the connection and returns it; the caller notifies the host if the host is to notice. */
   RecordingConnection disconnect() {
     RecordingConnection closed = connection;
     connection = null;
@@ -132,7 +132,7 @@
     host.handleHello(name, hello, HostSimulation.SESSION_TIMEOUT, connection, now);
   }
 
-  /** Acknowledges the updates that asked for it since the last call. */
+  /** Acknowledges the updates that have requested it since the last call. */
   void acknowledge(EngineHost host, long now) {
     for (int ack : pendingAcks) {
       if (connection != null) {
@@ -148,7 +148,7 @@
     return "/proxy/" + name + "/";
   }
 
-  /** Takes a key that the host published, if it is this proxy's and it is connected. */
+  /** Applies a published key if it belongs to this proxy and the proxy is connected. */
   void receiveUpdate(KeyUpdate update, EngineHost host, long now) {
     if (connection == null || !update.key().startsWith(subtree())) {
       return;
@@ -159,7 +159,7 @@
     apply(subscriber.keyChanged(key, value, isCommit ? parseCommit(value) : null), host, now);
   }
 
-  /** Takes all that the host has published for this proxy. */
+  /** Applies all keys that the host has published for this proxy. */
   void applySnapshot(EngineHost host, long now) {
     Map<String, String> keys = new LinkedHashMap<>();
     TableSubscriber.Commit commit = null;
