--- a/src/main/java/stonespring/daemon/ChpDaemon.java
+++ b/src/main/java/stonespring/daemon/ChpDaemon.java
@@ -112,7 +112,7 @@
         new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, cachedEndpoints));
     source.start(this::onEndpointListUpdate, cachedEndpointList::store);
     LOG.info(
-        "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints of the saved list",
+        "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints loaded from the saved list",
         settings.name(),
         settings.listen().host(),
         port(),
@@ -200,7 +200,7 @@
     cachedEndpointList.stop();
     DurationHistogram batchDurations = engineThread.batchDurations();
     LOG.info(
-        "assigner {} stopped: {} batches, p50 {} us, p99 {} us, max {} us; {} messages refused",
+        "assigner {} stopped: {} batches, duration p50 {} us, p99 {} us, max {} us; {} messages refused",
         settings.name(),
         batchDurations.count(),
         batchDurations.atPercentile(50) / NANOS_PER_MICRO,
--- a/src/main/java/stonespring/daemon/ConfigReloader.java
+++ b/src/main/java/stonespring/daemon/ConfigReloader.java
@@ -50,9 +50,10 @@
     try {
       daemon.reload(PlatformConfig.read(file));
     } catch (RejectedExecutionException e) {
-      LOG.info("the new configuration arrived after the instance's end");
+      LOG.info("the new configuration is not used: the instance has stopped already");
     } catch (InvalidConfigException e) {
-      LOG.warn("the new configuration is not used, the old one stands: {}", e.getMessage());
+      LOG.warn(
+          "the new configuration is not used, the current one stays in effect: {}", e.getMessage());
     }
   }
 
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -138,11 +138,13 @@
     passToEngine(now, connected, "connect " + proxy);
     environment.publish(publishedState.proxyConnected(id));
     LOG.info(
-        "proxy {} connected as {}, session {}, {}",
+        "proxy {} connected as number {}, session {}, {}",
         proxy,
         id.number(),
         publishedState.sessionId(id),
-        hello.withoutTables() ? "with its bootstrap table" : "with route tables of its own");
+        hello.withoutTables()
+            ? "with only its bootstrap table"
+            : "with route tables from an earlier session");
   }
 
   private void endSession(ProxyId id, String reason, long now) {
@@ -287,7 +289,7 @@
     if (LOG.isDebugEnabled()) {
       for (ProxyUpdate update : updates) {
         LOG.debug(
-            "update for {}: {} because of {}",
+            "update for proxy {}: {}; caused by {}",
             sessions.name(update.proxy()),
             keyCodec.describe(update),
             causes);
@@ -295,7 +297,10 @@
     }
     int limit = settings.channel().maxBacklogEntries();
     if (channel.backlogEntries() > limit) {
-      LOG.error("channel: {} entries wait, the limit is {}", channel.backlogEntries(), limit);
+      LOG.error(
+          "channel backlog exceeds its limit: {} entries wait, at most {} are allowed",
+          channel.backlogEntries(),
+          limit);
     }
   }
 
--- a/src/main/java/stonespring/daemon/EngineRunner.java
+++ b/src/main/java/stonespring/daemon/EngineRunner.java
@@ -117,7 +117,8 @@
     } else if (command instanceof Command.Log log) {
       LOG.info("decision: {}", log.text());
     } else if (command instanceof Command.HealthCheck || command instanceof Command.SendToPeer) {
-      LOG.warn("unsupported command, no setting allows it: {}", command);
+      LOG.warn(
+          "unsupported command of the decision engine ignored, no setting allows it: {}", command);
     } else {
       return false;
     }
--- a/src/main/java/stonespring/daemon/EngineThread.java
+++ b/src/main/java/stonespring/daemon/EngineThread.java
@@ -69,7 +69,8 @@
   /** Starts the thread. From then on no other thread may use the host. */
   void start(String name, EngineHost host) {
     Thread thread = new Thread(() -> run(host), name + "-loop");
-    thread.setUncaughtExceptionHandler((t, e) -> LOG.error("event loop ended", e));
+    thread.setUncaughtExceptionHandler(
+        (t, e) -> LOG.error("engine thread ended by an uncaught exception", e));
     thread.start();
   }
 
@@ -88,7 +89,7 @@
       failure = Optional.of(e);
     } catch (RuntimeException | Error e) {
       failure = Optional.of(e);
-      LOG.error("event loop failed: the instance ends, its proxies keep their route tables", e);
+      LOG.error("engine thread failed: the instance ends, its proxies keep their route tables", e);
     } finally {
       ended.countDown();
     }
@@ -121,7 +122,7 @@
     } catch (DecisionFailedException e) {
       throw e;
     } catch (RuntimeException e) {
-      LOG.error("a message could not be processed", e);
+      LOG.error("a message or event could not be processed and is dropped", e);
     }
   }
 
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -79,7 +79,7 @@
     eventLoop.submit(this::startEngine).sync();
     server.start(eventLoops, config.listen());
     LOG.info(
-        "assigner {} serves at {}:{}, {} endpoints known, {} proxies, room for {} that have not joined",
+        "assigner {} serves at {}:{}, {} endpoints known, at most {} proxies and {} connections that have not joined",
         config.name(),
         config.listen().getHostString(),
         server.port(),
@@ -123,7 +123,7 @@
     boolean sameSettings = newConfig.settings().equals(config.settings());
     if (!sameSettings || !newConfig.listen().equals(config.listen())) {
       LOG.warn(
-          "the new configuration changes the settings or the listen address: those need a restart");
+          "the new configuration changes the settings or the listen address, which take effect only after a restart");
     }
     source.moveTo(newConfig.discovery());
   }
@@ -153,7 +153,7 @@
 
   private void logStop() {
     LOG.info(
-        "assigner {} stops: {} proxies, {} messages dropped; {}",
+        "assigner {} stops: {} proxies connected, {} messages dropped; {}",
         config.name(),
         proxyApi.connectedProxies(),
         proxyApi.droppedMessages(),
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -116,13 +116,13 @@
     engineFailures++;
     if (!restartBudget.tryRestart(clock.now())) {
       LOG.error(
-          "the decision engine failed too often, {} times in all: the instance ends",
+          "the decision engine failed too often, {} times since the start: the instance ends",
           engineFailures,
           cause);
       onRestartsExhausted.accept(cause);
       return;
     }
-    LOG.error("the decision engine failed and restarts", cause);
+    LOG.error("the decision engine failed and is restarted, proxies stay connected", cause);
     eventBatcher.clear();
     reportBatcher.clear();
     engineRunner = createRunner(config.seed() + engineFailures);
--- a/src/main/java/stonespring/daemon/PlatformStatistics.java
+++ b/src/main/java/stonespring/daemon/PlatformStatistics.java
@@ -35,9 +35,9 @@
   /** Formats both distributions for the log. */
   @Override
   public String toString() {
-    return "batches "
+    return "batch duration "
         + describe(batchDurations)
-        + "; from an interval's first report to the last byte of its commands "
+        + "; delay from the first report of an interval until its commands are written "
         + describe(reportToCommandDurations);
   }
 
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -120,7 +120,7 @@
           // data sent before the close is irrelevant
         }
       } catch (SocketTimeoutException e) {
-        throw new AssertionError("the connection is still open", e);
+        throw new AssertionError("the instance did not close the connection in time", e);
       } catch (IOException e) {
         // a reset closes the connection too
       }
@@ -135,13 +135,13 @@
 
   @Test
   void closesConnectionsThatViolateZmtp() throws Exception {
-    for (int port = 0; port < 3; port++) {
-      assertCloses(port, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      assertCloses(port, greeting("CURVE"));
-      assertCloses(port, join(greeting("NULL"), readyCommand("REQ")));
-      assertCloses(port, join(greeting("NULL"), readyCommand("PUSH"), message("x")));
-      assertCloses(port, join(greeting("NULL"), message("before READY")));
-      assertCloses(port, join(greeting("NULL"), new byte[] {2, 0, 0, 0, 1, 0, 0, 0, 0}));
+    for (int portOffset = 0; portOffset < 3; portOffset++) {
+      assertCloses(portOffset, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+      assertCloses(portOffset, greeting("CURVE"));
+      assertCloses(portOffset, join(greeting("NULL"), readyCommand("REQ")));
+      assertCloses(portOffset, join(greeting("NULL"), readyCommand("PUSH"), message("x")));
+      assertCloses(portOffset, join(greeting("NULL"), message("before READY")));
+      assertCloses(portOffset, join(greeting("NULL"), new byte[] {2, 0, 0, 0, 1, 0, 0, 0, 0}));
     }
     assertCloses(1, join(greeting("NULL"), readyCommand("SUB"), message("not", "a subscription")));
     assertStillServes();
@@ -201,7 +201,7 @@
   private static void awaitPresence(String key) throws Exception {
     long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
     while (!keys("/presence/").contains(key)) {
-      assertTrue(System.nanoTime() < deadlineNanos, key + " is not published");
+      assertTrue(System.nanoTime() < deadlineNanos, key + " was not published in time");
     }
   }
 
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -48,7 +48,7 @@
         compared++;
       }
     }
-    assertTrue(compared > 5, "compared " + compared);
+    assertTrue(compared > 5, "expected more than 5 comparisons, got " + compared);
   }
 
   private static HostSimulation createSimulationWithOneEndpoint() {
@@ -88,7 +88,8 @@
     host.handleAcknowledgement(
         "p0", acknowledgement("some-other-stream", 1), proxy.connection(), simulation.now());
     assertNull(
-        proxy.connection().closeReason(), "one for an earlier stream may have been under way");
+        proxy.connection().closeReason(),
+        "an acknowledgement of an earlier stream may be in flight and is ignored");
     host.handleAcknowledgement(
         "p0", acknowledgement(proxy.stream(), 64_999), proxy.connection(), simulation.now());
     assertEquals(
@@ -119,6 +120,6 @@
     }
     assertNotEquals(oldStream, proxy.stream(), "the new stream gets updates of its own");
     simulation.advance(4 * SECOND);
-    assertEquals(0, host.connectedProxies(), "a session that is not renewed ends");
+    assertEquals(0, host.connectedProxies(), "a session that is not renewed expires");
   }
 }
--- a/src/test/java/stonespring/daemon/HostSimulation.java
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -149,7 +149,9 @@
   }
 
   private void deliverUpdate(KeyUpdate update) {
-    assertTrue(update.sequence() > lastSequence, "sequences rise strictly, over restarts too");
+    assertTrue(
+        update.sequence() > lastSequence,
+        "sequence numbers increase strictly, also across restarts");
     lastSequence = update.sequence();
     for (SimulatedProxy proxy : proxies) {
       proxy.receiveUpdate(update, host, now);
@@ -159,7 +161,7 @@
           SimulatedProxy.parseJson(new String(update.value(), StandardCharsets.UTF_8));
       assertTrue(
           status.path("backlog_high").asInt() <= settings.channel().maxBacklogEntries(),
-          () -> "channel limit: " + status);
+          () -> "the backlog exceeds the limit of the channel: " + status);
       assertEquals(0, status.path("merged").asInt());
     }
   }
@@ -264,7 +266,7 @@
     }
     proxy.acknowledge(host, now);
     if (proxy.isConnected()) {
-      assertNull(proxy.connection().closeReason(), "closed");
+      assertNull(proxy.connection().closeReason(), "the host closed the connection");
     }
   }
 
@@ -326,7 +328,7 @@
       long since = withoutRouteSince.getOrDefault(proxy, now);
       assertTrue(
           now - since <= settings.routing().maxTimeWithoutEndpoint(),
-          () -> "time without endpoint: " + proxy.name() + " has no route at " + now);
+          () -> "proxy " + proxy.name() + " has been without a route for too long at " + now);
     }
   }
 
@@ -341,7 +343,13 @@
       long notifiedAt = Math.max(endpointNotReadySince, proxy.connectedAt());
       assertTrue(
           now - notifiedAt <= MAX_REMOVAL_DELAY,
-          () -> "removed endpoint: " + proxy.name() + " still sends to " + endpoint + " at " + now);
+          () ->
+              "proxy "
+                  + proxy.name()
+                  + " still sends to removed endpoint "
+                  + endpoint
+                  + " at "
+                  + now);
     }
   }
 }
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -156,7 +156,7 @@
           assertThrows(
               InvalidConfigException.class,
               () -> PlatformConfig.read(file),
-              "taken: " + configAndError[0]);
+              "invalid configuration accepted: " + configAndError[0]);
       assertTrue(
           e.getMessage().contains(configAndError[1]) && !e.getMessage().contains("\n"),
           e.getMessage());
--- a/src/test/java/stonespring/daemon/PlatformEngineTest.java
+++ b/src/test/java/stonespring/daemon/PlatformEngineTest.java
@@ -21,7 +21,7 @@
 /** Batches, restarts and stop of the decision engine on the platform, with scripted engines. */
 final class PlatformEngineTest {
   private static final RouteTableId TABLE = new RouteTableId(1);
-  private static final String FAILURE_MESSAGE = "as the test wants it";
+  private static final String FAILURE_MESSAGE = "failure injected by the test";
 
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
@@ -65,7 +65,8 @@
     @Override
     public void handle(long now, Event event) {
       if (event instanceof Event.ProxyConnected connected) {
-        assertFalse(connected.withoutTables(), "it may hold what was commanded before");
+        assertFalse(
+            connected.withoutTables(), "the proxy may hold route tables of the failed engine");
         setRoute("s-1", 1);
         assignTable(connected.proxy());
       }
--- a/src/test/java/stonespring/daemon/PlatformFixture.java
+++ b/src/test/java/stonespring/daemon/PlatformFixture.java
@@ -128,7 +128,7 @@
     Path pipe = folder.resolve("pipe");
     int exitCode = new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor();
     if (exitCode != 0) {
-      throw new IOException("mkfifo ended with " + exitCode);
+      throw new IOException("mkfifo failed with exit code " + exitCode);
     }
     Files.move(pipe, configFile(), StandardCopyOption.REPLACE_EXISTING);
   }
--- a/src/test/java/stonespring/daemon/PlatformProcessTest.java
+++ b/src/test/java/stonespring/daemon/PlatformProcessTest.java
@@ -47,14 +47,18 @@
     EndpointListRequest second = platform.acceptListRequest(moved);
     assertEquals("/registry/instances?stream=1&index=5", second.target());
     second.beginWatch(endpointList(6, endpoint("s-1", "west"), endpoint("s-2", "east")));
-    assertTrue(watch.closedByClient(), "the old address is closed once the new one answered");
-    assertNotNull(proxy.readLine(), "the route to s-3, which is removed, goes at once");
+    assertTrue(
+        watch.closedByClient(),
+        "the connection to the old address is closed once the new address has answered");
+    assertNotNull(proxy.readLine(), "the route to the removed endpoint s-3 is withdrawn at once");
     proxy.send("PING");
-    assertEquals("PONG", proxy.readLineAfterUpdates(), "the connection stays");
+    assertEquals("PONG", proxy.readLineAfterUpdates(), "the connection stays open");
 
-    assertTrue(process.measureTerminationNanos() < TimeUnit.SECONDS.toNanos(5), "it ends soon");
+    assertTrue(
+        process.measureTerminationNanos() < TimeUnit.SECONDS.toNanos(5),
+        "the process ends within 5 s");
     String rest = proxy.readRest();
-    assertTrue(rest.isEmpty() || rest.endsWith("\r\n"), "no half message: " + rest);
+    assertTrue(rest.isEmpty() || rest.endsWith("\r\n"), "truncated message: " + rest);
   }
 
   /**
@@ -79,7 +83,7 @@
     assertEquals(
         "/registry/instances?stream=1&index=5",
         platform.acceptListRequest(platform.discovery()).target(),
-        "the list is watched again");
+        "the endpoint list is watched again");
     LineClient late = platform.connect(process.awaitPort());
     late.send("PING");
     assertEquals("PONG", late.readLine());
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -189,7 +189,7 @@
     updateTimes.removeIf(at -> now - at > channelLimits.messageWindow() || at < connectedAt);
     assertTrue(
         updateTimes.size() <= channelLimits.maxMessagesPerProxy(),
-        "channel limit: messages to " + name);
+        "more messages to " + name + " than the channel limit allows");
   }
 
   private static String text(KeyUpdate update) {
