--- a/src/main/java/stonespring/daemon/EngineTimer.java
+++ b/src/main/java/stonespring/daemon/EngineTimer.java
@@ -10,7 +10,7 @@
 final class EngineTimer {
   private final EventLoop eventLoop;
   private final Runnable onTimerDue;
-  private long scheduledAt = EngineRunner.NO_TIMER;
+  private long scheduledDueAt = EngineRunner.NO_TIMER;
   private Future<?> scheduled;
 
   EngineTimer(EventLoop eventLoop, Runnable onTimerDue) {
@@ -24,20 +24,20 @@
    * @param dueAt {@link EngineRunner#NO_TIMER} leaves the earlier one in place
    */
   void schedule(long dueAt, long now) {
-    if (dueAt == scheduledAt || dueAt == EngineRunner.NO_TIMER) {
+    if (dueAt == scheduledDueAt || dueAt == EngineRunner.NO_TIMER) {
       return;
     }
     if (scheduled != null) {
       scheduled.cancel(false);
     }
-    scheduledAt = dueAt;
+    scheduledDueAt = dueAt;
     long delay = Math.max(0, dueAt - now);
     scheduled =
         eventLoop.schedule(this::fire, InstanceClock.toMicros(delay), TimeUnit.MICROSECONDS);
   }
 
   private void fire() {
-    scheduledAt = EngineRunner.NO_TIMER;
+    scheduledDueAt = EngineRunner.NO_TIMER;
     onTimerDue.run();
   }
 
@@ -46,6 +46,6 @@
    * time.
    */
   void reset() {
-    scheduledAt = EngineRunner.NO_TIMER;
+    scheduledDueAt = EngineRunner.NO_TIMER;
   }
 }
--- a/src/main/java/stonespring/daemon/ReportBatcher.java
+++ b/src/main/java/stonespring/daemon/ReportBatcher.java
@@ -18,7 +18,7 @@
   private static final long QUIET_PERIOD_MILLIS = 30;
   private static final long MAX_DELAY_MILLIS = 200;
 
-  /** Number of collected reports that are delivered at once. */
+  /** Number of collected reports at which they are delivered immediately. */
   private static final int MAX_REPORTS = 20_000;
 
   /** Receives the collected reports on the event loop. */
