--- a/src/main/java/stonespring/daemon/EngineTimer.java
+++ b/src/main/java/stonespring/daemon/EngineTimer.java
@@ -4,42 +4,48 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Wakes the event loop when the engine's next timer is due. Confined to the event loop. */
+/**
+ * Runs an action on the event loop when the engine's next timer is due. Confined to the event loop.
+ */
 final class EngineTimer {
   private final EventLoop eventLoop;
-  private final Runnable onDue;
-  private long scheduledAt = EngineRunner.NO_TIMER;
+  private final Runnable onTimerDue;
+  private long scheduledDueAt = EngineRunner.NO_TIMER;
   private Future<?> scheduled;
 
-  EngineTimer(EventLoop eventLoop, Runnable onDue) {
+  EngineTimer(EventLoop eventLoop, Runnable onTimerDue) {
     this.eventLoop = eventLoop;
-    this.onDue = onDue;
+    this.onTimerDue = onTimerDue;
   }
 
   /**
-   * Schedules the wake-up in place of the one before.
+   * Schedules the action in place of the one that was scheduled before.
    *
-   * @param dueAt {@link EngineRunner#NO_TIMER} leaves the one before
+   * @param dueAt {@link EngineRunner#NO_TIMER} leaves the earlier one in place
    */
   void schedule(long dueAt, long now) {
-    if (dueAt == scheduledAt || dueAt == EngineRunner.NO_TIMER) {
+    if (dueAt == scheduledDueAt || dueAt == EngineRunner.NO_TIMER) {
       return;
     }
     if (scheduled != null) {
       scheduled.cancel(false);
     }
-    scheduledAt = dueAt;
+    scheduledDueAt = dueAt;
     long delay = Math.max(0, dueAt - now);
-    scheduled = eventLoop.schedule(this::due, InstanceClock.toMicros(delay), TimeUnit.MICROSECONDS);
+    scheduled =
+        eventLoop.schedule(this::fire, InstanceClock.toMicros(delay), TimeUnit.MICROSECONDS);
   }
 
-  private void due() {
-    scheduledAt = EngineRunner.NO_TIMER;
-    onDue.run();
+  private void fire() {
+    scheduledDueAt = EngineRunner.NO_TIMER;
+    onTimerDue.run();
   }
 
-  /** Forgets what is scheduled, so that any time is scheduled anew. */
+  /**
+   * Clears the recorded due time, so that the next {@link #schedule} takes effect even for the same
+   * time.
+   */
   void reset() {
-    scheduledAt = EngineRunner.NO_TIMER;
+    scheduledDueAt = EngineRunner.NO_TIMER;
   }
 }
--- a/src/test/java/stonespring/daemon/PlatformProcessTest.java
+++ b/src/test/java/stonespring/daemon/PlatformProcessTest.java
@@ -13,13 +13,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Life of an instance's process on the platform: start, service, exhaustion, end. */
+/**
+ * Life cycle of an instance's process on the platform: start, service, exhausted descriptors, exit.
+ */
 final class PlatformProcessTest {
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
-  /** From the first answer over a route table, reloads and a move of discovery to the end. */
+  /** Covers the first answer, a route table, reloads, a move of discovery and the stop. */
   @Test
-  void servesThroughReloadsUntilAnOrderlyEnd() throws Exception {
+  void servesThroughReloadsUntilOrderlyStop() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcess();
     LineClient proxy = platform.connect(process.awaitPort());
@@ -38,26 +40,30 @@
 
     ServerSocket moved = platform.listen();
     platform.writeConfig("{\"name\":");
-    process.hangUp();
+    process.sendSighup();
     process.awaitLog("the new configuration is not used");
     platform.writeConfig(platform.config(moved));
-    process.hangUp();
+    process.sendSighup();
     EndpointListRequest second = platform.acceptListRequest(moved);
     assertEquals("/registry/instances?stream=1&index=5", second.target());
     second.beginWatch(endpointList(6, endpoint("s-1", "west"), endpoint("s-2", "east")));
-    assertTrue(watch.closedByClient(), "the old address is closed once the new one answered");
-    assertNotNull(proxy.readLine(), "the route to s-3, which is removed, goes at once");
+    assertTrue(
+        watch.closedByClient(),
+        "the connection to the old address is closed once the new address has answered");
+    assertNotNull(proxy.readLine(), "the route to the removed endpoint s-3 is withdrawn at once");
     proxy.send("PING");
-    assertEquals("PONG", proxy.readLineAfterUpdates(), "the connection stays");
+    assertEquals("PONG", proxy.readLineAfterUpdates(), "the connection stays open");
 
-    assertTrue(process.terminateNanos() < TimeUnit.SECONDS.toNanos(5), "it ends soon");
+    assertTrue(
+        process.measureTerminationNanos() < TimeUnit.SECONDS.toNanos(5),
+        "the process ends within 5 s");
     String rest = proxy.readRest();
-    assertTrue(rest.isEmpty() || rest.endsWith("\r\n"), "no half message: " + rest);
+    assertTrue(rest.isEmpty() || rest.endsWith("\r\n"), "truncated message: " + rest);
   }
 
   /**
-   * Clients take every descriptor that the process may have, and the watch ends meanwhile: it can't
-   * be opened again before they are gone.
+   * Clients use up all descriptors that the process may have, and the watch ends meanwhile. It
+   * can't be reopened before the connections of those clients are closed.
    */
   @Test
   void recoversFromRunningOutOfDescriptors() throws Exception {
@@ -77,7 +83,7 @@
     assertEquals(
         "/registry/instances?stream=1&index=5",
         platform.acceptListRequest(platform.discovery()).target(),
-        "the list is watched again");
+        "the endpoint list is watched again");
     LineClient late = platform.connect(process.awaitPort());
     late.send("PING");
     assertEquals("PONG", late.readLine());
@@ -86,7 +92,7 @@
   }
 
   @Test
-  void endsWithOneLineWhereThePortIsInUse() throws Exception {
+  void exitsWithOneLogLineWhenPortIsInUse() throws Exception {
     String inUse = "\"listen\":\"127.0.0.1:" + platform.discovery().getLocalPort() + "\"";
     platform.writeConfig(platform.config().replace("\"listen\":\"127.0.0.1:0\"", inUse));
     PlatformProcess process = platform.startProcess();
