--- a/src/test/java/stonespring/daemon/PlatformProcess.java
+++ b/src/test/java/stonespring/daemon/PlatformProcess.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An instance as a process of its own, started as the platform does. */
+/** An instance in a process of its own, started in the way the platform starts it. */
 final class PlatformProcess implements AutoCloseable {
-  private static final String SERVES = " serves at 127.0.0.1:";
+  private static final String SERVES_AT = " serves at 127.0.0.1:";
 
   private final Process process;
   private final Path logFile;
@@ -27,7 +27,7 @@
     return start(command(), folder, configFile);
   }
 
-  /** Starts it from a shell, after a command whose effect the process inherits. */
+  /** Starts the process from a shell, after a command whose effect it inherits. */
   static PlatformProcess startAfter(String shellCommand, Path folder, Path configFile)
       throws IOException {
     List<String> command =
@@ -67,12 +67,12 @@
     return process.isAlive();
   }
 
-  /** Waits until the process has started, and returns the port that it serves. */
+  /** Waits until the process has started, and returns the port that it listens on. */
   int awaitPort() throws Exception {
-    awaitLog(SERVES);
+    awaitLog(SERVES_AT);
     awaitLog("have not joined");
     String log = log();
-    String rest = log.substring(log.indexOf(SERVES) + SERVES.length());
+    String rest = log.substring(log.indexOf(SERVES_AT) + SERVES_AT.length());
     return Integer.parseInt(rest.substring(0, rest.indexOf(',')));
   }
 
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Waits until so many threads of a name run, or the log contains a text. */
+  /** Waits until {@code count} threads of a name are running or the log contains a text. */
   void awaitThreadsOrLog(String name, int count, String text) throws Exception {
     long deadlineNanos = deadlineNanos();
     int found = 0;
@@ -108,20 +108,20 @@
   }
 
   /** Sends SIGHUP. */
-  void hangUp() throws Exception {
+  void sendSighup() throws Exception {
     String pid = String.valueOf(process.pid());
     assertEquals(0, new ProcessBuilder("kill", "-HUP", pid).start().waitFor());
   }
 
   /** Sends SIGTERM and returns how long the process took to end. */
-  long terminateNanos() throws Exception {
+  long measureTerminationNanos() throws Exception {
     process.destroy();
     long startedNanos = System.nanoTime();
     assertTrue(process.waitFor(PlatformFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     return System.nanoTime() - startedNanos;
   }
 
-  /** Waits for the process to end by itself. */
+  /** Waits until the process ends by itself, and returns its exit code. */
   int awaitExitCode() throws InterruptedException {
     return process.waitFor();
   }
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 import stonespring.model.DeciMillis;
 
-/** How often the engine may be restarted. */
+/** The limit on how often the engine may be restarted. */
 final class RestartBudgetTest {
   @Test
-  void limitsRestartsWithinAnHourButNotOverWeeks() {
+  void limitsRestartsPerHourButNotOverWeeks() {
     RestartBudget budget = new RestartBudget();
     long hour = 3_600 * DeciMillis.SECOND;
     for (long week = 0; week < 500; week++) {
