--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -275,7 +275,7 @@
    * fill lowers a confidence above 1 slowly to 1.
    */
   private void adjustConfidence(Load load) {
-    long delay = estimates.cadence().delay();
+    long delay = estimates.cadence().reportDelay();
     double step = CONFIDENCE_STEP_PER_SECOND * settings.reportInterval() / DeciMillis.SECOND;
     if (load.isOverloaded()
         && clock.since(lastReductionAt) > REDUCTION_INTERVAL_DECI_MILLIS + delay) {
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -4,10 +4,10 @@
 import stonespring.model.Settings;
 import stonespring.model.TimerToken;
 
-/** The engine's two timers: one that always runs, and one for updates that were postponed. */
+/** Starts the engine's two timers: a periodic one, and one that retries postponed updates. */
 final class EngineTimers {
-  private static final TimerToken PERIODIC = new TimerToken(1);
-  private static final TimerToken RETRY = new TimerToken(2);
+  private static final TimerToken PERIODIC_TIMER = new TimerToken(1);
+  private static final TimerToken RETRY_TIMER = new TimerToken(2);
 
   private final Settings settings;
   private final EngineClock clock;
@@ -21,25 +21,26 @@
     this.batch = batch;
   }
 
-  void fired(TimerToken token) {
-    if (token.equals(PERIODIC)) {
+  /** Records that a timer fired. */
+  void handleFired(TimerToken token) {
+    if (token.equals(PERIODIC_TIMER)) {
       periodicRunning = false;
     }
   }
 
-  /** Keeps the periodic timer running, so that batches come without other events too. */
-  void ensurePeriodic() {
+  /** Starts the periodic timer unless it runs, so that batches occur even without other events. */
+  void ensurePeriodicTimer() {
     if (!periodicRunning) {
       periodicRunning = true;
-      batch.addLocal(new Command.StartTimer(settings.reportInterval() / 2, PERIODIC));
+      batch.addLocal(new Command.StartTimer(settings.reportInterval() / 2, PERIODIC_TIMER));
     }
   }
 
-  /** Has postponed updates looked at again soon. */
-  void ensureRetry() {
+  /** Starts the retry timer unless it runs, so that postponed updates are tried again soon. */
+  void ensureRetryTimer() {
     if (clock.now() >= retryAt) {
       retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL_DECI_MILLIS;
-      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL_DECI_MILLIS, RETRY));
+      batch.addLocal(new Command.StartTimer(ChannelBudget.BATCH_INTERVAL_DECI_MILLIS, RETRY_TIMER));
     }
   }
 }
--- a/src/main/java/stonespring/decision/ReportCadence.java
+++ b/src/main/java/stonespring/decision/ReportCadence.java
@@ -2,54 +2,66 @@
 
 import stonespring.model.Settings;
 
-/** When scheduling rounds are due: as proxies' reports arrive, about once a report interval. */
+/**
+ * Tells when scheduling rounds are due, which is about once per report interval as the proxies'
+ * reports arrive, and how late reports are.
+ */
 final class ReportCadence {
-  /** Rounds until reports show enough to touch what an earlier instance left. */
+  /**
+   * Number of rounds after which reports suffice to replace tables that an earlier instance process
+   * assigned.
+   */
   private static final int MIN_ROUNDS = 3;
 
   private final Settings settings;
   private final EngineClock clock;
-  private boolean reported;
+  private boolean reportedSinceRound;
   private long lastRoundAt = EngineClock.NEVER;
-  private long delay;
-  private int rounds;
+  private long reportDelay;
+  private int roundCount;
 
   ReportCadence(Settings settings, EngineClock clock) {
     this.settings = settings;
     this.clock = clock;
   }
 
-  void reportReceived() {
-    reported = true;
+  /** Records that a report arrived, which a round may use. */
+  void recordReport() {
+    reportedSinceRound = true;
   }
 
+  /** Whether a report arrived since the last round and nearly a report interval has elapsed. */
   boolean isRoundDue() {
-    return reported && clock.since(lastRoundAt) >= settings.reportInterval() * 9 / 10;
+    return reportedSinceRound && clock.since(lastRoundAt) >= settings.reportInterval() * 9 / 10;
   }
 
+  /** Records that a round starts, and updates the report delay. */
   void startRound() {
-    reported = false;
+    reportedSinceRound = false;
     long lateness = clock.since(lastRoundAt) - settings.reportInterval();
-    delay = rounds == 0 ? 0 : Math.max(lateness, delay * 9 / 10);
+    reportDelay = roundCount == 0 ? 0 : Math.max(lateness, reportDelay * 9 / 10);
     lastRoundAt = clock.now();
-    rounds++;
+    roundCount++;
   }
 
-  /** Whether any round was started. */
-  boolean hasStarted() {
-    return rounds > 0;
+  /** Whether any round has been started. */
+  boolean hasStartedRound() {
+    return roundCount > 0;
   }
 
-  /** Whether there were enough rounds for reports to show what an earlier instance left. */
+  /**
+   * Whether there were enough rounds to replace tables that an earlier instance process assigned.
+   */
   boolean hasEnoughRounds() {
-    return rounds >= MIN_ROUNDS;
+    return roundCount >= MIN_ROUNDS;
   }
 
   /**
-   * How late reports were of late, DeciMillis. After a gap they stay delayed, so that what they
-   * show may be over; the delay fades by a tenth each round.
+   * The recent delay of reports beyond a report interval, in DeciMillis; 0 if they are on time.
+   * Reports stay delayed after a gap, so that the overload which they show may already have ended.
+   * The delay decays by a tenth per round.
    */
-  long delay() {
-    return delay;
+  long reportDelay() {
+    return reportDelay;
   }
 }
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -205,7 +205,7 @@
   /**
    * Returns whether an endpoint may be drawn. An excluded one must be warm, since a route to it
    * would allow it at all proxies with unknown tables. While it warms up, only {@link
-   * EntrantSelector} brings it back, once no table is unknown.
+   * EndpointIntroducer} brings it back, once no table is unknown.
    */
   private boolean isEligible(EndpointState endpoint, double minWarmUp) {
     double required = endpoint.isExcluded() ? 1 : minWarmUp;
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -116,7 +116,7 @@
 
   private double headroomOf(EndpointState endpoint) {
     CapacityEstimator capacity = estimates.capacity();
-    double maxLoad = endpoint.capacity() * capacity.meanFill() / MEAN_TO_MAX_FILL_RATIO;
+    double maxLoad = endpoint.capacity() * capacity.meanLoadRatio() / MEAN_TO_MAX_FILL_RATIO;
     return (maxLoad - capacity.load(endpoint)) * estimates.traffic().share();
   }
 
@@ -221,7 +221,7 @@
     double entries =
         settings.channel().messageOverheadEntries()
             + move.proxy().table().routes().stream()
-                .filter(route -> Route.differs(route.target(), route.weight()))
+                .filter(route -> Route.differsSignificantly(route.target(), route.weight()))
                 .count();
     return entries * DeciMillis.SECOND / settings.channel().entriesPerSecond();
   }
@@ -236,7 +236,7 @@
         sendPart(move, 1 - yieldRatio, headroom);
         admitted = true;
       } else {
-        move.proxy().waitAnotherRound();
+        move.proxy().incrementRoundsWaited();
       }
     }
     return admitted;
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -104,7 +104,7 @@
     long connectedForDeciMillis = clock.since(proxy.connectedAt());
     return exclusionsDoNotFit
         || anyNotReady && connectedForDeciMillis > settings.routing().maxTimeWithoutEndpoint() / 2
-        || cadence.hasStarted() && connectedForDeciMillis > UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS;
+        || cadence.hasStartedRound() && connectedForDeciMillis > UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS;
   }
 
   private boolean hasRoom(ProxyState proxy) {
--- a/src/test/java/stonespring/decision/EndpointListWatcherTest.java
+++ b/src/test/java/stonespring/decision/EndpointListWatcherTest.java
@@ -10,7 +10,7 @@
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
-/** When the watch on the endpoint list is requested, and how often after failures. */
+/** Tests when the endpoint list watch is requested, and the backoff after failures. */
 final class EndpointListWatcherTest {
   private static final List<Command> WATCH = List.of(new Command.WatchEndpoints(true));
 
@@ -23,15 +23,16 @@
     return new EndpointListWatcher(settings, clock, new DeterministicRandom(1), batch);
   }
 
-  private List<Command> requests() {
+  /** Removes and returns the watch requests that are due at the present instant. */
+  private List<Command> takeRequests() {
     watcher.ensureWatch();
     return batch.takeCommands();
   }
 
-  /** DeciMillis until the next request, in steps of 10 ms. */
+  /** Returns the time until the next watch request in DeciMillis, a multiple of 10 ms. */
   private long timeToNextRequest() {
     long start = clock.now();
-    while (requests().isEmpty()) {
+    while (takeRequests().isEmpty()) {
       clock.advanceTo(clock.now() + 100);
     }
     return clock.now() - start;
@@ -39,8 +40,8 @@
 
   @Test
   void requestsTheWatchOnceAndAgainAfterATimeout() {
-    assertEquals(WATCH, requests());
-    assertEquals(List.of(), requests());
+    assertEquals(WATCH, takeRequests());
+    assertEquals(List.of(), takeRequests());
     assertEquals(9 * Fleet.SECOND, timeToNextRequest());
   }
 
@@ -51,23 +52,25 @@
   }
 
   @Test
-  void cachedListIsNoWatch() {
-    watcher.updated(Event.ListUpdateKind.CACHED);
-    assertEquals(WATCH, requests());
-    watcher.updated(Event.ListUpdateKind.SNAPSHOT);
+  void cachedListDoesNotCountAsEstablishedWatch() {
+    watcher.recordUpdate(Event.ListUpdateKind.CACHED);
+    assertEquals(WATCH, takeRequests());
+    watcher.recordUpdate(Event.ListUpdateKind.SNAPSHOT);
     clock.advanceTo(clock.now() + 100 * Fleet.SECOND);
-    assertEquals(List.of(), requests());
+    assertEquals(List.of(), takeRequests());
   }
 
   @Test
-  void backoffDoublesWithJitterToALimitAndStartsAnewOnceTheWatchWorks() {
+  void doublesBackoffUpToLimitAndResetsItOnceWatchWorks() {
     for (long backoff : new long[] {5_000, 10_000, 20_000, 40_000, 40_000}) {
-      watcher.updated(Event.ListUpdateKind.FETCH_FAILED);
+      watcher.recordUpdate(Event.ListUpdateKind.FETCH_FAILED);
       long waited = timeToNextRequest();
-      assertTrue(waited >= backoff && waited <= 2 * backoff + 100, backoff + ": " + waited);
+      assertTrue(
+          waited >= backoff && waited <= 2 * backoff + 100,
+          "expected " + backoff + " to " + (2 * backoff + 100) + ", waited " + waited);
     }
-    watcher.updated(Event.ListUpdateKind.DELTA);
-    watcher.updated(Event.ListUpdateKind.FETCH_FAILED);
-    assertTrue(timeToNextRequest() <= 10_100);
+    watcher.recordUpdate(Event.ListUpdateKind.DELTA);
+    watcher.recordUpdate(Event.ListUpdateKind.FETCH_FAILED);
+    assertTrue(timeToNextRequest() <= 10_100, "the backoff is reset to its initial value");
   }
 }
--- a/src/test/java/stonespring/decision/EndpointTurnoverTest.java
+++ b/src/test/java/stonespring/decision/EndpointTurnoverTest.java
@@ -18,10 +18,13 @@
 import stonespring.model.ProxyId;
 import stonespring.model.ZoneId;
 
-/** Endpoints are replaced under new names for hours: what left long ago costs nothing any more. */
+/**
+ * Tests that endpoints which were removed long ago take up no memory and no channel entries, when
+ * endpoints are replaced under new names for hours.
+ */
 final class EndpointTurnoverTest {
-  private static final int ENDPOINTS = 6; // at a time
-  private static final int REPLACED = 2_000;
+  private static final int READY_ENDPOINTS = 6; // at any time
+  private static final int TOTAL_ENDPOINTS = 2_000;
   private static final long REPLACEMENT_INTERVAL = 20 * DeciMillis.SECOND;
 
   private final AssignmentEngine engine = new AssignmentEngine(new FleetSettings().build(), 3, 1);
@@ -58,7 +61,8 @@
         LoadReport.NONE);
   }
 
-  private static int excluded(List<Command> commands) {
+  /** Counts the commands that exclude an endpoint, without those that allow one again. */
+  private static int countExclusions(List<Command> commands) {
     return (int)
         commands.stream()
             .filter(c -> c instanceof Command.ExcludeEndpoint exclusion && exclusion.excluded())
@@ -66,21 +70,21 @@
   }
 
   private void start() {
-    List<EndpointRecord> first = new ArrayList<>();
-    for (int i = 0; i < ENDPOINTS; i++) {
-      first.add(ready(i, 0));
+    List<EndpointRecord> endpoints = new ArrayList<>();
+    for (int i = 0; i < READY_ENDPOINTS; i++) {
+      endpoints.add(ready(i, 0));
     }
-    handle(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, first));
+    handle(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, endpoints));
     handle(new Event.ProxyConnected(new ProxyId(0), new ZoneId(0), 5, true));
   }
 
   /** Adds an endpoint, removes the oldest one and applies the commands to the table. */
-  private void replaceOldestBy(int endpoint) {
+  private void replaceOldestWith(int endpoint) {
     now += REPLACEMENT_INTERVAL / 2;
     List<Command> commands =
         new ArrayList<>(handle(delta(ready(endpoint, now - REPLACEMENT_INTERVAL / 2))));
     now += REPLACEMENT_INTERVAL / 2;
-    commands.addAll(handle(delta(removed(endpoint - ENDPOINTS)), outcomes(endpoint - 1)));
+    commands.addAll(handle(delta(removed(endpoint - READY_ENDPOINTS)), outcomes(endpoint - 1)));
     for (Command command : commands) {
       if (command instanceof Command.SetRoute route && route.weight() > 0) {
         table.add(route.endpoint().name());
@@ -91,39 +95,56 @@
   }
 
   @Test
-  void forgetsEndpointsRemovedLongAgoAndReusesTheirIndexes() throws ReflectiveOperationException {
+  void evictsEndpointsRemovedLongAgoAndReusesTheirIndexes() throws ReflectiveOperationException {
     start();
-    for (int i = ENDPOINTS; i < REPLACED; i++) {
-      replaceOldestBy(i);
-      assertFalse(table.contains("t" + (i - ENDPOINTS)), "no table names what left");
-      assertFalse(table.isEmpty());
+    for (int i = READY_ENDPOINTS; i < TOTAL_ENDPOINTS; i++) {
+      replaceOldestWith(i);
+      assertFalse(
+          table.contains("t" + (i - READY_ENDPOINTS)),
+          "no table has a route to an endpoint that was removed");
+      assertFalse(table.isEmpty(), "the table has a route");
     }
-    // A proxy with unknown tables is told of what left lately, not of all that ever did.
+    // A proxy with unknown tables is told to exclude recently removed endpoints only, not all that
+    // were ever removed.
     List<Command> commands =
         new ArrayList<>(handle(new Event.ProxyConnected(new ProxyId(1), new ZoneId(0), 5, false)));
     now += DeciMillis.SECOND;
-    commands.addAll(handle(outcomes(REPLACED - 1)));
-    int most = (int) (600 * DeciMillis.SECOND / REPLACEMENT_INTERVAL) + 2 * ENDPOINTS;
+    commands.addAll(handle(outcomes(TOTAL_ENDPOINTS - 1)));
+    int maxKept = (int) (600 * DeciMillis.SECOND / REPLACEMENT_INTERVAL) + 2 * READY_ENDPOINTS;
     assertTrue(
-        excluded(commands) <= most, excluded(commands) + " of " + REPLACED + " are excluded");
-    assertTrue(registrySize() <= most, registrySize() + " places for " + REPLACED + " endpoints");
-    // A forgotten name that is listed again is an endpoint like any other.
+        countExclusions(commands) <= maxKept,
+        countExclusions(commands)
+            + " of "
+            + TOTAL_ENDPOINTS
+            + " endpoints are excluded, expected at most "
+            + maxKept);
+    assertTrue(
+        registrySize() <= maxKept,
+        registrySize()
+            + " endpoint states are kept for "
+            + TOTAL_ENDPOINTS
+            + " endpoints, expected at most "
+            + maxKept);
+    // An evicted endpoint that is listed again is used like any other.
     handle(delta(ready(3, 0)));
-    EndpointRecord[] rest = new EndpointRecord[ENDPOINTS];
-    for (int i = 0; i < ENDPOINTS; i++) {
-      rest[i] = removed(REPLACED - 1 - i);
+    EndpointRecord[] remaining = new EndpointRecord[READY_ENDPOINTS];
+    for (int i = 0; i < READY_ENDPOINTS; i++) {
+      remaining[i] = removed(TOTAL_ENDPOINTS - 1 - i);
     }
     assertTrue(
-        handle(delta(rest)).stream()
+        handle(delta(remaining)).stream()
             .anyMatch(
                 c ->
                     c instanceof Command.SetRoute route
                         && route.weight() > 0
                         && route.endpoint().name().equals("t3")),
-        "the only one left takes all routes");
+        "the only remaining endpoint is used");
   }
 
-  /** No command shows how many places the registry keeps. */
+  /**
+   * The number of endpoint states that the registry holds. It is read by reflection, as no command
+   * shows it.
+   */
   private int registrySize() throws ReflectiveOperationException {
     Field endpoints = AssignmentEngine.class.getDeclaredField("endpoints");
     endpoints.setAccessible(true);
--- a/src/test/java/stonespring/decision/FleetInvariants.java
+++ b/src/test/java/stonespring/decision/FleetInvariants.java
@@ -7,29 +7,40 @@
 import stonespring.model.RetryPolicy;
 import stonespring.model.RetrySafety;
 
-/** What must hold after every step, as far as commands alone show it. */
+/** Checks what must hold after every step, as far as the engine's commands show it. */
 final class FleetInvariants {
-  /** Messages after which updates for what left may wait for each other. */
-  private static final int MANY_MESSAGES = 8;
+  /**
+   * Number of messages to a proxy in the message window from which on updates for unavailable
+   * endpoints may be batched.
+   */
+  private static final int MESSAGES_BEFORE_BATCHING = 8;
 
-  /** DeciMillis for which they may wait. */
-  private static final long BATCHING_GRACE = 3 * DeciMillis.SECOND / 2;
+  /** How long such updates may wait for a batch. */
+  private static final long BATCHING_GRACE_DECI_MILLIS = 3 * DeciMillis.SECOND / 2;
 
   private FleetInvariants() {}
 
-  /** Fails the test if one does not hold. */
+  /**
+   * Fails the test if an invariant is violated.
+   *
+   * @param when the point of the test, for the failure message
+   */
   static void check(Fleet fleet, String when) {
     boolean warm = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
     for (FleetProxy proxy : fleet.proxies.values()) {
       if (proxy.connected) {
         checkHasRoute(fleet, proxy, warm, when);
-        checkNamesNothingThatLeft(fleet, proxy, when);
+        checkRoutesOnlyToUsableEndpoints(fleet, proxy, when);
         checkMessages(fleet, proxy, when);
       }
     }
     assertTrue(
         fleet.backlog <= fleet.settings.channel().maxBacklogEntries(),
-        when + ": " + fleet.backlog + " entries wait at a third of the pace");
+        when
+            + ": expected a backlog of at most "
+            + fleet.settings.channel().maxBacklogEntries()
+            + " entries, found "
+            + fleet.backlog);
     checkRetries(fleet, when);
   }
 
@@ -48,10 +59,15 @@
     long limit = fleet.settings.routing().maxTimeWithoutEndpoint();
     assertTrue(
         proxy.emptySince < 0 || fleet.now - proxy.emptySince <= limit,
-        when + ": a proxy has no route");
+        when
+            + ": proxy "
+            + proxy.number
+            + " has had no route for longer than "
+            + limit
+            + " deci-milliseconds");
   }
 
-  private static void checkNamesNothingThatLeft(Fleet fleet, FleetProxy proxy, String when) {
+  private static void checkRoutesOnlyToUsableEndpoints(Fleet fleet, FleetProxy proxy, String when) {
     boolean keepServing = fleet.settings.endpointList().removedEndpointsKeepServing();
     for (String name : proxy.shares().keySet()) {
       EndpointRecord endpoint = fleet.endpoints.get(name);
@@ -59,9 +75,9 @@
           endpoint == null ? keepServing : endpoint.state() == EndpointRecord.State.READY;
       assertTrue(
           usable
-              || proxy.messagesSentAt.size() >= MANY_MESSAGES
-                  && fleet.now - fleet.leftAt.get(name) <= BATCHING_GRACE,
-          when + ": a route names " + name + ", which left");
+              || proxy.messagesSentAt.size() >= MESSAGES_BEFORE_BATCHING
+                  && fleet.now - fleet.outOfServiceAt.get(name) <= BATCHING_GRACE_DECI_MILLIS,
+          when + ": proxy " + proxy.number + " has a route to " + name + ", which is unavailable");
     }
   }
 
@@ -73,7 +89,13 @@
     }
     assertTrue(
         limit == 0 || proxy.messagesSentAt.size() <= limit,
-        when + ": too many messages to one proxy");
+        when
+            + ": expected at most "
+            + limit
+            + " messages to proxy "
+            + proxy.number
+            + " in the window, found "
+            + proxy.messagesSentAt.size());
   }
 
   private static void checkRetries(Fleet fleet, String when) {
@@ -83,7 +105,7 @@
           fleet.settings.requestClasses().get(k).retrySafety() == RetrySafety.IDEMPOTENT
               || policy == RetryPolicy.NEVER
               || policy == RetryPolicy.IF_NOT_EXECUTED,
-          when + ": a request may take effect twice");
+          when + ": request class " + k + " is not idempotent, but its retry policy is " + policy);
     }
   }
 }
--- a/src/test/java/stonespring/decision/MassReconnectTest.java
+++ b/src/test/java/stonespring/decision/MassReconnectTest.java
@@ -15,13 +15,14 @@
 import stonespring.model.Settings;
 
 /**
- * All proxies connect to one instance during a release, on the platform, where it does not know the
- * tables that they bring along.
+ * Tests that all proxies can connect to one instance during a release. The settings are those of
+ * the platform, where the instance does not know the tables that connecting proxies hold.
  */
 final class MassReconnectTest {
-  private static final int PROXIES = 150; // their first tables just fit the channel
-  private static final int RELEASED = 30; // endpoints that leave
+  private static final int PROXIES = 150; // the first tables of so many just fit the channel
+  private static final int REMOVED_ENDPOINTS = 30; // endpoints that the release removes
 
+  /** Acknowledgements by the number of sent entries up to the acknowledged message. */
   private final ArrayDeque<Map.Entry<Double, Event.UpdateAcknowledged>> waitingAcknowledgements =
       new ArrayDeque<>();
 
@@ -35,22 +36,27 @@
             .build()
             .withPlatformConstraints();
     Fleet fleet = new Fleet(settings);
-    for (int i = 0; i < 2 * RELEASED; i++) {
+    for (int i = 0; i < 2 * REMOVED_ENDPOINTS; i++) {
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, Fleet.READY, 0));
     }
-    fleet.start(seed);
+    fleet.startEngine(seed);
     for (int i = 0; i < 3; i++) {
       fleet.connect(i, i % 2, 20, true);
     }
     for (int i = 0; i < 8; i++) {
-      second(fleet, true);
+      runSecond(fleet, true);
     }
     assertTrue(fleet.proxies.values().stream().allMatch(p -> p.table != null));
     return fleet;
   }
 
-  /** A second; messages are acknowledged once they pass the channel, at a third of its pace. */
-  private void second(Fleet fleet, boolean acknowledged) {
+  /**
+   * Runs the fleet for a second. Messages are acknowledged once they have passed the channel, which
+   * passes a third of the configured entries per second.
+   *
+   * @param acknowledged whether acknowledgements reach the engine
+   */
+  private void runSecond(Fleet fleet, boolean acknowledged) {
     fleet.report(0.001, Map.of());
     for (int k = 0; k < 5; k++) {
       fleet.acknowledgements.forEach(
@@ -74,49 +80,53 @@
     }
   }
 
-  private static void release(Fleet fleet, int from) {
-    for (int i = from; i < from + RELEASED / 3; i++) {
+  private static void removeEndpoints(Fleet fleet, int from) {
+    for (int i = from; i < from + REMOVED_ENDPOINTS / 3; i++) {
       fleet.updateEndpoint("t" + i, i % 2, EndpointRecord.State.REMOVED, 0);
     }
   }
 
   /**
-   * An exclusion is an entry for each endpoint at each unknown table: more than the channel takes.
+   * An exclusion costs an entry per endpoint and proxy with an unknown table. All of them together
+   * exceed the channel's backlog limit, which must hold nevertheless.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void exclusionsForManyProxiesKeepTheBacklog(long seed) {
+  void exclusionsForManyProxiesStayWithinBacklogLimit(long seed) {
     Fleet fleet = createFleet(seed, 4_000);
-    release(fleet, 0);
-    second(fleet, true);
-    release(fleet, RELEASED / 3);
+    removeEndpoints(fleet, 0);
+    runSecond(fleet, true);
+    removeEndpoints(fleet, REMOVED_ENDPOINTS / 3);
     connectAll(fleet);
-    second(fleet, true);
-    release(fleet, 2 * RELEASED / 3);
+    runSecond(fleet, true);
+    removeEndpoints(fleet, 2 * REMOVED_ENDPOINTS / 3);
     for (int i = 0; i < 40; i++) {
-      second(fleet, true);
+      runSecond(fleet, true);
     }
     assertEquals(
         List.of(),
-        fleet.proxies.values().stream().filter(p -> p.table == null).map(p -> p.number).toList());
+        fleet.proxies.values().stream().filter(p -> p.table == null).map(p -> p.number).toList(),
+        "proxies without an assigned table");
   }
 
   /**
-   * The proxies disconnect before they acknowledge anything: what waits for them is lost, and
-   * drains go out as ever.
+   * The proxies disconnect before they acknowledge the last messages. Entries that wait for them no
+   * longer count, so that a drain is sent to the other proxies at once.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void disconnectedProxiesFreeTheChannel(long seed) {
+  void disconnectedProxiesReleaseChannelBacklog(long seed) {
     Fleet fleet = createFleet(seed, 6_000);
     connectAll(fleet);
     for (int i = 0; i < 40; i++) {
-      second(fleet, true);
+      runSecond(fleet, true);
     }
     assertTrue(fleet.proxies.values().stream().allMatch(p -> p.table != null));
     boolean blocked = false;
-    for (int from = 0; from < 2 * RELEASED - 10 && !blocked; from += RELEASED / 6) {
-      for (int i = from; i < from + RELEASED / 6; i++) {
+    for (int from = 0;
+        from < 2 * REMOVED_ENDPOINTS - 10 && !blocked;
+        from += REMOVED_ENDPOINTS / 6) {
+      for (int i = from; i < from + REMOVED_ENDPOINTS / 6; i++) {
         fleet.updateEndpoint("t" + i, i % 2, EndpointRecord.State.REMOVED, 0);
         fleet.updateEndpoint("n" + i, i % 2, Fleet.READY, 0);
       }
@@ -127,13 +137,15 @@
     }
     assertTrue(
         blocked,
-        "nothing is acknowledged, so the channel counts as full and what left is still named");
+        "without acknowledgements the channel counts as full, so routes to removed endpoints remain");
     for (int i = 3; i < PROXIES; i++) {
       fleet.disconnect(i);
     }
     List<String> names = new ArrayList<>(fleet.shares(0).keySet());
     fleet.updateEndpoint(names.get(0), 0, EndpointRecord.State.DRAINING, 0);
     fleet.step(Fleet.SECOND / 10);
-    assertFalse(fleet.shares(0).containsKey(names.get(0)), "it drains, and its route still stands");
+    assertFalse(
+        fleet.shares(0).containsKey(names.get(0)),
+        "the route to a draining endpoint is removed at once");
   }
 }
--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -28,9 +28,9 @@
 import stonespring.recorded.RecordedDigests;
 
 /**
- * Holds the decisions as they are: seeded runs of a small fleet, whose every command, in order and
- * with its numbers' full bits, is digested and compared with a recording. A change that is meant to
- * decide differently renews the recording and says so.
+ * Guards against unintended changes of decisions. Runs a small fleet with fixed seeds, digests
+ * every command in order with all bits of its numbers, and compares the digests with recorded ones.
+ * A change that is meant to alter decisions updates the recording and says so.
  */
 final class RecordedCommandsTest {
   private static final long SECOND = DeciMillis.SECOND;
@@ -38,17 +38,17 @@
   private static final int STEPS = 320; // 32 s
   private static final int PROXIES = 8;
   private static final int ENDPOINTS = 10;
-  private static final double CAPACITY = 40; // requests a second of one endpoint
+  private static final double CAPACITY = 40; // requests per second that one endpoint can serve
   private static final int SEEDS = 2;
 
-  /** What happens to the fleet before a step. */
-  private interface Trouble {
-    void before(Run run, int step);
+  /** A change that a scenario applies to the fleet before each step. */
+  private interface FleetChange {
+    void applyBefore(Run run, int step);
   }
 
-  private record Scenario(String name, Settings settings, Trouble trouble) {}
+  private record Scenario(String name, Settings settings, FleetChange change) {}
 
-  /** Passes everything on and digests what comes back. */
+  /** Passes all calls on to an engine, and digests the commands that it returns. */
   private record Recorder(DecisionEngine engine, RecordedDigests.Recording recording)
       implements DecisionEngine {
     @Override
@@ -64,18 +64,21 @@
     }
   }
 
-  /** One run of a scenario: a closed loop of tables, load, late reports and acknowledgements. */
+  /**
+   * One run of a scenario. It is a closed loop: the engine's tables determine the load of the
+   * endpoints, which determines later reports.
+   */
   private static final class Run {
     private final Fleet fleet;
     private final SplittableRandom random;
     private final RecordedDigests.Recording recording = new RecordedDigests.Recording();
     private final ArrayDeque<Map.Entry<Long, Event>> delayedReports = new ArrayDeque<>();
     private final Map<String, Double> extraFailures = new HashMap<>();
-    private long delay = SECOND / 5;
+    private long reportDelay = SECOND / 5;
     private long seed;
     private int nextEndpoint = ENDPOINTS;
-    private int acknowledgeEvery = 2;
-    private int commands;
+    private int stepsPerAcknowledgement = 2;
+    private int commandCount;
 
     Run(Settings settings, long seed) {
       this.fleet = new Fleet(settings);
@@ -83,14 +86,15 @@
       this.seed = seed;
     }
 
-    private void start() {
-      fleet.start(seed);
+    private void startEngine() {
+      fleet.startEngine(seed);
       fleet.engine = new Recorder(fleet.engine, recording);
     }
 
-    void restart() {
+    /** Replaces the engine by one with another seed, to which all proxies reconnect. */
+    void restartEngine() {
       seed += 100;
-      start();
+      startEngine();
       fleet.proxies.values().stream()
           .filter(p -> p.connected)
           .map(p -> p.number)
@@ -103,7 +107,7 @@
         fleet.endpoints.put(
             name(i), Fleet.endpointRecord(name(i), i % 2, EndpointRecord.State.READY, 0));
       }
-      start();
+      startEngine();
       for (int i = 0; i < PROXIES; i++) {
         fleet.connect(i, i % 2, 4 + random.nextInt(45), i % 3 != 2);
       }
@@ -113,6 +117,7 @@
       return "e" + endpoint;
     }
 
+    /** Drains or removes an endpoint, and adds a new one in the same zone. */
     void replace(int endpoint, boolean drain) {
       int zone = fleet.endpoints.get(name(endpoint)).zone().index();
       fleet.updateEndpoint(
@@ -123,44 +128,46 @@
       fleet.updateEndpoint(name(nextEndpoint++), zone, EndpointRecord.State.READY, fleet.now);
     }
 
+    /** The warm-up fraction of an endpoint; 0 if it is null, which stands for an unlisted one. */
     private double warmUpFraction(EndpointRecord endpoint) {
       return endpoint == null ? 0 : fleet.warmUpFraction(endpoint);
     }
 
+    /** Queues reports in which attempts beyond an endpoint's capacity fail. */
     private void report() {
       Map<String, Double> failureShares = new HashMap<>(extraFailures);
-      double worst = 0;
+      double worstOverload = 0;
       for (int i = 0; i < nextEndpoint; i++) {
         double capacity = CAPACITY * warmUpFraction(fleet.endpoints.get(name(i)));
         double load = fleet.trafficFactor * fleet.meanLimit() * fleet.load(name(i));
-        double over = load <= 0 ? 0 : Math.max(0, 1 - capacity / load);
-        worst = Math.max(worst, over);
-        failureShares.merge(name(i), over, Math::max);
+        double overload = load <= 0 ? 0 : Math.max(0, 1 - capacity / load);
+        worstOverload = Math.max(worstOverload, overload);
+        failureShares.merge(name(i), overload, Math::max);
       }
-      fleet.successLatency = 800 + (long) (4000 * worst) + random.nextInt(100);
-      int known = fleet.events.size();
+      fleet.successLatency = 800 + (long) (4000 * worstOverload) + random.nextInt(100);
+      int eventsBefore = fleet.events.size();
       fleet.report(fleet.trafficFactor / CAPACITY, failureShares);
-      List<Event> reports = fleet.events.subList(known, fleet.events.size());
+      List<Event> reports = fleet.events.subList(eventsBefore, fleet.events.size());
       for (Event event : reports) {
-        delayedReports.add(Map.entry(fleet.now + delay, event));
+        delayedReports.add(Map.entry(fleet.now + reportDelay, event));
       }
       reports.clear();
     }
 
-    void play(Trouble trouble) {
+    void simulate(FleetChange change) {
       setUp();
       for (int step = 0; step < STEPS; step++) {
-        trouble.before(this, step);
+        change.applyBefore(this, step);
         if (step % 10 == 9) {
           report();
         }
         while (!delayedReports.isEmpty() && delayedReports.peek().getKey() <= fleet.now) {
           fleet.events.add(delayedReports.poll().getValue());
         }
-        if (step % acknowledgeEvery == 0) {
+        if (step % stepsPerAcknowledgement == 0) {
           fleet.acknowledgeAll();
         }
-        commands += fleet.step(STEP).size();
+        commandCount += fleet.step(STEP).size();
       }
     }
   }
@@ -173,7 +180,7 @@
     return new FleetSettings().bootstrapRoutes(5).sharded().build();
   }
 
-  private static void calm(Run run, int step) {
+  private static void steadyTraffic(Run run, int step) {
     run.fleet.trafficFactor = 1 + 0.1 * run.random.nextDouble();
   }
 
@@ -185,7 +192,7 @@
     run.fleet.trafficFactor = step > 60 && step < 200 ? 6 : 1;
   }
 
-  private static void drains(Run run, int step) {
+  private static void replacedEndpoints(Run run, int step) {
     if (step % 30 == 20 && step / 30 < ENDPOINTS) {
       run.replace(step / 30, step % 60 == 20);
     }
@@ -217,9 +224,9 @@
 
   private static void restarts(Run run, int step) {
     if (step == 90 || step == 96 || step == 200) {
-      run.restart();
+      run.restartEngine();
     }
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
   private static void warmUp(Run run, int step) {
@@ -233,18 +240,18 @@
     }
     if (step == 150) {
       run.fleet.updateEndpoint(
-          Run.name(3), 1, EndpointRecord.State.READY, run.fleet.now); // it restarted
+          Run.name(3), 1, EndpointRecord.State.READY, run.fleet.now); // its process restarted
     }
   }
 
   private static void lateReports(Run run, int step) {
-    run.delay = step > 70 && step < 200 ? 5 * SECOND : SECOND / 5;
-    run.acknowledgeEvery = step > 70 && step < 200 ? 37 : 2;
+    run.reportDelay = step > 70 && step < 200 ? 5 * SECOND : SECOND / 5;
+    run.stepsPerAcknowledgement = step > 70 && step < 200 ? 37 : 2;
     surge(run, step);
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void badEndpoints(Run run, int step) {
+  private static void failingEndpoints(Run run, int step) {
     if (step == 70) {
       run.extraFailures.put(Run.name(1), 0.9);
       run.extraFailures.put(Run.name(4), 0.4);
@@ -255,7 +262,7 @@
 
   private static void proposals(Run run, int step) {
     surge(run, step);
-    drains(run, step);
+    replacedEndpoints(run, step);
     if (step % 40 == 15) {
       for (int p = 0; p < PROXIES; p += 2) {
         List<Event.WeightsProposed.Share> shares = new ArrayList<>();
@@ -267,16 +274,16 @@
     }
   }
 
-  private static void advised(Run run, int step) {
+  private static void solverAdvice(Run run, int step) {
     run.fleet.withSolver = true;
     if (step == 0) {
-      run.restart();
+      run.restartEngine();
     }
     surge(run, step);
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void lists(Run run, int step) {
+  private static void listFailuresAndSnapshots(Run run, int step) {
     List<Event> events = run.fleet.events;
     if (step == 40 || step == 45 || step == 130) {
       events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
@@ -293,7 +300,7 @@
     }
   }
 
-  private static void wrongList(Run run, int step) {
+  private static void listWithoutServingEndpoints(Run run, int step) {
     if (step == 80) {
       for (int i = 0; i < 4; i++) {
         run.fleet.updateEndpoint(Run.name(i), i % 2, EndpointRecord.State.REMOVED, 0);
@@ -316,10 +323,10 @@
         run.fleet.connect(number, number % 2, 10 + number, run.random.nextBoolean());
       }
     }
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void shards(Run run, int step) {
+  private static void shardEvents(Run run, int step) {
     List<Event> events = run.fleet.events;
     if (step % 25 == 5) {
       RouteTableId shard = new RouteTableId(step / 25);
@@ -327,10 +334,10 @@
       events.add(new Event.ShardRoute(shard, new EndpointId(Run.name(step / 25 % ENDPOINTS)), 1));
       events.add(new Event.ShardRequestRate(shard, new RequestClassId(0), 40, 1, SECOND));
     }
-    drains(run, step);
+    replacedEndpoints(run, step);
   }
 
-  private static void peers(Run run, int step) {
+  private static void peerMessages(Run run, int step) {
     if (step % 20 == 3) {
       run.fleet.events.add(new Event.PeerMessage(new PeerId(1), new byte[] {1, 2, (byte) step}));
       run.fleet.events.add(
@@ -349,7 +356,7 @@
     restarts(run, step);
   }
 
-  /** All scenarios, in the order of the recording. */
+  /** All scenarios in the order of the recording; their names are keys of the recording. */
   private static List<Scenario> scenarios() {
     List<Scenario> all = new ArrayList<>(trafficScenarios());
     all.addAll(changingFleetScenarios());
@@ -372,7 +379,7 @@
     Settings unlimited = settings(AdmissionLimitKind.NONE);
     Settings unlimitedMessages = new FleetSettings().maxMessages(0).bootstrapRoutes(0).build();
     return List.of(
-        new Scenario("calm", byFraction, RecordedCommandsTest::calm),
+        new Scenario("calm", byFraction, RecordedCommandsTest::steadyTraffic),
         new Scenario("surge", byFraction, RecordedCommandsTest::surge),
         new Scenario("overload", byFraction, RecordedCommandsTest::overload),
         new Scenario("overload-rates", byRate, RecordedCommandsTest::overload),
@@ -387,12 +394,12 @@
     Settings narrow = narrowChannel();
     Settings onSockets = narrow.withPlatformConstraints();
     return List.of(
-        new Scenario("drains", byFraction, RecordedCommandsTest::drains),
-        new Scenario("drains-narrow", narrow, RecordedCommandsTest::drains),
+        new Scenario("drains", byFraction, RecordedCommandsTest::replacedEndpoints),
+        new Scenario("drains-narrow", narrow, RecordedCommandsTest::replacedEndpoints),
         new Scenario(
             "drains-on-sockets",
             byFraction.withPlatformConstraints(),
-            RecordedCommandsTest::drains),
+            RecordedCommandsTest::replacedEndpoints),
         new Scenario("lost-zone", byFraction, RecordedCommandsTest::lostZone),
         new Scenario("lost-zone-narrow", narrow, RecordedCommandsTest::lostZone),
         new Scenario("restarts", byFraction, RecordedCommandsTest::restarts),
@@ -411,38 +418,39 @@
     return List.of(
         new Scenario("late-reports", byFraction, RecordedCommandsTest::lateReports),
         new Scenario("late-reports-narrow", narrow, RecordedCommandsTest::lateReports),
-        new Scenario("bad-endpoints", byFraction, RecordedCommandsTest::badEndpoints),
+        new Scenario("bad-endpoints", byFraction, RecordedCommandsTest::failingEndpoints),
         new Scenario("proposals", byFraction, RecordedCommandsTest::proposals),
-        new Scenario("advised", byFraction, RecordedCommandsTest::advised),
-        new Scenario("lists", watched, RecordedCommandsTest::lists),
-        new Scenario("wrong-list", keepServing, RecordedCommandsTest::wrongList),
+        new Scenario("advised", byFraction, RecordedCommandsTest::solverAdvice),
+        new Scenario("lists", watched, RecordedCommandsTest::listFailuresAndSnapshots),
+        new Scenario("wrong-list", keepServing, RecordedCommandsTest::listWithoutServingEndpoints),
         new Scenario("herd", byFraction, RecordedCommandsTest::massReconnect),
         new Scenario("herd-on-sockets", onSockets, RecordedCommandsTest::massReconnect),
-        new Scenario("shards", sharded(), RecordedCommandsTest::shards),
-        new Scenario("three-instances", threeInstances, RecordedCommandsTest::peers));
+        new Scenario("shards", sharded(), RecordedCommandsTest::shardEvents),
+        new Scenario("three-instances", threeInstances, RecordedCommandsTest::peerMessages));
   }
 
   @Test
-  void everyCommandOfSeededRunsIsAsRecorded() throws IOException {
+  void seededRunsIssueRecordedCommands() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     for (Scenario scenario : scenarios()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Run run = new Run(scenario.settings(), seed);
-        run.play(scenario.trouble());
-        assertTrue(run.commands > 0, scenario.name() + " commanded nothing");
+        run.simulate(scenario.change());
+        assertTrue(
+            run.commandCount > 0, "the engine issued no command in scenario " + scenario.name());
         digests.put(
-            scenario.name() + "/" + seed + " (" + run.commands + " commands)", run.recording);
+            scenario.name() + "/" + seed + " (" + run.commandCount + " commands)", run.recording);
       }
     }
     digests.check("commands.sha256");
   }
 
   /**
-   * Replaced endpoints over a quarter of an hour: what was long gone is forgotten, and its index
-   * used again.
+   * Replaces endpoints for 25 minutes, so that endpoints removed long ago are evicted and their
+   * indexes reused.
    */
   @Test
-  void everyCommandOfALongRunIsAsRecorded() throws IOException {
+  void longRunIssuesRecordedCommands() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     Run run = new Run(settings(AdmissionLimitKind.FRACTION), 7);
     run.setUp();
@@ -459,9 +467,9 @@
       run.delayedReports.clear();
       run.fleet.events.addAll(run.fleet.acknowledgements);
       run.fleet.acknowledgements.clear();
-      run.commands += run.fleet.step(SECOND).size();
+      run.commandCount += run.fleet.step(SECOND).size();
     }
-    digests.put("long (" + run.commands + " commands)", run.recording);
+    digests.put("long (" + run.commandCount + " commands)", run.recording);
     digests.check("long-run.sha256");
   }
 }
