--- a/src/main/java/stonespring/cli/EndpointCommand.java
+++ b/src/main/java/stonespring/cli/EndpointCommand.java
@@ -56,7 +56,7 @@
     for (int i = 0; i < count; i++) {
       System.out.println(
           "task "
-              + StandIns.endpoint(
+              + StandIns.startEndpoint(
                   "m" + (i + 1),
                   zones.get(i % zones.size()),
                   port + i,
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -78,7 +78,7 @@
   }
 
   private ProxySettings proxySettings(InstanceSettings script) throws CommandFailedException {
-    RouterSettings routing = StandIns.routing(script, RequestClass::latencyObjective);
+    RouterSettings routing = StandIns.routerSettings(script, RequestClass::latencyObjective);
     return new ProxySettings(
         name,
         zone,
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -35,7 +35,7 @@
   @Override
   public Integer call() throws Exception {
     logging.apply();
-    System.out.println("registry " + StandIns.registry(file, zones, port));
+    System.out.println("registry " + StandIns.startRegistry(file, zones, port));
     return ForegroundProcess.runUntilKilled();
   }
 }
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -269,7 +269,7 @@
             proxy.name(),
             zones().get(proxy.zone()),
             random.nextLong(),
-            StandIns.routing(scenario.instance(), requestClass -> deduplicationWindow),
+            StandIns.routerSettings(scenario.instance(), requestClass -> deduplicationWindow),
             StandIns.requestTimeoutsMillis(scenario.instance()),
             bootstrapEndpoints(proxy.zone(), settings.routing().bootstrapRouteCount()),
             proxy.requestsPerSecond(),
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -36,13 +36,14 @@
    *
    * @param deduplicationWindow how long endpoints remember a request of a class, in 0.1 ms
    */
-  public static RouterSettings routing(
+  public static RouterSettings routerSettings(
       InstanceSettings settings, ToLongFunction<RequestClass> deduplicationWindow) {
-    return routing(settings.settings(), settings.requestClasses().names(), deduplicationWindow);
+    return routerSettings(
+        settings.settings(), settings.requestClasses().names(), deduplicationWindow);
   }
 
   /** The same for settings and the names of their request classes. */
-  public static RouterSettings routing(
+  public static RouterSettings routerSettings(
       Settings settings,
       List<String> requestClassNames,
       ToLongFunction<RequestClass> deduplicationWindow) {
@@ -71,7 +72,7 @@
   }
 
   /** Starts an endpoint at a port and returns its id as endpoint lists have it. */
-  public static String endpoint(
+  public static String startEndpoint(
       String name, String zone, int port, int cores, double serviceTimeMillis, boolean warmingUp)
       throws IOException, InterruptedException {
     EndpointStandIn.Specification specification =
@@ -91,7 +92,7 @@
   }
 
   /** Starts a registry whose list comes from a file, and returns its address. */
-  public static String registry(Path file, List<String> zones, int port)
+  public static String startRegistry(Path file, List<String> zones, int port)
       throws IOException, InterruptedException {
     MultiThreadIoEventLoopGroup loops = loops();
     RegistryStandIn registry = new RegistryStandIn(loops, new Evidence(false), 0);
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -110,7 +110,8 @@
 
   private void createProxies(List<EndpointRecord> listed) {
     RouterSettings routing =
-        StandIns.routing(settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW);
+        StandIns.routerSettings(
+            settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW);
     for (Recording.ProxyInfo recorded : recording.head().proxies()) {
       VirtualProxy proxy =
           new VirtualProxy(
