--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -24,9 +24,10 @@
    *
    * @param share of all requests
    */
-  record RequestMix(String requestClass, double share, boolean idempotent, double timeoutMillis) {}
+  record RequestMixEntry(
+      String requestClass, double share, boolean idempotent, double timeoutMillis) {}
 
-  private record ClientRequest(RequestMix mix, String id, double askedAt) {}
+  private record ClientRequest(RequestMixEntry mix, String id, double askedAt) {}
 
   private static final double MAX_TICK_MILLIS = 5;
   private static final int MAX_RETRIES = 2;
@@ -38,7 +39,7 @@
 
   private final EventLoop loop;
   private final Evidence evidence;
-  private final List<RequestMix> requestMix;
+  private final List<RequestMixEntry> requestMix;
   private final String proxyName;
   private final InetSocketAddress proxyAddress;
   private final SplittableRandom random;
@@ -57,7 +58,7 @@
   ClientStandIn(
       EventLoop loop,
       Evidence evidence,
-      List<RequestMix> requestMix,
+      List<RequestMixEntry> requestMix,
       ScenarioProxy proxy,
       long seed,
       AtomicInteger openRequests) {
@@ -76,12 +77,12 @@
     loop.execute(() -> sendDue(evidence.now() + drawGapMillis()));
   }
 
-  void rate(double newRequestsPerSecond) {
+  void setRequestsPerSecond(double newRequestsPerSecond) {
     requestsPerSecond = newRequestsPerSecond;
   }
 
   /** Sets the fraction of the request timeout after which clients give up. */
-  void patience(double fraction) {
+  void setTimeoutFraction(double fraction) {
     patience = fraction;
   }
 
@@ -109,15 +110,15 @@
   }
 
   private void send() {
-    RequestMix mix = drawRequestClass();
+    RequestMixEntry mix = drawRequestClass();
     openRequests.incrementAndGet();
     String id = proxyName + "-" + ++requestCount;
     attempt(new ClientRequest(mix, id, evidence.now()), 0);
   }
 
-  private RequestMix drawRequestClass() {
+  private RequestMixEntry drawRequestClass() {
     double draw = random.nextDouble();
-    for (RequestMix mix : requestMix) {
+    for (RequestMixEntry mix : requestMix) {
       draw -= mix.share();
       if (draw < 0) {
         return mix;
--- a/src/main/java/stonespring/testbed/DeploymentFaults.java
+++ b/src/main/java/stonespring/testbed/DeploymentFaults.java
@@ -31,7 +31,7 @@
     for (int i = 0; i < endpoints.size(); i++) {
       EndpointStandIn endpoint = endpoints.get(i);
       double drainAt = timeline.now() + fault.durationMillis() * (i / batch) / Math.max(1, batches);
-      timeline.at(drainAt, () -> fleet.registry().set(endpoint, true));
+      timeline.at(drainAt, () -> fleet.registry().register(endpoint, true));
       timeline.at(
           drainAt + fault.intervalMillis() + fleet.listDelayMillis(),
           () -> fleet.crash(endpoint, timeline.now() + RESTART_MILLIS));
@@ -50,7 +50,7 @@
   }
 
   private void drainThenRestart(EndpointStandIn endpoint, Scenario.Fault fault) {
-    fleet.registry().set(endpoint, true);
+    fleet.registry().register(endpoint, true);
     timeline.at(
         timeline.now() + fault.magnitude(),
         () -> fleet.crash(endpoint, timeline.now() + fault.intervalMillis()));
@@ -58,11 +58,11 @@
 
   private void shrink(FaultTarget target) {
     for (EndpointStandIn endpoint : target.endpoints()) {
-      fleet.registry().set(endpoint, true);
+      fleet.registry().register(endpoint, true);
       timeline.at(
           target.endMillis(),
           () -> {
-            fleet.registry().remove(endpoint);
+            fleet.registry().deregister(endpoint);
             endpoint.crash();
           });
     }
--- a/src/main/java/stonespring/testbed/EndpointFaults.java
+++ b/src/main/java/stonespring/testbed/EndpointFaults.java
@@ -42,7 +42,7 @@
     List<EndpointStandIn> endpoints = target.endpoints();
     timeline.during(
         target.fault(),
-        () -> endpoints.forEach(endpoint -> endpoint.silent(true)),
+        () -> endpoints.forEach(endpoint -> endpoint.setSilent(true)),
         () -> crashRunning(endpoints));
   }
 
@@ -58,8 +58,8 @@
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.fail(fraction)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.fail(0)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setErrorFraction(fraction)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setErrorFraction(0)));
   }
 
   private void flap(FaultTarget target) {
@@ -68,7 +68,8 @@
         () ->
             target
                 .endpoints()
-                .forEach(endpoint -> endpoint.fail(fleet.random().nextBoolean() ? 1 : 0)));
+                .forEach(
+                    endpoint -> endpoint.setErrorFraction(fleet.random().nextBoolean() ? 1 : 0)));
   }
 
   private void failRequestClass(FaultTarget target) throws Exception {
@@ -76,16 +77,19 @@
     String name = names.get(Math.min(names.size() - 1, (int) target.fault().magnitude()));
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.failRequestClass(name)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.failRequestClass(NO_REQUEST_CLASS)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setFailingRequestClass(name)),
+        () ->
+            target
+                .endpoints()
+                .forEach(endpoint -> endpoint.setFailingRequestClass(NO_REQUEST_CLASS)));
   }
 
   private void loseAnswers(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.loseAnswers(fraction)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.loseAnswers(0)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setLostResponseFraction(fraction)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setLostResponseFraction(0)));
   }
 
   private void pause(FaultTarget target) {
@@ -102,15 +106,15 @@
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.falseReports(multiple)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.falseReports(1)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(multiple)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(1)));
   }
 
   private void slowHandshakes(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.slowHandshakes(multiple)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.slowHandshakes(1)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setHandshakeMultiple(multiple)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setHandshakeMultiple(1)));
   }
 }
--- a/src/main/java/stonespring/testbed/EndpointStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -133,7 +133,7 @@
   }
 
   /** When its last start with a warm-up was; long ago where there was none. */
-  double startedAt() {
+  double warmUpStartedAtMillis() {
     return startedAt;
   }
 
@@ -142,8 +142,8 @@
   }
 
   /** Sets the port of its first start; without it, any free one is taken. */
-  void listenAt(int wanted) {
-    port = wanted;
+  void setPort(int newPort) {
+    port = newPort;
   }
 
   /** Starts, warming up or warm; a second start takes the same port. */
@@ -179,7 +179,7 @@
   }
 
   /** Leaves all requests without an answer, or ends that. */
-  void silent(boolean on) {
+  void setSilent(boolean on) {
     silent = on;
   }
 
@@ -189,27 +189,27 @@
   }
 
   /** Fails a fraction of the requests at once. */
-  void fail(double fraction) {
+  void setErrorFraction(double fraction) {
     errorFraction = fraction;
   }
 
   /** Executes requests and breaks the connection in place of a fraction of the answers. */
-  void loseAnswers(double fraction) {
+  void setLostResponseFraction(double fraction) {
     lostAnswerFraction = fraction;
   }
 
   /** Fails all requests of a class; an empty name ends that. */
-  void failRequestClass(String requestClass) {
+  void setFailingRequestClass(String requestClass) {
     failingRequestClass = requestClass;
   }
 
   /** Reports a multiple of its utilization. */
-  void falseReports(double multiple) {
+  void setReportMultiple(double multiple) {
     reportMultiple = multiple;
     evidence.add(new Evidence.FalseReport(evidence.now(), id(), 1 / Math.max(0.01, multiple)));
   }
 
-  void slowHandshakes(double multiple) {
+  void setHandshakeMultiple(double multiple) {
     handshakeMultiple = multiple;
   }
 
--- a/src/main/java/stonespring/testbed/FaultyLink.java
+++ b/src/main/java/stonespring/testbed/FaultyLink.java
@@ -32,14 +32,14 @@
    * connections; called on the link's event loop.
    */
   interface Tap {
-    /** Bytes passed on a connection; {@code down} is towards the dialling side. */
-    void passed(int listener, long connection, boolean down, byte[] bytes);
+    /** Bytes passed on a connection; {@code towardsDownstream} is towards the dialling side. */
+    void bytesPassed(int listener, long connection, boolean towardsDownstream, byte[] bytes);
 
     /** A connection ended. */
-    default void ended(int listener, long connection) {}
+    default void connectionClosed(int listener, long connection) {}
 
     /** Nothing passes from now on, though connections stay open. */
-    default void frozen() {}
+    default void linkFrozen() {}
   }
 
   private static final int MAX_WAITING_BYTES = 1 << 20;
@@ -65,7 +65,7 @@
   }
 
   /** Adds a listener that relays to a port; returns its own port. Listeners count from 0. */
-  int listen(int target) throws InterruptedException {
+  int addListener(int targetPort) throws InterruptedException {
     int index = listeners.size();
     Channel listener =
         new ServerBootstrap()
@@ -80,7 +80,7 @@
                     if (refusing) {
                       near.close();
                     } else {
-                      new Connection(index, ++connectionCount).open(near, target);
+                      new Connection(index, ++connectionCount).open(near, targetPort);
                     }
                   }
                 })
@@ -95,22 +95,22 @@
     loop.execute(action);
   }
 
-  /** Ends all connections; with {@code refuse}, also new ones until the next call. */
-  void cut(boolean refuse) {
+  /** Ends all connections; with {@code refuseNew}, also new ones until the next call. */
+  void closeConnections(boolean refuseNew) {
     execute(
         () -> {
-          refusing = refuse;
+          refusing = refuseNew;
           List.copyOf(connections).forEach(Connection::end);
         });
   }
 
   /** Holds back all bytes while connections stay open, or passes them on again. */
-  void freeze(boolean on) {
+  void setFrozen(boolean on) {
     execute(
         () -> {
           frozen = on;
           if (on) {
-            tap.frozen();
+            tap.linkFrozen();
           }
           connections.forEach(
               connection -> {
@@ -121,30 +121,30 @@
   }
 
   /** Delays what passes from now on, by direction; up is from the dialling side. */
-  void delay(long upMillis, long downMillis) {
+  void setDelays(long upstreamMillis, long downstreamMillis) {
     execute(
         () -> {
-          delayUpMillis = upMillis;
-          delayDownMillis = downMillis;
+          delayUpMillis = upstreamMillis;
+          delayDownMillis = downstreamMillis;
         });
   }
 
   /** Limits the rate towards the dialling side. */
-  void slow(double newBytesPerMillisecond) {
+  void setDownstreamRate(double newBytesPerMillisecond) {
     execute(() -> bytesPerMillisecond = newBytesPerMillisecond);
   }
 
   /** Passes each byte by itself, or no more. */
-  void byteByByte(boolean on) {
+  void setByteByByte(boolean on) {
     execute(() -> byteByByte = on);
   }
 
   /** Ends the next connection of a listener after some bytes towards the dialling side. */
-  void cutAfter(int listener, long bytes) {
+  void closeConnectionAfter(int listener, long downstreamBytes) {
     execute(
         () -> {
           cutListener = listener;
-          cutAfterBytes = bytes;
+          cutAfterBytes = downstreamBytes;
         });
   }
 
@@ -180,7 +180,7 @@
       this.id = id;
     }
 
-    void open(Channel dialled, int target) {
+    void open(Channel dialled, int targetPort) {
       near = dialled;
       connections.add(this);
       far =
@@ -196,7 +196,7 @@
                       // Filled in below, before anything is read.
                     }
                   })
-              .connect(new InetSocketAddress("127.0.0.1", target))
+              .connect(new InetSocketAddress("127.0.0.1", targetPort))
               .addListener(
                   f -> {
                     if (f.isSuccess()) {
@@ -219,7 +219,7 @@
         far.close();
         up.discard();
         down.discard();
-        tap.ended(listener, id);
+        tap.connectionClosed(listener, id);
       }
     }
   }
@@ -248,7 +248,7 @@
       if (towardsNear) {
         byte[] copy = new byte[in.readableBytes()];
         in.getBytes(in.readerIndex(), copy);
-        tap.passed(
+        tap.bytesPassed(
             connection.listener,
             connection.id,
             true,
@@ -298,7 +298,7 @@
       out.readBytes(copy);
       out.release();
       if (!towardsNear) {
-        tap.passed(connection.listener, connection.id, false, copy);
+        tap.bytesPassed(connection.listener, connection.id, false, copy);
       }
       var written = to.writeAndFlush(Unpooled.wrappedBuffer(copy));
       if (cutsHere) {
--- a/src/main/java/stonespring/testbed/InfrastructureFaults.java
+++ b/src/main/java/stonespring/testbed/InfrastructureFaults.java
@@ -35,10 +35,10 @@
     timeline.repeatedly(
         target.fault(),
         () -> {
-          ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(true));
+          ProxyFaults.forEachLink(fleet.proxies(), link -> link.setFrozen(true));
           timeline.at(
               timeline.now() + target.fault().magnitude(),
-              () -> ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(false)));
+              () -> ProxyFaults.forEachLink(fleet.proxies(), link -> link.setFrozen(false)));
         });
   }
 
@@ -46,13 +46,15 @@
     RegistryStandIn registry = fleet.registry();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), true)),
-        () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), false)));
+        () -> target.endpoints().forEach(endpoint -> registry.setHidden(endpoint.name(), true)),
+        () -> target.endpoints().forEach(endpoint -> registry.setHidden(endpoint.name(), false)));
   }
 
   private void stopRegistry(FaultTarget target) throws Exception {
     timeline.during(
-        target.fault(), () -> fleet.registry().dead(true), () -> fleet.registry().dead(false));
+        target.fault(),
+        () -> fleet.registry().setUnavailable(true),
+        () -> fleet.registry().setUnavailable(false));
   }
 
   private void isolateZone(FaultTarget target) throws Exception {
@@ -73,7 +75,7 @@
         // Instance i is taken to be in zone i.
         boolean instanceInside = fleet.zones().get(i % fleet.zones().size()).equals(zone);
         if (proxyInside != instanceInside) {
-          proxy.links().get(i).freeze(isolated);
+          proxy.links().get(i).setFrozen(isolated);
         }
       }
     }
--- a/src/main/java/stonespring/testbed/ProxyFaults.java
+++ b/src/main/java/stonespring/testbed/ProxyFaults.java
@@ -25,7 +25,8 @@
     injections.put(FaultKind.SLOW_CHANNEL, this::slowChannel);
     injections.put(FaultKind.BYTE_BY_BYTE, this::passByteByByte);
     injections.put(
-        FaultKind.RECONNECT, target -> forEachLink(target.proxies(), link -> link.cut(false)));
+        FaultKind.RECONNECT,
+        target -> forEachLink(target.proxies(), link -> link.closeConnections(false)));
     injections.put(
         FaultKind.HALF_CLOSE,
         target -> forEachLink(target.proxies(), link -> link.halfClose(UPDATE_LISTENER)));
@@ -45,23 +46,23 @@
     long millis = (long) target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> forEachLink(target.proxies(), link -> link.delay(millis, 0)),
-        () -> forEachLink(target.proxies(), link -> link.delay(0, 0)));
+        () -> forEachLink(target.proxies(), link -> link.setDelays(millis, 0)),
+        () -> forEachLink(target.proxies(), link -> link.setDelays(0, 0)));
   }
 
   private void slowChannel(FaultTarget target) throws Exception {
     double bytesPerMillisecond = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> forEachLink(target.proxies(), link -> link.slow(bytesPerMillisecond)),
-        () -> forEachLink(target.proxies(), link -> link.slow(Double.MAX_VALUE)));
+        () -> forEachLink(target.proxies(), link -> link.setDownstreamRate(bytesPerMillisecond)),
+        () -> forEachLink(target.proxies(), link -> link.setDownstreamRate(Double.MAX_VALUE)));
   }
 
   private void passByteByByte(FaultTarget target) throws Exception {
     timeline.during(
         target.fault(),
-        () -> forEachLink(target.proxies(), link -> link.byteByByte(true)),
-        () -> forEachLink(target.proxies(), link -> link.byteByByte(false)));
+        () -> forEachLink(target.proxies(), link -> link.setByteByByte(true)),
+        () -> forEachLink(target.proxies(), link -> link.setByteByByte(false)));
   }
 
   private void cutInSnapshot(FaultTarget target) {
@@ -69,8 +70,8 @@
     forEachLink(
         target.proxies(),
         link -> {
-          link.cutAfter(SNAPSHOT_LISTENER, bytes);
-          link.cut(false);
+          link.closeConnectionAfter(SNAPSHOT_LISTENER, bytes);
+          link.closeConnections(false);
         });
   }
 
@@ -96,15 +97,18 @@
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> fleet.proxies().forEach(p -> p.client().rate(p.requestsPerSecond() * multiple)),
-        () -> fleet.proxies().forEach(p -> p.client().rate(p.requestsPerSecond())));
+        () ->
+            fleet
+                .proxies()
+                .forEach(p -> p.client().setRequestsPerSecond(p.requestsPerSecond() * multiple)),
+        () -> fleet.proxies().forEach(p -> p.client().setRequestsPerSecond(p.requestsPerSecond())));
   }
 
   private void shortenPatience(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> fleet.proxies().forEach(proxy -> proxy.client().patience(fraction)),
-        () -> fleet.proxies().forEach(proxy -> proxy.client().patience(1)));
+        () -> fleet.proxies().forEach(proxy -> proxy.client().setTimeoutFraction(fraction)),
+        () -> fleet.proxies().forEach(proxy -> proxy.client().setTimeoutFraction(1)));
   }
 }
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -70,7 +70,7 @@
   }
 
   /** Closes all connections and answers nothing, or answers again. */
-  void dead(boolean on) {
+  void setUnavailable(boolean on) {
     loop.execute(
         () -> {
           dead = on;
@@ -81,10 +81,14 @@
   }
 
   /** Lists an endpoint as ready or draining, after the delay. */
-  void set(EndpointStandIn endpoint, boolean draining) {
+  void register(EndpointStandIn endpoint, boolean draining) {
     Entry entry =
         new Entry(
-            endpoint.name(), endpoint.port(), endpoint.zone(), draining, endpoint.startedAt());
+            endpoint.name(),
+            endpoint.port(),
+            endpoint.zone(),
+            draining,
+            endpoint.warmUpStartedAtMillis());
     loop.schedule(
         () -> {
           entries.put(entry.name, entry);
@@ -95,7 +99,7 @@
   }
 
   /** Lists an endpoint no more, after the delay. */
-  void remove(EndpointStandIn endpoint) {
+  void deregister(EndpointStandIn endpoint) {
     loop.schedule(
         () -> {
           entries.remove(endpoint.name());
@@ -126,7 +130,7 @@
   }
 
   /** Leaves an endpoint out though it runs, or lists it again. */
-  void hide(String name, boolean on) {
+  void setHidden(String name, boolean on) {
     loop.execute(
         () -> {
           if (on) {
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -73,7 +73,7 @@
       startInstance(i, script, folder);
     }
     createProxies();
-    List<ClientStandIn.RequestMix> requestMix = requestMix();
+    List<ClientStandIn.RequestMixEntry> requestMix = requestMix();
     for (ScenarioProxy proxy : proxies) {
       for (InstanceProcess instance : instances) {
         proxy.linkTo(instance, new FaultyLink(nextLoop(), new WireTap(proxy.name(), evidence)));
@@ -169,22 +169,22 @@
             loops,
             evidence,
             random.nextLong());
-    endpoint.listenAt(FreePorts.take(1));
+    endpoint.setPort(FreePorts.take(1));
     endpoints.add(endpoint);
     endpoint.start(warmingUp);
-    registry.set(endpoint, false);
+    registry.register(endpoint, false);
   }
 
   /** Kills an endpoint; it comes back warming up, unless overload killed it before. */
   void crash(EndpointStandIn endpoint, double restartAtMillis) {
     endpoint.crash();
-    registry.remove(endpoint);
+    registry.deregister(endpoint);
     timeline.at(
         restartAtMillis,
         () -> {
           if (!endpoint.isUp() && !crashedFromOverload(endpoint)) {
             endpoint.start(true);
-            registry.set(endpoint, false);
+            registry.register(endpoint, false);
           }
         });
   }
@@ -245,12 +245,12 @@
     }
   }
 
-  private List<ClientStandIn.RequestMix> requestMix() {
-    List<ClientStandIn.RequestMix> mix = new ArrayList<>();
+  private List<ClientStandIn.RequestMixEntry> requestMix() {
+    List<ClientStandIn.RequestMixEntry> mix = new ArrayList<>();
     for (int k = 0; k < requestClassNames().size(); k++) {
       String name = requestClassNames().get(k);
       mix.add(
-          new ClientStandIn.RequestMix(
+          new ClientStandIn.RequestMixEntry(
               name,
               scenario.load().shares().get(name),
               scenario.instance().settings().requestClasses().get(k).retrySafety()
--- a/src/main/java/stonespring/testbed/ScenarioProxy.java
+++ b/src/main/java/stonespring/testbed/ScenarioProxy.java
@@ -78,9 +78,9 @@
     instances.add(
         new ProxySettings.Ports(
             LOOPBACK,
-            link.listen(instance.port()),
-            link.listen(instance.port() + 1),
-            link.listen(instance.port() + 2)));
+            link.addListener(instance.port()),
+            link.addListener(instance.port() + 1),
+            link.addListener(instance.port() + 2)));
   }
 
   void start(ProxySettings settings, EventLoop loop, EventLoopGroup loops)
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -86,7 +86,7 @@
             SLOW_START);
     EndpointStandIn endpoint =
         new EndpointStandIn(name, zone, specification, loops(), new Evidence(false), 1);
-    endpoint.listenAt(port);
+    endpoint.setPort(port);
     endpoint.start(warmingUp);
     return endpoint.id();
   }
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void passed(int listener, long connection, boolean towardsProxy, byte[] bytes) {
+  public void bytesPassed(int listener, long connection, boolean towardsProxy, byte[] bytes) {
     boolean updates = listener == UPDATE_LISTENER && towardsProxy;
     boolean published = listener == COLLECTOR_LISTENER && !towardsProxy;
     if (!updates && !published) {
@@ -72,7 +72,7 @@
   }
 
   @Override
-  public void ended(int listener, long connection) {
+  public void connectionClosed(int listener, long connection) {
     parsers.remove(connection);
     if (present.remove(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, false));
@@ -81,7 +81,7 @@
 
   /** A proxy that can't be reached counts as disconnected until its presence passes again. */
   @Override
-  public void frozen() {
+  public void linkFrozen() {
     if (!present.isEmpty()) {
       present.clear();
       evidence.add(new Evidence.Session(evidence.now(), proxy, false));
--- a/src/test/java/stonespring/testbed/FaultyLinkTest.java
+++ b/src/test/java/stonespring/testbed/FaultyLinkTest.java
@@ -31,7 +31,7 @@
   void start() throws Exception {
     far = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     link = new FaultyLink((EventLoop) loops.next(), (listener, pair, down, bytes) -> {});
-    near = dial(link.listen(far.getLocalPort()));
+    near = dial(link.addListener(far.getLocalPort()));
   }
 
   private Socket dial(int port) throws IOException {
@@ -56,7 +56,7 @@
 
   @Test
   void passesBytesBothWaysOneAtATime() throws Exception {
-    link.byteByByte(true);
+    link.setByteByByte(true);
     awaitLink();
     near.getOutputStream().write("to the far end".getBytes());
     assertArrayEquals("to the far end".getBytes(), farEnd.getInputStream().readNBytes(14));
@@ -66,7 +66,7 @@
 
   @Test
   void cutsAfterTheStatedByte() throws Exception {
-    link.cutAfter(0, 5);
+    link.closeConnectionAfter(0, 5);
     awaitLink();
     farEnd.getOutputStream().write("0123456789".getBytes());
     InputStream in = near.getInputStream();
@@ -76,7 +76,7 @@
 
   @Test
   void passesFrozenBytesLater() throws Exception {
-    link.freeze(true);
+    link.setFrozen(true);
     awaitLink();
     farEnd.getOutputStream().write("late".getBytes());
     near.setSoTimeout(50);
@@ -87,7 +87,7 @@
       // as it should be
     }
     near.setSoTimeout(WAIT);
-    link.freeze(false);
+    link.setFrozen(false);
     assertArrayEquals("late".getBytes(), near.getInputStream().readNBytes(4));
   }
 
@@ -101,7 +101,7 @@
 
   @Test
   void cutEndsConnectionsAndRefusesNewOnes() throws Exception {
-    link.cut(true);
+    link.closeConnections(true);
     assertEquals(-1, near.getInputStream().read());
     awaitLink();
     try (Socket again = new Socket(InetAddress.getLoopbackAddress(), near.getPort())) {
