--- a/src/main/java/stonespring/daemon/EndpointListRequests.java
+++ b/src/main/java/stonespring/daemon/EndpointListRequests.java
@@ -18,7 +18,7 @@
     return new EndpointListRequests() {
       @Override
       public void watchEndpoints(boolean enabled) {
-        source.watch(enabled);
+        source.setWatchEnabled(enabled);
       }
 
       @Override
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -89,7 +89,7 @@
   private void startEngine() {
     engine.start();
     source.start(this::onEndpointListUpdate, list -> {});
-    onEndpointListUpdate(source.loadCached(config.cachedEndpointList()));
+    onEndpointListUpdate(source.loadCachedList(config.cachedEndpointList()));
     engine.runBatchNow();
   }
 
@@ -122,7 +122,7 @@
       LOG.warn(
           "the new configuration changes the settings or the listen address: those need a restart");
     }
-    source.moveTo(newConfig.discovery());
+    source.changeAddress(newConfig.discovery());
   }
 
   /** Returns the port that the instance listens at. */
--- a/src/main/java/stonespring/discovery/EndpointSource.java
+++ b/src/main/java/stonespring/discovery/EndpointSource.java
@@ -23,7 +23,7 @@
    * answered by at least one update, {@link Event.ListUpdateKind#FETCH_FAILED} once it has failed;
    * it is then started again only by another call. A source that always watches ignores this.
    */
-  void watch(boolean enabled);
+  void setWatchEnabled(boolean enabled);
 
   /** Requests the whole list once; answered by a snapshot or by a failure. */
   void fetch();
--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -80,7 +80,7 @@
   }
 
   @Override
-  public void watch(boolean enabled) {
+  public void setWatchEnabled(boolean enabled) {
     // The file is polled in any case.
   }
 
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -45,7 +45,7 @@
   /** The watch of a new address that has not responded yet; null if there is none. */
   private PlatformEndpointWatch successorWatch;
 
-  /** Creates a source; nothing is sent before {@link #watch} or {@link #fetch}. */
+  /** Creates a source; nothing is sent before {@link #setWatchEnabled} or {@link #fetch}. */
   public PlatformEndpointSource(
       InetSocketAddress address, PlatformEndpointCodec codec, EventLoop loop) {
     this(address, new PlatformEndpointList(codec), new Connector(loop));
@@ -71,7 +71,7 @@
    * @param known in the platform's form; an invalid one counts as empty
    * @return a cached list
    */
-  public Event.EndpointListUpdate loadCached(Optional<JsonNode> known) {
+  public Event.EndpointListUpdate loadCachedList(Optional<JsonNode> known) {
     List<EndpointRecord> endpoints = List.of();
     if (known.isPresent()) {
       try {
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public void watch(boolean enabled) {
+  public void setWatchEnabled(boolean enabled) {
     loop.execute(
         () -> {
           watching = enabled;
@@ -130,7 +130,7 @@
   }
 
   /** Changes the address; a watch under way goes on until the new address responds. */
-  public void moveTo(InetSocketAddress newAddress) {
+  public void changeAddress(InetSocketAddress newAddress) {
     loop.execute(
         () -> {
           if (newAddress.equals(address)) {
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -47,7 +47,7 @@
   private Runnable cancelQuery = () -> {};
 
   /**
-   * Creates a source; nothing is sent before {@link #watch} or {@link #fetch}.
+   * Creates a source; nothing is sent before {@link #setWatchEnabled} or {@link #fetch}.
    *
    * @param service the service's name in the registry
    * @param waitSeconds how long the registry may hold a query open
@@ -76,7 +76,7 @@
   }
 
   @Override
-  public void watch(boolean enabled) {
+  public void setWatchEnabled(boolean enabled) {
     loop.execute(
         () -> {
           watching = enabled;
--- a/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
@@ -30,7 +30,7 @@
   /** The server holds the fetched list back until the watch has brought a newer message. */
   @Test
   void fetchedListOvertakenByTheWatchRevertsNothing() throws Exception {
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch =
         fixture.server.acceptWatch().writeChunk(message(41, true, entry("s-1", "Ready")));
     fixture.updates.next();
@@ -62,7 +62,7 @@
 
   @Test
   void fetchedListOfAnEarlierEpochIsRefused() throws Exception {
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch =
         fixture.server.acceptWatch().writeChunk(message(41, true, entry("s-1", "Ready")));
     fixture.updates.next();
--- a/src/test/java/stonespring/discovery/PlatformEndpointMoveTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointMoveTest.java
@@ -22,11 +22,11 @@
   /** Watches at the old address, up to version 5, and moves. */
   @BeforeEach
   void watchAndMove() throws Exception {
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     oldWatch = fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
     fixture.updates.next();
     newServer = fixture.newServer();
-    fixture.source.moveTo(newServer.address());
+    fixture.source.changeAddress(newServer.address());
   }
 
   @Test
@@ -43,7 +43,7 @@
     assertTrue(oldWatch.closedByClient(), "now it is closed");
     newWatch.close();
     assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "one failure, of the new watch");
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     assertNotNull(newServer.accept());
   }
 
--- a/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
@@ -22,8 +22,8 @@
 
   @Test
   void reportsChangesHoweverTheBytesAreCut() throws Exception {
-    fixture.loadCached(41);
-    fixture.source.watch(true);
+    fixture.loadCachedList(41);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch = fixture.server.accept();
     assertEquals("/registry/instances?stream=1&index=41", watch.target());
     String first = message(43, false, entry("s-1", "Terminating"), entry("s-2", "Ready"));
@@ -44,7 +44,7 @@
 
   @Test
   void reportsEachFailureOnceAndResumesAtTheHeldVersion() throws Exception {
-    fixture.loadCached(41);
+    fixture.loadCachedList(41);
     String[] failures = {
       "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
       CHUNKED_HEAD + "3\r\n{x\n\r\n",
@@ -54,35 +54,35 @@
       CHUNKED_HEAD + "c\r\n{\"seq\":\"a\"}\n\r\n"
     };
     for (String failure : failures) {
-      fixture.source.watch(true);
+      fixture.source.setWatchEnabled(true);
       ManualHttpExchange watch = fixture.server.accept().writeRaw(failure);
       assertEquals("/registry/instances?stream=1&index=41", watch.target());
       assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), failure);
     }
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     fixture.server.accept().close();
     assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "a reset");
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("{\"seq\":50,\"who").close();
     assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "half a message");
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange wentBack = fixture.server.accept();
     assertEquals(
         "/registry/instances?stream=1&index=41", wentBack.target(), "half a message moved nothing");
     wentBack.writeRaw(CHUNKED_HEAD).writeChunk(message(7, false));
     assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "the version went back");
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     assertEquals(
         "/registry/instances?stream=1&index=0",
         fixture.server.accept().target(),
         "only a snapshot tells what was missed");
-    fixture.source.watch(false);
+    fixture.source.setWatchEnabled(false);
     assertTrue(fixture.updates.isEmpty());
   }
 
   @Test
   void failsAfterSilence() throws Exception {
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("\n");
     long startNanos = System.nanoTime();
     assertEquals("FETCH_FAILED", fixture.updates.nextDescribed());
@@ -92,7 +92,7 @@
   /** The server never completes a message, and never falls silent either. */
   @Test
   void failsWhenAMessageArrivesInPiecesWithoutEnd() throws Exception {
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch =
         fixture.server.acceptWatch().writeChunk("\n").writeChunk("{\"seq\":5,");
     Event.EndpointListUpdate update = null;
@@ -102,15 +102,15 @@
     }
     assertNotNull(update, "while pieces still arrive");
     assertEquals("FETCH_FAILED", EndpointUpdates.describe(update));
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
     assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescribed());
   }
 
   @Test
   void leavesOutInvalidEntriesAndKeepsTheRecordsHeld() throws Exception {
-    fixture.loadCached(41);
-    fixture.source.watch(true);
+    fixture.loadCachedList(41);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch = fixture.server.acceptWatch();
     for (String[] replacement :
         new String[][] {
@@ -154,11 +154,11 @@
                 }));
     EndpointUpdates updates = new EndpointUpdates();
     starved.start(updates, EndpointUpdates::ignoreList);
-    starved.watch(true);
+    starved.setWatchEnabled(true);
     assertEquals("FETCH_FAILED", updates.nextDescribed(), "the watch");
     starved.fetch();
     assertEquals("FETCH_FAILED", updates.nextDescribed(), "the fetch");
-    starved.watch(true);
+    starved.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
     assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", updates.nextDescribed());
     assertEquals(1, updates.threads().size(), "all updates come from the event loop");
--- a/src/test/java/stonespring/discovery/PlatformSourceFixture.java
+++ b/src/test/java/stonespring/discovery/PlatformSourceFixture.java
@@ -54,9 +54,9 @@
   }
 
   /** Gives the source a cached list with endpoint s-1. */
-  void loadCached(int version) throws IOException {
+  void loadCachedList(int version) throws IOException {
     var cached =
-        source.loadCached(
+        source.loadCachedList(
             Optional.of(
                 new ObjectMapper().readTree(message(version, true, entry("s-1", "Ready")))));
     assertEquals(
--- a/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
+++ b/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
@@ -51,7 +51,7 @@
 
   @Test
   void reportsChangesOfBlockingQueriesAndRestartsWhenTheIndexGoesBack() throws Exception {
-    source.watch(true);
+    source.setWatchEnabled(true);
     registry.respond(7, PASSING_A, WARNING_B, entry("dead", check("c", "critical")));
     assertEquals(
         snapshot(
@@ -87,12 +87,12 @@
 
   @Test
   void restartedWatchReportsASnapshotAndABrokenOneAFailure() throws Exception {
-    source.watch(true);
+    source.setWatchEnabled(true);
     registry.respond(7, PASSING_A, WARNING_B);
     assertEquals(Event.ListUpdateKind.SNAPSHOT, updates.next().kind());
     registry.respondWithoutIndex("[]");
     assertEquals(Event.ListUpdateKind.FETCH_FAILED, updates.next().kind());
-    source.watch(true);
+    source.setWatchEnabled(true);
     registry.respond(12, PASSING_A);
     assertEquals(
         Event.ListUpdateKind.SNAPSHOT, updates.next().kind(), "what was missed is not known");
