--- a/src/main/java/stonespring/discovery/EndpointListCodec.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -32,11 +32,12 @@
   /**
    * Creates a codec for one instance.
    *
-   * @param zones the names of the configured zones
-   * @param unixOffset Unix time minus the instance's clock, {@link stonespring.model.DeciMillis}
+   * @param zoneNames the names of the configured zones
+   * @param unixOffsetDeciMillis Unix time minus the instance's clock, {@link
+   *     stonespring.model.DeciMillis}
    */
-  public EndpointListCodec(List<String> zones, long unixOffset) {
-    this.fields = new EndpointFields(zones, unixOffset);
+  public EndpointListCodec(List<String> zoneNames, long unixOffsetDeciMillis) {
+    this.fields = new EndpointFields(zoneNames, unixOffsetDeciMillis);
   }
 
   EndpointFields fields() {
@@ -56,11 +57,11 @@
     }
     TreeMap<String, EndpointRecord> endpointsById = new TreeMap<>();
     for (int i = 0; i < list.size(); i++) {
-      String place = "entry " + i;
-      EndpointRecord endpoint = readEndpoint(place, list.get(i));
+      String location = "entry " + i;
+      EndpointRecord endpoint = readEndpoint(location, list.get(i));
       String id = endpoint.endpoint().name();
       if (endpointsById.put(id, endpoint) != null) {
-        throw new InvalidEndpointListException(place, id + " is a duplicate");
+        throw new InvalidEndpointListException(location, id + " is a duplicate");
       }
     }
     return new ArrayList<>(endpointsById.values());
@@ -82,38 +83,40 @@
     return e.getOriginalMessage().split("\n")[0];
   }
 
-  private EndpointRecord readEndpoint(String place, JsonNode node)
+  private EndpointRecord readEndpoint(String location, JsonNode node)
       throws InvalidEndpointListException {
     if (!node.isObject()) {
-      throw new InvalidEndpointListException(place, "it is no object");
+      throw new InvalidEndpointListException(location, "it is no object");
     }
     EndpointId id =
-        EndpointFields.endpointId(place, node.path("id").asText(), node.path("address").asText());
-    EndpointRecord.State state = readState(place, node.path("state"));
-    double weight = readWeight(place, node.path("weight"));
+        EndpointFields.createEndpointId(
+            location, node.path("id").asText(), node.path("address").asText());
+    EndpointRecord.State state = readState(location, node.path("state"));
+    double weight = readWeight(location, node.path("weight"));
     return new EndpointRecord(
         id,
-        fields.zone(place, node.path("zone").asText()),
+        fields.parseZone(location, node.path("zone").asText()),
         weight,
         state,
-        fields.startedAt(node.path("started_ms").asLong(0)));
+        fields.toInstanceClock(node.path("started_ms").asLong(0)));
   }
 
-  private static EndpointRecord.State readState(String place, JsonNode node)
+  private static EndpointRecord.State readState(String location, JsonNode node)
       throws InvalidEndpointListException {
     return switch (node.asText("ready")) {
       case "ready" -> EndpointRecord.State.READY;
       case "draining" -> EndpointRecord.State.DRAINING;
       default ->
-          throw new InvalidEndpointListException(place, "state", "is neither ready nor draining");
+          throw new InvalidEndpointListException(
+              location, "state", "is neither ready nor draining");
     };
   }
 
-  private static double readWeight(String place, JsonNode node)
+  private static double readWeight(String location, JsonNode node)
       throws InvalidEndpointListException {
     if (!node.isMissingNode()
         && !(node.isNumber() && node.asDouble() > 0 && node.asDouble() < MAX_WEIGHT)) {
-      throw new InvalidEndpointListException(place, "weight", "is no number above 0");
+      throw new InvalidEndpointListException(location, "weight", "is no number above 0");
     }
     return node.asDouble(1);
   }
@@ -132,11 +135,11 @@
     int separator = id.lastIndexOf(ADDRESS_SEPARATOR);
     node.put("id", id.substring(0, separator));
     node.put("address", id.substring(separator + 1));
-    node.put("zone", fields.zones().get(endpoint.zone().index()));
+    node.put("zone", fields.zoneNames().get(endpoint.zone().index()));
     node.put("weight", endpoint.weight());
     node.put("state", endpoint.state() == EndpointRecord.State.DRAINING ? "draining" : "ready");
     if (endpoint.startedAt() > 0) {
-      node.put("started_ms", fields.unixMillis(endpoint.startedAt()));
+      node.put("started_ms", fields.toUnixMillis(endpoint.startedAt()));
     }
   }
 }
--- a/src/main/java/stonespring/discovery/EndpointListDiff.java
+++ b/src/main/java/stonespring/discovery/EndpointListDiff.java
@@ -12,30 +12,30 @@
  * delta. Not thread-safe.
  */
 final class EndpointListDiff {
-  /** The last list by id, sorted; empty before the first one and after a {@link #reset}. */
-  private Optional<TreeMap<String, EndpointRecord>> last = Optional.empty();
+  /** The last list by id, sorted; empty before the first one and after a {@link #clearList}. */
+  private Optional<TreeMap<String, EndpointRecord>> lastList = Optional.empty();
 
   /** Takes the next list; empty if nothing changed. */
-  Optional<Event.EndpointListUpdate> next(List<EndpointRecord> endpoints) {
+  Optional<Event.EndpointListUpdate> replaceList(List<EndpointRecord> endpoints) {
     TreeMap<String, EndpointRecord> current = new TreeMap<>();
     for (EndpointRecord endpoint : endpoints) {
       current.put(endpoint.endpoint().name(), endpoint);
     }
-    Optional<TreeMap<String, EndpointRecord>> previous = last;
-    last = Optional.of(current);
+    Optional<TreeMap<String, EndpointRecord>> previous = lastList;
+    lastList = Optional.of(current);
     if (previous.isEmpty()) {
       return Optional.of(
           new Event.EndpointListUpdate(
               Event.ListUpdateKind.SNAPSHOT, List.copyOf(current.values())));
     }
-    List<EndpointRecord> changes = changes(previous.get(), current);
+    List<EndpointRecord> changes = findChanges(previous.get(), current);
     return changes.isEmpty()
         ? Optional.empty()
         : Optional.of(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, changes));
   }
 
   /** Changed and added endpoints, then removed ones, each sorted by id. */
-  private static List<EndpointRecord> changes(
+  private static List<EndpointRecord> findChanges(
       TreeMap<String, EndpointRecord> previous, TreeMap<String, EndpointRecord> current) {
     List<EndpointRecord> changes = new ArrayList<>();
     current.forEach(
@@ -47,24 +47,24 @@
     previous.forEach(
         (id, endpoint) -> {
           if (!current.containsKey(id)) {
-            changes.add(removed(endpoint));
+            changes.add(asRemoved(endpoint));
           }
         });
     return changes;
   }
 
-  private static EndpointRecord removed(EndpointRecord endpoint) {
+  private static EndpointRecord asRemoved(EndpointRecord endpoint) {
     return new EndpointRecord(
         endpoint.endpoint(), endpoint.zone(), endpoint.weight(), EndpointRecord.State.REMOVED, 0);
   }
 
   /** The last list, sorted by id; empty if there is none. */
-  List<EndpointRecord> list() {
-    return last.map(endpoints -> List.copyOf(endpoints.values())).orElse(List.of());
+  List<EndpointRecord> currentList() {
+    return lastList.map(endpoints -> List.copyOf(endpoints.values())).orElse(List.of());
   }
 
   /** Forgets the last list, as changes may have been missed: the next one is a snapshot again. */
-  void reset() {
-    last = Optional.empty();
+  void clearList() {
+    lastList = Optional.empty();
   }
 }
--- a/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
+++ b/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
@@ -27,7 +27,7 @@
     return response;
   }
 
-  static EndpointListUnavailableException superseded() {
+  static EndpointListUnavailableException versionsRestarted() {
     return new EndpointListUnavailableException(
         "the list's versions started over while the request was under way");
   }
--- a/src/main/java/stonespring/discovery/EndpointSource.java
+++ b/src/main/java/stonespring/discovery/EndpointSource.java
@@ -13,10 +13,12 @@
   /**
    * Sets the listeners; must be called once, before any other method.
    *
-   * @param updates receives each update, failures included
-   * @param lists receives the whole list after each update that may have changed it
+   * @param updateListener receives each update, failures included
+   * @param listListener receives the whole list after each update that may have changed it
    */
-  void start(Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists);
+  void start(
+      Consumer<Event.EndpointListUpdate> updateListener,
+      Consumer<List<EndpointRecord>> listListener);
 
   /**
    * Starts a watch of the list, in place of one that is under way, or ends it. A started watch is
--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -33,7 +33,7 @@
   private SourceListeners listeners;
   private byte[] lastContent = new byte[0];
   private String lastError = "";
-  private Future<?> polling;
+  private Future<?> pollTask;
 
   /** Creates a source that polls on the given event loop once started. */
   public FileEndpointSource(Path path, EndpointListCodec codec, EventLoop loop) {
@@ -44,9 +44,10 @@
 
   @Override
   public void start(
-      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    listeners = new SourceListeners(updates, lists);
-    polling =
+      Consumer<Event.EndpointListUpdate> updateListener,
+      Consumer<List<EndpointRecord>> listListener) {
+    listeners = new SourceListeners(updateListener, listListener);
+    pollTask =
         loop.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
@@ -70,9 +71,9 @@
     if (Arrays.equals(content, lastContent)) {
       return;
     }
-    Optional<Event.EndpointListUpdate> update = diff.next(codec.read(content));
+    Optional<Event.EndpointListUpdate> update = diff.replaceList(codec.read(content));
     lastContent = content;
-    update.ifPresent(changed -> listeners.updated(changed, diff.list()));
+    update.ifPresent(changed -> listeners.notifyUpdated(changed, diff.currentList()));
   }
 
   private static String describe(Exception e) {
@@ -88,12 +89,12 @@
   public void fetch() {
     loop.execute(
         () -> {
-          List<EndpointRecord> list = diff.list();
+          List<EndpointRecord> list = diff.currentList();
           if (list.isEmpty()) {
-            listeners.failed();
+            listeners.notifyFailed();
           } else {
             listeners
-                .updates()
+                .updateListener()
                 .accept(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list));
           }
         });
@@ -101,6 +102,6 @@
 
   @Override
   public void stop() {
-    polling.cancel(false);
+    pollTask.cancel(false);
   }
 }
--- a/src/main/java/stonespring/discovery/InvalidEndpointListException.java
+++ b/src/main/java/stonespring/discovery/InvalidEndpointListException.java
@@ -10,13 +10,13 @@
   }
 
   /** One place in the list, such as an entry or a line, is invalid. */
-  InvalidEndpointListException(String place, String problem) {
-    this(place + ": " + problem);
+  InvalidEndpointListException(String location, String problem) {
+    this(location + ": " + problem);
   }
 
   /** One field of an entry is invalid. */
-  InvalidEndpointListException(String place, String field, String problem) {
-    this(place, "field '" + field + "' " + problem);
+  InvalidEndpointListException(String location, String field, String problem) {
+    this(location, "field '" + field + "' " + problem);
   }
 
   /** A top-level field of the list's message is invalid. */
--- a/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -44,15 +44,16 @@
   /**
    * Creates a codec for one instance.
    *
-   * @param zones the names of the configured zones
-   * @param unixOffset Unix time minus the instance's clock, {@link stonespring.model.DeciMillis}
+   * @param zoneNames the names of the configured zones
+   * @param unixOffsetDeciMillis Unix time minus the instance's clock, {@link
+   *     stonespring.model.DeciMillis}
    */
-  public PlatformEndpointCodec(List<String> zones, long unixOffset) {
-    this.fields = new EndpointFields(zones, unixOffset);
+  public PlatformEndpointCodec(List<String> zoneNames, long unixOffsetDeciMillis) {
+    this.fields = new EndpointFields(zoneNames, unixOffsetDeciMillis);
   }
 
   /** Reads one message from its bytes; otherwise as {@link #read(JsonNode, Map)}. */
-  PlatformListMessage read(byte[] bytes, Map<EndpointId, EndpointRecord> held)
+  PlatformListMessage read(byte[] bytes, Map<EndpointId, EndpointRecord> heldEndpoints)
       throws InvalidEndpointListException {
     JsonNode message;
     try {
@@ -60,7 +61,7 @@
     } catch (IOException e) {
       throw new InvalidEndpointListException("a message is no well-formed JSON");
     }
-    return read(message, held);
+    return read(message, heldEndpoints);
   }
 
   /**
@@ -68,9 +69,9 @@
    * is used instead.
    *
    * @param message may be null, which is invalid
-   * @param held the endpoints held before this message, which stand in for invalid entries
+   * @param heldEndpoints the endpoints held before this message, which stand in for invalid entries
    */
-  PlatformListMessage read(JsonNode message, Map<EndpointId, EndpointRecord> held)
+  PlatformListMessage read(JsonNode message, Map<EndpointId, EndpointRecord> heldEndpoints)
       throws InvalidEndpointListException {
     if (message == null || !message.isObject()) {
       throw new InvalidEndpointListException("a message is no object");
@@ -88,45 +89,48 @@
       throw InvalidEndpointListException.ofField(
           "hosts", "is no list of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
     }
-    return readEntries(version.asLong(), snapshot.asBoolean(), entries, held);
+    return readEntries(version.asLong(), snapshot.asBoolean(), entries, heldEndpoints);
   }
 
   private PlatformListMessage readEntries(
-      long version, boolean snapshot, JsonNode entries, Map<EndpointId, EndpointRecord> held) {
+      long version,
+      boolean snapshot,
+      JsonNode entries,
+      Map<EndpointId, EndpointRecord> heldEndpoints) {
     List<EndpointRecord> endpoints = new ArrayList<>();
-    int invalidEntries = 0;
+    int invalidEntryCount = 0;
     for (JsonNode entry : entries) {
-      EndpointRecord heldRecord = held.get(new EndpointId(entry.path("host").asText()));
+      EndpointRecord heldRecord = heldEndpoints.get(new EndpointId(entry.path("host").asText()));
       Optional<EndpointRecord> endpoint = readEntry(entry, heldRecord);
       if (endpoint.isPresent()) {
         endpoints.add(endpoint.get());
       } else {
-        invalidEntries++;
+        invalidEntryCount++;
         if (heldRecord != null) {
           endpoints.add(heldRecord);
         }
       }
     }
-    return new PlatformListMessage(version, snapshot, endpoints, invalidEntries);
+    return new PlatformListMessage(version, snapshot, endpoints, invalidEntryCount);
   }
 
   /**
    * Reads one entry; empty if it is invalid.
    *
-   * @param held the record held of the same endpoint; null if there is none
+   * @param heldRecord the record held of the same endpoint; null if there is none
    */
-  private Optional<EndpointRecord> readEntry(JsonNode entry, EndpointRecord held) {
+  private Optional<EndpointRecord> readEntry(JsonNode entry, EndpointRecord heldRecord) {
     JsonNode id = entry.path("host");
     JsonNode weight = entry.path("share");
     JsonNode startedUnixMillis = entry.path("born_ms");
     Optional<EndpointRecord.State> state = readState(entry.path("health"));
-    Optional<ZoneId> zone = readZone(entry.path("site"), state, held);
+    Optional<ZoneId> zone = readZone(entry.path("site"), state, heldRecord);
     if (!id.isTextual()
         || !id.asText().matches(ENDPOINT_ID_PATTERN)
         || state.isEmpty()
         || zone.isEmpty()
-        || !isAbsentOrWithin(weight, MAX_WEIGHT)
-        || !isAbsentOrWithin(startedUnixMillis, MAX_UNIX_MILLIS)) {
+        || !isAbsentOrInRange(weight, MAX_WEIGHT)
+        || !isAbsentOrInRange(startedUnixMillis, MAX_UNIX_MILLIS)) {
       return Optional.empty();
     }
     return Optional.of(
@@ -135,7 +139,7 @@
             zone.get(),
             weight.asDouble(1),
             state.get(),
-            fields.startedAt((long) startedUnixMillis.asDouble(0))));
+            fields.toInstanceClock((long) startedUnixMillis.asDouble(0))));
   }
 
   private static Optional<EndpointRecord.State> readState(JsonNode health) {
@@ -149,18 +153,18 @@
 
   /** Reads the zone; an entry of a removed endpoint may come without one. */
   private Optional<ZoneId> readZone(
-      JsonNode site, Optional<EndpointRecord.State> state, EndpointRecord held) {
-    int index = fields.zones().indexOf(site.asText());
+      JsonNode site, Optional<EndpointRecord.State> state, EndpointRecord heldRecord) {
+    int index = fields.zoneNames().indexOf(site.asText());
     if (index >= 0) {
       return Optional.of(new ZoneId(index));
     }
     boolean removed = state.isPresent() && state.get() == EndpointRecord.State.REMOVED;
-    return removed && held != null ? Optional.of(held.zone()) : Optional.empty();
+    return removed && heldRecord != null ? Optional.of(heldRecord.zone()) : Optional.empty();
   }
 
-  private static boolean isAbsentOrWithin(JsonNode node, double limit) {
+  private static boolean isAbsentOrInRange(JsonNode node, double exclusiveLimit) {
     return node.isMissingNode()
         || node.isNull()
-        || node.isNumber() && node.asDouble() >= 0 && node.asDouble() < limit;
+        || node.isNumber() && node.asDouble() >= 0 && node.asDouble() < exclusiveLimit;
   }
 }
--- a/src/main/java/stonespring/discovery/PlatformEndpointList.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointList.java
@@ -15,10 +15,10 @@
  */
 final class PlatformEndpointList {
   private final PlatformEndpointCodec codec;
-  private final Map<EndpointId, EndpointRecord> held = new HashMap<>();
+  private final Map<EndpointId, EndpointRecord> endpointsById = new HashMap<>();
   private long version;
   private long epoch;
-  private long invalidEntries;
+  private long invalidEntryCount;
 
   PlatformEndpointList(PlatformEndpointCodec codec) {
     this.codec = codec;
@@ -33,13 +33,13 @@
   }
 
   /** Applies the list that the configuration came with. */
-  List<EndpointRecord> applyKnown(JsonNode message) throws InvalidEndpointListException {
-    return apply(codec.read(message, held), version, Origin.WATCH).endpoints();
+  List<EndpointRecord> applyCached(JsonNode message) throws InvalidEndpointListException {
+    return apply(codec.read(message, endpointsById), version, Origin.WATCH).endpoints();
   }
 
   /** Reads a message; changes nothing. */
   PlatformListMessage read(byte[] message) throws InvalidEndpointListException {
-    return codec.read(message, held);
+    return codec.read(message, endpointsById);
   }
 
   /**
@@ -47,22 +47,23 @@
    *
    * <ul>
    *   <li>at or above the held one: it applies;
-   *   <li>below the held one, but not below {@code after}: it is outdated. A delta gives an empty
-   *       update, a fetched snapshot the held list; a watch's snapshot applies, as its next message
-   *       builds on it;
-   *   <li>below {@code after}: versions started over, which is another epoch. A snapshot applies; a
-   *       delta can't be used.
+   *   <li>below the held one, but not below {@code baseVersion}: it is outdated. A delta gives an
+   *       empty update, a fetched snapshot the held list; a watch's snapshot applies, as its next
+   *       message builds on it;
+   *   <li>below {@code baseVersion}: versions started over, which is another epoch. A snapshot
+   *       applies; a delta can't be used.
    * </ul>
    *
-   * @param after the version that the response was requested after, or that its last message had
+   * @param baseVersion the version that the response was requested after, or that its last message
+   *     had
    * @return what changed
    * @throws InvalidEndpointListException for a delta of another epoch; the epoch has changed then,
    *     and the version is 0, so that the next request asks for everything
    */
-  Event.EndpointListUpdate apply(PlatformListMessage message, long after, Origin origin)
+  Event.EndpointListUpdate apply(PlatformListMessage message, long baseVersion, Origin origin)
       throws InvalidEndpointListException {
     boolean snapshot = message.snapshot();
-    if (message.version() < after) {
+    if (message.version() < baseVersion) {
       epoch++;
       if (!snapshot) {
         version = 0;
@@ -70,24 +71,25 @@
             "the version went back to " + message.version() + " in a delta");
       }
     } else if (message.version() < version && !(origin == Origin.WATCH && snapshot)) {
-      return update(snapshot, snapshot ? endpoints() : List.of());
+      return createUpdate(snapshot, snapshot ? endpoints() : List.of());
     }
     version = message.version();
-    invalidEntries += message.invalidEntries();
+    invalidEntryCount += message.invalidEntryCount();
     if (snapshot) {
-      held.clear();
+      endpointsById.clear();
     }
     for (EndpointRecord endpoint : message.endpoints()) {
       if (endpoint.state() == EndpointRecord.State.REMOVED) {
-        held.remove(endpoint.endpoint());
+        endpointsById.remove(endpoint.endpoint());
       } else {
-        held.put(endpoint.endpoint(), endpoint);
+        endpointsById.put(endpoint.endpoint(), endpoint);
       }
     }
-    return update(snapshot, message.endpoints());
+    return createUpdate(snapshot, message.endpoints());
   }
 
-  private static Event.EndpointListUpdate update(boolean snapshot, List<EndpointRecord> endpoints) {
+  private static Event.EndpointListUpdate createUpdate(
+      boolean snapshot, List<EndpointRecord> endpoints) {
     return new Event.EndpointListUpdate(
         snapshot ? Event.ListUpdateKind.SNAPSHOT : Event.ListUpdateKind.DELTA, endpoints);
   }
@@ -104,11 +106,11 @@
 
   /** The endpoints held now, in no particular order. */
   List<EndpointRecord> endpoints() {
-    return List.copyOf(held.values());
+    return List.copyOf(endpointsById.values());
   }
 
   /** How many invalid entries were not used so far; the held record, if any, stood in. */
-  long invalidEntries() {
-    return invalidEntries;
+  long invalidEntryCount() {
+    return invalidEntryCount;
   }
 }
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -25,10 +25,10 @@
   private static final String PATH = "/registry/instances";
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
   private static final int FETCH_TIMEOUT_MILLIS = 2_500;
-  private static final int NO_IDLE_CONNECTIONS = 0;
+  private static final int MAX_IDLE_CONNECTIONS = 0;
 
   /** Wait before the new address is tried again; short, as the old one may soon be turned off. */
-  private static final long MOVE_RETRY_MILLIS = 300;
+  private static final long SUCCESSOR_RETRY_MILLIS = 300;
 
   private final PlatformEndpointList list;
   private final EventLoop loop;
@@ -62,20 +62,20 @@
             connector,
             CONNECT_TIMEOUT_MILLIS,
             PlatformEndpointWatch.MAX_MESSAGE_BYTES,
-            NO_IDLE_CONNECTIONS);
+            MAX_IDLE_CONNECTIONS);
   }
 
   /**
    * Takes the list that the configuration came with, before any other is known.
    *
-   * @param known in the platform's form; an invalid one counts as empty
+   * @param cachedList in the platform's form; an invalid one counts as empty
    * @return a cached list
    */
-  public Event.EndpointListUpdate loadCachedList(Optional<JsonNode> known) {
+  public Event.EndpointListUpdate loadCachedList(Optional<JsonNode> cachedList) {
     List<EndpointRecord> endpoints = List.of();
-    if (known.isPresent()) {
+    if (cachedList.isPresent()) {
       try {
-        endpoints = list.applyKnown(known.get());
+        endpoints = list.applyCached(cachedList.get());
       } catch (InvalidEndpointListException e) {
         LOG.warn("the configuration's endpoint list is ignored: {}", e.getMessage());
       }
@@ -90,8 +90,9 @@
 
   @Override
   public void start(
-      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    listeners = new SourceListeners(updates, lists);
+      Consumer<Event.EndpointListUpdate> updateListener,
+      Consumer<List<EndpointRecord>> listListener) {
+    listeners = new SourceListeners(updateListener, listListener);
   }
 
   @Override
@@ -145,21 +146,22 @@
         });
   }
 
-  private void scheduleMoveRetry() {
+  private void scheduleSuccessorRetry() {
     loop.schedule(
         () -> {
-          boolean moved = currentWatch != null && currentWatch.address().equals(address);
-          if (currentWatch != null && successorWatch == null && !moved) {
+          boolean currentWatchUsesAddress =
+              currentWatch != null && currentWatch.address().equals(address);
+          if (currentWatch != null && successorWatch == null && !currentWatchUsesAddress) {
             successorWatch = startWatch();
           }
         },
-        MOVE_RETRY_MILLIS,
+        SUCCESSOR_RETRY_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
   private void reportFailure(String cause) {
     LOG.warn("discovery {}: keeping the last endpoint list: {}", address, cause);
-    listeners.failed();
+    listeners.notifyFailed();
   }
 
   /** Decides between the current watch and its successor. */
@@ -176,7 +178,7 @@
 
     @Override
     public void listUpdated(Event.EndpointListUpdate update) {
-      listeners.updated(update, list.endpoints());
+      listeners.notifyUpdated(update, list.endpoints());
     }
 
     @Override
@@ -186,7 +188,7 @@
         if (currentWatch == null) {
           reportFailure(cause);
         } else {
-          scheduleMoveRetry();
+          scheduleSuccessorRetry();
         }
       } else if (watch == currentWatch) {
         currentWatch = null;
@@ -202,31 +204,32 @@
   public void fetch() {
     loop.execute(
         () -> {
-          long version = list.version();
-          long epoch = list.epoch();
+          long versionAtRequest = list.version();
+          long epochAtRequest = list.epoch();
           client.call(
               address,
               HttpRequest.get(address, PATH),
               FETCH_TIMEOUT_MILLIS,
-              result -> fetchEnded(version, epoch, result));
+              result -> handleFetchResult(versionAtRequest, epochAtRequest, result));
         });
   }
 
   /**
    * Ends a fetch.
    *
-   * @param version the held list's version when it was requested
-   * @param epoch the held list's epoch when it was requested
+   * @param versionAtRequest the held list's version when it was requested
+   * @param epochAtRequest the held list's epoch when it was requested
    */
-  private void fetchEnded(long version, long epoch, HttpCallResult result) {
+  private void handleFetchResult(
+      long versionAtRequest, long epochAtRequest, HttpCallResult result) {
     try {
-      if (epoch != list.epoch()) {
-        throw EndpointListUnavailableException.superseded();
+      if (epochAtRequest != list.epoch()) {
+        throw EndpointListUnavailableException.versionsRestarted();
       }
       byte[] body = EndpointListUnavailableException.requireOk(result).body();
       Event.EndpointListUpdate update =
-          list.apply(list.read(body), version, PlatformEndpointList.Origin.FETCH);
-      listeners.updated(
+          list.apply(list.read(body), versionAtRequest, PlatformEndpointList.Origin.FETCH);
+      listeners.notifyUpdated(
           new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, update.endpoints()),
           list.endpoints());
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -44,7 +44,7 @@
   private final PlatformEndpointList list;
   private final Listener listener;
   private final EventLoop loop;
-  private final HttpWatch response;
+  private final HttpWatch httpWatch;
   private final ByteArrayOutputStream partialMessage = new ByteArrayOutputStream();
 
   /** The version of the last message, at first the one that the watch was requested after. */
@@ -53,7 +53,7 @@
   /** Null while no message is incomplete. */
   private Future<?> messageTimeout;
 
-  private boolean over;
+  private boolean finished;
 
   /** Starts a watch of what changes after the held list's version. */
   PlatformEndpointWatch(
@@ -67,7 +67,7 @@
     this.listener = listener;
     this.loop = connector.loop();
     this.lastVersion = list.version();
-    this.response =
+    this.httpWatch =
         new HttpWatch(
             connector,
             address,
@@ -85,13 +85,13 @@
   public void received(byte[] bytes) {
     listener.watchResponded(this);
     int start = 0;
-    while (start < bytes.length && !over) {
-      int end = lineEnd(bytes, start);
+    while (start < bytes.length && !finished) {
+      int end = findLineEnd(bytes, start);
       partialMessage.write(bytes, start, end - start);
       if (partialMessage.size() > MAX_MESSAGE_BYTES) {
         fail("a message is over " + MAX_MESSAGE_BYTES + " bytes");
       } else if (end < bytes.length) {
-        completeMessage();
+        processLine();
       } else {
         startMessageTimeout();
       }
@@ -99,7 +99,7 @@
     }
   }
 
-  private static int lineEnd(byte[] bytes, int start) {
+  private static int findLineEnd(byte[] bytes, int start) {
     int end = start;
     while (end < bytes.length && bytes[end] != '\n') {
       end++;
@@ -107,18 +107,18 @@
     return end;
   }
 
-  private void completeMessage() {
+  private void processLine() {
     cancelMessageTimeout();
-    byte[] message = partialMessage.toByteArray();
+    byte[] messageBytes = partialMessage.toByteArray();
     partialMessage.reset();
-    if (new String(message, StandardCharsets.ISO_8859_1).isBlank()) {
+    if (new String(messageBytes, StandardCharsets.ISO_8859_1).isBlank()) {
       return;
     }
     try {
-      PlatformListMessage read = list.read(message);
+      PlatformListMessage parsedMessage = list.read(messageBytes);
       Event.EndpointListUpdate update =
-          list.apply(read, lastVersion, PlatformEndpointList.Origin.WATCH);
-      lastVersion = read.version();
+          list.apply(parsedMessage, lastVersion, PlatformEndpointList.Origin.WATCH);
+      lastVersion = parsedMessage.version();
       listener.listUpdated(update);
     } catch (InvalidEndpointListException e) {
       fail(e.getMessage());
@@ -143,21 +143,21 @@
   }
 
   private void fail(String cause) {
-    response.cancel();
+    httpWatch.cancel();
     ended(cause);
   }
 
   @Override
   public void ended(String cause) {
-    over = true;
+    finished = true;
     cancelMessageTimeout();
     listener.watchFailed(this, cause);
   }
 
   /** Ends the watch; the listener is not called any more. */
   void cancel() {
-    over = true;
+    finished = true;
     cancelMessageTimeout();
-    response.cancel();
+    httpWatch.cancel();
   }
 }
--- a/src/main/java/stonespring/discovery/PlatformListMessage.java
+++ b/src/main/java/stonespring/discovery/PlatformListMessage.java
@@ -9,7 +9,7 @@
  * @param version the list's version after this message; 0 or more
  * @param snapshot whether this is the whole list, otherwise the entries that changed
  * @param endpoints the entries; in place of an invalid one the record held of that endpoint, if any
- * @param invalidEntries how many entries were invalid
+ * @param invalidEntryCount how many entries were invalid
  */
 record PlatformListMessage(
-    long version, boolean snapshot, List<EndpointRecord> endpoints, int invalidEntries) {}
+    long version, boolean snapshot, List<EndpointRecord> endpoints, int invalidEntryCount) {}
--- a/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
@@ -42,7 +42,7 @@
       return new Health(maintenance, critical, warning);
     }
 
-    boolean listed() {
+    boolean isListed() {
       return maintenance || !critical;
     }
   }
@@ -72,27 +72,28 @@
     }
   }
 
-  private Optional<EndpointRecord> readEntry(String place, JsonNode entry)
+  private Optional<EndpointRecord> readEntry(String location, JsonNode entry)
       throws InvalidEndpointListException {
     Health health = Health.of(entry.path("Checks"));
-    if (!health.listed()) {
+    if (!health.isListed()) {
       return Optional.empty();
     }
     JsonNode service = entry.path("Service");
     JsonNode meta = service.path("Meta");
     EndpointId id =
-        EndpointFields.endpointId(place, service.path("ID").asText(), address(entry, service));
+        EndpointFields.createEndpointId(
+            location, service.path("ID").asText(), readAddress(entry, service));
     return Optional.of(
         new EndpointRecord(
             id,
-            fields.zone(place, meta.path("zone").asText()),
-            weight(service.path("Weights"), health),
+            fields.parseZone(location, meta.path("zone").asText()),
+            readWeight(service.path("Weights"), health),
             health.maintenance() ? EndpointRecord.State.DRAINING : EndpointRecord.State.READY,
-            fields.startedAt(meta.path("started_ms").asLong(0))));
+            fields.toInstanceClock(meta.path("started_ms").asLong(0))));
   }
 
   /** The service's address, or its node's if it has none of its own. */
-  private static String address(JsonNode entry, JsonNode service) {
+  private static String readAddress(JsonNode entry, JsonNode service) {
     String host = service.path("Address").asText("");
     if (host.isEmpty()) {
       host = entry.path("Node").path("Address").asText();
@@ -100,7 +101,7 @@
     return host + ":" + service.path("Port").asInt();
   }
 
-  private static double weight(JsonNode weights, Health health) {
+  private static double readWeight(JsonNode weights, Health health) {
     double weight = weights.path(health.warning() ? "Warning" : "Passing").asDouble(1);
     return weight > 0 ? weight : 1;
   }
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -71,8 +71,9 @@
 
   @Override
   public void start(
-      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    listeners = new SourceListeners(updates, lists);
+      Consumer<Event.EndpointListUpdate> updateListener,
+      Consumer<List<EndpointRecord>> listListener) {
+    listeners = new SourceListeners(updateListener, listListener);
   }
 
   @Override
@@ -83,13 +84,13 @@
           watchNumber++;
           cancelQuery.run();
           if (enabled) {
-            diff.reset();
-            query(watchNumber, NO_INDEX);
+            diff.clearList();
+            sendQuery(watchNumber, NO_INDEX);
           }
         });
   }
 
-  private void query(int watch, long index) {
+  private void sendQuery(int queryWatchNumber, long index) {
     String query = index == NO_INDEX ? "" : "?index=" + index + "&wait=" + waitSeconds + "s";
     long waitMillis = index == NO_INDEX ? 0 : waitSeconds * 1000L;
     cancelQuery =
@@ -98,19 +99,19 @@
             HttpRequest.get(address, path + query),
             waitMillis + RESPONSE_TIMEOUT_MILLIS,
             result -> {
-              if (watch == watchNumber && watching) {
-                queryEnded(watch, index, result);
+              if (queryWatchNumber == watchNumber && watching) {
+                handleQueryResult(queryWatchNumber, index, result);
               }
             });
   }
 
-  private void queryEnded(int watch, long index, HttpCallResult result) {
+  private void handleQueryResult(int queryWatchNumber, long index, HttpCallResult result) {
     try {
       HttpResponse response = EndpointListUnavailableException.requireOk(result);
       long nextIndex = readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
-      diff.next(list).ifPresent(update -> listeners.updated(update, list));
-      query(watch, nextIndex < index ? NO_INDEX : nextIndex);
+      diff.replaceList(list).ifPresent(update -> listeners.notifyUpdated(update, list));
+      sendQuery(queryWatchNumber, nextIndex < index ? NO_INDEX : nextIndex);
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
       watching = false;
       reportFailure(e);
@@ -133,15 +134,16 @@
                 address,
                 HttpRequest.get(address, path),
                 RESPONSE_TIMEOUT_MILLIS,
-                this::fetchEnded));
+                this::handleFetchResult));
   }
 
-  private void fetchEnded(HttpCallResult result) {
+  private void handleFetchResult(HttpCallResult result) {
     try {
       HttpResponse response = EndpointListUnavailableException.requireOk(result);
       readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
-      listeners.updated(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list), list);
+      listeners.notifyUpdated(
+          new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list), list);
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
       reportFailure(e);
     }
@@ -149,7 +151,7 @@
 
   private void reportFailure(Exception cause) {
     LOG.warn("registry {}: keeping the last endpoint list: {}", address, cause.getMessage());
-    listeners.failed();
+    listeners.notifyFailed();
   }
 
   @Override
--- a/src/main/java/stonespring/discovery/SourceListeners.java
+++ b/src/main/java/stonespring/discovery/SourceListeners.java
@@ -7,15 +7,17 @@
 
 /** The listeners of an {@link EndpointSource}; called on its event loop. */
 record SourceListeners(
-    Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
+    Consumer<Event.EndpointListUpdate> updateListener,
+    Consumer<List<EndpointRecord>> listListener) {
   /** Reports an update, and the whole list after it. */
-  void updated(Event.EndpointListUpdate update, List<EndpointRecord> list) {
-    updates.accept(update);
-    lists.accept(list);
+  void notifyUpdated(Event.EndpointListUpdate update, List<EndpointRecord> list) {
+    updateListener.accept(update);
+    listListener.accept(list);
   }
 
   /** Reports that a fetch or a watch failed; the list stands. */
-  void failed() {
-    updates.accept(new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
+  void notifyFailed() {
+    updateListener.accept(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.FETCH_FAILED, List.of()));
   }
 }
--- a/src/test/java/stonespring/discovery/CachedEndpointListTest.java
+++ b/src/test/java/stonespring/discovery/CachedEndpointListTest.java
@@ -13,7 +13,7 @@
 
 final class CachedEndpointListTest {
   @Test
-  void readsWhatWasStoredAndIgnoresAnInvalidFile(@TempDir Path folder) throws Exception {
+  void readsStoredListAndReturnsEmptyListWhenFileIsInvalid(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("list.json");
     CachedEndpointList cache = new CachedEndpointList(Optional.of(file), EndpointLists.codec());
     List<EndpointRecord> list =
--- a/src/test/java/stonespring/discovery/EndpointListCodecTest.java
+++ b/src/test/java/stonespring/discovery/EndpointListCodecTest.java
@@ -8,8 +8,8 @@
 
 final class EndpointListCodecTest {
   @Test
-  void invalidListNamesEntryAndField() {
-    for (String[] row :
+  void namesEntryAndFieldWhenListIsInvalid() {
+    for (String[] testCase :
         new String[][] {
           {"{}", "no JSON array"},
           {"[1]", "entry 0: it is no object"},
@@ -29,8 +29,8 @@
       InvalidEndpointListException e =
           assertThrows(
               InvalidEndpointListException.class,
-              () -> EndpointLists.codec().read(row[0].getBytes(StandardCharsets.UTF_8)));
-      assertTrue(e.getMessage().contains(row[1]), e.getMessage());
+              () -> EndpointLists.codec().read(testCase[0].getBytes(StandardCharsets.UTF_8)));
+      assertTrue(e.getMessage().contains(testCase[1]), e.getMessage());
     }
   }
 }
--- a/src/test/java/stonespring/discovery/EndpointUpdates.java
+++ b/src/test/java/stonespring/discovery/EndpointUpdates.java
@@ -39,7 +39,7 @@
   }
 
   /** Waits for the next update and describes it. */
-  String nextDescribed() throws InterruptedException {
+  String nextDescription() throws InterruptedException {
     return describe(next());
   }
 
--- a/src/test/java/stonespring/discovery/FileEndpointSourceTest.java
+++ b/src/test/java/stonespring/discovery/FileEndpointSourceTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void reportsChangesAndIgnoresAnInvalidList(@TempDir Path folder) throws Exception {
+  void reportsChangesAndIgnoresInvalidList(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("endpoints.json");
     String a =
         "{\"id\":\"a\",\"address\":\"127.0.0.1:80\",\"zone\":\"east\",\"weight\":3,\"started_ms\":1000}";
--- a/src/test/java/stonespring/discovery/PlatformEndpointMoveTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointAddressChangeTest.java
@@ -14,14 +14,14 @@
 import stonespring.model.EndpointRecord;
 
 /** A watch whose server moves to another address. */
-final class PlatformEndpointMoveTest {
+final class PlatformEndpointAddressChangeTest {
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
   private ManualHttpExchange oldWatch;
   private PlatformListServer newServer;
 
   /** Watches at the old address, up to version 5, and moves. */
   @BeforeEach
-  void watchAndMove() throws Exception {
+  void startWatchAndChangeAddress() throws Exception {
     fixture.source.setWatchEnabled(true);
     oldWatch = fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
     fixture.updates.next();
@@ -30,38 +30,39 @@
   }
 
   @Test
-  void closesTheOldWatchOnceTheNewAddressResponds() throws Exception {
+  void closesOldWatchWhenNewAddressResponds() throws Exception {
     ManualHttpExchange newWatch = newServer.accept();
     assertEquals("/registry/instances?stream=1&index=5", newWatch.target());
     oldWatch.writeChunk(message(6, false, entry("s-2", "Ready")));
     assertEquals(
         "DELTA s-2/READY/1/1.5/9500",
-        fixture.updates.nextDescribed(),
+        fixture.updates.nextDescription(),
         "the old watch is still followed");
     newWatch.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
-    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription());
     assertTrue(oldWatch.closedByClient(), "now it is closed");
     newWatch.close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "one failure, of the new watch");
+    assertEquals(
+        "FETCH_FAILED", fixture.updates.nextDescription(), "one failure, of the new watch");
     fixture.source.setWatchEnabled(true);
     assertNotNull(newServer.accept());
   }
 
   @Test
-  void retriesAFailedMoveWhileTheOldWatchLasts() throws Exception {
+  void retriesNewAddressWhenItsFirstWatchFails() throws Exception {
     newServer.accept().writeRaw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     ManualHttpExchange retry = newServer.accept();
     oldWatch.close(); // while the new address has not responded
     retry.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
     assertEquals(
-        "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed(), "and nothing failed");
+        "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription(), "and nothing failed");
   }
 
   /**
    * The old watch goes on while the new one, requested at version 5, has yet to bring version 6.
    */
   @Test
-  void newWatchOvertakenByTheOldOneRevertsNothingAndStays() throws Exception {
+  void ignoresOutdatedMessageOfNewWatchAndKeepsFollowingIt() throws Exception {
     ManualHttpExchange newWatch = newServer.accept();
     oldWatch
         .writeChunk(message(6, false, entry("s-1", "Ready")))
@@ -69,12 +70,12 @@
     fixture.updates.next();
     fixture.updates.next();
     newWatch.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-1", "Ready")));
-    assertEquals("DELTA", fixture.updates.nextDescribed());
+    assertEquals("DELTA", fixture.updates.nextDescription());
     assertEquals(EndpointRecord.State.DRAINING, fixture.source.endpoints().get(0).state());
     newWatch
         .writeChunk(message(7, false, entry("s-1", "Terminating")))
         .writeChunk(message(8, false, entry("s-2", "Ready")));
-    assertEquals("DELTA s-1/DRAINING/1/1.5/9500", fixture.updates.nextDescribed());
-    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("DELTA s-1/DRAINING/1/1.5/9500", fixture.updates.nextDescription());
+    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription());
   }
 }
--- a/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
@@ -16,29 +16,29 @@
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
 
   @Test
-  void fetchesTheWholeListOnce() throws Exception {
+  void reportsFetchedSnapshotAndFailureWhenConnectionCloses() throws Exception {
     fixture.source.fetch();
     ManualHttpExchange fetch = fixture.server.accept();
     assertEquals("/registry/instances", fetch.target());
     fetch.writeResponse(message(9, true, entry("s-1", "Ready")));
-    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescription());
     fixture.source.fetch();
     fixture.server.accept().close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed());
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription());
   }
 
   /** The server holds the fetched list back until the watch has brought a newer message. */
   @Test
-  void fetchedListOvertakenByTheWatchRevertsNothing() throws Exception {
+  void keepsNewerListWhenFetchResponseIsOutdated() throws Exception {
     fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch =
         fixture.server.acceptWatch().writeChunk(message(41, true, entry("s-1", "Ready")));
     fixture.updates.next();
     fixture.source.fetch();
-    ManualHttpExchange overtaken = fixture.server.accept();
+    ManualHttpExchange outdatedFetch = fixture.server.accept();
     watch.writeChunk(message(43, false, entry("s-1", "Terminating"), entry("s-2", "Ready")));
     fixture.updates.next();
-    overtaken.writeResponse(message(42, true, entry("s-1", "Ready")));
+    outdatedFetch.writeResponse(message(42, true, entry("s-1", "Ready")));
     Event.EndpointListUpdate snapshot = fixture.updates.next();
     assertEquals(Event.ListUpdateKind.SNAPSHOT, snapshot.kind());
     assertEquals(
@@ -48,20 +48,20 @@
             .collect(Collectors.toSet()),
         "it is answered by the held list");
     fixture.source.fetch();
-    ManualHttpExchange newer = fixture.server.accept();
-    newer.writeResponse(message(45, true, entry("s-3", "Ready")));
-    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    ManualHttpExchange newerFetch = fixture.server.accept();
+    newerFetch.writeResponse(message(45, true, entry("s-3", "Ready")));
+    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", fixture.updates.nextDescription());
     watch
         .writeChunk(message(44, false, entry("s-3", "Gone")))
         .writeChunk(message(46, false, entry("s-4", "Ready")));
     assertEquals(
-        "DELTA", fixture.updates.nextDescribed(), "outdated message of the watch, which goes on");
-    assertEquals("DELTA s-4/READY/1/1.5/9500", fixture.updates.nextDescribed());
+        "DELTA", fixture.updates.nextDescription(), "outdated message of the watch, which goes on");
+    assertEquals("DELTA s-4/READY/1/1.5/9500", fixture.updates.nextDescription());
     assertEquals(2, fixture.source.endpoints().size());
   }
 
   @Test
-  void fetchedListOfAnEarlierEpochIsRefused() throws Exception {
+  void rejectsFetchResponseWhenVersionsRestartedMeanwhile() throws Exception {
     fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch =
         fixture.server.acceptWatch().writeChunk(message(41, true, entry("s-1", "Ready")));
@@ -71,10 +71,10 @@
     watch.writeChunk(message(3, true, entry("s-2", "Ready")));
     assertEquals(
         "SNAPSHOT s-2/READY/1/1.5/9500",
-        fixture.updates.nextDescribed(),
+        fixture.updates.nextDescription(),
         "versions started over, and the snapshot applies");
     fetch.writeResponse(message(42, true, entry("s-1", "Ready")));
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed());
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription());
     assertEquals("s-2", fixture.source.endpoints().get(0).endpoint().name());
   }
 }
--- a/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
@@ -19,7 +19,7 @@
 
   /** Endpoints come and go under new ids for ever. */
   @Test
-  void holdsNothingOfRemovedEndpoints() throws Exception {
+  void retainsNoRemovedEndpoints() throws Exception {
     for (int i = 0; i < 5_000; i++) {
       apply(message(i, false, entry("s-" + i, "Ready")));
       if (i >= 3) {
--- a/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
@@ -21,29 +21,29 @@
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
 
   @Test
-  void reportsChangesHoweverTheBytesAreCut() throws Exception {
+  void reportsChangesWhenMessagesAreSplitAcrossChunks() throws Exception {
     fixture.loadCachedList(41);
     fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch = fixture.server.accept();
     assertEquals("/registry/instances?stream=1&index=41", watch.target());
-    String first = message(43, false, entry("s-1", "Terminating"), entry("s-2", "Ready"));
+    String firstMessage = message(43, false, entry("s-1", "Terminating"), entry("s-2", "Ready"));
     watch
         .writeRaw(CHUNKED_HEAD)
-        .writeChunk(first.substring(0, 30))
-        .writeChunk(first.substring(30))
+        .writeChunk(firstMessage.substring(0, 30))
+        .writeChunk(firstMessage.substring(30))
         .writeChunk("\n")
         .writeChunk("\r\n");
     assertEquals(
-        "DELTA s-1/DRAINING/1/1.5/9500 s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
+        "DELTA s-1/DRAINING/1/1.5/9500 s-2/READY/1/1.5/9500", fixture.updates.nextDescription());
     watch.writeChunk(
         message(44, false, entry("s-1", "Gone")) + message(45, true, entry("s-3", "Ready")));
-    assertEquals("DELTA s-1/REMOVED/1/1.5/9500", fixture.updates.nextDescribed());
-    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("DELTA s-1/REMOVED/1/1.5/9500", fixture.updates.nextDescription());
+    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", fixture.updates.nextDescription());
     assertTrue(fixture.updates.isEmpty(), "a keep-alive reports nothing");
   }
 
   @Test
-  void reportsEachFailureOnceAndResumesAtTheHeldVersion() throws Exception {
+  void reportsEachFailureOnceAndResumesFromHeldVersion() throws Exception {
     fixture.loadCachedList(41);
     String[] failures = {
       "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -57,20 +57,22 @@
       fixture.source.setWatchEnabled(true);
       ManualHttpExchange watch = fixture.server.accept().writeRaw(failure);
       assertEquals("/registry/instances?stream=1&index=41", watch.target());
-      assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), failure);
+      assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), failure);
     }
     fixture.source.setWatchEnabled(true);
     fixture.server.accept().close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "a reset");
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "a reset");
     fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("{\"seq\":50,\"who").close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "half a message");
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "half a message");
     fixture.source.setWatchEnabled(true);
-    ManualHttpExchange wentBack = fixture.server.accept();
+    ManualHttpExchange watchWithLowerVersion = fixture.server.accept();
     assertEquals(
-        "/registry/instances?stream=1&index=41", wentBack.target(), "half a message moved nothing");
-    wentBack.writeRaw(CHUNKED_HEAD).writeChunk(message(7, false));
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "the version went back");
+        "/registry/instances?stream=1&index=41",
+        watchWithLowerVersion.target(),
+        "half a message moved nothing");
+    watchWithLowerVersion.writeRaw(CHUNKED_HEAD).writeChunk(message(7, false));
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "the version went back");
     fixture.source.setWatchEnabled(true);
     assertEquals(
         "/registry/instances?stream=1&index=0",
@@ -81,17 +83,17 @@
   }
 
   @Test
-  void failsAfterSilence() throws Exception {
+  void failsWhenServerSendsNothing() throws Exception {
     fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("\n");
     long startNanos = System.nanoTime();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed());
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription());
     assertTrue(System.nanoTime() - startNanos > 2_000_000_000L, "not before a keep-alive was due");
   }
 
   /** The server never completes a message, and never falls silent either. */
   @Test
-  void failsWhenAMessageArrivesInPiecesWithoutEnd() throws Exception {
+  void failsWhenMessageIsNeverCompleted() throws Exception {
     fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch =
         fixture.server.acceptWatch().writeChunk("\n").writeChunk("{\"seq\":5,");
@@ -104,11 +106,11 @@
     assertEquals("FETCH_FAILED", EndpointUpdates.describe(update));
     fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
-    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescription());
   }
 
   @Test
-  void leavesOutInvalidEntriesAndKeepsTheRecordsHeld() throws Exception {
+  void skipsInvalidEntriesAndKeepsHeldRecords() throws Exception {
     fixture.loadCachedList(41);
     fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch = fixture.server.acceptWatch();
@@ -125,22 +127,22 @@
       watch.writeChunk(message(50, true, invalid, entry("s-2", "Ready")));
       assertEquals(
           "SNAPSHOT s-1/READY/1/1.5/9500 s-2/READY/1/1.5/9500",
-          fixture.updates.nextDescribed(),
+          fixture.updates.nextDescription(),
           replacement[1]);
     }
     for (String id : new String[] {"\"a b\"", "\"a,b\"", "\"a:b\"", "\"\"", "7"}) {
       watch.writeChunk(message(51, false, entry("s-9", "Ready").replace("\"s-9\"", id)));
-      assertEquals("DELTA", fixture.updates.nextDescribed(), id);
+      assertEquals("DELTA", fixture.updates.nextDescription(), id);
     }
-    assertEquals(11, fixture.list.invalidEntries());
+    assertEquals(11, fixture.list.invalidEntryCount());
     assertEquals(2, fixture.source.endpoints().size());
   }
 
   /** No file descriptor is left for the watch, nor for the fetch after it. */
   @Test
-  void reportsAFailureWhenNoSocketCanBeOpened() throws Exception {
+  void reportsFailureWhenNoSocketCanBeOpened() throws Exception {
     AtomicInteger failuresLeft = new AtomicInteger(2);
-    PlatformEndpointSource starved =
+    PlatformEndpointSource sourceWithoutSockets =
         new PlatformEndpointSource(
             fixture.server.address(),
             fixture.list,
@@ -153,15 +155,15 @@
                   return new NioSocketChannel();
                 }));
     EndpointUpdates updates = new EndpointUpdates();
-    starved.start(updates, EndpointUpdates::ignoreList);
-    starved.setWatchEnabled(true);
-    assertEquals("FETCH_FAILED", updates.nextDescribed(), "the watch");
-    starved.fetch();
-    assertEquals("FETCH_FAILED", updates.nextDescribed(), "the fetch");
-    starved.setWatchEnabled(true);
+    sourceWithoutSockets.start(updates, EndpointUpdates::ignoreList);
+    sourceWithoutSockets.setWatchEnabled(true);
+    assertEquals("FETCH_FAILED", updates.nextDescription(), "the watch");
+    sourceWithoutSockets.fetch();
+    assertEquals("FETCH_FAILED", updates.nextDescription(), "the fetch");
+    sourceWithoutSockets.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
-    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", updates.nextDescribed());
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", updates.nextDescription());
     assertEquals(1, updates.threads().size(), "all updates come from the event loop");
-    starved.stop();
+    sourceWithoutSockets.stop();
   }
 }
--- a/src/test/java/stonespring/discovery/PlatformSourceFixture.java
+++ b/src/test/java/stonespring/discovery/PlatformSourceFixture.java
@@ -20,7 +20,7 @@
 
 /** A platform source before a stand-in list server, and what it reports. */
 final class PlatformSourceFixture implements BeforeEachCallback, AfterEachCallback {
-  private static final long UNIX_OFFSET = 500;
+  private static final long UNIX_OFFSET_DECI_MILLIS = 500;
 
   final PlatformEndpointList list = newList();
   final EndpointUpdates updates = new EndpointUpdates();
@@ -32,7 +32,7 @@
 
   static PlatformEndpointList newList() {
     return new PlatformEndpointList(
-        new PlatformEndpointCodec(List.of("west", "east"), UNIX_OFFSET));
+        new PlatformEndpointCodec(List.of("west", "east"), UNIX_OFFSET_DECI_MILLIS));
   }
 
   @Override
@@ -48,9 +48,9 @@
 
   /** Starts another server, closed after the test. */
   PlatformListServer newServer() throws IOException {
-    PlatformListServer another = new PlatformListServer();
-    servers.add(another);
-    return another;
+    PlatformListServer listServer = new PlatformListServer();
+    servers.add(listServer);
+    return listServer;
   }
 
   /** Gives the source a cached list with endpoint s-1. */
@@ -68,8 +68,8 @@
   @Override
   public void afterEach(ExtensionContext context) throws IOException {
     source.stop();
-    for (PlatformListServer each : servers) {
-      each.close();
+    for (PlatformListServer listServer : servers) {
+      listServer.close();
     }
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
--- a/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
+++ b/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void reportsChangesOfBlockingQueriesAndRestartsWhenTheIndexGoesBack() throws Exception {
+  void reportsChangesAndRestartsQueriesWhenIndexDecreases() throws Exception {
     source.setWatchEnabled(true);
     registry.respond(7, PASSING_A, WARNING_B, entry("dead", check("c", "critical")));
     assertEquals(
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void restartedWatchReportsASnapshotAndABrokenOneAFailure() throws Exception {
+  void reportsSnapshotWhenWatchRestartsAndFailureWhenItBreaks() throws Exception {
     source.setWatchEnabled(true);
     registry.respond(7, PASSING_A, WARNING_B);
     assertEquals(Event.ListUpdateKind.SNAPSHOT, updates.next().kind());
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void invalidOrMissingResponsesFailAFetch() throws Exception {
+  void failsFetchWhenResponseIsInvalidOrMissing() throws Exception {
     for (String invalid : new String[] {"{}", "[{}]", "[" + entry("a b", "") + "]", "not json"}) {
       source.fetch();
       registry.respondBody(13, invalid);
