--- a/src/main/java/stonespring/discovery/CachedEndpointList.java
+++ b/src/main/java/stonespring/discovery/CachedEndpointList.java
@@ -18,8 +18,9 @@
 import stonespring.model.EndpointRecord;
 
 /**
- * The last known endpoint list on disk, for the next start. It is written beside the old file and
- * renamed, so that a crash leaves the old list or the new one. Thread-safe.
+ * A copy of the last known endpoint list on disk, which the instance reads at its next start. A new
+ * list is written to a temporary file in the same directory, which then replaces the old file
+ * atomically, so that a crash leaves either the old list or the new one. Thread-safe.
  */
 public final class CachedEndpointList {
   private static final Logger LOG = LoggerFactory.getLogger(CachedEndpointList.class);
@@ -27,14 +28,17 @@
 
   private final Optional<Path> file;
   private final EndpointListCodec codec;
+
+  /** The next list to write; null if no write is pending. */
   private final AtomicReference<List<EndpointRecord>> pending = new AtomicReference<>();
+
   private final ExecutorService writer =
       Executors.newSingleThreadExecutor(CachedEndpointList::writerThread);
 
   /**
-   * Creates a cache; reads nothing yet.
+   * Creates a cache without reading the file.
    *
-   * @param file empty for a cache that keeps nothing
+   * @param file the cache file; if empty, nothing is stored and every read returns an empty list
    */
   public CachedEndpointList(Optional<Path> file, EndpointListCodec codec) {
     this.file = file;
@@ -47,7 +51,10 @@
     return thread;
   }
 
-  /** Reads the stored list; empty if there is none or, with a warning, if it can't be used. */
+  /**
+   * Reads the stored list. Returns an empty list if there is no file, and also, after logging a
+   * warning, if the file can't be read or holds no valid list.
+   */
   public List<EndpointRecord> read() {
     if (file.isEmpty() || !Files.exists(file.get())) {
       return List.of();
@@ -60,14 +67,17 @@
     }
   }
 
-  /** Stores a list soon, on the writer's thread; it replaces one that is not written yet. */
+  /**
+   * Schedules a list to be written on the writer thread and returns at once. A list that is still
+   * waiting to be written is replaced.
+   */
   public void store(List<EndpointRecord> endpoints) {
     if (file.isPresent() && pending.getAndSet(endpoints) == null) {
       writer.execute(() -> write(file.get(), pending.getAndSet(null)));
     }
   }
 
-  /** Writes a pending list and stops the writer's thread; waits for a second at most. */
+  /** Stops the writer thread after a pending write; waits up to one second for it. */
   public void stop() throws InterruptedException {
     writer.shutdown();
     writer.awaitTermination(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -80,7 +90,7 @@
       Files.move(
           temporary, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
-      // Decisions go on from memory; a full disk must not stop them.
+      // A full disk must not stop the instance: it continues with the list in memory.
       LOG.warn("cached endpoint list {} could not be written: {}", path, e.getMessage());
     }
   }
--- a/src/main/java/stonespring/discovery/EndpointFields.java
+++ b/src/main/java/stonespring/discovery/EndpointFields.java
@@ -6,10 +6,11 @@
 import stonespring.model.ZoneId;
 
 /**
- * Conversion of the fields that all forms of an endpoint list share. Immutable.
+ * Converts and validates the fields that several formats of the endpoint list have in common.
+ * Immutable.
  *
- * @param zoneNames the names of the configured zones, by index
- * @param unixOffsetDeciMillis Unix time minus the instance's clock, {@link DeciMillis}
+ * @param zoneNames the names of the configured zones; a zone's position is its {@link ZoneId}
+ * @param unixOffsetDeciMillis Unix time minus the instance's clock, in {@link DeciMillis}
  */
 record EndpointFields(List<String> zoneNames, long unixOffsetDeciMillis) {
   private static final long DECI_MILLIS_PER_MILLI = DeciMillis.SECOND / 1000;
@@ -17,8 +18,10 @@
   private static final String ADDRESS_PATTERN = "[A-Za-z0-9.-]{1,60}:[0-9]{1,5}";
 
   /**
-   * Composes an endpoint's id, {@code NAME@HOST:PORT}; refuses what could not be part of a
-   * published key.
+   * Creates an endpoint id of the form {@code NAME@HOST:PORT}. Names and addresses with characters
+   * that can't be part of a published key are rejected.
+   *
+   * @param location the place in the list that error messages name
    */
   static EndpointId createEndpointId(String location, String name, String address)
       throws InvalidEndpointListException {
@@ -32,6 +35,11 @@
     return new EndpointId(name + "@" + address);
   }
 
+  /**
+   * Looks up a configured zone by its name.
+   *
+   * @param location the place in the list that error messages name
+   */
   ZoneId parseZone(String location, String name) throws InvalidEndpointListException {
     int index = zoneNames.indexOf(name);
     if (index < 0) {
@@ -44,8 +52,9 @@
   /**
    * Converts a start time from Unix milliseconds to the instance's clock.
    *
-   * @param unixMillis 0 or less if it is not known
-   * @return {@link DeciMillis}, at least 1; 0 (long ago) if it is not known
+   * @param unixMillis the start time; 0 or less if it is unknown
+   * @return the start time in {@link DeciMillis}, at least 1; 0 if it is unknown, which means that
+   *     the endpoint started long ago
    */
   long toInstanceClock(long unixMillis) {
     return unixMillis <= 0
@@ -53,7 +62,11 @@
         : Math.max(1, unixMillis * DECI_MILLIS_PER_MILLI - unixOffsetDeciMillis);
   }
 
-  /** Converts a start time above 0 from the instance's clock to Unix milliseconds. */
+  /**
+   * Converts a start time from the instance's clock to Unix milliseconds.
+   *
+   * @param startedAt the start time in {@link DeciMillis}, above 0
+   */
   long toUnixMillis(long startedAt) {
     return (startedAt + unixOffsetDeciMillis) / DECI_MILLIS_PER_MILLI;
   }
--- a/src/main/java/stonespring/discovery/EndpointListCodec.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -15,25 +15,31 @@
 
 /**
  * Reads and writes the endpoint list as a JSON array of objects with the fields {@code id}, {@code
- * address}, {@code zone}, {@code weight}, {@code state} and {@code started_ms}: the form of list
- * files and of the cached list. An endpoint's id contains its address, {@code NAME@HOST:PORT}, so
- * that an endpoint that moved is another endpoint and proxies need no second look-up. Immutable.
+ * address}, {@code zone}, {@code weight}, {@code state} and {@code started_ms}. This is the format
+ * of list files and of the cached list. An {@link EndpointId} contains the address, {@code
+ * NAME@HOST:PORT}: an endpoint whose address changes becomes another endpoint, and proxies need no
+ * further look-up to reach it. Immutable.
  */
 public final class EndpointListCodec {
-  /** The most endpoints that any form of list may have. */
+  /**
+   * The maximum number of endpoints in a list of any format. A longer list is a mistake of its
+   * producer.
+   */
   static final int MAX_ENDPOINTS = 50_000;
 
+  /** Upper bound of a weight, exclusive; no unit. A greater weight is a mistake of its producer. */
   private static final double MAX_WEIGHT = 1e6;
+
   private static final char ADDRESS_SEPARATOR = '@';
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final EndpointFields fields;
 
   /**
-   * Creates a codec for one instance.
+   * Creates a codec with the zones and the clock of one instance.
    *
    * @param zoneNames the names of the configured zones
-   * @param unixOffsetDeciMillis Unix time minus the instance's clock, {@link
+   * @param unixOffsetDeciMillis Unix time minus the instance's clock, in {@link
    *     stonespring.model.DeciMillis}
    */
   public EndpointListCodec(List<String> zoneNames, long unixOffsetDeciMillis) {
@@ -45,9 +51,10 @@
   }
 
   /**
-   * Reads a whole list.
+   * Reads a complete list.
    *
    * @return the endpoints, sorted by id
+   * @throws InvalidEndpointListException if any part of the list is invalid
    */
   public List<EndpointRecord> read(byte[] bytes) throws InvalidEndpointListException {
     JsonNode list = parse(bytes);
@@ -78,7 +85,7 @@
     }
   }
 
-  /** The first line of a parser's message; the others quote its source. */
+  /** Returns the first line of a parser's message; later lines quote the parsed text. */
   static String firstLine(JsonProcessingException e) {
     return e.getOriginalMessage().split("\n")[0];
   }
@@ -121,7 +128,10 @@
     return node.asDouble(1);
   }
 
-  /** Writes a list so that {@link #read} returns it. */
+  /**
+   * Writes a complete list in the format that {@link #read} reads. Each id has the form {@code
+   * NAME@HOST:PORT}.
+   */
   public byte[] write(List<EndpointRecord> endpoints) {
     ArrayNode list = JSON.createArrayNode();
     for (EndpointRecord endpoint : endpoints) {
--- a/src/main/java/stonespring/discovery/EndpointListDiff.java
+++ b/src/main/java/stonespring/discovery/EndpointListDiff.java
@@ -8,14 +8,21 @@
 import stonespring.model.Event;
 
 /**
- * Turns consecutive whole lists into updates: the first into a snapshot, each later one into a
- * delta. Not thread-safe.
+ * Converts a sequence of complete endpoint lists into updates: the first list becomes a snapshot,
+ * each later one a delta from the list before it. Not thread-safe.
  */
 final class EndpointListDiff {
-  /** The last list by id, sorted; empty before the first one and after a {@link #clearList}. */
+  /**
+   * The endpoints of the last list, sorted by id; empty before the first list and after {@link
+   * #clearList}.
+   */
   private Optional<TreeMap<String, EndpointRecord>> lastList = Optional.empty();
 
-  /** Takes the next list; empty if nothing changed. */
+  /**
+   * Replaces the list.
+   *
+   * @return the update that leads from the previous list to this one; empty if nothing changed
+   */
   Optional<Event.EndpointListUpdate> replaceList(List<EndpointRecord> endpoints) {
     TreeMap<String, EndpointRecord> current = new TreeMap<>();
     for (EndpointRecord endpoint : endpoints) {
@@ -34,7 +41,7 @@
         : Optional.of(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, changes));
   }
 
-  /** Changed and added endpoints, then removed ones, each sorted by id. */
+  /** Returns the changed and added endpoints, then the removed ones; each group sorted by id. */
   private static List<EndpointRecord> findChanges(
       TreeMap<String, EndpointRecord> previous, TreeMap<String, EndpointRecord> current) {
     List<EndpointRecord> changes = new ArrayList<>();
@@ -58,12 +65,15 @@
         endpoint.endpoint(), endpoint.zone(), endpoint.weight(), EndpointRecord.State.REMOVED, 0);
   }
 
-  /** The last list, sorted by id; empty if there is none. */
+  /** Returns the last list, sorted by id; an empty list if there is none. */
   List<EndpointRecord> currentList() {
     return lastList.map(endpoints -> List.copyOf(endpoints.values())).orElse(List.of());
   }
 
-  /** Forgets the last list, as changes may have been missed: the next one is a snapshot again. */
+  /**
+   * Discards the last list, so that the next one becomes a snapshot. Needed whenever changes may
+   * have been missed.
+   */
   void clearList() {
     lastList = Optional.empty();
   }
--- a/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
+++ b/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
@@ -3,7 +3,9 @@
 import stonespring.http.HttpCallResult;
 import stonespring.http.HttpResponse;
 
-/** The server of an endpoint list could not be reached or did not respond with a list. */
+/**
+ * Signals that the server of an endpoint list could not be reached or did not respond with a list.
+ */
 final class EndpointListUnavailableException extends Exception {
   private static final long serialVersionUID = 1;
 
@@ -12,9 +14,9 @@
   }
 
   /**
-   * The response of a call that succeeded.
+   * Returns the response of a completed call.
    *
-   * @throws EndpointListUnavailableException if the call failed, or its status is not 200
+   * @throws EndpointListUnavailableException if the call failed or the status is not 200
    */
   static HttpResponse requireOk(HttpCallResult result) throws EndpointListUnavailableException {
     if (result instanceof HttpCallResult.Failed failed) {
@@ -27,6 +29,7 @@
     return response;
   }
 
+  /** Creates an exception for a response that is outdated because a new epoch began meanwhile. */
   static EndpointListUnavailableException versionsRestarted() {
     return new EndpointListUnavailableException(
         "the list's versions started over while the request was under way");
--- a/src/main/java/stonespring/discovery/EndpointSource.java
+++ b/src/main/java/stonespring/discovery/EndpointSource.java
@@ -6,30 +6,35 @@
 import stonespring.model.Event;
 
 /**
- * A source of the endpoint list. Its methods may be called from any thread; listeners are called on
- * the source's own event loop, one call at a time.
+ * Provides the endpoint list and its changes. Methods may be called from any thread; listeners are
+ * called on the event loop of the source, one call at a time.
  */
 public interface EndpointSource {
   /**
-   * Sets the listeners; must be called once, before any other method.
+   * Sets the listeners. Must be called exactly once, before any other method of this interface.
    *
-   * @param updateListener receives each update, failures included
-   * @param listListener receives the whole list after each update that may have changed it
+   * @param updateListener receives every update, including {@link
+   *     Event.ListUpdateKind#FETCH_FAILED}
+   * @param listListener receives the complete list after each update that may have changed it
    */
   void start(
       Consumer<Event.EndpointListUpdate> updateListener,
       Consumer<List<EndpointRecord>> listListener);
 
   /**
-   * Starts a watch of the list, in place of one that is under way, or ends it. A started watch is
-   * answered by at least one update, {@link Event.ListUpdateKind#FETCH_FAILED} once it has failed;
-   * it is then started again only by another call. A source that always watches ignores this.
+   * Starts or stops watching the list. Starting replaces a watch that is already active. A started
+   * watch reports at least one update. When it fails, it reports {@link
+   * Event.ListUpdateKind#FETCH_FAILED} and does not restart by itself; another call is needed. A
+   * source that watches the list at all times ignores this method.
    */
   void setWatchEnabled(boolean enabled);
 
-  /** Requests the whole list once; answered by a snapshot or by a failure. */
+  /**
+   * Requests the complete list once. The update listener receives a snapshot, or {@link
+   * Event.ListUpdateKind#FETCH_FAILED}.
+   */
   void fetch();
 
-  /** Ends what is under way and frees connections and timers. */
+  /** Stops watches and timers and closes the connections of this source. */
   void stop();
 }
--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -17,13 +17,17 @@
 import stonespring.model.Event;
 
 /**
- * The endpoint list in a file that is polled, as change notifications of file systems differ
- * between systems and can be lost. A file that can't be read, or holds no valid list, changes
- * nothing and is logged once. State lives on the event loop.
+ * An endpoint list in a file. The file is polled, because change notifications of file systems
+ * differ between operating systems and can be lost. If the file can't be read or holds no valid
+ * list, the last valid list stays in use, and a warning is logged once for consecutive polls with
+ * the same error. Mutable state is confined to the event loop.
  */
 public final class FileEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(FileEndpointSource.class);
+
+  /** Well below any grace period for requests to a draining endpoint. */
   private static final long POLL_INTERVAL_MILLIS = 200;
+
   private static final long MAX_FILE_BYTES = 64L << 20;
 
   private final Path path;
@@ -31,11 +35,16 @@
   private final EventLoop loop;
   private final EndpointListDiff diff = new EndpointListDiff();
   private SourceListeners listeners;
+
+  /** The file's content at the last poll that found a valid list; empty before the first one. */
   private byte[] lastContent = new byte[0];
+
+  /** The error of the last poll; empty if it succeeded. */
   private String lastError = "";
+
   private Future<?> pollTask;
 
-  /** Creates a source that polls on the given event loop once started. */
+  /** Creates a source; polling begins with {@link #start}, on the given event loop. */
   public FileEndpointSource(Path path, EndpointListCodec codec, EventLoop loop) {
     this.path = path;
     this.codec = codec;
@@ -82,7 +91,7 @@
 
   @Override
   public void setWatchEnabled(boolean enabled) {
-    // The file is polled in any case.
+    // The file is polled whether or not a watch is enabled.
   }
 
   @Override
--- a/src/main/java/stonespring/discovery/InvalidEndpointListException.java
+++ b/src/main/java/stonespring/discovery/InvalidEndpointListException.java
@@ -1,25 +1,28 @@
 package stonespring.discovery;
 
-/** An endpoint list whose content can't be used. The message names the place and the field. */
+/**
+ * Signals that the content of an endpoint list is invalid. The message names the entry or line and
+ * the field where they are known.
+ */
 public final class InvalidEndpointListException extends Exception {
   private static final long serialVersionUID = 1;
 
-  /** The list as a whole, or the message that carried it, is invalid. */
+  /** Reports a problem of the list as a whole, or of the message that contains it. */
   InvalidEndpointListException(String problem) {
     super(problem, null, false, false);
   }
 
-  /** One place in the list, such as an entry or a line, is invalid. */
+  /** Reports a problem at one location in the list, such as an entry or a line. */
   InvalidEndpointListException(String location, String problem) {
     this(location + ": " + problem);
   }
 
-  /** One field of an entry is invalid. */
+  /** Reports a problem of one field of an entry. */
   InvalidEndpointListException(String location, String field, String problem) {
     this(location, "field '" + field + "' " + problem);
   }
 
-  /** A top-level field of the list's message is invalid. */
+  /** Creates an exception for a top-level field of the message that contains the list. */
   static InvalidEndpointListException ofField(String field, String problem) {
     return new InvalidEndpointListException("field '" + field + "' " + problem);
   }
--- a/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -14,9 +14,9 @@
 import stonespring.model.ZoneId;
 
 /**
- * Reads the platform's endpoint list: JSON objects with a version ({@code seq}), whether they are
- * the whole list ({@code whole}), and entries ({@code hosts}). The only place that knows the
- * platform's names. Immutable.
+ * Reads messages of the platform's endpoint list. A message is a JSON object with the list's
+ * version ({@code seq}), a flag that tells a snapshot from a delta ({@code whole}), and entries
+ * ({@code hosts}). The platform's field names are used in this class only. Immutable.
  */
 public final class PlatformEndpointCodec {
   private static final int MAX_NESTING_DEPTH = 16;
@@ -31,28 +31,34 @@
                       .build())
               .build());
 
+  /** Upper bound of a weight, exclusive; no unit. A greater weight is a mistake of its producer. */
   private static final double MAX_WEIGHT = 1e6;
 
-  /** Exact in any JSON reader. */
+  /**
+   * Upper bound of a start time, exclusive. All JSON parsers represent smaller integers exactly.
+   */
   private static final long MAX_UNIX_MILLIS = 1L << 53;
 
-  /** Printable ASCII but for comma and colon: ids stand unaltered in the lines to proxies. */
+  /**
+   * Printable ASCII except space, comma and colon. Endpoint ids are written to the proxies' line
+   * protocol without escaping.
+   */
   private static final String ENDPOINT_ID_PATTERN = "[!-+\\--9;-~]{1,200}";
 
   private final EndpointFields fields;
 
   /**
-   * Creates a codec for one instance.
+   * Creates a codec with the zones and the clock of one instance.
    *
    * @param zoneNames the names of the configured zones
-   * @param unixOffsetDeciMillis Unix time minus the instance's clock, {@link
+   * @param unixOffsetDeciMillis Unix time minus the instance's clock, in {@link
    *     stonespring.model.DeciMillis}
    */
   public PlatformEndpointCodec(List<String> zoneNames, long unixOffsetDeciMillis) {
     this.fields = new EndpointFields(zoneNames, unixOffsetDeciMillis);
   }
 
-  /** Reads one message from its bytes; otherwise as {@link #read(JsonNode, Map)}. */
+  /** Parses one message and reads it as {@link #read(JsonNode, Map)} does. */
   PlatformListMessage read(byte[] bytes, Map<EndpointId, EndpointRecord> heldEndpoints)
       throws InvalidEndpointListException {
     JsonNode message;
@@ -65,11 +71,13 @@
   }
 
   /**
-   * Reads one message. An invalid entry does not invalidate the message: the held record, if any,
-   * is used instead.
+   * Reads one message. An invalid entry does not make the message invalid: the record held for that
+   * endpoint is used in its place, and without such a record the entry is skipped.
    *
-   * @param message may be null, which is invalid
-   * @param heldEndpoints the endpoints held before this message, which stand in for invalid entries
+   * @param message the parsed message; null is invalid
+   * @param heldEndpoints the endpoints held before this message, by id
+   * @throws InvalidEndpointListException if the message has no valid version, snapshot flag or list
+   *     of entries
    */
   PlatformListMessage read(JsonNode message, Map<EndpointId, EndpointRecord> heldEndpoints)
       throws InvalidEndpointListException {
@@ -115,9 +123,9 @@
   }
 
   /**
-   * Reads one entry; empty if it is invalid.
+   * Reads one entry; returns empty if it is invalid.
    *
-   * @param heldRecord the record held of the same endpoint; null if there is none
+   * @param heldRecord the record held for the same endpoint; null if there is none
    */
   private Optional<EndpointRecord> readEntry(JsonNode entry, EndpointRecord heldRecord) {
     JsonNode id = entry.path("host");
@@ -151,7 +159,10 @@
     };
   }
 
-  /** Reads the zone; an entry of a removed endpoint may come without one. */
+  /**
+   * Reads the zone; returns empty if it is invalid. The entry of a removed endpoint may omit its
+   * zone, in which case that of the held record is used.
+   */
   private Optional<ZoneId> readZone(
       JsonNode site, Optional<EndpointRecord.State> state, EndpointRecord heldRecord) {
     int index = fields.zoneNames().indexOf(site.asText());
@@ -162,6 +173,7 @@
     return removed && heldRecord != null ? Optional.of(heldRecord.zone()) : Optional.empty();
   }
 
+  /** Whether a node is missing, null, or a number from 0 to below the limit. */
   private static boolean isAbsentOrInRange(JsonNode node, double exclusiveLimit) {
     return node.isMissingNode()
         || node.isNull()
--- a/src/main/java/stonespring/discovery/PlatformEndpointList.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointList.java
@@ -9,56 +9,64 @@
 import stonespring.model.Event;
 
 /**
- * The platform's endpoint list as it is held, and the rules by which messages of several responses
- * change it. Responses overtake each other: a fetch under way while the watch brings news, or an
- * old address that goes on while a new one is asked. Not thread-safe.
+ * The copy of the platform's endpoint list that this instance holds, and the rules by which
+ * messages change it. Messages of different responses can arrive out of order: the watch may
+ * deliver changes while a fetch is pending, and the watch of the old address continues while the
+ * new address is being connected to. Not thread-safe.
  */
 final class PlatformEndpointList {
   private final PlatformEndpointCodec codec;
   private final Map<EndpointId, EndpointRecord> endpointsById = new HashMap<>();
   private long version;
+
+  /** The number of times that versions were seen to start over. */
   private long epoch;
+
   private long invalidEntryCount;
 
   PlatformEndpointList(PlatformEndpointCodec codec) {
     this.codec = codec;
   }
 
-  /** Whether more messages follow on the one at hand, in the same response. */
+  /** The kind of response that a message belongs to. */
   enum Origin {
-    /** A message of a watch; the next one builds on it. */
+    /** A watch; the next message of the response builds on this one. */
     WATCH,
-    /** The only message of a response. */
+    /** A fetch; the response has no other message. */
     FETCH
   }
 
-  /** Applies the list that the configuration came with. */
+  /**
+   * Applies the endpoint list that the configuration contains.
+   *
+   * @return the endpoints of the message
+   */
   List<EndpointRecord> applyCached(JsonNode message) throws InvalidEndpointListException {
     return apply(codec.read(message, endpointsById), version, Origin.WATCH).endpoints();
   }
 
-  /** Reads a message; changes nothing. */
+  /** Reads a message without changing the held list. */
   PlatformListMessage read(byte[] message) throws InvalidEndpointListException {
     return codec.read(message, endpointsById);
   }
 
   /**
-   * Applies a message. What it does depends on its version:
+   * Applies a message to the held list. The effect depends on the message's version:
    *
    * <ul>
-   *   <li>at or above the held one: it applies;
-   *   <li>below the held one, but not below {@code baseVersion}: it is outdated. A delta gives an
-   *       empty update, a fetched snapshot the held list; a watch's snapshot applies, as its next
-   *       message builds on it;
-   *   <li>below {@code baseVersion}: versions started over, which is another epoch. A snapshot
-   *       applies; a delta can't be used.
+   *   <li>Equal to or above the held version: the message is applied.
+   *   <li>Below the held version, but not below {@code baseVersion}: the message is outdated. A
+   *       delta yields an empty update, a fetched snapshot yields the held list. A snapshot from a
+   *       watch is applied nevertheless, because the watch's next message builds on it.
+   *   <li>Below {@code baseVersion}: the server's versions started over, which begins a new epoch.
+   *       A snapshot is applied; a delta can't be used.
    * </ul>
    *
-   * @param baseVersion the version that the response was requested after, or that its last message
-   *     had
-   * @return what changed
-   * @throws InvalidEndpointListException for a delta of another epoch; the epoch has changed then,
-   *     and the version is 0, so that the next request asks for everything
+   * @param baseVersion the version of the previous message of the same response; for the first
+   *     message, the held version at the time of the request
+   * @return the update that describes the change
+   * @throws InvalidEndpointListException if the message is a delta of a new epoch. The epoch has
+   *     then changed, and the held version is 0, so that the next watch requests the complete list
    */
   Event.EndpointListUpdate apply(PlatformListMessage message, long baseVersion, Origin origin)
       throws InvalidEndpointListException {
@@ -94,22 +102,25 @@
         snapshot ? Event.ListUpdateKind.SNAPSHOT : Event.ListUpdateKind.DELTA, endpoints);
   }
 
-  /** The version of the held list; 0 asks for the whole list. */
+  /** Returns the version of the held list; a watch from version 0 requests the complete list. */
   long version() {
     return version;
   }
 
-  /** Changes whenever versions start over: versions of different epochs can't be compared. */
+  /**
+   * Returns a number that changes whenever the server's versions start over. Versions of different
+   * epochs can't be compared.
+   */
   long epoch() {
     return epoch;
   }
 
-  /** The endpoints held now, in no particular order. */
+  /** Returns the endpoints of the held list, in no particular order. */
   List<EndpointRecord> endpoints() {
     return List.copyOf(endpointsById.values());
   }
 
-  /** How many invalid entries were not used so far; the held record, if any, stood in. */
+  /** Returns the number of invalid entries in all messages applied so far. */
   long invalidEntryCount() {
     return invalidEntryCount;
   }
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -17,17 +17,26 @@
 import stonespring.model.Event;
 
 /**
- * The platform's endpoint list, fetched or watched. Its address may change: the new one is watched
- * before the old watch is cancelled. State lives on the event loop.
+ * Fetches and watches the endpoint list of the platform's discovery server. The server's address
+ * may change at run time: the old address is watched until the new one responds. Mutable state is
+ * confined to the event loop.
  */
 public final class PlatformEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformEndpointSource.class);
   private static final String PATH = "/registry/instances";
+
+  /** Short, as the discovery server is close in the network. */
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+
+  /** The discovery server itself abandons waiting requests well before this timeout. */
   private static final int FETCH_TIMEOUT_MILLIS = 2_500;
+
   private static final int MAX_IDLE_CONNECTIONS = 0;
 
-  /** Wait before the new address is tried again; short, as the old one may soon be turned off. */
+  /**
+   * The wait before a failed watch of the new address is retried. It is short, as the old address
+   * stays available for no longer than a few of these intervals.
+   */
   private static final long SUCCESSOR_RETRY_MILLIS = 300;
 
   private final PlatformEndpointList list;
@@ -39,10 +48,10 @@
   private SourceListeners listeners;
   private boolean watching;
 
-  /** The watch that the list follows; null if there is none. */
+  /** The watch of the address in use; null if there is none. */
   private PlatformEndpointWatch currentWatch;
 
-  /** The watch of a new address that has not responded yet; null if there is none. */
+  /** The watch of a new address that has not yet responded; null if there is none. */
   private PlatformEndpointWatch successorWatch;
 
   /** Creates a source; nothing is sent before {@link #setWatchEnabled} or {@link #fetch}. */
@@ -66,10 +75,11 @@
   }
 
   /**
-   * Takes the list that the configuration came with, before any other is known.
+   * Loads the endpoint list that the configuration contains. Must be called before the first list
+   * arrives from the discovery server.
    *
-   * @param cachedList in the platform's form; an invalid one counts as empty
-   * @return a cached list
+   * @param cachedList a list in the platform's format; an invalid one is treated as empty
+   * @return an update of kind {@link Event.ListUpdateKind#CACHED}
    */
   public Event.EndpointListUpdate loadCachedList(Optional<JsonNode> cachedList) {
     List<EndpointRecord> endpoints = List.of();
@@ -83,7 +93,7 @@
     return new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, endpoints);
   }
 
-  /** The endpoints held now; on the event loop. */
+  /** Returns the endpoints of the held list. Must be called on the event loop. */
   public List<EndpointRecord> endpoints() {
     return list.endpoints();
   }
@@ -130,7 +140,10 @@
     }
   }
 
-  /** Changes the address; a watch under way goes on until the new address responds. */
+  /**
+   * Changes the discovery server's address. An active watch of the old address continues until the
+   * new address responds.
+   */
   public void changeAddress(InetSocketAddress newAddress) {
     loop.execute(
         () -> {
@@ -164,7 +177,7 @@
     listeners.notifyFailed();
   }
 
-  /** Decides between the current watch and its successor. */
+  /** Passes on updates of both watches and replaces the current watch by its successor. */
   private final class WatchListener implements PlatformEndpointWatch.Listener {
     @Override
     public void watchResponded(PlatformEndpointWatch watch) {
@@ -192,7 +205,7 @@
         }
       } else if (watch == currentWatch) {
         currentWatch = null;
-        // A successor under way answers in its place, by a message or by its own failure.
+        // With a successor pending nothing is reported: it will report an update or a failure.
         if (successorWatch == null && watching) {
           reportFailure(cause);
         }
@@ -215,10 +228,10 @@
   }
 
   /**
-   * Ends a fetch.
+   * Handles the result of a fetch.
    *
-   * @param versionAtRequest the held list's version when it was requested
-   * @param epochAtRequest the held list's epoch when it was requested
+   * @param versionAtRequest the held list's version at the time of the request
+   * @param epochAtRequest the held list's epoch at the time of the request
    */
   private void handleFetchResult(
       long versionAtRequest, long epochAtRequest, HttpCallResult result) {
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -12,32 +12,38 @@
 import stonespring.model.Event;
 
 /**
- * One watch of the platform's endpoint list: a response that stays open and holds a message a line;
- * blank lines are keep-alives. It applies its messages to the held list until it fails or is
- * cancelled. State lives on the connector's event loop, and all calls come from there.
+ * One watch of the platform's endpoint list: an HTTP response that stays open and carries one
+ * message per line; blank lines are keep-alives. The watch applies its messages to the held list
+ * until it fails or is cancelled. All methods must be called on the connector's event loop.
  */
 final class PlatformEndpointWatch implements HttpWatch.Listener {
   /** Observes a watch, on its event loop. */
   interface Listener {
-    /** Bytes arrived; called before they are applied. */
+    /** Called whenever bytes have arrived, before their messages are applied. */
     void watchResponded(PlatformEndpointWatch watch);
 
-    /** A message was applied to the held list. */
+    /** Called after a message was applied to the held list. */
     void listUpdated(Event.EndpointListUpdate update);
 
-    /** The watch failed; called once, and never after {@link #cancel}. */
+    /** Called when the watch has failed; at most once, and never after {@link #cancel}. */
     void watchFailed(PlatformEndpointWatch watch, String cause);
   }
 
-  /** The longest message. */
+  /** Far above the size of the longest permitted list. */
   static final int MAX_MESSAGE_BYTES = 16 << 20;
 
+  /** The discovery server itself abandons waiting requests well before this timeout. */
   private static final int RESPONSE_TIMEOUT_MILLIS = 2_500;
 
-  /** The platform sends a keep-alive every 2 s. */
+  /** Exceeds the interval of 2 s at which the platform sends keep-alives. */
   private static final long SILENCE_TIMEOUT_MILLIS = 3_200;
 
-  /** A message that arrives in pieces without end must not count as a keep-alive. */
+  /**
+   * The longest time in which a message must be complete; without it, a message that arrives in
+   * pieces and never ends would keep the watch alive. The platform treats a change as delivered 6 s
+   * after it occurred, even if its message is incomplete, so the list must be requested again
+   * before that.
+   */
   private static final long MESSAGE_TIMEOUT_MILLIS = 5_000;
 
   private final InetSocketAddress address;
@@ -47,15 +53,16 @@
   private final HttpWatch httpWatch;
   private final ByteArrayOutputStream partialMessage = new ByteArrayOutputStream();
 
-  /** The version of the last message, at first the one that the watch was requested after. */
+  /** The version of the last message; before the first one, the version in the watch's request. */
   private long lastVersion;
 
-  /** Null while no message is incomplete. */
+  /** The timer of the current incomplete message; null if no message is incomplete. */
   private Future<?> messageTimeout;
 
+  /** Whether the watch has failed or was cancelled. */
   private boolean finished;
 
-  /** Starts a watch of what changes after the held list's version. */
+  /** Starts a watch that requests all changes since the held list's version. */
   PlatformEndpointWatch(
       InetSocketAddress address,
       String path,
@@ -154,7 +161,7 @@
     listener.watchFailed(this, cause);
   }
 
-  /** Ends the watch; the listener is not called any more. */
+  /** Cancels the watch; the listener is not called afterwards. */
   void cancel() {
     finished = true;
     cancelMessageTimeout();
--- a/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
@@ -11,9 +11,9 @@
 import stonespring.model.EndpointRecord;
 
 /**
- * Reads the response of Consul's health endpoint ({@code /v1/health/service/NAME}) in its published
- * form. A check in maintenance means draining; an entry with any other critical check is not
- * listed. Immutable.
+ * Reads responses of Consul's health endpoint ({@code /v1/health/service/NAME}) in the documented
+ * format. An entry with a maintenance check is listed as draining. An entry without one is left out
+ * if any of its checks is critical. Immutable.
  */
 final class RegistryEndpointCodec {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -26,7 +26,7 @@
     this.fields = fields;
   }
 
-  /** What the checks of one entry say together. */
+  /** The combined result of all health checks of one entry. */
   private record Health(boolean maintenance, boolean critical, boolean warning) {
     static Health of(JsonNode checks) {
       boolean maintenance = false;
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Reads a whole list, in the registry's order. */
+  /** Reads a complete list; the endpoints are in the registry's order. */
   List<EndpointRecord> read(byte[] body) throws InvalidEndpointListException {
     JsonNode entries = parse(body);
     if (entries == null || !entries.isArray() || entries.size() > EndpointListCodec.MAX_ENDPOINTS) {
@@ -92,7 +92,7 @@
             fields.toInstanceClock(meta.path("started_ms").asLong(0))));
   }
 
-  /** The service's address, or its node's if it has none of its own. */
+  /** Returns the service's address and port; without an address of its own, that of its node. */
   private static String readAddress(JsonNode entry, JsonNode service) {
     String host = service.path("Address").asText("");
     if (host.isEmpty()) {
@@ -101,6 +101,7 @@
     return host + ":" + service.path("Port").asInt();
   }
 
+  /** Returns the weight for the entry's health; 1 if it is missing or not above 0. */
   private static double readWeight(JsonNode weights, Health health) {
     double weight = weights.path(health.warning() ? "Warning" : "Passing").asDouble(1);
     return weight > 0 ? weight : 1;
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -14,21 +14,32 @@
 import stonespring.model.Event;
 
 /**
- * The endpoint list of a registry that speaks Consul's health endpoint, watched by blocking
- * queries: a query carries the index of the last response and is held open until something changes.
- * A failed query ends the watch. An index that went back is replaced by 0, as the registry's
- * documentation demands. State lives on the event loop.
+ * Fetches and watches the endpoint list of a registry that offers Consul's health endpoint. A watch
+ * consists of blocking queries: each carries the index of the last response, and the registry holds
+ * it open until something changes or the wait time has passed. A failed query ends the watch. When
+ * the index decreases, the next query starts over without an index, as the registry's documentation
+ * requires. Mutable state is confined to the event loop.
  */
 public final class RegistryEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(RegistryEndpointSource.class);
+
+  /** Short, as the registry is close in the network. */
   private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+
+  /** Far above the size of the longest permitted list. */
   private static final int MAX_BODY_BYTES = 64 << 20;
+
   private static final int MAX_IDLE_CONNECTIONS = 1;
 
-  /** Allowed beyond a query's wait; registries add up to a sixteenth to it. */
+  /**
+   * The time allowed for a response, in addition to the wait time of a blocking query. Registries
+   * extend the wait time by up to a sixteenth.
+   */
   private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
 
+  /** The index of a query that does not block. */
   private static final long NO_INDEX = 0;
+
   private static final String INDEX_HEADER = "x-consul-index";
 
   private final InetSocketAddress address;
@@ -41,7 +52,10 @@
   private SourceListeners listeners;
   private boolean watching;
 
-  /** Counts watches, so that the response to a query of an earlier one is ignored. */
+  /**
+   * The number of the current watch; it increases with each start or stop. The result of a query
+   * with a lower number is ignored.
+   */
   private int watchNumber;
 
   private Runnable cancelQuery = () -> {};
@@ -50,8 +64,8 @@
    * Creates a source; nothing is sent before {@link #setWatchEnabled} or {@link #fetch}.
    *
    * @param service the service's name in the registry
-   * @param waitSeconds how long the registry may hold a query open
-   * @param codec supplies zones and clock
+   * @param waitSeconds the time for which the registry may hold a query open
+   * @param codec provides the zone names and the clock offset
    */
   public RegistryEndpointSource(
       String host,
--- a/src/main/java/stonespring/discovery/package-info.java
+++ b/src/main/java/stonespring/discovery/package-info.java
@@ -1,8 +1,10 @@
 /**
- * Where the endpoint list comes from: a file, a registry's blocking queries or the platform's
- * watch, each an {@link stonespring.discovery.EndpointSource}, and the copy on disk that bridges a
- * restart ({@link stonespring.discovery.CachedEndpointList}). Each wire form has one codec; behind
- * the codecs there are only {@link stonespring.model.EndpointRecord}s. A source that fails reports
- * {@link stonespring.model.Event.ListUpdateKind#FETCH_FAILED} and keeps the list it had.
+ * Endpoint discovery. An {@link stonespring.discovery.EndpointSource} obtains the endpoint list
+ * from a file, from a registry by blocking queries, or from the platform's discovery server by a
+ * watch. {@link stonespring.discovery.CachedEndpointList} stores a copy on disk for the next start.
+ * Each format has its own codec; all other code uses {@link stonespring.model.EndpointRecord}. A
+ * registry or platform source whose request fails reports {@link
+ * stonespring.model.Event.ListUpdateKind#FETCH_FAILED}; a file source logs a warning. Either keeps
+ * its last list.
  */
 package stonespring.discovery;
--- a/src/test/java/stonespring/discovery/EndpointLists.java
+++ b/src/test/java/stonespring/discovery/EndpointLists.java
@@ -6,7 +6,7 @@
 import stonespring.model.Event;
 import stonespring.model.ZoneId;
 
-/** Codec, endpoints and updates that the tests of lists share. */
+/** A codec, endpoints and updates shared by tests of endpoint lists. */
 final class EndpointLists {
   private EndpointLists() {}
 
@@ -14,7 +14,7 @@
     return new EndpointListCodec(List.of("west", "east"), 0);
   }
 
-  /** An endpoint in zone east at 127.0.0.1:80, started at 1000 Unix milliseconds. */
+  /** Creates an endpoint in zone east at 127.0.0.1:80, started at Unix time 1000 ms. */
   static EndpointRecord endpoint(String name, double weight, EndpointRecord.State state) {
     return new EndpointRecord(
         new EndpointId(name + "@127.0.0.1:80"),
--- a/src/test/java/stonespring/discovery/EndpointUpdates.java
+++ b/src/test/java/stonespring/discovery/EndpointUpdates.java
@@ -12,9 +12,9 @@
 import stonespring.model.EndpointRecord;
 import stonespring.model.Event;
 
-/** Collects the updates that a source reports, in order, and the threads that reported them. */
+/** Records the updates that a source reports, in order, and the threads that it calls from. */
 final class EndpointUpdates implements Consumer<Event.EndpointListUpdate> {
-  /** An upper bound: every wait ends with its update. */
+  /** Upper bound of a wait for an update that is expected to arrive. */
   static final int TIMEOUT_MILLIS = 10_000;
 
   private final LinkedBlockingQueue<Event.EndpointListUpdate> updates = new LinkedBlockingQueue<>();
@@ -26,19 +26,19 @@
     updates.add(update);
   }
 
-  /** Waits for the next update. */
+  /** Returns the next update; fails if none arrives within {@link #TIMEOUT_MILLIS}. */
   Event.EndpointListUpdate next() throws InterruptedException {
     Event.EndpointListUpdate update = updates.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     assertNotNull(update);
     return update;
   }
 
-  /** Waits a while for the next update; null if there is none. */
+  /** Waits up to the given time for the next update; returns null if there is none. */
   Event.EndpointListUpdate poll(long millis) throws InterruptedException {
     return updates.poll(millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Waits for the next update and describes it. */
+  /** Waits for the next update as {@link #next} does and returns its description. */
   String nextDescription() throws InterruptedException {
     return describe(next());
   }
@@ -51,7 +51,7 @@
     return threads;
   }
 
-  /** The kind, then {@code ID/STATE/ZONE/WEIGHT/START} of each endpoint. */
+  /** Returns the kind, followed by {@code ID/STATE/ZONE/WEIGHT/START} for each endpoint. */
   static String describe(Event.EndpointListUpdate update) {
     return update.kind().name()
         + update.endpoints().stream()
@@ -71,6 +71,6 @@
         + endpoint.startedAt();
   }
 
-  /** A list listener for tests that look at updates alone. */
+  /** A list listener that does nothing, for tests that check only updates. */
   static void ignoreList(List<EndpointRecord> list) {}
 }
--- a/src/test/java/stonespring/discovery/PlatformEndpointAddressChangeTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointAddressChangeTest.java
@@ -13,13 +13,13 @@
 import stonespring.http.ManualHttpExchange;
 import stonespring.model.EndpointRecord;
 
-/** A watch whose server moves to another address. */
+/** Tests a watch while the address of the discovery server changes. */
 final class PlatformEndpointAddressChangeTest {
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
   private ManualHttpExchange oldWatch;
   private PlatformListServer newServer;
 
-  /** Watches at the old address, up to version 5, and moves. */
+  /** Watches the old address up to version 5, then changes the address. */
   @BeforeEach
   void startWatchAndChangeAddress() throws Exception {
     fixture.source.setWatchEnabled(true);
@@ -52,14 +52,15 @@
   void retriesNewAddressWhenItsFirstWatchFails() throws Exception {
     newServer.accept().writeRaw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     ManualHttpExchange retry = newServer.accept();
-    oldWatch.close(); // while the new address has not responded
+    oldWatch.close(); // The new address has not responded yet.
     retry.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
     assertEquals(
         "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription(), "and nothing failed");
   }
 
   /**
-   * The old watch goes on while the new one, requested at version 5, has yet to bring version 6.
+   * The old watch has already delivered versions 6 and 7 when the new watch, requested from version
+   * 5, delivers version 6.
    */
   @Test
   void ignoresOutdatedMessageOfNewWatchAndKeepsFollowingIt() throws Exception {
--- a/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
@@ -11,7 +11,7 @@
 import stonespring.http.ManualHttpExchange;
 import stonespring.model.Event;
 
-/** Fetches of the platform's whole list, also while a watch is under way. */
+/** Tests fetches of the platform's complete list, with and without an active watch. */
 final class PlatformEndpointFetchTest {
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
 
@@ -27,7 +27,7 @@
     assertEquals("FETCH_FAILED", fixture.updates.nextDescription());
   }
 
-  /** The server holds the fetched list back until the watch has brought a newer message. */
+  /** The watch delivers a newer message while the fetch is pending. */
   @Test
   void keepsNewerListWhenFetchResponseIsOutdated() throws Exception {
     fixture.source.setWatchEnabled(true);
--- a/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
@@ -17,7 +17,7 @@
         PlatformEndpointList.Origin.WATCH);
   }
 
-  /** Endpoints come and go under new ids for ever. */
+  /** Guards against a memory leak as endpoints with ever new ids are added and removed. */
   @Test
   void retainsNoRemovedEndpoints() throws Exception {
     for (int i = 0; i < 5_000; i++) {
--- a/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
@@ -16,7 +16,7 @@
 import stonespring.http.ManualHttpExchange;
 import stonespring.model.Event;
 
-/** A watch of the platform's list, and each way in which it fails. */
+/** Tests watches of the platform's list and the ways in which they fail. */
 final class PlatformEndpointWatchTest {
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
 
@@ -91,7 +91,7 @@
     assertTrue(System.nanoTime() - startNanos > 2_000_000_000L, "not before a keep-alive was due");
   }
 
-  /** The server never completes a message, and never falls silent either. */
+  /** The server keeps sending pieces of a message that never ends, so that it is never silent. */
   @Test
   void failsWhenMessageIsNeverCompleted() throws Exception {
     fixture.source.setWatchEnabled(true);
@@ -138,7 +138,7 @@
     assertEquals(2, fixture.source.endpoints().size());
   }
 
-  /** No file descriptor is left for the watch, nor for the fetch after it. */
+  /** The process has run out of file descriptors for the first watch and for the fetch after it. */
   @Test
   void reportsFailureWhenNoSocketCanBeOpened() throws Exception {
     AtomicInteger failuresLeft = new AtomicInteger(2);
--- a/src/test/java/stonespring/discovery/PlatformListServer.java
+++ b/src/test/java/stonespring/discovery/PlatformListServer.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import stonespring.http.ManualHttpExchange;
 
-/** A stand-in for the platform's list server: tests write its responses by hand. */
+/** A test double of the platform's discovery server; tests write its responses byte by byte. */
 final class PlatformListServer implements AutoCloseable {
   private final ServerSocket server = new ServerSocket();
   private final List<ManualHttpExchange> exchanges = new ArrayList<>();
@@ -29,12 +29,12 @@
     return exchange;
   }
 
-  /** Waits for the next request and begins a chunked response. */
+  /** Waits for the next request and sends the head of a chunked response. */
   ManualHttpExchange acceptWatch() throws IOException {
     return accept().writeRaw(ManualHttpExchange.CHUNKED_HEAD);
   }
 
-  /** A message of the list, with its line end. */
+  /** Returns a list message that ends with a line feed. */
   static String message(int version, boolean snapshot, String... entries) {
     return "{\"seq\":"
         + version
@@ -45,7 +45,7 @@
         + "]}\n";
   }
 
-  /** An entry in zone east, weight 1.5, started at 1000 Unix milliseconds. */
+  /** Returns a list entry in zone east with weight 1.5, started at Unix time 1000 ms. */
   static String entry(String id, String health) {
     return "{\"host\":\""
         + id
--- a/src/test/java/stonespring/discovery/PlatformSourceFixture.java
+++ b/src/test/java/stonespring/discovery/PlatformSourceFixture.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 import stonespring.http.Connector;
 
-/** A platform source before a stand-in list server, and what it reports. */
+/** A platform source that is connected to a test server, and the updates that it reports. */
 final class PlatformSourceFixture implements BeforeEachCallback, AfterEachCallback {
   private static final long UNIX_OFFSET_DECI_MILLIS = 500;
 
@@ -46,14 +46,14 @@
     return (EventLoop) loops.next();
   }
 
-  /** Starts another server, closed after the test. */
+  /** Starts another server, which is closed after the test. */
   PlatformListServer newServer() throws IOException {
     PlatformListServer listServer = new PlatformListServer();
     servers.add(listServer);
     return listServer;
   }
 
-  /** Gives the source a cached list with endpoint s-1. */
+  /** Loads a cached list of the given version that contains endpoint s-1. */
   void loadCachedList(int version) throws IOException {
     var cached =
         source.loadCachedList(
--- a/src/test/java/stonespring/discovery/RegistryServer.java
+++ b/src/test/java/stonespring/discovery/RegistryServer.java
@@ -6,7 +6,7 @@
 import stonespring.http.HttpResponse;
 import stonespring.http.HttpServer;
 
-/** A stand-in for a registry: tests give each response. */
+/** A test double of a registry; tests provide each response. */
 final class RegistryServer {
   private static final int MAX_BODY_BYTES = 100;
 
@@ -29,12 +29,12 @@
     return server.port();
   }
 
-  /** Waits for the next request. */
+  /** Waits for the next request that has not been accepted yet; returns null on a timeout. */
   HttpServer.Exchange accept() throws InterruptedException {
     return exchanges.poll(EndpointUpdates.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Waits for the next request and responds to it with an index and entries. */
+  /** Waits for the next request and responds with an index and entries. */
   void respond(int index, String... entries) throws InterruptedException {
     respondBody(index, "[" + String.join(",", entries) + "]");
   }
@@ -47,7 +47,7 @@
     accept().respond(HttpResponse.of(200, body));
   }
 
-  /** Waits for the target of the next request that was not asked for yet. */
+  /** Returns the targets of requests in order, one per call; null if none arrives in time. */
   String nextTarget() throws InterruptedException {
     return targets.poll(EndpointUpdates.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
@@ -56,7 +56,7 @@
     server.stop();
   }
 
-  /** An entry in zone east at 127.0.0.1:80, started at 1000 Unix milliseconds. */
+  /** Returns an entry in zone east at 127.0.0.1:80, started at Unix time 1000 ms. */
   static String entry(String id, String checks) {
     return "{\"Node\":{\"Address\":\"10.0.0.9\"},\"Service\":{\"ID\":\""
         + id
