--- a/src/main/java/stonespring/solver/RouteAdder.java
+++ b/src/main/java/stonespring/solver/RouteAdder.java
@@ -5,86 +5,97 @@
 import java.util.List;
 
 /**
- * Adds routes to endpoints that scaling leaves short of their target, where the gain pays for a new
- * connection. The proxies that bring most to endpoints over their target give first.
+ * Adds routes to endpoints that scaling leaves below their target, where the gain exceeds the cost
+ * of a new connection. A new route takes its rate from another route of the same proxy, whose
+ * endpoint is above its target; the largest such rates are moved first.
  */
 final class RouteAdder {
-  /** Seconds that a route surely stands, over which its gain counts. */
+  /** Time, in seconds, that a new route is certain to exist, over which its gain is counted. */
   private static final double HORIZON_SECONDS = 10;
 
-  /** What a route gives up at most: times what its endpoint has over its target. */
-  private static final double MAX_GIVEN_MULTIPLE = 2;
+  /**
+   * Maximum share of a route's rate that it gives up, as a multiple of its endpoint's relative
+   * excess.
+   */
+  private static final double MAX_DONATED_EXCESS_MULTIPLE = 2;
 
   private final Problem problem;
   private final Flow flow;
   private final WorkingTables tables;
-  private final int[] unmetPlans;
+  private final int[] plansBelowTarget;
 
-  /** A route to an endpoint over its target, and the rate that it can give up. */
+  /**
+   * A route to an endpoint above its target.
+   *
+   * @param rate requests per second that the route can give up
+   */
   private record Donor(int proxy, int route, double rate) {}
 
   /**
-   * Prepares for one plan.
+   * Prepares one plan.
    *
-   * @param unmetPlans by endpoint, plans in a row in which routes were missing: a gain that does
-   *     not pay grows with them, so that no cost starves an endpoint
+   * @param plansBelowTarget by endpoint, the number of consecutive plans in which it lacked routes.
+   *     The gain of a route to it is multiplied accordingly, so that a high connection cost cannot
+   *     leave an endpoint without requests indefinitely.
    */
-  RouteAdder(Problem problem, Flow flow, WorkingTables tables, int[] unmetPlans) {
+  RouteAdder(Problem problem, Flow flow, WorkingTables tables, int[] plansBelowTarget) {
     this.problem = problem;
     this.flow = flow;
     this.tables = tables;
-    this.unmetPlans = unmetPlans;
+    this.plansBelowTarget = plansBelowTarget;
   }
 
-  /** Adds routes; returns whether there were any to add. */
+  /** Adds routes in all zones; returns whether any were added. */
   boolean addRoutes() {
     boolean added = false;
-    for (int z = 0; z < problem.zones(); z++) {
+    for (int z = 0; z < problem.zoneCount(); z++) {
       added |= addRoutes(z);
     }
     return added;
   }
 
   private boolean addRoutes(int zone) {
-    List<Integer> shortOf = endpointsShortOfTarget(zone);
-    if (shortOf.isEmpty()) {
+    List<Integer> belowTarget = endpointsBelowTarget(zone);
+    if (belowTarget.isEmpty()) {
       return false;
     }
     List<Donor> donors = donors(zone);
-    double[] price = prices(zone);
-    boolean[] hasGiven = new boolean[tables.proxyCount()];
+    double[] marginalCost = marginalCosts(zone);
+    boolean[] hasDonated = new boolean[tables.proxyCount()];
     boolean added = false;
-    for (int endpoint : shortOf) {
-      added |= addRoutesTo(zone, endpoint, donors, price, hasGiven);
+    for (int endpoint : belowTarget) {
+      added |= addRoutesTo(zone, endpoint, donors, marginalCost, hasDonated);
     }
     return added;
   }
 
-  private List<Integer> endpointsShortOfTarget(int zone) {
-    List<Integer> shortOf = new ArrayList<>();
+  private List<Integer> endpointsBelowTarget(int zone) {
+    List<Integer> belowTarget = new ArrayList<>();
     for (int e = 0; e < problem.endpointCount(); e++) {
-      if (isShort(e, flow.target(zone, e) - tables.load(zone, e))) {
-        shortOf.add(e);
+      if (isBelowTarget(e, flow.target(zone, e) - tables.load(zone, e))) {
+        belowTarget.add(e);
       }
     }
-    shortOf.sort(Comparator.comparingDouble(e -> tables.load(zone, e) - flow.target(zone, e)));
-    return shortOf;
+    belowTarget.sort(Comparator.comparingDouble(e -> tables.load(zone, e) - flow.target(zone, e)));
+    return belowTarget;
   }
 
-  private boolean isShort(int endpoint, double missing) {
-    return missing > SubsetSelector.SIGNIFICANT_SHARE * problem.endpoint(endpoint).capacity();
+  private boolean isBelowTarget(int endpoint, double missingRate) {
+    return missingRate
+        > SubsetSelector.MEASUREMENT_ERROR_SHARE * problem.endpoint(endpoint).capacity();
   }
 
   private List<Donor> donors(int zone) {
     List<Donor> donors = new ArrayList<>();
     for (int p = 0; p < tables.proxyCount(); p++) {
-      for (int i = 0; problem.zoneOfProxy(p) == zone && i < tables.size(p); i++) {
+      for (int i = 0; problem.zoneOfProxy(p) == zone && i < tables.routeCount(p); i++) {
         int endpoint = tables.endpoint(p, i);
         double load = tables.load(zone, endpoint);
-        double over = load - flow.target(zone, endpoint);
-        if (over > 0) {
-          double given = tables.rate(p, i) * Math.min(1, MAX_GIVEN_MULTIPLE * over / load);
-          donors.add(new Donor(p, i, given));
+        double excess = load - flow.target(zone, endpoint);
+        if (excess > 0) {
+          double donatable =
+              tables.rate(p, i) * Math.min(1, MAX_DONATED_EXCESS_MULTIPLE * excess / load);
+          donors.add(new Donor(p, i, donatable));
         }
       }
     }
@@ -92,45 +103,53 @@
     return donors;
   }
 
-  /** What one more request of a zone loses at each endpoint, by the tables as they are. */
-  private double[] prices(int zone) {
-    double[] price = new double[problem.endpointCount()];
-    for (int e = 0; e < price.length; e++) {
-      price[e] = Flow.endpointPrice(problem, e, tables.load(e)) + flow.routeCost(zone, e);
+  /**
+   * Returns, by endpoint, the requests lost per additional request from a zone under the tables as
+   * they are.
+   */
+  private double[] marginalCosts(int zone) {
+    double[] marginalCost = new double[problem.endpointCount()];
+    for (int e = 0; e < marginalCost.length; e++) {
+      marginalCost[e] = Flow.endpointPrice(problem, e, tables.load(e)) + flow.routeCost(zone, e);
     }
-    return price;
+    return marginalCost;
   }
 
   private boolean addRoutesTo(
-      int zone, int endpoint, List<Donor> donors, double[] price, boolean[] hasGiven) {
+      int zone, int endpoint, List<Donor> donors, double[] marginalCost, boolean[] hasDonated) {
     boolean added = false;
-    double missing = flow.target(zone, endpoint) - tables.load(zone, endpoint);
+    double missingRate = flow.target(zone, endpoint) - tables.load(zone, endpoint);
     for (Donor donor : donors) {
-      if (!isShort(endpoint, missing)) {
+      if (!isBelowTarget(endpoint, missingRate)) {
         break;
       }
       int proxy = donor.proxy;
-      if (hasGiven[proxy]) {
+      if (hasDonated[proxy]) {
         continue;
       }
-      double moved = Math.min(donor.rate, missing);
-      double saved = price[tables.endpoint(proxy, donor.route)] - price[endpoint];
-      double gain = moved * HORIZON_SECONDS * (1 + unmetPlans[endpoint]) * saved;
-      boolean pays = gain > connectionCost(proxy);
-      boolean hasRoom = tables.size(proxy) <= tables.maxRoutes(proxy);
-      if (!pays || !hasRoom || !tables.mayAdd(proxy, endpoint)) {
+      double moved = Math.min(donor.rate, missingRate);
+      double savingPerRequest =
+          marginalCost[tables.endpoint(proxy, donor.route)] - marginalCost[endpoint];
+      double gain = moved * HORIZON_SECONDS * (1 + plansBelowTarget[endpoint]) * savingPerRequest;
+      boolean gainExceedsCost = gain > connectionCost(proxy);
+      // A table may exceed its limit by one route here; RouteDropper then removes the least used.
+      boolean isWithinRouteLimit = tables.routeCount(proxy) <= tables.maxRoutes(proxy);
+      if (!gainExceedsCost || !isWithinRouteLimit || !tables.canAddRoute(proxy, endpoint)) {
         continue;
       }
-      hasGiven[proxy] = true;
+      hasDonated[proxy] = true;
       added = true;
-      tables.add(proxy, endpoint, moved);
+      tables.addRoute(proxy, endpoint, moved);
       tables.setRate(proxy, donor.route, tables.rate(proxy, donor.route) - moved);
-      missing -= moved;
+      missingRate -= moved;
     }
     return added;
   }
 
-  /** A proxy without routes has to connect in any case. */
+  /**
+   * Returns the cost of a connection to an endpoint, in lost requests; 0 for a proxy without
+   * routes, which has to connect in any case.
+   */
   private double connectionCost(int proxy) {
     return problem.proxy(proxy).routes().isEmpty() ? 0 : problem.costs().newRoute();
   }
--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -13,35 +13,35 @@
 import stonespring.model.ZoneId;
 
 /**
- * Sums the reports of proxies until they are drained: one figure for each pair of endpoint and
- * zone, one for each pair of proxy and request class, however often proxies report. The number of
- * pairs is bounded; what is reported of pairs beyond it is dropped and counted. Not safe for
- * several threads.
+ * Sums the reports of proxies until the totals are drained. It keeps one total for each pair of
+ * endpoint and proxy zone, and one for each pair of proxy and request class. The number of pairs of
+ * each kind is limited; observations of further pairs are dropped and counted. Not thread-safe.
  */
 public final class ReportAggregator {
+  /** Width of the request class index in the keys of the request totals. */
   private static final int REQUEST_CLASS_BITS = 16;
 
-  /** What the proxies of one zone observed at one endpoint. */
+  /** The totals of the observations that the proxies of one zone made at one endpoint. */
   private static final class EndpointTotals {
     private final EndpointId endpoint;
     private final ZoneId zone;
     private long attempts;
     private long failures;
-    private double totalSuccessLatency;
+    private double successLatencySumDeciMillis;
     private LoadReport load = LoadReport.NONE;
-    private final Map<Integer, Long> intervalsByProxy = new HashMap<>();
+    private final Map<Integer, Long> intervalDeciMillisByProxy = new HashMap<>();
 
     EndpointTotals(EndpointId endpoint, ZoneId zone) {
       this.endpoint = endpoint;
       this.zone = zone;
     }
 
-    void add(ProxyId proxy, long interval, ProxyReport.EndpointObservation observation) {
+    void add(ProxyId proxy, long intervalDeciMillis, ProxyReport.EndpointObservation observation) {
       long successes = observation.attempts() - observation.failures();
       attempts += observation.attempts();
       failures += observation.failures();
-      totalSuccessLatency += (double) observation.successLatency() * successes;
-      intervalsByProxy.merge(proxy.number(), interval, Long::sum);
+      successLatencySumDeciMillis += (double) observation.successLatency() * successes;
+      intervalDeciMillisByProxy.merge(proxy.number(), intervalDeciMillis, Long::sum);
       if (observation.load() != LoadReport.NONE) {
         load = observation.load();
       }
@@ -49,65 +49,79 @@
 
     Event.EndpointOutcomes toEvent() {
       long successes = attempts - failures;
-      long interval = intervalsByProxy.values().stream().mapToLong(s -> s).max().orElse(1);
-      long meanLatency =
-          successes > 0 ? Math.max(1, Math.round(totalSuccessLatency / successes)) : 0;
+      long longestIntervalDeciMillis =
+          intervalDeciMillisByProxy.values().stream()
+              .mapToLong(interval -> interval)
+              .max()
+              .orElse(1);
+      long meanLatencyDeciMillis =
+          successes > 0 ? Math.max(1, Math.round(successLatencySumDeciMillis / successes)) : 0;
       return new Event.EndpointOutcomes(
-          endpoint, zone, attempts, failures, interval, meanLatency, load);
+          endpoint,
+          zone,
+          attempts,
+          failures,
+          longestIntervalDeciMillis,
+          meanLatencyDeciMillis,
+          load);
     }
   }
 
-  /** What one proxy received of one request class. */
+  /** The totals of the requests of one class that one proxy received. */
   private static final class RequestTotals {
     private final ProxyId proxy;
     private final RequestClassId requestClass;
     private long requests;
     private long unanswered;
-    private long interval;
+    private long intervalDeciMillis;
 
     RequestTotals(ProxyId proxy, RequestClassId requestClass) {
       this.proxy = proxy;
       this.requestClass = requestClass;
     }
 
-    void add(long reportInterval, ProxyReport.RequestCount count) {
+    void add(long reportIntervalDeciMillis, ProxyReport.RequestCount count) {
       requests += count.requests();
       unanswered += count.unanswered();
-      interval += reportInterval;
+      intervalDeciMillis += reportIntervalDeciMillis;
     }
 
     Event.ProxyRequestRate toEvent() {
-      return new Event.ProxyRequestRate(proxy, requestClass, requests, unanswered, interval);
+      return new Event.ProxyRequestRate(
+          proxy, requestClass, requests, unanswered, intervalDeciMillis);
     }
   }
 
   private final int maxPairs;
-  // The order of these keys is the order of the events, which decisions depend on.
+  // The order of the keys determines the order of the events, on which decisions depend.
   private final TreeMap<String, EndpointTotals> endpointTotals = new TreeMap<>();
   private final TreeMap<Long, RequestTotals> requestTotals = new TreeMap<>();
   private long droppedObservations;
 
   /**
-   * Creates an aggregator that holds nothing.
+   * Creates an aggregator without totals.
    *
-   * @param maxPairs the most pairs of each kind that are held
+   * @param maxPairs maximum number of pairs of each kind
    */
   public ReportAggregator(int maxPairs) {
     this.maxPairs = maxPairs;
   }
 
-  /** Adds one report of a proxy. */
+  /** Adds a report of a proxy to the totals. */
   public void add(ProxyId proxy, ZoneId zone, ProxyReport report) {
     for (ProxyReport.EndpointObservation observation : report.endpoints()) {
       addObservation(proxy, zone, report.interval(), observation);
     }
     for (ProxyReport.RequestCount count : report.requests()) {
-      addCount(proxy, report.interval(), count);
+      addRequestCount(proxy, report.interval(), count);
     }
   }
 
   private void addObservation(
-      ProxyId proxy, ZoneId zone, long interval, ProxyReport.EndpointObservation observation) {
+      ProxyId proxy,
+      ZoneId zone,
+      long intervalDeciMillis,
+      ProxyReport.EndpointObservation observation) {
     String key = zone.index() + "|" + observation.endpoint().name();
     EndpointTotals totals = endpointTotals.get(key);
     if (totals == null) {
@@ -118,11 +132,12 @@
       totals = new EndpointTotals(observation.endpoint(), zone);
       endpointTotals.put(key, totals);
     }
-    totals.add(proxy, interval, observation);
+    totals.add(proxy, intervalDeciMillis, observation);
   }
 
-  private void addCount(ProxyId proxy, long interval, ProxyReport.RequestCount count) {
-    long key = firstKey(proxy.number()) | count.requestClass().index();
+  private void addRequestCount(
+      ProxyId proxy, long intervalDeciMillis, ProxyReport.RequestCount count) {
+    long key = firstRequestKey(proxy.number()) | count.requestClass().index();
     RequestTotals totals = requestTotals.get(key);
     if (totals == null) {
       if (requestTotals.size() >= maxPairs) {
@@ -132,22 +147,24 @@
       totals = new RequestTotals(proxy, count.requestClass());
       requestTotals.put(key, totals);
     }
-    totals.add(interval, count);
+    totals.add(intervalDeciMillis, count);
   }
 
-  private static long firstKey(long proxyNumber) {
+  private static long firstRequestKey(long proxyNumber) {
     return proxyNumber << REQUEST_CLASS_BITS;
   }
 
   /**
-   * A proxy disconnected: what it received is no demand here any more. What it observed at
-   * endpoints stays true.
+   * Discards the request totals of a proxy that disconnected, since its requests are no longer
+   * demand at this instance. Its observations of endpoints remain valid and are kept.
    */
   public void discardRequestCounts(ProxyId proxy) {
-    requestTotals.subMap(firstKey(proxy.number()), firstKey(proxy.number() + 1L)).clear();
+    requestTotals
+        .subMap(firstRequestKey(proxy.number()), firstRequestKey(proxy.number() + 1L))
+        .clear();
   }
 
-  /** Returns all totals as events, and starts anew. */
+  /** Returns all totals as events and resets them. */
   public List<Event> drain() {
     List<Event> events = new ArrayList<>();
     for (EndpointTotals totals : endpointTotals.values()) {
@@ -163,7 +180,10 @@
     return events;
   }
 
-  /** How many observations and request counts were dropped at the bound of pairs, ever. */
+  /**
+   * Returns the number of observations and request counts dropped since creation because of the
+   * limit on pairs.
+   */
   public long droppedObservations() {
     return droppedObservations;
   }
--- a/src/test/java/stonespring/state/ProxySessionsTest.java
+++ b/src/test/java/stonespring/state/ProxySessionsTest.java
@@ -15,7 +15,7 @@
 
 final class ProxySessionsTest {
   @Test
-  void proxiesAreBoundedAndIdsOfTheDisconnectedAreReused() {
+  void refusesProxiesOverTheLimitAndReusesIdsOfDisconnectedOnes() {
     ProxySessions<Object> sessions = new ProxySessions<>(2);
     ProxyHello hello = hello("l", 1);
     Object connection = new Object();
@@ -25,21 +25,25 @@
         HelloResult.Connected.class, sessions.handleHello("b", hello, new Object(), 0, 10));
     assertInstanceOf(
         HelloResult.Refused.class, sessions.handleHello("c", hello, new Object(), 0, 10));
-    long before = sessions.sessionNumber(new ProxyId(0));
+    long earlierSessionNumber = sessions.sessionNumber(new ProxyId(0));
     assertEquals(List.of(new ProxyId(0)), sessions.endSessions(connection));
     HelloResult.Connected<Object> connected =
         (HelloResult.Connected<Object>) sessions.handleHello("c", hello, new Object(), 1, 10);
     assertEquals(new ProxyId(0), connected.proxy());
     assertTrue(
-        sessions.sessionNumber(connected.proxy()) > before, "a reused id is another session");
+        sessions.sessionNumber(connected.proxy()) > earlierSessionNumber,
+        "a reused id must have a new session number");
     assertEquals(Optional.empty(), sessions.find("a", connection));
     assertEquals(2, sessions.endExpiredSessions(10).size());
     assertEquals(0, sessions.connectedCount());
   }
 
-  /** Random hellos of many proxies: no name is ever connected twice, and the count stays true. */
+  /**
+   * Guards against a name that is connected twice and against a wrong number of connected proxies,
+   * after random hellos, expirations and closed connections.
+   */
   @Test
-  void countMatchesTheConnectedInASeededRun() {
+  void connectedCountMatchesConnectedProxiesAfterEachRandomStep() {
     SplittableRandom random = new SplittableRandom(4);
     ProxySessions<Object> sessions = new ProxySessions<>(20);
     List<Object> connections = new ArrayList<>(List.of(new Object(), new Object(), new Object()));
@@ -67,7 +71,7 @@
         try {
           connected += sessions.isConnected(new ProxyId(number)) ? 1 : 0;
         } catch (RuntimeException e) {
-          throw new AssertionError("number " + number, e);
+          throw new AssertionError("isConnected failed for proxy " + number, e);
         }
       }
       assertEquals(connected, sessions.connectedCount());
