--- a/src/main/java/stonespring/discovery/CachedEndpointList.java
+++ b/src/main/java/stonespring/discovery/CachedEndpointList.java
@@ -62,7 +62,10 @@
     try {
       return codec.read(Files.readAllBytes(file.get()));
     } catch (IOException | InvalidEndpointListException e) {
-      LOG.warn("cached endpoint list {} is ignored: {}", file.get(), e.getMessage());
+      LOG.warn(
+          "cached endpoint list {} can't be used, starting with an empty list: {}",
+          file.get(),
+          e.getMessage());
       return List.of();
     }
   }
@@ -91,7 +94,10 @@
           temporary, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
       // A full disk must not stop the instance: it continues with the list in memory.
-      LOG.warn("cached endpoint list {} could not be written: {}", path, e.getMessage());
+      LOG.warn(
+          "cached endpoint list {} could not be written, the next start may read an older list: {}",
+          path,
+          e.getMessage());
     }
   }
 
--- a/src/main/java/stonespring/discovery/EndpointFields.java
+++ b/src/main/java/stonespring/discovery/EndpointFields.java
@@ -27,10 +27,13 @@
       throws InvalidEndpointListException {
     if (!name.matches(NAME_PATTERN)) {
       throw new InvalidEndpointListException(
-          location, "id", "is not a name of 1 to 100 letters, digits, dots or dashes");
+          location, "id", "must be 1 to 100 letters, digits, dots, underscores or dashes");
     }
     if (!address.matches(ADDRESS_PATTERN)) {
-      throw new InvalidEndpointListException(location, "address", "is not HOST:PORT");
+      throw new InvalidEndpointListException(
+          location,
+          "address",
+          "must be HOST:PORT with a host of 1 to 60 letters, digits, dots or dashes");
     }
     return new EndpointId(name + "@" + address);
   }
@@ -44,7 +47,7 @@
     int index = zoneNames.indexOf(name);
     if (index < 0) {
       throw new InvalidEndpointListException(
-          location, "zone", "names no zone of the settings: " + name);
+          location, "zone", "must name a configured zone, found: " + name);
     }
     return new ZoneId(index);
   }
--- a/src/main/java/stonespring/discovery/EndpointListCodec.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -60,7 +60,7 @@
     JsonNode list = parse(bytes);
     if (list == null || !list.isArray() || list.size() > MAX_ENDPOINTS) {
       throw new InvalidEndpointListException(
-          "it is no JSON array of at most " + MAX_ENDPOINTS + " endpoints");
+          "expected a JSON array of at most " + MAX_ENDPOINTS + " endpoints");
     }
     TreeMap<String, EndpointRecord> endpointsById = new TreeMap<>();
     for (int i = 0; i < list.size(); i++) {
@@ -68,7 +68,7 @@
       EndpointRecord endpoint = readEndpoint(location, list.get(i));
       String id = endpoint.endpoint().name();
       if (endpointsById.put(id, endpoint) != null) {
-        throw new InvalidEndpointListException(location, id + " is a duplicate");
+        throw new InvalidEndpointListException(location, "duplicate endpoint id " + id);
       }
     }
     return new ArrayList<>(endpointsById.values());
@@ -79,9 +79,9 @@
       return JSON.readTree(bytes);
     } catch (JsonProcessingException e) {
       throw new InvalidEndpointListException(
-          "line " + e.getLocation().getLineNr(), "it is no well-formed JSON: " + firstLine(e));
+          "line " + e.getLocation().getLineNr(), "malformed JSON: " + firstLine(e));
     } catch (IOException e) {
-      throw new InvalidEndpointListException("it can't be read: " + e.getMessage());
+      throw new InvalidEndpointListException("the list can't be read: " + e.getMessage());
     }
   }
 
@@ -93,7 +93,8 @@
   private EndpointRecord readEndpoint(String location, JsonNode node)
       throws InvalidEndpointListException {
     if (!node.isObject()) {
-      throw new InvalidEndpointListException(location, "it is no object");
+      throw new InvalidEndpointListException(
+          location, "expected a JSON object, found " + node.getNodeType());
     }
     EndpointId id =
         EndpointFields.createEndpointId(
@@ -115,7 +116,7 @@
       case "draining" -> EndpointRecord.State.DRAINING;
       default ->
           throw new InvalidEndpointListException(
-              location, "state", "is neither ready nor draining");
+              location, "state", "must be 'ready' or 'draining'");
     };
   }
 
@@ -123,7 +124,8 @@
       throws InvalidEndpointListException {
     if (!node.isMissingNode()
         && !(node.isNumber() && node.asDouble() > 0 && node.asDouble() < MAX_WEIGHT)) {
-      throw new InvalidEndpointListException(location, "weight", "is no number above 0");
+      throw new InvalidEndpointListException(
+          location, "weight", "must be a number above 0 and below " + MAX_WEIGHT);
     }
     return node.asDouble(1);
   }
--- a/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
+++ b/src/main/java/stonespring/discovery/EndpointListUnavailableException.java
@@ -24,7 +24,7 @@
     }
     HttpResponse response = ((HttpCallResult.Completed) result).response();
     if (response.status() != 200) {
-      throw new EndpointListUnavailableException("unexpected status " + response.status());
+      throw new EndpointListUnavailableException("expected status 200, found " + response.status());
     }
     return response;
   }
@@ -32,6 +32,6 @@
   /** Creates an exception for a response that is outdated because a new epoch began meanwhile. */
   static EndpointListUnavailableException versionsRestarted() {
     return new EndpointListUnavailableException(
-        "the list's versions started over while the request was under way");
+        "the response is outdated: list versions started over while the request was pending");
   }
 }
--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -66,7 +66,8 @@
       lastError = "";
     } catch (IOException | InvalidEndpointListException e) {
       if (!lastError.equals(e.toString())) {
-        LOG.warn("endpoint list file {}: keeping the last list: {}", path, describe(e));
+        LOG.warn(
+            "endpoint list file {} can't be used, keeping the last list: {}", path, describe(e));
       }
       lastError = e.toString();
     }
@@ -74,7 +75,7 @@
 
   private void readIfChanged() throws IOException, InvalidEndpointListException {
     if (Files.size(path) > MAX_FILE_BYTES) {
-      throw new IOException("it is over " + MAX_FILE_BYTES + " bytes");
+      throw new IOException("the file exceeds " + MAX_FILE_BYTES + " bytes");
     }
     byte[] content = Files.readAllBytes(path);
     if (Arrays.equals(content, lastContent)) {
@@ -86,7 +87,7 @@
   }
 
   private static String describe(Exception e) {
-    return e instanceof NoSuchFileException ? "there is no such file" : e.getMessage();
+    return e instanceof NoSuchFileException ? "the file does not exist" : e.getMessage();
   }
 
   @Override
--- a/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -65,7 +65,7 @@
     try {
       message = JSON.readTree(bytes);
     } catch (IOException e) {
-      throw new InvalidEndpointListException("a message is no well-formed JSON");
+      throw new InvalidEndpointListException("malformed JSON in a list message");
     }
     return read(message, heldEndpoints);
   }
@@ -82,20 +82,27 @@
   PlatformListMessage read(JsonNode message, Map<EndpointId, EndpointRecord> heldEndpoints)
       throws InvalidEndpointListException {
     if (message == null || !message.isObject()) {
-      throw new InvalidEndpointListException("a message is no object");
+      throw new InvalidEndpointListException("a list message must be a JSON object");
     }
     JsonNode version = message.path("seq");
     if (!version.isIntegralNumber() || version.asLong() < 0) {
-      throw InvalidEndpointListException.ofField("seq", "is no version");
+      throw InvalidEndpointListException.ofField("seq", "must be an integer of 0 or more");
     }
     JsonNode snapshot = message.path("whole");
     if (!snapshot.isBoolean()) {
-      throw InvalidEndpointListException.ofField("whole", "is neither true nor false");
+      throw InvalidEndpointListException.ofField(
+          "whole", "must be true or false, found " + snapshot.getNodeType());
     }
     JsonNode entries = message.path("hosts");
     if (!entries.isArray() || entries.size() > EndpointListCodec.MAX_ENDPOINTS) {
       throw InvalidEndpointListException.ofField(
-          "hosts", "is no list of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
+          "hosts",
+          "must be an array of at most "
+              + EndpointListCodec.MAX_ENDPOINTS
+              + " entries, found "
+              + entries.getNodeType()
+              + " of size "
+              + entries.size());
     }
     return readEntries(version.asLong(), snapshot.asBoolean(), entries, heldEndpoints);
   }
--- a/src/main/java/stonespring/discovery/PlatformEndpointList.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointList.java
@@ -76,7 +76,10 @@
       if (!snapshot) {
         version = 0;
         throw new InvalidEndpointListException(
-            "the version went back to " + message.version() + " in a delta");
+            "expected a delta of version "
+                + baseVersion
+                + " or later, found version "
+                + message.version());
       }
     } else if (message.version() < version && !(origin == Origin.WATCH && snapshot)) {
       return createUpdate(snapshot, snapshot ? endpoints() : List.of());
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -87,7 +87,9 @@
       try {
         endpoints = list.applyCached(cachedList.get());
       } catch (InvalidEndpointListException e) {
-        LOG.warn("the configuration's endpoint list is ignored: {}", e.getMessage());
+        LOG.warn(
+            "endpoint list in the configuration is invalid, starting with an empty list: {}",
+            e.getMessage());
       }
     }
     return new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, endpoints);
@@ -150,7 +152,7 @@
           if (newAddress.equals(address)) {
             return;
           }
-          LOG.info("discovery moves from {} to {}", address, newAddress);
+          LOG.info("discovery address changed from {} to {}", address, newAddress);
           address = newAddress;
           cancelSuccessorWatch();
           if (currentWatch != null) {
@@ -173,7 +175,10 @@
   }
 
   private void reportFailure(String cause) {
-    LOG.warn("discovery {}: keeping the last endpoint list: {}", address, cause);
+    LOG.warn(
+        "discovery server {} provided no usable endpoint list, keeping the last list: {}",
+        address,
+        cause);
     listeners.notifyFailed();
   }
 
@@ -182,7 +187,8 @@
     @Override
     public void watchResponded(PlatformEndpointWatch watch) {
       if (watch == successorWatch) {
-        LOG.info("discovery {} answers: the watch of the old address is closed", watch.address());
+        LOG.info(
+            "discovery server {} responded, closing the watch of the old address", watch.address());
         cancelCurrentWatch();
         currentWatch = watch;
         successorWatch = null;
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -96,7 +96,7 @@
       int end = findLineEnd(bytes, start);
       partialMessage.write(bytes, start, end - start);
       if (partialMessage.size() > MAX_MESSAGE_BYTES) {
-        fail("a message is over " + MAX_MESSAGE_BYTES + " bytes");
+        fail("a list message exceeds " + MAX_MESSAGE_BYTES + " bytes");
       } else if (end < bytes.length) {
         processLine();
       } else {
@@ -136,7 +136,11 @@
     if (messageTimeout == null) {
       messageTimeout =
           loop.schedule(
-              () -> fail("a message was not complete within " + MESSAGE_TIMEOUT_MILLIS + " ms"),
+              () ->
+                  fail(
+                      "a list message was still incomplete after "
+                          + MESSAGE_TIMEOUT_MILLIS
+                          + " ms"),
               MESSAGE_TIMEOUT_MILLIS,
               TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
@@ -52,7 +52,7 @@
     JsonNode entries = parse(body);
     if (entries == null || !entries.isArray() || entries.size() > EndpointListCodec.MAX_ENDPOINTS) {
       throw new InvalidEndpointListException(
-          "the response is no array of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
+          "expected a JSON array of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
     }
     List<EndpointRecord> endpoints = new ArrayList<>();
     for (int i = 0; i < entries.size(); i++) {
@@ -66,7 +66,7 @@
       return JSON.readTree(body);
     } catch (JsonProcessingException e) {
       throw new InvalidEndpointListException(
-          "the response is no well-formed JSON: " + EndpointListCodec.firstLine(e));
+          "malformed JSON in the response: " + EndpointListCodec.firstLine(e));
     } catch (IOException e) {
       throw new InvalidEndpointListException("the response can't be read: " + e.getMessage());
     }
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -135,7 +135,8 @@
   private static long readIndex(HttpResponse response) throws InvalidEndpointListException {
     String index = response.header(INDEX_HEADER);
     if (!index.matches("[0-9]{1,18}")) {
-      throw new InvalidEndpointListException("header X-Consul-Index is no number");
+      throw new InvalidEndpointListException(
+          "header X-Consul-Index must be a number of 1 to 18 digits, found '" + index + "'");
     }
     return Long.parseLong(index);
   }
@@ -164,7 +165,10 @@
   }
 
   private void reportFailure(Exception cause) {
-    LOG.warn("registry {}: keeping the last endpoint list: {}", address, cause.getMessage());
+    LOG.warn(
+        "registry {} provided no usable endpoint list, keeping the last list: {}",
+        address,
+        cause.getMessage());
     listeners.notifyFailed();
   }
 
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -49,15 +49,15 @@
     try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
       platform.replaceConfig(platform.config(newer));
       process.hangUp();
-      process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery moves from");
+      process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery address changed from");
       write(pipe, platform.config(older));
     }
     // The older address may have been asked or not; the one asked in the end is the newer one.
     EndpointListRequest last = platform.acceptListRequest(newer);
     last.beginWatch(endpointList(6, endpoint("s-1", "west")));
-    process.awaitLog("/127.0.0.1:" + newer.getLocalPort() + " answers");
+    process.awaitLog("/127.0.0.1:" + newer.getLocalPort() + " responded");
     process.awaitLog(
-        "discovery moves from /127.0.0.1:"
+        "discovery address changed from /127.0.0.1:"
             + older.getLocalPort()
             + " to /127.0.0.1:"
             + newer.getLocalPort());
--- a/src/test/java/stonespring/discovery/EndpointListCodecTest.java
+++ b/src/test/java/stonespring/discovery/EndpointListCodecTest.java
@@ -11,13 +11,13 @@
   void namesEntryAndFieldWhenListIsInvalid() {
     for (String[] testCase :
         new String[][] {
-          {"{}", "no JSON array"},
-          {"[1]", "entry 0: it is no object"},
+          {"{}", "expected a JSON array of at most 50000 endpoints"},
+          {"[1]", "entry 0: expected a JSON object, found NUMBER"},
           {"[{\"id\":\"a/b\"}]", "entry 0: field 'id'"},
           {"[{\"id\":\"a\",\"address\":\"h\"}]", "field 'address'"},
           {
             "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"x\"}]",
-            "field 'zone' names no zone of the settings: x"
+            "field 'zone' must name a configured zone, found: x"
           },
           {
             "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"state\":\"up\"}]",
--- a/src/test/java/stonespring/discovery/PlatformEndpointAddressChangeTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointAddressChangeTest.java
@@ -37,13 +37,13 @@
     assertEquals(
         "DELTA s-2/READY/1/1.5/9500",
         fixture.updates.nextDescription(),
-        "the old watch is still followed");
+        "the old watch is still in use");
     newWatch.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
     assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription());
-    assertTrue(oldWatch.closedByClient(), "now it is closed");
+    assertTrue(oldWatch.closedByClient(), "the old watch is closed");
     newWatch.close();
     assertEquals(
-        "FETCH_FAILED", fixture.updates.nextDescription(), "one failure, of the new watch");
+        "FETCH_FAILED", fixture.updates.nextDescription(), "only the new watch reports a failure");
     fixture.source.setWatchEnabled(true);
     assertNotNull(newServer.accept());
   }
@@ -55,7 +55,7 @@
     oldWatch.close(); // The new address has not responded yet.
     retry.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
     assertEquals(
-        "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription(), "and nothing failed");
+        "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription(), "no failure is reported");
   }
 
   /**
--- a/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointFetchTest.java
@@ -46,7 +46,7 @@
         snapshot.endpoints().stream()
             .map(endpoint -> endpoint.endpoint().name() + "/" + endpoint.state())
             .collect(Collectors.toSet()),
-        "it is answered by the held list");
+        "the fetch reports the held list");
     fixture.source.fetch();
     ManualHttpExchange newerFetch = fixture.server.accept();
     newerFetch.writeResponse(message(45, true, entry("s-3", "Ready")));
@@ -54,8 +54,7 @@
     watch
         .writeChunk(message(44, false, entry("s-3", "Gone")))
         .writeChunk(message(46, false, entry("s-4", "Ready")));
-    assertEquals(
-        "DELTA", fixture.updates.nextDescription(), "outdated message of the watch, which goes on");
+    assertEquals("DELTA", fixture.updates.nextDescription(), "an outdated delta changes nothing");
     assertEquals("DELTA s-4/READY/1/1.5/9500", fixture.updates.nextDescription());
     assertEquals(2, fixture.source.endpoints().size());
   }
@@ -72,7 +71,7 @@
     assertEquals(
         "SNAPSHOT s-2/READY/1/1.5/9500",
         fixture.updates.nextDescription(),
-        "versions started over, and the snapshot applies");
+        "a snapshot is applied when versions start over");
     fetch.writeResponse(message(42, true, entry("s-1", "Ready")));
     assertEquals("FETCH_FAILED", fixture.updates.nextDescription());
     assertEquals("s-2", fixture.source.endpoints().get(0).endpoint().name());
--- a/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
@@ -61,23 +61,23 @@
     }
     fixture.source.setWatchEnabled(true);
     fixture.server.accept().close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "a reset");
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "closed before the response");
     fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("{\"seq\":50,\"who").close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "half a message");
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "closed within a message");
     fixture.source.setWatchEnabled(true);
     ManualHttpExchange watchWithLowerVersion = fixture.server.accept();
     assertEquals(
         "/registry/instances?stream=1&index=41",
         watchWithLowerVersion.target(),
-        "half a message moved nothing");
+        "an incomplete message does not change the version");
     watchWithLowerVersion.writeRaw(CHUNKED_HEAD).writeChunk(message(7, false));
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "the version went back");
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "a delta with a lower version");
     fixture.source.setWatchEnabled(true);
     assertEquals(
         "/registry/instances?stream=1&index=0",
         fixture.server.accept().target(),
-        "only a snapshot tells what was missed");
+        "missed changes require a snapshot");
     fixture.source.setWatchEnabled(false);
     assertTrue(fixture.updates.isEmpty());
   }
@@ -88,7 +88,9 @@
     fixture.server.acceptWatch().writeChunk("\n");
     long startNanos = System.nanoTime();
     assertEquals("FETCH_FAILED", fixture.updates.nextDescription());
-    assertTrue(System.nanoTime() - startNanos > 2_000_000_000L, "not before a keep-alive was due");
+    assertTrue(
+        System.nanoTime() - startNanos > 2_000_000_000L,
+        "must not fail before a keep-alive is due");
   }
 
   /** The server keeps sending pieces of a message that never ends, so that it is never silent. */
@@ -102,7 +104,7 @@
       watch.writeChunk(" ");
       update = fixture.updates.poll(250);
     }
-    assertNotNull(update, "while pieces still arrive");
+    assertNotNull(update, "must fail while pieces of the message still arrive");
     assertEquals("FETCH_FAILED", EndpointUpdates.describe(update));
     fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
@@ -150,7 +152,7 @@
                 fixture.loop(),
                 () -> {
                   if (failuresLeft.getAndDecrement() > 0) {
-                    throw new ChannelException("no descriptor left");
+                    throw new ChannelException("no file descriptor available");
                   }
                   return new NioSocketChannel();
                 }));
@@ -163,7 +165,7 @@
     sourceWithoutSockets.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
     assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", updates.nextDescription());
-    assertEquals(1, updates.threads().size(), "all updates come from the event loop");
+    assertEquals(1, updates.threads().size(), "all updates are reported on the event loop");
     sourceWithoutSockets.stop();
   }
 }
--- a/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
+++ b/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
@@ -65,7 +65,7 @@
             endpoint("a", 3, EndpointRecord.State.DRAINING),
             endpoint("b", 1, EndpointRecord.State.REMOVED)),
         updates.next(),
-        "a query that timed out with nothing new reports nothing");
+        "a query that timed out without a change reports nothing");
     registry.respond(2);
     assertEquals(1, updates.next().endpoints().size());
     assertEquals(
@@ -80,9 +80,12 @@
             registry.nextTarget(),
             registry.nextTarget()));
     assertEquals(
-        "/v1/health/service/map", registry.nextTarget(), "an index that goes back starts anew");
+        "/v1/health/service/map",
+        registry.nextTarget(),
+        "a query without an index follows a decreased index");
     registry.respondWithoutIndex("[]");
-    assertEquals(Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "no index");
+    assertEquals(
+        Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "response without an index");
   }
 
   @Test
@@ -95,9 +98,12 @@
     source.setWatchEnabled(true);
     registry.respond(12, PASSING_A);
     assertEquals(
-        Event.ListUpdateKind.SNAPSHOT, updates.next().kind(), "what was missed is not known");
+        Event.ListUpdateKind.SNAPSHOT,
+        updates.next().kind(),
+        "a restarted watch reports a snapshot");
     registry.accept().channel().close();
-    assertEquals(Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "the watch broke");
+    assertEquals(
+        Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "the connection was closed");
   }
 
   @Test
@@ -112,6 +118,7 @@
     assertEquals(Event.ListUpdateKind.SNAPSHOT, updates.next().kind());
     registry.stop();
     source.fetch();
-    assertEquals(Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "nobody listens");
+    assertEquals(
+        Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "the registry is stopped");
   }
 }
