--- a/src/main/java/stonespring/decision/ProposalBlender.java
+++ b/src/main/java/stonespring/decision/ProposalBlender.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Moves tables towards the weights that the solver proposes, the less the older the proposal is.
- * Only endpoints that are warm and healthy follow it; the others go by what this instance knows.
+ * Moves the targets of tables towards the weights that the solver proposes, the less the older the
+ * proposal is. Only warm and healthy endpoints follow a proposal; the others keep the weights that
+ * this instance computes.
  */
 final class ProposalBlender {
   private final EngineClock clock;
@@ -19,21 +20,22 @@
   }
 
   /**
-   * Replaces the smallest route that the proposal does not want by the endpoint that it wants most:
-   * one a round, as routes cost channel entries.
+   * Schedules the replacement of the smallest route outside the proposal by the endpoint with the
+   * largest proposed weight that the table lacks. It is at most one for each proxy and round, since
+   * routes cost channel entries.
    */
-  void proposeReplacement(ProxyState proxy) {
+  void scheduleReplacement(ProxyState proxy) {
     if (!proxy.isTableAssigned() || proxy.proposal().influence(clock.now()) == 0) {
       return;
     }
-    Optional<EndpointState> wanted =
+    Optional<EndpointState> mostWanted =
         proxy.proposal().weights().entrySet().stream()
             .filter(entry -> isMissing(proxy, entry.getKey()))
             .max(Map.Entry.comparingByValue())
             .map(Map.Entry::getKey);
-    if (wanted.isPresent()) {
-      smallestUnwanted(proxy)
-          .ifPresent(route -> proxy.replacements().put(route.endpoint(), wanted.get()));
+    if (mostWanted.isPresent()) {
+      smallestRouteOutsideProposal(proxy)
+          .ifPresent(route -> proxy.replacements().put(route.endpoint(), mostWanted.get()));
     }
   }
 
@@ -43,15 +45,17 @@
         && !proxy.replacements().containsValue(endpoint);
   }
 
-  private static Optional<Route> smallestUnwanted(ProxyState proxy) {
+  private static Optional<Route> smallestRouteOutsideProposal(ProxyState proxy) {
     return proxy.table().routes().stream()
         .filter(route -> route.isApplied() && proxy.proposal().weight(route.endpoint()) <= 0)
         .filter(route -> !proxy.replacements().containsKey(route.endpoint()))
         .min(Comparator.comparingDouble(Route::weight));
   }
 
-  /** Moves the targets towards the proposal; the sum of those that follow it stays. */
-  void blend(ProxyState proxy) {
+  /**
+   * Moves the targets towards the proposal. The sum over the routes that follow it stays the same.
+   */
+  void blendTargets(ProxyState proxy) {
     WeightProposal proposal = proxy.proposal();
     double influence = proposal.influence(clock.now());
     List<Route> routes =
@@ -72,6 +76,10 @@
     proxy.table().normalizeTargets();
   }
 
+  /**
+   * Returns whether the proposed weight of an endpoint counts: it is warm, healthy and not
+   * excluded.
+   */
   private boolean followsProposal(ProxyState proxy, EndpointState endpoint) {
     return endpoint.isReady()
         && !endpoint.isExcluded()
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -6,27 +6,38 @@
 import stonespring.model.Settings;
 
 /**
- * Selects the endpoints of a proxy's table: it keeps its routes, replaces those to endpoints that
- * left, and grows until its endpoints can carry the proxy's requests. Weights are set by the {@link
- * WeightOptimizer} afterwards.
+ * Selects the endpoints of a proxy's table. Routes stay while their endpoints are ready, those to
+ * endpoints that left are replaced, and routes are added until the endpoints can carry the proxy's
+ * requests. The {@link WeightOptimizer} sets the weights afterwards.
  */
 final class RouteSelector {
-  /** With fewer routes, one bad endpoint gets a third of a proxy's requests. */
+  /**
+   * Least number of routes; with fewer, one failing endpoint gets a third of a proxy's requests.
+   */
   private static final int MIN_ROUTES = 4;
 
   /** Share of the capacity of its endpoints that one proxy may use. */
   private static final double MAX_CAPACITY_SHARE = 0.3;
 
-  /** Factor of the chance of an endpoint in the proxy's zone. */
+  /**
+   * Factor on the sampling weight of an endpoint in the proxy's zone. With three zones of equal
+   * capacity, two routes in three stay in the zone.
+   */
   private static final double SAME_ZONE_FACTOR = 4;
 
-  /** Factor of the initial weight of an endpoint in another zone, until loads are reported. */
+  /**
+   * Factor on the initial weight of an endpoint in another zone, which holds until loads are
+   * reported.
+   */
   private static final double OTHER_ZONE_INITIAL_WEIGHT = 0.3;
 
-  /** Factor of the chance that remains to an endpoint without free capacity. */
-  private static final double MIN_FREE_FACTOR = 0.1;
+  /** Least factor for free capacity, so that a fully used endpoint can still be drawn. */
+  private static final double MIN_FREE_CAPACITY_FACTOR = 0.1;
 
-  /** The factor of failures is this minus the share that fails: not 0 if all fail. */
+  /**
+   * The factor for failures is this number minus the share of attempts that fail, so that it is
+   * above 0 even if all fail.
+   */
   private static final double FAILURE_FACTOR_BASE = 1.02;
 
   private final Settings settings;
@@ -45,7 +56,10 @@
     this.estimates = estimates;
   }
 
-  /** Sets the targets of a proxy's table to the routes that it shall have. */
+  /**
+   * Sets the targets of a proxy's table, and adds the routes that it needs. The targets sum to 1 if
+   * there are any.
+   */
   void selectRoutes(ProxyState proxy) {
     RouteTable table = proxy.table();
     table.removeUnapplied();
@@ -58,7 +72,7 @@
     if (table.routes().stream().noneMatch(this::isWarmTarget)) {
       routeCount = addWarmEndpoint(proxy, routeCount);
     }
-    grow(proxy, routeCount, keptWeight);
+    addRoutes(proxy, routeCount, keptWeight);
     table.normalizeTargets();
   }
 
@@ -66,7 +80,10 @@
     return route.isTargeted() && endpoints.isWarm(route.endpoint());
   }
 
-  /** Lets entering endpoints take routes over; while one warms up, both routes stand. */
+  /**
+   * Transfers routes to the endpoints that replace their own. While such an endpoint warms up, both
+   * routes stay. Replacements that are no longer possible are dropped.
+   */
   private void applyReplacements(ProxyState proxy) {
     RouteTable table = proxy.table();
     proxy
@@ -83,10 +100,10 @@
       double capacityRatio =
           entrant.capacity()
               / Math.max(CapacityEstimator.MIN_CAPACITY, replacement.getKey().capacity());
-      double affordable = replaced.target() * Math.min(1, capacityRatio);
-      double present =
+      double scaledTarget = replaced.target() * Math.min(1, capacityRatio);
+      double currentTarget =
           table.holds(entrant) ? table.find(entrant).orElseThrow().target() : Route.MIN_WEIGHT;
-      Route route = table.setTarget(entrant, Math.max(affordable, present));
+      Route route = table.setTarget(entrant, Math.max(scaledTarget, currentTarget));
       if (endpoints.isWarm(entrant)) {
         route.setTarget(Math.max(route.target(), replaced.target()));
         replaced.setTarget(0);
@@ -95,38 +112,46 @@
   }
 
   /**
-   * A table of warming endpoints alone would overload them, or be empty once they are held back.
+   * Adds a route to a warm endpoint if one can be drawn. A table of warming endpoints alone would
+   * overload them, or be empty once the {@link SlowStartGuard} removes their targets.
    *
-   * @return the number of routes with the one added
+   * @return the number of routes, including the one added
    */
   private int addWarmEndpoint(ProxyState proxy, int routeCount) {
-    Optional<EndpointState> drawn = draw(proxy, 1);
+    Optional<EndpointState> drawn = drawEndpoint(proxy, 1);
     if (drawn.isEmpty()) {
       return routeCount;
     }
-    // Targets are relative. Those of a table without routes are capacities, requests per second;
-    // beside existing routes, whose targets are shares of 1, the warm one counts like all of them.
+    // Targets are relative. In a table without routes they are capacities in requests per second.
+    // Targets of existing routes are shares of 1; with a target of 1 the warm endpoint gets as
+    // much as all of them together.
     proxy.table().setTarget(drawn.get(), routeCount == 0 ? drawn.get().capacity() : 1);
     return routeCount + 1;
   }
 
-  private void grow(ProxyState proxy, int routeCount, double keptWeight) {
-    // In the first rounds what a warming endpoint can bear is unknown.
+  /**
+   * Adds routes until the table has as many as the proxy's request rate needs, or no endpoint can
+   * be drawn.
+   */
+  private void addRoutes(ProxyState proxy, int routeCount, double keptWeight) {
+    // The capacity of warming endpoints is not known in the first rounds.
     double minWarmUp = estimates.cadence().hasEnoughRounds() ? 0 : 1;
-    int wanted = wantedRoutes(proxy);
-    for (int count = routeCount; count < wanted; count++) {
-      Optional<EndpointState> drawn = draw(proxy, minWarmUp);
+    int wantedCount = wantedRouteCount(proxy);
+    for (int count = routeCount; count < wantedCount; count++) {
+      Optional<EndpointState> drawn = drawEndpoint(proxy, minWarmUp);
       if (drawn.isEmpty() && count == 0) {
-        drawn = draw(proxy, 0);
+        drawn = drawEndpoint(proxy, 0);
       }
       if (drawn.isEmpty()) {
         return;
       }
       EndpointState endpoint = drawn.get();
-      double shareOfRest =
-          endpoints.warmUpFraction(endpoint) * (1 - keptWeight) / Math.max(1, wanted - count);
+      double shareOfRemainder =
+          endpoints.warmUpFraction(endpoint) * (1 - keptWeight) / Math.max(1, wantedCount - count);
       double target =
-          keptWeight > 0 ? Math.max(Route.MIN_WEIGHT, shareOfRest) : initialWeight(proxy, endpoint);
+          keptWeight > 0
+              ? Math.max(Route.MIN_WEIGHT, shareOfRemainder)
+              : initialWeight(proxy, endpoint);
       proxy.table().setTarget(endpoint, target);
     }
   }
@@ -136,38 +161,39 @@
     return endpoint.capacity() * (sameZone ? 1 : OTHER_ZONE_INITIAL_WEIGHT);
   }
 
-  private int wantedRoutes(ProxyState proxy) {
-    int least = Math.max(MIN_ROUTES, settings.routing().bootstrapRouteCount());
+  private int wantedRouteCount(ProxyState proxy) {
+    int minRouteCount = Math.max(MIN_ROUTES, settings.routing().bootstrapRouteCount());
     double usableCapacity = MAX_CAPACITY_SHARE * estimates.capacity().meanCapacity();
-    return Math.max(least, (int) Math.ceil(proxy.averageRate() / usableCapacity));
+    return Math.max(minRouteCount, (int) Math.ceil(proxy.averageRate() / usableCapacity));
   }
 
   /**
-   * Draws an endpoint that the proxy has no target for, by listed weight, warm-up, free capacity,
-   * zone and failures.
+   * Draws a random endpoint for which the proxy has no target. The sampling weight depends on
+   * listed weight, warm-up fraction, free capacity, zone and failures.
    *
-   * @param minWarmUp the least warm-up fraction
+   * @param minWarmUp the least warm-up fraction, 0 to 1
+   * @return empty if no endpoint is eligible
    */
-  private Optional<EndpointState> draw(ProxyState proxy, double minWarmUp) {
-    double[] chances = new double[endpoints.size()];
+  private Optional<EndpointState> drawEndpoint(ProxyState proxy, double minWarmUp) {
+    double[] samplingWeights = new double[endpoints.size()];
     double total = 0;
     for (EndpointState endpoint : endpoints.all()) {
       if (isEligible(endpoint, minWarmUp)) {
-        chances[endpoint.index()] = chance(proxy, endpoint);
-        total += chances[endpoint.index()];
+        samplingWeights[endpoint.index()] = samplingWeight(proxy, endpoint);
+        total += samplingWeights[endpoint.index()];
       }
     }
     for (Route route : proxy.table().routes()) {
       if (route.isTargeted()) {
-        total -= chances[route.endpoint().index()];
-        chances[route.endpoint().index()] = 0;
+        total -= samplingWeights[route.endpoint().index()];
+        samplingWeights[route.endpoint().index()] = 0;
       }
     }
     double remaining = random.nextDouble() * total;
     for (EndpointState endpoint : endpoints.all()) {
-      double chance = chances[endpoint.index()];
-      if (chance > 0) {
-        remaining -= chance;
+      double samplingWeight = samplingWeights[endpoint.index()];
+      if (samplingWeight > 0) {
+        remaining -= samplingWeight;
         if (remaining < 0) {
           return Optional.of(endpoint);
         }
@@ -177,24 +203,27 @@
   }
 
   /**
-   * An excluded endpoint that warms up comes back as an entrant only, once no table is unknown: a
-   * route would allow it at all of them.
+   * Returns whether an endpoint may be drawn. An excluded one must be warm, since a route to it
+   * would allow it at all proxies with unknown tables. While it warms up, only {@link
+   * EntrantSelector} brings it back, once no table is unknown.
    */
   private boolean isEligible(EndpointState endpoint, double minWarmUp) {
     double required = endpoint.isExcluded() ? 1 : minWarmUp;
     return endpoint.isReady() && endpoints.warmUpFraction(endpoint) >= required;
   }
 
-  private double chance(ProxyState proxy, EndpointState endpoint) {
-    double usable = endpoint.capacity() * estimates.traffic().share();
-    double free = 1 - endpoint.plannedLoad() / usable;
-    double freeFactor =
-        endpoint.isRemovalPending() ? MIN_FREE_FACTOR : Math.max(MIN_FREE_FACTOR, free);
+  private double samplingWeight(ProxyState proxy, EndpointState endpoint) {
+    double usableCapacity = endpoint.capacity() * estimates.traffic().share();
+    double freeShare = 1 - endpoint.plannedLoad() / usableCapacity;
+    double freeCapacityFactor =
+        endpoint.isRemovalPending()
+            ? MIN_FREE_CAPACITY_FACTOR
+            : Math.max(MIN_FREE_CAPACITY_FACTOR, freeShare);
     double zoneFactor = endpoint.zone() == proxy.zone() ? SAME_ZONE_FACTOR : 1;
     double failureShare = endpoint.statistics().failureShare(proxy.zone());
     return endpoint.listedWeight()
         * endpoints.warmUpFraction(endpoint)
-        * freeFactor
+        * freeCapacityFactor
         * zoneFactor
         * (FAILURE_FACTOR_BASE - failureShare);
   }
