--- a/src/main/java/stonespring/discovery/EndpointListCodec.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -15,28 +15,35 @@
 
 /**
  * Reads and writes the endpoint list as a JSON array of objects with the fields {@code id}, {@code
- * address}, {@code zone}, {@code weight}, {@code state} and {@code started_ms}: the form of list
- * files and of the cached list. An endpoint's id contains its address, {@code NAME@HOST:PORT}, so
- * that an endpoint that moved is another endpoint and proxies need no second look-up. Immutable.
+ * address}, {@code zone}, {@code weight}, {@code state} and {@code started_ms}. This is the format
+ * of list files and of the cached list. An {@link EndpointId} contains the address, {@code
+ * NAME@HOST:PORT}: an endpoint whose address changes becomes another endpoint, and proxies need no
+ * further look-up to reach it. Immutable.
  */
 public final class EndpointListCodec {
-  /** The most endpoints that any form of list may have. */
+  /**
+   * The maximum number of endpoints in a list of any format. A longer list is a mistake of its
+   * producer.
+   */
   static final int MAX_ENDPOINTS = 50_000;
 
+  /** Upper bound of a weight, exclusive; no unit. A greater weight is a mistake of its producer. */
   private static final double MAX_WEIGHT = 1e6;
+
   private static final char ADDRESS_SEPARATOR = '@';
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final EndpointFields fields;
 
   /**
-   * Creates a codec for one instance.
+   * Creates a codec with the zones and the clock of one instance.
    *
-   * @param zones the names of the configured zones
-   * @param unixOffset Unix time minus the instance's clock, {@link stonespring.model.DeciMillis}
+   * @param zoneNames the names of the configured zones
+   * @param unixOffsetDeciMillis Unix time minus the instance's clock, in {@link
+   *     stonespring.model.DeciMillis}
    */
-  public EndpointListCodec(List<String> zones, long unixOffset) {
-    this.fields = new EndpointFields(zones, unixOffset);
+  public EndpointListCodec(List<String> zoneNames, long unixOffsetDeciMillis) {
+    this.fields = new EndpointFields(zoneNames, unixOffsetDeciMillis);
   }
 
   EndpointFields fields() {
@@ -44,23 +51,24 @@
   }
 
   /**
-   * Reads a whole list.
+   * Reads a complete list.
    *
    * @return the endpoints, sorted by id
+   * @throws InvalidEndpointListException if any part of the list is invalid
    */
   public List<EndpointRecord> read(byte[] bytes) throws InvalidEndpointListException {
     JsonNode list = parse(bytes);
     if (list == null || !list.isArray() || list.size() > MAX_ENDPOINTS) {
       throw new InvalidEndpointListException(
-          "it is no JSON array of at most " + MAX_ENDPOINTS + " endpoints");
+          "expected a JSON array of at most " + MAX_ENDPOINTS + " endpoints");
     }
     TreeMap<String, EndpointRecord> endpointsById = new TreeMap<>();
     for (int i = 0; i < list.size(); i++) {
-      String place = "entry " + i;
-      EndpointRecord endpoint = readEndpoint(place, list.get(i));
+      String location = "entry " + i;
+      EndpointRecord endpoint = readEndpoint(location, list.get(i));
       String id = endpoint.endpoint().name();
       if (endpointsById.put(id, endpoint) != null) {
-        throw new InvalidEndpointListException(place, id + " is a duplicate");
+        throw new InvalidEndpointListException(location, "duplicate endpoint id " + id);
       }
     }
     return new ArrayList<>(endpointsById.values());
@@ -71,54 +79,61 @@
       return JSON.readTree(bytes);
     } catch (JsonProcessingException e) {
       throw new InvalidEndpointListException(
-          "line " + e.getLocation().getLineNr(), "it is no well-formed JSON: " + firstLine(e));
+          "line " + e.getLocation().getLineNr(), "malformed JSON: " + firstLine(e));
     } catch (IOException e) {
-      throw new InvalidEndpointListException("it can't be read: " + e.getMessage());
+      throw new InvalidEndpointListException("the list can't be read: " + e.getMessage());
     }
   }
 
-  /** The first line of a parser's message; the others quote its source. */
+  /** Returns the first line of a parser's message; later lines quote the parsed text. */
   static String firstLine(JsonProcessingException e) {
     return e.getOriginalMessage().split("\n")[0];
   }
 
-  private EndpointRecord readEndpoint(String place, JsonNode node)
+  private EndpointRecord readEndpoint(String location, JsonNode node)
       throws InvalidEndpointListException {
     if (!node.isObject()) {
-      throw new InvalidEndpointListException(place, "it is no object");
+      throw new InvalidEndpointListException(
+          location, "expected a JSON object, found " + node.getNodeType());
     }
     EndpointId id =
-        EndpointFields.endpointId(place, node.path("id").asText(), node.path("address").asText());
-    EndpointRecord.State state = readState(place, node.path("state"));
-    double weight = readWeight(place, node.path("weight"));
+        EndpointFields.createEndpointId(
+            location, node.path("id").asText(), node.path("address").asText());
+    EndpointRecord.State state = readState(location, node.path("state"));
+    double weight = readWeight(location, node.path("weight"));
     return new EndpointRecord(
         id,
-        fields.zone(place, node.path("zone").asText()),
+        fields.parseZone(location, node.path("zone").asText()),
         weight,
         state,
-        fields.startedAt(node.path("started_ms").asLong(0)));
+        fields.toInstanceClock(node.path("started_ms").asLong(0)));
   }
 
-  private static EndpointRecord.State readState(String place, JsonNode node)
+  private static EndpointRecord.State readState(String location, JsonNode node)
       throws InvalidEndpointListException {
     return switch (node.asText("ready")) {
       case "ready" -> EndpointRecord.State.READY;
       case "draining" -> EndpointRecord.State.DRAINING;
       default ->
-          throw new InvalidEndpointListException(place, "state", "is neither ready nor draining");
+          throw new InvalidEndpointListException(
+              location, "state", "must be 'ready' or 'draining'");
     };
   }
 
-  private static double readWeight(String place, JsonNode node)
+  private static double readWeight(String location, JsonNode node)
       throws InvalidEndpointListException {
     if (!node.isMissingNode()
         && !(node.isNumber() && node.asDouble() > 0 && node.asDouble() < MAX_WEIGHT)) {
-      throw new InvalidEndpointListException(place, "weight", "is no number above 0");
+      throw new InvalidEndpointListException(
+          location, "weight", "must be a number above 0 and below " + MAX_WEIGHT);
     }
     return node.asDouble(1);
   }
 
-  /** Writes a list so that {@link #read} returns it. */
+  /**
+   * Writes a complete list in the format that {@link #read} reads. Each id has the form {@code
+   * NAME@HOST:PORT}.
+   */
   public byte[] write(List<EndpointRecord> endpoints) {
     ArrayNode list = JSON.createArrayNode();
     for (EndpointRecord endpoint : endpoints) {
@@ -132,11 +147,11 @@
     int separator = id.lastIndexOf(ADDRESS_SEPARATOR);
     node.put("id", id.substring(0, separator));
     node.put("address", id.substring(separator + 1));
-    node.put("zone", fields.zones().get(endpoint.zone().index()));
+    node.put("zone", fields.zoneNames().get(endpoint.zone().index()));
     node.put("weight", endpoint.weight());
     node.put("state", endpoint.state() == EndpointRecord.State.DRAINING ? "draining" : "ready");
     if (endpoint.startedAt() > 0) {
-      node.put("started_ms", fields.unixMillis(endpoint.startedAt()));
+      node.put("started_ms", fields.toUnixMillis(endpoint.startedAt()));
     }
   }
 }
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -17,18 +17,27 @@
 import stonespring.model.Event;
 
 /**
- * The platform's endpoint list, fetched or watched. Its address may change: the new one is watched
- * before the old watch is cancelled. State lives on the event loop.
+ * Fetches and watches the endpoint list of the platform's discovery server. The server's address
+ * may change at run time: the old address is watched until the new one responds. Mutable state is
+ * confined to the event loop.
  */
 public final class PlatformEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformEndpointSource.class);
   private static final String PATH = "/registry/instances";
+
+  /** Short, as the discovery server is close in the network. */
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+
+  /** The discovery server itself abandons waiting requests well before this timeout. */
   private static final int FETCH_TIMEOUT_MILLIS = 2_500;
-  private static final int NO_IDLE_CONNECTIONS = 0;
 
-  /** Wait before the new address is tried again; short, as the old one may soon be turned off. */
-  private static final long MOVE_RETRY_MILLIS = 300;
+  private static final int MAX_IDLE_CONNECTIONS = 0;
+
+  /**
+   * The wait before a failed watch of the new address is retried. It is short, as the old address
+   * stays available for no longer than a few of these intervals.
+   */
+  private static final long SUCCESSOR_RETRY_MILLIS = 300;
 
   private final PlatformEndpointList list;
   private final EventLoop loop;
@@ -39,13 +48,13 @@
   private SourceListeners listeners;
   private boolean watching;
 
-  /** The watch that the list follows; null if there is none. */
+  /** The watch of the address in use; null if there is none. */
   private PlatformEndpointWatch currentWatch;
 
-  /** The watch of a new address that has not responded yet; null if there is none. */
+  /** The watch of a new address that has not yet responded; null if there is none. */
   private PlatformEndpointWatch successorWatch;
 
-  /** Creates a source; nothing is sent before {@link #watch} or {@link #fetch}. */
+  /** Creates a source; nothing is sent before {@link #setWatchEnabled} or {@link #fetch}. */
   public PlatformEndpointSource(
       InetSocketAddress address, PlatformEndpointCodec codec, EventLoop loop) {
     this(address, new PlatformEndpointList(codec), new Connector(loop));
@@ -62,40 +71,44 @@
             connector,
             CONNECT_TIMEOUT_MILLIS,
             PlatformEndpointWatch.MAX_MESSAGE_BYTES,
-            NO_IDLE_CONNECTIONS);
+            MAX_IDLE_CONNECTIONS);
   }
 
   /**
-   * Takes the list that the configuration came with, before any other is known.
+   * Loads the endpoint list that the configuration contains. Must be called before the first list
+   * arrives from the discovery server.
    *
-   * @param known in the platform's form; an invalid one counts as empty
-   * @return a cached list
+   * @param cachedList a list in the platform's format; an invalid one is treated as empty
+   * @return an update of kind {@link Event.ListUpdateKind#CACHED}
    */
-  public Event.EndpointListUpdate loadCached(Optional<JsonNode> known) {
+  public Event.EndpointListUpdate loadCachedList(Optional<JsonNode> cachedList) {
     List<EndpointRecord> endpoints = List.of();
-    if (known.isPresent()) {
+    if (cachedList.isPresent()) {
       try {
-        endpoints = list.applyKnown(known.get());
+        endpoints = list.applyCached(cachedList.get());
       } catch (InvalidEndpointListException e) {
-        LOG.warn("the configuration's endpoint list is ignored: {}", e.getMessage());
+        LOG.warn(
+            "endpoint list in the configuration is invalid, starting with an empty list: {}",
+            e.getMessage());
       }
     }
     return new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, endpoints);
   }
 
-  /** The endpoints held now; on the event loop. */
+  /** Returns the endpoints of the held list. Must be called on the event loop. */
   public List<EndpointRecord> endpoints() {
     return list.endpoints();
   }
 
   @Override
   public void start(
-      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    listeners = new SourceListeners(updates, lists);
+      Consumer<Event.EndpointListUpdate> updateListener,
+      Consumer<List<EndpointRecord>> listListener) {
+    listeners = new SourceListeners(updateListener, listListener);
   }
 
   @Override
-  public void watch(boolean enabled) {
+  public void setWatchEnabled(boolean enabled) {
     loop.execute(
         () -> {
           watching = enabled;
@@ -129,14 +142,17 @@
     }
   }
 
-  /** Changes the address; a watch under way goes on until the new address responds. */
-  public void moveTo(InetSocketAddress newAddress) {
+  /**
+   * Changes the discovery server's address. An active watch of the old address continues until the
+   * new address responds.
+   */
+  public void changeAddress(InetSocketAddress newAddress) {
     loop.execute(
         () -> {
           if (newAddress.equals(address)) {
             return;
           }
-          LOG.info("discovery moves from {} to {}", address, newAddress);
+          LOG.info("discovery address changed from {} to {}", address, newAddress);
           address = newAddress;
           cancelSuccessorWatch();
           if (currentWatch != null) {
@@ -145,29 +161,34 @@
         });
   }
 
-  private void scheduleMoveRetry() {
+  private void scheduleSuccessorRetry() {
     loop.schedule(
         () -> {
-          boolean moved = currentWatch != null && currentWatch.address().equals(address);
-          if (currentWatch != null && successorWatch == null && !moved) {
+          boolean currentWatchUsesAddress =
+              currentWatch != null && currentWatch.address().equals(address);
+          if (currentWatch != null && successorWatch == null && !currentWatchUsesAddress) {
             successorWatch = startWatch();
           }
         },
-        MOVE_RETRY_MILLIS,
+        SUCCESSOR_RETRY_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
   private void reportFailure(String cause) {
-    LOG.warn("discovery {}: keeping the last endpoint list: {}", address, cause);
-    listeners.failed();
+    LOG.warn(
+        "discovery server {} provided no usable endpoint list, keeping the last list: {}",
+        address,
+        cause);
+    listeners.notifyFailed();
   }
 
-  /** Decides between the current watch and its successor. */
+  /** Passes on updates of both watches and replaces the current watch by its successor. */
   private final class WatchListener implements PlatformEndpointWatch.Listener {
     @Override
     public void watchResponded(PlatformEndpointWatch watch) {
       if (watch == successorWatch) {
-        LOG.info("discovery {} answers: the watch of the old address is closed", watch.address());
+        LOG.info(
+            "discovery server {} responded, closing the watch of the old address", watch.address());
         cancelCurrentWatch();
         currentWatch = watch;
         successorWatch = null;
@@ -176,7 +197,7 @@
 
     @Override
     public void listUpdated(Event.EndpointListUpdate update) {
-      listeners.updated(update, list.endpoints());
+      listeners.notifyUpdated(update, list.endpoints());
     }
 
     @Override
@@ -186,11 +207,11 @@
         if (currentWatch == null) {
           reportFailure(cause);
         } else {
-          scheduleMoveRetry();
+          scheduleSuccessorRetry();
         }
       } else if (watch == currentWatch) {
         currentWatch = null;
-        // A successor under way answers in its place, by a message or by its own failure.
+        // With a successor pending nothing is reported: it will report an update or a failure.
         if (successorWatch == null && watching) {
           reportFailure(cause);
         }
@@ -202,31 +223,32 @@
   public void fetch() {
     loop.execute(
         () -> {
-          long version = list.version();
-          long epoch = list.epoch();
+          long versionAtRequest = list.version();
+          long epochAtRequest = list.epoch();
           client.call(
               address,
               HttpRequest.get(address, PATH),
               FETCH_TIMEOUT_MILLIS,
-              result -> fetchEnded(version, epoch, result));
+              result -> handleFetchResult(versionAtRequest, epochAtRequest, result));
         });
   }
 
   /**
-   * Ends a fetch.
+   * Handles the result of a fetch.
    *
-   * @param version the held list's version when it was requested
-   * @param epoch the held list's epoch when it was requested
+   * @param versionAtRequest the held list's version at the time of the request
+   * @param epochAtRequest the held list's epoch at the time of the request
    */
-  private void fetchEnded(long version, long epoch, HttpCallResult result) {
+  private void handleFetchResult(
+      long versionAtRequest, long epochAtRequest, HttpCallResult result) {
     try {
-      if (epoch != list.epoch()) {
-        throw EndpointListUnavailableException.superseded();
+      if (epochAtRequest != list.epoch()) {
+        throw EndpointListUnavailableException.versionsRestarted();
       }
       byte[] body = EndpointListUnavailableException.requireOk(result).body();
       Event.EndpointListUpdate update =
-          list.apply(list.read(body), version, PlatformEndpointList.Origin.FETCH);
-      listeners.updated(
+          list.apply(list.read(body), versionAtRequest, PlatformEndpointList.Origin.FETCH);
+      listeners.notifyUpdated(
           new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, update.endpoints()),
           list.endpoints());
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -12,50 +12,57 @@
 import stonespring.model.Event;
 
 /**
- * One watch of the platform's endpoint list: a response that stays open and holds a message a line;
- * blank lines are keep-alives. It applies its messages to the held list until it fails or is
- * cancelled. State lives on the connector's event loop, and all calls come from there.
+ * One watch of the platform's endpoint list: an HTTP response that stays open and carries one
+ * message per line; blank lines are keep-alives. The watch applies its messages to the held list
+ * until it fails or is cancelled. All methods must be called on the connector's event loop.
  */
 final class PlatformEndpointWatch implements HttpWatch.Listener {
   /** Observes a watch, on its event loop. */
   interface Listener {
-    /** Bytes arrived; called before they are applied. */
+    /** Called whenever bytes have arrived, before their messages are applied. */
     void watchResponded(PlatformEndpointWatch watch);
 
-    /** A message was applied to the held list. */
+    /** Called after a message was applied to the held list. */
     void listUpdated(Event.EndpointListUpdate update);
 
-    /** The watch failed; called once, and never after {@link #cancel}. */
+    /** Called when the watch has failed; at most once, and never after {@link #cancel}. */
     void watchFailed(PlatformEndpointWatch watch, String cause);
   }
 
-  /** The longest message. */
+  /** Far above the size of the longest permitted list. */
   static final int MAX_MESSAGE_BYTES = 16 << 20;
 
+  /** The discovery server itself abandons waiting requests well before this timeout. */
   private static final int RESPONSE_TIMEOUT_MILLIS = 2_500;
 
-  /** The platform sends a keep-alive every 2 s. */
+  /** Exceeds the interval of 2 s at which the platform sends keep-alives. */
   private static final long SILENCE_TIMEOUT_MILLIS = 3_200;
 
-  /** A message that arrives in pieces without end must not count as a keep-alive. */
+  /**
+   * The longest time in which a message must be complete; without it, a message that arrives in
+   * pieces and never ends would keep the watch alive. The platform treats a change as delivered 6 s
+   * after it occurred, even if its message is incomplete, so the list must be requested again
+   * before that.
+   */
   private static final long MESSAGE_TIMEOUT_MILLIS = 5_000;
 
   private final InetSocketAddress address;
   private final PlatformEndpointList list;
   private final Listener listener;
   private final EventLoop loop;
-  private final HttpWatch response;
+  private final HttpWatch httpWatch;
   private final ByteArrayOutputStream partialMessage = new ByteArrayOutputStream();
 
-  /** The version of the last message, at first the one that the watch was requested after. */
+  /** The version of the last message; before the first one, the version in the watch's request. */
   private long lastVersion;
 
-  /** Null while no message is incomplete. */
+  /** The timer of the current incomplete message; null if no message is incomplete. */
   private Future<?> messageTimeout;
 
-  private boolean over;
+  /** Whether the watch has failed or was cancelled. */
+  private boolean finished;
 
-  /** Starts a watch of what changes after the held list's version. */
+  /** Starts a watch that requests all changes since the held list's version. */
   PlatformEndpointWatch(
       InetSocketAddress address,
       String path,
@@ -67,7 +74,7 @@
     this.listener = listener;
     this.loop = connector.loop();
     this.lastVersion = list.version();
-    this.response =
+    this.httpWatch =
         new HttpWatch(
             connector,
             address,
@@ -85,13 +92,13 @@
   public void received(byte[] bytes) {
     listener.watchResponded(this);
     int start = 0;
-    while (start < bytes.length && !over) {
-      int end = lineEnd(bytes, start);
+    while (start < bytes.length && !finished) {
+      int end = findLineEnd(bytes, start);
       partialMessage.write(bytes, start, end - start);
       if (partialMessage.size() > MAX_MESSAGE_BYTES) {
-        fail("a message is over " + MAX_MESSAGE_BYTES + " bytes");
+        fail("a list message exceeds " + MAX_MESSAGE_BYTES + " bytes");
       } else if (end < bytes.length) {
-        completeMessage();
+        processLine();
       } else {
         startMessageTimeout();
       }
@@ -99,7 +106,7 @@
     }
   }
 
-  private static int lineEnd(byte[] bytes, int start) {
+  private static int findLineEnd(byte[] bytes, int start) {
     int end = start;
     while (end < bytes.length && bytes[end] != '\n') {
       end++;
@@ -107,18 +114,18 @@
     return end;
   }
 
-  private void completeMessage() {
+  private void processLine() {
     cancelMessageTimeout();
-    byte[] message = partialMessage.toByteArray();
+    byte[] messageBytes = partialMessage.toByteArray();
     partialMessage.reset();
-    if (new String(message, StandardCharsets.ISO_8859_1).isBlank()) {
+    if (new String(messageBytes, StandardCharsets.ISO_8859_1).isBlank()) {
       return;
     }
     try {
-      PlatformListMessage read = list.read(message);
+      PlatformListMessage parsedMessage = list.read(messageBytes);
       Event.EndpointListUpdate update =
-          list.apply(read, lastVersion, PlatformEndpointList.Origin.WATCH);
-      lastVersion = read.version();
+          list.apply(parsedMessage, lastVersion, PlatformEndpointList.Origin.WATCH);
+      lastVersion = parsedMessage.version();
       listener.listUpdated(update);
     } catch (InvalidEndpointListException e) {
       fail(e.getMessage());
@@ -129,7 +136,11 @@
     if (messageTimeout == null) {
       messageTimeout =
           loop.schedule(
-              () -> fail("a message was not complete within " + MESSAGE_TIMEOUT_MILLIS + " ms"),
+              () ->
+                  fail(
+                      "a list message was still incomplete after "
+                          + MESSAGE_TIMEOUT_MILLIS
+                          + " ms"),
               MESSAGE_TIMEOUT_MILLIS,
               TimeUnit.MILLISECONDS);
     }
@@ -143,21 +154,21 @@
   }
 
   private void fail(String cause) {
-    response.cancel();
+    httpWatch.cancel();
     ended(cause);
   }
 
   @Override
   public void ended(String cause) {
-    over = true;
+    finished = true;
     cancelMessageTimeout();
     listener.watchFailed(this, cause);
   }
 
-  /** Ends the watch; the listener is not called any more. */
+  /** Cancels the watch; the listener is not called afterwards. */
   void cancel() {
-    over = true;
+    finished = true;
     cancelMessageTimeout();
-    response.cancel();
+    httpWatch.cancel();
   }
 }
--- a/src/test/java/stonespring/discovery/PlatformEndpointMoveTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointAddressChangeTest.java
@@ -13,55 +13,57 @@
 import stonespring.http.ManualHttpExchange;
 import stonespring.model.EndpointRecord;
 
-/** A watch whose server moves to another address. */
-final class PlatformEndpointMoveTest {
+/** Tests a watch while the address of the discovery server changes. */
+final class PlatformEndpointAddressChangeTest {
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
   private ManualHttpExchange oldWatch;
   private PlatformListServer newServer;
 
-  /** Watches at the old address, up to version 5, and moves. */
+  /** Watches the old address up to version 5, then changes the address. */
   @BeforeEach
-  void watchAndMove() throws Exception {
-    fixture.source.watch(true);
+  void startWatchAndChangeAddress() throws Exception {
+    fixture.source.setWatchEnabled(true);
     oldWatch = fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
     fixture.updates.next();
     newServer = fixture.newServer();
-    fixture.source.moveTo(newServer.address());
+    fixture.source.changeAddress(newServer.address());
   }
 
   @Test
-  void closesTheOldWatchOnceTheNewAddressResponds() throws Exception {
+  void closesOldWatchWhenNewAddressResponds() throws Exception {
     ManualHttpExchange newWatch = newServer.accept();
     assertEquals("/registry/instances?stream=1&index=5", newWatch.target());
     oldWatch.writeChunk(message(6, false, entry("s-2", "Ready")));
     assertEquals(
         "DELTA s-2/READY/1/1.5/9500",
-        fixture.updates.nextDescribed(),
-        "the old watch is still followed");
+        fixture.updates.nextDescription(),
+        "the old watch is still in use");
     newWatch.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
-    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
-    assertTrue(oldWatch.closedByClient(), "now it is closed");
+    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription());
+    assertTrue(oldWatch.closedByClient(), "the old watch is closed");
     newWatch.close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "one failure, of the new watch");
-    fixture.source.watch(true);
+    assertEquals(
+        "FETCH_FAILED", fixture.updates.nextDescription(), "only the new watch reports a failure");
+    fixture.source.setWatchEnabled(true);
     assertNotNull(newServer.accept());
   }
 
   @Test
-  void retriesAFailedMoveWhileTheOldWatchLasts() throws Exception {
+  void retriesNewAddressWhenItsFirstWatchFails() throws Exception {
     newServer.accept().writeRaw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     ManualHttpExchange retry = newServer.accept();
-    oldWatch.close(); // while the new address has not responded
+    oldWatch.close(); // The new address has not responded yet.
     retry.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-2", "Ready")));
     assertEquals(
-        "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed(), "and nothing failed");
+        "DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription(), "no failure is reported");
   }
 
   /**
-   * The old watch goes on while the new one, requested at version 5, has yet to bring version 6.
+   * The old watch has already delivered versions 6 and 7 when the new watch, requested from version
+   * 5, delivers version 6.
    */
   @Test
-  void newWatchOvertakenByTheOldOneRevertsNothingAndStays() throws Exception {
+  void ignoresOutdatedMessageOfNewWatchAndKeepsFollowingIt() throws Exception {
     ManualHttpExchange newWatch = newServer.accept();
     oldWatch
         .writeChunk(message(6, false, entry("s-1", "Ready")))
@@ -69,12 +71,12 @@
     fixture.updates.next();
     fixture.updates.next();
     newWatch.writeRaw(CHUNKED_HEAD).writeChunk(message(6, false, entry("s-1", "Ready")));
-    assertEquals("DELTA", fixture.updates.nextDescribed());
+    assertEquals("DELTA", fixture.updates.nextDescription());
     assertEquals(EndpointRecord.State.DRAINING, fixture.source.endpoints().get(0).state());
     newWatch
         .writeChunk(message(7, false, entry("s-1", "Terminating")))
         .writeChunk(message(8, false, entry("s-2", "Ready")));
-    assertEquals("DELTA s-1/DRAINING/1/1.5/9500", fixture.updates.nextDescribed());
-    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("DELTA s-1/DRAINING/1/1.5/9500", fixture.updates.nextDescription());
+    assertEquals("DELTA s-2/READY/1/1.5/9500", fixture.updates.nextDescription());
   }
 }
--- a/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
@@ -17,9 +17,9 @@
         PlatformEndpointList.Origin.WATCH);
   }
 
-  /** Endpoints come and go under new ids for ever. */
+  /** Guards against a memory leak as endpoints with ever new ids are added and removed. */
   @Test
-  void holdsNothingOfRemovedEndpoints() throws Exception {
+  void retainsNoRemovedEndpoints() throws Exception {
     for (int i = 0; i < 5_000; i++) {
       apply(message(i, false, entry("s-" + i, "Ready")));
       if (i >= 3) {
--- a/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
@@ -16,35 +16,35 @@
 import stonespring.http.ManualHttpExchange;
 import stonespring.model.Event;
 
-/** A watch of the platform's list, and each way in which it fails. */
+/** Tests watches of the platform's list and the ways in which they fail. */
 final class PlatformEndpointWatchTest {
   @RegisterExtension final PlatformSourceFixture fixture = new PlatformSourceFixture();
 
   @Test
-  void reportsChangesHoweverTheBytesAreCut() throws Exception {
-    fixture.loadCached(41);
-    fixture.source.watch(true);
+  void reportsChangesWhenMessagesAreSplitAcrossChunks() throws Exception {
+    fixture.loadCachedList(41);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch = fixture.server.accept();
     assertEquals("/registry/instances?stream=1&index=41", watch.target());
-    String first = message(43, false, entry("s-1", "Terminating"), entry("s-2", "Ready"));
+    String firstMessage = message(43, false, entry("s-1", "Terminating"), entry("s-2", "Ready"));
     watch
         .writeRaw(CHUNKED_HEAD)
-        .writeChunk(first.substring(0, 30))
-        .writeChunk(first.substring(30))
+        .writeChunk(firstMessage.substring(0, 30))
+        .writeChunk(firstMessage.substring(30))
         .writeChunk("\n")
         .writeChunk("\r\n");
     assertEquals(
-        "DELTA s-1/DRAINING/1/1.5/9500 s-2/READY/1/1.5/9500", fixture.updates.nextDescribed());
+        "DELTA s-1/DRAINING/1/1.5/9500 s-2/READY/1/1.5/9500", fixture.updates.nextDescription());
     watch.writeChunk(
         message(44, false, entry("s-1", "Gone")) + message(45, true, entry("s-3", "Ready")));
-    assertEquals("DELTA s-1/REMOVED/1/1.5/9500", fixture.updates.nextDescribed());
-    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("DELTA s-1/REMOVED/1/1.5/9500", fixture.updates.nextDescription());
+    assertEquals("SNAPSHOT s-3/READY/1/1.5/9500", fixture.updates.nextDescription());
     assertTrue(fixture.updates.isEmpty(), "a keep-alive reports nothing");
   }
 
   @Test
-  void reportsEachFailureOnceAndResumesAtTheHeldVersion() throws Exception {
-    fixture.loadCached(41);
+  void reportsEachFailureOnceAndResumesFromHeldVersion() throws Exception {
+    fixture.loadCachedList(41);
     String[] failures = {
       "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
       CHUNKED_HEAD + "3\r\n{x\n\r\n",
@@ -54,45 +54,49 @@
       CHUNKED_HEAD + "c\r\n{\"seq\":\"a\"}\n\r\n"
     };
     for (String failure : failures) {
-      fixture.source.watch(true);
+      fixture.source.setWatchEnabled(true);
       ManualHttpExchange watch = fixture.server.accept().writeRaw(failure);
       assertEquals("/registry/instances?stream=1&index=41", watch.target());
-      assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), failure);
+      assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), failure);
     }
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     fixture.server.accept().close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "a reset");
-    fixture.source.watch(true);
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "closed before the response");
+    fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("{\"seq\":50,\"who").close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "half a message");
-    fixture.source.watch(true);
-    ManualHttpExchange wentBack = fixture.server.accept();
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "closed within a message");
+    fixture.source.setWatchEnabled(true);
+    ManualHttpExchange watchWithLowerVersion = fixture.server.accept();
     assertEquals(
-        "/registry/instances?stream=1&index=41", wentBack.target(), "half a message moved nothing");
-    wentBack.writeRaw(CHUNKED_HEAD).writeChunk(message(7, false));
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed(), "the version went back");
-    fixture.source.watch(true);
+        "/registry/instances?stream=1&index=41",
+        watchWithLowerVersion.target(),
+        "an incomplete message does not change the version");
+    watchWithLowerVersion.writeRaw(CHUNKED_HEAD).writeChunk(message(7, false));
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "a delta with a lower version");
+    fixture.source.setWatchEnabled(true);
     assertEquals(
         "/registry/instances?stream=1&index=0",
         fixture.server.accept().target(),
-        "only a snapshot tells what was missed");
-    fixture.source.watch(false);
+        "missed changes require a snapshot");
+    fixture.source.setWatchEnabled(false);
     assertTrue(fixture.updates.isEmpty());
   }
 
   @Test
-  void failsAfterSilence() throws Exception {
-    fixture.source.watch(true);
+  void failsWhenServerSendsNothing() throws Exception {
+    fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("\n");
     long startNanos = System.nanoTime();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescribed());
-    assertTrue(System.nanoTime() - startNanos > 2_000_000_000L, "not before a keep-alive was due");
+    assertEquals("FETCH_FAILED", fixture.updates.nextDescription());
+    assertTrue(
+        System.nanoTime() - startNanos > 2_000_000_000L,
+        "must not fail before a keep-alive is due");
   }
 
-  /** The server never completes a message, and never falls silent either. */
+  /** The server keeps sending pieces of a message that never ends, so that it is never silent. */
   @Test
-  void failsWhenAMessageArrivesInPiecesWithoutEnd() throws Exception {
-    fixture.source.watch(true);
+  void failsWhenMessageIsNeverCompleted() throws Exception {
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch =
         fixture.server.acceptWatch().writeChunk("\n").writeChunk("{\"seq\":5,");
     Event.EndpointListUpdate update = null;
@@ -100,17 +104,17 @@
       watch.writeChunk(" ");
       update = fixture.updates.poll(250);
     }
-    assertNotNull(update, "while pieces still arrive");
+    assertNotNull(update, "must fail while pieces of the message still arrive");
     assertEquals("FETCH_FAILED", EndpointUpdates.describe(update));
-    fixture.source.watch(true);
+    fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
-    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescribed());
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", fixture.updates.nextDescription());
   }
 
   @Test
-  void leavesOutInvalidEntriesAndKeepsTheRecordsHeld() throws Exception {
-    fixture.loadCached(41);
-    fixture.source.watch(true);
+  void skipsInvalidEntriesAndKeepsHeldRecords() throws Exception {
+    fixture.loadCachedList(41);
+    fixture.source.setWatchEnabled(true);
     ManualHttpExchange watch = fixture.server.acceptWatch();
     for (String[] replacement :
         new String[][] {
@@ -125,22 +129,22 @@
       watch.writeChunk(message(50, true, invalid, entry("s-2", "Ready")));
       assertEquals(
           "SNAPSHOT s-1/READY/1/1.5/9500 s-2/READY/1/1.5/9500",
-          fixture.updates.nextDescribed(),
+          fixture.updates.nextDescription(),
           replacement[1]);
     }
     for (String id : new String[] {"\"a b\"", "\"a,b\"", "\"a:b\"", "\"\"", "7"}) {
       watch.writeChunk(message(51, false, entry("s-9", "Ready").replace("\"s-9\"", id)));
-      assertEquals("DELTA", fixture.updates.nextDescribed(), id);
+      assertEquals("DELTA", fixture.updates.nextDescription(), id);
     }
-    assertEquals(11, fixture.list.invalidEntries());
+    assertEquals(11, fixture.list.invalidEntryCount());
     assertEquals(2, fixture.source.endpoints().size());
   }
 
-  /** No file descriptor is left for the watch, nor for the fetch after it. */
+  /** The process has run out of file descriptors for the first watch and for the fetch after it. */
   @Test
-  void reportsAFailureWhenNoSocketCanBeOpened() throws Exception {
+  void reportsFailureWhenNoSocketCanBeOpened() throws Exception {
     AtomicInteger failuresLeft = new AtomicInteger(2);
-    PlatformEndpointSource starved =
+    PlatformEndpointSource sourceWithoutSockets =
         new PlatformEndpointSource(
             fixture.server.address(),
             fixture.list,
@@ -148,20 +152,20 @@
                 fixture.loop(),
                 () -> {
                   if (failuresLeft.getAndDecrement() > 0) {
-                    throw new ChannelException("no descriptor left");
+                    throw new ChannelException("no file descriptor available");
                   }
                   return new NioSocketChannel();
                 }));
     EndpointUpdates updates = new EndpointUpdates();
-    starved.start(updates, EndpointUpdates::ignoreList);
-    starved.watch(true);
-    assertEquals("FETCH_FAILED", updates.nextDescribed(), "the watch");
-    starved.fetch();
-    assertEquals("FETCH_FAILED", updates.nextDescribed(), "the fetch");
-    starved.watch(true);
+    sourceWithoutSockets.start(updates, EndpointUpdates::ignoreList);
+    sourceWithoutSockets.setWatchEnabled(true);
+    assertEquals("FETCH_FAILED", updates.nextDescription(), "the watch");
+    sourceWithoutSockets.fetch();
+    assertEquals("FETCH_FAILED", updates.nextDescription(), "the fetch");
+    sourceWithoutSockets.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
-    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", updates.nextDescribed());
-    assertEquals(1, updates.threads().size(), "all updates come from the event loop");
-    starved.stop();
+    assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", updates.nextDescription());
+    assertEquals(1, updates.threads().size(), "all updates are reported on the event loop");
+    sourceWithoutSockets.stop();
   }
 }
