--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -17,13 +17,17 @@
 import stonespring.model.Event;
 
 /**
- * The endpoint list in a file that is polled, as change notifications of file systems differ
- * between systems and can be lost. A file that can't be read, or holds no valid list, changes
- * nothing and is logged once. State lives on the event loop.
+ * An endpoint list in a file. The file is polled, because change notifications of file systems
+ * differ between operating systems and can be lost. If the file can't be read or holds no valid
+ * list, the last valid list stays in use, and a warning is logged once for consecutive polls with
+ * the same error. Mutable state is confined to the event loop.
  */
 public final class FileEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(FileEndpointSource.class);
+
+  /** Well below any grace period for requests to a draining endpoint. */
   private static final long POLL_INTERVAL_MILLIS = 200;
+
   private static final long MAX_FILE_BYTES = 64L << 20;
 
   private final Path path;
@@ -31,11 +35,16 @@
   private final EventLoop loop;
   private final EndpointListDiff diff = new EndpointListDiff();
   private SourceListeners listeners;
+
+  /** The file's content at the last poll that found a valid list; empty before the first one. */
   private byte[] lastContent = new byte[0];
+
+  /** The error of the last poll; empty if it succeeded. */
   private String lastError = "";
-  private Future<?> polling;
 
-  /** Creates a source that polls on the given event loop once started. */
+  private Future<?> pollTask;
+
+  /** Creates a source; polling begins with {@link #start}, on the given event loop. */
   public FileEndpointSource(Path path, EndpointListCodec codec, EventLoop loop) {
     this.path = path;
     this.codec = codec;
@@ -44,9 +53,10 @@
 
   @Override
   public void start(
-      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    listeners = new SourceListeners(updates, lists);
-    polling =
+      Consumer<Event.EndpointListUpdate> updateListener,
+      Consumer<List<EndpointRecord>> listListener) {
+    listeners = new SourceListeners(updateListener, listListener);
+    pollTask =
         loop.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
@@ -56,7 +66,8 @@
       lastError = "";
     } catch (IOException | InvalidEndpointListException e) {
       if (!lastError.equals(e.toString())) {
-        LOG.warn("endpoint list file {}: keeping the last list: {}", path, describe(e));
+        LOG.warn(
+            "endpoint list file {} can't be used, keeping the last list: {}", path, describe(e));
       }
       lastError = e.toString();
     }
@@ -64,36 +75,36 @@
 
   private void readIfChanged() throws IOException, InvalidEndpointListException {
     if (Files.size(path) > MAX_FILE_BYTES) {
-      throw new IOException("it is over " + MAX_FILE_BYTES + " bytes");
+      throw new IOException("the file exceeds " + MAX_FILE_BYTES + " bytes");
     }
     byte[] content = Files.readAllBytes(path);
     if (Arrays.equals(content, lastContent)) {
       return;
     }
-    Optional<Event.EndpointListUpdate> update = diff.next(codec.read(content));
+    Optional<Event.EndpointListUpdate> update = diff.replaceList(codec.read(content));
     lastContent = content;
-    update.ifPresent(changed -> listeners.updated(changed, diff.list()));
+    update.ifPresent(changed -> listeners.notifyUpdated(changed, diff.currentList()));
   }
 
   private static String describe(Exception e) {
-    return e instanceof NoSuchFileException ? "there is no such file" : e.getMessage();
+    return e instanceof NoSuchFileException ? "the file does not exist" : e.getMessage();
   }
 
   @Override
-  public void watch(boolean enabled) {
-    // The file is polled in any case.
+  public void setWatchEnabled(boolean enabled) {
+    // The file is polled whether or not a watch is enabled.
   }
 
   @Override
   public void fetch() {
     loop.execute(
         () -> {
-          List<EndpointRecord> list = diff.list();
+          List<EndpointRecord> list = diff.currentList();
           if (list.isEmpty()) {
-            listeners.failed();
+            listeners.notifyFailed();
           } else {
             listeners
-                .updates()
+                .updateListener()
                 .accept(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list));
           }
         });
@@ -101,6 +112,6 @@
 
   @Override
   public void stop() {
-    polling.cancel(false);
+    pollTask.cancel(false);
   }
 }
--- a/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
@@ -11,9 +11,9 @@
 import stonespring.model.EndpointRecord;
 
 /**
- * Reads the response of Consul's health endpoint ({@code /v1/health/service/NAME}) in its published
- * form. A check in maintenance means draining; an entry with any other critical check is not
- * listed. Immutable.
+ * Reads responses of Consul's health endpoint ({@code /v1/health/service/NAME}) in the documented
+ * format. An entry with a maintenance check is listed as draining. An entry without one is left out
+ * if any of its checks is critical. Immutable.
  */
 final class RegistryEndpointCodec {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -26,7 +26,7 @@
     this.fields = fields;
   }
 
-  /** What the checks of one entry say together. */
+  /** The combined result of all health checks of one entry. */
   private record Health(boolean maintenance, boolean critical, boolean warning) {
     static Health of(JsonNode checks) {
       boolean maintenance = false;
@@ -42,17 +42,17 @@
       return new Health(maintenance, critical, warning);
     }
 
-    boolean listed() {
+    boolean isListed() {
       return maintenance || !critical;
     }
   }
 
-  /** Reads a whole list, in the registry's order. */
+  /** Reads a complete list; the endpoints are in the registry's order. */
   List<EndpointRecord> read(byte[] body) throws InvalidEndpointListException {
     JsonNode entries = parse(body);
     if (entries == null || !entries.isArray() || entries.size() > EndpointListCodec.MAX_ENDPOINTS) {
       throw new InvalidEndpointListException(
-          "the response is no array of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
+          "expected a JSON array of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
     }
     List<EndpointRecord> endpoints = new ArrayList<>();
     for (int i = 0; i < entries.size(); i++) {
@@ -66,33 +66,34 @@
       return JSON.readTree(body);
     } catch (JsonProcessingException e) {
       throw new InvalidEndpointListException(
-          "the response is no well-formed JSON: " + EndpointListCodec.firstLine(e));
+          "malformed JSON in the response: " + EndpointListCodec.firstLine(e));
     } catch (IOException e) {
       throw new InvalidEndpointListException("the response can't be read: " + e.getMessage());
     }
   }
 
-  private Optional<EndpointRecord> readEntry(String place, JsonNode entry)
+  private Optional<EndpointRecord> readEntry(String location, JsonNode entry)
       throws InvalidEndpointListException {
     Health health = Health.of(entry.path("Checks"));
-    if (!health.listed()) {
+    if (!health.isListed()) {
       return Optional.empty();
     }
     JsonNode service = entry.path("Service");
     JsonNode meta = service.path("Meta");
     EndpointId id =
-        EndpointFields.endpointId(place, service.path("ID").asText(), address(entry, service));
+        EndpointFields.createEndpointId(
+            location, service.path("ID").asText(), readAddress(entry, service));
     return Optional.of(
         new EndpointRecord(
             id,
-            fields.zone(place, meta.path("zone").asText()),
-            weight(service.path("Weights"), health),
+            fields.parseZone(location, meta.path("zone").asText()),
+            readWeight(service.path("Weights"), health),
             health.maintenance() ? EndpointRecord.State.DRAINING : EndpointRecord.State.READY,
-            fields.startedAt(meta.path("started_ms").asLong(0))));
+            fields.toInstanceClock(meta.path("started_ms").asLong(0))));
   }
 
-  /** The service's address, or its node's if it has none of its own. */
-  private static String address(JsonNode entry, JsonNode service) {
+  /** Returns the service's address and port; without an address of its own, that of its node. */
+  private static String readAddress(JsonNode entry, JsonNode service) {
     String host = service.path("Address").asText("");
     if (host.isEmpty()) {
       host = entry.path("Node").path("Address").asText();
@@ -100,7 +101,8 @@
     return host + ":" + service.path("Port").asInt();
   }
 
-  private static double weight(JsonNode weights, Health health) {
+  /** Returns the weight for the entry's health; 1 if it is missing or not above 0. */
+  private static double readWeight(JsonNode weights, Health health) {
     double weight = weights.path(health.warning() ? "Warning" : "Passing").asDouble(1);
     return weight > 0 ? weight : 1;
   }
