--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -27,14 +27,14 @@
   record RequestMixEntry(
       String requestClass, double share, boolean idempotent, double timeoutMillis) {}
 
-  private record ClientRequest(RequestMixEntry mix, String id, double askedAt) {}
+  private record ClientRequest(RequestMixEntry mix, String id, double startedAtMillis) {}
 
   private static final double MAX_TICK_MILLIS = 5;
   private static final int MAX_RETRIES = 2;
   private static final long RETRY_DELAY_MILLIS = 300;
-  private static final long MIN_TIME_AFTER_DELAY_MILLIS = 50;
+  private static final long MIN_TIME_FOR_RETRY_MILLIS = 50;
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
-  private static final int MAX_ANSWER_BYTES = 64 << 10;
+  private static final int MAX_RESPONSE_BYTES = 64 << 10;
   private static final int MAX_CONNECTIONS = 64;
 
   private final EventLoop loop;
@@ -46,7 +46,7 @@
   private final HttpClient client;
   private final AtomicInteger openRequests;
   private volatile double requestsPerSecond;
-  private volatile double patience = 1;
+  private volatile double timeoutFraction = 1;
   private boolean stopped;
   private long requestCount;
 
@@ -69,12 +69,12 @@
     this.proxyAddress = new InetSocketAddress("127.0.0.1", proxy.port());
     this.requestsPerSecond = proxy.requestsPerSecond();
     this.random = new SplittableRandom(seed);
-    this.client = new HttpClient(loop, CONNECT_TIMEOUT_MILLIS, MAX_ANSWER_BYTES, MAX_CONNECTIONS);
+    this.client = new HttpClient(loop, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, MAX_CONNECTIONS);
     this.openRequests = openRequests;
   }
 
   void start() {
-    loop.execute(() -> sendDue(evidence.now() + drawGapMillis()));
+    loop.execute(() -> sendDueRequests(evidence.now() + drawInterarrivalMillis()));
   }
 
   void setRequestsPerSecond(double newRequestsPerSecond) {
@@ -83,7 +83,7 @@
 
   /** Sets the fraction of the request timeout after which clients give up. */
   void setTimeoutFraction(double fraction) {
-    patience = fraction;
+    timeoutFraction = fraction;
   }
 
   /** Sends no new requests; those on their way are finished. */
@@ -91,32 +91,33 @@
     loop.execute(() -> stopped = true);
   }
 
-  private double drawGapMillis() {
+  private double drawInterarrivalMillis() {
     return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, requestsPerSecond);
   }
 
-  private void sendDue(double firstDueAt) {
+  private void sendDueRequests(double firstDueAtMillis) {
     if (stopped) {
       return;
     }
-    double dueAt = firstDueAt;
-    while (dueAt <= evidence.now()) {
-      send();
-      dueAt += drawGapMillis();
+    double dueAtMillis = firstDueAtMillis;
+    while (dueAtMillis <= evidence.now()) {
+      sendRequest();
+      dueAtMillis += drawInterarrivalMillis();
     }
-    double nextDueAt = dueAt;
-    long delay = (long) Math.max(1, Math.min(MAX_TICK_MILLIS, nextDueAt - evidence.now()));
-    loop.schedule(() -> sendDue(nextDueAt), delay, TimeUnit.MILLISECONDS);
+    double nextDueAtMillis = dueAtMillis;
+    long delayMillis =
+        (long) Math.max(1, Math.min(MAX_TICK_MILLIS, nextDueAtMillis - evidence.now()));
+    loop.schedule(() -> sendDueRequests(nextDueAtMillis), delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void send() {
-    RequestMixEntry mix = drawRequestClass();
+  private void sendRequest() {
+    RequestMixEntry mix = drawMixEntry();
     openRequests.incrementAndGet();
     String id = proxyName + "-" + ++requestCount;
-    attempt(new ClientRequest(mix, id, evidence.now()), 0);
+    sendAttempt(new ClientRequest(mix, id, evidence.now()), 0);
   }
 
-  private RequestMixEntry drawRequestClass() {
+  private RequestMixEntry drawMixEntry() {
     double draw = random.nextDouble();
     for (RequestMixEntry mix : requestMix) {
       draw -= mix.share();
@@ -128,20 +129,26 @@
   }
 
   private double timeLeftMillis(ClientRequest request) {
-    return request.askedAt() + request.mix().timeoutMillis() * patience - evidence.now();
+    return request.startedAtMillis()
+        + request.mix().timeoutMillis() * timeoutFraction
+        - evidence.now();
   }
 
-  private void attempt(ClientRequest request, int retries) {
-    long timeout = (long) Math.max(1, timeLeftMillis(request));
-    HttpRequest message =
+  private void sendAttempt(ClientRequest request, int retries) {
+    long timeoutMillis = (long) Math.max(1, timeLeftMillis(request));
+    HttpRequest httpRequest =
         HttpRequest.post(proxyAddress, "/op/" + request.mix().requestClass(), new byte[0])
             .setHeader("x-op", request.id())
-            .setHeader("x-op-timeout-ms", String.valueOf(timeout))
+            .setHeader("x-op-timeout-ms", String.valueOf(timeoutMillis))
             .setHeader("content-length", "0");
-    client.call(proxyAddress, message, timeout, result -> attemptEnded(request, retries, result));
+    client.call(
+        proxyAddress,
+        httpRequest,
+        timeoutMillis,
+        result -> completeAttempt(request, retries, result));
   }
 
-  private void attemptEnded(ClientRequest request, int retries, HttpCallResult result) {
+  private void completeAttempt(ClientRequest request, int retries, HttpCallResult result) {
     int status = 0;
     String reason = "";
     boolean notExecuted = false;
@@ -157,21 +164,22 @@
     boolean succeeded = status == 200;
     if (!succeeded
         && retries < MAX_RETRIES
-        && timeLeftMillis(request) > RETRY_DELAY_MILLIS + MIN_TIME_AFTER_DELAY_MILLIS
+        && timeLeftMillis(request) > RETRY_DELAY_MILLIS + MIN_TIME_FOR_RETRY_MILLIS
         && (request.mix().idempotent() || notExecuted)) {
-      loop.schedule(() -> attempt(request, retries + 1), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(
+          () -> sendAttempt(request, retries + 1), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
       return;
     }
     openRequests.decrementAndGet();
     evidence.add(
         new Evidence.Outcome(
-            request.askedAt(),
+            request.startedAtMillis(),
             proxyName,
             request.id(),
             request.mix().requestClass(),
             status,
             reason,
             notExecuted,
-            evidence.now() - request.askedAt()));
+            evidence.now() - request.startedAtMillis()));
   }
 }
--- a/src/main/java/stonespring/testbed/CountingReader.java
+++ b/src/main/java/stonespring/testbed/CountingReader.java
@@ -21,20 +21,20 @@
   private static final byte SUBSCRIBE = 1;
 
   private final Socket socket;
-  private final AtomicLong bytes = new AtomicLong();
+  private final AtomicLong bytesRead = new AtomicLong();
 
   CountingReader(int port) throws IOException {
     socket = new Socket(InetAddress.getLoopbackAddress(), port);
-    Thread thread = new Thread(this::readAll, "counting-reader");
+    Thread thread = new Thread(this::countUntilClosed, "counting-reader");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void readAll() {
+  private void countUntilClosed() {
     byte[] buffer = new byte[1 << 16];
     try (InputStream in = socket.getInputStream()) {
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        bytes.addAndGet(count);
+        bytesRead.addAndGet(count);
       }
     } catch (IOException e) {
       // The connection is closed at the end of a round.
@@ -50,12 +50,12 @@
     out.write(topic);
   }
 
-  long bytes() {
-    return bytes.get();
+  long bytesRead() {
+    return bytesRead.get();
   }
 
   static long totalBytes(List<CountingReader> readers) {
-    return readers.stream().mapToLong(CountingReader::bytes).sum();
+    return readers.stream().mapToLong(CountingReader::bytesRead).sum();
   }
 
   @Override
--- a/src/main/java/stonespring/testbed/DeploymentFaults.java
+++ b/src/main/java/stonespring/testbed/DeploymentFaults.java
@@ -5,7 +5,7 @@
 
 /** Planned changes of the set of endpoints: rolling restarts, draining, growth. */
 final class DeploymentFaults {
-  private static final double RESTART_MILLIS = 500;
+  private static final double RESTART_DELAY_MILLIS = 500;
 
   private final ScenarioFleet fleet;
   private final Timeline timeline;
@@ -26,15 +26,16 @@
   private void deploy(FaultTarget target) {
     Scenario.Fault fault = target.fault();
     List<EndpointStandIn> endpoints = target.endpoints();
-    int batch = (int) Math.max(1, Math.round(fault.magnitude() * fleet.endpointCount()));
-    int batches = (endpoints.size() + batch - 1) / batch;
+    int batchSize = (int) Math.max(1, Math.round(fault.magnitude() * fleet.endpointCount()));
+    int batchCount = (endpoints.size() + batchSize - 1) / batchSize;
     for (int i = 0; i < endpoints.size(); i++) {
       EndpointStandIn endpoint = endpoints.get(i);
-      double drainAt = timeline.now() + fault.durationMillis() * (i / batch) / Math.max(1, batches);
-      timeline.at(drainAt, () -> fleet.registry().register(endpoint, true));
+      double drainAtMillis =
+          timeline.now() + fault.durationMillis() * (i / batchSize) / Math.max(1, batchCount);
+      timeline.at(drainAtMillis, () -> fleet.registry().register(endpoint, true));
       timeline.at(
-          drainAt + fault.intervalMillis() + fleet.listDelayMillis(),
-          () -> fleet.crash(endpoint, timeline.now() + RESTART_MILLIS));
+          drainAtMillis + fault.intervalMillis() + fleet.listDelayMillis(),
+          () -> fleet.crash(endpoint, timeline.now() + RESTART_DELAY_MILLIS));
     }
   }
 
--- a/src/main/java/stonespring/testbed/EndpointFaults.java
+++ b/src/main/java/stonespring/testbed/EndpointFaults.java
@@ -22,10 +22,10 @@
     injections.put(FaultKind.FAST_ERRORS, this::failFast);
     injections.put(FaultKind.FLAPPING, this::flap);
     injections.put(FaultKind.OP_TYPE_FAILS, this::failRequestClass);
-    injections.put(FaultKind.LOST_ANSWERS, this::loseAnswers);
+    injections.put(FaultKind.LOST_ANSWERS, this::loseResponses);
     injections.put(FaultKind.PAUSES, this::pause);
-    injections.put(FaultKind.FALSE_REPORTS, this::reportFalsely);
-    injections.put(FaultKind.SLOW_HANDSHAKES, this::slowHandshakes);
+    injections.put(FaultKind.FALSE_REPORTS, this::falsifyReports);
+    injections.put(FaultKind.SLOW_HANDSHAKES, this::slowDownHandshakes);
   }
 
   private void crash(FaultTarget target) {
@@ -84,7 +84,7 @@
                 .forEach(endpoint -> endpoint.setFailingRequestClass(NO_REQUEST_CLASS)));
   }
 
-  private void loseAnswers(FaultTarget target) throws Exception {
+  private void loseResponses(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
@@ -93,16 +93,18 @@
   }
 
   private void pause(FaultTarget target) {
-    double millis = target.fault().magnitude();
+    double meanPauseMillis = target.fault().magnitude();
     timeline.repeatedly(
         target.fault(),
         () ->
             target
                 .endpoints()
-                .forEach(endpoint -> endpoint.pause(millis * (0.5 + fleet.random().nextDouble()))));
+                .forEach(
+                    endpoint ->
+                        endpoint.pause(meanPauseMillis * (0.5 + fleet.random().nextDouble()))));
   }
 
-  private void reportFalsely(FaultTarget target) throws Exception {
+  private void falsifyReports(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
@@ -110,7 +112,7 @@
         () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(1)));
   }
 
-  private void slowHandshakes(FaultTarget target) throws Exception {
+  private void slowDownHandshakes(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
--- a/src/main/java/stonespring/testbed/EndpointStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -26,7 +26,7 @@
  */
 final class EndpointStandIn {
   /** A request's mean service time by request class, and that of all other classes. */
-  record ServiceTimes(Map<String, Double> millisByClass, double otherMillis) {}
+  record ServiceTimes(Map<String, Double> millisByClass, double defaultMillis) {}
 
   /**
    * The warm-up after a start.
@@ -60,11 +60,11 @@
       String requestClass,
       int attempt,
       double workMillis,
-      double deadline,
+      double deadlineMillis,
       HttpServer.Exchange exchange) {}
 
   private static final int MAX_REQUEST_BYTES = 64 << 10;
-  private static final double LONG_AGO = -1e9;
+  private static final double LONG_AGO_MILLIS = -1e9;
 
   private final String name;
   private final String zone;
@@ -75,22 +75,22 @@
   private final SplittableRandom random;
   private final AtomicInteger openConnections = new AtomicInteger();
   private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
-  private final OverloadDetector overload;
-  private final EffectLedger ledger;
-  private final UtilizationMeter utilization;
+  private final OverloadDetector overloadDetector;
+  private final RequestDeduplicator deduplicator;
+  private final UtilizationMeter utilizationMeter;
   private HttpServer server;
   private int port;
   private int busyCores;
   private int incarnation; // work of an earlier one is not finished by a later one
-  private double startedAt = LONG_AGO;
-  private double pausedUntil;
+  private double warmUpStartedAtMillis = LONG_AGO_MILLIS;
+  private double pausedUntilMillis;
   private volatile boolean up;
   private volatile ChannelFuture listenerClosed;
 
   // Faults.
   private volatile boolean silent;
   private volatile double errorFraction;
-  private volatile double lostAnswerFraction;
+  private volatile double lostResponseFraction;
   private volatile String failingRequestClass = "";
   private volatile double reportMultiple = 1;
   private volatile double handshakeMultiple = 1;
@@ -110,9 +110,9 @@
     this.loop = loops.next();
     this.evidence = evidence;
     this.random = new SplittableRandom(seed);
-    this.overload = new OverloadDetector(specification.slowStart().overloadWindowMillis());
-    this.ledger = new EffectLedger(specification.deduplicationWindowMillis());
-    this.utilization = new UtilizationMeter(specification.cores());
+    this.overloadDetector = new OverloadDetector(specification.slowStart().overloadWindowMillis());
+    this.deduplicator = new RequestDeduplicator(specification.deduplicationWindowMillis());
+    this.utilizationMeter = new UtilizationMeter(specification.cores());
   }
 
   String zone() {
@@ -134,7 +134,7 @@
 
   /** When its last start with a warm-up was; long ago where there was none. */
   double warmUpStartedAtMillis() {
-    return startedAt;
+    return warmUpStartedAtMillis;
   }
 
   boolean isUp() {
@@ -153,16 +153,16 @@
     }
     server = new HttpServer(new ServerHandler(), MAX_REQUEST_BYTES).start(loops, "127.0.0.1", port);
     port = server.port();
-    loop.submit(() -> reset(warmingUp)).sync();
+    loop.submit(() -> resetState(warmingUp)).sync();
     evidence.add(new Evidence.ProcessChange(evidence.now(), id(), zone, true, warmingUp));
   }
 
-  private void reset(boolean warmingUp) {
+  private void resetState(boolean warmingUp) {
     incarnation++;
     busyCores = 0;
     queue.clear();
-    overload.clear();
-    startedAt = warmingUp ? evidence.now() : LONG_AGO;
+    overloadDetector.clear();
+    warmUpStartedAtMillis = warmingUp ? evidence.now() : LONG_AGO_MILLIS;
     silent = false;
     errorFraction = 0;
     up = true;
@@ -185,7 +185,7 @@
 
   /** Starts and finishes no work for a time. */
   void pause(double millis) {
-    loop.execute(() -> pausedUntil = evidence.now() + millis);
+    loop.execute(() -> pausedUntilMillis = evidence.now() + millis);
   }
 
   /** Fails a fraction of the requests at once. */
@@ -195,7 +195,7 @@
 
   /** Executes requests and breaks the connection in place of a fraction of the answers. */
   void setLostResponseFraction(double fraction) {
-    lostAnswerFraction = fraction;
+    lostResponseFraction = fraction;
   }
 
   /** Fails all requests of a class; an empty name ends that. */
@@ -213,7 +213,7 @@
     handshakeMultiple = multiple;
   }
 
-  /** Leaves requests from some zones without an answer. */
+  /** Leaves requests from some zones without an response. */
   void setUnreachableZones(Set<String> zones) {
     unreachableZones = zones;
   }
@@ -221,7 +221,7 @@
   private final class ServerHandler implements HttpServer.Handler {
     @Override
     public void handle(HttpRequest request, HttpServer.Exchange exchange) {
-      loop.execute(() -> receive(request, exchange));
+      loop.execute(() -> handleRequest(request, exchange));
     }
 
     @Override
@@ -239,7 +239,7 @@
   /** The fraction of its capacity that it has now. */
   private double warmUpFraction() {
     SlowStart slowStart = specification.slowStart();
-    double progress = (evidence.now() - startedAt) / slowStart.durationMillis();
+    double progress = (evidence.now() - warmUpStartedAtMillis) / slowStart.durationMillis();
     if (progress >= 1) {
       return 1;
     }
@@ -247,132 +247,140 @@
     return initial + (1 - initial) * Math.max(0, progress);
   }
 
-  private void receive(HttpRequest request, HttpServer.Exchange exchange) {
+  private void handleRequest(HttpRequest request, HttpServer.Exchange exchange) {
     if (!up || silent || unreachableZones.contains(request.header("x-zone"))) {
       return;
     }
-    double now = evidence.now();
+    double nowMillis = evidence.now();
     String path = request.target();
     String requestClass = path.substring(path.lastIndexOf('/') + 1);
     int attempt = numericHeader(request, "x-try", 1);
     String requestId = request.header("x-op");
     evidence.add(
         new Evidence.Arrival(
-            now, id(), request.header("x-proxy"), requestId, requestClass, attempt));
-    double work = meanServiceMillis(requestClass) * (0.5 + random.nextDouble());
-    if (crashesFromOverload(now, work)) {
+            nowMillis, id(), request.header("x-proxy"), requestId, requestClass, attempt));
+    double workMillis = meanServiceMillis(requestClass) * (0.5 + random.nextDouble());
+    if (crashIfOverloaded(nowMillis, workMillis)) {
       return;
     }
     if (random.nextDouble() < errorFraction || requestClass.equals(failingRequestClass)) {
-      answer(exchange, HttpResponse.of(500, "failed\n"));
+      respond(exchange, HttpResponse.of(500, "failed\n"));
     } else if (queue.size() >= specification.queueLimit()) {
-      answer(exchange, HttpResponse.of(503, "full\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
+      respond(exchange, HttpResponse.of(503, "full\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
     } else {
-      double deadline = now + numericHeader(request, "x-op-timeout-ms", Integer.MAX_VALUE);
-      queue.add(new QueuedRequest(requestId, requestClass, attempt, work, deadline, exchange));
-      startQueued();
+      double deadlineMillis =
+          nowMillis + numericHeader(request, "x-op-timeout-ms", Integer.MAX_VALUE);
+      queue.add(
+          new QueuedRequest(
+              requestId, requestClass, attempt, workMillis, deadlineMillis, exchange));
+      startQueuedRequests();
     }
   }
 
   private double meanServiceMillis(String requestClass) {
     ServiceTimes times = specification.serviceTimes();
-    return times.millisByClass().getOrDefault(requestClass, times.otherMillis());
+    return times.millisByClass().getOrDefault(requestClass, times.defaultMillis());
   }
 
   /** A header's number; requests that were sent by hand may lack the header. */
-  private static int numericHeader(HttpRequest request, String header, int otherwise) {
+  private static int numericHeader(HttpRequest request, String header, int defaultValue) {
     String value = request.header(header);
-    return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : otherwise;
+    return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : defaultValue;
   }
 
   /** Crashes a warming-up endpoint that is sent more than a multiple of what it can do. */
-  private boolean crashesFromOverload(double now, double work) {
+  private boolean crashIfOverloaded(double nowMillis, double workMillis) {
     if (warmUpFraction() >= 1) {
       return false;
     }
-    double multiple = overload.add(now, work, specification.cores() * warmUpFraction());
+    double multiple =
+        overloadDetector.addArrival(
+            nowMillis, workMillis, specification.cores() * warmUpFraction());
     if (multiple <= specification.slowStart().overloadMultiple()) {
       return false;
     }
-    evidence.add(new Evidence.Overloaded(now, id(), multiple));
+    evidence.add(new Evidence.Overloaded(nowMillis, id(), multiple));
     crash();
     return true;
   }
 
   private void occupyCore(double workMillis) {
     busyCores++;
-    whenWorked(workMillis / warmUpFraction(), () -> {});
+    finishWorkAfter(workMillis / warmUpFraction(), () -> {});
   }
 
   /** Frees the core after a time, unless the process has died since. */
-  private void whenWorked(double millis, Runnable then) {
-    int startedIn = incarnation;
-    afterPauses(
-        millis,
+  private void finishWorkAfter(double delayMillis, Runnable action) {
+    int incarnationAtStart = incarnation;
+    runOutsidePauses(
+        delayMillis,
         () -> {
-          if (startedIn == incarnation) {
+          if (incarnationAtStart == incarnation) {
             busyCores--;
-            then.run();
-            startQueued();
+            action.run();
+            startQueuedRequests();
           }
         });
   }
 
-  private void afterPauses(double millis, Runnable then) {
+  private void runOutsidePauses(double delayMillis, Runnable action) {
     loop.schedule(
         () -> {
-          double pauseLeft = pausedUntil - evidence.now();
-          if (pauseLeft > 0) {
-            afterPauses(pauseLeft, then);
+          double pauseLeftMillis = pausedUntilMillis - evidence.now();
+          if (pauseLeftMillis > 0) {
+            runOutsidePauses(pauseLeftMillis, action);
           } else {
-            then.run();
+            action.run();
           }
         },
-        (long) (millis * 1000),
+        (long) (delayMillis * 1000),
         TimeUnit.MICROSECONDS);
   }
 
-  private void startQueued() {
-    while (busyCores < specification.cores() && !queue.isEmpty() && evidence.now() >= pausedUntil) {
+  private void startQueuedRequests() {
+    while (busyCores < specification.cores()
+        && !queue.isEmpty()
+        && evidence.now() >= pausedUntilMillis) {
       execute(queue.poll());
     }
-    if (!queue.isEmpty() && evidence.now() < pausedUntil) {
-      long pauseLeft = (long) (pausedUntil - evidence.now()) + 1;
-      loop.schedule(this::startQueued, pauseLeft, TimeUnit.MILLISECONDS);
+    if (!queue.isEmpty() && evidence.now() < pausedUntilMillis) {
+      long pauseLeftMillis = (long) (pausedUntilMillis - evidence.now()) + 1;
+      loop.schedule(this::startQueuedRequests, pauseLeftMillis, TimeUnit.MILLISECONDS);
     }
   }
 
   private void execute(QueuedRequest request) {
-    double now = evidence.now();
-    if (now > request.deadline()) {
-      answer(
+    double nowMillis = evidence.now();
+    if (nowMillis > request.deadlineMillis()) {
+      respond(
           request.exchange(),
           HttpResponse.of(504, "too late\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
       return;
     }
     busyCores++;
-    if (ledger.takesEffect(request.id(), request.requestClass(), now)) {
+    if (deduplicator.recordExecution(request.id(), request.requestClass(), nowMillis)) {
       evidence.add(
-          new Evidence.Effect(now, id(), request.id(), request.requestClass(), request.attempt()));
+          new Evidence.Effect(
+              nowMillis, id(), request.id(), request.requestClass(), request.attempt()));
     }
-    double duration = request.workMillis() / warmUpFraction();
-    utilization.busy(now, duration);
-    whenWorked(
-        duration,
-        () -> answer(request.exchange(), HttpResponse.of(200, "done " + request.id() + "\n")));
+    double durationMillis = request.workMillis() / warmUpFraction();
+    utilizationMeter.addBusyTime(nowMillis, durationMillis);
+    finishWorkAfter(
+        durationMillis,
+        () -> respond(request.exchange(), HttpResponse.of(200, "done " + request.id() + "\n")));
   }
 
-  private void answer(HttpServer.Exchange exchange, HttpResponse answer) {
-    if (answer.status() == 200 && random.nextDouble() < lostAnswerFraction) {
+  private void respond(HttpServer.Exchange exchange, HttpResponse response) {
+    if (response.status() == 200 && random.nextDouble() < lostResponseFraction) {
       exchange.channel().close();
       return;
     }
-    String load =
+    String loadReport =
         String.format(
             Locale.ROOT,
             "TEXT cpu_utilization=%.3f,named_metrics.waiting=%d",
-            Math.min(1, reportMultiple * utilization.utilization(evidence.now())),
+            Math.min(1, reportMultiple * utilizationMeter.utilization(evidence.now())),
             queue.size());
-    exchange.respond(answer.setHeader(LoadReportHeader.NAME, load));
+    exchange.respond(response.setHeader(LoadReportHeader.NAME, loadReport));
   }
 }
--- a/src/main/java/stonespring/testbed/FaultyLink.java
+++ b/src/main/java/stonespring/testbed/FaultyLink.java
@@ -24,7 +24,7 @@
 /**
  * A TCP relay on loopback that passes bytes late, slowly, one by one, not at all, or up to a stated
  * byte, and shows them to a tap. All state lives on one event loop; its methods may be called from
- * any thread. Reading stops while {@link #MAX_WAITING_BYTES} wait in one direction.
+ * any thread. Reading stops while {@link #MAX_PENDING_BYTES} wait in one direction.
  */
 final class FaultyLink {
   /**
@@ -42,7 +42,7 @@
     default void linkFrozen() {}
   }
 
-  private static final int MAX_WAITING_BYTES = 1 << 20;
+  private static final int MAX_PENDING_BYTES = 1 << 20;
   private static final int NO_LISTENER = -1;
 
   private final EventLoop loop;
@@ -51,13 +51,13 @@
   private final Set<Connection> connections = new HashSet<>();
   private long connectionCount;
   private boolean frozen;
-  private boolean refusing;
+  private boolean refusesConnections;
   private boolean byteByByte;
-  private long delayUpMillis;
-  private long delayDownMillis;
-  private double bytesPerMillisecond = Double.MAX_VALUE;
-  private int cutListener = NO_LISTENER;
-  private long cutAfterBytes;
+  private long upstreamDelayMillis;
+  private long downstreamDelayMillis;
+  private double downstreamBytesPerMillisecond = Double.MAX_VALUE;
+  private int closingListener = NO_LISTENER;
+  private long closeAfterBytes;
 
   FaultyLink(EventLoop loop, Tap tap) {
     this.loop = loop;
@@ -76,11 +76,11 @@
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
-                  protected void initChannel(SocketChannel near) {
-                    if (refusing) {
-                      near.close();
+                  protected void initChannel(SocketChannel downstream) {
+                    if (refusesConnections) {
+                      downstream.close();
                     } else {
-                      new Connection(index, ++connectionCount).open(near, targetPort);
+                      new Connection(index, ++connectionCount).open(downstream, targetPort);
                     }
                   }
                 })
@@ -99,8 +99,8 @@
   void closeConnections(boolean refuseNew) {
     execute(
         () -> {
-          refusing = refuseNew;
-          List.copyOf(connections).forEach(Connection::end);
+          refusesConnections = refuseNew;
+          List.copyOf(connections).forEach(Connection::close);
         });
   }
 
@@ -114,8 +114,8 @@
           }
           connections.forEach(
               connection -> {
-                connection.up.passDue();
-                connection.down.passDue();
+                connection.towardsUpstream.forwardDue();
+                connection.towardsDownstream.forwardDue();
               });
         });
   }
@@ -124,14 +124,14 @@
   void setDelays(long upstreamMillis, long downstreamMillis) {
     execute(
         () -> {
-          delayUpMillis = upstreamMillis;
-          delayDownMillis = downstreamMillis;
+          upstreamDelayMillis = upstreamMillis;
+          downstreamDelayMillis = downstreamMillis;
         });
   }
 
   /** Limits the rate towards the dialling side. */
   void setDownstreamRate(double newBytesPerMillisecond) {
-    execute(() -> bytesPerMillisecond = newBytesPerMillisecond);
+    execute(() -> downstreamBytesPerMillisecond = newBytesPerMillisecond);
   }
 
   /** Passes each byte by itself, or no more. */
@@ -143,8 +143,8 @@
   void closeConnectionAfter(int listener, long downstreamBytes) {
     execute(
         () -> {
-          cutListener = listener;
-          cutAfterBytes = downstreamBytes;
+          closingListener = listener;
+          closeAfterBytes = downstreamBytes;
         });
   }
 
@@ -154,7 +154,7 @@
         () ->
             connections.stream()
                 .filter(connection -> connection.listener == listener)
-                .forEach(connection -> ((SocketChannel) connection.near).shutdownOutput()));
+                .forEach(connection -> ((SocketChannel) connection.downstream).shutdownOutput()));
   }
 
   /** Ends all connections and listeners. */
@@ -162,28 +162,28 @@
     execute(
         () -> {
           listeners.forEach(Channel::close);
-          List.copyOf(connections).forEach(Connection::end);
+          List.copyOf(connections).forEach(Connection::close);
         });
   }
 
   private final class Connection {
     private final int listener;
     private final long id;
-    private Channel near;
-    private Channel far;
-    private Direction up;
-    private Direction down;
-    private long downBytes;
+    private Channel downstream;
+    private Channel upstream;
+    private Direction towardsUpstream;
+    private Direction towardsDownstream;
+    private long downstreamBytes;
 
     Connection(int listener, long id) {
       this.listener = listener;
       this.id = id;
     }
 
-    void open(Channel dialled, int targetPort) {
-      near = dialled;
+    void open(Channel accepted, int targetPort) {
+      downstream = accepted;
       connections.add(this);
-      far =
+      upstream =
           new Bootstrap()
               .group(loop)
               .channel(NioSocketChannel.class)
@@ -200,25 +200,25 @@
               .addListener(
                   f -> {
                     if (f.isSuccess()) {
-                      near.config().setAutoRead(true);
-                      far.config().setAutoRead(true);
+                      downstream.config().setAutoRead(true);
+                      upstream.config().setAutoRead(true);
                     } else {
-                      end();
+                      close();
                     }
                   })
               .channel();
-      up = new Direction(this, near, far, false);
-      down = new Direction(this, far, near, true);
-      near.pipeline().addLast(up);
-      far.pipeline().addLast(down);
+      towardsUpstream = new Direction(this, downstream, upstream, false);
+      towardsDownstream = new Direction(this, upstream, downstream, true);
+      downstream.pipeline().addLast(towardsUpstream);
+      upstream.pipeline().addLast(towardsDownstream);
     }
 
-    void end() {
+    void close() {
       if (connections.remove(this)) {
-        near.close();
-        far.close();
-        up.discard();
-        down.discard();
+        downstream.close();
+        upstream.close();
+        towardsUpstream.releasePending();
+        towardsDownstream.releasePending();
         tap.connectionClosed(listener, id);
       }
     }
@@ -227,25 +227,25 @@
   /** One direction. */
   private final class Direction extends ChannelInboundHandlerAdapter {
     private final Connection connection;
-    private final Channel from;
-    private final Channel to;
-    private final boolean towardsNear;
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+    private final Channel source;
+    private final Channel destination;
+    private final boolean toDownstream;
+    private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
     private final ArrayDeque<Long> dueAtNanos = new ArrayDeque<>();
-    private long waitingBytes;
-    private long freeAtNanos;
+    private long pendingBytes;
+    private long lastDueAtNanos;
 
-    Direction(Connection connection, Channel from, Channel to, boolean towardsNear) {
+    Direction(Connection connection, Channel source, Channel destination, boolean toDownstream) {
       this.connection = connection;
-      this.from = from;
-      this.to = to;
-      this.towardsNear = towardsNear;
+      this.source = source;
+      this.destination = destination;
+      this.toDownstream = toDownstream;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       ByteBuf in = (ByteBuf) message;
-      if (towardsNear) {
+      if (toDownstream) {
         byte[] copy = new byte[in.readableBytes()];
         in.getBytes(in.readerIndex(), copy);
         tap.bytesPassed(
@@ -254,74 +254,75 @@
             true,
             copy); // as the far side sent it, whatever happens to it here
       }
-      long delay = TimeUnit.MILLISECONDS.toNanos(towardsNear ? delayDownMillis : delayUpMillis);
+      long delayNanos =
+          TimeUnit.MILLISECONDS.toNanos(toDownstream ? downstreamDelayMillis : upstreamDelayMillis);
       while (in.isReadable()) {
         int size = byteByByte ? 1 : in.readableBytes();
-        freeAtNanos =
-            Math.max(freeAtNanos, System.nanoTime() + delay)
-                + (towardsNear ? (long) (size / bytesPerMillisecond * 1e6) : 0);
-        waiting.add(in.readRetainedSlice(size));
-        dueAtNanos.add(freeAtNanos);
-        waitingBytes += size;
+        lastDueAtNanos =
+            Math.max(lastDueAtNanos, System.nanoTime() + delayNanos)
+                + (toDownstream ? (long) (size / downstreamBytesPerMillisecond * 1e6) : 0);
+        pending.add(in.readRetainedSlice(size));
+        dueAtNanos.add(lastDueAtNanos);
+        pendingBytes += size;
       }
       in.release();
-      from.config().setAutoRead(waitingBytes < MAX_WAITING_BYTES);
-      passDue();
+      source.config().setAutoRead(pendingBytes < MAX_PENDING_BYTES);
+      forwardDue();
     }
 
-    void passDue() {
-      while (!frozen && !waiting.isEmpty()) {
+    void forwardDue() {
+      while (!frozen && !pending.isEmpty()) {
         long waitNanos = dueAtNanos.peek() - System.nanoTime();
         if (waitNanos > 0) {
-          loop.schedule(this::passDue, waitNanos, TimeUnit.NANOSECONDS);
+          loop.schedule(this::forwardDue, waitNanos, TimeUnit.NANOSECONDS);
           return;
         }
-        pass(waiting.poll());
+        forward(pending.poll());
         dueAtNanos.poll();
       }
-      from.config().setAutoRead(waitingBytes < MAX_WAITING_BYTES);
+      source.config().setAutoRead(pendingBytes < MAX_PENDING_BYTES);
     }
 
-    private void pass(ByteBuf out) {
+    private void forward(ByteBuf out) {
       int size = out.readableBytes();
-      waitingBytes -= size;
-      boolean cutsHere =
-          towardsNear
-              && connection.listener == cutListener
-              && connection.downBytes + size >= cutAfterBytes;
-      if (cutsHere) {
-        size = (int) Math.max(0, cutAfterBytes - connection.downBytes);
-        cutListener = NO_LISTENER;
+      pendingBytes -= size;
+      boolean closesHere =
+          toDownstream
+              && connection.listener == closingListener
+              && connection.downstreamBytes + size >= closeAfterBytes;
+      if (closesHere) {
+        size = (int) Math.max(0, closeAfterBytes - connection.downstreamBytes);
+        closingListener = NO_LISTENER;
       }
-      connection.downBytes += towardsNear ? size : 0;
+      connection.downstreamBytes += toDownstream ? size : 0;
       byte[] copy = new byte[size];
       out.readBytes(copy);
       out.release();
-      if (!towardsNear) {
+      if (!toDownstream) {
         tap.bytesPassed(connection.listener, connection.id, false, copy);
       }
-      var written = to.writeAndFlush(Unpooled.wrappedBuffer(copy));
-      if (cutsHere) {
-        written.addListener(f -> connection.end());
+      var written = destination.writeAndFlush(Unpooled.wrappedBuffer(copy));
+      if (closesHere) {
+        written.addListener(f -> connection.close());
       }
     }
 
-    void discard() {
-      waiting.forEach(ByteBuf::release);
-      waiting.clear();
+    void releasePending() {
+      pending.forEach(ByteBuf::release);
+      pending.clear();
       dueAtNanos.clear();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (!frozen) {
-        connection.end();
+        connection.close();
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      connection.end();
+      connection.close();
     }
   }
 }
--- a/src/main/java/stonespring/testbed/FreePorts.java
+++ b/src/main/java/stonespring/testbed/FreePorts.java
@@ -15,39 +15,41 @@
 final class FreePorts {
   private static final int FIRST_PORT = 11_000;
   private static final int PORTS_PER_BLOCK = 250;
-  private static final int BLOCKS = 80;
+  private static final int BLOCK_COUNT = 80;
   private static final List<ServerSocket> RESERVATIONS = new ArrayList<>();
-  private static int next;
-  private static int end;
+  private static int nextPort;
+  private static int blockEndPort;
 
   private FreePorts() {}
 
   /** Returns the first of {@code count} free ports in a row. */
   static synchronized int take(int count) throws IOException {
     while (true) {
-      int free = 0;
-      while (free < count && next + free < end && isFree(next + free)) {
-        free++;
+      int freeCount = 0;
+      while (freeCount < count
+          && nextPort + freeCount < blockEndPort
+          && isFree(nextPort + freeCount)) {
+        freeCount++;
       }
-      int first = next;
-      next += free + 1;
-      if (free == count) {
-        next--;
-        return first;
+      int firstPort = nextPort;
+      nextPort += freeCount + 1;
+      if (freeCount == count) {
+        nextPort--;
+        return firstPort;
       }
-      if (next + count > end) {
+      if (nextPort + count > blockEndPort) {
         reserveBlock(count);
       }
     }
   }
 
   private static void reserveBlock(int count) throws IOException {
-    for (int i = 0; i < BLOCKS && count < PORTS_PER_BLOCK; i++) {
-      int first = FIRST_PORT + i * PORTS_PER_BLOCK;
+    for (int i = 0; i < BLOCK_COUNT && count < PORTS_PER_BLOCK; i++) {
+      int firstPort = FIRST_PORT + i * PORTS_PER_BLOCK;
       try {
-        RESERVATIONS.add(new ServerSocket(first, 1, InetAddress.getLoopbackAddress()));
-        next = first + 1;
-        end = first + PORTS_PER_BLOCK;
+        RESERVATIONS.add(new ServerSocket(firstPort, 1, InetAddress.getLoopbackAddress()));
+        nextPort = firstPort + 1;
+        blockEndPort = firstPort + PORTS_PER_BLOCK;
         return;
       } catch (IOException e) {
         // Another process holds this block.
--- a/src/main/java/stonespring/testbed/InfrastructureFaults.java
+++ b/src/main/java/stonespring/testbed/InfrastructureFaults.java
@@ -19,7 +19,7 @@
     injections.put(FaultKind.ASSIGNER_CRASH, this::crashInstances);
     injections.put(FaultKind.ASSIGNER_STALL, this::stallInstances);
     injections.put(FaultKind.WRONG_LIST, this::hideEndpoints);
-    injections.put(FaultKind.REGISTRY_DEAD, this::stopRegistry);
+    injections.put(FaultKind.REGISTRY_DEAD, this::makeRegistryUnavailable);
     injections.put(FaultKind.ZONE_CUT, this::isolateZone);
   }
 
@@ -50,7 +50,7 @@
         () -> target.endpoints().forEach(endpoint -> registry.setHidden(endpoint.name(), false)));
   }
 
-  private void stopRegistry(FaultTarget target) throws Exception {
+  private void makeRegistryUnavailable(FaultTarget target) throws Exception {
     timeline.during(
         target.fault(),
         () -> fleet.registry().setUnavailable(true),
--- a/src/main/java/stonespring/testbed/InstanceProcess.java
+++ b/src/main/java/stonespring/testbed/InstanceProcess.java
@@ -21,7 +21,7 @@
   private final int port;
   private Process process;
 
-  InstanceProcess(Path script, int port, int registryPort, Path saved, Path log) {
+  InstanceProcess(Path script, int port, int registryPort, Path savedList, Path log) {
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(
         List.of(
@@ -34,7 +34,7 @@
             "--port",
             String.valueOf(port),
             "--saved-list",
-            saved.toString()));
+            savedList.toString()));
     if (registryPort > 0) {
       command.addAll(List.of("--registry-port", String.valueOf(registryPort)));
     }
@@ -48,9 +48,9 @@
         new ProcessBuilder(command)
             .redirectError(ProcessBuilder.Redirect.appendTo(new File(log.toString())))
             .start();
-    BufferedReader out =
+    BufferedReader output =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    String firstLine = out.readLine();
+    String firstLine = output.readLine();
     if (firstLine == null || !firstLine.startsWith("serving ")) {
       throw new IOException("the instance did not start; its log is " + log);
     }
--- a/src/main/java/stonespring/testbed/OverloadDetector.java
+++ b/src/main/java/stonespring/testbed/OverloadDetector.java
@@ -16,16 +16,16 @@
   /**
    * Adds a request's work.
    *
-   * @param capacity cores' worth of work that the endpoint can do now
+   * @param capacityCores cores' worth of work that the endpoint can do now
    * @return the window's work as a multiple of what the endpoint can do in that time
    */
-  double add(double nowMillis, double workMillis, double capacity) {
+  double addArrival(double nowMillis, double workMillis, double capacityCores) {
     arrivals.add(new Arrival(nowMillis, workMillis));
     while (nowMillis - arrivals.peek().atMillis() > windowMillis) {
       arrivals.poll();
     }
-    double sum = arrivals.stream().mapToDouble(Arrival::workMillis).sum();
-    return sum == 0 ? 0 : sum / (capacity * windowMillis);
+    double arrivedWorkMillis = arrivals.stream().mapToDouble(Arrival::workMillis).sum();
+    return arrivedWorkMillis == 0 ? 0 : arrivedWorkMillis / (capacityCores * windowMillis);
   }
 
   void clear() {
--- a/src/main/java/stonespring/testbed/ProxyFaults.java
+++ b/src/main/java/stonespring/testbed/ProxyFaults.java
@@ -22,7 +22,7 @@
 
   void register(Map<FaultKind, FaultInjection> injections) {
     injections.put(FaultKind.LATE_REPORTS, this::delayReports);
-    injections.put(FaultKind.SLOW_CHANNEL, this::slowChannel);
+    injections.put(FaultKind.SLOW_CHANNEL, this::slowLinks);
     injections.put(FaultKind.BYTE_BY_BYTE, this::passByteByByte);
     injections.put(
         FaultKind.RECONNECT,
@@ -30,11 +30,11 @@
     injections.put(
         FaultKind.HALF_CLOSE,
         target -> forEachLink(target.proxies(), link -> link.halfClose(UPDATE_LISTENER)));
-    injections.put(FaultKind.CUT_IN_SNAPSHOT, this::cutInSnapshot);
+    injections.put(FaultKind.CUT_IN_SNAPSHOT, this::closeDuringSnapshot);
     injections.put(FaultKind.PROXY_CRASH, this::crash);
     injections.put(FaultKind.PROXY_STALL, this::stall);
     injections.put(FaultKind.SURGE, this::surge);
-    injections.put(FaultKind.IMPATIENCE, this::shortenPatience);
+    injections.put(FaultKind.IMPATIENCE, this::shortenClientTimeouts);
   }
 
   /** Does something to every link of some proxies. */
@@ -50,7 +50,7 @@
         () -> forEachLink(target.proxies(), link -> link.setDelays(0, 0)));
   }
 
-  private void slowChannel(FaultTarget target) throws Exception {
+  private void slowLinks(FaultTarget target) throws Exception {
     double bytesPerMillisecond = target.fault().magnitude();
     timeline.during(
         target.fault(),
@@ -65,7 +65,7 @@
         () -> forEachLink(target.proxies(), link -> link.setByteByByte(false)));
   }
 
-  private void cutInSnapshot(FaultTarget target) {
+  private void closeDuringSnapshot(FaultTarget target) {
     long bytes = (long) target.fault().magnitude();
     forEachLink(
         target.proxies(),
@@ -104,7 +104,7 @@
         () -> fleet.proxies().forEach(p -> p.client().setRequestsPerSecond(p.requestsPerSecond())));
   }
 
-  private void shortenPatience(FaultTarget target) throws Exception {
+  private void shortenClientTimeouts(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -18,11 +18,12 @@
 
 /**
  * A registry with the interface of Consul's health endpoint and its blocking queries. Changes show
- * after a delay. It records what it answered and when, as that is what instances could know. All
+ * after a delay. It records what it responded and when, as that is what instances could know. All
  * state lives on one event loop; its methods may be called from any thread.
  */
 final class RegistryStandIn {
-  private record Entry(String name, int port, String zone, boolean draining, double startedAt) {
+  private record Entry(
+      String name, int port, String zone, boolean draining, double warmUpStartedAtMillis) {
     String id() {
       return name + "@127.0.0.1:" + port;
     }
@@ -36,27 +37,27 @@
   private final EventLoop loop;
   private final EventLoopGroup loops;
   private final Evidence evidence;
-  private final long delayMillis;
-  private final long unixAtStart = System.currentTimeMillis();
+  private final long changeDelayMillis;
+  private final long unixMillisAtStart = System.currentTimeMillis();
   private final TreeMap<String, Entry> entries = new TreeMap<>();
-  private final TreeMap<String, String> lastListed = new TreeMap<>();
-  private final List<Runnable> waiters = new ArrayList<>();
-  private final TreeSet<String> hidden = new TreeSet<>();
+  private final TreeMap<String, String> lastStates = new TreeMap<>();
+  private final List<Runnable> waitingQueries = new ArrayList<>();
+  private final TreeSet<String> hiddenNames = new TreeSet<>();
   private HttpServer server;
   private long index = 1;
-  private boolean dead;
+  private boolean unavailable;
 
-  RegistryStandIn(EventLoopGroup loops, Evidence evidence, long delayMillis) {
+  RegistryStandIn(EventLoopGroup loops, Evidence evidence, long changeDelayMillis) {
     this.loops = loops;
     this.loop = loops.next();
     this.evidence = evidence;
-    this.delayMillis = delayMillis;
+    this.changeDelayMillis = changeDelayMillis;
   }
 
   void start(int port) throws IOException, InterruptedException {
     server =
         new HttpServer(
-                (request, exchange) -> loop.execute(() -> receive(request, exchange)),
+                (request, exchange) -> loop.execute(() -> handleRequest(request, exchange)),
                 MAX_REQUEST_BYTES)
             .start(loops, "127.0.0.1", port);
   }
@@ -73,7 +74,7 @@
   void setUnavailable(boolean on) {
     loop.execute(
         () -> {
-          dead = on;
+          unavailable = on;
           if (on) {
             server.connections().close();
           }
@@ -92,9 +93,9 @@
     loop.schedule(
         () -> {
           entries.put(entry.name, entry);
-          changed();
+          publishChange();
         },
-        delayMillis,
+        changeDelayMillis,
         TimeUnit.MILLISECONDS);
   }
 
@@ -103,9 +104,9 @@
     loop.schedule(
         () -> {
           entries.remove(endpoint.name());
-          changed();
+          publishChange();
         },
-        delayMillis,
+        changeDelayMillis,
         TimeUnit.MILLISECONDS);
   }
 
@@ -123,9 +124,11 @@
                     Integer.parseInt(id.substring(id.lastIndexOf(':') + 1)),
                     zones.get(endpoint.zone().index()),
                     endpoint.state() == EndpointRecord.State.DRAINING,
-                    endpoint.startedAt() == 0 ? -1 : endpoint.startedAt() / 10.0 - unixAtStart));
+                    endpoint.startedAt() == 0
+                        ? -1
+                        : endpoint.startedAt() / 10.0 - unixMillisAtStart));
           }
-          changed();
+          publishChange();
         });
   }
 
@@ -134,23 +137,23 @@
     loop.execute(
         () -> {
           if (on) {
-            hidden.add(name);
+            hiddenNames.add(name);
           } else {
-            hidden.remove(name);
+            hiddenNames.remove(name);
           }
-          changed();
+          publishChange();
         });
   }
 
-  private void changed() {
+  private void publishChange() {
     index++;
-    List<Runnable> all = new ArrayList<>(waiters);
-    waiters.clear();
-    all.forEach(Runnable::run);
+    List<Runnable> responses = new ArrayList<>(waitingQueries);
+    waitingQueries.clear();
+    responses.forEach(Runnable::run);
   }
 
-  private void receive(HttpRequest request, HttpServer.Exchange exchange) {
-    if (dead) {
+  private void handleRequest(HttpRequest request, HttpServer.Exchange exchange) {
+    if (unavailable) {
       exchange.channel().close();
       return;
     }
@@ -161,70 +164,74 @@
     }
     long knownIndex = query.group(1) == null ? 0 : Long.parseLong(query.group(1));
     if (knownIndex != index || knownIndex == 0) {
-      answer(exchange);
+      respond(exchange);
     } else {
-      answerOnChange(exchange, Long.parseLong(query.group(2)) * 1000);
+      respondOnChange(exchange, Long.parseLong(query.group(2)) * 1000);
     }
   }
 
   /** Answers at the next change, or after the wait without one. */
-  private void answerOnChange(HttpServer.Exchange exchange, long waitMillis) {
-    boolean[] answered = new boolean[1];
-    Runnable answerOnce =
+  private void respondOnChange(HttpServer.Exchange exchange, long waitMillis) {
+    boolean[] responded = new boolean[1];
+    Runnable respondOnce =
         () -> {
-          if (!answered[0]) {
-            answered[0] = true;
-            answer(exchange);
+          if (!responded[0]) {
+            responded[0] = true;
+            respond(exchange);
           }
         };
-    waiters.add(answerOnce);
+    waitingQueries.add(respondOnce);
     loop.schedule(
         () -> {
-          waiters.remove(answerOnce);
-          answerOnce.run();
+          waitingQueries.remove(respondOnce);
+          respondOnce.run();
         },
         Math.min(MAX_WAIT_MILLIS, waitMillis),
         TimeUnit.MILLISECONDS);
   }
 
-  private void answer(HttpServer.Exchange exchange) {
+  private void respond(HttpServer.Exchange exchange) {
     if (!exchange.channel().isActive()) {
       return;
     }
-    List<Entry> shown =
-        entries.values().stream().filter(entry -> !hidden.contains(entry.name())).toList();
-    recordListed(shown);
+    List<Entry> listed =
+        entries.values().stream().filter(entry -> !hiddenNames.contains(entry.name())).toList();
+    recordListed(listed);
     exchange.respond(
-        HttpResponse.of(200, toJson(shown))
+        HttpResponse.of(200, toJson(listed))
             .setHeader("x-consul-index", String.valueOf(index))
             .setHeader("content-type", "application/json"));
   }
 
   /** Records the answer as evidence: changed entries, and those that know when they started. */
-  private void recordListed(List<Entry> shown) {
+  private void recordListed(List<Entry> listed) {
     TreeMap<String, String> states = new TreeMap<>();
-    for (Entry entry : shown) {
+    for (Entry entry : listed) {
       String state = entry.draining() ? "draining" : "ready";
       states.put(entry.id(), state);
-      if (!state.equals(lastListed.get(entry.id())) || entry.startedAt() >= 0) {
-        evidence.add(new Evidence.Listed(evidence.now(), entry.id(), state, entry.startedAt()));
+      if (!state.equals(lastStates.get(entry.id())) || entry.warmUpStartedAtMillis() >= 0) {
+        evidence.add(
+            new Evidence.Listed(evidence.now(), entry.id(), state, entry.warmUpStartedAtMillis()));
       }
     }
-    for (String id : lastListed.keySet()) {
+    for (String id : lastStates.keySet()) {
       if (!states.containsKey(id)) {
         evidence.add(new Evidence.Listed(evidence.now(), id, "gone", -1));
       }
     }
-    lastListed.clear();
-    lastListed.putAll(states);
+    lastStates.clear();
+    lastStates.putAll(states);
   }
 
-  private String toJson(List<Entry> shown) {
-    return shown.stream().map(this::toJson).collect(Collectors.joining(",", "[", "]"));
+  private String toJson(List<Entry> listed) {
+    return listed.stream().map(this::toJson).collect(Collectors.joining(",", "[", "]"));
   }
 
   private String toJson(Entry entry) {
-    long started = entry.startedAt() < 0 ? 0 : unixAtStart + (long) entry.startedAt();
+    long startedUnixMillis =
+        entry.warmUpStartedAtMillis() < 0
+            ? 0
+            : unixMillisAtStart + (long) entry.warmUpStartedAtMillis();
     String maintenance =
         entry.draining()
             ? ",{\"CheckID\":\"_service_maintenance:" + entry.name() + "\",\"Status\":\"critical\"}"
@@ -236,7 +243,7 @@
         + ",\"Meta\":{\"zone\":\""
         + entry.zone()
         + "\",\"started_ms\":\""
-        + started
+        + startedUnixMillis
         + "\"},\"Weights\":{\"Passing\":1,\"Warning\":1}},"
         + "\"Checks\":[{\"CheckID\":\"run\",\"Status\":\"passing\"}"
         + maintenance
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -19,9 +19,9 @@
 /** Stand-ins run by themselves, for trials by hand, and settings of proxies in the test bed. */
 public final class StandIns {
   // In units of 0.1 ms.
-  private static final long MIN_EJECTION = 26_000;
-  private static final long MAX_EJECTION = 64_000;
-  private static final long MIN_TIME_FOR_RETRY = 500;
+  private static final long MIN_EJECTION_DECI_MILLIS = 26_000;
+  private static final long MAX_EJECTION_DECI_MILLIS = 64_000;
+  private static final long MIN_TIME_FOR_RETRY_DECI_MILLIS = 500;
 
   private static final int QUEUE_LIMIT = 200;
   private static final int CONNECTION_LIMIT = 1000;
@@ -59,9 +59,9 @@
     return new RouterSettings(
         classes,
         settings.routing().ejectAfterConsecutiveFailures(),
-        MIN_EJECTION,
-        MAX_EJECTION,
-        MIN_TIME_FOR_RETRY,
+        MIN_EJECTION_DECI_MILLIS,
+        MAX_EJECTION_DECI_MILLIS,
+        MIN_TIME_FOR_RETRY_DECI_MILLIS,
         RouterSettings.Picking.TWO_CHOICES,
         settings.admissionLimitKind());
   }
@@ -85,7 +85,7 @@
             Map.of(),
             SLOW_START);
     EndpointStandIn endpoint =
-        new EndpointStandIn(name, zone, specification, loops(), new Evidence(false), 1);
+        new EndpointStandIn(name, zone, specification, newEventLoops(), new Evidence(false), 1);
     endpoint.setPort(port);
     endpoint.start(warmingUp);
     return endpoint.id();
@@ -94,7 +94,7 @@
   /** Starts a registry whose list comes from a file, and returns its address. */
   public static String startRegistry(Path file, List<String> zones, int port)
       throws IOException, InterruptedException {
-    MultiThreadIoEventLoopGroup loops = loops();
+    MultiThreadIoEventLoopGroup loops = newEventLoops();
     RegistryStandIn registry = new RegistryStandIn(loops, new Evidence(false), 0);
     registry.start(port);
     EndpointListCodec codec = new EndpointListCodec(zones, 0);
@@ -103,7 +103,7 @@
     return "127.0.0.1:" + registry.port();
   }
 
-  private static MultiThreadIoEventLoopGroup loops() {
+  private static MultiThreadIoEventLoopGroup newEventLoops() {
     return new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   }
 }
--- a/src/main/java/stonespring/testbed/ThroughputMeasurement.java
+++ b/src/main/java/stonespring/testbed/ThroughputMeasurement.java
@@ -113,7 +113,7 @@
   private static void awaitSubscriptions(ChpServer server, List<CountingReader> readers)
       throws InterruptedException {
     for (int i = 0; i < READERS; i++) {
-      while (readers.get(i).bytes() <= GREETING_AND_READY_BYTES) {
+      while (readers.get(i).bytesRead() <= GREETING_AND_READY_BYTES) {
         server.publish(List.of(update(i)));
         Thread.sleep(2);
       }
--- a/src/main/java/stonespring/testbed/UtilizationMeter.java
+++ b/src/main/java/stonespring/testbed/UtilizationMeter.java
@@ -20,7 +20,7 @@
   }
 
   /** Counts one core as busy from now on for a time. */
-  void busy(double nowMillis, double durationMillis) {
+  void addBusyTime(double nowMillis, double durationMillis) {
     intervals.add(new Interval(nowMillis, durationMillis));
   }
 
--- a/src/test/java/stonespring/testbed/FaultyLinkTest.java
+++ b/src/test/java/stonespring/testbed/FaultyLinkTest.java
@@ -19,98 +19,102 @@
 import org.junit.jupiter.api.Test;
 
 final class FaultyLinkTest {
-  private static final int WAIT = 10_000; // ms; an upper bound, every wait ends with its event
+  private static final int TIMEOUT_MILLIS =
+      10_000; // ms; an upper bound, every wait ends with its event
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private ServerSocket far;
+  private ServerSocket upstreamServer;
   private FaultyLink link;
-  private Socket near;
-  private Socket farEnd;
+  private Socket downstreamSocket;
+  private Socket upstreamSocket;
 
   @BeforeEach
   void start() throws Exception {
-    far = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-    link = new FaultyLink((EventLoop) loops.next(), (listener, pair, down, bytes) -> {});
-    near = dial(link.addListener(far.getLocalPort()));
+    upstreamServer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+    link =
+        new FaultyLink(
+            (EventLoop) loops.next(), (listener, connection, towardsDownstream, bytes) -> {});
+    downstreamSocket = connect(link.addListener(upstreamServer.getLocalPort()));
   }
 
-  private Socket dial(int port) throws IOException {
+  private Socket connect(int port) throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-    socket.setSoTimeout(WAIT);
-    farEnd = far.accept();
-    farEnd.setSoTimeout(WAIT);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
+    upstreamSocket = upstreamServer.accept();
+    upstreamSocket.setSoTimeout(TIMEOUT_MILLIS);
     return socket;
   }
 
   @AfterEach
   void stop() throws IOException {
     link.close();
-    near.close();
-    far.close();
+    downstreamSocket.close();
+    upstreamServer.close();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private void awaitLink() throws InterruptedException {
+  private void awaitQueuedLinkCommands() throws InterruptedException {
     loops.next().submit(() -> {}).sync(); // the link's event loop has run what was queued
   }
 
   @Test
-  void passesBytesBothWaysOneAtATime() throws Exception {
+  void passesAllBytesInBothDirectionsWhenPassingByteByByte() throws Exception {
     link.setByteByByte(true);
-    awaitLink();
-    near.getOutputStream().write("to the far end".getBytes());
-    assertArrayEquals("to the far end".getBytes(), farEnd.getInputStream().readNBytes(14));
-    farEnd.getOutputStream().write("and back".getBytes());
-    assertArrayEquals("and back".getBytes(), near.getInputStream().readNBytes(8));
+    awaitQueuedLinkCommands();
+    downstreamSocket.getOutputStream().write("to the far end".getBytes());
+    assertArrayEquals("to the far end".getBytes(), upstreamSocket.getInputStream().readNBytes(14));
+    upstreamSocket.getOutputStream().write("and back".getBytes());
+    assertArrayEquals("and back".getBytes(), downstreamSocket.getInputStream().readNBytes(8));
   }
 
   @Test
-  void cutsAfterTheStatedByte() throws Exception {
+  void closesConnectionAfterStatedNumberOfBytes() throws Exception {
     link.closeConnectionAfter(0, 5);
-    awaitLink();
-    farEnd.getOutputStream().write("0123456789".getBytes());
-    InputStream in = near.getInputStream();
+    awaitQueuedLinkCommands();
+    upstreamSocket.getOutputStream().write("0123456789".getBytes());
+    InputStream in = downstreamSocket.getInputStream();
     assertArrayEquals("01234".getBytes(), in.readNBytes(5));
     assertEquals(-1, in.read());
   }
 
   @Test
-  void passesFrozenBytesLater() throws Exception {
+  void holdsBytesWhileFrozenAndPassesThemOnAfterwards() throws Exception {
     link.setFrozen(true);
-    awaitLink();
-    farEnd.getOutputStream().write("late".getBytes());
-    near.setSoTimeout(50);
+    awaitQueuedLinkCommands();
+    upstreamSocket.getOutputStream().write("late".getBytes());
+    downstreamSocket.setSoTimeout(50);
     try {
-      near.getInputStream().read();
+      downstreamSocket.getInputStream().read();
       throw new AssertionError("it passed through a frozen link");
     } catch (SocketTimeoutException e) {
       // as it should be
     }
-    near.setSoTimeout(WAIT);
+    downstreamSocket.setSoTimeout(TIMEOUT_MILLIS);
     link.setFrozen(false);
-    assertArrayEquals("late".getBytes(), near.getInputStream().readNBytes(4));
+    assertArrayEquals("late".getBytes(), downstreamSocket.getInputStream().readNBytes(4));
   }
 
   @Test
-  void halfCloseLeavesTheOtherDirectionOpen() throws Exception {
+  void leavesUpstreamDirectionOpenAfterHalfClose() throws Exception {
     link.halfClose(0);
-    assertEquals(-1, near.getInputStream().read());
-    near.getOutputStream().write("still".getBytes());
-    assertArrayEquals("still".getBytes(), farEnd.getInputStream().readNBytes(5));
+    assertEquals(-1, downstreamSocket.getInputStream().read());
+    downstreamSocket.getOutputStream().write("still".getBytes());
+    assertArrayEquals("still".getBytes(), upstreamSocket.getInputStream().readNBytes(5));
   }
 
   @Test
-  void cutEndsConnectionsAndRefusesNewOnes() throws Exception {
+  void closesOpenConnectionsAndRefusesNewOnesWhenAsked() throws Exception {
     link.closeConnections(true);
-    assertEquals(-1, near.getInputStream().read());
-    awaitLink();
-    try (Socket again = new Socket(InetAddress.getLoopbackAddress(), near.getPort())) {
-      again.setSoTimeout(WAIT);
-      assertTrue(ends(again));
+    assertEquals(-1, downstreamSocket.getInputStream().read());
+    awaitQueuedLinkCommands();
+    try (Socket newSocket =
+        new Socket(InetAddress.getLoopbackAddress(), downstreamSocket.getPort())) {
+      newSocket.setSoTimeout(TIMEOUT_MILLIS);
+      assertTrue(isClosed(newSocket));
     }
   }
 
-  private static boolean ends(Socket socket) {
+  private static boolean isClosed(Socket socket) {
     try {
       return socket.getInputStream().read() < 0;
     } catch (SocketTimeoutException e) {
