--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -14,25 +14,33 @@
 import stonespring.proxy.ProxyHeaders;
 
 /**
- * The clients of one proxy. Requests arrive at random and do not wait for earlier answers. A client
- * retries after a failure where the request is idempotent or certainly wasn't executed; all its
- * attempts count as one request. It gives up at the request timeout. Runs on one event loop.
+ * The clients of one proxy. Requests start as a Poisson process, independently of the responses to
+ * earlier ones. A failed request is retried if it is idempotent or was certainly not executed; all
+ * its attempts count as one request. A request is given up at its timeout. All requests run on one
+ * event loop; {@link #start}, {@link #stop} and the setters may be called from any thread.
  */
 final class ClientStandIn {
   /**
-   * One request class as clients send it.
+   * One request class of the mix that clients send.
    *
-   * @param share of all requests
+   * @param share the class's fraction of all requests, 0 to 1
+   * @param idempotent whether clients retry a request that may have been executed
+   * @param timeoutMillis the time from the first attempt after which a request is given up
    */
   record RequestMixEntry(
       String requestClass, double share, boolean idempotent, double timeoutMillis) {}
 
   private record ClientRequest(RequestMixEntry mix, String id, double startedAtMillis) {}
 
+  /** The longest time between two checks for due requests. */
   private static final double MAX_TICK_MILLIS = 5;
+
   private static final int MAX_RETRIES = 2;
   private static final long RETRY_DELAY_MILLIS = 300;
+
+  /** The time that must be left before the timeout when a retry is sent. */
   private static final long MIN_TIME_FOR_RETRY_MILLIS = 50;
+
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
   private static final int MAX_RESPONSE_BYTES = 64 << 10;
   private static final int MAX_CONNECTIONS = 64;
@@ -51,9 +59,10 @@
   private long requestCount;
 
   /**
-   * Creates clients that aren't started.
+   * Creates clients that send nothing until {@link #start}.
    *
-   * @param openRequests counts the requests of all clients that have no final answer yet
+   * @param seed seed of the random numbers that arrivals and request classes are drawn from
+   * @param openRequests shared by all clients; counts the requests that have not ended yet
    */
   ClientStandIn(
       EventLoop loop,
@@ -81,20 +90,22 @@
     requestsPerSecond = newRequestsPerSecond;
   }
 
-  /** Sets the fraction of the request timeout after which clients give up. */
+  /** Sets the fraction of the request timeout after which a request is given up; 1 is usual. */
   void setTimeoutFraction(double fraction) {
     timeoutFraction = fraction;
   }
 
-  /** Sends no new requests; those on their way are finished. */
+  /** Stops sending new requests; requests under way still run to their end. */
   void stop() {
     loop.execute(() -> stopped = true);
   }
 
+  /** Draws the time to the next request from an exponential distribution. */
   private double drawInterarrivalMillis() {
     return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, requestsPerSecond);
   }
 
+  /** Sends the requests that are due and schedules the next check. */
   private void sendDueRequests(double firstDueAtMillis) {
     if (stopped) {
       return;
@@ -148,6 +159,7 @@
         result -> completeAttempt(request, retries, result));
   }
 
+  /** Schedules a retry, or ends the request and records its outcome. */
   private void completeAttempt(ClientRequest request, int retries, HttpCallResult result) {
     int status = 0;
     String reason = "";
--- a/src/main/java/stonespring/testbed/CountingReader.java
+++ b/src/main/java/stonespring/testbed/CountingReader.java
@@ -10,14 +10,18 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A connection to a loopback port that reads all on a thread of its own and counts the bytes. */
+/**
+ * A connection to a loopback port that discards what it receives and counts the bytes. A thread of
+ * its own reads until the connection closes. The count may be read from any thread.
+ */
 final class CountingReader implements AutoCloseable {
-  /** ZMTP 3.0 greeting with the NULL mechanism, and READY for a SUB socket. */
+  /** A ZMTP 3.0 greeting with the NULL mechanism and the READY command of a SUB socket, as hex. */
   private static final String SUBSCRIBER_HANDSHAKE =
       "FF00000000000000007F03004E554C4C"
           + "00".repeat(48)
           + "04190552454144590B536F636B65742D5479706500000003535542";
 
+  /** The first byte of a ZMTP subscription message. */
   private static final byte SUBSCRIBE = 1;
 
   private final Socket socket;
@@ -37,11 +41,15 @@
         bytesRead.addAndGet(count);
       }
     } catch (IOException e) {
-      // The connection is closed at the end of a round.
+      // Expected: close() closes the socket under this read.
     }
   }
 
-  /** Shakes hands as a subscriber and subscribes to a prefix of keys. */
+  /**
+   * Sends the handshake of a SUB socket and subscribes to a key prefix.
+   *
+   * @param prefix ASCII, at most 254 characters
+   */
   void subscribe(String prefix) throws IOException {
     byte[] topic = prefix.getBytes(StandardCharsets.US_ASCII);
     OutputStream out = socket.getOutputStream();
--- a/src/main/java/stonespring/testbed/DeploymentFaults.java
+++ b/src/main/java/stonespring/testbed/DeploymentFaults.java
@@ -3,8 +3,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Planned changes of the set of endpoints: rolling restarts, draining, growth. */
+/**
+ * Planned changes of the set of endpoints: rolling restarts, removal and growth. Used from the
+ * scenario's thread only.
+ */
 final class DeploymentFaults {
+  /** The time from the end of an endpoint's process to its next start, in a rolling restart. */
   private static final double RESTART_DELAY_MILLIS = 500;
 
   private final ScenarioFleet fleet;
@@ -22,7 +26,11 @@
     injections.put(FaultKind.GROWTH, this::grow);
   }
 
-  /** Restarts in batches; the magnitude is a batch's fraction of all endpoints. */
+  /**
+   * Drains and restarts the drawn endpoints in batches that are spread evenly over the fault's
+   * duration. The magnitude is the batch size as a fraction of all endpoints; the interval is the
+   * time for which an endpoint drains after instances can see it.
+   */
   private void deploy(FaultTarget target) {
     Scenario.Fault fault = target.fault();
     List<EndpointStandIn> endpoints = target.endpoints();
@@ -39,7 +47,10 @@
     }
   }
 
-  /** Drains a new draw each interval and kills it after the magnitude, in milliseconds. */
+  /**
+   * Draws endpoints anew at each interval, drains them and kills them after a time given by the
+   * magnitude, in milliseconds.
+   */
   private void restartInWaves(FaultTarget target) {
     Scenario.Fault fault = target.fault();
     timeline.repeatedly(
@@ -57,6 +68,7 @@
         () -> fleet.crash(endpoint, timeline.now() + fault.intervalMillis()));
   }
 
+  /** Drains the drawn endpoints and stops them for good at the end of the fault. */
   private void shrink(FaultTarget target) {
     for (EndpointStandIn endpoint : target.endpoints()) {
       fleet.registry().register(endpoint, true);
@@ -69,7 +81,7 @@
     }
   }
 
-  /** Starts as many endpoints each interval as the magnitude says. */
+  /** Starts new endpoints in random zones at each interval; the magnitude is their number. */
   private void grow(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
--- a/src/main/java/stonespring/testbed/EndpointFaults.java
+++ b/src/main/java/stonespring/testbed/EndpointFaults.java
@@ -3,8 +3,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Faults of the endpoints themselves: deaths, errors, pauses, lost answers, wrong reports. */
+/**
+ * Faults of the endpoints themselves: crashes, errors, pauses, lost responses, false load reports.
+ * Used from the scenario's thread only.
+ */
 final class EndpointFaults {
+  /** Ends the failure of a request class; see {@link EndpointStandIn#setFailingRequestClass}. */
   private static final String NO_REQUEST_CLASS = "";
 
   private final ScenarioFleet fleet;
@@ -38,6 +42,7 @@
         .forEach(endpoint -> fleet.crash(endpoint, target.endMillis()));
   }
 
+  /** Leaves requests unanswered for the duration, then kills the endpoints and restarts them. */
   private void silence(FaultTarget target) throws Exception {
     List<EndpointStandIn> endpoints = target.endpoints();
     timeline.during(
@@ -54,6 +59,7 @@
     }
   }
 
+  /** Makes endpoints fail requests at once; the magnitude is the fraction that fails. */
   private void failFast(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
@@ -62,6 +68,10 @@
         () -> target.endpoints().forEach(endpoint -> endpoint.setErrorFraction(0)));
   }
 
+  /**
+   * Decides at each interval, at random for each endpoint, whether it fails all requests. The last
+   * decision stays in force after the fault, until the endpoint restarts.
+   */
   private void flap(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
@@ -72,6 +82,7 @@
                     endpoint -> endpoint.setErrorFraction(fleet.random().nextBoolean() ? 1 : 0)));
   }
 
+  /** Fails one request class; the magnitude is its position in the settings. */
   private void failRequestClass(FaultTarget target) throws Exception {
     List<String> names = fleet.requestClassNames();
     String name = names.get(Math.min(names.size() - 1, (int) target.fault().magnitude()));
@@ -84,6 +95,7 @@
                 .forEach(endpoint -> endpoint.setFailingRequestClass(NO_REQUEST_CLASS)));
   }
 
+  /** Drops responses of executed requests; the magnitude is the fraction that is dropped. */
   private void loseResponses(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
@@ -92,6 +104,7 @@
         () -> target.endpoints().forEach(endpoint -> endpoint.setLostResponseFraction(0)));
   }
 
+  /** Pauses endpoints at each interval; the magnitude is the mean pause in milliseconds. */
   private void pause(FaultTarget target) {
     double meanPauseMillis = target.fault().magnitude();
     timeline.repeatedly(
@@ -104,6 +117,7 @@
                         endpoint.pause(meanPauseMillis * (0.5 + fleet.random().nextDouble()))));
   }
 
+  /** Makes endpoints report a multiple of their utilization; the magnitude is the multiple. */
   private void falsifyReports(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
@@ -112,6 +126,7 @@
         () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(1)));
   }
 
+  /** Makes new connections cost more; the magnitude is the multiple of the usual core time. */
   private void slowDownHandshakes(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
--- a/src/main/java/stonespring/testbed/EndpointStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -19,20 +19,22 @@
 import stonespring.proxy.ProxyHeaders;
 
 /**
- * An endpoint on loopback with cores, a queue, a warm-up after a start, a cost of new connections,
- * load reports in its answers and a ledger of effects. Work takes its time by the clock and no
- * processor. Requests are handled on one event loop; faults may be set from any thread. Times are
- * milliseconds on the evidence's clock.
+ * A simulated endpoint on a loopback port. It has a number of cores, a bounded queue and a slow
+ * start; new connections take core time, responses carry load reports, and repeated requests are
+ * deduplicated. Work is simulated by timers and uses no processor time. Requests are handled on one
+ * event loop; faults may be set from any thread. Points in time are milliseconds on the clock of
+ * {@link Evidence}.
  */
 final class EndpointStandIn {
-  /** A request's mean service time by request class, and that of all other classes. */
+  /** Mean service times of requests by request class, and the one of all classes not listed. */
   record ServiceTimes(Map<String, Double> millisByClass, double defaultMillis) {}
 
   /**
-   * The warm-up after a start.
+   * The slow start: the capacity grows linearly from a fraction to the whole.
    *
-   * @param initialFraction of the capacity, at the start
-   * @param overloadMultiple of its capacity over the window, above which the endpoint crashes
+   * @param initialFraction the warm-up fraction at the start, 0 to 1
+   * @param overloadMultiple a warming endpoint crashes when the work that arrives within the
+   *     overload window exceeds this multiple of the work that it can do in that time
    */
   record SlowStart(
       double initialFraction,
@@ -41,10 +43,13 @@
       double overloadWindowMillis) {}
 
   /**
-   * What an endpoint is like.
+   * The properties of an endpoint.
    *
-   * @param handshakeMillis a core's time that a new connection takes
-   * @param deduplicationWindowMillis by request class, for those that have one
+   * @param queueLimit the number of requests that may wait for a core; more are rejected
+   * @param connectionLimit the number of open connections; more are closed on accept
+   * @param handshakeMillis the core time that a new connection takes
+   * @param deduplicationWindowMillis the deduplication window by request class, for the classes
+   *     that have one
    */
   record Specification(
       int cores,
@@ -64,6 +69,8 @@
       HttpServer.Exchange exchange) {}
 
   private static final int MAX_REQUEST_BYTES = 64 << 10;
+
+  /** Start of an endpoint without a slow start: so long ago that any warm-up is over. */
   private static final double LONG_AGO_MILLIS = -1e9;
 
   private final String name;
@@ -81,13 +88,16 @@
   private HttpServer server;
   private int port;
   private int busyCores;
-  private int incarnation; // work of an earlier one is not finished by a later one
+
+  /** Counts starts and crashes, so that timers of an earlier process don't complete its work. */
+  private int incarnation;
+
   private double warmUpStartedAtMillis = LONG_AGO_MILLIS;
   private double pausedUntilMillis;
   private volatile boolean up;
   private volatile ChannelFuture listenerClosed;
 
-  // Faults.
+  // Faults. A start ends silence and random errors; the others stay until they are set again.
   private volatile boolean silent;
   private volatile double errorFraction;
   private volatile double lostResponseFraction;
@@ -119,7 +129,7 @@
     return zone;
   }
 
-  /** Its id in endpoint lists and route tables. */
+  /** The endpoint's id in endpoint lists and route tables; valid once a port is set. */
   String id() {
     return name + "@127.0.0.1:" + port;
   }
@@ -132,7 +142,7 @@
     return port;
   }
 
-  /** When its last start with a warm-up was; long ago where there was none. */
+  /** The time of the last start if it was a slow start, otherwise {@link #LONG_AGO_MILLIS}. */
   double warmUpStartedAtMillis() {
     return warmUpStartedAtMillis;
   }
@@ -141,15 +151,19 @@
     return up;
   }
 
-  /** Sets the port of its first start; without it, any free one is taken. */
+  /** Sets the port to listen at; without a call, the first start takes any free port. */
   void setPort(int newPort) {
     port = newPort;
   }
 
-  /** Starts, warming up or warm; a second start takes the same port. */
+  /**
+   * Starts the endpoint; a restart listens at the same port.
+   *
+   * @param warmingUp whether the endpoint goes through its slow start
+   */
   void start(boolean warmingUp) throws IOException, InterruptedException {
     if (listenerClosed != null) {
-      listenerClosed.await(); // the port is taken until then
+      listenerClosed.await(); // the previous listener holds the port until it is closed
     }
     server = new HttpServer(new ServerHandler(), MAX_REQUEST_BYTES).start(loops, "127.0.0.1", port);
     port = server.port();
@@ -168,7 +182,7 @@
     up = true;
   }
 
-  /** Dies at once: every connection breaks, queued requests are lost. */
+  /** Ends the endpoint at once: closes every connection and drops queued requests. */
   void crash() {
     if (up) {
       up = false;
@@ -178,42 +192,46 @@
     }
   }
 
-  /** Leaves all requests without an answer, or ends that. */
+  /** Switches the silence fault: while on, requests are read but neither executed nor answered. */
   void setSilent(boolean on) {
     silent = on;
   }
 
-  /** Starts and finishes no work for a time. */
+  /** Pauses the endpoint: for this time, it neither starts nor finishes work. */
   void pause(double millis) {
     loop.execute(() -> pausedUntilMillis = evidence.now() + millis);
   }
 
-  /** Fails a fraction of the requests at once. */
+  /** Sets the fraction of requests, 0 to 1, that fail at once with status 500. */
   void setErrorFraction(double fraction) {
     errorFraction = fraction;
   }
 
-  /** Executes requests and breaks the connection in place of a fraction of the answers. */
+  /**
+   * Sets the fraction of successful responses, 0 to 1, that are lost: the request is executed, but
+   * the connection is closed instead of sending the response.
+   */
   void setLostResponseFraction(double fraction) {
     lostResponseFraction = fraction;
   }
 
-  /** Fails all requests of a class; an empty name ends that. */
+  /** Sets the one request class whose requests all fail; an empty name stands for none. */
   void setFailingRequestClass(String requestClass) {
     failingRequestClass = requestClass;
   }
 
-  /** Reports a multiple of its utilization. */
+  /** Sets the multiple of the actual utilization that load reports claim; 1 for true reports. */
   void setReportMultiple(double multiple) {
     reportMultiple = multiple;
     evidence.add(new Evidence.FalseReport(evidence.now(), id(), 1 / Math.max(0.01, multiple)));
   }
 
+  /** Sets the multiple of the usual core time that new connections take. */
   void setHandshakeMultiple(double multiple) {
     handshakeMultiple = multiple;
   }
 
-  /** Leaves requests from some zones without an response. */
+  /** Sets the zones whose requests are neither executed nor answered. */
   void setUnreachableZones(Set<String> zones) {
     unreachableZones = zones;
   }
@@ -236,7 +254,7 @@
     }
   }
 
-  /** The fraction of its capacity that it has now. */
+  /** The fraction of the full capacity that is available now, up to 1. */
   private double warmUpFraction() {
     SlowStart slowStart = specification.slowStart();
     double progress = (evidence.now() - warmUpStartedAtMillis) / slowStart.durationMillis();
@@ -282,13 +300,16 @@
     return times.millisByClass().getOrDefault(requestClass, times.defaultMillis());
   }
 
-  /** A header's number; requests that were sent by hand may lack the header. */
+  /** Parses a numeric header; returns the default where it is missing, as in manual requests. */
   private static int numericHeader(HttpRequest request, String header, int defaultValue) {
     String value = request.header(header);
     return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : defaultValue;
   }
 
-  /** Crashes a warming-up endpoint that is sent more than a multiple of what it can do. */
+  /**
+   * Counts the work of an arriving request while the endpoint warms up and crashes it on overload;
+   * returns whether it crashed.
+   */
   private boolean crashIfOverloaded(double nowMillis, double workMillis) {
     if (warmUpFraction() >= 1) {
       return false;
@@ -304,12 +325,13 @@
     return true;
   }
 
+  /** Keeps a core busy with work that no request waits for. */
   private void occupyCore(double workMillis) {
     busyCores++;
     finishWorkAfter(workMillis / warmUpFraction(), () -> {});
   }
 
-  /** Frees the core after a time, unless the process has died since. */
+  /** Frees a core and runs an action after a time, unless the endpoint has crashed since. */
   private void finishWorkAfter(double delayMillis, Runnable action) {
     int incarnationAtStart = incarnation;
     runOutsidePauses(
@@ -323,6 +345,7 @@
         });
   }
 
+  /** Runs an action after a time, or at the end of the pause into which that time falls. */
   private void runOutsidePauses(double delayMillis, Runnable action) {
     loop.schedule(
         () -> {
--- a/src/main/java/stonespring/testbed/FaultInjection.java
+++ b/src/main/java/stonespring/testbed/FaultInjection.java
@@ -1,6 +1,6 @@
 package stonespring.testbed;
 
-/** Brings about one kind of fault and schedules its end; called on the run's thread. */
+/** Starts a fault of one kind and schedules its end; called on the scenario's thread. */
 interface FaultInjection {
   void inject(FaultTarget target) throws Exception;
 }
--- a/src/main/java/stonespring/testbed/FaultInjector.java
+++ b/src/main/java/stonespring/testbed/FaultInjector.java
@@ -7,7 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Draws what each fault of a scenario strikes, and injects it. Used from the run's thread alone.
+ * Draws the endpoints and proxies that each fault of a scenario affects, and injects the fault.
+ * Used from the scenario's thread only.
  */
 final class FaultInjector {
   private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
@@ -30,10 +31,11 @@
     }
   }
 
+  /** Starts a fault now; the timeline ends it. */
   void inject(Scenario.Fault fault) throws Exception {
     LOG.info("fault at {} s: {}", Math.round(timeline.now() / 100) / 10.0, fault);
     double end = timeline.now() + fault.durationMillis();
-    // Both are drawn for every kind, so that a script's draws don't depend on the kinds before.
+    // Both are drawn whatever the kind: later draws must not depend on the kinds of earlier faults.
     List<EndpointStandIn> endpoints =
         fleet.sample(fleet.runningEndpoints(fault.zone()), fault.fraction());
     List<ScenarioProxy> proxies = fleet.sample(fleet.proxies(fault.zone()), fault.fraction());
--- a/src/main/java/stonespring/testbed/FaultKind.java
+++ b/src/main/java/stonespring/testbed/FaultKind.java
@@ -4,81 +4,84 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The kinds of fault that a scenario's script may name, in the order in which they are listed. */
+/**
+ * The kinds of fault that a scenario script may name. Scripts use the constants' names in lower
+ * case; error messages list them in this order.
+ */
 public enum FaultKind {
-  /** Endpoints die and come back warming up. */
+  /** Endpoints crash and restart with a slow start. */
   CRASH,
-  /** Endpoints accept requests and answer none, then die. */
+  /** Endpoints accept requests without answering them, then crash and restart. */
   SILENT,
-  /** Endpoints fail a fraction of the requests at once. */
+  /** Endpoints answer a fraction of the requests with an immediate error. */
   FAST_ERRORS,
-  /** Endpoints pause again and again. */
+  /** Endpoints pause repeatedly. */
   PAUSES,
-  /** What proxies send to instances arrives late. */
+  /** Everything that proxies send to instances is delayed. */
   LATE_REPORTS,
-  /** All endpoints of a zone die. */
+  /** All endpoints of a zone crash and restart with a slow start. */
   ZONE_LOSS,
-  /** Nothing passes between a zone and the others. */
+  /** One zone is partitioned from the others. */
   ZONE_CUT,
-  /** Endpoints drain and restart in batches. */
+  /** Endpoints drain and restart in batches: a rolling restart. */
   DEPLOY,
-  /** Endpoints drain and leave for good. */
+  /** Endpoints drain and are removed for good. */
   SHRINK,
   /** New endpoints start. */
   GROWTH,
-  /** Clients send a multiple of their usual rate. */
+  /** Clients send a multiple of their usual request rate. */
   SURGE,
   /** Proxies stop and start again. */
   PROXY_CRASH,
   /** Instances are killed and start again. */
   ASSIGNER_CRASH,
-  /** Links towards proxies carry few bytes a millisecond. */
+  /** Links carry only a limited number of bytes per millisecond towards proxies. */
   SLOW_CHANNEL,
-  /** Connections between proxies and instances end once. */
+  /** All connections between proxies and instances are closed once. */
   RECONNECT,
-  /** Proxies stand still again and again. */
+  /** Proxies stall repeatedly: they read nothing and handle no requests. */
   PROXY_STALL,
-  /** All links freeze again and again. */
+  /** All links between proxies and instances freeze repeatedly. */
   ASSIGNER_STALL,
-  /** Endpoints report a multiple of their utilization. */
+  /** Endpoints report a multiple of their actual utilization. */
   FALSE_REPORTS,
-  /** Opening a connection to endpoints costs a multiple. */
+  /** New connections take a multiple of their usual core time at endpoints. */
   SLOW_HANDSHAKES,
-  /** Endpoints fail every request of one class. */
+  /** Endpoints fail every request of one request class. */
   OP_TYPE_FAILS,
-  /** Endpoints fail all requests or none, by chance. */
+  /** Endpoints switch at random between failing all requests and failing none. */
   FLAPPING,
-  /** Clients give up after a fraction of the request timeout. */
+  /** Clients give requests up after a fraction of the request timeout. */
   IMPATIENCE,
-  /** Endpoints drain and restart, a new draw each interval. */
+  /** Endpoints drain and restart; at each interval, other endpoints are drawn. */
   TAKEN_IN_WAVES,
-  /** The registry leaves out endpoints that run. */
+  /** The registry leaves running endpoints out of the endpoint list. */
   WRONG_LIST,
-  /** The registry answers nothing. */
+  /** The registry closes connections and answers no requests. */
   REGISTRY_DEAD,
-  /** Connections end after a number of bytes of the snapshot. */
+  /** Connections are closed after a number of bytes of the snapshot. */
   CUT_IN_SNAPSHOT,
-  /** Links pass one byte at a time. */
+  /** Links forward every byte in a write of its own. */
   BYTE_BY_BYTE,
-  /** One direction of the update connections ends. */
+  /** Update connections are half-closed: the direction towards the proxy ends. */
   HALF_CLOSE,
-  /** Endpoints execute requests and drop a fraction of the answers. */
+  /** Endpoints execute requests but lose a fraction of the responses. */
   LOST_ANSWERS;
 
-  /** The kind's name in a script. */
+  /** The kind's name in scenario scripts. */
   public String scriptName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** The names of all kinds, in order. */
+  /** The script names of all kinds, in the order of the constants. */
   static List<String> scriptNames() {
     return Arrays.stream(values()).map(FaultKind::scriptName).toList();
   }
 
   /**
-   * Returns the kind with a name in a script.
+   * Returns the kind with a script name.
    *
-   * @throws IllegalArgumentException where there is none
+   * @throws IllegalArgumentException if no kind has the name
    */
   static FaultKind of(String scriptName) {
     return valueOf(scriptName.toUpperCase(Locale.ROOT));
--- a/src/main/java/stonespring/testbed/FaultTarget.java
+++ b/src/main/java/stonespring/testbed/FaultTarget.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A fault and what it strikes.
+ * A fault and what it affects.
  *
- * @param endpoints those drawn from the running ones of the fault's zone
- * @param proxies those drawn from the proxies of the fault's zone
- * @param endMillis when the fault ends, on the timeline
+ * @param endpoints the drawn endpoints, out of those that run in the fault's zone
+ * @param proxies the drawn proxies, out of those in the fault's zone
+ * @param endMillis the end of the fault in {@link Timeline} milliseconds
  */
 record FaultTarget(
     Scenario.Fault fault,
--- a/src/main/java/stonespring/testbed/FaultyLink.java
+++ b/src/main/java/stonespring/testbed/FaultyLink.java
@@ -22,27 +22,42 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP relay on loopback that passes bytes late, slowly, one by one, not at all, or up to a stated
- * byte, and shows them to a tap. All state lives on one event loop; its methods may be called from
- * any thread. Reading stops while {@link #MAX_PENDING_BYTES} wait in one direction.
+ * A TCP relay on loopback with injected faults: it can delay bytes, limit their rate, forward them
+ * one at a time, hold them back, or close connections after a number of bytes. A {@link Tap}
+ * observes the traffic. For each connection, the downstream side is the one that connects to the
+ * link, and the upstream side is the server that the link connects to.
+ *
+ * <p>Connections and fault settings are confined to one event loop: the methods may be called from
+ * any thread and take effect asynchronously. The exception is {@link #addListener}, which is called
+ * from one thread, not the event loop, before the faults start. To bound memory, the link stops
+ * reading from a side while {@link #MAX_PENDING_BYTES} or more wait to be forwarded from it.
  */
 final class FaultyLink {
   /**
-   * Observes what was sent towards the dialling side, what passed the other way, and the ends of
-   * connections; called on the link's event loop.
+   * Observes the traffic of a link. Bytes towards the downstream side are reported when the link
+   * receives them, whether or not it forwards them; bytes towards the upstream side are reported
+   * when it forwards them. Called on the link's event loop.
    */
   interface Tap {
-    /** Bytes passed on a connection; {@code towardsDownstream} is towards the dialling side. */
+    /**
+     * Observes bytes of a connection.
+     *
+     * @param listener the index of the listener that accepted the connection
+     * @param connection a number that identifies the connection within the link
+     * @param towardsDownstream whether the bytes travel towards the downstream side
+     */
     void bytesPassed(int listener, long connection, boolean towardsDownstream, byte[] bytes);
 
-    /** A connection ended. */
+    /** Observes that a connection is closed. */
     default void connectionClosed(int listener, long connection) {}
 
-    /** Nothing passes from now on, though connections stay open. */
+    /** Observes that the link holds back all bytes from now on; connections stay open. */
     default void linkFrozen() {}
   }
 
   private static final int MAX_PENDING_BYTES = 1 << 20;
+
+  /** Value of {@link #closingListener} while no connection is to be closed by byte count. */
   private static final int NO_LISTENER = -1;
 
   private final EventLoop loop;
@@ -64,7 +79,10 @@
     this.tap = tap;
   }
 
-  /** Adds a listener that relays to a port; returns its own port. Listeners count from 0. */
+  /**
+   * Adds a listener that relays connections to a loopback port, and returns the listener's port.
+   * Listeners are identified by index, from 0 in the order of their creation.
+   */
   int addListener(int targetPort) throws InterruptedException {
     int index = listeners.size();
     Channel listener =
@@ -95,7 +113,11 @@
     loop.execute(action);
   }
 
-  /** Ends all connections; with {@code refuseNew}, also new ones until the next call. */
+  /**
+   * Closes all connections.
+   *
+   * @param refuseNew whether new connections are closed on accept until the next call
+   */
   void closeConnections(boolean refuseNew) {
     execute(
         () -> {
@@ -104,7 +126,10 @@
         });
   }
 
-  /** Holds back all bytes while connections stay open, or passes them on again. */
+  /**
+   * Freezes or unfreezes the link. While it is frozen, connections stay open, and bytes are held
+   * back and forwarded afterwards.
+   */
   void setFrozen(boolean on) {
     execute(
         () -> {
@@ -120,7 +145,7 @@
         });
   }
 
-  /** Delays what passes from now on, by direction; up is from the dialling side. */
+  /** Sets the delay of bytes that arrive from now on, by direction. */
   void setDelays(long upstreamMillis, long downstreamMillis) {
     execute(
         () -> {
@@ -129,17 +154,20 @@
         });
   }
 
-  /** Limits the rate towards the dialling side. */
+  /** Limits the rate towards the downstream side; {@link Double#MAX_VALUE} stands for no limit. */
   void setDownstreamRate(double newBytesPerMillisecond) {
     execute(() -> downstreamBytesPerMillisecond = newBytesPerMillisecond);
   }
 
-  /** Passes each byte by itself, or no more. */
+  /** Switches whether every byte is forwarded in a write of its own. */
   void setByteByByte(boolean on) {
     execute(() -> byteByByte = on);
   }
 
-  /** Ends the next connection of a listener after some bytes towards the dialling side. */
+  /**
+   * Closes one connection of a listener: the first whose total of bytes towards the downstream side
+   * reaches a number. Bytes beyond that number are dropped.
+   */
   void closeConnectionAfter(int listener, long downstreamBytes) {
     execute(
         () -> {
@@ -148,7 +176,7 @@
         });
   }
 
-  /** Ends the direction towards the dialling side of all connections of a listener. */
+  /** Half-closes all connections of a listener: ends the direction towards the downstream side. */
   void halfClose(int listener) {
     execute(
         () ->
@@ -157,7 +185,7 @@
                 .forEach(connection -> ((SocketChannel) connection.downstream).shutdownOutput()));
   }
 
-  /** Ends all connections and listeners. */
+  /** Closes all listeners and connections. */
   void close() {
     execute(
         () -> {
@@ -193,7 +221,7 @@
                   new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                      // Filled in below, before anything is read.
+                      // The handler is added below: auto-read is off until the connect succeeds.
                     }
                   })
               .connect(new InetSocketAddress("127.0.0.1", targetPort))
@@ -224,7 +252,7 @@
     }
   }
 
-  /** One direction. */
+  /** Forwards the bytes of one direction of a connection, in order, once they are due. */
   private final class Direction extends ChannelInboundHandlerAdapter {
     private final Connection connection;
     private final Channel source;
@@ -233,6 +261,8 @@
     private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
     private final ArrayDeque<Long> dueAtNanos = new ArrayDeque<>();
     private long pendingBytes;
+
+    /** When the latest pending bytes are due; later bytes are never due before them. */
     private long lastDueAtNanos;
 
     Direction(Connection connection, Channel source, Channel destination, boolean toDownstream) {
@@ -252,7 +282,7 @@
             connection.listener,
             connection.id,
             true,
-            copy); // as the far side sent it, whatever happens to it here
+            copy); // reported as received: the link may still hold back or drop it
       }
       long delayNanos =
           TimeUnit.MILLISECONDS.toNanos(toDownstream ? downstreamDelayMillis : upstreamDelayMillis);
--- a/src/main/java/stonespring/testbed/FreePorts.java
+++ b/src/main/java/stonespring/testbed/FreePorts.java
@@ -8,21 +8,29 @@
 import java.util.List;
 
 /**
- * Hands out ports that stay free while their user restarts. They lie below the range that operating
- * systems use for outgoing connections. A process reserves whole blocks by listening at each
- * block's first port, so that two processes never compete for one. Each port is handed out once.
+ * Hands out loopback ports that stay free while the server that uses them restarts. They lie below
+ * the range that operating systems assign to outgoing connections. A process reserves a whole block
+ * of ports by listening at the block's first port, so that two processes never use the same one.
+ * Each port is handed out once. Thread-safe.
  */
 final class FreePorts {
   private static final int FIRST_PORT = 11_000;
   private static final int PORTS_PER_BLOCK = 250;
   private static final int BLOCK_COUNT = 80;
   private static final List<ServerSocket> RESERVATIONS = new ArrayList<>();
+
+  /** The next port of the current block to hand out; the block ends before {@code blockEndPort}. */
   private static int nextPort;
+
   private static int blockEndPort;
 
   private FreePorts() {}
 
-  /** Returns the first of {@code count} free ports in a row. */
+  /**
+   * Returns the first of {@code count} consecutive free ports.
+   *
+   * @throws IOException if no block is left, or a block is too small for {@code count} ports
+   */
   static synchronized int take(int count) throws IOException {
     while (true) {
       int freeCount = 0;
@@ -52,7 +60,7 @@
         blockEndPort = firstPort + PORTS_PER_BLOCK;
         return;
       } catch (IOException e) {
-        // Another process holds this block.
+        // This block is already reserved, by this or another process.
       }
     }
     throw new IOException("no block of free ports is left from " + FIRST_PORT + " on");
--- a/src/main/java/stonespring/testbed/InfrastructureFaults.java
+++ b/src/main/java/stonespring/testbed/InfrastructureFaults.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Faults of the instances, of the registry and of the network between zones. */
+/**
+ * Faults of the instances, of the registry and of the network between zones. Used from the
+ * scenario's thread only.
+ */
 final class InfrastructureFaults {
   private final ScenarioFleet fleet;
   private final Timeline timeline;
@@ -31,6 +34,10 @@
     }
   }
 
+  /**
+   * Makes all instances appear stalled at each interval by freezing their links; the magnitude is
+   * the length of a stall in milliseconds.
+   */
   private void stallInstances(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
@@ -62,6 +69,10 @@
     timeline.during(target.fault(), () -> setIsolated(zone, true), () -> setIsolated(zone, false));
   }
 
+  /**
+   * Isolates a zone or ends its isolation: endpoints leave requests from the other side unanswered,
+   * and links between a proxy and an instance on different sides freeze.
+   */
   private void setIsolated(String zone, boolean isolated) {
     Set<String> otherZones = new LinkedHashSet<>(fleet.zones());
     otherZones.remove(zone);
@@ -72,7 +83,7 @@
     for (ScenarioProxy proxy : fleet.proxies()) {
       boolean proxyInside = fleet.zones().get(proxy.zone()).equals(zone);
       for (int i = 0; i < proxy.links().size(); i++) {
-        // Instance i is taken to be in zone i.
+        // Instances belong to no zone; instance i is treated as part of zone i.
         boolean instanceInside = fleet.zones().get(i % fleet.zones().size()).equals(zone);
         if (proxyInside != instanceInside) {
           proxy.links().get(i).setFrozen(isolated);
--- a/src/main/java/stonespring/testbed/InstanceProcess.java
+++ b/src/main/java/stonespring/testbed/InstanceProcess.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An instance in a process of its own, so that it can be killed outright. */
+/** An instance in a separate process, so that it can be killed without a shutdown. */
 final class InstanceProcess {
   private static final int KILL_SECONDS = 5;
   private static final int STOP_SECONDS = 8;
@@ -21,6 +21,16 @@
   private final int port;
   private Process process;
 
+  /**
+   * Prepares an instance without starting it.
+   *
+   * @param script the settings of the instance
+   * @param port the first of the instance's consecutive ports
+   * @param registryPort the registry's port, in place of the one in the script; 0 for the one in
+   *     the script
+   * @param savedList the file in which the instance saves the endpoint list
+   * @param log the file to which the instance's standard error is appended
+   */
   InstanceProcess(Path script, int port, int registryPort, Path savedList, Path log) {
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(
@@ -42,7 +52,7 @@
     this.port = port;
   }
 
-  /** Starts it and waits until it serves. */
+  /** Starts the process and waits until the instance serves. */
   void start() throws IOException {
     process =
         new ProcessBuilder(command)
@@ -60,18 +70,18 @@
     return port;
   }
 
-  /** Kills it at once and waits for its end. */
+  /** Kills the process and waits at most {@link #KILL_SECONDS} for its end. */
   void kill() throws InterruptedException {
     process.destroyForcibly().waitFor(KILL_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Asks it to stop; returns whether it did so in time. */
+  /** Asks the process to stop; returns whether it ended within {@link #STOP_SECONDS}. */
   boolean stop() throws InterruptedException {
     process.destroy();
     return process.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Its resident memory by the operating system. */
+  /** Returns the resident set size of the process. */
   long residentBytes() throws IOException {
     for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
       if (line.startsWith("VmRSS:")) {
--- a/src/main/java/stonespring/testbed/OverloadDetector.java
+++ b/src/main/java/stonespring/testbed/OverloadDetector.java
@@ -2,7 +2,10 @@
 
 import java.util.ArrayDeque;
 
-/** Adds up the work that arrives at a warming-up endpoint over a window. Not thread-safe. */
+/**
+ * Compares the work that arrived at a warming endpoint within a sliding window with its capacity.
+ * Not thread-safe.
+ */
 final class OverloadDetector {
   private record Arrival(double atMillis, double workMillis) {}
 
@@ -14,10 +17,12 @@
   }
 
   /**
-   * Adds a request's work.
+   * Adds the work of a request that arrives now.
    *
-   * @param capacityCores cores' worth of work that the endpoint can do now
-   * @return the window's work as a multiple of what the endpoint can do in that time
+   * @param workMillis the core time that the request takes on a warm endpoint
+   * @param capacityCores the current capacity in warm cores
+   * @return the work within the window as a multiple of the work that the endpoint can do in a
+   *     window at its current capacity
    */
   double addArrival(double nowMillis, double workMillis, double capacityCores) {
     arrivals.add(new Arrival(nowMillis, workMillis));
--- a/src/main/java/stonespring/testbed/ProxyFaults.java
+++ b/src/main/java/stonespring/testbed/ProxyFaults.java
@@ -5,11 +5,15 @@
 import java.util.function.Consumer;
 import stonespring.proxy.Proxy;
 
-/** Faults of proxies, of their clients and of their links to the instances. */
+/**
+ * Faults of proxies, of their clients and of their links to the instances. Used from the scenario's
+ * thread only.
+ */
 final class ProxyFaults {
-  /** The link's listener that carries the snapshot; see {@link WireTap}. */
+  /** The index of a link's listener for snapshots; the order is that of an instance's ports. */
   private static final int SNAPSHOT_LISTENER = 0;
 
+  /** The index of a link's listener for updates. */
   private static final int UPDATE_LISTENER = 1;
 
   private final ScenarioFleet fleet;
@@ -37,11 +41,12 @@
     injections.put(FaultKind.IMPATIENCE, this::shortenClientTimeouts);
   }
 
-  /** Does something to every link of some proxies. */
+  /** Applies an action to every link of the given proxies. */
   static void forEachLink(List<ScenarioProxy> proxies, Consumer<FaultyLink> action) {
     proxies.forEach(proxy -> proxy.links().forEach(action));
   }
 
+  /** Delays all that proxies send to instances; the magnitude is the delay in milliseconds. */
   private void delayReports(FaultTarget target) throws Exception {
     long millis = (long) target.fault().magnitude();
     timeline.during(
@@ -65,6 +70,10 @@
         () -> forEachLink(target.proxies(), link -> link.setByteByByte(false)));
   }
 
+  /**
+   * Makes proxies reconnect and closes a snapshot connection on each link early; the magnitude is
+   * the number of bytes that reach the proxy before.
+   */
   private void closeDuringSnapshot(FaultTarget target) {
     long bytes = (long) target.fault().magnitude();
     forEachLink(
@@ -82,6 +91,7 @@
     }
   }
 
+  /** Stalls proxies at each interval; the magnitude is the length of a stall in milliseconds. */
   private void stall(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
@@ -93,6 +103,7 @@
     timeline.at(timeline.now() + millis, () -> proxy.setStalled(false));
   }
 
+  /** Raises the request rate of all clients, whatever the zone; the magnitude is the multiple. */
   private void surge(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
@@ -104,6 +115,7 @@
         () -> fleet.proxies().forEach(p -> p.client().setRequestsPerSecond(p.requestsPerSecond())));
   }
 
+  /** Shortens the timeouts of all clients, whatever the zone; the magnitude is the fraction. */
   private void shortenClientTimeouts(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -17,11 +17,18 @@
 import stonespring.model.EndpointRecord;
 
 /**
- * A registry with the interface of Consul's health endpoint and its blocking queries. Changes show
- * after a delay. It records what it responded and when, as that is what instances could know. All
- * state lives on one event loop; its methods may be called from any thread.
+ * A simulated registry with the interface of Consul's health endpoint, including blocking queries.
+ * Registrations become visible after a delay, since real registries learn of changes late. The
+ * registry records each list that it responds with as evidence of what instances could know. All
+ * state is confined to one event loop; the methods may be called from any thread.
  */
 final class RegistryStandIn {
+  /**
+   * One registered endpoint.
+   *
+   * @param warmUpStartedAtMillis the start of its slow start on the clock of {@link Evidence};
+   *     negative if there was none
+   */
   private record Entry(
       String name, int port, String zone, boolean draining, double warmUpStartedAtMillis) {
     String id() {
@@ -32,6 +39,8 @@
   private static final Pattern QUERY =
       Pattern.compile("/v1/health/service/tasks(?:\\?index=([0-9]+)&wait=([0-9]+)s)?");
   private static final int MAX_REQUEST_BYTES = 1024;
+
+  /** The documented upper limit of the wait of a blocking query. */
   private static final long MAX_WAIT_MILLIS = 60_000;
 
   private final EventLoop loop;
@@ -40,11 +49,17 @@
   private final long changeDelayMillis;
   private final long unixMillisAtStart = System.currentTimeMillis();
   private final TreeMap<String, Entry> entries = new TreeMap<>();
+
+  /** The state of each endpoint in the latest response, by id. */
   private final TreeMap<String, String> lastStates = new TreeMap<>();
+
   private final List<Runnable> waitingQueries = new ArrayList<>();
   private final TreeSet<String> hiddenNames = new TreeSet<>();
   private HttpServer server;
+
+  /** The index of Consul's blocking queries: changes with every change of the list. */
   private long index = 1;
+
   private boolean unavailable;
 
   RegistryStandIn(EventLoopGroup loops, Evidence evidence, long changeDelayMillis) {
@@ -70,7 +85,10 @@
     server.stop();
   }
 
-  /** Closes all connections and answers nothing, or answers again. */
+  /**
+   * Switches the registry's outage. An outage closes all connections, and then each connection on
+   * which a request arrives.
+   */
   void setUnavailable(boolean on) {
     loop.execute(
         () -> {
@@ -81,7 +99,7 @@
         });
   }
 
-  /** Lists an endpoint as ready or draining, after the delay. */
+  /** Lists an endpoint as ready or draining once the delay has passed. */
   void register(EndpointStandIn endpoint, boolean draining) {
     Entry entry =
         new Entry(
@@ -99,7 +117,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Lists an endpoint no more, after the delay. */
+  /** Removes an endpoint from the list once the delay has passed. */
   void deregister(EndpointStandIn endpoint) {
     loop.schedule(
         () -> {
@@ -110,7 +128,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Replaces the whole list at once. */
+  /** Replaces the whole list without a delay. */
   void replaceAll(List<EndpointRecord> list, List<String> zones) {
     loop.execute(
         () -> {
@@ -132,7 +150,7 @@
         });
   }
 
-  /** Leaves an endpoint out though it runs, or lists it again. */
+  /** Hides a registered endpoint from the list or shows it again, without a delay. */
   void setHidden(String name, boolean on) {
     loop.execute(
         () -> {
@@ -145,6 +163,7 @@
         });
   }
 
+  /** Advances the index and answers all waiting queries. */
   private void publishChange() {
     index++;
     List<Runnable> responses = new ArrayList<>(waitingQueries);
@@ -170,7 +189,7 @@
     }
   }
 
-  /** Answers at the next change, or after the wait without one. */
+  /** Responds at the next change, or when the wait ends without a change. */
   private void respondOnChange(HttpServer.Exchange exchange, long waitMillis) {
     boolean[] responded = new boolean[1];
     Runnable respondOnce =
@@ -203,7 +222,10 @@
             .setHeader("content-type", "application/json"));
   }
 
-  /** Records the answer as evidence: changed entries, and those that know when they started. */
+  /**
+   * Records a response as evidence: entries whose state differs from the previous response, and
+   * every time the entries with a known start of their slow start.
+   */
   private void recordListed(List<Entry> listed) {
     TreeMap<String, String> states = new TreeMap<>();
     for (Entry entry : listed) {
--- a/src/main/java/stonespring/testbed/RequestDeduplicator.java
+++ b/src/main/java/stonespring/testbed/RequestDeduplicator.java
@@ -4,18 +4,24 @@
 import java.util.Map;
 
 /**
- * Decides which executions of requests take effect: a repeated request of a class with a
- * deduplication window has none within that window. Not thread-safe.
+ * Decides which executions of requests take effect. Within the deduplication window of its request
+ * class, a repeated request has no effect; requests of classes without a window always have one.
+ * Not thread-safe.
  */
 final class RequestDeduplicator {
   private final Map<String, Double> windowMillisByClass;
   private final Map<String, Double> effectMillisByRequestId = new HashMap<>();
 
+  /**
+   * Creates a deduplicator that knows no requests.
+   *
+   * @param windowMillisByClass the deduplication window of each request class that has one
+   */
   RequestDeduplicator(Map<String, Double> windowMillisByClass) {
     this.windowMillisByClass = windowMillisByClass;
   }
 
-  /** Whether a request that is executed now takes effect. */
+  /** Records that a request is executed now; returns whether the execution takes effect. */
   boolean recordExecution(String requestId, String requestClass, double nowMillis) {
     Double windowMillis = windowMillisByClass.get(requestClass);
     if (windowMillis == null) {
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -16,13 +16,19 @@
 import stonespring.model.Settings;
 import stonespring.proxy.routing.RouterSettings;
 
-/** Stand-ins run by themselves, for trials by hand, and settings of proxies in the test bed. */
+/**
+ * Starts single stand-ins for manual trials from the command line, and derives the settings of
+ * proxies in the test bed from those of instances.
+ */
 public final class StandIns {
-  // In units of 0.1 ms.
+  // The range of ejection times, the same as that of the proxies in deployments.
   private static final long MIN_EJECTION_DECI_MILLIS = 26_000;
   private static final long MAX_EJECTION_DECI_MILLIS = 64_000;
+
+  /** With less time left before the deadline, there is no time for a further attempt. */
   private static final long MIN_TIME_FOR_RETRY_DECI_MILLIS = 500;
 
+  // The properties of endpoints that are started from the command line.
   private static final int QUEUE_LIMIT = 200;
   private static final int CONNECTION_LIMIT = 1000;
   private static final double HANDSHAKE_MILLIS = 1;
@@ -32,9 +38,10 @@
   private StandIns() {}
 
   /**
-   * How proxies route by an instance's settings.
+   * Returns the routing settings of proxies that follow an instance's settings.
    *
-   * @param deduplicationWindow how long endpoints remember a request of a class, in 0.1 ms
+   * @param deduplicationWindow the time for which endpoints recognise a repeated request of a
+   *     class, in deci-milliseconds
    */
   public static RouterSettings routerSettings(
       InstanceSettings settings, ToLongFunction<RequestClass> deduplicationWindow) {
@@ -42,7 +49,13 @@
         settings.settings(), settings.requestClasses().names(), deduplicationWindow);
   }
 
-  /** The same for settings and the names of their request classes. */
+  /**
+   * Returns the routing settings of proxies that follow an instance's settings.
+   *
+   * @param requestClassNames the names of the request classes, in the settings' order
+   * @param deduplicationWindow the time for which endpoints recognise a repeated request of a
+   *     class, in deci-milliseconds
+   */
   public static RouterSettings routerSettings(
       Settings settings,
       List<String> requestClassNames,
@@ -66,12 +79,18 @@
         settings.admissionLimitKind());
   }
 
-  /** The request timeouts of all classes in milliseconds, in the settings' order. */
+  /** Returns the request timeouts of all classes in milliseconds, in the settings' order. */
   public static List<Long> requestTimeoutsMillis(InstanceSettings settings) {
     return settings.requestClasses().timeouts().stream().map(timeout -> timeout / 10).toList();
   }
 
-  /** Starts an endpoint at a port and returns its id as endpoint lists have it. */
+  /**
+   * Starts an endpoint on loopback and returns its id in endpoint lists.
+   *
+   * @param port the port to listen at; 0 for any free port
+   * @param serviceTimeMillis the mean service time of all requests
+   * @param warmingUp whether the endpoint goes through a slow start
+   */
   public static String startEndpoint(
       String name, String zone, int port, int cores, double serviceTimeMillis, boolean warmingUp)
       throws IOException, InterruptedException {
@@ -91,7 +110,13 @@
     return endpoint.id();
   }
 
-  /** Starts a registry whose list comes from a file, and returns its address. */
+  /**
+   * Starts a registry on loopback and returns its address.
+   *
+   * @param file the endpoint list that the registry serves; changes of the file are followed
+   * @param zones the names of the zones, by index
+   * @param port the port to listen at; 0 for any free port
+   */
   public static String startRegistry(Path file, List<String> zones, int port)
       throws IOException, InterruptedException {
     MultiThreadIoEventLoopGroup loops = newEventLoops();
--- a/src/main/java/stonespring/testbed/UtilizationMeter.java
+++ b/src/main/java/stonespring/testbed/UtilizationMeter.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** How busy an endpoint's cores were over the last half second. Not thread-safe. */
+/** Measures the utilization of an endpoint's cores over a sliding window. Not thread-safe. */
 final class UtilizationMeter {
   private static final double WINDOW_MILLIS = 500;
 
@@ -19,12 +19,12 @@
     this.cores = cores;
   }
 
-  /** Counts one core as busy from now on for a time. */
+  /** Counts one core as busy for a time that starts now. */
   void addBusyTime(double nowMillis, double durationMillis) {
     intervals.add(new Interval(nowMillis, durationMillis));
   }
 
-  /** The fraction of all cores' time in the window that was busy. */
+  /** Returns the fraction of the cores' time within the window that was busy. */
   double utilization(double nowMillis) {
     double windowStart = nowMillis - WINDOW_MILLIS;
     intervals.removeIf(interval -> interval.endMillis() < windowStart);
--- a/src/main/java/stonespring/testbed/package-info.java
+++ b/src/main/java/stonespring/testbed/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The test bed: runs scripted scenarios on loopback sockets. Real instances run in processes of
- * their own; endpoints, clients and the registry are stand-ins, links and processes are made to
- * fail by the script, and an invariant checker judges what crossed the sockets. Also holds the
- * measurements behind the {@code measure} command. Nothing of the product depends on this package
- * except the command line.
+ * The test bed: runs scripted scenarios on loopback sockets. Real instances run in separate
+ * processes; endpoints, clients and the registry are simulated by stand-ins; the script injects
+ * faults into links and processes; and an invariant checker evaluates the traffic observed at the
+ * sockets. The package also holds the measurements behind the {@code measure} command. Of the
+ * product, only the command line depends on this package.
  */
 package stonespring.testbed;
--- a/src/test/java/stonespring/testbed/FaultyLinkTest.java
+++ b/src/test/java/stonespring/testbed/FaultyLinkTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 final class FaultyLinkTest {
-  private static final int TIMEOUT_MILLIS =
-      10_000; // ms; an upper bound, every wait ends with its event
+  /** Limits a read that never ends; a passing test reads without waiting for it. */
+  private static final int TIMEOUT_MILLIS = 10_000;
+
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private ServerSocket upstreamServer;
@@ -54,7 +55,7 @@
   }
 
   private void awaitQueuedLinkCommands() throws InterruptedException {
-    loops.next().submit(() -> {}).sync(); // the link's event loop has run what was queued
+    loops.next().submit(() -> {}).sync(); // runs after all commands queued on the event loop
   }
 
   @Test
@@ -87,7 +88,7 @@
       downstreamSocket.getInputStream().read();
       throw new AssertionError("it passed through a frozen link");
     } catch (SocketTimeoutException e) {
-      // as it should be
+      // Expected: the frozen link holds the bytes back.
     }
     downstreamSocket.setSoTimeout(TIMEOUT_MILLIS);
     link.setFrozen(false);
@@ -120,7 +121,7 @@
     } catch (SocketTimeoutException e) {
       return false;
     } catch (IOException e) {
-      return true; // a reset is an end too
+      return true; // a reset closes the connection too
     }
   }
 }
