--- a/src/main/java/stonespring/testbed/FaultInjector.java
+++ b/src/main/java/stonespring/testbed/FaultInjector.java
@@ -26,14 +26,18 @@
     new InfrastructureFaults(fleet, timeline).register(injections);
     for (FaultKind kind : FaultKind.values()) {
       if (!injections.containsKey(kind)) {
-        throw new IllegalStateException("no injection for " + kind.scriptName());
+        throw new IllegalStateException(
+            "no injection is registered for fault kind " + kind.scriptName());
       }
     }
   }
 
   /** Starts a fault now; the timeline ends it. */
   void inject(Scenario.Fault fault) throws Exception {
-    LOG.info("fault at {} s: {}", Math.round(timeline.now() / 100) / 10.0, fault);
+    LOG.info(
+        "injecting fault {} s after the start of the scenario: {}",
+        Math.round(timeline.now() / 100) / 10.0,
+        fault);
     double end = timeline.now() + fault.durationMillis();
     // Both are drawn whatever the kind: later draws must not depend on the kinds of earlier faults.
     List<EndpointStandIn> endpoints =
--- a/src/main/java/stonespring/testbed/FreePorts.java
+++ b/src/main/java/stonespring/testbed/FreePorts.java
@@ -63,7 +63,14 @@
         // This block is already reserved, by this or another process.
       }
     }
-    throw new IOException("no block of free ports is left from " + FIRST_PORT + " on");
+    throw new IOException(
+        "cannot reserve "
+            + count
+            + " consecutive ports: no free block of "
+            + PORTS_PER_BLOCK
+            + " ports is left from port "
+            + FIRST_PORT
+            + " on");
   }
 
   private static boolean isFree(int port) {
--- a/src/main/java/stonespring/testbed/InstanceProcess.java
+++ b/src/main/java/stonespring/testbed/InstanceProcess.java
@@ -62,7 +62,13 @@
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     String firstLine = output.readLine();
     if (firstLine == null || !firstLine.startsWith("serving ")) {
-      throw new IOException("the instance did not start; its log is " + log);
+      throw new IOException(
+          "instance at port "
+              + port
+              + " did not start: expected a first output line that starts with \"serving \", got "
+              + (firstLine == null ? "none" : "\"" + firstLine + "\"")
+              + "; its log is "
+              + log);
     }
   }
 
@@ -88,7 +94,7 @@
         return Long.parseLong(line.replaceAll("[^0-9]", "")) * 1024;
       }
     }
-    throw new IOException("/proc has no VmRSS of the instance");
+    throw new IOException("no VmRSS line in /proc/" + process.pid() + "/status of the instance");
   }
 
   boolean alive() {
--- a/src/test/java/stonespring/testbed/FaultyLinkTest.java
+++ b/src/test/java/stonespring/testbed/FaultyLinkTest.java
@@ -86,7 +86,7 @@
     downstreamSocket.setSoTimeout(50);
     try {
       downstreamSocket.getInputStream().read();
-      throw new AssertionError("it passed through a frozen link");
+      throw new AssertionError("the frozen link forwarded a byte towards the downstream side");
     } catch (SocketTimeoutException e) {
       // Expected: the frozen link holds the bytes back.
     }
