--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -47,7 +47,7 @@
 
   private InstanceSettings withOptions(InstanceSettings script) throws CommandFailedException {
     try {
-      return script.with(port, registryPort, savedList);
+      return script.withOverrides(port, registryPort, savedList);
     } catch (IllegalArgumentException e) {
       throw CommandFailedException.usage(e.getMessage(), e);
     }
--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -46,9 +46,9 @@
   /**
    * What the request classes are called and when they time out, by position.
    *
-   * @param timeouts in {@link stonespring.model.DeciMillis}
+   * @param timeoutsDeciMillis in {@link stonespring.model.DeciMillis}
    */
-  public record RequestClasses(List<String> names, List<Long> timeouts) {}
+  public record RequestClasses(List<String> names, List<Long> timeoutsDeciMillis) {}
 
   /**
    * Where the endpoint list comes from.
@@ -113,7 +113,8 @@
    *
    * @throws IllegalArgumentException if a port is out of range, or there is no registry
    */
-  public InstanceSettings with(Integer otherPort, Integer registryPort, Path otherCacheFile) {
+  public InstanceSettings withOverrides(
+      Integer otherPort, Integer registryPort, Path otherCacheFile) {
     if (otherPort != null && (otherPort < 0 || otherPort > MAX_SNAPSHOT_PORT)) {
       throw new IllegalArgumentException("the port is outside 0 to " + MAX_SNAPSHOT_PORT);
     }
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -15,11 +15,14 @@
  * @param settings what the decisions are configured with
  * @param zones the zones' names, by position
  * @param requestClassNames the request classes' names, by position
- * @param minBatchInterval the shortest time between two event batches, {@link
+ * @param minBatchIntervalDeciMillis the shortest time between two event batches, {@link
  *     stonespring.model.DeciMillis}
  */
 public record PlatformSettings(
-    Settings settings, List<String> zones, List<String> requestClassNames, long minBatchInterval) {
+    Settings settings,
+    List<String> zones,
+    List<String> requestClassNames,
+    long minBatchIntervalDeciMillis) {
   /** A command names its request classes by the bits of an int. */
   private static final int MAX_REQUEST_CLASSES = 31;
 
@@ -43,9 +46,9 @@
     }
     checkSizes(fields, fleet, zones, classes);
     Settings settings = readSettings(fields, fleet, rules, zones.size(), classes);
-    long minBatchInterval = fields.duration("roundS", 0);
+    long minBatchIntervalDeciMillis = fields.duration("roundS", 0);
     return new PlatformSettings(
-        settings, List.copyOf(zones), List.copyOf(classNames), minBatchInterval);
+        settings, List.copyOf(zones), List.copyOf(classNames), minBatchIntervalDeciMillis);
   }
 
   private static RequestClass readRequestClass(JsonFields category) {
@@ -148,6 +151,6 @@
   /** These settings as they hold on the platform's sockets. */
   PlatformSettings onPlatform() {
     return new PlatformSettings(
-        settings.withPlatformConstraints(), zones, requestClassNames, minBatchInterval);
+        settings.withPlatformConstraints(), zones, requestClassNames, minBatchIntervalDeciMillis);
   }
 }
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -57,7 +57,8 @@
     this.onGiveUp = onGiveUp;
     this.endpointList = EndpointListRequests.to(source);
     this.events =
-        new EventBatcher(eventLoop, clock, config.settings().minBatchInterval(), this::runBatch);
+        new EventBatcher(
+            eventLoop, clock, config.settings().minBatchIntervalDeciMillis(), this::runBatch);
     this.reports = new ReportBatcher(eventLoop, clock, this::reportsGathered);
     this.timer = new EngineTimer(eventLoop, events::requestBatch);
   }
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -255,7 +255,7 @@
               scenario.load().shares().get(name),
               scenario.instance().settings().requestClasses().get(k).retrySafety()
                   == RetrySafety.IDEMPOTENT,
-              scenario.instance().requestClasses().timeouts().get(k) / 10.0));
+              scenario.instance().requestClasses().timeoutsDeciMillis().get(k) / 10.0));
     }
     return mix;
   }
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -69,7 +69,7 @@
       classes.add(
           new Recording.RequestClassInfo(
               name,
-              scenario.instance().requestClasses().timeouts().get(k),
+              scenario.instance().requestClasses().timeoutsDeciMillis().get(k),
               Math.round(scenario.endpointModel().serviceTimeMillis().get(name) * 10)));
     }
     return classes;
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -74,7 +74,10 @@
 
   private void awaitAnswers() throws ScenarioFailedException, InterruptedException {
     double longestTimeoutMillis =
-        scenario.instance().requestClasses().timeouts().stream().mapToLong(t -> t).max().orElse(0)
+        scenario.instance().requestClasses().timeoutsDeciMillis().stream()
+                .mapToLong(t -> t)
+                .max()
+                .orElse(0)
             / 10.0;
     double until = evidence.now() + longestTimeoutMillis + ANSWER_MARGIN_MILLIS;
     while (fleet.openRequests() > 0 && evidence.now() < until) {
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -67,7 +67,9 @@
 
   /** The request timeouts of all classes in milliseconds, in the settings' order. */
   public static List<Long> requestTimeoutsMillis(InstanceSettings settings) {
-    return settings.requestClasses().timeouts().stream().map(timeout -> timeout / 10).toList();
+    return settings.requestClasses().timeoutsDeciMillis().stream()
+        .map(timeout -> timeout / 10)
+        .toList();
   }
 
   /** Starts an endpoint at a port and returns its id as endpoint lists have it. */
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -127,7 +127,8 @@
             + " 4.0 0.3 false 3 false",
         values(settings.settings()));
     assertEquals(List.of("view", "sketch", "extract"), settings.requestClasses().names());
-    assertEquals(List.of(15_000L, 20_000L, 15_000L), settings.requestClasses().timeouts());
+    assertEquals(
+        List.of(15_000L, 20_000L, 15_000L), settings.requestClasses().timeoutsDeciMillis());
     assertEquals(7400, settings.listen().port());
   }
 
@@ -151,7 +152,7 @@
             + file.seed());
     assertEquals(ZONES, file.settings().zones());
     assertEquals(List.of("look", "edit", "buy"), file.settings().requestClassNames());
-    assertEquals(2500, file.settings().minBatchInterval());
+    assertEquals(2500, file.settings().minBatchIntervalDeciMillis());
     assertEquals(4, file.cachedEndpointList().orElseThrow().get("seq").asInt());
   }
 }
