--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -91,7 +91,7 @@
     List<SettingsError> errors = new ArrayList<>();
     Section globals = Section.of(file.toString(), Script.run(file), errors);
     InstanceSettings settings = decode(globals, file);
-    globals.allow(SettingsKeys.SCENARIO); // the script may serve a scenario too
+    globals.ignoreKey(SettingsKeys.SCENARIO); // the script may serve a scenario too
     globals.rejectUnknownKeys();
     if (!errors.isEmpty()) {
       throw new ScriptException(errors);
--- a/src/main/java/stonespring/config/InstanceSettingsDecoder.java
+++ b/src/main/java/stonespring/config/InstanceSettingsDecoder.java
@@ -33,8 +33,8 @@
   private static final String LIMIT_NONE = "none";
   private static final List<String> LIMIT_KIND_WORDS =
       List.of(LIMIT_FRACTION, LIMIT_RATE, LIMIT_NONE);
-  private static final String FROM_FILE = "file";
-  private static final String FROM_REGISTRY = "registry";
+  private static final String SOURCE_FILE = "file";
+  private static final String SOURCE_REGISTRY = "registry";
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
   private static final String LISTEN_HOST_PATTERN = "[0-9a-zA-Z.:-]{1,100}";
   private static final String REGISTRY_HOST_PATTERN = "[0-9a-zA-Z.-]{1,100}";
@@ -73,7 +73,7 @@
 
   /** What the section {@code rules} holds; durations in {@link DeciMillis}. */
   private record Rules(
-      long maxTimeWithoutEndpoint,
+      long maxTimeWithoutEndpointDeciMillis,
       Settings.SlowStart slowStart,
       boolean removedEndpointsKeepServing) {}
 
@@ -86,7 +86,8 @@
     DecodedRequestClasses requestClasses = decodeRequestClasses();
     Source source = decodeSource();
     Settings settings =
-        decodeSettings(fleet, requestClasses.settings(), source instanceof Source.FromRegistry);
+        decodeEngineSettings(
+            fleet, requestClasses.settings(), source instanceof Source.FromRegistry);
     Limits limits = decodeLimits();
     return new InstanceSettings(
         instance.name(),
@@ -133,7 +134,7 @@
   private DecodedRequestClasses decodeRequestClasses() {
     List<RequestClass> classes = new ArrayList<>();
     List<String> names = new ArrayList<>();
-    List<Long> timeouts = new ArrayList<>();
+    List<Long> timeoutsDeciMillis = new ArrayList<>();
     for (Section section : globals.sections(SettingsKeys.REQUEST_CLASSES, 1, 16)) {
       String name = section.text(SettingsKeys.NAME, NAME_PATTERN, null);
       if (names.contains(name)) {
@@ -147,15 +148,15 @@
       if (timeoutMillis < objectiveMillis) {
         section.reject(SettingsKeys.REQUEST_TIMEOUT_MILLIS, "is below the target latency");
       }
-      timeouts.add(fromMillis(timeoutMillis));
+      timeoutsDeciMillis.add(deciMillisOfMillis(timeoutMillis));
       classes.add(
           new RequestClass(
               retrySafety(section.choice(SettingsKeys.RETRY_SAFETY, RETRY_SAFETY_WORDS, null)),
-              fromMillis(objectiveMillis),
+              deciMillisOfMillis(objectiveMillis),
               section.number(SettingsKeys.PRIORITY_WEIGHT, 0, 1e6, 1.0)));
       section.rejectUnknownKeys();
     }
-    return new DecodedRequestClasses(classes, new RequestClasses(names, timeouts));
+    return new DecodedRequestClasses(classes, new RequestClasses(names, timeoutsDeciMillis));
   }
 
   private static RetrySafety retrySafety(String word) {
@@ -171,8 +172,8 @@
     Section section = globals.section(SettingsKeys.ENDPOINT_LIST, true);
     Source source;
     if (section
-        .choice(SettingsKeys.SOURCE, List.of(FROM_FILE, FROM_REGISTRY), null)
-        .equals(FROM_REGISTRY)) {
+        .choice(SettingsKeys.SOURCE, List.of(SOURCE_FILE, SOURCE_REGISTRY), null)
+        .equals(SOURCE_REGISTRY)) {
       source =
           new Source.FromRegistry(
               section.text(SettingsKeys.HOST, REGISTRY_HOST_PATTERN, LOCAL_HOST),
@@ -186,11 +187,11 @@
     return source;
   }
 
-  private Settings decodeSettings(
+  private Settings decodeEngineSettings(
       Fleet fleet, List<RequestClass> requestClasses, boolean watchRequired) {
     Settings.ChannelLimits channel = decodeChannel();
     Rules rules = decodeRules();
-    long reportInterval = decodeReportInterval();
+    long reportIntervalDeciMillis = decodeReportInterval();
     Prices prices = decodePrices();
     return new Settings(
         new Settings.Fleet(fleet.instances(), fleet.zones().size(), fleet.proxies(), false),
@@ -200,13 +201,13 @@
             globals.choice(SettingsKeys.ADMISSION_LIMIT_KIND, LIMIT_KIND_WORDS, LIMIT_FRACTION)),
         channel,
         new Settings.RoutingRules(
-            rules.maxTimeWithoutEndpoint(),
+            rules.maxTimeWithoutEndpointDeciMillis(),
             fleet.bootstrapRouteCount(),
             prices.crossZonePenalty(),
             prices.worstClassWeight(),
             fleet.ejectAfterConsecutiveFailures()),
         rules.slowStart(),
-        reportInterval);
+        reportIntervalDeciMillis);
   }
 
   private Settings.ChannelLimits decodeChannel() {
@@ -288,7 +289,7 @@
   }
 
   /** Converts milliseconds to {@link DeciMillis}, rounded to the nearest. */
-  private static long fromMillis(double millis) {
+  private static long deciMillisOfMillis(double millis) {
     return Math.round(millis * DeciMillis.SECOND / 1000);
   }
 }
--- a/src/main/java/stonespring/config/PlatformConfig.java
+++ b/src/main/java/stonespring/config/PlatformConfig.java
@@ -83,7 +83,7 @@
       throw new InvalidConfigException(file, "field 'settings' is missing or no object");
     }
     int sockets = sockets(file, object.path("limits").path("sockets"));
-    PlatformSettings platformSettings = PlatformSettings.read(settings).onPlatform();
+    PlatformSettings platformSettings = PlatformSettings.read(settings).withPlatformConstraints();
     return new PlatformConfig(
         text(file, object, "name"),
         address(file, object, "listen"),
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -44,7 +44,7 @@
       classNames.add(category.text("name"));
       classes.add(readRequestClass(category));
     }
-    checkSizes(fields, fleet, zones, classes);
+    requirePositiveFields(fields, fleet, zones, classes);
     Settings settings = readSettings(fields, fleet, rules, zones.size(), classes);
     long minBatchIntervalDeciMillis = fields.duration("roundS", 0);
     return new PlatformSettings(
@@ -67,7 +67,7 @@
     };
   }
 
-  private static void checkSizes(
+  private static void requirePositiveFields(
       JsonFields fields, JsonFields fleet, List<String> zones, List<RequestClass> classes) {
     requireAtLeastOne("zones", zones.size());
     requireAtLeastOne("categories", classes.size());
@@ -99,16 +99,16 @@
     boolean watchRequired = fields.text("discovery").equals("on_request");
     AdmissionLimitKind limitKind = limitKind(fleet.text("levelKind"));
     Settings.ChannelLimits channel = readChannel(fleet);
-    long maxTimeWithoutEndpoint = fleet.duration("emptyForS");
+    long maxTimeWithoutEndpointDeciMillis = fleet.duration("emptyForS");
     int bootstrapRouteCount = (int) fleet.number("bootstrap");
     int proxies = (int) fleet.number("proxyCount");
-    long reportInterval = fleet.duration("reportEveryS");
+    long reportIntervalDeciMillis = fleet.duration("reportEveryS");
     boolean sharded = fleet.number("partitionsN", 0) > 0;
     double crossZonePenalty = fields.object("prices").number("crossZone", 0);
     Settings.SlowStart slowStart = readSlowStart(rules);
     double worstClassWeight = fields.optionalObject("scoringMix").number("worstClass", 0);
     boolean removedEndpointsKeepServing = rules.isTrue("droppedStayOpen");
-    int ejectAfter = (int) fleet.number("outlierAfter", 0);
+    int ejectAfterConsecutiveFailures = (int) fleet.number("outlierAfter", 0);
     return new Settings(
         new Settings.Fleet(instances, zones, proxies, sharded),
         List.copyOf(classes),
@@ -116,13 +116,13 @@
         limitKind,
         channel,
         new Settings.RoutingRules(
-            maxTimeWithoutEndpoint,
+            maxTimeWithoutEndpointDeciMillis,
             bootstrapRouteCount,
             crossZonePenalty,
             worstClassWeight,
-            ejectAfter),
+            ejectAfterConsecutiveFailures),
         slowStart,
-        reportInterval);
+        reportIntervalDeciMillis);
   }
 
   private static AdmissionLimitKind limitKind(String word) {
@@ -149,7 +149,7 @@
   }
 
   /** These settings as they hold on the platform's sockets. */
-  PlatformSettings onPlatform() {
+  PlatformSettings withPlatformConstraints() {
     return new PlatformSettings(
         settings.withPlatformConstraints(), zones, requestClassNames, minBatchIntervalDeciMillis);
   }
--- a/src/main/java/stonespring/config/Section.java
+++ b/src/main/java/stonespring/config/Section.java
@@ -43,7 +43,7 @@
   }
 
   /** Makes a key known that is not read here. */
-  void allow(String key) {
+  void ignoreKey(String key) {
     knownKeys.add(key);
   }
 
@@ -61,10 +61,10 @@
     if (!(number >= minimum && number <= maximum)) {
       reject(
           key,
-          outOfRange(
-              Values.plainNumber(number),
-              Values.plainNumber(minimum),
-              Values.plainNumber(maximum)));
+          describeOutOfRange(
+              Values.formatNumber(number),
+              Values.formatNumber(minimum),
+              Values.formatNumber(maximum)));
       return minimum;
     }
     return number;
@@ -81,13 +81,13 @@
       return minimum;
     }
     if (number < minimum || number > maximum) {
-      reject(key, outOfRange(number, minimum, maximum));
+      reject(key, describeOutOfRange(number, minimum, maximum));
       return minimum;
     }
     return number.intValue();
   }
 
-  private static String outOfRange(Object value, Object minimum, Object maximum) {
+  private static String describeOutOfRange(Object value, Object minimum, Object maximum) {
     return "is " + value + ", outside " + minimum + " to " + maximum;
   }
 
@@ -167,7 +167,7 @@
     }
     List<SettingsError> discardedErrors = new ArrayList<>();
     return new Section(
-        path(key),
+        qualifiedName(key),
         value instanceof ScriptDict child ? child : new ScriptDict(),
         locationOf(key),
         value == null && required ? discardedErrors : errors);
@@ -180,7 +180,7 @@
     for (int i = 0; i < list.size(); i++) {
       SourceLocation itemLocation = locationOf(key, list, i);
       if (list.get(i) instanceof ScriptDict child) {
-        sections.add(new Section(path(key) + "[" + i + "]", child, itemLocation, errors));
+        sections.add(new Section(qualifiedName(key) + "[" + i + "]", child, itemLocation, errors));
       } else {
         addError(
             itemLocation, key, "holds " + Values.typeName(list.get(i)) + " where a dict belongs");
@@ -223,7 +223,7 @@
     return list;
   }
 
-  private String path(String key) {
+  private String qualifiedName(String key) {
     return name.isEmpty() ? key : name + "." + key;
   }
 
@@ -236,6 +236,6 @@
   }
 
   private void addError(SourceLocation errorLocation, String key, String message) {
-    errors.add(new SettingsError(errorLocation, "'" + path(key) + "' " + message));
+    errors.add(new SettingsError(errorLocation, "'" + qualifiedName(key) + "' " + message));
   }
 }
--- a/src/main/java/stonespring/config/script/BuiltinFunctions.java
+++ b/src/main/java/stonespring/config/script/BuiltinFunctions.java
@@ -46,8 +46,8 @@
       case "len" -> length(location, arguments.get(0));
       case "range" -> range(location, arguments);
       case "str" -> toText(arguments.get(0));
-      case "int" -> toWholeNumber(arguments.get(0));
-      case "float" -> toFloat(arguments.get(0));
+      case "int" -> toLong(arguments.get(0));
+      case "float" -> toDouble(arguments.get(0));
       case "abs" -> absolute(arguments.get(0));
       case "min" -> minimum(location, candidates(location, arguments));
       case "max" -> maximum(location, candidates(location, arguments));
@@ -78,14 +78,14 @@
   }
 
   private static String toText(Object value) {
-    return value instanceof Double number ? Values.plainNumber(number) : String.valueOf(value);
+    return value instanceof Double number ? Values.formatNumber(number) : String.valueOf(value);
   }
 
-  private static Long toWholeNumber(Object value) {
+  private static Long toLong(Object value) {
     return value instanceof String text ? Long.valueOf(text) : (Long) ((Number) value).longValue();
   }
 
-  private static Double toFloat(Object value) {
+  private static Double toDouble(Object value) {
     return value instanceof String text
         ? Double.valueOf(text)
         : (Double) ((Number) value).doubleValue();
--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -36,13 +36,13 @@
     }
     if (expression instanceof Expression.Binary binary) {
       Object left = evaluate(binary.left(), scope);
-      return isDecidedBy(binary.operator(), left)
+      return shortCircuits(binary.operator(), left)
           ? left
           : applyBinary(binary, left, evaluate(binary.right(), scope));
     }
     if (expression instanceof Expression.Conditional conditional) {
-      boolean holds = Values.isTrue(evaluate(conditional.condition(), scope));
-      return evaluate(holds ? conditional.whenTrue() : conditional.whenFalse(), scope);
+      boolean conditionHolds = Values.isTrue(evaluate(conditional.condition(), scope));
+      return evaluate(conditionHolds ? conditional.whenTrue() : conditional.whenFalse(), scope);
     }
     if (expression instanceof Expression.Index index) {
       Object container = evaluate(index.container(), scope);
@@ -93,7 +93,7 @@
   }
 
   /** Whether the left operand is the value of AND or OR, so that the right one is not evaluated. */
-  private static boolean isDecidedBy(BinaryOperator operator, Object left) {
+  private static boolean shortCircuits(BinaryOperator operator, Object left) {
     return switch (operator) {
       case AND -> !Values.isTrue(left);
       case OR -> Values.isTrue(left);
--- a/src/main/java/stonespring/config/script/ExpressionParser.java
+++ b/src/main/java/stonespring/config/script/ExpressionParser.java
@@ -17,10 +17,10 @@
   /** Parses a whole expression. */
   Expression parse() {
     tokens.enter(tokens.peek().location());
-    Expression expression = parseOperators();
+    Expression expression = parseOperatorExpression();
     if (tokens.nextIs("if")) {
       SourceLocation location = tokens.next().location();
-      Expression condition = parseOperators();
+      Expression condition = parseOperatorExpression();
       tokens.expect("else");
       expression = new Expression.Conditional(location, expression, condition, parse());
     }
@@ -29,19 +29,19 @@
   }
 
   /** Parses an expression that is no conditional one. */
-  private Expression parseOperators() {
+  private Expression parseOperatorExpression() {
     return parseBinary(0);
   }
 
-  private Expression parseBinary(int level) {
-    if (level == PRECEDENCES.length) {
+  private Expression parseBinary(int precedenceLevel) {
+    if (precedenceLevel == PRECEDENCES.length) {
       return parseUnary();
     }
-    Precedence precedence = PRECEDENCES[level];
+    Precedence precedence = PRECEDENCES[precedenceLevel];
     if (precedence == Precedence.COMPARISON && tokens.nextIs("not")) {
-      return parseNot(level);
+      return parseNot(precedenceLevel);
     }
-    Expression left = parseBinary(level + 1);
+    Expression left = parseBinary(precedenceLevel + 1);
     while (true) {
       BinaryOperator operator = peekBinaryOperator();
       if (operator == null || operator.precedence() != precedence) {
@@ -51,14 +51,14 @@
       if (operator == BinaryOperator.NOT_IN) {
         tokens.next();
       }
-      left = new Expression.Binary(location, operator, left, parseBinary(level + 1));
+      left = new Expression.Binary(location, operator, left, parseBinary(precedenceLevel + 1));
     }
   }
 
-  private Expression parseNot(int level) {
+  private Expression parseNot(int precedenceLevel) {
     SourceLocation location = tokens.next().location();
     tokens.enter(location);
-    Expression operand = parseBinary(level);
+    Expression operand = parseBinary(precedenceLevel);
     tokens.leave();
     return new Expression.Unary(location, UnaryOperator.NOT, operand);
   }
@@ -202,8 +202,8 @@
       SourceLocation location = tokens.next().location();
       List<String> names = tokens.expectNames();
       tokens.expect("in");
-      Expression iterable = parseOperators();
-      Expression condition = tokens.take("if") ? parseOperators() : null;
+      Expression iterable = parseOperatorExpression();
+      Expression condition = tokens.take("if") ? parseOperatorExpression() : null;
       clauses.add(new Expression.ComprehensionClause(location, names, iterable, condition));
     }
     return clauses;
--- a/src/main/java/stonespring/config/script/NearestName.java
+++ b/src/main/java/stonespring/config/script/NearestName.java
@@ -13,11 +13,11 @@
    */
   public static String hint(String misspelled, Collection<String> known) {
     String nearest = null;
-    int least = Math.max(2, misspelled.length() / 3) + 1;
+    int smallestDistance = Math.max(2, misspelled.length() / 3) + 1;
     for (String name : known.stream().sorted().toList()) {
       int distance = editDistance(misspelled, name);
-      if (distance < least) {
-        least = distance;
+      if (distance < smallestDistance) {
+        smallestDistance = distance;
         nearest = name;
       }
     }
@@ -31,11 +31,11 @@
       row[j] = j;
     }
     for (int i = 1; i <= from.length(); i++) {
-      int diagonal = row[0];
+      int diagonalDistance = row[0];
       row[0] = i;
       for (int j = 1; j <= to.length(); j++) {
-        int substitution = diagonal + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
-        diagonal = row[j];
+        int substitution = diagonalDistance + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
+        diagonalDistance = row[j];
         row[j] = Math.min(substitution, Math.min(row[j], row[j - 1]) + 1);
       }
     }
--- a/src/main/java/stonespring/config/script/ScriptLoader.java
+++ b/src/main/java/stonespring/config/script/ScriptLoader.java
@@ -17,10 +17,10 @@
   private static final int MAX_FILE_BYTES = 1 << 20;
 
   /** The most files of which each loads the next. */
-  private static final int MAX_FILES_LOADING = 16;
+  private static final int MAX_LOAD_DEPTH = 16;
 
   private final List<SettingsError> errors = new ArrayList<>();
-  private final Map<Path, Map<String, Object>> globalsOfLoaded = new HashMap<>();
+  private final Map<Path, Map<String, Object>> globalsByPath = new HashMap<>();
   private final Set<Path> loading = new HashSet<>();
   private final StatementExecutor executor = new StatementExecutor(this);
 
@@ -33,18 +33,14 @@
    */
   Map<String, Object> load(Path file, SourceLocation from) {
     Path path = file.toAbsolutePath().normalize();
-    Map<String, Object> known = globalsOfLoaded.get(path);
-    if (known != null) {
-      return known;
+    Map<String, Object> loaded = globalsByPath.get(path);
+    if (loaded != null) {
+      return loaded;
     }
-    if (!loading.add(path) || loading.size() > MAX_FILES_LOADING) {
+    if (!loading.add(path) || loading.size() > MAX_LOAD_DEPTH) {
       throw new EvaluationException(
           from,
-          "load: "
-              + file
-              + " loads itself, or over "
-              + MAX_FILES_LOADING
-              + " files load each other");
+          "load: " + file + " loads itself, or over " + MAX_LOAD_DEPTH + " files load each other");
     }
     List<Statement> statements = parse(file, read(file, path, from));
     Map<String, Object> globals = new LinkedHashMap<>();
@@ -52,7 +48,7 @@
       executor.run(statements, Scope.ofFile(path, globals));
     }
     loading.remove(path);
-    globalsOfLoaded.put(path, globals);
+    globalsByPath.put(path, globals);
     return globals;
   }
 
--- a/src/main/java/stonespring/config/script/Statement.java
+++ b/src/main/java/stonespring/config/script/Statement.java
@@ -8,7 +8,7 @@
   SourceLocation location();
 
   /** An expression that is evaluated for its errors alone. */
-  record Evaluate(Expression expression) implements Statement {
+  record ExpressionStatement(Expression expression) implements Statement {
     @Override
     public SourceLocation location() {
       return expression.location();
@@ -29,9 +29,9 @@
   /**
    * {@code if}, {@code elif} and {@code else}.
    *
-   * @param otherwise empty where there is no {@code else}
+   * @param elseBody empty where there is no {@code else}
    */
-  record If(SourceLocation location, List<Branch> branches, List<Statement> otherwise)
+  record If(SourceLocation location, List<Branch> branches, List<Statement> elseBody)
       implements Statement {}
 
   record For(SourceLocation location, List<String> names, Expression iterable, List<Statement> body)
--- a/src/main/java/stonespring/config/script/StatementExecutor.java
+++ b/src/main/java/stonespring/config/script/StatementExecutor.java
@@ -19,7 +19,7 @@
   private final ExecutionLimits limits = new ExecutionLimits();
   private final ExpressionEvaluator evaluator =
       new ExpressionEvaluator(limits, new FunctionCaller(this));
-  private final Map<String, SourceLocation> locationsOfGlobals = new HashMap<>();
+  private final Map<String, SourceLocation> globalLocations = new HashMap<>();
   private Object returnValue;
 
   StatementExecutor(ScriptLoader loader) {
@@ -28,7 +28,7 @@
 
   /** Where a name was last assigned at the top level of a file, or the given location. */
   SourceLocation locationOf(String name, SourceLocation defaultLocation) {
-    return locationsOfGlobals.getOrDefault(name, defaultLocation);
+    return globalLocations.getOrDefault(name, defaultLocation);
   }
 
   ExpressionEvaluator evaluator() {
@@ -65,8 +65,11 @@
       return executeFor(loop, scope);
     } else if (statement instanceof Statement.FunctionDefinition definition) {
       scope.set(definition.name(), new UserFunction(definition, scope.globals()));
-    } else if (statement instanceof Statement.Return end) {
-      returnValue = end.value() == null ? null : evaluator.evaluate(end.value(), scope);
+    } else if (statement instanceof Statement.Return returnStatement) {
+      returnValue =
+          returnStatement.value() == null
+              ? null
+              : evaluator.evaluate(returnStatement.value(), scope);
       return Completion.RETURN;
     } else if (statement instanceof Statement.Break) {
       return Completion.BREAK;
@@ -74,8 +77,8 @@
       return Completion.CONTINUE;
     } else if (statement instanceof Statement.Load load) {
       load(load, scope);
-    } else if (statement instanceof Statement.Evaluate evaluate) {
-      evaluator.evaluate(evaluate.expression(), scope);
+    } else if (statement instanceof Statement.ExpressionStatement expressionStatement) {
+      evaluator.evaluate(expressionStatement.expression(), scope);
     }
     return Completion.NORMAL;
   }
@@ -86,7 +89,7 @@
         return run(branch.body(), scope);
       }
     }
-    return run(conditional.otherwise(), scope);
+    return run(conditional.elseBody(), scope);
   }
 
   private Completion executeFor(Statement.For loop, Scope scope) {
@@ -106,15 +109,15 @@
   }
 
   private void load(Statement.Load load, Scope scope) {
-    Path neighbour = Path.of(load.file());
+    Path siblingFile = Path.of(load.file());
     boolean sameFolder =
-        neighbour.getNameCount() == 1 && !neighbour.isAbsolute() && !load.file().equals("..");
+        siblingFile.getNameCount() == 1 && !siblingFile.isAbsolute() && !load.file().equals("..");
     if (scope.file() == null || !sameFolder) {
       throw new EvaluationException(
           load.location(), "load: only a file in the same folder can be loaded, at the top level");
     }
     Map<String, Object> exports =
-        loader.load(scope.file().resolveSibling(neighbour), load.location());
+        loader.load(scope.file().resolveSibling(siblingFile), load.location());
     for (Statement.ImportedName imported : load.names()) {
       // After a syntax error nothing is run, so that the names are not there.
       if (!exports.containsKey(imported.name()) && loader.errors().isEmpty()) {
@@ -150,7 +153,7 @@
     }
     scope.set(name, value);
     if (scope.isTopLevel()) {
-      locationsOfGlobals.put(name, location);
+      globalLocations.put(name, location);
     }
   }
 
--- a/src/main/java/stonespring/config/script/StatementParser.java
+++ b/src/main/java/stonespring/config/script/StatementParser.java
@@ -120,8 +120,8 @@
       Expression condition = expressions.parse();
       branches.add(new Statement.Branch(condition, parseBlock(inFunction)));
     } while (tokens.nextIs("elif"));
-    List<Statement> otherwise = tokens.take("else") ? parseBlock(inFunction) : List.of();
-    return new Statement.If(location, branches, otherwise);
+    List<Statement> elseBody = tokens.take("else") ? parseBlock(inFunction) : List.of();
+    return new Statement.If(location, branches, elseBody);
   }
 
   private Statement parseFor(boolean inFunction) {
@@ -191,7 +191,7 @@
         return parseAssignedValue(left, operator);
       }
     }
-    return new Statement.Evaluate(left);
+    return new Statement.ExpressionStatement(left);
   }
 
   private Statement parseAssignedValue(Expression target, BinaryOperator operator) {
--- a/src/main/java/stonespring/config/script/Values.java
+++ b/src/main/java/stonespring/config/script/Values.java
@@ -48,7 +48,7 @@
   }
 
   /** A number as people write it: without a fraction where it is whole. */
-  public static String plainNumber(double value) {
+  public static String formatNumber(double value) {
     return value == Math.rint(value) && Math.abs(value) < MAX_PRINTED_AS_WHOLE
         ? String.valueOf((long) value)
         : String.valueOf(value);
