--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -10,16 +10,16 @@
 import stonespring.model.Settings;
 
 /**
- * The settings of one instance, as a settings script holds them. Immutable; no component is null.
+ * The settings of one instance, decoded from a settings script. Immutable; no component is null.
  *
- * @param name what the instance is called in logs
- * @param listen where proxies connect
- * @param settings what the decisions are configured with
- * @param zones the zones' names, by position
+ * @param name the instance's name in logs
+ * @param listen the address at which proxies connect
+ * @param settings the configuration of the decision engine
+ * @param zones the zone names, indexed by zone
  * @param requestClasses the names and timeouts of the request classes
- * @param endpointList where the endpoint list comes from
- * @param weightProposals whether the weight solver proposes weights to the decisions
- * @param limits bounds on what the instance holds
+ * @param endpointList the source of the endpoint list, and its cache file
+ * @param weightProposals whether the weight solver proposes route weights to the decision engine
+ * @param limits limits on the resources that the instance holds
  */
 public record InstanceSettings(
     String name,
@@ -32,66 +32,67 @@
     Limits limits) {
   static final int MAX_PORT = 65_535;
 
-  /** The most that a snapshot port can be: two more ports follow it. */
+  /** The highest snapshot port: the two ports that follow it are used as well. */
   static final int MAX_SNAPSHOT_PORT = MAX_PORT - 2;
 
   /**
-   * An address to listen at.
+   * The address at which the instance listens.
    *
-   * @param port the snapshot port, 0 for any; updates go out at the next one, the collector listens
-   *     at the one after
+   * @param port the snapshot port, or 0 for any free port; updates are published on the next port,
+   *     and the collector listens on the port after that
    */
   public record ListenAddress(String host, int port) {}
 
   /**
-   * What the request classes are called and when they time out, by position.
+   * The names and timeouts of the request classes, both indexed by request class.
    *
-   * @param timeoutsDeciMillis in {@link stonespring.model.DeciMillis}
+   * @param timeoutsDeciMillis the request timeouts, in {@link stonespring.model.DeciMillis}
    */
   public record RequestClasses(List<String> names, List<Long> timeoutsDeciMillis) {}
 
   /**
-   * Where the endpoint list comes from.
+   * The source of the endpoint list, and its cache.
    *
-   * @param cacheFile where the last list is kept over a restart
+   * @param cacheFile the file that keeps the last endpoint list across restarts, if there is one
    */
   public record EndpointListSettings(Source source, Optional<Path> cacheFile) {}
 
   /** A source of the endpoint list. */
   public sealed interface Source {
-    /** A file that is read anew when it changes. */
+    /** A file that is read again whenever it changes. */
     record FromFile(Path path) implements Source {}
 
     /**
-     * A registry that is watched.
+     * A service registry that is watched for changes.
      *
-     * @param waitSeconds how long the registry may hold a request open
+     * @param waitSeconds the longest time for which the registry may hold a watch request open
      */
     record FromRegistry(String host, int port, String service, int waitSeconds) implements Source {}
   }
 
   /**
-   * Bounds on what an instance holds.
+   * Limits on the resources that an instance holds, and its batch interval.
    *
-   * @param proxies proxies that are known at once
-   * @param connections open connections
-   * @param pendingBytes bytes that wait to be written to one connection
-   * @param inboxMessages messages that wait for the event loop
-   * @param batchMillis how long events are gathered before the decisions are asked
+   * @param proxies the number of proxies known at the same time
+   * @param connections the number of connections open at the same time
+   * @param pendingBytes the number of bytes waiting to be written to one connection
+   * @param inboxMessages the number of messages waiting for the engine thread
+   * @param batchMillis how long events are collected into one batch before the decision engine
+   *     processes it, in milliseconds
    */
   public record Limits(
       int proxies, int connections, int pendingBytes, int inboxMessages, int batchMillis) {}
 
   /**
-   * Runs a script and decodes its settings.
+   * Runs a settings script and decodes its settings.
    *
-   * @throws ScriptException with every error of the settings
+   * @throws ScriptException with all errors of the script or of its settings
    */
   public static InstanceSettings read(Path file) throws ScriptException {
     List<SettingsError> errors = new ArrayList<>();
     Section globals = Section.of(file.toString(), Script.run(file), errors);
     InstanceSettings settings = decode(globals, file);
-    globals.ignoreKey(SettingsKeys.SCENARIO); // the script may serve a scenario too
+    globals.ignoreKey(SettingsKeys.SCENARIO); // a scenario may use the same script
     globals.rejectUnknownKeys();
     if (!errors.isEmpty()) {
       throw new ScriptException(errors);
@@ -100,18 +101,22 @@
   }
 
   /**
-   * Decodes the instance's part of a script that may hold more; errors are recorded by the section.
+   * Decodes the instance settings of a script that may also contain other keys. Errors are recorded
+   * in the section.
    *
-   * @param file the script; relative paths start in its folder
+   * @param globals the names that the script sets at its top level
+   * @param file the path of the script; relative paths in it are resolved against its folder
    */
   public static InstanceSettings decode(Section globals, Path file) {
     return new InstanceSettingsDecoder(globals, file).decode();
   }
 
   /**
-   * These settings with the values that a command line overrides; null leaves a value as it is.
+   * Returns a copy of these settings with values given on the command line; a null argument keeps
+   * the present value.
    *
-   * @throws IllegalArgumentException if a port is out of range, or there is no registry
+   * @throws IllegalArgumentException if a port is out of range, or if a registry port is given
+   *     although the endpoint list comes from a file
    */
   public InstanceSettings withOverrides(
       Integer otherPort, Integer registryPort, Path otherCacheFile) {
--- a/src/main/java/stonespring/config/InstanceSettingsDecoder.java
+++ b/src/main/java/stonespring/config/InstanceSettingsDecoder.java
@@ -16,15 +16,15 @@
 import stonespring.model.Settings;
 
 /**
- * Decodes the sections of a settings script. Their keys are {@link SettingsKeys}; errors are
- * recorded by the sections.
+ * Decodes the sections of a settings script into {@link InstanceSettings}. The keys are those of
+ * {@link SettingsKeys}; errors are recorded in the sections.
  */
 final class InstanceSettingsDecoder {
   private static final String RETRYABLE = "retryable";
   private static final String DEDUPLICATED = "deduplicated";
   private static final String ONCE_ONLY = "once_only";
 
-  /** In the order in which errors list them. */
+  /** The accepted words, in the order in which error messages list them. */
   private static final List<String> RETRY_SAFETY_WORDS =
       List.of(RETRYABLE, DEDUPLICATED, ONCE_ONLY);
 
@@ -52,13 +52,13 @@
     this.file = file;
   }
 
-  /** What the section {@code assigner} holds. */
+  /** The values of the section {@code assigner}. */
   private record Instance(String name, ListenAddress listen, Optional<Path> cacheFile) {}
 
   /**
-   * What the section {@code fleet} holds.
+   * The values of the section {@code fleet}.
    *
-   * @param instances stonespring instances that share the proxies
+   * @param instances the number of stonespring instances that share the proxies
    */
   private record Fleet(
       List<String> zones,
@@ -67,17 +67,17 @@
       int bootstrapRouteCount,
       int ejectAfterConsecutiveFailures) {}
 
-  /** The request classes as the decisions take them, and what else is known of them. */
+  /** The request classes as the decision engine takes them, with their names and timeouts. */
   private record DecodedRequestClasses(
       List<RequestClass> settings, RequestClasses namesAndTimeouts) {}
 
-  /** What the section {@code rules} holds; durations in {@link DeciMillis}. */
+  /** The values of the section {@code rules}; durations are in {@link DeciMillis}. */
   private record Rules(
       long maxTimeWithoutEndpointDeciMillis,
       Settings.SlowStart slowStart,
       boolean removedEndpointsKeepServing) {}
 
-  /** What the section {@code prices} holds. */
+  /** The values of the section {@code prices}. */
   private record Prices(double crossZonePenalty, double worstClassWeight) {}
 
   InstanceSettings decode() {
@@ -113,7 +113,7 @@
         cacheFile.isEmpty() ? Optional.empty() : Optional.of(resolve(cacheFile)));
   }
 
-  /** A path of the script; a relative one starts in the script's folder. */
+  /** Resolves a path given in the script against the script's folder. */
   private Path resolve(String path) {
     return file.toAbsolutePath().resolveSibling(path).normalize();
   }
@@ -282,13 +282,13 @@
     return limits;
   }
 
-  /** Reads seconds as {@link DeciMillis}, rounded down. */
+  /** Reads a duration in seconds and returns it in {@link DeciMillis}, rounded down. */
   private static long duration(
       Section section, String key, double minimum, double maximum, Double defaultValue) {
     return DeciMillis.ofSeconds(section.number(key, minimum, maximum, defaultValue));
   }
 
-  /** Converts milliseconds to {@link DeciMillis}, rounded to the nearest. */
+  /** Converts milliseconds to {@link DeciMillis}, rounded to the nearest integer. */
   private static long deciMillisOfMillis(double millis) {
     return Math.round(millis * DeciMillis.SECOND / 1000);
   }
--- a/src/main/java/stonespring/config/InvalidConfigException.java
+++ b/src/main/java/stonespring/config/InvalidConfigException.java
@@ -2,7 +2,10 @@
 
 import java.nio.file.Path;
 
-/** The platform's configuration file can't be used; the message is one line that names the file. */
+/**
+ * Thrown when the platform's configuration file cannot be used. The message is one line that starts
+ * with the path of the file.
+ */
 public final class InvalidConfigException extends Exception {
   private static final long serialVersionUID = 1;
   private final transient Path file;
--- a/src/main/java/stonespring/config/InvalidSettingsException.java
+++ b/src/main/java/stonespring/config/InvalidSettingsException.java
@@ -1,6 +1,9 @@
 package stonespring.config;
 
-/** A field of the operators' settings object can't be used; the message names it. */
+/**
+ * Thrown when a field of the operators' settings object is missing or invalid. The message names
+ * the field.
+ */
 public final class InvalidSettingsException extends RuntimeException {
   private static final long serialVersionUID = 1;
   private final String field;
@@ -10,7 +13,7 @@
     this.field = field;
   }
 
-  /** The field's name, without those of the objects around it. */
+  /** The name of the field, without the names of the objects that contain it. */
   public String field() {
     return field;
   }
--- a/src/main/java/stonespring/config/JsonFields.java
+++ b/src/main/java/stonespring/config/JsonFields.java
@@ -6,11 +6,13 @@
 import stonespring.model.DeciMillis;
 
 /**
- * Reads the fields of a JSON object by name. A field that is null counts as missing. What can't be
- * read is an {@link InvalidSettingsException} that names the field.
+ * Reads the fields of a JSON object by name. A field whose value is null counts as missing. A
+ * missing or invalid field is reported by an {@link InvalidSettingsException} that names it.
  */
 final class JsonFields {
-  /** In any unit of the settings, a number above is a mistake of whoever wrote it. */
+  /**
+   * The largest accepted number; in every unit that the settings use, a larger one is a mistake.
+   */
   private static final double MAX_NUMBER = 1e9;
 
   private final JsonNode object;
@@ -27,12 +29,12 @@
     return value;
   }
 
-  /** A required field that holds an object. */
+  /** Reads a required object. A value of another type is treated as an object without fields. */
   JsonFields object(String field) {
     return new JsonFields(required(field));
   }
 
-  /** An optional object; one without fields where it is missing. */
+  /** Reads an optional object. A missing one is treated as an object without fields. */
   JsonFields optionalObject(String field) {
     return new JsonFields(object.path(field));
   }
@@ -57,7 +59,7 @@
     return objects;
   }
 
-  /** A number from 0 to {@link #MAX_NUMBER}. */
+  /** Reads a required number from 0 to {@link #MAX_NUMBER}. */
   double number(String field) {
     JsonNode value = required(field);
     if (!value.isNumber()) {
@@ -75,21 +77,21 @@
     return object.hasNonNull(field) ? number(field) : defaultValue;
   }
 
-  /** Seconds as {@link DeciMillis}, rounded down. */
+  /** Reads a required duration in seconds and returns it in {@link DeciMillis}, rounded down. */
   long duration(String field) {
     return DeciMillis.ofSeconds(number(field));
   }
 
   /**
-   * The same for an optional field.
+   * Reads an optional duration in seconds and returns it in {@link DeciMillis}, rounded down.
    *
-   * @param defaultSeconds taken where the field is missing
+   * @param defaultSeconds the duration used if the field is missing
    */
   long duration(String field, double defaultSeconds) {
     return DeciMillis.ofSeconds(number(field, defaultSeconds));
   }
 
-  /** Whether an optional field is true. */
+  /** Reads an optional boolean; a missing one is false. */
   boolean isTrue(String field) {
     return object.path(field).asBoolean(false);
   }
--- a/src/main/java/stonespring/config/PlatformConfig.java
+++ b/src/main/java/stonespring/config/PlatformConfig.java
@@ -12,19 +12,20 @@
 import java.util.Optional;
 
 /**
- * The configuration of an instance on the operators' platform: one JSON file, read at the start,
- * after each hang-up signal and after each failed fetch of the endpoint list. Of a file read again
- * only {@code discovery} is applied; other {@code settings} or another {@code listen} address are
- * warned about, since they need a restart; all other fields are ignored. Immutable; no component is
- * null.
+ * The configuration of an instance on the operators' platform. It is one JSON file, read at the
+ * start, after each hang-up signal (SIGHUP) and after each failed fetch of the endpoint list. When
+ * the file is read again, only {@code discovery} is applied. Changes of {@code settings} or {@code
+ * listen} need a restart and are logged as warnings; all other fields are ignored. Immutable; no
+ * component is null.
  *
- * @param name the instance's name, the same after a restart
- * @param listen where proxies and collectors connect
- * @param discovery where the endpoint list comes from
- * @param seed of the random numbers; new with each start
- * @param sockets how many file descriptors the process may hold
- * @param cachedEndpointList the endpoint list as last seen, in discovery's form
- * @param settings the operators' settings object, as it holds on the platform
+ * @param name the instance's name, which is the same after a restart
+ * @param listen the address at which proxies and collectors connect
+ * @param discovery the address of the service that provides the endpoint list
+ * @param seed the seed of the random numbers, a new one for each start
+ * @param sockets the number of file descriptors that the process may have open
+ * @param cachedEndpointList the last known endpoint list, in the format of the discovery service;
+ *     empty if the file has none
+ * @param settings the operators' settings object, with the constraints of the platform applied
  */
 public record PlatformConfig(
     String name,
@@ -34,10 +35,10 @@
     int sockets,
     Optional<JsonNode> cachedEndpointList,
     PlatformSettings settings) {
-  /** Far above the longest endpoint list. */
+  /** The largest accepted file size, far above that of the longest endpoint list. */
   private static final long MAX_FILE_BYTES = 32L << 20;
 
-  /** The usual limit of a process, for a file that gives none. */
+  /** The usual limit of a process, used if the file gives no limit. */
   private static final int DEFAULT_SOCKETS = 1024;
 
   private static final int MAX_PORT = 65_535;
@@ -48,7 +49,7 @@
   /**
    * Reads a configuration file.
    *
-   * @throws InvalidConfigException if the file can't be read or a field can't be used
+   * @throws InvalidConfigException if the file cannot be read, or a field is missing or invalid
    */
   public static PlatformConfig read(Path file) throws InvalidConfigException {
     try {
@@ -110,7 +111,10 @@
     return value.asText();
   }
 
-  /** An address with its port. Host names are refused: the platform has no name service. */
+  /**
+   * Reads an address with its port. Host names are rejected: the platform has no name service, and
+   * a look-up would block the instance.
+   */
   private static InetSocketAddress address(Path file, JsonNode object, String field)
       throws InvalidConfigException {
     String text = text(file, object, field);
@@ -125,7 +129,9 @@
     return new InetSocketAddress(host, Integer.parseInt(port));
   }
 
-  /** Hex digits, or a number; the low 64 bits count. */
+  /**
+   * Reads the seed, given as hexadecimal digits or as an integer; only its low 64 bits are used.
+   */
   private static long seed(Path file, JsonNode seed) throws InvalidConfigException {
     if (seed.isIntegralNumber()) {
       return seed.asLong();
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -9,13 +9,13 @@
 import stonespring.model.Settings;
 
 /**
- * The operators' settings object, which the simulator hands to each instance and the platform's
- * configuration contains. Immutable; no component is null.
+ * The operators' settings object, which the simulator sends to each instance and the platform's
+ * configuration file contains. Immutable; no component is null.
  *
- * @param settings what the decisions are configured with
- * @param zones the zones' names, by position
- * @param requestClassNames the request classes' names, by position
- * @param minBatchIntervalDeciMillis the shortest time between two event batches, {@link
+ * @param settings the configuration of the decision engine
+ * @param zones the zone names, indexed by zone
+ * @param requestClassNames the names of the request classes, indexed by request class
+ * @param minBatchIntervalDeciMillis the shortest time between two event batches, in {@link
  *     stonespring.model.DeciMillis}
  */
 public record PlatformSettings(
@@ -23,15 +23,18 @@
     List<String> zones,
     List<String> requestClassNames,
     long minBatchIntervalDeciMillis) {
-  /** A command names its request classes by the bits of an int. */
+  /**
+   * The largest number of request classes: a command encodes a set of them in the bits of an int.
+   */
   private static final int MAX_REQUEST_CLASSES = 31;
 
   /**
    * Reads the settings object.
    *
-   * <p>The order of reading is fixed: of several errors, the same one is always reported.
+   * <p>The fields are read in a fixed order, so that an object with several errors always reports
+   * the same one.
    *
-   * @throws InvalidSettingsException at the first field that can't be used
+   * @throws InvalidSettingsException at the first field that is missing or invalid
    */
   public static PlatformSettings read(JsonNode object) {
     JsonFields fields = new JsonFields(object);
@@ -82,7 +85,10 @@
     requireAtLeastOne("reportEveryS", fleet.duration("reportEveryS"));
   }
 
-  /** Refuses 0 for what is divided by or waited for. */
+  /**
+   * Rejects values below 1 for quantities that are divided by or waited for: with 0, an instance
+   * would decide without end or never.
+   */
   private static void requireAtLeastOne(String field, double value) {
     if (value < 1) {
       throw new InvalidSettingsException(field, "has none, or too few");
@@ -148,7 +154,11 @@
         rules.duration("coldS"), rules.number("coldShare"), rules.number("fallMultiple"));
   }
 
-  /** These settings as they hold on the platform's sockets. */
+  /**
+   * Returns a copy of these settings with the constraints of the platform applied. Settings made
+   * for the simulator may say that the endpoint list is pushed, but on the platform it must be
+   * watched: an instance without a watch would keep sending requests to drained endpoints.
+   */
   PlatformSettings withPlatformConstraints() {
     return new PlatformSettings(
         settings.withPlatformConstraints(), zones, requestClassNames, minBatchIntervalDeciMillis);
--- a/src/main/java/stonespring/config/Section.java
+++ b/src/main/java/stonespring/config/Section.java
@@ -11,11 +11,11 @@
 import stonespring.config.script.Values;
 
 /**
- * Decodes one dict of a script. Each read names a key with its type and range. An invalid value is
- * recorded as an error and replaced by a valid one, so that one run finds every error. Keys that
- * were never read are errors too, recorded by {@link #rejectUnknownKeys}.
+ * Decodes one dict of a script. Each read method takes a key with its type and range. An invalid
+ * value is recorded as an error and replaced by a valid one, so that one run reports every error.
+ * {@link #rejectUnknownKeys} records an error for each key that was never read.
  *
- * <p>A {@code defaultValue} of null makes a key required. Not thread-safe.
+ * <p>A null {@code defaultValue} makes a key required. Not thread-safe.
  */
 public final class Section {
   private final String name;
@@ -32,22 +32,30 @@
     this.errors = errors;
   }
 
-  /** The names of a whole script as a section. */
+  /**
+   * Creates a section of the names that a script sets at its top level.
+   *
+   * @param errors receives the errors of this section and of those within it
+   */
   public static Section of(String file, ScriptDict globals, List<SettingsError> errors) {
     return new Section("", globals, new SourceLocation(file, 1, 1), errors);
   }
 
-  /** Records an error of a value that is valid by itself but does not go with another one. */
+  /**
+   * Records an error for a key, for example that its value contradicts another one.
+   *
+   * @param message what is wrong; follows the quoted name of the key
+   */
   public void reject(String key, String message) {
     addError(locationOf(key), key, message);
   }
 
-  /** Makes a key known that is not read here. */
+  /** Marks a key as known although it is not read here. */
   void ignoreKey(String key) {
     knownKeys.add(key);
   }
 
-  /** Reads a number. */
+  /** Reads a number; an invalid one is replaced by {@code minimum}. */
   public double number(String key, double minimum, double maximum, Double defaultValue) {
     Object value = read(key, defaultValue == null);
     if (value == null) {
@@ -70,7 +78,7 @@
     return number;
   }
 
-  /** Reads a whole number. */
+  /** Reads a whole number; an invalid one is replaced by {@code minimum}. */
   public int integer(String key, int minimum, int maximum, Integer defaultValue) {
     Object value = read(key, defaultValue == null);
     if (value == null) {
@@ -91,7 +99,7 @@
     return "is " + value + ", outside " + minimum + " to " + maximum;
   }
 
-  /** Reads an optional truth value. */
+  /** Reads an optional boolean. */
   public boolean bool(String key, boolean defaultValue) {
     Object value = read(key, false);
     if (value != null && !(value instanceof Boolean)) {
@@ -100,7 +108,10 @@
     return value instanceof Boolean flag ? flag : defaultValue;
   }
 
-  /** Reads a string that matches a regular expression. */
+  /**
+   * Reads a string that matches a regular expression; an invalid one is replaced by the default
+   * value, or by the empty string if there is none.
+   */
   public String text(String key, String pattern, String defaultValue) {
     Object value = read(key, defaultValue == null);
     String replacement = defaultValue == null ? "" : defaultValue;
@@ -118,7 +129,7 @@
     return text;
   }
 
-  /** Reads one of several words. */
+  /** Reads one of several words; an invalid one is replaced by the first of them. */
   public String choice(String key, List<String> words, String defaultValue) {
     Object value = read(key, defaultValue == null);
     if (value == null) {
@@ -139,7 +150,10 @@
     reject(key, "is one of " + String.join(", ", words) + ", not " + found);
   }
 
-  /** Reads a list of distinct strings that match a regular expression. */
+  /**
+   * Reads a list of distinct strings that match a regular expression; invalid items are left out.
+   * The list is required if {@code minimumSize} is above 0.
+   */
   public List<String> texts(String key, String pattern, int minimumSize, int maximumSize) {
     List<String> texts = new ArrayList<>();
     ScriptList list = list(key, minimumSize, maximumSize);
@@ -157,8 +171,8 @@
   }
 
   /**
-   * Reads a dict. Where it is missing, an empty one stands for it; if it is required, its absence
-   * is the only error then.
+   * Reads a dict. A missing or invalid one is replaced by an empty one. If a required dict is
+   * missing, only its absence is reported, not that of its keys.
    */
   public Section section(String key, boolean required) {
     Object value = read(key, required);
@@ -173,7 +187,10 @@
         value == null && required ? discardedErrors : errors);
   }
 
-  /** Reads a list of dicts. */
+  /**
+   * Reads a list of dicts; other items are left out. The list is required if {@code minimumSize} is
+   * above 0.
+   */
   public List<Section> sections(String key, int minimumSize, int maximumSize) {
     List<Section> sections = new ArrayList<>();
     ScriptList list = list(key, minimumSize, maximumSize);
@@ -189,7 +206,7 @@
     return sections;
   }
 
-  /** Ends the decoding: records an error for each key that was not read. */
+  /** Records an error for each key that was not read; to be called after all reads. */
   public void rejectUnknownKeys() {
     for (Object entryKey : dict.keySet()) {
       String key = String.valueOf(entryKey);
@@ -207,7 +224,7 @@
     return dict.get(key);
   }
 
-  /** Reads a list; empty where it is missing or no list. */
+  /** Reads a list; an empty one replaces a missing or invalid value. */
   private ScriptList list(String key, int minimumSize, int maximumSize) {
     Object value = read(key, minimumSize > 0);
     if (value == null) {
--- a/src/main/java/stonespring/config/SettingsKeys.java
+++ b/src/main/java/stonespring/config/SettingsKeys.java
@@ -1,8 +1,8 @@
 package stonespring.config;
 
-/** The keys of a settings script, as {@code docs/running.md} describes them. */
+/** The keys of a settings script, described in {@code docs/running.md}. */
 final class SettingsKeys {
-  // Keys of the script itself: sections and single values.
+  // Top-level keys: sections and single values.
   static final String WEIGHT_PROPOSALS = "proposals";
   static final String INSTANCE = "assigner";
   static final String FLEET = "fleet";
@@ -15,10 +15,10 @@
   static final String PRICES = "prices";
   static final String LIMITS = "bounds";
 
-  /** The scenario that a script may hold beside the settings of its instances. */
+  /** The section of a scenario, which a script may contain in addition to the settings. */
   static final String SCENARIO = "day";
 
-  // Keys within the sections; a word may stand in several.
+  // Keys within sections; the same key may occur in several sections.
   static final String NAME = "name";
   static final String HOST = "host";
   static final String PORT = "port";
--- a/src/main/java/stonespring/config/script/BinaryOperator.java
+++ b/src/main/java/stonespring/config/script/BinaryOperator.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The operators with two operands. */
+/** The binary operators. */
 enum BinaryOperator {
   OR("or", Precedence.DISJUNCTION),
   AND("and", Precedence.CONJUNCTION),
@@ -22,7 +22,7 @@
   FLOOR_DIVIDE("//", Precedence.PRODUCT),
   MODULO("%", Precedence.PRODUCT);
 
-  /** How tightly operators bind, loosest first. */
+  /** Operator precedence, from lowest to highest. */
   enum Precedence {
     DISJUNCTION,
     CONJUNCTION,
@@ -47,7 +47,7 @@
     this.precedence = precedence;
   }
 
-  /** The operator as it is written; null where there is none. */
+  /** Returns the operator with the given symbol; null if there is none. */
   static BinaryOperator of(String symbol) {
     return BY_SYMBOL.get(symbol);
   }
--- a/src/main/java/stonespring/config/script/Builtin.java
+++ b/src/main/java/stonespring/config/script/Builtin.java
@@ -1,4 +1,4 @@
 package stonespring.config.script;
 
-/** A function of the language as a value; {@link BuiltinFunctions} has what it does. */
+/** A built-in function as a value; {@link BuiltinFunctions} implements it. */
 record Builtin(String name) {}
--- a/src/main/java/stonespring/config/script/BuiltinFunctions.java
+++ b/src/main/java/stonespring/config/script/BuiltinFunctions.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The functions of the language. */
+/** The built-in functions of the language. */
 final class BuiltinFunctions {
   private static final Set<String> NAMES =
       Set.of(
@@ -28,7 +28,10 @@
     return NAMES;
   }
 
-  /** Calls a function; too few arguments or ones of a wrong type are an error of the call. */
+  /**
+   * Calls a built-in function. Too few arguments or arguments of a wrong type are reported as an
+   * error of the call.
+   */
   static Object call(SourceLocation location, String name, List<Object> arguments) {
     try {
       return callUnchecked(location, name, arguments);
@@ -97,7 +100,10 @@
         : (Object) Math.abs((Double) value);
   }
 
-  /** What the smallest or greatest is chosen from: a list's items, or the arguments themselves. */
+  /**
+   * The values among which {@code min} or {@code max} chooses: the items of a single argument, or
+   * the arguments themselves.
+   */
   private static List<Object> candidates(SourceLocation location, List<Object> arguments) {
     return arguments.size() == 1 ? Values.items(location, arguments.get(0)) : arguments;
   }
--- a/src/main/java/stonespring/config/script/EvaluationException.java
+++ b/src/main/java/stonespring/config/script/EvaluationException.java
@@ -1,6 +1,6 @@
 package stonespring.config.script;
 
-/** Ends the run of a script at its first error; it does not leave the package. */
+/** Thrown to end the execution of a script at its first error. It does not leave the package. */
 final class EvaluationException extends RuntimeException {
   private static final long serialVersionUID = 1;
   private final transient SettingsError error;
--- a/src/main/java/stonespring/config/script/ExecutionLimits.java
+++ b/src/main/java/stonespring/config/script/ExecutionLimits.java
@@ -1,29 +1,31 @@
 package stonespring.config.script;
 
-/** Bounds on the run of a script, so that every script ends soon and in little memory. */
+/** Limits on the execution of a script, so that every script ends soon and uses little memory. */
 final class ExecutionLimits {
   private static final int MAX_STEPS = 1_000_000;
 
-  /** The most items of a list or dict, and characters of a joined string. */
+  /** The largest number of items in a list or dict, and of characters in a concatenated string. */
   private static final int MAX_ITEMS = 100_000;
 
   private int steps;
 
-  /** Counts a statement, an expression or an iteration of a loop. */
+  /**
+   * Counts the execution of a statement, the evaluation of an expression or an iteration of a loop.
+   */
   void countStep(SourceLocation location) {
     if (++steps > MAX_STEPS) {
       throw new EvaluationException(location, "the script takes over " + MAX_STEPS + " steps");
     }
   }
 
-  /** Checks the size of a list, dict or string that was built. */
+  /** Checks the size of a list, dict or string. */
   static void checkSize(SourceLocation location, int size) {
     if (size > MAX_ITEMS) {
       throw new EvaluationException(location, "over " + MAX_ITEMS + " items");
     }
   }
 
-  /** Checks a range before it is built. */
+  /** Checks the size of a range before it is created. */
   static void checkRange(SourceLocation location, long from, long to, long step) {
     if (step == 0 || Math.abs((to - from) / step) > MAX_ITEMS) {
       throw new EvaluationException(
--- a/src/main/java/stonespring/config/script/Expression.java
+++ b/src/main/java/stonespring/config/script/Expression.java
@@ -4,13 +4,13 @@
 
 /** An expression of a parsed script. */
 sealed interface Expression {
-  /** Where errors of this expression are reported. */
+  /** The location at which errors of this expression are reported. */
   SourceLocation location();
 
   /**
-   * A literal.
+   * A literal value.
    *
-   * @param value null for {@code None}
+   * @param value the value; null for {@code None}
    */
   record Literal(SourceLocation location, Object value) implements Expression {}
 
@@ -27,16 +27,19 @@
       SourceLocation location, Expression whenTrue, Expression condition, Expression whenFalse)
       implements Expression {}
 
+  /** {@code [item, ...]}. */
   record ListDisplay(SourceLocation location, List<Expression> items) implements Expression {}
 
+  /** {@code key: value} in a dict display. */
   record DictEntry(SourceLocation location, Expression key, Expression value) {}
 
+  /** {@code {key: value, ...}}. */
   record DictDisplay(SourceLocation location, List<DictEntry> entries) implements Expression {}
 
   /**
    * {@code for names in iterable if condition}.
    *
-   * @param condition null where there is none
+   * @param condition null if there is none
    */
   record ComprehensionClause(
       SourceLocation location, List<String> names, Expression iterable, Expression condition) {}
@@ -44,7 +47,7 @@
   /**
    * A list or dict comprehension.
    *
-   * @param key null for a list
+   * @param key the key expression of a dict comprehension; null for a list
    */
   record Comprehension(
       SourceLocation location, Expression key, Expression value, List<ComprehensionClause> clauses)
@@ -57,7 +60,7 @@
   /**
    * An argument of a call.
    *
-   * @param name null for a positional argument
+   * @param name the name of a named argument; null for a positional one
    */
   record Argument(String name, Expression value) {}
 
--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -18,10 +18,10 @@
   }
 
   /**
-   * The value of an expression; null for {@code None}.
+   * Evaluates an expression; the result is null for {@code None}.
    *
-   * <p>Chains of operators and nested expressions recurse here: the method is kept to few
-   * variables, so that it needs little stack.
+   * <p>Operator chains and nested expressions recurse through this method. It is kept to few local
+   * variables, so that each call needs little stack.
    */
   Object evaluate(Expression expression, Scope scope) {
     limits.countStep(expression.location());
@@ -60,7 +60,7 @@
     return evaluateCall((Expression.Call) expression, scope);
   }
 
-  /** Sets one name to an item, or several names to the items of a list of as many. */
+  /** Assigns an item to a single name, or the items of a list to as many names. */
   void unpack(SourceLocation location, List<String> names, Object item, Scope scope) {
     if (names.size() == 1) {
       scope.set(names.get(0), item);
@@ -92,7 +92,10 @@
         reference.location(), "'" + name + "' is not set" + NearestName.hint(name, known));
   }
 
-  /** Whether the left operand is the value of AND or OR, so that the right one is not evaluated. */
+  /**
+   * Whether the left operand decides the value of AND or OR, so that the right one is not
+   * evaluated.
+   */
   private static boolean shortCircuits(BinaryOperator operator, Object left) {
     return switch (operator) {
       case AND -> !Values.isTrue(left);
@@ -135,8 +138,8 @@
   }
 
   /**
-   * Runs the clauses from one position on, each inside the one before, and adds an item or entry to
-   * the result for each iteration of the last one.
+   * Runs the clauses from a position on, each nested in the previous one. Each iteration of the
+   * last clause adds an item or entry to the result.
    */
   private void runClauses(
       Expression.Comprehension comprehension, int position, Scope scope, Object result) {
--- a/src/main/java/stonespring/config/script/ExpressionParser.java
+++ b/src/main/java/stonespring/config/script/ExpressionParser.java
@@ -14,7 +14,7 @@
     this.tokens = tokens;
   }
 
-  /** Parses a whole expression. */
+  /** Parses a complete expression, conditional or not. */
   Expression parse() {
     tokens.enter(tokens.peek().location());
     Expression expression = parseOperatorExpression();
@@ -28,7 +28,7 @@
     return expression;
   }
 
-  /** Parses an expression that is no conditional one. */
+  /** Parses an expression that is not a conditional. */
   private Expression parseOperatorExpression() {
     return parseBinary(0);
   }
@@ -63,7 +63,7 @@
     return new Expression.Unary(location, UnaryOperator.NOT, operand);
   }
 
-  /** The operator that stands next; null where there is none. */
+  /** The binary operator at the next token; null if there is none. */
   private BinaryOperator peekBinaryOperator() {
     Token token = tokens.peek();
     if (!token.isKeywordOrOperator()) {
@@ -87,7 +87,7 @@
     return parsePostfix();
   }
 
-  /** Parses a primary expression with the calls and indexes that follow it. */
+  /** Parses a primary expression and the calls and index operations that follow it. */
   private Expression parsePostfix() {
     Expression expression = parsePrimary();
     while (true) {
--- a/src/main/java/stonespring/config/script/FunctionCaller.java
+++ b/src/main/java/stonespring/config/script/FunctionCaller.java
@@ -5,14 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Binds arguments and calls functions; recursion is an error. */
+/** Binds arguments to parameters and calls functions. Recursion is an error. */
 final class FunctionCaller {
-  /** The most calls inside one another. */
+  /** The largest number of nested calls. */
   private static final int MAX_CALL_DEPTH = 32;
 
   private final StatementExecutor executor;
 
-  /** The definitions of the functions being called, outermost first, by name and location. */
+  /**
+   * The functions being called, outermost first, each as its name and the location of its
+   * definition.
+   */
   private final List<String> activeCalls = new ArrayList<>();
 
   FunctionCaller(StatementExecutor executor) {
@@ -22,7 +25,7 @@
   /**
    * Calls a function with evaluated arguments.
    *
-   * @param named arguments by name; the call removes those that it binds
+   * @param named the arguments by name; the call removes those that it binds
    */
   Object call(
       SourceLocation location,
@@ -70,7 +73,9 @@
     return result;
   }
 
-  /** The arguments by parameter; those bound by name are removed from {@code named}. */
+  /**
+   * Returns the arguments by parameter name. Those bound by name are removed from {@code named}.
+   */
   private Map<String, Object> bind(
       SourceLocation location,
       UserFunction function,
--- a/src/main/java/stonespring/config/script/Lexer.java
+++ b/src/main/java/stonespring/config/script/Lexer.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Splits a file into tokens. Changes of indentation become INDENT and DEDENT tokens; inside
- * brackets line ends and indentation mean nothing. Characters that no token can start with are
- * skipped, so that one run finds every error.
+ * Splits the text of a file into tokens. Changes of indentation become INDENT and DEDENT tokens;
+ * inside brackets, line ends and indentation are ignored. Characters that cannot start a token are
+ * reported and skipped, so that one run reports every error.
  */
 final class Lexer {
   private static final Set<String> KEYWORDS =
@@ -31,7 +31,7 @@
           "False",
           "None");
 
-  /** Words of Python that look like part of this language and are not. */
+  /** Python keywords that this language does not have; each use is reported as an error. */
   private static final Set<String> UNSUPPORTED_KEYWORDS =
       Set.of(
           "while",
@@ -54,31 +54,37 @@
           "finally",
           "as");
 
-  /** An operator stands before its own prefixes. */
+  /**
+   * The operators; each one precedes those that are prefixes of it, so that the longest match is
+   * found first.
+   */
   private static final String[] OPERATORS = {
     "//=", "**", "//", "==", "!=", "<=", ">=", "+=", "-=", "*=", "/=", "%=", "+", "-", "*", "/",
     "%", "=", "<", ">", "(", ")", "[", "]", "{", "}", ",", ":", "."
   };
 
+  /** The characters that may follow a backslash in a string. */
   private static final String ESCAPE_LETTERS = "nt\\\"'";
+
+  /** What the escapes stand for, in the order of {@link #ESCAPE_LETTERS}. */
   private static final String ESCAPED_CHARACTERS = "\n\t\\\"'";
 
   private final SourceText source;
   private final List<SettingsError> errors;
   private final List<Token> tokens = new ArrayList<>();
 
-  /** The indentations of the open blocks, in spaces, innermost first. */
+  /** The indentations of the open blocks in spaces, innermost first. */
   private final ArrayDeque<Integer> indents = new ArrayDeque<>(List.of(0));
 
   private int openBrackets;
 
-  /** Reads a file's text; lexical errors are added to the list. */
+  /** Creates a lexer for the text of a file; lexical errors are added to the list. */
   Lexer(String file, String text, List<SettingsError> errors) {
     this.source = new SourceText(file, text);
     this.errors = errors;
   }
 
-  /** The tokens of the whole file; the last one is of kind END. */
+  /** Reads the whole file and returns its tokens; the last one is of kind END. */
   List<Token> tokens() {
     boolean atLineStart = true;
     while (!source.atEnd()) {
@@ -129,7 +135,7 @@
     errors.add(new SettingsError(location, message));
   }
 
-  /** Reads a line's indentation; true where the line is empty and was passed over. */
+  /** Reads the indentation of a line. Returns true if the line has no tokens and was skipped. */
   private boolean readIndentation() {
     int start = source.position();
     while (source.nextIs(' ')) {
@@ -215,7 +221,7 @@
       case "(", "[", "{" -> openBrackets++;
       case ")", "]", "}" -> openBrackets = Math.max(0, openBrackets - 1);
       default -> {
-        // No bracket.
+        // Other operators do not change the bracket depth.
       }
     }
   }
@@ -246,7 +252,10 @@
     return nextIsSign && "eE".indexOf(source.previous()) >= 0;
   }
 
-  /** {@link Double#parseDouble} accepts suffixes and infinities that a script must not have. */
+  /**
+   * Parses a floating-point number. {@link Double#parseDouble} alone would accept suffixes and
+   * return infinities, which are errors in a script.
+   */
   private static double parseFloat(String digits) {
     if (!digits.matches("[0-9.eE+-]+")) {
       throw new NumberFormatException(digits);
--- a/src/main/java/stonespring/config/script/NearestName.java
+++ b/src/main/java/stonespring/config/script/NearestName.java
@@ -2,14 +2,15 @@
 
 import java.util.Collection;
 
-/** Finds the known name that a misspelled one most likely stands for. */
+/** Suggests the known name that a misspelled one most likely stands for. */
 public final class NearestName {
   private NearestName() {}
 
   /**
-   * A hint at the known name that is nearest to a misspelled one, to be appended to an error.
+   * Returns a suggestion of the known name nearest to a misspelled one, to be appended to an error
+   * message.
    *
-   * @return empty where no name is near
+   * @return the empty string if no known name is near enough
    */
   public static String hint(String misspelled, Collection<String> known) {
     String nearest = null;
@@ -24,7 +25,7 @@
     return nearest == null ? "" : "; did you mean '" + nearest + "'?";
   }
 
-  /** The Levenshtein distance. */
+  /** The Levenshtein distance between two strings. */
   private static int editDistance(String from, String to) {
     int[] row = new int[to.length() + 1];
     for (int j = 0; j <= to.length(); j++) {
--- a/src/main/java/stonespring/config/script/Operators.java
+++ b/src/main/java/stonespring/config/script/Operators.java
@@ -1,12 +1,12 @@
 package stonespring.config.script;
 
-/** The operators on values. */
+/** Applies operators to values. */
 final class Operators {
   private static final String OVERFLOW = "the number grows too large";
 
   private Operators() {}
 
-  /** Applies an operator with one operand. */
+  /** Applies a unary operator to its evaluated operand. */
   static Object applyUnary(Expression.Unary expression, Object operand) {
     if (expression.operator() == UnaryOperator.NOT) {
       return !Values.isTrue(operand);
@@ -25,7 +25,10 @@
     return operand instanceof Long number ? (Object) (-number) : (Object) (-(Double) operand);
   }
 
-  /** Applies an operator to two evaluated operands; AND and OR are none of these. */
+  /**
+   * Applies a binary operator to two evaluated operands. AND and OR are handled by {@link
+   * ExpressionEvaluator}, since they need not evaluate the right operand.
+   */
   static Object applyBinary(
       SourceLocation location, BinaryOperator operator, Object left, Object right) {
     return switch (operator) {
@@ -59,7 +62,7 @@
     return false;
   }
 
-  /** Joins strings, lists or dicts, or repeats a list. */
+  /** Concatenates strings or lists, merges dicts, or repeats a list. */
   private static Object combine(
       SourceLocation location, BinaryOperator operator, Object left, Object right) {
     if (operator == BinaryOperator.ADD) {
--- a/src/main/java/stonespring/config/script/ParseAbortedException.java
+++ b/src/main/java/stonespring/config/script/ParseAbortedException.java
@@ -1,6 +1,6 @@
 package stonespring.config.script;
 
-/** Abandons the statement being parsed; its error has been recorded. */
+/** Thrown to abandon the statement being parsed, after its error has been recorded. */
 final class ParseAbortedException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/stonespring/config/script/Scope.java
+++ b/src/main/java/stonespring/config/script/Scope.java
@@ -5,11 +5,12 @@
 import java.util.Map;
 
 /**
- * The names that a statement or expression sees.
+ * The names that are visible to a statement or expression.
  *
- * @param locals where assignments go: a function's own names, or the globals at the top level
+ * @param locals the names that assignments set: those of a function, or the globals at the top
+ *     level
  * @param globals the names of the file
- * @param file the file that is run; null in a function
+ * @param file the file being executed; null in a function
  */
 record Scope(Map<String, Object> locals, Map<String, Object> globals, Path file) {
   static Scope ofFile(Path file, Map<String, Object> globals) {
@@ -20,7 +21,9 @@
     return new Scope(arguments, globals, null);
   }
 
-  /** A scope whose new names are not seen outside, as a comprehension has. */
+  /**
+   * Returns a copy of this scope whose new names are not visible outside, as a comprehension needs.
+   */
   Scope nested() {
     return new Scope(new HashMap<>(locals), globals, file);
   }
--- a/src/main/java/stonespring/config/script/Script.java
+++ b/src/main/java/stonespring/config/script/Script.java
@@ -12,10 +12,10 @@
   /**
    * Runs a script.
    *
-   * @return the names that it sets at its top level, except functions and names that begin with an
-   *     underscore
-   * @throws ScriptException if the script has errors: every syntax error, or the first one of its
-   *     run
+   * @return the names that the script sets at its top level, except functions and names that start
+   *     with an underscore
+   * @throws ScriptException if the script has errors: all syntax errors, or the first error of its
+   *     execution
    */
   public static ScriptDict run(Path file) throws ScriptException {
     ScriptLoader loader = new ScriptLoader();
--- a/src/main/java/stonespring/config/script/ScriptDict.java
+++ b/src/main/java/stonespring/config/script/ScriptDict.java
@@ -4,23 +4,26 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A dict of a script, in order of insertion, with the source location of each of its entries. */
+/** A dict of a script in insertion order, with the source locations of its entries. */
 public final class ScriptDict extends LinkedHashMap<Object, Object> {
   private static final long serialVersionUID = 1;
   private final transient Map<Object, SourceLocation> locations = new HashMap<>();
 
-  /** The location of an entry, or the given one where none is known. */
+  /** The location of an entry, or the given one if none is recorded. */
   public SourceLocation locationOf(Object key, SourceLocation defaultLocation) {
     return locations.getOrDefault(key, defaultLocation);
   }
 
-  /** Sets an entry that stands at a location of the source. */
+  /** Sets an entry and records its source location. */
   void put(Object key, Object value, SourceLocation location) {
     put(key, value);
     locations.put(key, location);
   }
 
-  /** A new dict with the entries of both; those of the second one win. */
+  /**
+   * Returns a new dict with the entries of both; where both have a key, the entry of the second is
+   * taken.
+   */
   static ScriptDict union(ScriptDict first, ScriptDict second) {
     ScriptDict union = new ScriptDict();
     union.putAll(first);
--- a/src/main/java/stonespring/config/script/ScriptException.java
+++ b/src/main/java/stonespring/config/script/ScriptException.java
@@ -4,12 +4,15 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A script was rejected. The message has a line for each error, in the order of the source. */
+/** Thrown when a script is rejected. The message has one line for each error, in source order. */
 public final class ScriptException extends Exception {
   private static final long serialVersionUID = 1;
   private final transient List<SettingsError> errors;
 
-  /** Takes the errors in the order in which they were found; equal ones are reported once. */
+  /**
+   * Creates an exception with errors in the order in which they were found; equal ones are reported
+   * once.
+   */
   public ScriptException(List<SettingsError> errors) {
     super(message(inSourceOrder(errors)), null, false, false);
     this.errors = inSourceOrder(errors);
--- a/src/main/java/stonespring/config/script/ScriptList.java
+++ b/src/main/java/stonespring/config/script/ScriptList.java
@@ -4,25 +4,25 @@
 import java.util.List;
 
 /**
- * A list of a script, with the source locations of those of its items that were written out; a
- * computed item has the location of the list.
+ * A list of a script, with the source locations of the items that are written out in it; a computed
+ * item has the location of the list.
  */
 public final class ScriptList extends ArrayList<Object> {
   private static final long serialVersionUID = 1;
   private final transient List<SourceLocation> locations = new ArrayList<>();
 
-  /** The location of an item, or the given one where none is known. */
+  /** The location of an item, or the given one if none is recorded. */
   public SourceLocation locationOf(int index, SourceLocation defaultLocation) {
     return index < locations.size() ? locations.get(index) : defaultLocation;
   }
 
-  /** Appends an item that stands at a location of the source. */
+  /** Appends an item and records its source location. */
   void append(Object item, SourceLocation location) {
     add(item);
     locations.add(location);
   }
 
-  /** A new list of the items of both; items without a location get the one given. */
+  /** Returns a new list with the items of both; items without a location get the given one. */
   static ScriptList concatenation(
       ScriptList first, ScriptList second, SourceLocation defaultLocation) {
     ScriptList all = new ScriptList();
--- a/src/main/java/stonespring/config/script/ScriptLoader.java
+++ b/src/main/java/stonespring/config/script/ScriptLoader.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads, parses and runs files, each of them once. */
+/** Reads, parses and executes files, each of them once. */
 final class ScriptLoader {
   private static final int MAX_FILE_BYTES = 1 << 20;
 
-  /** The most files of which each loads the next. */
+  /** The largest number of files in a chain in which each file loads the next. */
   private static final int MAX_LOAD_DEPTH = 16;
 
   private final List<SettingsError> errors = new ArrayList<>();
@@ -25,11 +25,11 @@
   private final StatementExecutor executor = new StatementExecutor(this);
 
   /**
-   * The globals of a file, in order of assignment.
+   * Loads a file and returns its globals, in order of assignment.
    *
-   * @param from where the file is asked for
-   * @throws EvaluationException if the file can't be read or its run fails; syntax errors go to
-   *     {@link #errors}, and the globals are then empty
+   * @param from the location at which errors in reading the file are reported
+   * @throws EvaluationException if the file cannot be read or its execution fails; syntax errors
+   *     are added to {@link #errors} instead, and the returned globals are then empty
    */
   Map<String, Object> load(Path file, SourceLocation from) {
     Path path = file.toAbsolutePath().normalize();
@@ -75,7 +75,10 @@
     return errors;
   }
 
-  /** Where a name was last assigned at the top level of a file, or the given location. */
+  /**
+   * The location at which a name was last assigned at the top level of a file, or the given
+   * location if it was not.
+   */
   SourceLocation locationOf(String name, SourceLocation defaultLocation) {
     return executor.locationOf(name, defaultLocation);
   }
--- a/src/main/java/stonespring/config/script/SettingsError.java
+++ b/src/main/java/stonespring/config/script/SettingsError.java
@@ -1,6 +1,6 @@
 package stonespring.config.script;
 
-/** One error of a script or of the settings that it holds: where it is, and what is wrong. */
+/** An error of a script or of the settings in it: its location and a description. */
 public record SettingsError(SourceLocation location, String message) {
   @Override
   public String toString() {
--- a/src/main/java/stonespring/config/script/SourceLocation.java
+++ b/src/main/java/stonespring/config/script/SourceLocation.java
@@ -1,10 +1,10 @@
 package stonespring.config.script;
 
 /**
- * A position in a script.
+ * A position in a script file.
  *
- * @param line counts from 1
- * @param column counts from 1
+ * @param line the line number, from 1
+ * @param column the column number in the line, from 1
  */
 public record SourceLocation(String file, int line, int column) {
   @Override
--- a/src/main/java/stonespring/config/script/SourceText.java
+++ b/src/main/java/stonespring/config/script/SourceText.java
@@ -1,6 +1,6 @@
 package stonespring.config.script;
 
-/** The text of a file with the position that the lexer has reached. */
+/** The text of a file, and the lexer's position in it. */
 final class SourceText {
   private final String file;
   private final String text;
@@ -17,7 +17,7 @@
     return position >= text.length();
   }
 
-  /** The next character; not to be called at the end. */
+  /** The next character; must not be called at the end. */
   char peek() {
     return text.charAt(position);
   }
@@ -34,17 +34,17 @@
     return text.startsWith(prefix, position);
   }
 
-  /** Whether a character stands after the next one. */
+  /** Whether the next character is followed by another one. */
   boolean hasSecond() {
     return position + 1 < text.length();
   }
 
-  /** The character after the next one; not to be called without one. */
+  /** The character after the next one; must not be called unless {@link #hasSecond}. */
   char peekSecond() {
     return text.charAt(position + 1);
   }
 
-  /** The character before the next one; not to be called at the start. */
+  /** The character before the next one; must not be called at the start. */
   char previous() {
     return text.charAt(position - 1);
   }
@@ -57,7 +57,7 @@
     position += characters;
   }
 
-  /** Passes the end of a line. */
+  /** Moves past a line end to the start of the next line. */
   void advanceLine() {
     position++;
     line++;
--- a/src/main/java/stonespring/config/script/Statement.java
+++ b/src/main/java/stonespring/config/script/Statement.java
@@ -4,10 +4,10 @@
 
 /** A statement of a parsed script. */
 sealed interface Statement {
-  /** Where errors of this statement are reported. */
+  /** The location at which errors of this statement are reported. */
   SourceLocation location();
 
-  /** An expression that is evaluated for its errors alone. */
+  /** An expression whose value is discarded, such as a call of {@code fail}. */
   record ExpressionStatement(Expression expression) implements Statement {
     @Override
     public SourceLocation location() {
@@ -24,12 +24,13 @@
       SourceLocation location, Expression target, BinaryOperator operator, Expression value)
       implements Statement {}
 
+  /** An {@code if} or {@code elif} condition with its body. */
   record Branch(Expression condition, List<Statement> body) {}
 
   /**
    * {@code if}, {@code elif} and {@code else}.
    *
-   * @param elseBody empty where there is no {@code else}
+   * @param elseBody empty if there is no {@code else}
    */
   record If(SourceLocation location, List<Branch> branches, List<Statement> elseBody)
       implements Statement {}
@@ -40,7 +41,7 @@
   /**
    * A parameter of a function.
    *
-   * @param defaultValue null where the argument is required
+   * @param defaultValue null if the argument is required
    */
   record Parameter(String name, Expression defaultValue) {}
 
@@ -49,9 +50,9 @@
       implements Statement {}
 
   /**
-   * Ends a function.
+   * Returns from a function.
    *
-   * @param value null where none is given
+   * @param value null if none is given
    */
   record Return(SourceLocation location, Expression value) implements Statement {}
 
@@ -61,7 +62,12 @@
 
   record Continue(SourceLocation location) implements Statement {}
 
-  /** A name of the loaded file, and the one that it is given here. */
+  /**
+   * A name imported from a loaded file.
+   *
+   * @param name the name in the loaded file
+   * @param localName the name that it gets in the loading file
+   */
   record ImportedName(String name, String localName) {}
 
   record Load(SourceLocation location, String file, List<ImportedName> names)
--- a/src/main/java/stonespring/config/script/StatementExecutor.java
+++ b/src/main/java/stonespring/config/script/StatementExecutor.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Executes statements. */
+/** Executes the statements of parsed files. */
 final class StatementExecutor {
-  /** How a statement ended. */
+  /** How the execution of a statement ended. */
   enum Completion {
     NORMAL,
     BREAK,
@@ -26,7 +26,10 @@
     this.loader = loader;
   }
 
-  /** Where a name was last assigned at the top level of a file, or the given location. */
+  /**
+   * The location at which a name was last assigned at the top level of a file, or the given
+   * location if it was not.
+   */
   SourceLocation locationOf(String name, SourceLocation defaultLocation) {
     return globalLocations.getOrDefault(name, defaultLocation);
   }
@@ -35,7 +38,7 @@
     return evaluator;
   }
 
-  /** Runs the body of a function and returns its value; null where it returns none. */
+  /** Executes the body of a function and returns its value; null if it returns none. */
   Object runFunction(List<Statement> body, Scope scope) {
     returnValue = null;
     run(body, scope);
@@ -44,7 +47,10 @@
     return result;
   }
 
-  /** Runs statements up to their end or to the first one that leaves them. */
+  /**
+   * Executes statements in order, up to the first one that ends with a {@code break}, {@code
+   * continue} or {@code return}.
+   */
   Completion run(List<Statement> body, Scope scope) {
     for (Statement statement : body) {
       limits.countStep(statement.location());
@@ -119,7 +125,7 @@
     Map<String, Object> exports =
         loader.load(scope.file().resolveSibling(siblingFile), load.location());
     for (Statement.ImportedName imported : load.names()) {
-      // After a syntax error nothing is run, so that the names are not there.
+      // After a syntax error no file is executed, so the names of the loaded file are not set.
       if (!exports.containsKey(imported.name()) && loader.errors().isEmpty()) {
         throw new EvaluationException(
             load.location(),
--- a/src/main/java/stonespring/config/script/StatementParser.java
+++ b/src/main/java/stonespring/config/script/StatementParser.java
@@ -5,9 +5,10 @@
 
 /**
  * Parses the statements of a file. A statement with an error is skipped to the end of its line and
- * of its block, so that one run finds the errors of all statements.
+ * of the block that follows, so that one run reports the errors of all statements.
  */
 final class StatementParser {
+  /** The operators that an augmented assignment such as {@code +=} can have. */
   private static final BinaryOperator[] AUGMENTING_OPERATORS = {
     BinaryOperator.ADD,
     BinaryOperator.SUBTRACT,
@@ -20,7 +21,7 @@
   private final TokenStream tokens;
   private final ExpressionParser expressions;
 
-  /** Parses the tokens; syntax errors are added to the list. */
+  /** Creates a parser of a file's tokens; syntax errors are added to the list. */
   StatementParser(List<Token> tokens, List<SettingsError> errors) {
     this.tokens = new TokenStream(tokens, errors);
     this.expressions = new ExpressionParser(this.tokens);
--- a/src/main/java/stonespring/config/script/Token.java
+++ b/src/main/java/stonespring/config/script/Token.java
@@ -3,8 +3,7 @@
 /**
  * A token of a script.
  *
- * @param text a name, a keyword, an operator, a number or the contents of a string; empty for other
- *     kinds
+ * @param text the name, keyword, operator, number or contents of the string; empty for other kinds
  * @param value the value of a number or a string; null for other kinds
  */
 record Token(Kind kind, String text, Object value, SourceLocation location) {
@@ -20,7 +19,7 @@
     END
   }
 
-  /** Whether this is the given keyword or operator. */
+  /** Whether this token is the given keyword or operator. */
   boolean is(String keywordOrOperator) {
     return isKeywordOrOperator() && text.equals(keywordOrOperator);
   }
@@ -29,7 +28,7 @@
     return kind == Kind.OPERATOR || kind == Kind.KEYWORD;
   }
 
-  /** This token as error messages name it. */
+  /** This token as error messages describe it. */
   String description() {
     return switch (kind) {
       case NEWLINE -> "the line's end";
--- a/src/main/java/stonespring/config/script/TokenStream.java
+++ b/src/main/java/stonespring/config/script/TokenStream.java
@@ -3,9 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The tokens of a file as the parsers consume them, with the bound on nesting. */
+/**
+ * The tokens of a file, consumed by the parsers. Also counts the nesting depth, which is bounded.
+ */
 final class TokenStream {
-  /** The most brackets, operators and blocks inside one another. */
+  /** The largest nesting depth of brackets, operators and blocks. */
   private static final int MAX_NESTING = 100;
 
   private final List<Token> tokens;
@@ -14,9 +16,9 @@
   private int nesting;
 
   /**
-   * Starts at the first token.
+   * Creates a stream at the first token.
    *
-   * @param tokens ends with a token of kind END
+   * @param tokens the tokens; the last one is of kind END
    * @param errors receives the syntax errors
    */
   TokenStream(List<Token> tokens, List<SettingsError> errors) {
@@ -28,7 +30,7 @@
     return tokens.get(position);
   }
 
-  /** The token after the next one; not to be called at the end. */
+  /** The token after the next one; must not be called at the end. */
   Token peekSecond() {
     return tokens.get(position + 1);
   }
@@ -41,7 +43,7 @@
     return peek().is(keywordOrOperator);
   }
 
-  /** Consumes a token; the last one stays. */
+  /** Consumes and returns the next token; the last token is returned again by each further call. */
   Token next() {
     Token token = tokens.get(position);
     position = Math.min(position + 1, tokens.size() - 1);
@@ -52,7 +54,7 @@
     position = Math.max(0, position - 1);
   }
 
-  /** Consumes the next token if it is the given one. */
+  /** Consumes the next token if it is the given keyword or operator; returns whether it was. */
   boolean take(String keywordOrOperator) {
     if (nextIs(keywordOrOperator)) {
       next();
@@ -75,7 +77,7 @@
     return next().text();
   }
 
-  /** One name or several, separated by commas. */
+  /** Consumes one or more names separated by commas. */
   List<String> expectNames() {
     List<String> names = new ArrayList<>();
     do {
@@ -84,12 +86,15 @@
     return names;
   }
 
-  /** Records an error at the next token. */
+  /** Records an error at the next token. The caller throws the returned exception. */
   ParseAbortedException error(String message) {
     return error(peek().location(), message);
   }
 
-  /** Records an error, unless its line has one: others there mostly follow from the first. */
+  /**
+   * Records an error unless its line already has one: further errors of a line mostly follow from
+   * the first. The caller throws the returned exception.
+   */
   ParseAbortedException error(SourceLocation location, String message) {
     boolean lineHasError = false;
     for (SettingsError error : errors) {
@@ -103,7 +108,7 @@
     return new ParseAbortedException();
   }
 
-  /** Enters a construct that can contain itself. */
+  /** Enters a construct that can contain itself; fails if the nesting is too deep. */
   void enter(SourceLocation location) {
     if (++nesting > MAX_NESTING) {
       throw error(location, "nested more than " + MAX_NESTING + " deep");
@@ -118,7 +123,7 @@
     return nesting;
   }
 
-  /** Goes back to an earlier nesting after a statement was abandoned. */
+  /** Resets the nesting depth to an earlier one after a statement was abandoned. */
   void restoreNesting(int earlierNesting) {
     nesting = earlierNesting;
   }
--- a/src/main/java/stonespring/config/script/UnaryOperator.java
+++ b/src/main/java/stonespring/config/script/UnaryOperator.java
@@ -1,6 +1,6 @@
 package stonespring.config.script;
 
-/** The operators with one operand. */
+/** The unary operators. */
 enum UnaryOperator {
   NOT("not"),
   PLUS("+"),
--- a/src/main/java/stonespring/config/script/Values.java
+++ b/src/main/java/stonespring/config/script/Values.java
@@ -6,12 +6,15 @@
 import java.util.Objects;
 
 /**
- * What the values of scripts have in common. A value is null for {@code None}, a {@link Boolean},
+ * Operations common to the values of scripts. A value is null for {@code None}, a {@link Boolean},
  * {@link Long}, {@link Double}, {@link String}, {@link ScriptList}, {@link ScriptDict} or a
  * function.
  */
 public final class Values {
-  /** Doubles above have no exact whole part to print. */
+  /**
+   * The magnitude from which on doubles are not printed as whole numbers, since large doubles do
+   * not represent whole numbers exactly.
+   */
   private static final double MAX_PRINTED_AS_WHOLE = 1e15;
 
   private Values() {}
@@ -27,7 +30,7 @@
         || value instanceof Map<?, ?> map && map.isEmpty());
   }
 
-  /** A value's type as error messages name it. */
+  /** The type of a value as error messages name it. */
   public static String typeName(Object value) {
     if (value == null) {
       return "None";
@@ -47,14 +50,14 @@
     return "a function";
   }
 
-  /** A number as people write it: without a fraction where it is whole. */
+  /** Formats a number, without a fraction if it is whole. */
   public static String formatNumber(double value) {
     return value == Math.rint(value) && Math.abs(value) < MAX_PRINTED_AS_WHOLE
         ? String.valueOf((long) value)
         : String.valueOf(value);
   }
 
-  /** A copy of a list's items or of a dict's keys. */
+  /** Returns a copy of the items of a list or of the keys of a dict; fails for other types. */
   static List<Object> items(SourceLocation location, Object value) {
     if (value instanceof ScriptList list) {
       return new ArrayList<>(list);
@@ -66,7 +69,7 @@
         location, "'for' goes over a list or a dict, not " + typeName(value));
   }
 
-  /** Returns the value if it can be the key of a dict. */
+  /** Returns the value if it can be the key of a dict; fails otherwise. */
   static Object requireKey(SourceLocation location, Object value) {
     if (!(value instanceof String || value instanceof Long || value instanceof Boolean)) {
       throw new EvaluationException(
@@ -75,7 +78,10 @@
     return value;
   }
 
-  /** The position that an index names; a negative one counts from the end. */
+  /**
+   * Returns the position that an index denotes; a negative index counts from the end. Fails if the
+   * index is out of range.
+   */
   static int requirePosition(SourceLocation location, Object index, int size) {
     if (!(index instanceof Long position) || position < -size || position >= size) {
       throw new EvaluationException(
@@ -84,7 +90,7 @@
     return (int) (position < 0 ? position + size : position);
   }
 
-  /** The entry of a dict, list or string. */
+  /** Returns an entry of a dict, an item of a list or a character of a string. */
   static Object entry(SourceLocation location, Object container, Object index) {
     if (container instanceof ScriptDict dict) {
       if (!dict.containsKey(index)) {
@@ -101,14 +107,14 @@
     throw new EvaluationException(location, typeName(container) + " has no entries");
   }
 
-  /** Whether two values are equal; numbers are compared as floating-point ones. */
+  /** Whether two values are equal; numbers are compared as doubles. */
   static boolean areEqual(Object left, Object right) {
     return left instanceof Number leftNumber && right instanceof Number rightNumber
         ? leftNumber.doubleValue() == rightNumber.doubleValue()
         : Objects.equals(left, right);
   }
 
-  /** Compares two numbers or two strings, as {@link Comparable} does. */
+  /** Compares two numbers or two strings as {@link Comparable} does; fails for other types. */
   static int compare(SourceLocation location, Object left, Object right) {
     if (left instanceof Number leftNumber && right instanceof Number rightNumber) {
       return Double.compare(leftNumber.doubleValue(), rightNumber.doubleValue());
