--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -121,7 +121,8 @@
   public InstanceSettings withOverrides(
       Integer otherPort, Integer registryPort, Path otherCacheFile) {
     if (otherPort != null && (otherPort < 0 || otherPort > MAX_SNAPSHOT_PORT)) {
-      throw new IllegalArgumentException("the port is outside 0 to " + MAX_SNAPSHOT_PORT);
+      throw new IllegalArgumentException(
+          "the port must be from 0 to " + MAX_SNAPSHOT_PORT + ", got " + otherPort);
     }
     Source source = endpointList.source();
     if (registryPort != null) {
@@ -143,9 +144,11 @@
   private static Source withRegistryPort(Source source, int port) {
     if (!(source instanceof Source.FromRegistry registry) || port < 1 || port > MAX_PORT) {
       throw new IllegalArgumentException(
-          "the registry's port is outside 1 to "
+          "the registry port must be from 1 to "
               + MAX_PORT
-              + ", or the endpoint list comes from a file");
+              + ", got "
+              + port
+              + ", and the endpoint list must come from a registry, not from a file");
     }
     return new Source.FromRegistry(
         registry.host(), port, registry.service(), registry.waitSeconds());
--- a/src/main/java/stonespring/config/InstanceSettingsDecoder.java
+++ b/src/main/java/stonespring/config/InstanceSettingsDecoder.java
@@ -138,7 +138,9 @@
     for (Section section : globals.sections(SettingsKeys.REQUEST_CLASSES, 1, 16)) {
       String name = section.text(SettingsKeys.NAME, NAME_PATTERN, null);
       if (names.contains(name)) {
-        section.reject(SettingsKeys.NAME, "is '" + name + "' for a second time");
+        section.reject(
+            SettingsKeys.NAME,
+            "must be unique, but '" + name + "' is already the name of an earlier request class");
       }
       names.add(name);
       double objectiveMillis =
@@ -146,7 +148,9 @@
       double timeoutMillis =
           section.number(SettingsKeys.REQUEST_TIMEOUT_MILLIS, 1, 3_600_000, null);
       if (timeoutMillis < objectiveMillis) {
-        section.reject(SettingsKeys.REQUEST_TIMEOUT_MILLIS, "is below the target latency");
+        section.reject(
+            SettingsKeys.REQUEST_TIMEOUT_MILLIS,
+            "must be at least the value of '" + SettingsKeys.LATENCY_OBJECTIVE_MILLIS + "'");
       }
       timeoutsDeciMillis.add(deciMillisOfMillis(timeoutMillis));
       classes.add(
@@ -164,7 +168,7 @@
       case RETRYABLE -> RetrySafety.IDEMPOTENT;
       case DEDUPLICATED -> RetrySafety.IDEMPOTENCY_KEYED;
       case ONCE_ONLY -> RetrySafety.NON_IDEMPOTENT;
-      default -> throw new IllegalArgumentException("no retry safety: " + word);
+      default -> throw new IllegalArgumentException("unknown retry safety: " + word);
     };
   }
 
--- a/src/main/java/stonespring/config/JsonFields.java
+++ b/src/main/java/stonespring/config/JsonFields.java
@@ -63,12 +63,12 @@
   double number(String field) {
     JsonNode value = required(field);
     if (!value.isNumber()) {
-      throw new InvalidSettingsException(field, "is not a number: " + value);
+      throw new InvalidSettingsException(field, "must be a number, got " + value);
     }
     double number = value.asDouble();
     if (!(number >= 0 && number <= MAX_NUMBER)) {
       throw new InvalidSettingsException(
-          field, "is not a number from 0 to " + MAX_NUMBER + ": " + value);
+          field, "must be a number from 0 to " + MAX_NUMBER + ", got " + value);
     }
     return number;
   }
@@ -99,14 +99,14 @@
   private JsonNode list(String field) {
     JsonNode value = required(field);
     if (!value.isArray()) {
-      throw new InvalidSettingsException(field, "is no list");
+      throw new InvalidSettingsException(field, "must be an array, got " + value);
     }
     return value;
   }
 
   private static String asText(String field, JsonNode value) {
     if (!value.isTextual()) {
-      throw new InvalidSettingsException(field, "is no text: " + value);
+      throw new InvalidSettingsException(field, "must be a string, got " + value);
     }
     return value.asText();
   }
--- a/src/main/java/stonespring/config/PlatformConfig.java
+++ b/src/main/java/stonespring/config/PlatformConfig.java
@@ -54,15 +54,16 @@
   public static PlatformConfig read(Path file) throws InvalidConfigException {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
-        throw new InvalidConfigException(file, "it is over " + MAX_FILE_BYTES + " bytes");
+        throw new InvalidConfigException(
+            file, "the file is larger than " + MAX_FILE_BYTES + " bytes");
       }
       return decode(file, JSON.readTree(Files.readAllBytes(file)));
     } catch (NoSuchFileException e) {
-      throw new InvalidConfigException(file, "there is no such file");
+      throw new InvalidConfigException(file, "the file does not exist");
     } catch (JsonProcessingException e) {
       throw malformed(file, e);
     } catch (IOException e) {
-      throw new InvalidConfigException(file, "it can't be read: " + e.getMessage());
+      throw new InvalidConfigException(file, "cannot read the file: " + e.getMessage());
     } catch (InvalidSettingsException e) {
       throw new InvalidConfigException(file, "field 'settings': " + e.getMessage());
     }
@@ -71,17 +72,16 @@
   private static InvalidConfigException malformed(Path file, JsonProcessingException cause) {
     int line = cause.getLocation() == null ? 0 : cause.getLocation().getLineNr();
     String firstLine = cause.getOriginalMessage().split("\n")[0];
-    return new InvalidConfigException(
-        file, "line " + line + ": it is no well-formed JSON: " + firstLine);
+    return new InvalidConfigException(file, "line " + line + ": malformed JSON: " + firstLine);
   }
 
   private static PlatformConfig decode(Path file, JsonNode object) throws InvalidConfigException {
     if (object == null || !object.isObject()) {
-      throw new InvalidConfigException(file, "it is no JSON object");
+      throw new InvalidConfigException(file, "the file must contain a JSON object");
     }
     JsonNode settings = object.path("settings");
     if (!settings.isObject()) {
-      throw new InvalidConfigException(file, "field 'settings' is missing or no object");
+      throw new InvalidConfigException(file, "field 'settings' is missing or not an object");
     }
     int sockets = sockets(file, object.path("limits").path("sockets"));
     PlatformSettings platformSettings = PlatformSettings.read(settings).withPlatformConstraints();
@@ -97,7 +97,8 @@
 
   private static int sockets(Path file, JsonNode sockets) throws InvalidConfigException {
     if (!sockets.isMissingNode() && !(sockets.isIntegralNumber() && sockets.asInt() > 0)) {
-      throw new InvalidConfigException(file, "field 'limits.sockets' is no number above 0");
+      throw new InvalidConfigException(
+          file, "field 'limits.sockets' must be an integer above 0, got " + sockets);
     }
     return sockets.asInt(DEFAULT_SOCKETS);
   }
@@ -106,7 +107,7 @@
       throws InvalidConfigException {
     JsonNode value = object.path(field);
     if (!value.isTextual()) {
-      throw new InvalidConfigException(file, "field '" + field + "' is missing or no text");
+      throw new InvalidConfigException(file, "field '" + field + "' is missing or not a string");
     }
     return value.asText();
   }
@@ -124,7 +125,9 @@
     if (!host.matches(HOST_ADDRESS)
         || !port.matches("[0-9]{1,5}")
         || Integer.parseInt(port) > MAX_PORT) {
-      throw new InvalidConfigException(file, "field '" + field + "' is not ADDRESS:PORT: " + text);
+      throw new InvalidConfigException(
+          file,
+          "field '" + field + "' must be ADDRESS:PORT with a numeric IP address, got " + text);
     }
     return new InetSocketAddress(host, Integer.parseInt(port));
   }
@@ -138,7 +141,9 @@
     }
     if (!seed.isTextual() || !seed.asText().matches("[0-9A-Fa-f]{1,64}")) {
       throw new InvalidConfigException(
-          file, "field 'seed' is missing, or neither hex digits nor a number");
+          file,
+          "field 'seed' is missing, or is neither an integer nor a string of"
+              + " 1 to 64 hexadecimal digits");
     }
     return new BigInteger(seed.asText(), 16).longValue();
   }
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -66,32 +66,39 @@
       case "free" -> RetrySafety.IDEMPOTENT;
       case "guarded" -> RetrySafety.IDEMPOTENCY_KEYED;
       case "single_shot" -> RetrySafety.NON_IDEMPOTENT;
-      default -> throw new InvalidSettingsException("repeat", "has an unknown word: " + word);
+      default ->
+          throw new InvalidSettingsException(
+              "repeat", "must be one of free, guarded, single_shot, got '" + word + "'");
     };
   }
 
   private static void requirePositiveFields(
       JsonFields fields, JsonFields fleet, List<String> zones, List<RequestClass> classes) {
-    requireAtLeastOne("zones", zones.size());
-    requireAtLeastOne("categories", classes.size());
+    requireAtLeastOne("zones", "must have at least 1 item", zones.size());
+    requireAtLeastOne("categories", "must have at least 1 item", classes.size());
     if (classes.size() > MAX_REQUEST_CLASSES) {
       throw new InvalidSettingsException(
-          "categories", "has over " + MAX_REQUEST_CLASSES + " request classes");
+          "categories",
+          "must have at most " + MAX_REQUEST_CLASSES + " items, got " + classes.size());
     }
-    requireAtLeastOne("balancers", fields.number("balancers"));
-    requireAtLeastOne("proxyCount", fleet.number("proxyCount"));
-    requireAtLeastOne("backlog", fleet.number("backlog"));
-    requireAtLeastOne("pushRate", fleet.number("pushRate"));
-    requireAtLeastOne("reportEveryS", fleet.duration("reportEveryS"));
+    requireAtLeastOne("balancers", "must be at least 1", fields.number("balancers"));
+    requireAtLeastOne("proxyCount", "must be at least 1", fleet.number("proxyCount"));
+    requireAtLeastOne("backlog", "must be at least 1", fleet.number("backlog"));
+    requireAtLeastOne("pushRate", "must be at least 1", fleet.number("pushRate"));
+    requireAtLeastOne(
+        "reportEveryS", "must be at least 1 deci-millisecond", fleet.duration("reportEveryS"));
   }
 
   /**
    * Rejects values below 1 for quantities that are divided by or waited for: with 0, an instance
    * would decide without end or never.
+   *
+   * @param requirement what is required of the field, in the words of the error message
    */
-  private static void requireAtLeastOne(String field, double value) {
+  private static void requireAtLeastOne(String field, String requirement, double value) {
     if (value < 1) {
-      throw new InvalidSettingsException(field, "has none, or too few");
+      String found = value == 0 ? "0" : String.valueOf(value);
+      throw new InvalidSettingsException(field, requirement + ", got " + found);
     }
   }
 
--- a/src/main/java/stonespring/config/Section.java
+++ b/src/main/java/stonespring/config/Section.java
@@ -62,7 +62,7 @@
       return defaultValue == null ? minimum : defaultValue;
     }
     if (!(value instanceof Number boxed)) {
-      reject(key, "is a number, not " + Values.typeName(value));
+      reject(key, "must be a number, got " + Values.typeName(value));
       return minimum;
     }
     double number = boxed.doubleValue();
@@ -85,7 +85,7 @@
       return defaultValue == null ? minimum : defaultValue;
     }
     if (!(value instanceof Long number)) {
-      reject(key, "is a whole number, not " + Values.typeName(value));
+      reject(key, "must be a whole number, got " + Values.typeName(value));
       return minimum;
     }
     if (number < minimum || number > maximum) {
@@ -96,14 +96,14 @@
   }
 
   private static String describeOutOfRange(Object value, Object minimum, Object maximum) {
-    return "is " + value + ", outside " + minimum + " to " + maximum;
+    return "must be from " + minimum + " to " + maximum + ", got " + value;
   }
 
   /** Reads an optional boolean. */
   public boolean bool(String key, boolean defaultValue) {
     Object value = read(key, false);
     if (value != null && !(value instanceof Boolean)) {
-      reject(key, "is True or False, not " + Values.typeName(value));
+      reject(key, "must be True or False, got " + Values.typeName(value));
     }
     return value instanceof Boolean flag ? flag : defaultValue;
   }
@@ -119,11 +119,11 @@
       return replacement;
     }
     if (!(value instanceof String text)) {
-      reject(key, "is a string, not " + Values.typeName(value));
+      reject(key, "must be a string, got " + Values.typeName(value));
       return replacement;
     }
     if (!text.matches(pattern)) {
-      reject(key, "is '" + text + "', which does not fit " + pattern);
+      reject(key, "must match " + pattern + ", got '" + text + "'");
       return replacement;
     }
     return text;
@@ -147,7 +147,7 @@
   }
 
   private void rejectChoice(String key, List<String> words, String found) {
-    reject(key, "is one of " + String.join(", ", words) + ", not " + found);
+    reject(key, "must be one of " + String.join(", ", words) + ", got " + found);
   }
 
   /**
@@ -160,11 +160,18 @@
     for (int i = 0; i < list.size(); i++) {
       Object item = list.get(i);
       if (texts.contains(item)) {
-        addError(locationOf(key, list, i), key, "holds '" + item + "' twice");
+        addError(
+            locationOf(key, list, i),
+            key,
+            "must have distinct items, got '" + item + "' more than once");
       } else if (item instanceof String text && text.matches(pattern)) {
         texts.add(text);
       } else {
-        addError(locationOf(key, list, i), key, "holds something that does not fit " + pattern);
+        String found = item instanceof String text ? "'" + text + "'" : Values.typeName(item);
+        addError(
+            locationOf(key, list, i),
+            key,
+            "must contain only strings that match " + pattern + ", got " + found);
       }
     }
     return texts;
@@ -177,7 +184,7 @@
   public Section section(String key, boolean required) {
     Object value = read(key, required);
     if (value != null && !(value instanceof ScriptDict)) {
-      reject(key, "is a dict, not " + Values.typeName(value));
+      reject(key, "must be a dict, got " + Values.typeName(value));
     }
     List<SettingsError> discardedErrors = new ArrayList<>();
     return new Section(
@@ -199,8 +206,7 @@
       if (list.get(i) instanceof ScriptDict child) {
         sections.add(new Section(qualifiedName(key) + "[" + i + "]", child, itemLocation, errors));
       } else {
-        addError(
-            itemLocation, key, "holds " + Values.typeName(list.get(i)) + " where a dict belongs");
+        addError(itemLocation, key, "must contain only dicts, got " + Values.typeName(list.get(i)));
       }
     }
     return sections;
@@ -211,7 +217,7 @@
     for (Object entryKey : dict.keySet()) {
       String key = String.valueOf(entryKey);
       if (!knownKeys.contains(key)) {
-        reject(key, "is not known" + NearestName.hint(key, knownKeys));
+        reject(key, "is not a known key" + NearestName.hint(key, knownKeys));
       }
     }
   }
@@ -231,11 +237,11 @@
       return new ScriptList();
     }
     if (!(value instanceof ScriptList list)) {
-      reject(key, "is a list, not " + Values.typeName(value));
+      reject(key, "must be a list, got " + Values.typeName(value));
       return new ScriptList();
     }
     if (list.size() < minimumSize || list.size() > maximumSize) {
-      reject(key, "holds " + list.size() + " items, outside " + minimumSize + " to " + maximumSize);
+      reject(key, "must have " + minimumSize + " to " + maximumSize + " items, got " + list.size());
     }
     return list;
   }
--- a/src/main/java/stonespring/config/script/BuiltinFunctions.java
+++ b/src/main/java/stonespring/config/script/BuiltinFunctions.java
@@ -39,7 +39,8 @@
         | ClassCastException
         | NullPointerException
         | NumberFormatException e) {
-      throw new EvaluationException(location, name + " does not take these arguments");
+      throw new EvaluationException(
+          location, name + ": too few arguments, or an argument of the wrong type or value");
     }
   }
 
@@ -60,7 +61,7 @@
       case "zip" -> zip(location, arguments);
       case "get" -> get(arguments);
       case "fail" -> throw failure(location, arguments);
-      default -> throw new IllegalStateException("no built-in function " + name);
+      default -> throw new IllegalStateException("unknown built-in function " + name);
     };
   }
 
--- a/src/main/java/stonespring/config/script/ExecutionLimits.java
+++ b/src/main/java/stonespring/config/script/ExecutionLimits.java
@@ -14,14 +14,17 @@
    */
   void countStep(SourceLocation location) {
     if (++steps > MAX_STEPS) {
-      throw new EvaluationException(location, "the script takes over " + MAX_STEPS + " steps");
+      throw new EvaluationException(
+          location, "the script exceeds the limit of " + MAX_STEPS + " steps");
     }
   }
 
   /** Checks the size of a list, dict or string. */
   static void checkSize(SourceLocation location, int size) {
     if (size > MAX_ITEMS) {
-      throw new EvaluationException(location, "over " + MAX_ITEMS + " items");
+      throw new EvaluationException(
+          location,
+          "a list, dict or string exceeds the limit of " + MAX_ITEMS + " items or characters");
     }
   }
 
@@ -29,7 +32,8 @@
   static void checkRange(SourceLocation location, long from, long to, long step) {
     if (step == 0 || Math.abs((to - from) / step) > MAX_ITEMS) {
       throw new EvaluationException(
-          location, "range: a step of 0, or over " + MAX_ITEMS + " items");
+          location,
+          "range: the step must not be 0, and the range must have at most " + MAX_ITEMS + " items");
     }
   }
 }
--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -67,7 +67,14 @@
       return;
     }
     if (!(item instanceof ScriptList list) || list.size() != names.size()) {
-      throw new EvaluationException(location, names.size() + " names need a list of as many");
+      String found =
+          item instanceof ScriptList other ? "a list of " + other.size() : Values.typeName(item);
+      throw new EvaluationException(
+          location,
+          "cannot unpack into "
+              + names.size()
+              + " names: expected a list of as many items, got "
+              + found);
     }
     for (int i = 0; i < names.size(); i++) {
       scope.set(names.get(i), list.get(i));
@@ -89,7 +96,7 @@
     known.addAll(scope.globals().keySet());
     known.addAll(BuiltinFunctions.names());
     throw new EvaluationException(
-        reference.location(), "'" + name + "' is not set" + NearestName.hint(name, known));
+        reference.location(), "'" + name + "' is not defined" + NearestName.hint(name, known));
   }
 
   /**
@@ -124,7 +131,7 @@
     for (Expression.DictEntry entry : display.entries()) {
       Object key = Values.requireKey(entry.location(), evaluate(entry.key(), scope));
       if (dict.containsKey(key)) {
-        throw new EvaluationException(entry.location(), "the key " + key + " comes twice");
+        throw new EvaluationException(entry.location(), "duplicate key " + key + " in a dict");
       }
       dict.put(key, evaluate(entry.value(), scope), entry.location());
     }
@@ -184,13 +191,13 @@
       if (argument.name() != null) {
         if (named.put(argument.name(), value) != null) {
           throw new EvaluationException(
-              call.location(), "argument '" + argument.name() + "' comes twice");
+              call.location(), "argument '" + argument.name() + "' is given more than once");
         }
       } else if (named.isEmpty()) {
         positional.add(value);
       } else {
         throw new EvaluationException(
-            call.location(), "an argument without a name stands after one with a name");
+            call.location(), "a positional argument must not follow a named argument");
       }
     }
     return functions.call(call.location(), function, positional, named);
--- a/src/main/java/stonespring/config/script/ExpressionParser.java
+++ b/src/main/java/stonespring/config/script/ExpressionParser.java
@@ -152,7 +152,7 @@
       }
       default -> {
         tokens.stepBack();
-        throw tokens.error(token.location(), "a value is missing before " + token.description());
+        throw tokens.error(token.location(), "expected a value, found " + token.description());
       }
     }
   }
--- a/src/main/java/stonespring/config/script/FunctionCaller.java
+++ b/src/main/java/stonespring/config/script/FunctionCaller.java
@@ -39,7 +39,8 @@
       return BuiltinFunctions.call(location, builtin.name(), positional);
     }
     if (!(function instanceof UserFunction userFunction)) {
-      throw new EvaluationException(location, Values.typeName(function) + " can't be called");
+      throw new EvaluationException(
+          location, "only a function can be called, not " + Values.typeName(function));
     }
     return call(location, userFunction, positional, named);
   }
@@ -57,14 +58,14 @@
           location,
           "'"
               + name
-              + "' calls itself, or over "
+              + "' calls itself, or calls are nested more than "
               + MAX_CALL_DEPTH
-              + " calls stand inside each other");
+              + " levels deep");
     }
     Map<String, Object> arguments = bind(location, function, positional, named);
     if (!named.isEmpty()) {
       String unknown = named.keySet().iterator().next();
-      throw new EvaluationException(location, name + " takes no argument '" + unknown + "'");
+      throw new EvaluationException(location, name + " has no parameter '" + unknown + "'");
     }
     activeCalls.add(callKey);
     Object result =
@@ -85,7 +86,8 @@
     List<Statement.Parameter> parameters = function.definition().parameters();
     if (positional.size() > parameters.size()) {
       throw new EvaluationException(
-          location, name + " takes " + parameters.size() + " arguments, not " + positional.size());
+          location,
+          name + " takes at most " + parameters.size() + " arguments, got " + positional.size());
     }
     Map<String, Object> arguments = new HashMap<>();
     for (int i = 0; i < parameters.size(); i++) {
@@ -100,7 +102,7 @@
         value = executor.evaluator().evaluate(parameter.defaultValue(), scope);
       } else {
         throw new EvaluationException(
-            location, name + ": argument '" + parameter.name() + "' is missing");
+            location, name + ": required argument '" + parameter.name() + "' is missing");
       }
       arguments.put(parameter.name(), value);
     }
--- a/src/main/java/stonespring/config/script/Lexer.java
+++ b/src/main/java/stonespring/config/script/Lexer.java
@@ -168,7 +168,9 @@
       indents.pop();
       add(Token.Kind.DEDENT);
       if (indent > indents.peek()) {
-        error(source.location(), "this line's indentation fits no block");
+        error(
+            source.location(),
+            "the indentation of this line does not match that of any enclosing block");
         indents.push(indent);
       }
     }
@@ -196,7 +198,7 @@
     }
     String word = source.textFrom(start);
     if (UNSUPPORTED_KEYWORDS.contains(word)) {
-      error(location, "'" + word + "' is not part of this language");
+      error(location, "'" + word + "' is not supported in settings scripts");
     }
     add(KEYWORDS.contains(word) ? Token.Kind.KEYWORD : Token.Kind.NAME, word, null, location);
   }
@@ -212,7 +214,10 @@
       }
     }
     error(
-        location, first == '\t' ? "a tab: indent by spaces" : "'" + first + "' means nothing here");
+        location,
+        first == '\t'
+            ? "unexpected tab character: indent with spaces"
+            : "unexpected character '" + first + "'");
     source.advance();
   }
 
@@ -239,7 +244,7 @@
     try {
       value = isFloat ? (Object) parseFloat(digits) : (Object) Long.valueOf(digits);
     } catch (NumberFormatException e) {
-      error(location, "'" + digits + "' is no number, or too large a one");
+      error(location, "'" + digits + "' is not a valid number, or is too large");
     }
     add(Token.Kind.NUMBER, digits, value, location);
   }
@@ -283,7 +288,7 @@
     if (source.nextIs(quote)) {
       source.advance();
     } else {
-      error(location, "this string does not end on its line");
+      error(location, "missing closing quote: a string must end on its line");
     }
     add(Token.Kind.STRING, contents.toString(), contents.toString(), location);
   }
@@ -291,7 +296,7 @@
   private void readEscape(StringBuilder contents) {
     int escape = ESCAPE_LETTERS.indexOf(source.peek());
     if (escape < 0) {
-      error(source.location(), "'\\" + source.peek() + "' is no escape");
+      error(source.location(), "unknown escape sequence '\\" + source.peek() + "'");
     } else {
       contents.append(ESCAPED_CHARACTERS.charAt(escape));
     }
--- a/src/main/java/stonespring/config/script/Operators.java
+++ b/src/main/java/stonespring/config/script/Operators.java
@@ -2,7 +2,7 @@
 
 /** Applies operators to values. */
 final class Operators {
-  private static final String OVERFLOW = "the number grows too large";
+  private static final String OVERFLOW = "the result is out of the range of numbers";
 
   private Operators() {}
 
@@ -16,7 +16,7 @@
           expression.location(),
           "'"
               + expression.operator().symbol()
-              + "' needs a number, not "
+              + "' requires a number, got "
               + Values.typeName(operand));
     }
     if (expression.operator() == UnaryOperator.PLUS) {
@@ -89,7 +89,7 @@
         location,
         "'"
             + operator.symbol()
-            + "' does not go with "
+            + "' cannot be applied to "
             + Values.typeName(left)
             + " and "
             + Values.typeName(right));
--- a/src/main/java/stonespring/config/script/ScriptLoader.java
+++ b/src/main/java/stonespring/config/script/ScriptLoader.java
@@ -40,7 +40,11 @@
     if (!loading.add(path) || loading.size() > MAX_LOAD_DEPTH) {
       throw new EvaluationException(
           from,
-          "load: " + file + " loads itself, or over " + MAX_LOAD_DEPTH + " files load each other");
+          "load: "
+              + file
+              + " loads itself, or loads are nested more than "
+              + MAX_LOAD_DEPTH
+              + " files deep");
     }
     List<Statement> statements = parse(file, read(file, path, from));
     Map<String, Object> globals = new LinkedHashMap<>();
@@ -55,13 +59,14 @@
   private static String read(Path file, Path path, SourceLocation from) {
     try {
       if (Files.size(path) > MAX_FILE_BYTES) {
-        throw new EvaluationException(from, file + " is over " + MAX_FILE_BYTES + " bytes");
+        throw new EvaluationException(
+            from, "cannot read " + file + ": it is larger than " + MAX_FILE_BYTES + " bytes");
       }
       return Files.readString(path);
     } catch (NoSuchFileException e) {
-      throw new EvaluationException(from, "can't read " + file + ": there is no such file");
+      throw new EvaluationException(from, "cannot read " + file + ": the file does not exist");
     } catch (IOException e) {
-      throw new EvaluationException(from, "can't read " + file + ": " + e.getMessage());
+      throw new EvaluationException(from, "cannot read " + file + ": " + e.getMessage());
     }
   }
 
--- a/src/main/java/stonespring/config/script/StatementExecutor.java
+++ b/src/main/java/stonespring/config/script/StatementExecutor.java
@@ -120,7 +120,8 @@
         siblingFile.getNameCount() == 1 && !siblingFile.isAbsolute() && !load.file().equals("..");
     if (scope.file() == null || !sameFolder) {
       throw new EvaluationException(
-          load.location(), "load: only a file in the same folder can be loaded, at the top level");
+          load.location(),
+          "load: only a file in the same folder can be loaded, and only at the top level");
     }
     Map<String, Object> exports =
         loader.load(scope.file().resolveSibling(siblingFile), load.location());
@@ -131,7 +132,7 @@
             load.location(),
             "load: "
                 + load.file()
-                + " sets no '"
+                + " does not define '"
                 + imported.name()
                 + "'"
                 + NearestName.hint(imported.name(), exports.keySet()));
@@ -155,7 +156,8 @@
 
   private void assignName(SourceLocation location, String name, Object value, Scope scope) {
     if (BuiltinFunctions.names().contains(name)) {
-      throw new EvaluationException(location, "'" + name + "' is the language's own name");
+      throw new EvaluationException(
+          location, "cannot assign to '" + name + "': it is the name of a built-in function");
     }
     scope.set(name, value);
     if (scope.isTopLevel()) {
@@ -175,7 +177,7 @@
     } else {
       throw new EvaluationException(
           location,
-          "an entry can be set in a list or a dict, not in " + Values.typeName(container));
+          "can assign only to an entry of a list or dict, not of " + Values.typeName(container));
     }
   }
 }
--- a/src/main/java/stonespring/config/script/StatementParser.java
+++ b/src/main/java/stonespring/config/script/StatementParser.java
@@ -44,7 +44,7 @@
       } else if (tokens.nextIs(Token.Kind.INDENT)) {
         Token indent = tokens.next();
         throw tokens.error(
-            indent.location(), "this line is indented, but no block begins above it");
+            indent.location(), "unexpected indentation: the previous line does not start a block");
       } else if (tokens.nextIs("if")) {
         statements.add(parseIf(inFunction));
       } else if (tokens.nextIs("for")) {
@@ -63,7 +63,7 @@
 
   private void expectEndOfLine() {
     if (!tokens.nextIs(Token.Kind.NEWLINE)) {
-      throw tokens.error(tokens.peek().description() + " does not belong here");
+      throw tokens.error("expected the end of the line, found " + tokens.peek().description());
     }
     tokens.next();
   }
@@ -102,7 +102,7 @@
     }
     tokens.next();
     if (!tokens.nextIs(Token.Kind.INDENT)) {
-      throw tokens.error("an indented block is missing");
+      throw tokens.error("expected an indented block, found " + tokens.peek().description());
     }
     tokens.next();
     while (!tokens.nextIs(Token.Kind.DEDENT) && !tokens.nextIs(Token.Kind.END)) {
@@ -135,7 +135,7 @@
 
   private Statement parseFunctionDefinition(boolean inFunction) {
     if (inFunction) {
-      throw tokens.error("a function inside a function is not part of this language");
+      throw tokens.error("a function definition inside a function is not supported");
     }
     SourceLocation location = tokens.next().location();
     String name = tokens.expectName();
@@ -176,7 +176,7 @@
   private Statement parseReturn(boolean inFunction) {
     SourceLocation location = tokens.next().location();
     if (!inFunction) {
-      throw tokens.error(location, "'return' stands outside a function");
+      throw tokens.error(location, "'return' is allowed only inside a function");
     }
     Expression value = tokens.nextIs(Token.Kind.NEWLINE) ? null : expressions.parse();
     return new Statement.Return(location, value);
@@ -197,7 +197,9 @@
 
   private Statement parseAssignedValue(Expression target, BinaryOperator operator) {
     if (!(target instanceof Expression.Name || target instanceof Expression.Index)) {
-      throw tokens.error(target.location(), "only a name or an entry can be set");
+      throw tokens.error(
+          target.location(),
+          "cannot assign to this expression: expected a name or an entry of a list or dict");
     }
     return new Statement.Assign(target.location(), target, operator, expressions.parse());
   }
@@ -205,7 +207,7 @@
   private Statement parseLoad() {
     SourceLocation location = tokens.next().location();
     tokens.expect("(");
-    String file = expectString("load: the file's name is missing");
+    String file = expectString("load: expected the file name as a string");
     List<Statement.ImportedName> names = new ArrayList<>();
     while (tokens.take(",") && !tokens.nextIs(")")) {
       names.add(parseImportedName());
@@ -220,13 +222,13 @@
       localName = tokens.next().text();
       tokens.expect("=");
     }
-    String name = expectString("load: names to load are strings");
+    String name = expectString("load: expected the name to load as a string");
     return new Statement.ImportedName(name, localName == null ? name : localName);
   }
 
   private String expectString(String errorMessage) {
     if (!tokens.nextIs(Token.Kind.STRING)) {
-      throw tokens.error(errorMessage);
+      throw tokens.error(errorMessage + ", found " + tokens.peek().description());
     }
     return tokens.next().text();
   }
--- a/src/main/java/stonespring/config/script/Token.java
+++ b/src/main/java/stonespring/config/script/Token.java
@@ -31,10 +31,10 @@
   /** This token as error messages describe it. */
   String description() {
     return switch (kind) {
-      case NEWLINE -> "the line's end";
-      case INDENT -> "a deeper line";
-      case DEDENT -> "the block's end";
-      case END -> "the file's end";
+      case NEWLINE -> "the end of the line";
+      case INDENT -> "an indented line";
+      case DEDENT -> "the end of the block";
+      case END -> "the end of the file";
       case STRING -> "a string";
       default -> "'" + text + "'";
     };
--- a/src/main/java/stonespring/config/script/TokenStream.java
+++ b/src/main/java/stonespring/config/script/TokenStream.java
@@ -65,14 +65,14 @@
 
   Token expect(String keywordOrOperator) {
     if (!nextIs(keywordOrOperator)) {
-      throw error("'" + keywordOrOperator + "' is missing before " + peek().description());
+      throw error("expected '" + keywordOrOperator + "', found " + peek().description());
     }
     return next();
   }
 
   String expectName() {
     if (!nextIs(Token.Kind.NAME)) {
-      throw error("a name is missing before " + peek().description());
+      throw error("expected a name, found " + peek().description());
     }
     return next().text();
   }
@@ -111,7 +111,7 @@
   /** Enters a construct that can contain itself; fails if the nesting is too deep. */
   void enter(SourceLocation location) {
     if (++nesting > MAX_NESTING) {
-      throw error(location, "nested more than " + MAX_NESTING + " deep");
+      throw error(location, "nested more than " + MAX_NESTING + " levels deep");
     }
   }
 
--- a/src/main/java/stonespring/config/script/Values.java
+++ b/src/main/java/stonespring/config/script/Values.java
@@ -39,9 +39,9 @@
     } else if (value instanceof Long) {
       return "a whole number";
     } else if (value instanceof Double) {
-      return "a number";
+      return "a floating-point number";
     } else if (value instanceof Boolean) {
-      return "a truth value";
+      return "a boolean";
     } else if (value instanceof ScriptList) {
       return "a list";
     } else if (value instanceof ScriptDict) {
@@ -66,14 +66,15 @@
       return new ArrayList<>(dict.keySet());
     }
     throw new EvaluationException(
-        location, "'for' goes over a list or a dict, not " + typeName(value));
+        location, "expected a list or a dict to iterate over, got " + typeName(value));
   }
 
   /** Returns the value if it can be the key of a dict; fails otherwise. */
   static Object requireKey(SourceLocation location, Object value) {
     if (!(value instanceof String || value instanceof Long || value instanceof Boolean)) {
       throw new EvaluationException(
-          location, "a dict's key is a string or a whole number, not " + typeName(value));
+          location,
+          "a dict key must be a string, a whole number or a boolean, got " + typeName(value));
     }
     return value;
   }
@@ -85,7 +86,8 @@
   static int requirePosition(SourceLocation location, Object index, int size) {
     if (!(index instanceof Long position) || position < -size || position >= size) {
       throw new EvaluationException(
-          location, "the index " + index + " is outside a list of " + size);
+          location,
+          "the index must be a whole number within the length of " + size + ", got " + index);
     }
     return (int) (position < 0 ? position + size : position);
   }
@@ -104,7 +106,8 @@
     if (container instanceof String text) {
       return String.valueOf(text.charAt(requirePosition(location, index, text.length())));
     }
-    throw new EvaluationException(location, typeName(container) + " has no entries");
+    throw new EvaluationException(
+        location, "only a dict, list or string can be indexed, not " + typeName(container));
   }
 
   /** Whether two values are equal; numbers are compared as doubles. */
@@ -123,6 +126,6 @@
       return leftText.compareTo(rightText);
     }
     throw new EvaluationException(
-        location, typeName(left) + " and " + typeName(right) + " have no order");
+        location, "cannot compare " + typeName(left) + " with " + typeName(right));
   }
 }
