--- a/src/test/java/stonespring/config/InstanceSettingsTest.java
+++ b/src/test/java/stonespring/config/InstanceSettingsTest.java
@@ -24,13 +24,13 @@
 
   @TempDir private Path folder;
 
-  private Path write(String text) throws IOException {
+  private Path writeScript(String text) throws IOException {
     return Files.writeString(folder.resolve("s.star"), text);
   }
 
   @Test
-  void decodesValuesToTheirUnits() throws Exception {
-    InstanceSettings settings = InstanceSettings.read(write(VALID_SETTINGS));
+  void decodesDurationsZonesAndPaths() throws Exception {
+    InstanceSettings settings = InstanceSettings.read(writeScript(VALID_SETTINGS));
     assertEquals(5_000, settings.settings().requestClasses().get(0).latencyObjective());
     assertEquals(170_000, settings.settings().slowStart().window());
     assertEquals(List.of("west", "east"), settings.zones());
@@ -42,7 +42,7 @@
   @Test
   void reportsEveryErrorOfTheSettingsInOneRun() throws Exception {
     Path file =
-        write(
+        writeScript(
             VALID_SETTINGS
                 .replace("\"proxies\"", "\"proxys\"")
                 .replace("\"retryable\"", "\"retriable\"")
@@ -50,14 +50,17 @@
                 .replace("0.17", "1.7")
                 .replace("tasks = {", "taks = {"));
     ScriptException e = assertThrows(ScriptException.class, () -> InstanceSettings.read(file));
-    String all = e.getMessage().replace(file.toString(), "s");
-    assertTrue(all.contains("s:1:1: 'fleet.proxies' is missing"), all);
+    String messages = e.getMessage().replace(file.toString(), "s");
+    assertTrue(messages.contains("s:1:1: 'fleet.proxies' is missing"), messages);
     assertTrue(
-        all.contains("s:1:37: 'fleet.proxys' is not a known key; did you mean 'proxies'?"), all);
-    assertTrue(all.contains("got 'retriable'; did you mean 'retryable'?"), all);
-    assertTrue(all.contains("'channel.backlog_lines' must be a whole number, got a string"), all);
-    assertTrue(all.contains("'rules.cold_share' must be from 0.001 to 1, got 1.7"), all);
-    assertTrue(all.contains("'tasks' is missing"), all);
-    assertTrue(all.contains("'taks' is not a known key; did you mean 'tasks'?"), all);
+        messages.contains("s:1:37: 'fleet.proxys' is not a known key; did you mean 'proxies'?"),
+        messages);
+    assertTrue(messages.contains("got 'retriable'; did you mean 'retryable'?"), messages);
+    assertTrue(
+        messages.contains("'channel.backlog_lines' must be a whole number, got a string"),
+        messages);
+    assertTrue(messages.contains("'rules.cold_share' must be from 0.001 to 1, got 1.7"), messages);
+    assertTrue(messages.contains("'tasks' is missing"), messages);
+    assertTrue(messages.contains("'taks' is not a known key; did you mean 'tasks'?"), messages);
   }
 }
--- a/src/test/java/stonespring/config/script/ScriptTest.java
+++ b/src/test/java/stonespring/config/script/ScriptTest.java
@@ -19,16 +19,18 @@
 final class ScriptTest {
   @TempDir private Path folder;
 
-  private Path write(String name, String text) throws IOException {
+  private Path writeScript(String name, String text) throws IOException {
     return Files.writeString(folder.resolve(name), text);
   }
 
+  /** Runs a script and returns the value of its variable {@code x}. */
   private Object run(String text) throws Exception {
-    return Script.run(write("s.star", text)).get("x");
+    return Script.run(writeScript("s.star", text)).get("x");
   }
 
+  /** Runs a script that must fail and returns its errors, each without the path of the file. */
   private List<String> errors(String text) throws IOException {
-    Path file = write("s.star", text);
+    Path file = writeScript("s.star", text);
     ScriptException e = assertThrows(ScriptException.class, () -> Script.run(file));
     return e.errors().stream()
         .map(error -> error.toString().substring(file.toString().length() + 1))
@@ -55,25 +57,26 @@
   }
 
   @Test
-  void loadsNamesOfNeighbourFilesOnly() throws Exception {
-    write("base.star", "_hidden = 2\nshared = _hidden + 1\ndef twice(n):\n    return 2 * n\n");
+  void loadsDefinedNamesFromFilesInTheSameFolderOnly() throws Exception {
+    writeScript(
+        "base.star", "_hidden = 2\nshared = _hidden + 1\ndef twice(n):\n    return 2 * n\n");
     assertEquals(6L, run("load('base.star', 'shared', 'twice')\nx = twice(shared)"));
     assertTrue(errors("load('base.star', 'shard')").get(0).contains("did you mean 'shared'?"));
     assertTrue(errors("load('../base.star', 'shared')").get(0).contains("same folder"));
-    write("a.star", "load('s.star', 'x')\ny = 1");
+    writeScript("a.star", "load('s.star', 'x')\ny = 1");
     assertTrue(errors("load('a.star', 'y')\nx = y").get(0).contains("loads itself"));
   }
 
   @Test
   void reportsEverySyntaxErrorInOneRun() throws Exception {
-    List<String> all = errors("a = = 1\nwhile True:\n    pass\nb = [1, 2\nc = 3\n");
-    assertTrue(all.get(0).startsWith("1:5: expected a value, found '='"), all.toString());
+    List<String> errors = errors("a = = 1\nwhile True:\n    pass\nb = [1, 2\nc = 3\n");
+    assertTrue(errors.get(0).startsWith("1:5: expected a value, found '='"), errors.toString());
     assertTrue(
-        all.stream()
+        errors.stream()
             .anyMatch(
                 error -> error.startsWith("2:1: 'while' is not supported in settings scripts")),
-        all.toString());
-    assertTrue(all.size() >= 3, all.toString());
+        errors.toString());
+    assertTrue(errors.size() >= 3, errors.toString());
   }
 
   @ParameterizedTest
@@ -111,7 +114,7 @@
     assertTrue(errors("x = " + "not ".repeat(5000) + "1").get(0).contains("nested"));
   }
 
-  /** Whatever the text, a run ends soon, with values or with errors and nothing else. */
+  /** A script of random tokens ends soon, with values or a {@link ScriptException}. */
   @Property(tries = 300, seed = "1")
   void endsWithValuesOrErrorsOnAnyText(@ForAll long seed) throws IOException {
     SplittableRandom random = new SplittableRandom(seed);
