--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -16,67 +16,90 @@
 import stonespring.model.Settings;
 
 /**
- * Sheds load: admits the fraction of requests that the listed endpoints can serve, by request
- * class. Capacity is read from normal operation and may be read too high, so that it is scaled by a
- * confidence that overload reduces and normal operation restores.
+ * Computes the admission limits of the request classes: the fraction of the offered requests that
+ * the listed endpoints can serve. Capacity is estimated in normal operation, and the estimate may
+ * be too high. It is therefore multiplied by a confidence, which overload reduces and normal
+ * operation restores.
  *
- * <p>Only where proxies limit by a fraction does this shed load. Limits by a rate are never
- * lowered: they stay at {@link #RATE_WITHOUT_LIMIT}. Proxies without admission limits ignore the
- * number. In both cases a fraction below 1 only stops retries.
+ * <p>This sheds load only where proxies enforce a fraction. Where they enforce a rate, the limit is
+ * always {@link #UNLIMITED_RATE}, and proxies without admission limits ignore the value. In these
+ * two cases a fraction below 1 only disables retries.
  */
 final class AdmissionController {
-  /** Share of capacity; at more of it queues grow beyond the latency objectives. */
+  /**
+   * Load over capacity that admitted requests may reach; above it queues grow beyond the latency
+   * objectives.
+   */
   private static final double TARGET_FILL = 0.9;
 
-  /** Utilization above which the fraction is limited whatever the estimates say. */
+  /** Mean utilization above which the fraction is limited whatever the capacity estimates say. */
   private static final double HIGH_UTILIZATION = 0.8;
 
-  /** Share of attempts above which failures and late answers may be overload. */
+  /**
+   * Share of attempts that fail or are late above which the fleet may be overloaded; well above
+   * that of normal operation.
+   */
   private static final double OVERLOAD_FAILED_OR_LATE_SHARE = 0.2;
 
-  /** Share of capacity, at endpoints that fail or are late, above which it is overload. */
+  /**
+   * Share of the capacity at endpoints with many failed or late attempts above which the whole
+   * fleet counts as overloaded.
+   */
   private static final double OVERLOAD_CAPACITY_SHARE = 0.5;
 
-  /** Share of capacity, at endpoints that fail or are late, below which it is a few endpoints. */
+  /**
+   * Share of the capacity at endpoints with many failed or late attempts below which only a few
+   * endpoints have a problem.
+   */
   private static final double LOCAL_CAPACITY_SHARE = 0.25;
 
-  /** Factor of the confidence at the first reduction, when all is admitted. */
-  private static final double FIRST_REDUCTION = 0.5;
+  /** Factor on the confidence at the first reduction, while all requests are admitted. */
+  private static final double FIRST_REDUCTION_FACTOR = 0.5;
 
-  /** Factor of the confidence at each further reduction. */
-  private static final double REDUCTION = 0.7;
+  /** Factor on the confidence at each further reduction; a few of them end an overload. */
+  private static final double REDUCTION_FACTOR = 0.7;
 
-  /** DeciMillis between reductions; the last one shows in reports by then. */
-  private static final long REDUCTION_INTERVAL = 2 * DeciMillis.SECOND;
+  /** Least time between reductions; by then reports show the effect of the last one. */
+  private static final long REDUCTION_INTERVAL_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
+  /** Least confidence; failures and late answers reduce it no further. */
   private static final double MIN_CONFIDENCE = 0.4;
 
   /** Least confidence while endpoints report spare capacity: the failures may have other causes. */
   private static final double MIN_CONFIDENCE_IF_IDLE = 0.5;
 
-  /** Least confidence while reports are delayed: the overload that they show may be over. */
-  private static final double MIN_CONFIDENCE_IF_DELAYED = 0.7;
+  /** The same while reports are delayed, since the overload that they show may be over. */
+  private static final double MIN_CONFIDENCE_IF_REPORTS_DELAYED = 0.7;
 
-  /** Confidence that normal operation restores at once. */
+  /** Confidence that is restored in one step as soon as operation is normal. */
   private static final double RECOVERED_CONFIDENCE = 0.7;
 
+  /** Greatest confidence; the capacity estimate may be too low by this factor. */
   private static final double MAX_CONFIDENCE = 2;
+
+  /**
+   * Relative change of the confidence per second; reports show a step before the third one follows.
+   */
   private static final double CONFIDENCE_STEP_PER_SECOND = 0.04;
 
-  /** Least admitted fraction; some requests must show whether endpoints work. */
-  private static final double MIN_FRACTION = 0.05;
+  /** Least admitted fraction; some requests must get through to show whether endpoints work. */
+  private static final double MIN_ADMITTED_FRACTION = 0.05;
 
-  /** Relative change of the fraction that is worth a message to every proxy. */
-  private static final double MIN_CHANGE = 0.05;
+  /** Relative change of the fraction above which a message to every proxy is worth its cost. */
+  private static final double MIN_RELATIVE_CHANGE = 0.05;
 
-  /** Least fraction of any class, as a multiple of the worst class's weight in the objective. */
+  /**
+   * Least fraction of any class relative to the overall one, as a multiple of the weight of the
+   * worst served class in the objective. With a weight of a third or more, all classes are limited
+   * alike.
+   */
   private static final double CLASS_FLOOR_MULTIPLE = 3;
 
-  /** Keeps the divisor above 0 where all attempts fail. */
+  /** Keeps the divisor above 0 if all attempts fail. */
   private static final double MIN_SUCCESS_SHARE = 1e-9;
 
-  /** Requests per second at a proxy, above what any receives: it limits nothing. */
-  private static final double RATE_WITHOUT_LIMIT = 1e6;
+  /** Requests per second at a proxy; none receives as many, so that this limit has no effect. */
+  private static final double UNLIMITED_RATE = 1e6;
 
   private final Settings settings;
   private final EngineClock clock;
@@ -85,42 +108,44 @@
   private final Estimates estimates;
   private final CommandBatch batch;
   private final ChannelBudget budget;
-  private double fraction = 1;
+  private double admittedFraction = 1;
   private double confidence = 1;
   private long lastReductionAt = EngineClock.NEVER;
   private double roundAttempts;
-  private double roundFailedOrLate;
+  private double roundFailedOrLateAttempts;
 
   /**
-   * What is seen of the load at an update.
+   * Load of the fleet as observed at one update.
    *
-   * @param capacityPerOfferedRate what the endpoints can serve over what is offered; below 1 some
-   *     requests cannot be served
-   * @param utilization mean utilization of the endpoints that report one, by capacity
-   * @param failedOrLateCapacity share of the capacity at endpoints where more than usual fails or
-   *     is late
-   * @param failedOrLateAttempts share of the attempts since the last round that failed or were late
+   * @param capacityPerOfferedRate what the ready endpoints can serve, divided by the offered
+   *     request rate; if it is below 1, some requests cannot be served
+   * @param utilization mean utilization of the endpoints that report one, weighted by capacity; 0
+   *     if none does
+   * @param failedOrLateCapacityShare share of the capacity at endpoints with more failed or late
+   *     attempts than normal
+   * @param failedOrLateAttemptShare share of the attempts since the last round that failed or were
+   *     late
    */
   private record Load(
       double capacityPerOfferedRate,
       double utilization,
-      double failedOrLateCapacity,
-      double failedOrLateAttempts) {
+      double failedOrLateCapacityShare,
+      double failedOrLateAttemptShare) {
     boolean isOverloaded() {
-      return failedOrLateAttempts > OVERLOAD_FAILED_OR_LATE_SHARE
-          && failedOrLateCapacity > OVERLOAD_CAPACITY_SHARE;
+      return failedOrLateAttemptShare > OVERLOAD_FAILED_OR_LATE_SHARE
+          && failedOrLateCapacityShare > OVERLOAD_CAPACITY_SHARE;
     }
 
     boolean isNormal() {
-      return failedOrLateAttempts < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
-          || failedOrLateCapacity < LOCAL_CAPACITY_SHARE;
+      return failedOrLateAttemptShare < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
+          || failedOrLateCapacityShare < LOCAL_CAPACITY_SHARE;
     }
 
     boolean needsLimit() {
       return capacityPerOfferedRate < 1
           || utilization > HIGH_UTILIZATION
-          || failedOrLateAttempts > EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
-              && failedOrLateCapacity > OVERLOAD_CAPACITY_SHARE;
+          || failedOrLateAttemptShare > EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE
+              && failedOrLateCapacityShare > OVERLOAD_CAPACITY_SHARE;
     }
   }
 
@@ -141,56 +166,67 @@
     this.budget = budget;
   }
 
-  /** Counts attempts that failed or were late until the next round. */
+  /**
+   * Adds the attempts of a report, and those that failed or were late, to the counts of the next
+   * round.
+   */
   void recordOutcomes(Event.EndpointOutcomes outcomes) {
     double lateShare = estimates.latency().lateShare(outcomes.successLatency());
     long successes = outcomes.attempts() - outcomes.failures();
     roundAttempts += outcomes.attempts();
-    roundFailedOrLate += outcomes.failures() + successes * lateShare;
+    roundFailedOrLateAttempts += outcomes.failures() + successes * lateShare;
   }
 
-  /** The part of the offered traffic that proxies pass on, where they limit it by a fraction. */
-  double admittedTraffic() {
-    return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? fraction : 1;
+  /**
+   * Returns the share of the offered requests that proxies admit; always 1 unless they enforce a
+   * fraction.
+   */
+  double admittedTrafficShare() {
+    return settings.admissionLimitKind() == AdmissionLimitKind.FRACTION ? admittedFraction : 1;
   }
 
-  /** Admits all requests; sent once, with the first batch. */
+  /** Publishes limits that admit all requests; called once, with the first batch. */
   void publishInitialLimits() {
     double[] fractions = new double[settings.requestClasses().size()];
     Arrays.fill(fractions, 1);
-    publish(1, fractions);
+    publishLimits(1, fractions);
   }
 
   /**
-   * Admits what the listed endpoints can serve. Between rounds the fraction follows the endpoint
-   * list alone; the confidence changes in rounds.
+   * Updates the limits to what the listed endpoints can serve. Between rounds the confidence stays,
+   * and the fraction follows changes of the endpoint list.
    */
-  void update(boolean inRound) {
+  void updateLimits(boolean inRound) {
     if (estimates.traffic().offeredRate() <= 0) {
       return;
     }
-    Load load = observe();
+    Load load = observeLoad();
     if (inRound) {
       adjustConfidence(load);
       roundAttempts = 0;
-      roundFailedOrLate = 0;
+      roundFailedOrLateAttempts = 0;
     }
-    boolean limited = fraction < 1 || load.needsLimit();
+    boolean limited = admittedFraction < 1 || load.needsLimit();
     double admissible = limited ? TARGET_FILL * load.capacityPerOfferedRate() * confidence : 1;
-    double wanted = Math.max(MIN_FRACTION, Math.min(1, admissible));
+    double newFraction = Math.max(MIN_ADMITTED_FRACTION, Math.min(1, admissible));
     boolean changed =
-        wanted == 1 ? fraction < 1 : Math.abs(wanted - fraction) > MIN_CHANGE * fraction;
+        newFraction == 1
+            ? admittedFraction < 1
+            : Math.abs(newFraction - admittedFraction) > MIN_RELATIVE_CHANGE * admittedFraction;
     if (changed && budget.hasRoomForAdmissionLimits()) {
-      if (wanted == 1) {
+      if (newFraction == 1) {
         log("Endpoints have spare capacity: all requests are admitted again.");
       }
-      fraction = wanted;
-      publish(fraction, fractionsByClass());
+      admittedFraction = newFraction;
+      publishLimits(admittedFraction, fractionsByClass());
     }
   }
 
-  /** An endpoint that fails more than the rest counts less: one that fails all serves nothing. */
-  private Load observe() {
+  /**
+   * Observes the present load. An endpoint whose attempts succeed less often than the mean counts
+   * with less capacity; one whose attempts all fail counts with none.
+   */
+  private Load observeLoad() {
     TrafficEstimator traffic = estimates.traffic();
     double totalCapacity =
         Math.max(CapacityEstimator.MIN_CAPACITY, estimates.capacity().totalCapacity());
@@ -209,12 +245,12 @@
         reportingCapacity > 0
             ? endpoints.sumOverReady(AdmissionController::busyCapacity) / reportingCapacity
             : 0;
-    double failedOrLateCapacity =
+    double failedOrLateCapacityShare =
         endpoints.sumOverReady(AdmissionController::failedOrLateCapacity) / totalCapacity;
-    double failedOrLateAttempts =
-        roundFailedOrLate / Math.max(EndpointStatistics.PRIOR_ATTEMPTS, roundAttempts);
+    double failedOrLateAttemptShare =
+        roundFailedOrLateAttempts / Math.max(EndpointStatistics.PRIOR_ATTEMPTS, roundAttempts);
     return new Load(
-        capacityPerOfferedRate, utilization, failedOrLateCapacity, failedOrLateAttempts);
+        capacityPerOfferedRate, utilization, failedOrLateCapacityShare, failedOrLateAttemptShare);
   }
 
   private static double servedCapacity(EndpointState endpoint, double meanSuccess) {
@@ -234,14 +270,15 @@
   }
 
   /**
-   * Reduces the confidence under overload, at most once an interval; restores it in normal
-   * operation, beyond 1 while requests are limited; lowers it to 1 slowly while endpoints are too
-   * full.
+   * Adjusts the confidence in a round. Overload reduces it, at most once per interval. Normal
+   * operation restores it, beyond 1 only while requests are limited. Utilization above the target
+   * fill lowers a confidence above 1 slowly to 1.
    */
   private void adjustConfidence(Load load) {
     long delay = estimates.cadence().delay();
     double step = CONFIDENCE_STEP_PER_SECOND * settings.reportInterval() / DeciMillis.SECOND;
-    if (load.isOverloaded() && clock.since(lastReductionAt) > REDUCTION_INTERVAL + delay) {
+    if (load.isOverloaded()
+        && clock.since(lastReductionAt) > REDUCTION_INTERVAL_DECI_MILLIS + delay) {
       reduceConfidence(load, delay > settings.reportInterval());
     } else if (load.isNormal() && load.utilization() < TARGET_FILL) {
       restoreConfidence(step);
@@ -250,14 +287,17 @@
     }
   }
 
-  /** Restores at least what normal operation shows at once; beyond 1 only while limited. */
+  /**
+   * Raises the confidence by a step, and at least to {@link #RECOVERED_CONFIDENCE}. It exceeds 1
+   * only while requests are limited.
+   */
   private void restoreConfidence(double step) {
-    double limit = fraction < 1 ? MAX_CONFIDENCE : 1;
+    double limit = admittedFraction < 1 ? MAX_CONFIDENCE : 1;
     double raised = Math.max(RECOVERED_CONFIDENCE, confidence * (1 + step));
     confidence = Math.min(limit, raised);
   }
 
-  /** Takes back what was restored beyond 1; a confidence of 1 or less stays. */
+  /** Lowers a confidence above 1 by a step, to no less than 1; a confidence of 1 or less stays. */
   private void lowerConfidenceToOne(double step) {
     double lowest = Math.min(1, confidence);
     confidence = Math.max(lowest, confidence * (1 - step));
@@ -267,32 +307,38 @@
     if (confidence == 1) {
       log("Overload: endpoints fail requests, admission limits are lowered.");
     }
-    double floorIfIdle = reportsDelayed ? MIN_CONFIDENCE_IF_DELAYED : MIN_CONFIDENCE_IF_IDLE;
+    double floorIfIdle =
+        reportsDelayed ? MIN_CONFIDENCE_IF_REPORTS_DELAYED : MIN_CONFIDENCE_IF_IDLE;
     double floor =
         load.utilization() > HIGH_UTILIZATION ? MIN_CONFIDENCE : Math.min(confidence, floorIfIdle);
-    double factor = fraction == 1 ? FIRST_REDUCTION : REDUCTION;
+    double factor = admittedFraction == 1 ? FIRST_REDUCTION_FACTOR : REDUCTION_FACTOR;
     confidence = Math.max(floor, confidence * factor);
     lastReductionAt = clock.now();
   }
 
   /**
-   * Divides the admitted requests among the classes, those of most value for their work first.
-   * Nothing reports the work of a class; its latency objective stands for it. No class falls below
-   * a floor, which is higher the more the worst served class counts in the objective.
+   * Divides the admitted requests among the classes, in descending order of priority weight per
+   * unit of work. The work of a class is not reported; its latency objective is used instead. No
+   * class falls below a floor, which rises with the weight of the worst served class in the
+   * objective.
+   *
+   * @return admitted fractions by position of the class
    */
   private double[] fractionsByClass() {
     List<RequestClass> classes = settings.requestClasses();
     double[] rates = ratesByClass();
     double floor =
-        fraction * Math.min(1, CLASS_FLOOR_MULTIPLE * settings.routing().worstClassWeight());
-    double remaining = (fraction - floor) * Arrays.stream(rates).sum();
+        admittedFraction
+            * Math.min(1, CLASS_FLOOR_MULTIPLE * settings.routing().worstClassWeight());
+    double remaining = (admittedFraction - floor) * Arrays.stream(rates).sum();
     double[] fractions = new double[rates.length];
-    Arrays.fill(fractions, fraction);
-    List<Integer> byValue = new ArrayList<>(IntStream.range(0, rates.length).boxed().toList());
-    byValue.sort(Comparator.comparingDouble(index -> -valueForWork(classes.get(index))));
-    for (int index : byValue) {
+    Arrays.fill(fractions, admittedFraction);
+    List<Integer> indexesByValue =
+        new ArrayList<>(IntStream.range(0, rates.length).boxed().toList());
+    indexesByValue.sort(Comparator.comparingDouble(index -> -valuePerWork(classes.get(index))));
+    for (int index : indexesByValue) {
       double added = Math.max(0, Math.min(remaining, (1 - floor) * rates[index]));
-      if (fraction < 1 && rates[index] > 0) {
+      if (admittedFraction < 1 && rates[index] > 0) {
         fractions[index] = floor + added / rates[index];
       }
       remaining -= added;
@@ -300,11 +346,11 @@
     return fractions;
   }
 
-  private static double valueForWork(RequestClass requestClass) {
+  private static double valuePerWork(RequestClass requestClass) {
     return requestClass.priorityWeight() / requestClass.latencyObjective();
   }
 
-  /** Requests per second of the connected proxies, by class. */
+  /** Returns the requests per second of all connected proxies, by position of the class. */
   private double[] ratesByClass() {
     double[] rates = new double[settings.requestClasses().size()];
     for (ProxyState proxy : proxies.all()) {
@@ -318,15 +364,16 @@
   }
 
   /**
-   * Sends the limits, one for all classes of equal fraction. Proxies retry only while all requests
-   * are admitted, and then only what was proven not to be executed.
+   * Adds the limits to the batch, one command for all classes of the same limit. Proxies retry only
+   * while all requests are admitted, and then only attempts that are proven not to have been
+   * executed.
    */
-  private void publish(double overall, double[] fractions) {
-    RetryPolicy retryPolicy = overall < 1 ? RetryPolicy.NEVER : RetryPolicy.IF_NOT_EXECUTED;
+  private void publishLimits(double overallFraction, double[] fractions) {
+    RetryPolicy retryPolicy = overallFraction < 1 ? RetryPolicy.NEVER : RetryPolicy.IF_NOT_EXECUTED;
     SortedMap<Double, Integer> maskByLimit = new TreeMap<>();
     for (int index = 0; index < fractions.length; index++) {
       boolean byRate = settings.admissionLimitKind() == AdmissionLimitKind.RATE;
-      double limit = byRate ? RATE_WITHOUT_LIMIT : fractions[index];
+      double limit = byRate ? UNLIMITED_RATE : fractions[index];
       maskByLimit.merge(limit, 1 << index, Integer::sum);
     }
     List<Command.LimitAdmission> limits = new ArrayList<>();
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -4,8 +4,8 @@
 import stonespring.model.Settings;
 
 /**
- * Notifies proxies with unknown tables which endpoints to exclude. A table that this instance knows
- * loses such endpoints by its own routes.
+ * Notifies proxies whose tables this instance does not know which endpoints to exclude. From a
+ * table that it knows, the routes to such endpoints are removed instead.
  */
 final class ExclusionNotifier {
   private final Settings settings;
@@ -14,7 +14,7 @@
   private final ProxyRegistry proxies;
   private final CommandBatch batch;
   private final ChannelBudget budget;
-  private boolean pending;
+  private boolean noticesPending;
   private long lastNotifiedAt = EngineClock.NEVER;
 
   ExclusionNotifier(
@@ -32,41 +32,45 @@
     this.budget = budget;
   }
 
-  /** Asks for notices, as a proxy connected with tables that may name what left. */
-  void request() {
-    pending = true;
+  /** Requests notices because a proxy connected whose tables may name endpoints that left. */
+  void requestNotices() {
+    noticesPending = true;
   }
 
-  /** Whether notices wait for their time. */
-  boolean isPending() {
-    return pending;
+  /** Returns whether notices are needed but not sent yet. */
+  boolean areNoticesPending() {
+    return noticesPending;
   }
 
-  /** Whether the channel can take notices of all endpoints that left, at all unknown tables. */
-  boolean hasRoom() {
-    long excluded = endpoints.notReady().limit(maxRoutesOfUnknownTable()).count();
-    return budget.hasRoomForExclusions(proxies.withUnknownTable().count(), excluded);
+  /**
+   * Returns whether the channel has room to notify all proxies with unknown tables of all endpoints
+   * that left.
+   */
+  boolean hasRoomForNotices() {
+    long excludedCount = endpoints.notReady().limit(maxRouteCountOfUnknownTable()).count();
+    return budget.hasRoomForExclusions(proxies.withUnknownTable().count(), excludedCount);
   }
 
   /**
-   * Sends notices if an endpoint left or a proxy connected. All are repeated in one batch: an
-   * earlier notice did not reach a proxy that connected later, and a batch for each would use up
-   * the messages of all proxies.
+   * Sends notices if an endpoint left or a proxy connected, and the last ones are long enough ago.
+   * A batch repeats the notices of all endpoints that left, since earlier ones did not reach
+   * proxies that connected later. A batch for each proxy that connected once used up the messages
+   * of all proxies.
    *
    * @param permitted whether any endpoint left and the channel has room; otherwise pending notices
    *     are dropped
    */
-  void notifyIfDue(boolean permitted) {
-    pending |= endpoints.takeExclusionsNeeded();
-    pending &= permitted;
-    if (pending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL) {
+  void sendNoticesIfDue(boolean permitted) {
+    noticesPending |= endpoints.takeExclusionsNeeded();
+    noticesPending &= permitted;
+    if (noticesPending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL_DECI_MILLIS) {
       endpoints.notReady().forEach(endpoint -> setExcluded(endpoint, true));
-      pending = false;
+      noticesPending = false;
       lastNotifiedAt = clock.now();
     }
   }
 
-  /** Excludes an endpoint, if any unknown table may name it, or allows an excluded one again. */
+  /** Excludes an endpoint if any unknown table may name it, or allows an excluded one again. */
   void setExcluded(EndpointState endpoint, boolean excluded) {
     if (endpoint.isForgotten()) {
       return;
@@ -79,20 +83,23 @@
     endpoint.setExcluded(excluded);
     batch.addExclusion(new Command.ExcludeEndpoint(endpoint.id(), excluded));
     for (ProxyState proxy : proxies.all()) {
-      if (proxy.isConnected() && reaches(proxy, endpoint)) {
+      if (proxy.isConnected() && costsEntry(proxy, endpoint)) {
         batch.countEntries(proxy, 1);
       }
     }
   }
 
-  /** Whether a notice counts at a proxy: its table names the endpoint, or may do so. */
-  private boolean reaches(ProxyState proxy, EndpointState endpoint) {
+  /**
+   * Returns whether a notice counts as an entry at a proxy: its table holds the endpoint, or may do
+   * so.
+   */
+  private boolean costsEntry(ProxyState proxy, EndpointState endpoint) {
     return proxy.isTableAssigned()
         ? proxy.table().holds(endpoint)
-        : batch.entriesFor(proxy) < maxRoutesOfUnknownTable();
+        : batch.entriesFor(proxy) < maxRouteCountOfUnknownTable();
   }
 
-  private int maxRoutesOfUnknownTable() {
+  private int maxRouteCountOfUnknownTable() {
     return settings.channel().proxyTablesUnknown()
         ? endpoints.size()
         : settings.routing().bootstrapRouteCount();
--- a/src/main/java/stonespring/state/PublishedState.java
+++ b/src/main/java/stonespring/state/PublishedState.java
@@ -12,29 +12,33 @@
 import stonespring.model.ProxyId;
 
 /**
- * The published keys: a subtree for each proxy, changed by whole updates that end with a commit
- * key; presence keys; the instance's status. A snapshot taken between two calls ends at a commit
- * for every proxy. Not safe for several threads.
+ * Publishes the state of the instance as keys: a subtree for each proxy, a presence key for each
+ * session, and the status of the instance. An update of a proxy changes keys of its subtree and
+ * ends with the commit key. A snapshot taken between two method calls contains only whole updates,
+ * except those that failed because the store was full. Not thread-safe.
  *
- * <p>The commit is a JSON object: {@code origin} names the proxy's session, {@code at} counts the
- * session's updates from 1, {@code keys} is how many keys the update changed, {@code mark}, if
- * present, is the acknowledgement that is requested.
+ * <p>The value of the commit key is a JSON object: {@code origin} is the id of the session, {@code
+ * at} is the number of the update within the session, from 1, {@code keys} is the number of keys
+ * that the update changed, and {@code mark}, if present, is the requested acknowledgement.
  */
 public final class PublishedState {
-  private static final String PROXIES = "/proxy/";
-  private static final String PRESENCE = "/presence/";
-  private static final String STATUS = "/assigner/status";
-  private static final String COMMIT = "commit";
+  private static final String PROXY_PREFIX = "/proxy/";
+  private static final String PRESENCE_PREFIX = "/presence/";
+  private static final String STATUS_KEY = "/assigner/status";
+  private static final String COMMIT_KEY = "commit";
 
-  /** Acknowledgements that one proxy may owe; the oldest beyond are forgotten. */
+  /**
+   * Maximum number of outstanding acknowledgements for each proxy; the oldest is discarded when the
+   * number is exceeded. A proxy that exceeds it does not send acknowledgements at all.
+   */
   private static final int MAX_PENDING_ACKS = 4096;
 
-  /** What was published in one proxy's session. */
+  /** The updates published in the session of one proxy. */
   private static final class Session {
-    private int commits;
+    private int commitCount;
     private final LinkedHashMap<AckId, Long> pendingAcks = new LinkedHashMap<>();
 
-    void await(AckId ack, long commandedAt) {
+    void addPendingAck(AckId ack, long commandedAt) {
       if (pendingAcks.size() >= MAX_PENDING_ACKS) {
         pendingAcks.remove(pendingAcks.keySet().iterator().next());
       }
@@ -46,12 +50,13 @@
   private final PublishedKeyCodec codec;
   private final String epoch;
   private final ProxySessions<?> proxies;
-  private final Map<Integer, Session> sessions = new HashMap<>();
+  private final Map<Integer, Session> sessionsByProxy = new HashMap<>();
 
   /**
-   * Creates a state over a store.
+   * Creates the published state.
    *
-   * @param epoch names this start of the instance
+   * @param keys the store for the published keys
+   * @param epoch identifies this start of the instance; unique among all starts
    * @param proxies the names and sessions of the proxies
    */
   public PublishedState(
@@ -63,108 +68,112 @@
   }
 
   /**
-   * Returns the name of a proxy's session, the wire's {@code origin}: this start of the instance
-   * and the number of the session.
+   * Returns the id of the session of a proxy, which consists of the epoch and the session number.
+   * The protocol calls it {@code origin}.
    */
   public String sessionId(ProxyId proxy) {
     return epoch + "-" + proxies.sessionNumber(proxy);
   }
 
   /**
-   * Publishes an update that left the channel. If the store is full, the update is not committed
-   * and nobody is notified of it: keys set before the store was full stay in it and appear in
-   * snapshots, and it is not tried again. No metric counts this. Where only the commit key has no
-   * room, the session's count of updates and the pending acknowledgement include the update.
+   * Publishes an update that left the channel. If the store becomes full, the update is not
+   * committed, subscribers are not notified, and it is not published again later. Keys set before
+   * the store became full remain in it and appear in snapshots. No metric counts such updates. If
+   * only the commit key does not fit, the number of the session's updates and the pending
+   * acknowledgements still include the update.
    *
-   * @return its keys and then the commit; empty if the store has no room for them
+   * @return the updates of the changed keys, then that of the commit key; empty if the store is
+   *     full
    */
   public List<KeyUpdate> publish(ProxyUpdate update) {
     String subtree = subtree(update.proxy());
     List<KeyUpdate> published = new ArrayList<>();
     for (ProxyChange change : update.changes()) {
-      Optional<KeyUpdate> key = publish(subtree + codec.key(change.subject()), change);
-      if (key.isEmpty()) {
-        // Without all its keys an update must not commit: the proxy keeps what it has.
+      Optional<KeyUpdate> changedKey = publishChange(subtree + codec.key(change.subject()), change);
+      if (changedKey.isEmpty()) {
+        // An incomplete update must not be committed; the proxy keeps its previous state.
         return List.of();
       }
-      published.add(key.get());
+      published.add(changedKey.get());
     }
-    Session session = sessions.computeIfAbsent(update.proxy().number(), number -> new Session());
-    session.commits++;
-    update.ack().ifPresent(ack -> session.await(ack, update.commandedAt()));
-    String commit = commit(update, session.commits, published.size());
-    Optional<KeyUpdate> last = put(subtree + COMMIT, commit);
-    if (last.isEmpty()) {
+    Session session =
+        sessionsByProxy.computeIfAbsent(update.proxy().number(), number -> new Session());
+    session.commitCount++;
+    update.ack().ifPresent(ack -> session.addPendingAck(ack, update.commandedAt()));
+    String commitValue = commitJson(update, session.commitCount, published.size());
+    Optional<KeyUpdate> commitKey = putText(subtree + COMMIT_KEY, commitValue);
+    if (commitKey.isEmpty()) {
       return List.of();
     }
-    published.add(last.get());
+    published.add(commitKey.get());
     return published;
   }
 
-  private Optional<KeyUpdate> publish(String key, ProxyChange change) {
+  private Optional<KeyUpdate> publishChange(String key, ProxyChange change) {
     Optional<String> value = codec.value(change);
-    return value.isPresent() ? put(key, value.get()) : Optional.of(keys.delete(key));
+    return value.isPresent() ? putText(key, value.get()) : Optional.of(keys.delete(key));
   }
 
-  private String commit(ProxyUpdate update, int count, int changedKeys) {
+  private String commitJson(ProxyUpdate update, int updateNumber, int changedKeyCount) {
     return "{\"origin\":\""
         + sessionId(update.proxy())
         + "\",\"at\":"
-        + count
+        + updateNumber
         + ",\"keys\":"
-        + changedKeys
+        + changedKeyCount
         + update.ack().map(ack -> ",\"mark\":" + ack.number()).orElse("")
         + "}";
   }
 
-  /** Publishes that a proxy's session began. */
+  /** Publishes the presence key of a proxy whose session started. */
   public List<KeyUpdate> publishSessionStart(ProxyId proxy) {
-    return put(presenceKey(proxy), "{\"origin\":\"" + sessionId(proxy) + "\"}").stream().toList();
+    return putText(presenceKey(proxy), "{\"origin\":\"" + sessionId(proxy) + "\"}").stream()
+        .toList();
   }
 
   /**
-   * Publishes that a proxy's session ended. Its keys are dropped; the deleted commit notifies
-   * whoever follows them.
+   * Deletes the presence key and the subtree of a proxy whose session ended. Of the subtree only
+   * the commit key causes an update, which notifies the subscribers.
    */
   public List<KeyUpdate> publishSessionEnd(ProxyId proxy) {
     String subtree = subtree(proxy);
-    boolean committed = keys.contains(subtree + COMMIT);
-    sessions.remove(proxy.number());
+    boolean committed = keys.contains(subtree + COMMIT_KEY);
+    sessionsByProxy.remove(proxy.number());
     keys.discardSubtree(subtree);
     List<KeyUpdate> updates = new ArrayList<>();
     if (committed) {
-      updates.add(keys.delete(subtree + COMMIT));
+      updates.add(keys.delete(subtree + COMMIT_KEY));
     }
     updates.add(keys.delete(presenceKey(proxy)));
     return updates;
   }
 
   /**
-   * Takes an acknowledgement.
+   * Records an acknowledgement.
    *
-   * @return when its update was commanded; empty if it was never requested in this session, or
-   *     given already
+   * @return when the update was commanded, {@link stonespring.model.DeciMillis}; empty if the
+   *     acknowledgement is not pending in this session
    */
   public OptionalLong acknowledge(ProxyId proxy, AckId ack) {
-    Session session = sessions.get(proxy.number());
+    Session session = sessionsByProxy.get(proxy.number());
     Long commandedAt = session == null ? null : session.pendingAcks.remove(ack);
     return commandedAt == null ? OptionalLong.empty() : OptionalLong.of(commandedAt);
   }
 
-  /** Publishes the instance's status, a JSON object. */
+  /** Publishes the status of the instance, a JSON object. */
   public List<KeyUpdate> publishStatus(String json) {
-    return put(STATUS, json).stream().toList();
+    return putText(STATUS_KEY, json).stream().toList();
   }
 
   private String subtree(ProxyId proxy) {
-    return PROXIES + proxies.name(proxy) + "/";
+    return PROXY_PREFIX + proxies.name(proxy) + "/";
   }
 
   private String presenceKey(ProxyId proxy) {
-    return PRESENCE + proxies.name(proxy);
+    return PRESENCE_PREFIX + proxies.name(proxy);
   }
 
-  private Optional<KeyUpdate> put(String key, String value) {
+  private Optional<KeyUpdate> putText(String key, String value) {
     return keys.put(key, value.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/test/java/stonespring/daemon/ChpServerStopTest.java
+++ b/src/test/java/stonespring/daemon/ChpServerStopTest.java
@@ -33,22 +33,25 @@
 import stonespring.state.ProxyReport;
 import stonespring.zmtp.ZmtpLimits;
 
-/** Start and stop of a server that subscribers read from. */
+/** Start and stop of a CHP server. */
 final class ChpServerStopTest {
-  /** 7 MB: more than the buffers of both sockets hold, less than a peer may leave unread. */
-  private static final int KEYS = 7_000;
+  /**
+   * Snapshot of 7 MB: more than the buffers of both sockets hold, less than a peer may leave
+   * unread.
+   */
+  private static final int KEY_COUNT = 7_000;
 
   private static final int TIMEOUT_MILLIS = 10_000;
 
-  /** A greeting without security, and the READY command of a DEALER socket. */
+  /** A ZMTP greeting without security, and the READY command of a DEALER socket. */
   private static final String GREETING_AND_READY =
       "FF 0000000000000000 7F 03 01 4E554C4C 00000000000000000000000000000000 00"
           + "00".repeat(31)
           + "04 1C 05 5245414459 0B 536F636B65742D54797065 00000006 4445414C4552";
 
-  /** Answers each request for a snapshot with a large one, at once. */
+  /** Answers each snapshot request immediately with a large snapshot. */
   private static final class LargeSnapshotHandler implements ProxyMessageHandler {
-    private final CountDownLatch requested = new CountDownLatch(1);
+    private final CountDownLatch snapshotSent = new CountDownLatch(1);
 
     @Override
     public boolean hello(
@@ -70,11 +73,11 @@
     @Override
     public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
       List<KeyUpdate> keys = new ArrayList<>();
-      for (int i = 0; i < KEYS; i++) {
+      for (int i = 0; i < KEY_COUNT; i++) {
         keys.add(new KeyUpdate("/x/" + i, i + 1, new byte[1000]));
       }
-      receiver.accept(new KeySnapshot(keys, KEYS));
-      requested.countDown();
+      receiver.accept(new KeySnapshot(keys, KEY_COUNT));
+      snapshotSent.countDown();
       return true;
     }
 
@@ -86,9 +89,12 @@
     return HexFormat.of().parseHex(digits.replace(" ", ""));
   }
 
-  /** The reader gets every key and the command that ends the snapshot. */
+  /**
+   * The client receives every key and the command that ends the snapshot, although the stop begins
+   * while the snapshot is being sent.
+   */
   @Test
-  void sendsASnapshotToItsEndWhenStopped() throws Exception {
+  void sendsPendingSnapshotCompletelyWhenStopped() throws Exception {
     MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     LargeSnapshotHandler handler = new LargeSnapshotHandler();
@@ -108,10 +114,10 @@
       socket.getOutputStream().write(new byte[] {1, 8});
       socket.getOutputStream().write("ICANHAZ?".getBytes(StandardCharsets.US_ASCII));
       socket.getOutputStream().write(new byte[] {0, 3, '/', 'x', '/'});
-      handler.requested.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      handler.snapshotSent.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       Thread stop = new Thread(() -> stop(server));
       stop.start();
-      assertEquals(KEYS, readSnapshot(in));
+      assertEquals(KEY_COUNT, readSnapshot(in));
       stop.join(TIMEOUT_MILLIS);
       assertTrue(!stop.isAlive());
     } finally {
@@ -127,7 +133,7 @@
     }
   }
 
-  /** Reads a greeting and frames up to the end of a snapshot; returns the number of its keys. */
+  /** Reads a greeting and all frames of a snapshot; returns the number of keys. */
   private static int readSnapshot(DataInputStream in) throws IOException {
     in.readFully(new byte[64]);
     int keys = 0;
@@ -144,7 +150,7 @@
   }
 
   @Test
-  void namesAPortThatIsInUse() throws Exception {
+  void reportsPortThatIsInUseWhenStarted() throws Exception {
     MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (ServerSocket inUse = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -24,10 +24,10 @@
 import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
 
-/** A proxy in virtual time: it follows what a host publishes and routes by it. */
+/** A proxy in virtual time that applies what a host publishes and routes by it. */
 final class SimulatedProxy {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final RouterSettings ROUTING =
+  private static final RouterSettings ROUTER_SETTINGS =
       new RouterSettings(
           List.of(
               new RouterSettings.ClassSettings("view", RetrySafety.IDEMPOTENT, 0),
@@ -41,21 +41,21 @@
 
   private final String name;
   private final int zone;
-  private final Settings.ChannelLimits limits;
+  private final Settings.ChannelLimits channelLimits;
   private final TableSubscriber subscriber = new TableSubscriber();
-  private final ArrayDeque<Long> updatesAt = new ArrayDeque<>();
-  private final List<Integer> acksDue = new ArrayList<>();
-  private Router router; // null until it first connects
-  private RecordingConnection connection; // null while it is disconnected
+  private final ArrayDeque<Long> updateTimes = new ArrayDeque<>();
+  private final List<Integer> pendingAcks = new ArrayList<>();
+  private Router router; // null before the first connection
+  private RecordingConnection connection; // null while disconnected
   private long streamNumber;
   private long connectedAt;
   private String stream = "";
   private int resyncs;
 
-  SimulatedProxy(String name, int zone, Settings.ChannelLimits limits) {
+  SimulatedProxy(String name, int zone, Settings.ChannelLimits channelLimits) {
     this.name = name;
     this.zone = zone;
-    this.limits = limits;
+    this.channelLimits = channelLimits;
   }
 
   String name() {
@@ -78,42 +78,42 @@
     return connectedAt;
   }
 
-  /** The stream of the update applied last. */
+  /** Returns the stream of the last applied update. */
   String stream() {
     return stream;
   }
 
-  /** How often an update was lost. */
+  /** Returns how many updates were lost. */
   int resyncs() {
     return resyncs;
   }
 
-  boolean hasStarted() {
+  boolean isStarted() {
     return router != null;
   }
 
-  /** Starts with a table of its own. */
+  /** Starts with a bootstrap table. */
   void start(long seed, List<EndpointId> bootstrapRoutes) {
-    router = new Router(ROUTING, seed);
+    router = new Router(ROUTER_SETTINGS, seed);
     router.useBootstrapRoutes(bootstrapRoutes);
   }
 
-  /** Starts without any table. */
+  /** Starts without a route table. */
   void startEmpty() {
-    router = new Router(ROUTING, 1);
+    router = new Router(ROUTER_SETTINGS, 1);
   }
 
-  /** Opens a connection, on a stream of its own. */
+  /** Opens a connection with a new stream. */
   void connect(EngineHost host, long now) {
     connection = new RecordingConnection();
     streamNumber++;
     connectedAt = now;
-    updatesAt.clear();
+    updateTimes.clear();
     applySnapshot(host, now);
     sendHello(host, now);
   }
 
-  /** Forgets the connection; the host must be told by the caller, if it is to know. */
+  /** Drops the connection and returns it; the caller notifies the host if the host is to notice. */
   RecordingConnection disconnect() {
     RecordingConnection closed = connection;
     connection = null;
@@ -132,40 +132,40 @@
     host.handleHello(name, hello, HostSimulation.SESSION_TIMEOUT, connection, now);
   }
 
-  /** Acknowledges the updates that asked for it since the last call. */
+  /** Acknowledges the updates that have requested it since the last call. */
   void acknowledge(EngineHost host, long now) {
-    for (int ack : acksDue) {
+    for (int ack : pendingAcks) {
       if (connection != null) {
         ProxyAcknowledgement acknowledgement =
             new ProxyAcknowledgement(stream, new AckId(ack), 100);
         host.handleAcknowledgement(name, acknowledgement, connection, now);
       }
     }
-    acksDue.clear();
+    pendingAcks.clear();
   }
 
   private String subtree() {
     return "/proxy/" + name + "/";
   }
 
-  /** Takes a key that the host published, if it is this proxy's and it is connected. */
-  void keyPublished(KeyUpdate update, EngineHost host, long now) {
+  /** Applies a published key if it belongs to this proxy and the proxy is connected. */
+  void receiveUpdate(KeyUpdate update, EngineHost host, long now) {
     if (connection == null || !update.key().startsWith(subtree())) {
       return;
     }
     String key = update.key().substring(subtree().length());
     String value = update.value().length == 0 ? null : text(update);
-    boolean committed = value != null && key.equals(TableSubscriber.COMMIT_KEY);
-    apply(subscriber.keyChanged(key, value, committed ? commit(value) : null), host, now);
+    boolean isCommit = value != null && key.equals(TableSubscriber.COMMIT_KEY);
+    apply(subscriber.keyChanged(key, value, isCommit ? parseCommit(value) : null), host, now);
   }
 
-  /** Takes all that the host has published for this proxy. */
+  /** Applies all keys that the host has published for this proxy. */
   void applySnapshot(EngineHost host, long now) {
     Map<String, String> keys = new LinkedHashMap<>();
     TableSubscriber.Commit commit = null;
     for (KeyUpdate key : host.snapshot(subtree())) {
       keys.put(key.key().substring(subtree().length()), text(key));
-      commit = key.key().endsWith("/commit") ? commit(text(key)) : commit;
+      commit = key.key().endsWith("/commit") ? parseCommit(text(key)) : commit;
     }
     apply(subscriber.snapshot(keys, commit), host, now);
   }
@@ -174,9 +174,9 @@
     if (step instanceof TableSubscriber.Step.Update update) {
       router.apply(update);
       stream = update.stream();
-      countUpdate(now);
+      recordUpdate(now);
       if (update.ackId() >= 0) {
-        acksDue.add(update.ackId());
+        pendingAcks.add(update.ackId());
       }
     } else if (step instanceof TableSubscriber.Step.Resync) {
       resyncs++;
@@ -184,18 +184,19 @@
     }
   }
 
-  private void countUpdate(long now) {
-    updatesAt.add(now);
-    updatesAt.removeIf(at -> now - at > limits.messageWindow() || at < connectedAt);
+  private void recordUpdate(long now) {
+    updateTimes.add(now);
+    updateTimes.removeIf(at -> now - at > channelLimits.messageWindow() || at < connectedAt);
     assertTrue(
-        updatesAt.size() <= limits.maxMessagesPerProxy(), "channel limit: messages to " + name);
+        updateTimes.size() <= channelLimits.maxMessagesPerProxy(),
+        "more messages to " + name + " than the channel limit allows");
   }
 
   private static String text(KeyUpdate update) {
     return new String(update.value(), StandardCharsets.UTF_8);
   }
 
-  static JsonNode json(String text) {
+  static JsonNode parseJson(String text) {
     try {
       return JSON.readTree(text);
     } catch (java.io.IOException e) {
@@ -203,8 +204,8 @@
     }
   }
 
-  private static TableSubscriber.Commit commit(String value) {
-    JsonNode node = json(value);
+  private static TableSubscriber.Commit parseCommit(String value) {
+    JsonNode node = parseJson(value);
     return new TableSubscriber.Commit(
         node.path("origin").asText(),
         node.path("at").asInt(),
