--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -94,7 +94,7 @@
   }
 
   private void onEndpointListUpdate(Event.EndpointListUpdate update) {
-    proxyApi.endpointListUpdated(update);
+    proxyApi.updateEndpointList(update);
     if (update.kind() != Event.ListUpdateKind.DELTA) {
       LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
     }
@@ -152,8 +152,8 @@
     LOG.info(
         "assigner {} stops: {} proxies, {} messages dropped; {}",
         config.name(),
-        proxyApi.connectedProxies(),
-        proxyApi.droppedMessages(),
+        proxyApi.connectedProxyCount(),
+        proxyApi.droppedMessageCount(),
         engine.statistics());
   }
 }
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -127,7 +127,7 @@
     runner = createRunner(config.seed() + failures);
     timer.reset();
     handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
-    proxyApi.engineRestarted();
+    proxyApi.handleEngineRestart();
   }
 
   /**
--- a/src/main/java/stonespring/daemon/QueuedMessageHandler.java
+++ b/src/main/java/stonespring/daemon/QueuedMessageHandler.java
@@ -21,32 +21,32 @@
   }
 
   @Override
-  public boolean hello(
-      String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection) {
+  public boolean handleHello(
+      String proxy, ProxyHello hello, long sessionTimeoutDeciMillis, ProxyConnection connection) {
     return thread.offer(
-        (host, now) -> host.handleHello(proxy, hello, sessionTimeout, connection, now));
+        (host, now) -> host.handleHello(proxy, hello, sessionTimeoutDeciMillis, connection, now));
   }
 
   @Override
-  public boolean reported(String proxy, ProxyReport report, ProxyConnection connection) {
+  public boolean handleReport(String proxy, ProxyReport report, ProxyConnection connection) {
     return thread.offer((host, now) -> host.handleReport(proxy, report, connection));
   }
 
   @Override
-  public boolean acknowledged(
+  public boolean handleAcknowledgement(
       String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection) {
     return thread.offer(
         (host, now) -> host.handleAcknowledgement(proxy, acknowledgement, connection, now));
   }
 
   @Override
-  public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
+  public boolean requestSnapshot(String subtree, Consumer<KeySnapshot> receiver) {
     return thread.offer(
         (host, now) -> receiver.accept(new KeySnapshot(host.snapshot(subtree), host.sequence())));
   }
 
   @Override
-  public void connectionClosed(ProxyConnection connection) {
+  public void handleConnectionClosed(ProxyConnection connection) {
     thread.post((host, now) -> host.handleConnectionClosed(connection, now));
   }
 }
--- a/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
@@ -15,20 +15,22 @@
   /**
    * A proxy announced itself.
    *
-   * @param sessionTimeout how long the announcement holds, {@link stonespring.model.DeciMillis}
+   * @param sessionTimeoutDeciMillis how long the announcement holds, {@link
+   *     stonespring.model.DeciMillis}
    */
-  boolean hello(String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection);
+  boolean handleHello(
+      String proxy, ProxyHello hello, long sessionTimeoutDeciMillis, ProxyConnection connection);
 
   /** A proxy reported what it observed. */
-  boolean reported(String proxy, ProxyReport report, ProxyConnection connection);
+  boolean handleReport(String proxy, ProxyReport report, ProxyConnection connection);
 
   /** A proxy acknowledged an update. */
-  boolean acknowledged(
+  boolean handleAcknowledgement(
       String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection);
 
   /** Takes a snapshot of a subtree; the receiver is called on another thread, must not block. */
-  boolean snapshot(String subtree, Consumer<KeySnapshot> receiver);
+  boolean requestSnapshot(String subtree, Consumer<KeySnapshot> receiver);
 
   /** A connection closed; never refused. */
-  void connectionClosed(ProxyConnection connection);
+  void handleConnectionClosed(ProxyConnection connection);
 }
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -78,7 +78,7 @@
           "ICANHAZ: over " + MAX_PENDING_SNAPSHOTS + " snapshots are requested at once");
     }
     boolean accepted =
-        handler.snapshot(
+        handler.requestSnapshot(
             subtree,
             snapshot -> {
               send(peer, subtree, snapshot);
@@ -134,10 +134,10 @@
     }
     if (segments.length == 3 && segments[0].equals(UPWARDS)) {
       if (segments[2].equals(REPORT)) {
-        return handler.reported(segments[1], codec.readReport(set.value()), connection);
+        return handler.handleReport(segments[1], codec.readReport(set.value()), connection);
       }
       if (segments[2].equals(ACKNOWLEDGEMENT)) {
-        return handler.acknowledged(
+        return handler.handleAcknowledgement(
             segments[1], codec.readAcknowledgement(set.value()), connection);
       }
     }
@@ -151,7 +151,7 @@
       throw new InvalidChpMessageException(
           "KVSET " + set.key() + ": presence ends by its ttl or its connection");
     }
-    return handler.hello(
+    return handler.handleHello(
         proxy,
         codec.readHello(set.value()),
         leaseSeconds(set.properties()) * DeciMillis.SECOND,
@@ -175,7 +175,7 @@
   public void collectorClosed(ZmtpConnection peer) {
     CollectorConnection connection = peer.channel().attr(CONNECTION).get();
     if (connection != null) {
-      handler.connectionClosed(connection);
+      handler.handleConnectionClosed(connection);
     }
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -187,7 +187,7 @@
   }
 
   /** The endpoint list changed: reports about its endpoints are accepted from now on. */
-  public void endpointListUpdated(Event.EndpointListUpdate update) {
+  public void updateEndpointList(Event.EndpointListUpdate update) {
     for (EndpointId forgotten : knownEndpoints.add(update.endpoints())) {
       excludedAtProxy.values().forEach(excluded -> excluded.remove(forgotten));
       tables.discardExclusion(forgotten);
@@ -198,7 +198,7 @@
    * The decisions restarted: no table, limit or exclusion of theirs stands, and each connected
    * proxy connects anew, with tables that are unknown.
    */
-  public void engineRestarted() {
+  public void handleEngineRestart() {
     tables = new RouteTables(requestClasses);
     for (ProxySession session : List.copyOf(sessions.values())) {
       Event.ProxyConnected earlier = session.hello();
@@ -231,12 +231,12 @@
   }
 
   /** How many proxies are connected. */
-  public int connectedProxies() {
+  public int connectedProxyCount() {
     return sessions.size();
   }
 
   /** How many messages of known peers were dropped as invalid, ever. */
-  public long droppedMessages() {
+  public long droppedMessageCount() {
     return droppedMessages;
   }
 
--- a/src/test/java/stonespring/daemon/ChpServerStopTest.java
+++ b/src/test/java/stonespring/daemon/ChpServerStopTest.java
@@ -51,24 +51,24 @@
     private final CountDownLatch requested = new CountDownLatch(1);
 
     @Override
-    public boolean hello(
-        String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection) {
+    public boolean handleHello(
+        String proxy, ProxyHello hello, long sessionTimeoutDeciMillis, ProxyConnection connection) {
       return true;
     }
 
     @Override
-    public boolean reported(String proxy, ProxyReport report, ProxyConnection connection) {
+    public boolean handleReport(String proxy, ProxyReport report, ProxyConnection connection) {
       return true;
     }
 
     @Override
-    public boolean acknowledged(
+    public boolean handleAcknowledgement(
         String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection) {
       return true;
     }
 
     @Override
-    public boolean snapshot(String subtree, Consumer<KeySnapshot> receiver) {
+    public boolean requestSnapshot(String subtree, Consumer<KeySnapshot> receiver) {
       List<KeyUpdate> keys = new ArrayList<>();
       for (int i = 0; i < KEYS; i++) {
         keys.add(new KeyUpdate("/x/" + i, i + 1, new byte[1000]));
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void connectionClosed(ProxyConnection connection) {}
+    public void handleConnectionClosed(ProxyConnection connection) {}
   }
 
   private static byte[] hex(String digits) {
--- a/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
@@ -139,7 +139,7 @@
 
   void updateEndpointList(Event.ListUpdateKind kind, List<EndpointRecord> endpoints)
       throws InterruptedException {
-    onLoop(() -> api.endpointListUpdated(new Event.EndpointListUpdate(kind, endpoints)));
+    onLoop(() -> api.updateEndpointList(new Event.EndpointListUpdate(kind, endpoints)));
   }
 
   void execute(Command... commands) throws InterruptedException {
--- a/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
@@ -98,7 +98,7 @@
         "request counts may come through any collector");
     collector.assertAlive();
     assertTrue(fixture.hasNoEvents());
-    assertEquals(17 + 1 + 8, fixture.api().droppedMessages());
+    assertEquals(17 + 1 + 8, fixture.api().droppedMessageCount());
   }
 
   @Test
@@ -153,7 +153,7 @@
       client.close();
       assertEquals(new Event.ProxyDisconnected(new ProxyId(3)), fixture.nextEvent());
     }
-    assertEquals(0, fixture.api().connectedProxies());
+    assertEquals(0, fixture.api().connectedProxyCount());
   }
 
   @Test
@@ -161,7 +161,7 @@
     Client proxy = fixture.connectProxy();
     fixture.execute(route(3, "s-1", 1), assign(3));
     assertEquals("CONFIG replace=1 rows=s-1:1", proxy.receive());
-    fixture.onLoop(fixture.api()::engineRestarted);
+    fixture.onLoop(fixture.api()::handleEngineRestart);
     assertEquals(
         new Event.ProxyConnected(new ProxyId(3), new ZoneId(1), 2.5, false), fixture.nextEvent());
     fixture.execute(route(3, "s-2", 0.5), assign(3));
@@ -193,7 +193,7 @@
         ((Event.EndpointOutcomes) fixture.nextEvent()).endpoint(),
         "the message before names a forgotten endpoint");
     collector.assertAlive();
-    assertEquals(1, fixture.api().droppedMessages());
+    assertEquals(1, fixture.api().droppedMessageCount());
     fixture.execute(route(3, "s-1", 1), route(3, "n-59999", 1), assign(3));
     assertEquals(
         "CONFIG replace=1 rows=n-59999:1,s-1:1",
