--- a/src/main/java/stonespring/line/ConnectionCloseLog.java
+++ b/src/main/java/stonespring/line/ConnectionCloseLog.java
@@ -12,32 +12,32 @@
   private static final Logger LOG = LoggerFactory.getLogger(ConnectionCloseLog.class);
   private static final int MAX_LINES_PER_SECOND = 5;
 
-  private long second;
-  private int logged;
-  private long suppressed;
+  private long currentSecond;
+  private int loggedThisSecond;
+  private long suppressedThisSecond;
 
   /**
    * Logs that a connection was closed.
    *
    * @param session null for one that did not complete its handshake
    */
-  void closed(Object session, String reason) {
+  void logClosed(Object session, String reason) {
     long now = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
-    if (now != second) {
-      if (suppressed > 0) {
-        LOG.warn("{} more connections ended", suppressed);
+    if (now != currentSecond) {
+      if (suppressedThisSecond > 0) {
+        LOG.warn("{} more connections ended", suppressedThisSecond);
       }
-      second = now;
-      logged = 0;
-      suppressed = 0;
+      currentSecond = now;
+      loggedThisSecond = 0;
+      suppressedThisSecond = 0;
     }
-    if (logged++ < MAX_LINES_PER_SECOND) {
+    if (loggedThisSecond++ < MAX_LINES_PER_SECOND) {
       LOG.warn(
           "connection of {} ended: {}",
           session == null ? "a peer that has not joined" : session,
           reason);
     } else {
-      suppressed++;
+      suppressedThisSecond++;
     }
   }
 }
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -94,19 +94,19 @@
       return;
     }
     closed = true;
-    closeLog.closed(session, reason);
+    closeLog.logClosed(session, reason);
     if (session == null) {
       endHandshake();
-      refuse(reason);
+      sendRefusalAndClose(reason);
     } else {
       channel.close();
-      handler.closed(this);
+      handler.handleClosed(this);
     }
   }
 
-  private void refuse(String reason) {
-    String word = reason.replaceAll("[^A-Za-z0-9]+", "-");
-    String shortened = word.substring(0, Math.min(MAX_REASON_CHARS, word.length()));
+  private void sendRefusalAndClose(String reason) {
+    String hyphenated = reason.replaceAll("[^A-Za-z0-9]+", "-");
+    String shortened = hyphenated.substring(0, Math.min(MAX_REASON_CHARS, hyphenated.length()));
     ChannelFuture written = channel.writeAndFlush(encode(REFUSAL + shortened + "\r\n"));
     if (written.isDone()) {
       written.addListener(ChannelFutureListener.CLOSE);
@@ -140,7 +140,7 @@
     if (message.kind().equals(KEEP_ALIVE)) {
       write(KEEP_ALIVE_RESPONSE);
     } else {
-      handler.message(this, message);
+      handler.handleMessage(this, message);
     }
   }
 
@@ -153,7 +153,7 @@
     if (session == null) {
       endHandshake();
     } else {
-      handler.closed(this);
+      handler.handleClosed(this);
     }
   }
 
--- a/src/main/java/stonespring/line/LineDecoder.java
+++ b/src/main/java/stonespring/line/LineDecoder.java
@@ -43,10 +43,10 @@
     byte[] bytes = new byte[length - 1];
     in.readBytes(bytes);
     in.skipBytes("\r\n".length());
-    out.add(LineMessage.parse(text(bytes)));
+    out.add(LineMessage.parse(decodeText(bytes)));
   }
 
-  private static String text(byte[] bytes) {
+  private static String decodeText(byte[] bytes) {
     String text = decodeUtf8(bytes);
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) < ' ' || text.charAt(i) == DELETE_CHARACTER) {
--- a/src/main/java/stonespring/line/LineHandler.java
+++ b/src/main/java/stonespring/line/LineHandler.java
@@ -3,8 +3,8 @@
 /** Handles what happens on a listener's connections; all calls come from its event loop. */
 public interface LineHandler {
   /** Handles a message; keep-alives are answered by the connection itself. */
-  void message(LineConnection connection, LineMessage message);
+  void handleMessage(LineConnection connection, LineMessage message);
 
   /** A connection with a {@link LineConnection#setSession session} was closed; called once. */
-  void closed(LineConnection connection);
+  void handleClosed(LineConnection connection);
 }
--- a/src/main/java/stonespring/line/PendingHandshakes.java
+++ b/src/main/java/stonespring/line/PendingHandshakes.java
@@ -68,16 +68,16 @@
   private Future<?> scheduleEviction(Channel server) {
     return server
         .eventLoop()
-        .schedule(() -> evict(server), MIN_HANDSHAKE_MILLIS, TimeUnit.MILLISECONDS);
+        .schedule(() -> closeOldest(server), MIN_HANDSHAKE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Closes the oldest until half of the room is free. */
-  private void evict(Channel server) {
-    long latestConnectNanos =
+  private void closeOldest(Channel server) {
+    long latestEvictableConnectNanos =
         System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(MIN_HANDSHAKE_MILLIS);
     for (LineConnection oldest : List.copyOf(connections)) {
       if (connections.size() <= limits.maxPendingHandshakes() / 2
-          || oldest.connectedAtNanos() - latestConnectNanos > 0) {
+          || oldest.connectedAtNanos() - latestEvictableConnectNanos > 0) {
         break;
       }
       oldest.close("too many that have not joined");
--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -42,7 +42,7 @@
   private static final String ACK_ID = "mark";
   private static final String DURATION = "took";
 
-  private static final double MAX_SECONDS = 3600;
+  private static final double MAX_DURATION_SECONDS = 3600;
   private static final double MAX_FIGURE = 1e9; // of requests, attempts or any load figure
   private static final int MAX_ACK_ID = 65_535;
 
@@ -86,7 +86,7 @@
   /** Reads a proxy's report. */
   public ProxyReport readReport(byte[] bytes) {
     JsonMessage message = JsonMessage.parse(REPORT, bytes);
-    double seconds = message.number(INTERVAL, MAX_SECONDS);
+    double seconds = message.number(INTERVAL, MAX_DURATION_SECONDS);
     List<ProxyReport.EndpointObservation> endpoints = new ArrayList<>();
     for (JsonNode row : message.list(ENDPOINTS)) {
       endpoints.add(readObservation(message, row));
@@ -115,8 +115,8 @@
         new EndpointId(message.name(ENDPOINTS, row.get(0))),
         attempts,
         failures,
-        DeciMillis.ofSeconds(message.number(ENDPOINTS, row.get(3), MAX_SECONDS)),
-        readLoad(message, row.path(4)));
+        DeciMillis.ofSeconds(message.number(ENDPOINTS, row.get(3), MAX_DURATION_SECONDS)),
+        readLoadReport(message, row.path(4)));
   }
 
   /** Reads a row of request class, requests, unanswered requests. */
@@ -139,19 +139,19 @@
         message.wholeNumber(REQUESTS, row.get(2), MAX_FIGURE));
   }
 
-  private static LoadReport readLoad(JsonMessage message, JsonNode load) {
+  private static LoadReport readLoadReport(JsonMessage message, JsonNode load) {
     if (!load.isObject()) {
       return LoadReport.NONE;
     }
     return new LoadReport(
-        readFigure(message, load, UTILIZATION),
-        readFigure(message, load, QUEUE_LENGTH),
-        readFigure(message, load, IN_FLIGHT),
-        readFigure(message, load, SERVICE_TIME_MILLIS),
-        readFigure(message, load, LOAD_REQUESTS_PER_SECOND));
+        readLoadFigure(message, load, UTILIZATION),
+        readLoadFigure(message, load, QUEUE_LENGTH),
+        readLoadFigure(message, load, IN_FLIGHT),
+        readLoadFigure(message, load, SERVICE_TIME_MILLIS),
+        readLoadFigure(message, load, LOAD_REQUESTS_PER_SECOND));
   }
 
-  private static double readFigure(JsonMessage message, JsonNode load, String field) {
+  private static double readLoadFigure(JsonMessage message, JsonNode load, String field) {
     JsonNode value = load.path(field);
     return value.isMissingNode() || value.isNull()
         ? Double.NaN
@@ -164,6 +164,6 @@
     return new ProxyAcknowledgement(
         message.name(ORIGIN),
         new AckId((int) message.wholeNumber(ACK_ID, MAX_ACK_ID)),
-        DeciMillis.ofSeconds(message.number(DURATION, MAX_SECONDS)));
+        DeciMillis.ofSeconds(message.number(DURATION, MAX_DURATION_SECONDS)));
   }
 }
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -26,12 +26,12 @@
  */
 public final class ChpProxyApi implements ChpBackend {
   private static final String PRESENCE = "presence";
-  private static final String UPWARDS = "up";
+  private static final String UPSTREAM = "up";
   private static final String REPORT = "report";
   private static final String ACKNOWLEDGEMENT = "answer";
   private static final String LEASE_SECONDS = "ttl";
   private static final int MAX_LEASE_SECONDS = 3600;
-  private static final Pattern LEASE_FORM = Pattern.compile("[0-9]{1,6}");
+  private static final Pattern LEASE_PATTERN = Pattern.compile("[0-9]{1,6}");
 
   /** Snapshots that one peer may wait for. */
   private static final int MAX_PENDING_SNAPSHOTS = 4;
@@ -81,7 +81,7 @@
         handler.requestSnapshot(
             subtree,
             snapshot -> {
-              send(peer, subtree, snapshot);
+              sendSnapshot(peer, subtree, snapshot);
               pending.decrementAndGet();
             });
     if (!accepted) {
@@ -98,7 +98,7 @@
     return pending;
   }
 
-  private static void send(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
+  private static void sendSnapshot(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
     for (KeyUpdate key : snapshot.keys()) {
       peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
     }
@@ -109,7 +109,7 @@
   public void keySet(ZmtpConnection peer, ChpMessage.KvSet set) {
     boolean accepted;
     try {
-      accepted = handle(set, connection(peer));
+      accepted = handleKeySet(set, collectorConnection(peer));
     } catch (InvalidMessageException e) {
       throw new InvalidChpMessageException("KVSET " + set.key() + ": " + e.getMessage());
     }
@@ -118,7 +118,7 @@
     }
   }
 
-  private static CollectorConnection connection(ZmtpConnection peer) {
+  private static CollectorConnection collectorConnection(ZmtpConnection peer) {
     CollectorConnection connection = peer.channel().attr(CONNECTION).get();
     if (connection == null) {
       connection = new CollectorConnection(peer);
@@ -127,12 +127,12 @@
     return connection;
   }
 
-  private boolean handle(ChpMessage.KvSet set, CollectorConnection connection) {
+  private boolean handleKeySet(ChpMessage.KvSet set, CollectorConnection connection) {
     String[] segments = set.key().substring(1).split("/");
     if (segments.length == 2 && segments[0].equals(PRESENCE)) {
       return handlePresence(segments[1], set, connection);
     }
-    if (segments.length == 3 && segments[0].equals(UPWARDS)) {
+    if (segments.length == 3 && segments[0].equals(UPSTREAM)) {
       if (segments[2].equals(REPORT)) {
         return handler.handleReport(segments[1], codec.readReport(set.value()), connection);
       }
@@ -160,7 +160,7 @@
 
   private static long leaseSeconds(Map<String, String> properties) {
     String text = properties.getOrDefault(LEASE_SECONDS, "");
-    int seconds = LEASE_FORM.matcher(text).matches() ? Integer.parseInt(text) : 0;
+    int seconds = LEASE_PATTERN.matcher(text).matches() ? Integer.parseInt(text) : 0;
     if (seconds < 1 || seconds > MAX_LEASE_SECONDS) {
       throw new InvalidChpMessageException(
           "presence: property '"
--- a/src/main/java/stonespring/proxyapi/platform/KnownEndpoints.java
+++ b/src/main/java/stonespring/proxyapi/platform/KnownEndpoints.java
@@ -21,13 +21,13 @@
       endpoints.remove(endpoint.endpoint());
       endpoints.add(endpoint.endpoint());
     }
-    List<EndpointId> forgotten = new ArrayList<>();
+    List<EndpointId> evicted = new ArrayList<>();
     while (endpoints.size() > maxEndpoints) {
       EndpointId oldest = endpoints.iterator().next();
       endpoints.remove(oldest);
-      forgotten.add(oldest);
+      evicted.add(oldest);
     }
-    return forgotten;
+    return evicted;
   }
 
   boolean contains(EndpointId endpoint) {
--- a/src/main/java/stonespring/proxyapi/platform/MessageFields.java
+++ b/src/main/java/stonespring/proxyapi/platform/MessageFields.java
@@ -77,16 +77,16 @@
   }
 
   /** Reads milliseconds as {@link DeciMillis}. */
-  long duration(String field) {
+  long durationDeciMillis(String field) {
     return DeciMillis.ofSeconds(number(field, MAX_MILLIS) / MILLIS_PER_SECOND);
   }
 
   /** Reads milliseconds as {@link DeciMillis}, at least one. */
-  long interval(String field) {
-    long interval = duration(field);
-    if (interval < 1) {
+  long intervalDeciMillis(String field) {
+    long intervalDeciMillis = durationDeciMillis(field);
+    if (intervalDeciMillis < 1) {
       throw invalid(field, "is no span of time");
     }
-    return interval;
+    return intervalDeciMillis;
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -75,16 +75,16 @@
   private static final int MAX_DESCRIPTION_CHARS = 200;
 
   private final NameTable names;
-  private final int proxies;
+  private final int proxyCount;
 
   /**
    * Creates a codec.
    *
-   * @param proxies how many proxies the settings have
+   * @param proxyCount how many proxies the settings have
    */
-  PlatformMessageCodec(NameTable names, int proxies) {
+  PlatformMessageCodec(NameTable names, int proxyCount) {
     this.names = names;
-    this.proxies = proxies;
+    this.proxyCount = proxyCount;
   }
 
   /** Whether the protocol has messages of that kind. */
@@ -94,7 +94,7 @@
 
   /** Reads SOURCE: the zone whose collector it is. */
   ZoneId readSource(LineMessage message) {
-    return zone(new MessageFields(message));
+    return readZone(new MessageFields(message));
   }
 
   /** Reads SUBSCRIBE. The texts of its exceptions are sent to the peer. */
@@ -102,8 +102,8 @@
     MessageFields fields = new MessageFields(message);
     boolean withoutTables = fields.flag(WITHOUT_TABLES);
     return new Event.ProxyConnected(
-        proxy(fields),
-        zone(fields),
+        readProxy(fields),
+        readZone(fields),
         fields.number(REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND),
         withoutTables);
   }
@@ -112,21 +112,21 @@
   Event.UpdateAcknowledged readAck(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     return new Event.UpdateAcknowledged(
-        proxy(fields),
+        readProxy(fields),
         new AckId((int) fields.wholeNumber(ACK_ID, MAX_ACK_ID)),
-        fields.duration(ACK_DURATION));
+        fields.durationDeciMillis(ACK_DURATION));
   }
 
   /** Reads RATE. */
   Event.ProxyRequestRate readRate(LineMessage message) {
     MessageFields fields = new MessageFields(message);
-    RequestClassId requestClass = requestClass(fields);
+    RequestClassId requestClass = readRequestClass(fields);
     return new Event.ProxyRequestRate(
-        proxy(fields),
+        readProxy(fields),
         requestClass,
         fields.wholeNumber(COUNT, MAX_COUNT),
         fields.wholeNumber(FAILURES, MAX_COUNT),
-        fields.interval(INTERVAL));
+        fields.intervalDeciMillis(INTERVAL));
   }
 
   /** Reads LOAD. */
@@ -139,12 +139,12 @@
     }
     return new Event.EndpointOutcomes(
         new EndpointId(fields.text(ENDPOINT)),
-        zone(fields),
+        readZone(fields),
         attempts,
         failures,
-        fields.interval(INTERVAL),
-        fields.duration(MEAN_LATENCY),
-        loadReport(fields));
+        fields.intervalDeciMillis(INTERVAL),
+        fields.durationDeciMillis(MEAN_LATENCY),
+        readLoadReport(fields));
   }
 
   /** A valid LOAD message about an endpoint that was never listed. */
@@ -163,14 +163,14 @@
     return new InvalidMessageException(ACK, ACK_ID, "is no acknowledgement that was requested");
   }
 
-  private ZoneId zone(MessageFields fields) {
+  private ZoneId readZone(MessageFields fields) {
     String name = fields.text(ZONE);
     return names
         .zone(name)
         .orElseThrow(() -> fields.invalidValue(ZONE, "names no zone of the settings", name));
   }
 
-  private RequestClassId requestClass(MessageFields fields) {
+  private RequestClassId readRequestClass(MessageFields fields) {
     String name = fields.text(REQUEST_CLASS);
     return names
         .requestClass(name)
@@ -179,16 +179,16 @@
                 fields.invalidValue(REQUEST_CLASS, "names no request class of the settings", name));
   }
 
-  private ProxyId proxy(MessageFields fields) {
+  private ProxyId readProxy(MessageFields fields) {
     long number = fields.wholeNumber(PROXY, Integer.MAX_VALUE);
-    if (number >= proxies) {
+    if (number >= proxyCount) {
       throw fields.invalid(PROXY, "names no proxy of the settings: " + number);
     }
     return new ProxyId((int) number);
   }
 
   /** Reads {@code name:value} pairs by the platform's names or by those of the settings. */
-  private static LoadReport loadReport(MessageFields fields) {
+  private static LoadReport readLoadReport(MessageFields fields) {
     String pairs = fields.optionalText(LOAD_FIGURES);
     if (pairs.isEmpty()) {
       return LoadReport.NONE;
@@ -207,10 +207,10 @@
       switch (pair.substring(0, colon)) {
         case "util", "utilization" ->
             utilization = fields.number(LOAD_FIGURES, value, MAX_UTILIZATION);
-        case "queue", "backlog" -> queueLength = loadFigure(fields, value);
-        case "inflight", "outstanding" -> inFlight = loadFigure(fields, value);
-        case "latency_ms", "recent_ms" -> serviceTimeMillis = loadFigure(fields, value);
-        case "qps", "throughput" -> requestsPerSecond = loadFigure(fields, value);
+        case "queue", "backlog" -> queueLength = readLoadFigure(fields, value);
+        case "inflight", "outstanding" -> inFlight = readLoadFigure(fields, value);
+        case "latency_ms", "recent_ms" -> serviceTimeMillis = readLoadFigure(fields, value);
+        case "qps", "throughput" -> requestsPerSecond = readLoadFigure(fields, value);
         default -> {
           // A figure that the decisions don't use.
         }
@@ -219,7 +219,7 @@
     return new LoadReport(utilization, queueLength, inFlight, serviceTimeMillis, requestsPerSecond);
   }
 
-  private static double loadFigure(MessageFields fields, String value) {
+  private static double readLoadFigure(MessageFields fields, String value) {
     return fields.number(LOAD_FIGURES, value, MAX_LOAD_FIGURE);
   }
 
@@ -227,7 +227,7 @@
   List<String> write(ConfigMessage message) {
     List<String> lines = new ArrayList<>();
     for (ConfigMessage.Part part : message.parts()) {
-      lines.add(CONFIG + requestClasses(part.requestClasses()) + tableFields(part));
+      lines.add(CONFIG + requestClassField(part.requestClasses()) + tableFields(part));
     }
     String common = commonFields(message);
     if (lines.isEmpty() && !common.isEmpty()) {
@@ -240,7 +240,7 @@
     return lines;
   }
 
-  private String requestClasses(BitSet classes) {
+  private String requestClassField(BitSet classes) {
     List<String> all = names.requestClasses();
     if (classes.cardinality() == all.size()) {
       return "";
@@ -282,12 +282,12 @@
   }
 
   private static String commonFields(ConfigMessage message) {
-    return endpoints(" undrop=", message.exclusions().allowed())
-        + endpoints(" drop=", message.exclusions().excluded())
+    return endpointsField(" undrop=", message.exclusions().allowed())
+        + endpointsField(" drop=", message.exclusions().excluded())
         + message.ack().map(ack -> " stamp=" + ack.number()).orElse("");
   }
 
-  private static String endpoints(String field, Set<EndpointId> endpoints) {
+  private static String endpointsField(String field, Set<EndpointId> endpoints) {
     return endpoints.isEmpty()
         ? ""
         : field + endpoints.stream().map(EndpointId::name).collect(Collectors.joining(","));
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -40,10 +40,10 @@
   private static final int MAX_LOGGED_DROPS = 50;
 
   private final PlatformMessageCodec codec;
-  private final int requestClasses;
-  private final Consumer<Event> events;
+  private final int requestClassCount;
+  private final Consumer<Event> eventConsumer;
   private final TreeMap<Integer, ProxySession> sessions = new TreeMap<>();
-  private final Map<ProxyId, Set<EndpointId>> excludedAtProxy = new HashMap<>();
+  private final Map<ProxyId, Set<EndpointId>> excludedEndpointsByProxy = new HashMap<>();
   private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
   private final KnownEndpoints knownEndpoints = new KnownEndpoints(MAX_KNOWN_ENDPOINTS);
   private RouteTables tables;
@@ -52,39 +52,39 @@
   /**
    * Creates the API without connections.
    *
-   * @param proxies how many proxies the settings have
-   * @param events takes events, on the event loop
+   * @param proxyCount how many proxies the settings have
+   * @param eventConsumer takes events, on the event loop
    */
-  public PlatformProxyApi(NameTable names, int proxies, Consumer<Event> events) {
-    this.codec = new PlatformMessageCodec(names, proxies);
-    this.requestClasses = names.requestClasses().size();
-    this.events = events;
-    this.tables = new RouteTables(requestClasses);
+  public PlatformProxyApi(NameTable names, int proxyCount, Consumer<Event> eventConsumer) {
+    this.codec = new PlatformMessageCodec(names, proxyCount);
+    this.requestClassCount = names.requestClasses().size();
+    this.eventConsumer = eventConsumer;
+    this.tables = new RouteTables(requestClassCount);
   }
 
   @Override
-  public void message(LineConnection connection, LineMessage message) {
+  public void handleMessage(LineConnection connection, LineMessage message) {
     if (!(connection.session() instanceof PlatformPeer peer)) {
-      handleFirst(connection, message);
+      handleFirstMessage(connection, message);
     } else if (!PlatformMessageCodec.isKnownKind(message.kind())) {
       connection.close("it sent what can't be read: " + LineMessage.printable(message.kind()));
     } else {
       try {
-        handle(peer, message);
+        handlePeerMessage(peer, message);
       } catch (InvalidMessageException e) {
-        drop(peer, message, e.getMessage());
+        dropMessage(peer, message, e.getMessage());
       }
     }
   }
 
   /** Handles the first message of a connection, which completes its handshake or ends it. */
-  private void handleFirst(LineConnection connection, LineMessage message) {
+  private void handleFirstMessage(LineConnection connection, LineMessage message) {
     try {
       switch (message.kind()) {
         case PlatformMessageCodec.SUBSCRIBE ->
-            proxyConnected(connection, codec.readSubscribe(message));
+            acceptProxy(connection, codec.readSubscribe(message));
         case PlatformMessageCodec.SOURCE ->
-            collectorConnected(connection, new Collector(codec.readSource(message)));
+            acceptCollector(connection, new Collector(codec.readSource(message)));
         default -> connection.close("no joining before " + LineMessage.printable(message.kind()));
       }
     } catch (InvalidMessageException e) {
@@ -92,35 +92,35 @@
     }
   }
 
-  private void proxyConnected(LineConnection connection, Event.ProxyConnected hello) {
-    ProxySession earlier = sessions.get(hello.proxy().number());
-    if (earlier != null) {
+  private void acceptProxy(LineConnection connection, Event.ProxyConnected hello) {
+    ProxySession earlierSession = sessions.get(hello.proxy().number());
+    if (earlierSession != null) {
       // Ends in closed(), which reports that it disconnected.
-      earlier.connection().close("the proxy connected again in a newer session");
+      earlierSession.connection().close("the proxy connected again in a newer session");
     }
     startSession(connection, hello);
   }
 
   private void startSession(LineConnection connection, Event.ProxyConnected hello) {
     Set<EndpointId> excluded =
-        excludedAtProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
+        excludedEndpointsByProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
     ProxyExclusions exclusions = new ProxyExclusions(excluded, !hello.withoutTables());
-    ProxyRouteState routeState = new ProxyRouteState(requestClasses, tables, exclusions);
+    ProxyRouteState routeState = new ProxyRouteState(requestClassCount, tables, exclusions);
     ProxySession session = new ProxySession(hello, connection, routeState);
     sessions.put(hello.proxy().number(), session);
     connection.setSession(session);
     tables.addProxy(hello.proxy(), Optional.empty());
-    events.accept(hello);
+    eventConsumer.accept(hello);
   }
 
-  private void collectorConnected(LineConnection connection, Collector collector) {
+  private void acceptCollector(LineConnection connection, Collector collector) {
     connection.setSession(collector);
     collectors
         .add(collector.zone(), connection)
         .ifPresent(oldest -> oldest.close("newer collectors of its zone connected"));
   }
 
-  private void handle(PlatformPeer sender, LineMessage message) {
+  private void handlePeerMessage(PlatformPeer sender, LineMessage message) {
     switch (message.kind()) {
       case PlatformMessageCodec.LOAD -> handleLoad(sender, message);
       case PlatformMessageCodec.RATE -> handleRate(sender, message);
@@ -141,7 +141,7 @@
     if (!knownEndpoints.contains(outcomes.endpoint())) {
       throw PlatformMessageCodec.unlistedEndpoint();
     }
-    events.accept(outcomes);
+    eventConsumer.accept(outcomes);
   }
 
   private void handleRate(PlatformPeer sender, LineMessage message) {
@@ -150,7 +150,7 @@
     if (session == null || sender instanceof ProxySession && sender != session) {
       throw PlatformMessageCodec.wrongProxy(message);
     }
-    events.accept(rate);
+    eventConsumer.accept(rate);
   }
 
   private void handleAck(PlatformPeer sender, LineMessage message) {
@@ -159,13 +159,13 @@
         || !session.proxy().equals(acknowledged.proxy())) {
       throw PlatformMessageCodec.wrongProxy(message);
     }
-    if (!session.acknowledge(acknowledged.ack())) {
+    if (!session.removePendingAck(acknowledged.ack())) {
       throw PlatformMessageCodec.unrequestedAck();
     }
-    events.accept(acknowledged);
+    eventConsumer.accept(acknowledged);
   }
 
-  private void drop(PlatformPeer sender, LineMessage message, String cause) {
+  private void dropMessage(PlatformPeer sender, LineMessage message, String cause) {
     if (droppedMessages++ < MAX_LOGGED_DROPS) {
       LOG.warn(
           "a message of {} is dropped: {} in: {}",
@@ -176,21 +176,21 @@
   }
 
   @Override
-  public void closed(LineConnection connection) {
+  public void handleClosed(LineConnection connection) {
     if (connection.session() instanceof Collector collector) {
       collectors.remove(collector.zone(), connection);
     } else if (connection.session() instanceof ProxySession session
         && sessions.remove(session.proxy().number(), session)) {
       tables.removeProxy(session.proxy());
-      events.accept(new Event.ProxyDisconnected(session.proxy()));
+      eventConsumer.accept(new Event.ProxyDisconnected(session.proxy()));
     }
   }
 
   /** The endpoint list changed: reports about its endpoints are accepted from now on. */
   public void updateEndpointList(Event.EndpointListUpdate update) {
-    for (EndpointId forgotten : knownEndpoints.add(update.endpoints())) {
-      excludedAtProxy.values().forEach(excluded -> excluded.remove(forgotten));
-      tables.discardExclusion(forgotten);
+    for (EndpointId evicted : knownEndpoints.add(update.endpoints())) {
+      excludedEndpointsByProxy.values().forEach(excluded -> excluded.remove(evicted));
+      tables.discardExclusion(evicted);
     }
   }
 
@@ -199,19 +199,18 @@
    * proxy connects anew, with tables that are unknown.
    */
   public void handleEngineRestart() {
-    tables = new RouteTables(requestClasses);
+    tables = new RouteTables(requestClassCount);
     for (ProxySession session : List.copyOf(sessions.values())) {
-      Event.ProxyConnected earlier = session.hello();
+      Event.ProxyConnected hello = session.hello();
       startSession(
           session.connection(),
-          new Event.ProxyConnected(
-              earlier.proxy(), earlier.zone(), earlier.requestsPerSecond(), false));
+          new Event.ProxyConnected(hello.proxy(), hello.zone(), hello.requestsPerSecond(), false));
     }
   }
 
   /** Carries out the commands of an event batch: one message for each proxy that they concern. */
-  public void execute(List<Command> commands, long now) {
-    for (ProxyUpdate update : tables.apply(commands, now)) {
+  public void execute(List<Command> commands, long nowDeciMillis) {
+    for (ProxyUpdate update : tables.apply(commands, nowDeciMillis)) {
       send(update);
     }
   }
@@ -222,7 +221,7 @@
     if (message.isEmpty()) {
       return;
     }
-    message.ack().ifPresent(session::request);
+    message.ack().ifPresent(session::addPendingAck);
     List<String> lines = codec.write(message);
     if (LOG.isDebugEnabled()) {
       LOG.debug("{}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
--- a/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
@@ -11,40 +11,40 @@
  */
 final class ProxyExclusions {
   private final Set<EndpointId> excluded;
-  private final boolean othersMayHaveExcluded;
-  private final Set<EndpointId> certain = new HashSet<>();
+  private final boolean otherInstancesMayHaveExcluded;
+  private final Set<EndpointId> changedInSession = new HashSet<>();
 
   /**
    * Creates the exclusions of a new session.
    *
    * @param excluded what this instance excluded in earlier sessions of the proxy; changed here
-   * @param othersMayHaveExcluded whether the proxy may hold exclusions of other instances
+   * @param otherInstancesMayHaveExcluded whether the proxy may hold exclusions of other instances
    */
-  ProxyExclusions(Set<EndpointId> excluded, boolean othersMayHaveExcluded) {
+  ProxyExclusions(Set<EndpointId> excluded, boolean otherInstancesMayHaveExcluded) {
     this.excluded = excluded;
-    this.othersMayHaveExcluded = othersMayHaveExcluded;
+    this.otherInstancesMayHaveExcluded = otherInstancesMayHaveExcluded;
   }
 
   /** Applies changes, and drops those that the proxy has made already; exclusion goes first. */
   void apply(ExclusionChanges changes) {
     changes.allowed().removeAll(changes.excluded());
     changes.allowed().removeIf(endpoint -> !mayBeExcluded(endpoint));
-    changes.excluded().removeIf(this::isSurelyExcluded);
+    changes.excluded().removeIf(this::isKnownToBeExcluded);
     excluded.removeAll(changes.allowed());
     excluded.addAll(changes.excluded());
-    certain.addAll(changes.allowed());
-    certain.addAll(changes.excluded());
+    changedInSession.addAll(changes.allowed());
+    changedInSession.addAll(changes.excluded());
   }
 
   private boolean mayBeExcluded(EndpointId endpoint) {
     return excluded.contains(endpoint) || isUncertain(endpoint);
   }
 
-  private boolean isSurelyExcluded(EndpointId endpoint) {
+  private boolean isKnownToBeExcluded(EndpointId endpoint) {
     return excluded.contains(endpoint) && !isUncertain(endpoint);
   }
 
   private boolean isUncertain(EndpointId endpoint) {
-    return othersMayHaveExcluded && !certain.contains(endpoint);
+    return otherInstancesMayHaveExcluded && !changedInSession.contains(endpoint);
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -31,13 +31,13 @@
   /** Keeps a line far below the longest that a proxy reads. */
   private static final int MAX_ROUTES_PER_PART = 512;
 
-  private final int requestClasses;
+  private final int requestClassCount;
   private final RouteTables tables;
   private final ProxyExclusions exclusions;
-  private final RouteTableId[] assigned;
-  private final Map<RouteTableId, TreeMap<EndpointId, ProxyChange.RouteChange>> routes =
+  private final RouteTableId[] assignedTables;
+  private final Map<RouteTableId, TreeMap<EndpointId, ProxyChange.RouteChange>> routesByTable =
       new HashMap<>();
-  private final Map<RouteTableId, AdmissionLimit[]> limits = new HashMap<>();
+  private final Map<RouteTableId, AdmissionLimit[]> limitsByTable = new HashMap<>();
   private final AdmissionLimit[] sentLimits;
 
   /** The tables that one update touches, in the order of its changes. */
@@ -52,12 +52,12 @@
    *
    * @param tables tells which endpoints are excluded
    */
-  ProxyRouteState(int requestClasses, RouteTables tables, ProxyExclusions exclusions) {
-    this.requestClasses = requestClasses;
+  ProxyRouteState(int requestClassCount, RouteTables tables, ProxyExclusions exclusions) {
+    this.requestClassCount = requestClassCount;
     this.tables = tables;
     this.exclusions = exclusions;
-    this.assigned = new RouteTableId[requestClasses];
-    this.sentLimits = new AdmissionLimit[requestClasses];
+    this.assignedTables = new RouteTableId[requestClassCount];
+    this.sentLimits = new AdmissionLimit[requestClassCount];
   }
 
   /** Applies an update, and returns what is to be sent; empty if the proxy would not change. */
@@ -80,7 +80,7 @@
         addReplacement(table, parts, exclusionChanges);
       }
     }
-    forgetUnusedTables();
+    removeUnusedTables();
     addLimits(parts);
     exclusions.apply(exclusionChanges);
     return new ConfigMessage(parts, exclusionChanges, update.ack());
@@ -89,14 +89,14 @@
   private void applyChange(
       ProxyChange change, TouchedTables touched, ExclusionChanges exclusionChanges) {
     if (change instanceof ProxyChange.TableAssignment assignment) {
-      assigned[assignment.requestClass().index()] = assignment.table();
+      assignedTables[assignment.requestClass().index()] = assignment.table();
       touched.replaced.add(assignment.table());
     } else if (change instanceof ProxyChange.RouteChange route) {
       applyRoute(route);
       touched.changedRoutes.computeIfAbsent(route.table(), id -> new ArrayList<>()).add(route);
     } else if (change instanceof ProxyChange.AdmissionLimitChange limit) {
       AdmissionLimit[] ofTable =
-          limits.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClasses]);
+          limitsByTable.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClassCount]);
       ofTable[limit.requestClass().index()] = limit.limit().orElse(null);
       if (limit.limit().isEmpty()) {
         touched.replaced.add(limit.table()); // nothing else makes a proxy forget a limit
@@ -108,7 +108,7 @@
 
   private void applyRoute(ProxyChange.RouteChange route) {
     TreeMap<EndpointId, ProxyChange.RouteChange> ofTable =
-        routes.computeIfAbsent(
+        routesByTable.computeIfAbsent(
             route.table(), id -> new TreeMap<>(Comparator.comparing(EndpointId::name)));
     if (route.weight() > 0) {
       ofTable.put(route.endpoint(), route);
@@ -120,17 +120,19 @@
   /** Adds all routes of a table; the proxy forgets its other routes and its limit. */
   private void addReplacement(
       RouteTableId table, List<ConfigMessage.Part> parts, ExclusionChanges exclusionChanges) {
-    BitSet users = classesUsing(table);
-    if (users.isEmpty()) {
+    BitSet usingClasses = classesUsing(table);
+    if (usingClasses.isEmpty()) {
       return;
     }
-    for (int k = 0; k < requestClasses; k++) {
-      sentLimits[k] = users.get(k) ? null : sentLimits[k];
+    for (int k = 0; k < requestClassCount; k++) {
+      sentLimits[k] = usingClasses.get(k) ? null : sentLimits[k];
     }
-    List<ProxyChange.RouteChange> all =
-        routes.containsKey(table) ? List.copyOf(routes.get(table).values()) : List.of();
-    addParts(users, true, all, parts);
-    addExclusions(all, exclusionChanges);
+    List<ProxyChange.RouteChange> allRoutes =
+        routesByTable.containsKey(table)
+            ? List.copyOf(routesByTable.get(table).values())
+            : List.of();
+    addParts(usingClasses, true, allRoutes, parts);
+    addExclusions(allRoutes, exclusionChanges);
   }
 
   /** Adds changed routes of a table; those of an unused one are sent when it is assigned. */
@@ -139,24 +141,24 @@
       List<ProxyChange.RouteChange> changes,
       List<ConfigMessage.Part> parts,
       ExclusionChanges exclusionChanges) {
-    BitSet users = classesUsing(table);
-    if (users.isEmpty()) {
+    BitSet usingClasses = classesUsing(table);
+    if (usingClasses.isEmpty()) {
       return;
     }
-    addParts(users, false, changes, parts);
+    addParts(usingClasses, false, changes, parts);
     addExclusions(changes, exclusionChanges);
   }
 
   private BitSet classesUsing(RouteTableId table) {
-    BitSet users = new BitSet(requestClasses);
-    for (int k = 0; k < requestClasses; k++) {
-      users.set(k, table.equals(assigned[k]));
+    BitSet usingClasses = new BitSet(requestClassCount);
+    for (int k = 0; k < requestClassCount; k++) {
+      usingClasses.set(k, table.equals(assignedTables[k]));
     }
-    return users;
+    return usingClasses;
   }
 
   private static void addParts(
-      BitSet users,
+      BitSet usingClasses,
       boolean replace,
       List<ProxyChange.RouteChange> changes,
       List<ConfigMessage.Part> parts) {
@@ -165,7 +167,7 @@
       int to = Math.min(from + MAX_ROUTES_PER_PART, changes.size());
       parts.add(
           new ConfigMessage.Part(
-              users, replace && from == 0, changes.subList(from, to), Optional.empty()));
+              usingClasses, replace && from == 0, changes.subList(from, to), Optional.empty()));
       from = to;
     } while (from < changes.size());
   }
@@ -181,21 +183,21 @@
   }
 
   /** Changes of an unused table are not sent: it is sent whole when it is assigned again. */
-  private void forgetUnusedTables() {
-    Set<RouteTableId> used = new HashSet<>(Arrays.asList(assigned));
-    routes.keySet().retainAll(used);
+  private void removeUnusedTables() {
+    Set<RouteTableId> used = new HashSet<>(Arrays.asList(assignedTables));
+    routesByTable.keySet().retainAll(used);
     used.add(Command.ALL_TABLES);
-    limits.keySet().retainAll(used);
+    limitsByTable.keySet().retainAll(used);
   }
 
   /** Adds the limits that differ from what was sent; classes with equal limits share a part. */
   private void addLimits(List<ConfigMessage.Part> parts) {
     Map<AdmissionLimit, BitSet> changed = new LinkedHashMap<>();
-    for (int k = 0; k < requestClasses; k++) {
+    for (int k = 0; k < requestClassCount; k++) {
       AdmissionLimit limit = effectiveLimit(k);
       if (limit != null && !limit.equals(sentLimits[k])) {
         sentLimits[k] = limit;
-        changed.computeIfAbsent(limit, key -> new BitSet(requestClasses)).set(k);
+        changed.computeIfAbsent(limit, key -> new BitSet(requestClassCount)).set(k);
       }
     }
     changed.forEach(
@@ -213,16 +215,16 @@
    * all tables, with the table's own retry policy.
    */
   private AdmissionLimit effectiveLimit(int requestClass) {
-    AdmissionLimit own = limit(assigned[requestClass], requestClass);
-    AdmissionLimit common = limit(Command.ALL_TABLES, requestClass);
+    AdmissionLimit own = limitOf(assignedTables[requestClass], requestClass);
+    AdmissionLimit common = limitOf(Command.ALL_TABLES, requestClass);
     if (own == null || common == null) {
       return own == null ? common : own;
     }
     return new AdmissionLimit(Math.min(own.limit(), common.limit()), own.retryPolicy());
   }
 
-  private AdmissionLimit limit(RouteTableId table, int requestClass) {
-    AdmissionLimit[] ofTable = limits.get(table);
+  private AdmissionLimit limitOf(RouteTableId table, int requestClass) {
+    AdmissionLimit[] ofTable = limitsByTable.get(table);
     return ofTable == null ? null : ofTable[requestClass];
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/ProxySession.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxySession.java
@@ -40,7 +40,7 @@
   }
 
   /** Notes that an acknowledgement is requested. */
-  void request(AckId ack) {
+  void addPendingAck(AckId ack) {
     if (pendingAcks.size() >= MAX_PENDING_ACKS) {
       pendingAcks.remove(pendingAcks.iterator().next());
     }
@@ -48,7 +48,7 @@
   }
 
   /** Takes an acknowledgement; false if it is not pending. */
-  boolean acknowledge(AckId ack) {
+  boolean removePendingAck(AckId ack) {
     return pendingAcks.remove(ack);
   }
 
--- a/src/test/java/stonespring/line/LineDecoderTest.java
+++ b/src/test/java/stonespring/line/LineDecoderTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void decodesTheSameMessagesHoweverTheBytesAreCut() {
+  void decodesSameMessagesWhereverBytesAreSplit() {
     byte[] all = bytes("ACK id=17 seq=905 ms=310.4\r\nPING\r\n");
     List<LineMessage> whole =
         List.of(
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void invalidFieldsAreAnErrorOfTheirMessageAlone() {
+  void reportsInvalidFieldsAsErrorOfTheirMessageOnly() {
     EmbeddedChannel channel = channel();
     channel.writeInbound(
         Unpooled.wrappedBuffer(bytes("LOAD a=1 b\r\nLOAD a=1 a=2\r\nLOAD =1\r\nLOAD a=\r\n")));
@@ -95,7 +95,7 @@
   }
 
   @Property(tries = 300)
-  void arbitraryBytesAreLinesOrOneViolation(
+  void decodesArbitraryBytesAsLinesOrReportsOneViolation(
       @ForAll @Size(max = 300) byte[] input, @ForAll @Size(max = 8) int[] cuts) {
     EmbeddedChannel channel = channel();
     int from = 0;
--- a/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
@@ -37,17 +37,18 @@
  */
 final class PlatformApiFixture implements BeforeEachCallback, AfterEachCallback {
   /** How many connections may be open that have not said who is there. */
-  static final int MAX_UNJOINED = 4;
+  static final int MAX_PENDING_HANDSHAKES = 4;
 
-  private static final int WAIT_MILLIS = 10_000; // an upper bound: every wait ends with its event
-  private static final int UNJOINED_MILLIS = 60_000;
-  private static final int LINE_BYTES = 400;
-  private static final int PENDING_BYTES = 4096;
+  private static final int MAX_WAIT_MILLIS =
+      10_000; // an upper bound: every wait ends with its event
+  private static final int HANDSHAKE_TIMEOUT_MILLIS = 60_000;
+  private static final int MAX_LINE_BYTES = 400;
+  private static final int MAX_PENDING_WRITE_BYTES = 4096;
   private static final String SUBSCRIBE = "SUBSCRIBE id=3 site=east rps=2.5 new=1";
 
-  private final MultiThreadIoEventLoopGroup loops =
+  private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = (EventLoop) loops.next();
+  private final EventLoop eventLoop = (EventLoop) eventLoops.next();
   private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final List<Client> clients = new ArrayList<>();
   private PlatformProxyApi api;
@@ -60,8 +61,8 @@
 
     Client() throws IOException {
       socket.setReceiveBufferSize(4096);
-      socket.connect(new InetSocketAddress("127.0.0.1", listener.port()), WAIT_MILLIS);
-      socket.setSoTimeout(WAIT_MILLIS);
+      socket.connect(new InetSocketAddress("127.0.0.1", listener.port()), MAX_WAIT_MILLIS);
+      socket.setSoTimeout(MAX_WAIT_MILLIS);
       in =
           new BufferedReader(
               new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
@@ -86,7 +87,7 @@
       }
     }
 
-    void assertAlive() throws IOException {
+    void assertAnswersKeepAlive() throws IOException {
       send("PING");
       assertEquals("PONG", receive());
     }
@@ -98,11 +99,11 @@
 
   @Override
   public void beforeEach(ExtensionContext context) throws Exception {
-    listen(UNJOINED_MILLIS);
+    startListener(HANDSHAKE_TIMEOUT_MILLIS);
   }
 
   /** Starts anew, with so much time for connections to say who is there. */
-  void listen(int unjoinedMillis) throws Exception {
+  void startListener(int handshakeTimeoutMillis) throws Exception {
     if (listener != null) {
       listener.stop();
     }
@@ -110,8 +111,14 @@
         new PlatformProxyApi(
             new NameTable(List.of("west", "east"), List.of("look", "buy")), 10, events::add);
     listener =
-        new LineServer(new LineLimits(LINE_BYTES, MAX_UNJOINED, unjoinedMillis, PENDING_BYTES), api)
-            .start(loops, new InetSocketAddress("127.0.0.1", 0));
+        new LineServer(
+                new LineLimits(
+                    MAX_LINE_BYTES,
+                    MAX_PENDING_HANDSHAKES,
+                    handshakeTimeoutMillis,
+                    MAX_PENDING_WRITE_BYTES),
+                api)
+            .start(eventLoops, new InetSocketAddress("127.0.0.1", 0));
     updateEndpointList(Event.ListUpdateKind.CACHED, List.of(endpoint("s-1"), endpoint("s-2")));
   }
 
@@ -120,7 +127,7 @@
     for (Client client : clients) {
       client.close();
     }
-    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
   PlatformProxyApi api() {
@@ -128,31 +135,31 @@
   }
 
   /** Runs on the event loop, and waits until it has run. */
-  void onLoop(Runnable work) throws InterruptedException {
-    loop.submit(work).sync();
+  void runOnEventLoop(Runnable work) throws InterruptedException {
+    eventLoop.submit(work).sync();
   }
 
   /** Has the event loop wait for something, and does not wait itself. */
-  void blockLoop(Runnable work) {
-    loop.execute(work);
+  void executeOnEventLoop(Runnable work) {
+    eventLoop.execute(work);
   }
 
   void updateEndpointList(Event.ListUpdateKind kind, List<EndpointRecord> endpoints)
       throws InterruptedException {
-    onLoop(() -> api.updateEndpointList(new Event.EndpointListUpdate(kind, endpoints)));
+    runOnEventLoop(() -> api.updateEndpointList(new Event.EndpointListUpdate(kind, endpoints)));
   }
 
   void execute(Command... commands) throws InterruptedException {
-    onLoop(() -> api.execute(List.of(commands), 5));
+    runOnEventLoop(() -> api.execute(List.of(commands), 5));
   }
 
   /** The next event; null if none comes. */
   Event nextEvent() throws InterruptedException {
-    return events.poll(WAIT_MILLIS, TimeUnit.MILLISECONDS);
+    return events.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** The next event if it is there already, or null. */
-  Event eventNow() {
+  Event pollEvent() {
     return events.poll();
   }
 
--- a/src/test/java/stonespring/proxyapi/platform/PlatformJoiningTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformHandshakeTest.java
@@ -19,21 +19,21 @@
 import stonespring.proxyapi.platform.PlatformApiFixture.Client;
 
 /** Connections that have not joined: what they may send, and how long they may stay. */
-final class PlatformJoiningTest {
+final class PlatformHandshakeTest {
   @RegisterExtension final PlatformApiFixture fixture = new PlatformApiFixture();
 
   @Test
-  void answersKeepAlivesOfEveryPeer() throws Exception {
-    fixture.connect().assertAlive();
-    fixture.connectProxy().assertAlive();
+  void answersKeepAlivesBeforeAndAfterHandshake() throws Exception {
+    fixture.connect().assertAnswersKeepAlive();
+    fixture.connectProxy().assertAnswersKeepAlive();
     Client collector = fixture.connect().send("SOURCE site=west");
-    collector.assertAlive();
+    collector.assertAnswersKeepAlive();
     assertTrue(fixture.hasNoEvents());
   }
 
   @Test
-  void refusesAnUnjoinedPeerThatCannotBeRead() throws Exception {
-    for (String bad :
+  void refusesPeerWhoseFirstMessageIsInvalid() throws Exception {
+    for (String invalid :
         new String[] {
           "GET / HTTP/1.1",
           "SUBSCRIBE id=10 site=east rps=1 new=1",
@@ -49,23 +49,23 @@
           "x".repeat(500),
           ""
         }) {
-      Client client = fixture.connect().send(bad);
+      Client client = fixture.connect().send(invalid);
       String answer = client.receive();
-      assertTrue(answer != null && answer.startsWith("NACK reason="), bad + " got " + answer);
+      assertTrue(answer != null && answer.startsWith("NACK reason="), invalid + " got " + answer);
       assertNull(client.receive());
     }
     assertTrue(fixture.hasNoEvents());
   }
 
   @Test
-  void limitsTheTimeToJoin() throws Exception {
-    fixture.listen(300);
-    Client silent = fixture.connect();
-    Client keepsAlive = fixture.connect();
-    keepsAlive.assertAlive();
-    Client half = fixture.connect();
-    half.out().write("SUBSCR".getBytes(StandardCharsets.US_ASCII));
-    for (Client client : List.of(silent, keepsAlive, half)) {
+  void closesConnectionWhenHandshakeTimesOut() throws Exception {
+    fixture.startListener(300);
+    Client silentClient = fixture.connect();
+    Client pingingClient = fixture.connect();
+    pingingClient.assertAnswersKeepAlive();
+    Client partialLineClient = fixture.connect();
+    partialLineClient.out().write("SUBSCR".getBytes(StandardCharsets.US_ASCII));
+    for (Client client : List.of(silentClient, pingingClient, partialLineClient)) {
       assertTrue(client.receive().startsWith("NACK"));
       assertNull(client.receive());
     }
@@ -73,24 +73,24 @@
 
   /** The oldest unjoined connection is closed, so that a proxy always finds a descriptor. */
   @Test
-  void joinsAProxyWhileManyUnjoinedConnectionsAreOpen() throws Exception {
-    List<Client> crowd = new ArrayList<>();
+  void acceptsProxyWhileManyHandshakesArePending() throws Exception {
+    List<Client> pendingClients = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      crowd.add(fixture.connect());
+      pendingClients.add(fixture.connect());
     }
     Client proxy = fixture.connectProxy();
-    for (int i = 0; i < 30 - PlatformApiFixture.MAX_UNJOINED; i++) {
-      assertTrue(crowd.get(i).receive().startsWith("NACK"), "unjoined " + i);
+    for (int i = 0; i < 30 - PlatformApiFixture.MAX_PENDING_HANDSHAKES; i++) {
+      assertTrue(pendingClients.get(i).receive().startsWith("NACK"), "unjoined " + i);
     }
-    proxy.assertAlive();
+    proxy.assertAnswersKeepAlive();
     assertTrue(fixture.api().isConnected(new ProxyId(3)));
   }
 
   /** More proxies connect than may be unjoined, but all have subscribed before any is read. */
   @Test
-  void keepsAFleetThatSubscribedWhileTheLoopWasBusy() throws Exception {
+  void keepsProxiesThatSubscribedWhileEventLoopWasBlocked() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    fixture.blockLoop(
+    fixture.executeOnEventLoop(
         () -> {
           try {
             release.await();
@@ -107,14 +107,14 @@
       assertTrue(fixture.nextEvent() instanceof Event.ProxyConnected);
     }
     for (Client proxy : fleet) {
-      proxy.assertAlive();
+      proxy.assertAnswersKeepAlive();
     }
     assertTrue(fixture.hasNoEvents(), "and none disconnected");
   }
 
   /** Its answers cannot be written, and neither can a refusal: the descriptor must not wait. */
   @Test
-  void resetsAnUnjoinedPeerThatReadsNothing() throws Exception {
+  void resetsConnectionWhenPeerReadsNothingBeforeHandshake() throws Exception {
     Client client = fixture.connect();
     byte[] keepAlives = "PING\r\n".repeat(10_000).getBytes(StandardCharsets.US_ASCII);
     assertThrows(
@@ -143,7 +143,7 @@
         "SUBSCRIBE id=3 id=3|SUBSCRIBE-id-comes-twice",
         "CONFIG rows=s-1:1|no-joining-before-CONFIG"
       })
-  void refusalsNameTheFieldAndTheProblem(String message, String reason) throws Exception {
+  void namesFieldAndProblemInRefusal(String message, String reason) throws Exception {
     assertEquals("NACK reason=" + reason, fixture.connect().send(message).receive());
   }
 }
--- a/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
@@ -58,7 +58,7 @@
   @RegisterExtension final PlatformApiFixture fixture = new PlatformApiFixture();
 
   @Test
-  void reportsBecomeEventsAndInvalidOnesAreDroppedAlone() throws Exception {
+  void emitsEventsForValidReportsAndDropsOnlyInvalidOnes() throws Exception {
     Client proxy = fixture.connectProxy();
     Client collector = fixture.connect().send("SOURCE site=west");
     fixture.execute(new Command.RequestAck(new AckId(7), true));
@@ -75,7 +75,7 @@
         fixture.nextEvent());
     assertEquals(
         new Event.UpdateAcknowledged(new ProxyId(3), new AckId(7), 3104), fixture.nextEvent());
-    proxy.assertAlive();
+    proxy.assertAnswersKeepAlive();
     for (String invalid : INVALID_FROM_COLLECTOR) {
       collector.send(invalid);
     }
@@ -96,29 +96,29 @@
         new Event.ProxyRequestRate(new ProxyId(3), new RequestClassId(0), 1, 0, 5_000),
         fixture.nextEvent(),
         "request counts may come through any collector");
-    collector.assertAlive();
+    collector.assertAnswersKeepAlive();
     assertTrue(fixture.hasNoEvents());
     assertEquals(17 + 1 + 8, fixture.api().droppedMessageCount());
   }
 
   @Test
-  void closesAProxyThatSendsWhatCannotBeRead() throws Exception {
-    for (String bad : new String[] {"WHAT id=3", "x".repeat(500), "A\u0001B"}) {
-      Client proxy = fixture.connectProxy().send(bad);
-      assertEquals(new Event.ProxyDisconnected(new ProxyId(3)), fixture.nextEvent(), bad);
+  void closesConnectionOfProxyThatSendsUnreadableLine() throws Exception {
+    for (String unreadable : new String[] {"WHAT id=3", "x".repeat(500), "A\u0001B"}) {
+      Client proxy = fixture.connectProxy().send(unreadable);
+      assertEquals(new Event.ProxyDisconnected(new ProxyId(3)), fixture.nextEvent(), unreadable);
       assertNull(proxy.receive());
     }
   }
 
   @Test
-  void newerStreamReplacesTheEarlierOne() throws Exception {
-    Client old = fixture.connectProxy();
+  void replacesEarlierSessionWhenProxyConnectsAgain() throws Exception {
+    Client older = fixture.connectProxy();
     Client newer = fixture.connect().send("SUBSCRIBE id=3 site=east rps=2.5 new=0");
     assertEquals(new Event.ProxyDisconnected(new ProxyId(3)), fixture.nextEvent());
     assertEquals(
         new Event.ProxyConnected(new ProxyId(3), new ZoneId(1), 2.5, false), fixture.nextEvent());
-    assertNull(old.receive());
-    old.close();
+    assertNull(older.receive());
+    older.close();
     fixture.execute(route(3, "s-1", 1), assign(3), new Command.RequestAck(new AckId(1), false));
     assertEquals(
         "CONFIG replace=1 rows=s-1:1 undrop=s-1 stamp=1",
@@ -128,26 +128,26 @@
   }
 
   @Test
-  void closesAProxyThatReadsNothingAndNoOther() throws Exception {
+  void closesOnlyConnectionOfProxyThatReadsNothing() throws Exception {
     fixture.connectProxy();
     Client other = fixture.connect().send("SUBSCRIBE id=4 site=west rps=1 new=1");
     fixture.nextEvent();
     fixture.execute(assign(3));
     Event disconnected = null;
     for (int i = 0; i < 5_000 && disconnected == null; i++) {
-      Command[] many = new Command[100];
-      for (int k = 0; k < many.length; k++) {
-        many[k] = route(3, "s-" + k + "-".repeat(100), i % 2 + 1);
+      Command[] routeCommands = new Command[100];
+      for (int k = 0; k < routeCommands.length; k++) {
+        routeCommands[k] = route(3, "s-" + k + "-".repeat(100), i % 2 + 1);
       }
-      fixture.execute(many);
-      disconnected = fixture.eventNow();
+      fixture.execute(routeCommands);
+      disconnected = fixture.pollEvent();
     }
     assertEquals(new Event.ProxyDisconnected(new ProxyId(3)), disconnected);
-    other.assertAlive();
+    other.assertAnswersKeepAlive();
   }
 
   @Test
-  void repeatedConnectionsLeaveNothingBehind() throws Exception {
+  void hasNoConnectedProxiesAfterRepeatedConnections() throws Exception {
     for (int i = 0; i < 300; i++) {
       Client client = fixture.connectProxy();
       client.close();
@@ -157,11 +157,11 @@
   }
 
   @Test
-  void connectedProxiesConnectAnewWhenTheEngineRestarts() throws Exception {
+  void reportsProxiesAsConnectedAgainWhenEngineRestarts() throws Exception {
     Client proxy = fixture.connectProxy();
     fixture.execute(route(3, "s-1", 1), assign(3));
     assertEquals("CONFIG replace=1 rows=s-1:1", proxy.receive());
-    fixture.onLoop(fixture.api()::handleEngineRestart);
+    fixture.runOnEventLoop(fixture.api()::handleEngineRestart);
     assertEquals(
         new Event.ProxyConnected(new ProxyId(3), new ZoneId(1), 2.5, false), fixture.nextEvent());
     fixture.execute(route(3, "s-2", 0.5), assign(3));
@@ -170,17 +170,17 @@
 
   /** Of removed endpoints the latest are known; an exclusion ends with its endpoint. */
   @Test
-  void forgetsEndpointsThatWereListedLongAgo() throws Exception {
+  void rejectsReportsAboutEndpointsListedLongAgo() throws Exception {
     Client proxy = fixture.connectProxy();
     fixture.execute(
         new Command.ExcludeEndpoint(new EndpointId("s-1"), true),
         new Command.ExcludeEndpoint(new EndpointId("n-59999"), true));
     assertEquals("CONFIG drop=n-59999,s-1", proxy.receive());
-    List<EndpointRecord> many = new ArrayList<>();
+    List<EndpointRecord> newEndpoints = new ArrayList<>();
     for (int i = 0; i < 60_000; i++) {
-      many.add(endpoint("n-" + i));
+      newEndpoints.add(endpoint("n-" + i));
     }
-    fixture.updateEndpointList(Event.ListUpdateKind.DELTA, many);
+    fixture.updateEndpointList(Event.ListUpdateKind.DELTA, newEndpoints);
     Client collector =
         fixture
             .connect()
@@ -192,7 +192,7 @@
         new EndpointId("n-0"),
         ((Event.EndpointOutcomes) fixture.nextEvent()).endpoint(),
         "the message before names a forgotten endpoint");
-    collector.assertAlive();
+    collector.assertAnswersKeepAlive();
     assertEquals(1, fixture.api().droppedMessageCount());
     fixture.execute(route(3, "s-1", 1), route(3, "n-59999", 1), assign(3));
     assertEquals(
--- a/src/test/java/stonespring/proxyapi/platform/ProxyExclusionsTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/ProxyExclusionsTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void dropsWhatTheProxyHoldsAlready() {
+  void dropsChangesThatProxyAlreadyHolds() {
     ProxyExclusions exclusions = new ProxyExclusions(excludedBefore, false);
     assertEquals(0, apply(exclusions, false).size(), "nothing is excluded yet");
     assertEquals(1, apply(exclusions, true).size());
@@ -30,15 +30,15 @@
   }
 
   @Test
-  void exclusionsOutliveTheStream() {
+  void keepsExclusionsInNextSession() {
     apply(new ProxyExclusions(excludedBefore, false), true);
-    ProxyExclusions nextStream = new ProxyExclusions(excludedBefore, false);
-    assertEquals(0, apply(nextStream, true).size());
-    assertEquals(1, apply(nextStream, false).size());
+    ProxyExclusions nextSession = new ProxyExclusions(excludedBefore, false);
+    assertEquals(0, apply(nextSession, true).size());
+    assertEquals(1, apply(nextSession, false).size());
   }
 
   @Test
-  void saysOnceWhatAnotherInstanceMayHaveChanged() {
+  void sendsExclusionOnceWhenOtherInstanceMayHaveChangedIt() {
     excludedBefore.add(ENDPOINT);
     ProxyExclusions exclusions = new ProxyExclusions(excludedBefore, true);
     assertEquals(List.of(ENDPOINT), List.copyOf(apply(exclusions, true).excluded()));
--- a/src/test/java/stonespring/proxyapi/platform/ProxyRouteStateTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/ProxyRouteStateTest.java
@@ -20,7 +20,7 @@
 /** Updates as lines of the platform's protocol. */
 final class ProxyRouteStateTest {
   @Test
-  void namesMayHoldASlash() {
+  void writesNamesThatContainSlash() {
     List<String> requestClasses = List.of("look/up", "buy");
     RouteTables tables = new RouteTables(requestClasses.size());
     tables.addProxy(new ProxyId(3), Optional.empty());
--- a/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
@@ -40,7 +40,7 @@
  * keys, the simulator's replies.
  */
 final class RecordedBytesTest {
-  private static final List<String> CLASSES = List.of("look", "buy", "pay/now");
+  private static final List<String> REQUEST_CLASSES = List.of("look", "buy", "pay/now");
   private static final int PROXIES = 4;
   private static final int STEPS = 600;
   private static final String SETTINGS =
@@ -88,31 +88,31 @@
   }
 
   @Test
-  void messagesToPlatformProxiesAreAsRecorded() throws IOException {
+  void writesRecordedMessagesToPlatformProxies() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     PlatformMessageCodec codec =
-        new PlatformMessageCodec(new NameTable(List.of(), CLASSES), PROXIES);
+        new PlatformMessageCodec(new NameTable(List.of(), REQUEST_CLASSES), PROXIES);
     for (long seed = 1; seed <= 4; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      RouteTables tables = new RouteTables(CLASSES.size());
-      Map<Integer, ProxyRouteState> streams = new LinkedHashMap<>();
+      RouteTables tables = new RouteTables(REQUEST_CLASSES.size());
+      Map<Integer, ProxyRouteState> routeStates = new LinkedHashMap<>();
       Map<Integer, Set<EndpointId>> excluded = new LinkedHashMap<>();
       RecordedDigests.Recording recording = new RecordedDigests.Recording();
       for (int step = 0; step < STEPS; step++) {
         int proxy = random.nextInt(PROXIES);
-        if (!streams.containsKey(proxy) || random.nextInt(30) == 0) {
+        if (!routeStates.containsKey(proxy) || random.nextInt(30) == 0) {
           tables.addProxy(new ProxyId(proxy), Optional.empty());
-          streams.put(
+          routeStates.put(
               proxy,
               new ProxyRouteState(
-                  CLASSES.size(),
+                  REQUEST_CLASSES.size(),
                   tables,
                   new ProxyExclusions(
                       excluded.computeIfAbsent(proxy, p -> new HashSet<>()),
                       random.nextBoolean())));
         }
         for (ProxyUpdate update : tables.apply(commands(random, step), step)) {
-          ConfigMessage message = streams.get(update.proxy().number()).apply(update);
+          ConfigMessage message = routeStates.get(update.proxy().number()).apply(update);
           recording.add(
               update.proxy().number()
                   + " "
@@ -136,20 +136,20 @@
   }
 
   @Test
-  void publishedKeysAreAsRecorded() throws IOException {
+  void writesRecordedPublishedKeys() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     for (long seed = 1; seed <= 4; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      RouteTables tables = new RouteTables(CLASSES.size());
+      RouteTables tables = new RouteTables(REQUEST_CLASSES.size());
       ProxySessions<String> sessions = new ProxySessions<>(PROXIES);
       PublishedState published =
           new PublishedState(
-              new KeyStore(50, 4000), new PublishedKeyCodec(CLASSES), "e" + seed, sessions);
+              new KeyStore(50, 4000), new PublishedKeyCodec(REQUEST_CLASSES), "e" + seed, sessions);
       RecordedDigests.Recording recording = new RecordedDigests.Recording();
-      boolean[] here = new boolean[PROXIES];
+      boolean[] connected = new boolean[PROXIES];
       for (int step = 0; step < STEPS; step++) {
         int number = random.nextInt(PROXIES);
-        if (!here[number] || random.nextInt(30) == 0) {
+        if (!connected[number] || random.nextInt(30) == 0) {
           Optional<List<EndpointId>> endpoints =
               random.nextBoolean()
                   ? Optional.empty()
@@ -162,11 +162,11 @@
                   step,
                   1L << 40);
           ProxyId proxy = ((HelloResult.Connected<String>) result).proxy();
-          if (here[number]) {
+          if (connected[number]) {
             publish(recording, published.publishSessionEnd(proxy));
             tables.removeProxy(proxy);
           }
-          here[number] = true;
+          connected[number] = true;
           tables.addProxy(proxy, endpoints);
           publish(recording, published.publishSessionStart(proxy));
         }
@@ -271,7 +271,7 @@
   }
 
   @Test
-  void repliesToTheSimulatorAreAsRecorded() throws IOException {
+  void writesRecordedRepliesToSimulator() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     for (long seed = 1; seed <= 4; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/stonespring/proxyapi/platform/SameCommandsTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
@@ -31,17 +31,17 @@
  * limits and exclusions at a proxy. Both proxies are written here, from the two pages, and share no
  * code with what is tested.
  */
-final class SameCommandsTest {
-  private static final List<String> CLASSES = List.of("look", "buy", "pay");
+final class SimulatorEquivalenceTest {
+  private static final List<String> REQUEST_CLASSES = List.of("look", "buy", "pay");
   private static final int PROXIES = 4;
   private static final PlatformMessageCodec CODEC =
-      new PlatformMessageCodec(new NameTable(List.of(), CLASSES), PROXIES);
+      new PlatformMessageCodec(new NameTable(List.of(), REQUEST_CLASSES), PROXIES);
   private static final int ENDPOINTS = 7;
 
   private record Limit(double share, int retryCode) {}
 
   /** The weights that requests of each class are routed by, and how many are admitted. */
-  private record View(List<TreeMap<String, Double>> weights, List<Limit> limits) {}
+  private record RoutingView(List<TreeMap<String, Double>> weights, List<Limit> limits) {}
 
   /**
    * Proxies by the simulator's page: tables by number, exclusions of the instance, a table's limit
@@ -50,7 +50,7 @@
   private static final class SimulatedProxies {
     final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
     final TreeMap<Integer, Limit[]> limits = new TreeMap<>();
-    final Limit[] limitsForAllTables = new Limit[CLASSES.size()];
+    final Limit[] limitsForAllTables = new Limit[REQUEST_CLASSES.size()];
     final Set<String> excluded = new HashSet<>();
     final Map<Integer, Integer[]> assigned = new LinkedHashMap<>();
 
@@ -68,7 +68,7 @@
       } else if (command instanceof Command.AssignRouteTable assignment) {
         Integer[] tablesOfProxy = assigned.get(assignment.proxy().number());
         for (int k = 0; tablesOfProxy != null && k < tablesOfProxy.length; k++) {
-          if (masked(assignment.requestClassMask(), k)) {
+          if (includesClass(assignment.requestClassMask(), k)) {
             tablesOfProxy[k] = assignment.table().number();
           }
         }
@@ -82,23 +82,24 @@
         Limit[] ofTable =
             limit.table().equals(Command.ALL_TABLES)
                 ? limitsForAllTables
-                : limits.computeIfAbsent(limit.table().number(), t -> new Limit[CLASSES.size()]);
+                : limits.computeIfAbsent(
+                    limit.table().number(), t -> new Limit[REQUEST_CLASSES.size()]);
         for (int k = 0; k < ofTable.length; k++) {
-          if (masked(limit.requestClassMask(), k)) {
+          if (includesClass(limit.requestClassMask(), k)) {
             ofTable[k] = new Limit(limit.limit(), limit.retryPolicy().ordinal());
           }
         }
       }
     }
 
-    private static boolean masked(int mask, int requestClass) {
+    private static boolean includesClass(int mask, int requestClass) {
       return mask == 0 || (mask >> requestClass & 1) == 1;
     }
 
-    View view(int proxy) {
+    RoutingView view(int proxy) {
       List<TreeMap<String, Double>> weightsByClass = new ArrayList<>();
       List<Limit> limitsByClass = new ArrayList<>();
-      for (int k = 0; k < CLASSES.size(); k++) {
+      for (int k = 0; k < REQUEST_CLASSES.size(); k++) {
         Integer table = assigned.get(proxy)[k];
         if (table == null) { // the table that it brought along, whatever that holds
           weightsByClass.add(null);
@@ -116,21 +117,22 @@
                     ? own
                     : new Limit(Math.min(own.share, limitsForAllTables[k].share), own.retryCode));
       }
-      return new View(weightsByClass, limitsByClass);
+      return new RoutingView(weightsByClass, limitsByClass);
     }
   }
 
   /**
-   * A proxy by the platform's page: a table for each request class; exclusions outlive its streams.
+   * A proxy by the platform's page: a table for each request class; exclusions outlive its
+   * routeStates.
    */
   private static final class PlatformProxy {
     final List<TreeMap<String, Double>> weights = new ArrayList<>();
-    final Limit[] limits = new Limit[CLASSES.size()];
+    final Limit[] limits = new Limit[REQUEST_CLASSES.size()];
     final Set<String> excluded = new TreeSet<>();
     int entries;
 
     PlatformProxy() {
-      for (int k = 0; k < CLASSES.size(); k++) {
+      for (int k = 0; k < REQUEST_CLASSES.size(); k++) {
         weights.add(new TreeMap<>());
       }
     }
@@ -158,9 +160,9 @@
 
     private void applyPart(Map<String, String> fields) {
       List<Integer> classes = new ArrayList<>();
-      for (int k = 0; k < CLASSES.size(); k++) {
+      for (int k = 0; k < REQUEST_CLASSES.size(); k++) {
         if (!fields.containsKey("for")
-            || List.of(fields.get("for").split("\\+")).contains(CLASSES.get(k))) {
+            || List.of(fields.get("for").split("\\+")).contains(REQUEST_CLASSES.get(k))) {
           classes.add(k);
         }
       }
@@ -210,14 +212,14 @@
       }
     }
 
-    View view() {
+    RoutingView view() {
       List<TreeMap<String, Double>> usableByClass = new ArrayList<>();
       for (TreeMap<String, Double> ofClass : weights) {
         TreeMap<String, Double> usable = new TreeMap<>(ofClass);
         usable.keySet().removeAll(excluded);
         usableByClass.add(usable);
       }
-      return new View(usableByClass, Arrays.asList(limits.clone()));
+      return new RoutingView(usableByClass, Arrays.asList(limits.clone()));
     }
   }
 
@@ -252,9 +254,9 @@
     private final long seed;
     private final SplittableRandom random;
     private final SimulatedProxies simulated = new SimulatedProxies();
-    private final RouteTables tables = new RouteTables(CLASSES.size());
+    private final RouteTables tables = new RouteTables(REQUEST_CLASSES.size());
     private final Map<Integer, PlatformProxy> proxies = new TreeMap<>();
-    private final Map<Integer, ProxyRouteState> streams = new TreeMap<>();
+    private final Map<Integer, ProxyRouteState> routeStates = new TreeMap<>();
     private final Map<Integer, Set<EndpointId>> excluded = new TreeMap<>();
 
     Run(long seed) {
@@ -264,7 +266,7 @@
 
     void step(int step) {
       int number = random.nextInt(PROXIES);
-      if (!streams.containsKey(number) || random.nextInt(40) == 0) {
+      if (!routeStates.containsKey(number) || random.nextInt(40) == 0) {
         connect(number);
       }
       List<Command> commands = new ArrayList<>();
@@ -279,8 +281,8 @@
       for (ProxyUpdate update : tables.apply(commands, 1)) {
         send(update, ackRequested);
       }
-      for (int proxy : streams.keySet()) {
-        assertSame(
+      for (int proxy : routeStates.keySet()) {
+        assertEqualViews(
             proxy, "seed " + seed + ", step " + step + ", proxy " + proxy + " after " + commands);
       }
     }
@@ -294,15 +296,15 @@
         proxy.excluded.add("s-" + random.nextInt(ENDPOINTS)); // by another instance, meanwhile
       }
       proxies.put(number, proxy);
-      simulated.assigned.put(number, new Integer[CLASSES.size()]);
+      simulated.assigned.put(number, new Integer[REQUEST_CLASSES.size()]);
       tables.addProxy(new ProxyId(number), Optional.empty());
       ProxyExclusions exclusions =
           new ProxyExclusions(excluded.computeIfAbsent(number, n -> new HashSet<>()), !restarted);
-      streams.put(number, new ProxyRouteState(CLASSES.size(), tables, exclusions));
+      routeStates.put(number, new ProxyRouteState(REQUEST_CLASSES.size(), tables, exclusions));
     }
 
     private void send(ProxyUpdate update, boolean ackRequested) {
-      ConfigMessage message = streams.get(update.proxy().number()).apply(update);
+      ConfigMessage message = routeStates.get(update.proxy().number()).apply(update);
       List<String> lines = CODEC.write(message);
       assertEquals(message.isEmpty(), lines.isEmpty());
       if (!lines.isEmpty()) {
@@ -312,15 +314,15 @@
       }
     }
 
-    private void assertSame(int proxy, String where) {
-      View wanted = simulated.view(proxy);
-      View seen = proxies.get(proxy).view();
-      for (int k = 0; k < CLASSES.size(); k++) {
+    private void assertEqualViews(int proxy, String stepDescription) {
+      RoutingView expected = simulated.view(proxy);
+      RoutingView actual = proxies.get(proxy).view();
+      for (int k = 0; k < REQUEST_CLASSES.size(); k++) {
         // Without an assigned table the class goes by the one that the proxy brought along.
         if (simulated.assigned.get(proxy)[k] != null) {
-          String whereExactly = CLASSES.get(k) + ", " + where;
-          assertEquals(wanted.weights.get(k), seen.weights.get(k), whereExactly);
-          assertEquals(wanted.limits.get(k), seen.limits.get(k), whereExactly);
+          String context = REQUEST_CLASSES.get(k) + ", " + stepDescription;
+          assertEquals(expected.weights.get(k), actual.weights.get(k), context);
+          assertEquals(expected.limits.get(k), actual.limits.get(k), context);
         }
       }
     }
@@ -328,7 +330,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void seededCommandsLeaveTheSame(long seed) {
+  void givesSameViewsForSeededCommands(long seed) {
     Run run = new Run(seed);
     for (int step = 0; step < 400; step++) {
       run.step(step);
@@ -338,10 +340,11 @@
   /** What the decisions usually command: a first table, a change of it, a limit, an exclusion. */
   @ParameterizedTest
   @ValueSource(ints = {2, 5, 30})
-  void usualCommandsCostTheSimulatorsEntries(int routes) {
-    RouteTables tables = new RouteTables(CLASSES.size());
-    ProxyRouteState stream =
-        new ProxyRouteState(CLASSES.size(), tables, new ProxyExclusions(new HashSet<>(), false));
+  void chargesSameEntriesAsSimulatorForTypicalCommands(int routes) {
+    RouteTables tables = new RouteTables(REQUEST_CLASSES.size());
+    ProxyRouteState routeState =
+        new ProxyRouteState(
+            REQUEST_CLASSES.size(), tables, new ProxyExclusions(new HashSet<>(), false));
     tables.addProxy(new ProxyId(0), Optional.empty());
     List<Command> first =
         new ArrayList<>(
@@ -354,13 +357,13 @@
     first.add(new Command.RequestAck(new AckId(1), false));
     assertEquals(
         1 + routes + 1 + 1,
-        entries(tables, stream, first),
+        entries(tables, routeState, first),
         "the assignment, its routes, the limit for all tables, the acknowledgement");
     assertEquals(
         2,
         entries(
             tables,
-            stream,
+            routeState,
             List.of(
                 new Command.SetRoute(new RouteTableId(0), new EndpointId("s-0"), 0.5),
                 new Command.SetRoute(new RouteTableId(0), new EndpointId("s-1"), 0))));
@@ -368,11 +371,12 @@
         2,
         entries(
             tables,
-            stream,
+            routeState,
             List.of(
                 new Command.LimitAdmission(Command.ALL_TABLES, 1, RetryPolicy.NEVER, 0.5),
                 new Command.LimitAdmission(Command.ALL_TABLES, 6, RetryPolicy.NEVER, 0.25))));
-    assertEquals(1, entries(tables, stream, List.of(new Command.RequestAck(new AckId(2), true))));
+    assertEquals(
+        1, entries(tables, routeState, List.of(new Command.RequestAck(new AckId(2), true))));
   }
 
   private static int entries(RouteTables tables, ProxyRouteState state, List<Command> commands) {
