--- a/src/main/java/stonespring/line/ConnectionCloseLog.java
+++ b/src/main/java/stonespring/line/ConnectionCloseLog.java
@@ -5,21 +5,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs why connections were closed, some of them in each second; the rest are counted. Lives on the
- * listener's event loop.
+ * Logs the reasons for which connections were closed. The number of lines per second is limited;
+ * further closed connections are counted, and the first one of a later second logs their number.
+ * State is confined to the listener's event loop.
  */
 final class ConnectionCloseLog {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectionCloseLog.class);
   private static final int MAX_LINES_PER_SECOND = 5;
 
+  /** The second of the latest closed connection, by {@link System#nanoTime}. */
   private long currentSecond;
+
   private int loggedThisSecond;
   private long suppressedThisSecond;
 
   /**
    * Logs that a connection was closed.
    *
-   * @param session null for one that did not complete its handshake
+   * @param session the session, whose text names the peer; null before the handshake is complete
    */
   void logClosed(Object session, String reason) {
     long now = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -15,15 +15,18 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * One connection. Its handshake is complete once it has a session; until then any error is answered
- * by a refusal, if it can be written at once, before the connection is closed. Keep-alives are
- * answered here. State lives on the connection's event loop, and all calls come from there.
+ * A connection of a {@link LineServer}. Its handshake is complete once it has a session. An error
+ * before that is answered with a refusal, if it can be written immediately, and then the connection
+ * is closed. The connection answers keep-alives itself. State is confined to the connection's event
+ * loop, and all methods must be called on it.
  */
 public final class LineConnection extends SimpleChannelInboundHandler<LineMessage> {
   private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
   private static final String KEEP_ALIVE = "PING";
   private static final String KEEP_ALIVE_RESPONSE = "PONG\r\n";
   private static final String REFUSAL = "NACK reason=";
+
+  /** Maximum length of the reason in a refusal, in characters. */
   private static final int MAX_REASON_CHARS = 80;
 
   private final LineLimits limits;
@@ -47,7 +50,7 @@
     this.handler = handler;
   }
 
-  /** What {@link #setSession} set; null until then. */
+  /** Returns the session that {@link #setSession} set; null before the handshake is complete. */
   public Object session() {
     return session;
   }
@@ -55,7 +58,7 @@
   /**
    * Sets or replaces the session, which completes the handshake.
    *
-   * @param session its text names the peer in log lines; not null
+   * @param session the session, whose text names the peer in log lines; not null
    */
   public void setSession(Object session) {
     this.session = session;
@@ -67,14 +70,16 @@
     pendingHandshakes.remove(this);
   }
 
-  /** Writes and flushes whole lines. Closes a connection whose peer reads too slowly. */
+  /**
+   * Writes and flushes complete lines. If the peer reads too slowly, closes the connection instead.
+   */
   public void write(String lines) {
     if (closed) {
       return;
     }
     var buffer = channel.unsafe().outboundBuffer();
     if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingWriteBytes()) {
-      // Nothing can be left out of the middle; the peer connects again and gets a snapshot.
+      // No message may be skipped. The peer connects again and then receives a snapshot.
       close("it reads too slowly: over " + limits.maxPendingWriteBytes() + " bytes wait for it");
       return;
     }
@@ -86,8 +91,9 @@
   }
 
   /**
-   * Closes the connection and logs why. With a session, the handler is notified before this
-   * returns; without one, the peer is sent the reason if it can be written at once.
+   * Closes the connection and logs the reason. If the connection has a session, the handler is
+   * notified before this method returns. Otherwise the reason is sent to the peer, if it can be
+   * written immediately.
    */
   public void close(String reason) {
     if (closed) {
@@ -111,7 +117,7 @@
     if (written.isDone()) {
       written.addListener(ChannelFutureListener.CLOSE);
     } else {
-      // The peer reads nothing; waiting for it would hold a descriptor for ever.
+      // The peer does not read. Waiting until it does could hold the file descriptor forever.
       channel.close();
     }
   }
@@ -127,7 +133,7 @@
     return channel;
   }
 
-  /** When the connection was established, by {@link System#nanoTime}. */
+  /** Returns the time at which the connection was established, by {@link System#nanoTime}. */
   long connectedAtNanos() {
     return connectedAtNanos;
   }
--- a/src/main/java/stonespring/line/LineDecoder.java
+++ b/src/main/java/stonespring/line/LineDecoder.java
@@ -9,15 +9,17 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * Decodes bytes to {@link LineMessage}s: lines of UTF-8 text that end in CR LF, hold no control
- * characters and are of bounded length.
+ * Decodes bytes to {@link LineMessage}s. A line is UTF-8 text of bounded length without control
+ * characters, and ends in CR LF.
  */
 final class LineDecoder extends FailStopDecoder {
   private static final int DELETE_CHARACTER = 127;
 
   private final int maxLineBytes;
 
-  /** Bytes of an incomplete line that were searched for its end, so that each is searched once. */
+  /**
+   * Number of bytes of an incomplete line that contain no line feed; they are not searched again.
+   */
   private int searchedBytes;
 
   LineDecoder(int maxLineBytes) {
--- a/src/main/java/stonespring/line/LineHandler.java
+++ b/src/main/java/stonespring/line/LineHandler.java
@@ -1,10 +1,13 @@
 package stonespring.line;
 
-/** Handles what happens on a listener's connections; all calls come from its event loop. */
+/** Handles the messages and the end of a listener's connections, on the listener's event loop. */
 public interface LineHandler {
-  /** Handles a message; keep-alives are answered by the connection itself. */
+  /** Handles a message. Keep-alives are not passed on: the connection answers them. */
   void handleMessage(LineConnection connection, LineMessage message);
 
-  /** A connection with a {@link LineConnection#setSession session} was closed; called once. */
+  /**
+   * Handles the end of a connection that has a {@link LineConnection#setSession session}; called
+   * once per connection.
+   */
   void handleClosed(LineConnection connection);
 }
--- a/src/main/java/stonespring/line/LineLimits.java
+++ b/src/main/java/stonespring/line/LineLimits.java
@@ -3,11 +3,13 @@
 /**
  * Limits of a listener.
  *
- * @param maxLineBytes a longer line ends its connection
- * @param maxPendingHandshakes at this many connections without a completed handshake accepting
- *     pauses, and the oldest of them are closed
- * @param handshakeTimeoutMillis a connection that takes longer is closed
- * @param maxPendingWriteBytes a connection for which more waits to be written is closed
+ * @param maxLineBytes maximum length of a line; a longer line closes its connection
+ * @param maxPendingHandshakes number of incomplete handshakes at which the listener stops accepting
+ *     connections and closes the oldest of these until there is room
+ * @param handshakeTimeoutMillis time after which a connection with an incomplete handshake is
+ *     closed
+ * @param maxPendingWriteBytes maximum number of bytes that wait to be written to a connection; the
+ *     next write beyond it closes the connection
  */
 public record LineLimits(
     int maxLineBytes,
--- a/src/main/java/stonespring/line/LineMessage.java
+++ b/src/main/java/stonespring/line/LineMessage.java
@@ -5,17 +5,20 @@
 import java.util.Optional;
 
 /**
- * One message.
+ * A message of the line protocol: words that are separated by one space each.
  *
- * @param kind its first word
- * @param fields its {@code name=value} words, in order; incomplete if there is an error
- * @param error why its fields are invalid; a reader that knows the kind may drop this message alone
+ * @param kind the first word
+ * @param fields the {@code name=value} words, in order; incomplete if there is an error
+ * @param error the reason for which the fields are invalid; empty if they are valid. A receiver
+ *     that knows the kind may drop this message and keep the connection
  */
 public record LineMessage(String kind, Map<String, String> fields, Optional<String> error) {
+  /** No kind of message has a tenth of this number of fields. */
   private static final int MAX_FIELDS = 64;
+
   private static final int MAX_PRINTED_CHARS = 60;
 
-  /** Parses a line without its end. */
+  /** Parses a line, which is given without its CR LF. */
   public static LineMessage parse(String line) {
     String[] words = line.split(" ", -1);
     String kind = words[0];
@@ -38,7 +41,7 @@
     return new LineMessage(kind, fields, error);
   }
 
-  /** A peer's text as a log line may hold it: shortened, and without unprintable characters. */
+  /** Returns a peer's text in a form that is safe to log: shortened, printable ASCII only. */
   public static String printable(String text) {
     String shortened = text.substring(0, Math.min(MAX_PRINTED_CHARS, text.length()));
     return shortened.replaceAll("[^\\x20-\\x7e]", "?");
--- a/src/main/java/stonespring/line/LineServer.java
+++ b/src/main/java/stonespring/line/LineServer.java
@@ -11,14 +11,18 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.net.InetSocketAddress;
 
-/** Listens for connections of lines. All of them live on one event loop. */
+/** A server for the line protocol. All of its connections run on one event loop. */
 public final class LineServer {
-  /** A whole fleet may connect within a second. */
+  /** Backlog of the listening socket: the proxies of a fleet may all connect within a second. */
   private static final int ACCEPT_BACKLOG = 1024;
 
-  /** The limit of pending handshakes may be exceeded by this many connections. */
+  /**
+   * Connections that are accepted per read of the listening socket; the limit of pending handshakes
+   * may be exceeded by this number.
+   */
   private static final int MAX_ACCEPTS_PER_READ = 4;
 
+  /** Buffer size of one read; a message has a few hundred bytes. */
   private static final int READ_BUFFER_BYTES = 2048;
 
   private final LineLimits limits;
@@ -27,7 +31,7 @@
   private final ConnectionCloseLog closeLog = new ConnectionCloseLog();
   private Channel channel;
 
-  /** Creates a server; it does not listen yet. */
+  /** Creates a server that does not listen yet. */
   public LineServer(LineLimits limits, LineHandler handler) {
     this.limits = limits;
     this.handler = handler;
@@ -35,9 +39,9 @@
   }
 
   /**
-   * Listens, and waits until it does.
+   * Starts listening at the address, and returns when the socket is bound.
    *
-   * @param loops must have one event loop
+   * @param loops a group with exactly one event loop
    */
   @SuppressWarnings("deprecation") // RCVBUF_ALLOCATOR: Netty 4.2 has no other way to set it
   public LineServer start(EventLoopGroup loops, InetSocketAddress address)
@@ -73,17 +77,17 @@
     return new LineConnection(limits, pendingHandshakes, closeLog, handler);
   }
 
-  /** The local port, once it listens. */
+  /** Returns the local port; only valid after {@link #start}. */
   public int port() {
     return ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  /** The limits that it was created with. */
+  /** Returns the limits of this server. */
   public LineLimits limits() {
     return limits;
   }
 
-  /** Accepts no new connections from now on; those that are open stay. */
+  /** Stops accepting connections; open connections are not closed. */
   public void stop() {
     channel.close();
   }
--- a/src/main/java/stonespring/line/MalformedLineException.java
+++ b/src/main/java/stonespring/line/MalformedLineException.java
@@ -2,7 +2,10 @@
 
 import stonespring.netty.ProtocolViolationException;
 
-/** A peer's bytes are no line of the protocol. The message is sent to it and logged. */
+/**
+ * Signals that a peer sent bytes that are not a valid line. The exception message is logged, and is
+ * sent to a peer whose handshake is incomplete.
+ */
 public final class MalformedLineException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/stonespring/line/PendingHandshakes.java
+++ b/src/main/java/stonespring/line/PendingHandshakes.java
@@ -8,23 +8,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections of a listener that have not completed their handshake. At their limit accepting
- * pauses; it resumes when there is room, which is made by closing the oldest. State lives on the
- * listener's event loop.
+ * The connections of a listener whose handshake is incomplete. When their number reaches the limit,
+ * the listener stops accepting connections and the oldest of these are closed; accepting resumes
+ * when their number is below the limit. State is confined to the listener's event loop.
  */
 final class PendingHandshakes {
   /**
-   * Minimum age before a connection may be closed to make room. It leaves time to read the first
-   * message of a prompt peer, also after the event loop was blocked.
+   * Minimum age of a connection that is closed to make room. It leaves time to read the first
+   * message of a peer that sends it immediately, even after the event loop was blocked.
    */
   private static final long MIN_HANDSHAKE_MILLIS = 50;
 
   private final LineLimits limits;
 
-  /** Oldest first. */
+  /** Connections in the order in which they were established, the oldest first. */
   private final Set<LineConnection> connections = new LinkedHashSet<>();
 
-  /** The next eviction; null while connections are accepted. */
+  /** The next scheduled call of {@link #closeOldest}; null while connections are accepted. */
   private Future<?> eviction;
 
   PendingHandshakes(LineLimits limits) {
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Adds a new connection, and pauses accepting at the limit.
+   * Adds a new connection, and stops accepting if the limit is reached.
    *
-   * @return the handshake's timeout, to be cancelled when it is complete
+   * @return the scheduled timeout of the handshake, to be cancelled when the handshake ends
    */
   Future<?> add(LineConnection connection) {
     connections.add(connection);
@@ -56,7 +56,7 @@
     return timeout;
   }
 
-  /** The peer gets this text. */
+  /** Returns the reason of a timeout, which is also sent to the peer. */
   private String timeoutReason() {
     return "not joined within " + limits.handshakeTimeoutMillis() + " ms";
   }
@@ -71,7 +71,7 @@
         .schedule(() -> closeOldest(server), MIN_HANDSHAKE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Closes the oldest until half of the room is free. */
+  /** Closes the oldest connections of the minimum age, until half of the limit is free. */
   private void closeOldest(Channel server) {
     long latestEvictableConnectNanos =
         System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(MIN_HANDSHAKE_MILLIS);
@@ -87,7 +87,10 @@
     }
   }
 
-  /** Removes a connection whose handshake is complete or that was closed; accepts again. */
+  /**
+   * Removes a connection whose handshake is complete or that was closed, and resumes accepting if
+   * there is room.
+   */
   void remove(LineConnection connection) {
     connections.remove(connection);
     if (eviction != null && !isFull()) {
--- a/src/main/java/stonespring/line/package-info.java
+++ b/src/main/java/stonespring/line/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Messages of text lines on Netty: a kind and {@code name=value} fields, ended by CR LF. It knows
- * nothing of what messages mean: a {@link stonespring.line.LineHandler} does. Connections that have
- * not completed their handshake are few and short-lived, so that they take no descriptor from known
- * peers. All state lives on one event loop.
+ * A Netty server for a protocol of text lines: each line is a message with a kind and {@code
+ * name=value} fields, and ends in CR LF. A {@link stonespring.line.LineHandler} interprets the
+ * messages. The number and the duration of incomplete handshakes are limited, so that they do not
+ * use up file descriptors that known peers need. All state is confined to one event loop.
  */
 package stonespring.line;
--- a/src/main/java/stonespring/netty/FailStopDecoder.java
+++ b/src/main/java/stonespring/netty/FailStopDecoder.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * A decoder that discards all bytes after the first violation of the protocol. Netty reports the
- * violation to the connection's handlers, wrapped in a {@link DecoderException}.
+ * A decoder that discards all bytes after the first protocol violation. Netty passes the violation
+ * to the connection's handlers, wrapped in a {@link DecoderException}.
  */
 public abstract class FailStopDecoder extends ByteToMessageDecoder {
   private boolean failed;
@@ -28,14 +28,14 @@
   }
 
   /**
-   * Decodes the next part, as far as the bytes go; called again while it consumes bytes or adds
-   * output.
+   * Decodes the next part from the bytes that have arrived. It is called again as long as it
+   * consumes bytes or adds output.
    *
    * @throws ProtocolViolationException if the bytes are invalid
    */
   protected abstract void decode(ByteBuf in, List<Object> out);
 
-  /** What a decoder threw, taken out of Netty's wrapping; any other cause as it is. */
+  /** Returns the exception that a decoder threw if Netty has wrapped it; otherwise the cause. */
   public static Throwable unwrap(Throwable cause) {
     boolean wrapped = cause instanceof DecoderException && cause.getCause() != null;
     return wrapped ? cause.getCause() : cause;
--- a/src/main/java/stonespring/netty/ProtocolViolationException.java
+++ b/src/main/java/stonespring/netty/ProtocolViolationException.java
@@ -1,8 +1,8 @@
 package stonespring.netty;
 
 /**
- * A peer sent bytes that its protocol does not allow. Nothing that follows on the connection can be
- * interpreted. It has no stack trace, as peers may cause it at will.
+ * Signals that a peer sent bytes that its protocol does not allow. No later bytes of the connection
+ * can be interpreted. It has no stack trace, because peers can cause it as often as they like.
  */
 public abstract class ProtocolViolationException extends RuntimeException {
   private static final long serialVersionUID = 1;
--- a/src/main/java/stonespring/netty/package-info.java
+++ b/src/main/java/stonespring/netty/package-info.java
@@ -1,2 +1,2 @@
-/** What the project's protocols on Netty share: decoders that stop at the first violation. */
+/** Types shared by the project's protocols on Netty: decoders that stop at the first violation. */
 package stonespring.netty;
--- a/src/main/java/stonespring/proxyapi/JsonMessage.java
+++ b/src/main/java/stonespring/proxyapi/JsonMessage.java
@@ -8,12 +8,17 @@
 import java.io.IOException;
 
 /**
- * A message that is a JSON object, with checked access to its fields. All methods throw {@link
- * InvalidMessageException} for what is missing or out of bounds.
+ * A JSON object that a proxy sent, with checked access to its fields. The methods that parse or
+ * read throw {@link InvalidMessageException} if a value is missing, has the wrong type or is out of
+ * range.
  */
 final class JsonMessage {
+  /** Maximum length of the name of an endpoint or a proxy, in characters. */
   private static final int MAX_NAME_CHARS = 200;
+
+  /** Maximum number of elements of a list. */
   private static final int MAX_LIST_SIZE = 4096;
+
   private static final int MAX_NESTING_DEPTH = 8;
   private static final int MAX_STRING_CHARS = 4096;
   private static final ObjectMapper JSON =
@@ -34,7 +39,7 @@
     this.root = root;
   }
 
-  /** Parses a message; its kind is for the texts of exceptions. */
+  /** Parses a message. The kind appears only in exception messages. */
   static JsonMessage parse(String kind, byte[] bytes) {
     try {
       JsonNode root = JSON.readTree(bytes);
@@ -86,7 +91,7 @@
     return value.asBoolean();
   }
 
-  /** The elements of a list; none if the field is missing. */
+  /** Returns the elements of a list field; no elements if the field is missing. */
   Iterable<JsonNode> list(String field) {
     JsonNode value = root.path(field);
     if (!value.isMissingNode() && (!value.isArray() || value.size() > MAX_LIST_SIZE)) {
@@ -95,7 +100,9 @@
     return value;
   }
 
-  /** Reads an element of the field as a name of an endpoint or a proxy. */
+  /**
+   * Reads a value, which is the field or an element of it, as the name of an endpoint or a proxy.
+   */
   String name(String field, JsonNode value) {
     String text = value.isTextual() ? value.asText() : "";
     if (text.isEmpty()
@@ -107,7 +114,7 @@
     return text;
   }
 
-  /** Reads an element of the field as a number from 0. */
+  /** Reads a value, which is the field or an element of it, as a number from 0 to {@code max}. */
   double number(String field, JsonNode value, double max) {
     if (!value.isNumber() || !(value.asDouble() >= 0) || value.asDouble() > max) {
       throw invalid(field, "is not a number from 0 to " + max);
@@ -115,7 +122,7 @@
     return value.asDouble();
   }
 
-  /** Reads an element of the field as a whole number from 0. */
+  /** Reads a value, which is the field or an element of it, as a whole number up to {@code max}. */
   long wholeNumber(String field, JsonNode value, double max) {
     if (!value.isIntegralNumber()) {
       throw invalid(field, "is not a whole number");
--- a/src/main/java/stonespring/proxyapi/ProxyConnection.java
+++ b/src/main/java/stonespring/proxyapi/ProxyConnection.java
@@ -1,7 +1,7 @@
 package stonespring.proxyapi;
 
-/** A connection that proxies send messages on; told apart by identity. */
+/** A connection on which proxies send messages. Connections are compared by identity. */
 public interface ProxyConnection {
-  /** Closes it, with one line in the log that gives the reason. */
+  /** Closes the connection and writes one log line that gives the reason. */
   void close(String reason);
 }
--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -15,8 +15,8 @@
 import stonespring.state.ProxyReport;
 
 /**
- * Reads the messages that proxies send as JSON objects; {@code docs/channel.md} describes them. All
- * methods throw {@link InvalidMessageException}.
+ * Decodes the messages that proxies send as JSON objects; {@code docs/channel.md} describes their
+ * format. The read methods throw {@link InvalidMessageException} if a message is invalid.
  */
 public final class ProxyMessageCodec {
   private static final String PRESENCE = "presence";
@@ -42,18 +42,22 @@
   private static final String ACK_ID = "mark";
   private static final String DURATION = "took";
 
+  /** A longer duration indicates that the clock of the proxy is wrong. */
   private static final double MAX_DURATION_SECONDS = 3600;
-  private static final double MAX_FIGURE = 1e9; // of requests, attempts or any load figure
+
+  /** Upper bound of a request rate, a number of requests or attempts, or a load figure. */
+  private static final double MAX_FIGURE = 1e9;
+
   private static final int MAX_ACK_ID = 65_535;
 
   private final NameTable names;
 
-  /** Creates a codec for the settings' names. */
+  /** Creates a codec that resolves the names of zones and request classes with the given table. */
   public ProxyMessageCodec(NameTable names) {
     this.names = names;
   }
 
-  /** Reads a proxy's announcement of its presence. */
+  /** Reads the message by which a proxy announces its presence. */
   public ProxyHello readHello(byte[] bytes) {
     JsonMessage message = JsonMessage.parse(PRESENCE, bytes);
     String zoneName = message.name(ZONE);
@@ -83,7 +87,7 @@
     return Optional.of(endpoints);
   }
 
-  /** Reads a proxy's report. */
+  /** Reads a report: the endpoint outcomes and the request counts that a proxy observed. */
   public ProxyReport readReport(byte[] bytes) {
     JsonMessage message = JsonMessage.parse(REPORT, bytes);
     double seconds = message.number(INTERVAL, MAX_DURATION_SECONDS);
@@ -98,7 +102,10 @@
     return new ProxyReport(Math.max(1, DeciMillis.ofSeconds(seconds)), endpoints, requests);
   }
 
-  /** Reads a row of endpoint, attempts, failures, mean seconds of the successful, load report. */
+  /**
+   * Reads one row: endpoint, attempts, failures, mean duration of successful attempts in seconds,
+   * and an optional load report.
+   */
   private static ProxyReport.EndpointObservation readObservation(
       JsonMessage message, JsonNode row) {
     if (!row.isArray() || row.size() < 4) {
@@ -119,7 +126,7 @@
         readLoadReport(message, row.path(4)));
   }
 
-  /** Reads a row of request class, requests, unanswered requests. */
+  /** Reads one row: request class, number of requests, number of unanswered requests. */
   private ProxyReport.RequestCount readRequestCount(JsonMessage message, JsonNode row) {
     if (!row.isArray() || row.size() != 3) {
       throw message.invalid(
@@ -151,6 +158,7 @@
         readLoadFigure(message, load, LOAD_REQUESTS_PER_SECOND));
   }
 
+  /** Returns a load figure; NaN if it is missing. */
   private static double readLoadFigure(JsonMessage message, JsonNode load, String field) {
     JsonNode value = load.path(field);
     return value.isMissingNode() || value.isNull()
@@ -158,7 +166,7 @@
         : message.number(ENDPOINTS + "." + field, value, MAX_FIGURE);
   }
 
-  /** Reads a proxy's acknowledgement of an update. */
+  /** Reads the message by which a proxy acknowledges an update. */
   public ProxyAcknowledgement readAcknowledgement(byte[] bytes) {
     JsonMessage message = JsonMessage.parse(ACKNOWLEDGEMENT, bytes);
     return new ProxyAcknowledgement(
--- a/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageHandler.java
@@ -7,30 +7,33 @@
 import stonespring.state.ProxyReport;
 
 /**
- * Receives the messages of proxies. All methods may be called from any thread. A message is refused
- * by {@code false} if too many wait; the caller then closes the connection, and its proxy connects
- * again.
+ * Handles the messages of proxies. All methods may be called from any thread. A method that returns
+ * {@code false} refuses the message, because too many messages are queued; the caller then closes
+ * the connection, and the proxy connects again.
  */
 public interface ProxyMessageHandler {
   /**
-   * A proxy announced itself.
+   * Handles the announcement of a proxy.
    *
-   * @param sessionTimeoutDeciMillis how long the announcement holds, {@link
-   *     stonespring.model.DeciMillis}
+   * @param sessionTimeoutDeciMillis the time after which the session ends unless the proxy
+   *     announces itself again, in {@link stonespring.model.DeciMillis}
    */
   boolean handleHello(
       String proxy, ProxyHello hello, long sessionTimeoutDeciMillis, ProxyConnection connection);
 
-  /** A proxy reported what it observed. */
+  /** Handles a report of the traffic that a proxy observed. */
   boolean handleReport(String proxy, ProxyReport report, ProxyConnection connection);
 
-  /** A proxy acknowledged an update. */
+  /** Handles the acknowledgement of an update by a proxy. */
   boolean handleAcknowledgement(
       String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection);
 
-  /** Takes a snapshot of a subtree; the receiver is called on another thread, must not block. */
+  /**
+   * Requests a snapshot of the published keys of a subtree. The receiver is called on another
+   * thread and must not block.
+   */
   boolean requestSnapshot(String subtree, Consumer<KeySnapshot> receiver);
 
-  /** A connection closed; never refused. */
+  /** Handles the end of a connection; this call is never refused. */
   void handleConnectionClosed(ProxyConnection connection);
 }
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -19,10 +19,10 @@
 import stonespring.zmtp.ZmtpConnection;
 
 /**
- * Serves proxies over CHP: published keys go out, keys that proxies set are handed to a {@link
- * ProxyMessageHandler}. Proxies set {@code /presence/NAME} with a ttl, {@code /up/NAME/report} and
- * {@code /up/NAME/answer}. Calls of one connection come from its event loop; a wrong message is a
- * {@link InvalidChpMessageException}, which closes the connection.
+ * Serves proxies over CHP. It sends published keys to proxies, and passes the keys that proxies set
+ * to a {@link ProxyMessageHandler}: {@code /presence/NAME} with a ttl, {@code /up/NAME/report} and
+ * {@code /up/NAME/answer}. All calls for a connection come from the connection's event loop. An
+ * invalid message causes an {@link InvalidChpMessageException}, which closes the connection.
  */
 public final class ChpProxyApi implements ChpBackend {
   private static final String PRESENCE = "presence";
@@ -30,10 +30,13 @@
   private static final String REPORT = "report";
   private static final String ACKNOWLEDGEMENT = "answer";
   private static final String LEASE_SECONDS = "ttl";
+
+  /** With a longer lease, the name of a proxy that has died would stay in use for hours. */
   private static final int MAX_LEASE_SECONDS = 3600;
+
   private static final Pattern LEASE_PATTERN = Pattern.compile("[0-9]{1,6}");
 
-  /** Snapshots that one peer may wait for. */
+  /** Number of snapshots that one peer may wait for; a client waits for one at a time. */
   private static final int MAX_PENDING_SNAPSHOTS = 4;
 
   private static final String OVERLOADED = "too many messages wait to be handled; connect again";
@@ -43,7 +46,7 @@
   private static final AttributeKey<AtomicInteger> PENDING_SNAPSHOTS =
       AttributeKey.valueOf("stonespring.pendingSnapshots");
 
-  /** One connection to the collector socket. */
+  /** A connection to the collector socket, on which proxies set keys. */
   private record CollectorConnection(ZmtpConnection peer) implements ProxyConnection {
     @Override
     public void close(String reason) {
@@ -54,13 +57,13 @@
   private final ProxyMessageHandler handler;
   private final ProxyMessageCodec codec;
 
-  /** Creates the API; messages go to the handler. */
+  /** Creates an API that passes the messages of proxies to the given handler. */
   public ChpProxyApi(ProxyMessageHandler handler, NameTable names) {
     this.handler = handler;
     this.codec = new ProxyMessageCodec(names);
   }
 
-  /** The messages that publish these updates. */
+  /** Returns the messages that publish the given updates. */
   public static List<ChpMessage.KvPub> publications(List<KeyUpdate> updates) {
     return updates.stream().map(ChpProxyApi::publication).toList();
   }
--- a/src/main/java/stonespring/proxyapi/chp/package-info.java
+++ b/src/main/java/stonespring/proxyapi/chp/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The Clustered Hashmap Protocol towards proxies: published keys and snapshots out, presence,
- * reports and acknowledgements in. {@code docs/channel.md} describes the keys.
+ * The API for proxies over the Clustered Hashmap Protocol (CHP). Instances send published keys and
+ * snapshots; proxies send their presence, reports and acknowledgements. {@code docs/channel.md}
+ * describes the keys.
  */
 package stonespring.proxyapi.chp;
--- a/src/main/java/stonespring/proxyapi/package-info.java
+++ b/src/main/java/stonespring/proxyapi/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The proxy-facing API: what both protocols share. {@link stonespring.proxyapi.ProxyMessageHandler}
- * is what a protocol hands the messages of proxies to; {@link
- * stonespring.proxyapi.ProxyMessageCodec} reads the messages that are JSON objects. Each protocol
- * has a package of its own below.
+ * The API for proxies: the types that both of its protocols share. A protocol passes the messages
+ * of proxies to a {@link stonespring.proxyapi.ProxyMessageHandler}; {@link
+ * stonespring.proxyapi.ProxyMessageCodec} decodes the messages that are JSON objects. Each protocol
+ * is a subpackage.
  */
 package stonespring.proxyapi;
--- a/src/main/java/stonespring/proxyapi/platform/Collector.java
+++ b/src/main/java/stonespring/proxyapi/platform/Collector.java
@@ -2,7 +2,7 @@
 
 import stonespring.model.ZoneId;
 
-/** The collector of a zone, which sends the reports of the zone's proxies. */
+/** The collector of a zone, a peer that forwards the reports of the zone's proxies. */
 record Collector(ZoneId zone) implements PlatformPeer {
   @Override
   public String toString() {
--- a/src/main/java/stonespring/proxyapi/platform/CollectorConnections.java
+++ b/src/main/java/stonespring/proxyapi/platform/CollectorConnections.java
@@ -7,7 +7,7 @@
 import stonespring.line.LineConnection;
 import stonespring.model.ZoneId;
 
-/** The open connections of the zones' collectors, a few for each zone, the oldest first. */
+/** The open connections of the collectors by zone, the oldest first, limited in number. */
 final class CollectorConnections {
   private final int maxPerZone;
   private final Map<ZoneId, LinkedHashSet<LineConnection>> byZone = new HashMap<>();
@@ -16,7 +16,7 @@
     this.maxPerZone = maxPerZone;
   }
 
-  /** Adds a connection, and returns the zone's oldest one if there are too many now. */
+  /** Adds a connection, and returns the zone's oldest one if the limit is exceeded. */
   Optional<LineConnection> add(ZoneId zone, LineConnection connection) {
     LinkedHashSet<LineConnection> ofZone =
         byZone.computeIfAbsent(zone, key -> new LinkedHashSet<>());
--- a/src/main/java/stonespring/proxyapi/platform/ConfigMessage.java
+++ b/src/main/java/stonespring/proxyapi/platform/ConfigMessage.java
@@ -8,24 +8,25 @@
 import stonespring.state.ProxyChange;
 
 /**
- * An update as the platform's protocol has it: the proxy applies all parts together.
+ * An update in the form of the platform's protocol. The proxy applies all parts atomically.
  *
- * @param ack the acknowledgement that is requested, if any
+ * @param exclusions the endpoints that the proxy excludes or allows again
+ * @param ack the requested acknowledgement, or empty if none is requested
  */
 record ConfigMessage(List<Part> parts, ExclusionChanges exclusions, Optional<AckId> ack) {
   /**
-   * A change of the routes and the admission limit of some request classes.
+   * A change of the routes and the admission limit of one or more request classes.
    *
-   * @param requestClasses positions of the classes; at least one
-   * @param replacesTable whether the routes replace all others, and the limit is forgotten first
-   * @param limit the new limit, or empty if it stays
+   * @param requestClasses the indexes of the request classes; at least one
+   * @param replacesTable whether the proxy first removes all routes and the limit of the classes
+   * @param limit the new limit, or empty if it does not change
    */
   record Part(
       BitSet requestClasses,
       boolean replacesTable,
       List<ProxyChange.RouteChange> routes,
       Optional<AdmissionLimit> limit) {
-    /** A part that only sets a limit. */
+    /** Creates a part that changes only the admission limit. */
     static Part ofLimit(BitSet requestClasses, AdmissionLimit limit) {
       return new Part(requestClasses, false, List.of(), Optional.of(limit));
     }
@@ -39,12 +40,12 @@
     }
   }
 
-  /** Whether it changes nothing and requests nothing. */
+  /** Returns whether the message changes nothing and requests no acknowledgement. */
   boolean isEmpty() {
     return parts.isEmpty() && exclusions.isEmpty() && ack.isEmpty();
   }
 
-  /** Entries that the channel charges for it, the overhead of the message not counted. */
+  /** Returns the number of entries that the channel charges, without the message overhead. */
   int entries() {
     int entries = exclusions.size() + (ack.isPresent() ? 1 : 0);
     for (Part part : parts) {
--- a/src/main/java/stonespring/proxyapi/platform/ExclusionChanges.java
+++ b/src/main/java/stonespring/proxyapi/platform/ExclusionChanges.java
@@ -4,11 +4,11 @@
 import java.util.TreeSet;
 import stonespring.model.EndpointId;
 
-/** Endpoints that a message excludes and allows again, each by name. */
+/** The endpoints that a message excludes or allows again, each set ordered by name. */
 record ExclusionChanges(TreeSet<EndpointId> excluded, TreeSet<EndpointId> allowed) {
   private static final Comparator<EndpointId> BY_NAME = Comparator.comparing(EndpointId::name);
 
-  /** Creates changes to be added to. */
+  /** Creates an instance without changes, to which {@link #add} adds them. */
   ExclusionChanges() {
     this(new TreeSet<>(BY_NAME), new TreeSet<>(BY_NAME));
   }
--- a/src/main/java/stonespring/proxyapi/platform/KnownEndpoints.java
+++ b/src/main/java/stonespring/proxyapi/platform/KnownEndpoints.java
@@ -6,7 +6,10 @@
 import stonespring.model.EndpointId;
 import stonespring.model.EndpointRecord;
 
-/** The endpoints that the endpoint list named, the latest last; the oldest are forgotten. */
+/**
+ * The endpoints that have been in the endpoint list, the most recently updated last. When the limit
+ * is exceeded, those that were updated the longest ago are evicted.
+ */
 final class KnownEndpoints {
   private final int maxEndpoints;
   private final LinkedHashSet<EndpointId> endpoints = new LinkedHashSet<>();
@@ -15,7 +18,7 @@
     this.maxEndpoints = maxEndpoints;
   }
 
-  /** Adds the endpoints of an update, and returns those that are forgotten for it. */
+  /** Adds the endpoints of an update, and returns those that are evicted to make room. */
   List<EndpointId> add(List<EndpointRecord> records) {
     for (EndpointRecord endpoint : records) {
       endpoints.remove(endpoint.endpoint());
--- a/src/main/java/stonespring/proxyapi/platform/MessageFields.java
+++ b/src/main/java/stonespring/proxyapi/platform/MessageFields.java
@@ -6,14 +6,17 @@
 import stonespring.proxyapi.InvalidMessageException;
 
 /**
- * Checked access to the fields of a message. All methods throw {@link InvalidMessageException} for
- * what is missing or out of bounds.
+ * Checked access to the fields of a message. The methods that read a required field throw {@link
+ * InvalidMessageException} if the message is malformed or the field is missing or out of range.
  */
 final class MessageFields {
   private static final Pattern NUMBER =
       Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?([eE][+-]?[0-9]{1,3})?");
   private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,18}");
-  private static final double MAX_MILLIS = 600_000; // longer is a fault of the sender's clock
+
+  /** A longer duration indicates that the clock of the sender is wrong. */
+  private static final double MAX_MILLIS = 600_000;
+
   private static final int MILLIS_PER_SECOND = 1000;
 
   private final LineMessage message;
@@ -26,7 +29,9 @@
     return new InvalidMessageException(message.kind(), field, problem);
   }
 
-  /** A field whose value is wrong; the text holds the value. */
+  /**
+   * Returns an exception for a field with an invalid value, which the exception message contains.
+   */
   InvalidMessageException invalidValue(String field, String problem, String value) {
     return invalid(field, problem + ": " + LineMessage.printable(value));
   }
@@ -42,7 +47,7 @@
     return value;
   }
 
-  /** The text of a field, or the empty text if it is missing. */
+  /** Returns the text of a field; empty if the field is missing. */
   String optionalText(String field) {
     return message.fields().getOrDefault(field, "");
   }
@@ -59,7 +64,7 @@
     return number(field, text(field), max);
   }
 
-  /** Reads a part of the field's text as a number from 0. */
+  /** Reads a part of a field's text as a number from 0 to {@code max}. */
   double number(String field, String value, double max) {
     double number = NUMBER.matcher(value).matches() ? Double.parseDouble(value) : Double.NaN;
     if (!(number >= 0 && number <= max)) {
@@ -76,12 +81,12 @@
     return (long) number(field, value, max);
   }
 
-  /** Reads milliseconds as {@link DeciMillis}. */
+  /** Reads a duration in milliseconds, and returns it in {@link DeciMillis}. */
   long durationDeciMillis(String field) {
     return DeciMillis.ofSeconds(number(field, MAX_MILLIS) / MILLIS_PER_SECOND);
   }
 
-  /** Reads milliseconds as {@link DeciMillis}, at least one. */
+  /** Reads a duration in milliseconds, and returns it in {@link DeciMillis}; at least 1. */
   long intervalDeciMillis(String field) {
     long intervalDeciMillis = durationDeciMillis(field);
     if (intervalDeciMillis < 1) {
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -22,32 +22,35 @@
 import stonespring.state.ProxyChange;
 
 /**
- * The words of the platform's protocol: reads messages as events and writes updates as messages.
- * Times are milliseconds on the wire. Reading throws {@link InvalidMessageException}.
+ * Codec of the platform's protocol: decodes messages to events and encodes updates as messages.
+ * Durations are in milliseconds on the wire. The read methods throw {@link InvalidMessageException}
+ * if a message is invalid.
  */
 final class PlatformMessageCodec {
-  /** A proxy announces itself and opens a session. */
+  /** Kind of the message by which a proxy announces itself and starts a session. */
   static final String SUBSCRIBE = "SUBSCRIBE";
 
-  /** A zone's collector announces itself. */
+  /** Kind of the message by which the collector of a zone announces itself. */
   static final String SOURCE = "SOURCE";
 
-  /** What the proxies of a zone observed at an endpoint. */
+  /**
+   * Kind of a collector's report of the outcomes that the zone's proxies observed at an endpoint.
+   */
   static final String LOAD = "LOAD";
 
-  /** Requests that a proxy received. */
+  /** Kind of a report of the requests that a proxy received. */
   static final String RATE = "RATE";
 
-  /** A proxy acknowledges an update. */
+  /** Kind of the message by which a proxy acknowledges an update. */
   static final String ACK = "ACK";
 
-  /** The answer to a keep-alive. */
+  /** Kind of the response to a keep-alive. */
   static final String PONG = "PONG";
 
-  /** An update for a proxy. */
+  /** Kind of the message that carries an update to a proxy. */
   private static final String CONFIG = "CONFIG";
 
-  /** The kinds that the protocol has; a connection that sends any other cannot be read. */
+  /** All kinds of messages in the protocol; a peer that sends any other kind is disconnected. */
   private static final Set<String> KINDS =
       Set.of(
           SUBSCRIBE, SOURCE, LOAD, RATE, ACK, PONG, CONFIG, "CLOSED", "SHARD", "GRANT", "ROW",
@@ -67,9 +70,15 @@
   private static final String INTERVAL = "over";
   private static final String LOAD_FIGURES = "util";
 
-  private static final double MAX_COUNT = 1e7; // of requests or attempts in one report
+  /** Maximum number of requests or attempts in one report, far above what an endpoint serves. */
+  private static final double MAX_COUNT = 1e7;
+
+  /** Maximum request rate of one proxy. */
   private static final double MAX_REQUESTS_PER_SECOND = 1e7;
-  private static final double MAX_UTILIZATION = 2; // a noisy figure may pass 1
+
+  /** The utilization is a fraction, but a noisy measurement may exceed 1. */
+  private static final double MAX_UTILIZATION = 2;
+
   private static final double MAX_LOAD_FIGURE = 1e7;
   private static final int MAX_ACK_ID = 65_535;
   private static final int MAX_DESCRIPTION_CHARS = 200;
@@ -80,24 +89,24 @@
   /**
    * Creates a codec.
    *
-   * @param proxyCount how many proxies the settings have
+   * @param proxyCount the number of proxies in the settings; proxies are numbered from 0
    */
   PlatformMessageCodec(NameTable names, int proxyCount) {
     this.names = names;
     this.proxyCount = proxyCount;
   }
 
-  /** Whether the protocol has messages of that kind. */
+  /** Returns whether the protocol has messages of the given kind. */
   static boolean isKnownKind(String kind) {
     return KINDS.contains(kind);
   }
 
-  /** Reads SOURCE: the zone whose collector it is. */
+  /** Reads SOURCE, and returns the zone of the collector that sent it. */
   ZoneId readSource(LineMessage message) {
     return readZone(new MessageFields(message));
   }
 
-  /** Reads SUBSCRIBE. The texts of its exceptions are sent to the peer. */
+  /** Reads SUBSCRIBE. The messages of its exceptions are sent to the peer. */
   Event.ProxyConnected readSubscribe(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     boolean withoutTables = fields.flag(WITHOUT_TABLES);
@@ -147,18 +156,18 @@
         readLoadReport(fields));
   }
 
-  /** A valid LOAD message about an endpoint that was never listed. */
+  /** Returns an exception for a LOAD message about an endpoint that is not known. */
   static InvalidMessageException unlistedEndpoint() {
     return new InvalidMessageException(LOAD, ENDPOINT, "names an endpoint that was never listed");
   }
 
-  /** A valid message about a proxy that is not connected, or in another session. */
+  /** Returns an exception for a message about a proxy that is not connected, or not the sender. */
   static InvalidMessageException wrongProxy(LineMessage message) {
     return new InvalidMessageException(
         message.kind(), PROXY, "names a proxy that is not connected here");
   }
 
-  /** A valid ACK message that was not requested. */
+  /** Returns an exception for an acknowledgement that is not pending. */
   static InvalidMessageException unrequestedAck() {
     return new InvalidMessageException(ACK, ACK_ID, "is no acknowledgement that was requested");
   }
@@ -187,7 +196,7 @@
     return new ProxyId((int) number);
   }
 
-  /** Reads {@code name:value} pairs by the platform's names or by those of the settings. */
+  /** Reads {@code name:value} pairs; each figure has two accepted names. */
   private static LoadReport readLoadReport(MessageFields fields) {
     String pairs = fields.optionalText(LOAD_FIGURES);
     if (pairs.isEmpty()) {
@@ -212,7 +221,7 @@
         case "latency_ms", "recent_ms" -> serviceTimeMillis = readLoadFigure(fields, value);
         case "qps", "throughput" -> requestsPerSecond = readLoadFigure(fields, value);
         default -> {
-          // A figure that the decisions don't use.
+          // The decision engine does not use other figures.
         }
       }
     }
@@ -223,7 +232,7 @@
     return fields.number(LOAD_FIGURES, value, MAX_LOAD_FIGURE);
   }
 
-  /** Writes an update as CONFIG lines, one for each part, without their ends. */
+  /** Encodes an update as CONFIG lines, one for each part, without CR LF. */
   List<String> write(ConfigMessage message) {
     List<String> lines = new ArrayList<>();
     for (ConfigMessage.Part part : message.parts()) {
@@ -240,6 +249,7 @@
     return lines;
   }
 
+  /** Returns the field that names the request classes; empty if it would name all of them. */
   private String requestClassField(BitSet classes) {
     List<String> all = names.requestClasses();
     if (classes.cardinality() == all.size()) {
@@ -293,7 +303,7 @@
         : field + endpoints.stream().map(EndpointId::name).collect(Collectors.joining(","));
   }
 
-  /** A message as a log line may hold it. */
+  /** Returns a message in a form that is safe to log: shortened, printable ASCII only. */
   static String describe(LineMessage message) {
     StringBuilder text = new StringBuilder(LineMessage.printable(message.kind()));
     for (Map.Entry<String, String> field : message.fields().entrySet()) {
--- a/src/main/java/stonespring/proxyapi/platform/PlatformPeer.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformPeer.java
@@ -1,4 +1,4 @@
 package stonespring.proxyapi.platform;
 
-/** Who is at the other end of a connection. Its text names the peer in log lines. */
+/** The peer of a connection whose handshake is complete. Its text names it in log lines. */
 sealed interface PlatformPeer permits ProxySession, Collector {}
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -23,37 +23,49 @@
 import stonespring.state.RouteTables;
 
 /**
- * Serves proxies and zones' collectors on the operators' platform: their messages become events,
- * commands become messages on the proxies' sessions. The platform paces the channel, so messages
- * are written at once. All calls come from one event loop.
+ * Serves proxies and collectors of zones on the operators' platform. It converts their messages to
+ * events, and commands to messages that it sends to proxies. Messages are written immediately,
+ * because the platform limits the rate of the channel. All methods must be called on one event
+ * loop.
  */
 public final class PlatformProxyApi implements LineHandler {
-  /** Connections that a zone's collector may have, those that died unnoticed included. */
+  /**
+   * Maximum number of connections of a zone's collector. It includes dead connections whose end has
+   * not been detected.
+   */
   public static final int MAX_COLLECTORS_PER_ZONE = 4;
 
   private static final Logger LOG = LoggerFactory.getLogger(PlatformProxyApi.class);
 
-  /** More than a list may hold: the listed endpoints, and of the removed ones the latest. */
+  /**
+   * Maximum number of known endpoints. It exceeds the maximum size of the endpoint list, so that
+   * recently removed endpoints stay known.
+   */
   private static final int MAX_KNOWN_ENDPOINTS = 60_000;
 
-  /** Dropped messages that are logged one by one. */
+  /** Number of dropped messages that are logged; later ones are only counted. */
   private static final int MAX_LOGGED_DROPS = 50;
 
   private final PlatformMessageCodec codec;
   private final int requestClassCount;
   private final Consumer<Event> eventConsumer;
+
+  /** Sessions of connected proxies, by proxy number. */
   private final TreeMap<Integer, ProxySession> sessions = new TreeMap<>();
+
+  /** Endpoints that this instance has excluded at each proxy, in all of its sessions. */
   private final Map<ProxyId, Set<EndpointId>> excludedEndpointsByProxy = new HashMap<>();
+
   private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
   private final KnownEndpoints knownEndpoints = new KnownEndpoints(MAX_KNOWN_ENDPOINTS);
   private RouteTables tables;
   private long droppedMessages;
 
   /**
-   * Creates the API without connections.
+   * Creates an API that has no connections.
    *
-   * @param proxyCount how many proxies the settings have
-   * @param eventConsumer takes events, on the event loop
+   * @param proxyCount the number of proxies in the settings; proxies are numbered from 0
+   * @param eventConsumer receives the events, on the event loop
    */
   public PlatformProxyApi(NameTable names, int proxyCount, Consumer<Event> eventConsumer) {
     this.codec = new PlatformMessageCodec(names, proxyCount);
@@ -77,7 +89,7 @@
     }
   }
 
-  /** Handles the first message of a connection, which completes its handshake or ends it. */
+  /** Handles the first message: completes the handshake, or closes the connection. */
   private void handleFirstMessage(LineConnection connection, LineMessage message) {
     try {
       switch (message.kind()) {
@@ -95,7 +107,7 @@
   private void acceptProxy(LineConnection connection, Event.ProxyConnected hello) {
     ProxySession earlierSession = sessions.get(hello.proxy().number());
     if (earlierSession != null) {
-      // Ends in closed(), which reports that it disconnected.
+      // Calls handleClosed(), which emits the event that the proxy disconnected.
       earlierSession.connection().close("the proxy connected again in a newer session");
     }
     startSession(connection, hello);
@@ -126,7 +138,7 @@
       case PlatformMessageCodec.RATE -> handleRate(sender, message);
       case PlatformMessageCodec.ACK -> handleAck(sender, message);
       case PlatformMessageCodec.PONG -> {
-        // A sign of life, no more.
+        // The message needs no handling.
       }
       default -> throw new InvalidMessageException(message.kind(), "it is not to be sent here");
     }
@@ -137,7 +149,7 @@
       throw new InvalidMessageException(message.kind(), "only collectors send it");
     }
     Event.EndpointOutcomes outcomes = codec.readLoad(message);
-    // A command for an endpoint that never existed would make proxies close their sessions.
+    // Proxies close their session when they receive a command for an endpoint that never existed.
     if (!knownEndpoints.contains(outcomes.endpoint())) {
       throw PlatformMessageCodec.unlistedEndpoint();
     }
@@ -186,7 +198,9 @@
     }
   }
 
-  /** The endpoint list changed: reports about its endpoints are accepted from now on. */
+  /**
+   * Applies a change of the endpoint list; reports about its endpoints are accepted from now on.
+   */
   public void updateEndpointList(Event.EndpointListUpdate update) {
     for (EndpointId evicted : knownEndpoints.add(update.endpoints())) {
       excludedEndpointsByProxy.values().forEach(excluded -> excluded.remove(evicted));
@@ -195,8 +209,9 @@
   }
 
   /**
-   * The decisions restarted: no table, limit or exclusion of theirs stands, and each connected
-   * proxy connects anew, with tables that are unknown.
+   * Resets the state after the decision engine restarted. All tables, limits and exclusions are
+   * discarded, and a new session starts on the connection of each connected proxy. The event of
+   * each session says that the proxy may have tables, which are unknown.
    */
   public void handleEngineRestart() {
     tables = new RouteTables(requestClassCount);
@@ -208,7 +223,11 @@
     }
   }
 
-  /** Carries out the commands of an event batch: one message for each proxy that they concern. */
+  /**
+   * Executes the commands of an event batch: sends one message to each proxy that they affect.
+   *
+   * @param nowDeciMillis the current time, in {@link stonespring.model.DeciMillis}
+   */
   public void execute(List<Command> commands, long nowDeciMillis) {
     for (ProxyUpdate update : tables.apply(commands, nowDeciMillis)) {
       send(update);
@@ -229,12 +248,12 @@
     session.connection().write(String.join("\r\n", lines) + "\r\n");
   }
 
-  /** How many proxies are connected. */
+  /** Returns the number of connected proxies. */
   public int connectedProxyCount() {
     return sessions.size();
   }
 
-  /** How many messages of known peers were dropped as invalid, ever. */
+  /** Returns the number of invalid messages of known peers that were dropped since the start. */
   public long droppedMessageCount() {
     return droppedMessages;
   }
--- a/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
@@ -5,9 +5,9 @@
 import stonespring.model.EndpointId;
 
 /**
- * Which endpoints a proxy may have excluded. A proxy keeps its exclusions when its session ends,
- * and another instance may have added some meanwhile, so an endpoint that this session has not
- * changed yet is uncertain.
+ * The endpoints that a proxy has excluded, as far as this instance knows. A proxy keeps its
+ * exclusions when its session ends, and other instances may change them before the next session
+ * starts. The state of an endpoint is therefore uncertain until this session changes it.
  */
 final class ProxyExclusions {
   private final Set<EndpointId> excluded;
@@ -17,15 +17,19 @@
   /**
    * Creates the exclusions of a new session.
    *
-   * @param excluded what this instance excluded in earlier sessions of the proxy; changed here
-   * @param otherInstancesMayHaveExcluded whether the proxy may hold exclusions of other instances
+   * @param excluded the endpoints that this instance excluded in earlier sessions of the proxy;
+   *     this object updates the set
+   * @param otherInstancesMayHaveExcluded whether the proxy may have exclusions of other instances
    */
   ProxyExclusions(Set<EndpointId> excluded, boolean otherInstancesMayHaveExcluded) {
     this.excluded = excluded;
     this.otherInstancesMayHaveExcluded = otherInstancesMayHaveExcluded;
   }
 
-  /** Applies changes, and drops those that the proxy has made already; exclusion goes first. */
+  /**
+   * Applies changes, and removes from them those that have no effect at the proxy. For an endpoint
+   * that is both excluded and allowed, the exclusion takes precedence.
+   */
   void apply(ExclusionChanges changes) {
     changes.allowed().removeAll(changes.excluded());
     changes.allowed().removeIf(endpoint -> !mayBeExcluded(endpoint));
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -22,13 +22,14 @@
 import stonespring.state.RouteTables;
 
 /**
- * What one proxy holds by the updates of its session. The platform's protocol has a table for each
- * request class and no numbers of tables, one limit in place of a table's and that for all tables,
- * and exclusions that outlive the session; updates become its messages here, for the same number of
- * entries.
+ * The route state of one proxy, as the updates of its session set it. It converts updates to
+ * messages of the platform's protocol, which differs from the update model: each request class has
+ * its own route table and tables have no numbers; a request class has a single admission limit,
+ * which combines the limit of its table with the limit for all tables; and exclusions remain when
+ * the session ends. The message of a typical update has as many entries as the update.
  */
 final class ProxyRouteState {
-  /** Keeps a line far below the longest that a proxy reads. */
+  /** Keeps a line much shorter than the maximum line length of a proxy. */
   private static final int MAX_ROUTES_PER_PART = 512;
 
   private final int requestClassCount;
@@ -40,7 +41,7 @@
   private final Map<RouteTableId, AdmissionLimit[]> limitsByTable = new HashMap<>();
   private final AdmissionLimit[] sentLimits;
 
-  /** The tables that one update touches, in the order of its changes. */
+  /** The tables that one update changes, in the order of its changes. */
   private static final class TouchedTables {
     private final Set<RouteTableId> replaced = new LinkedHashSet<>();
     private final Map<RouteTableId, List<ProxyChange.RouteChange>> changedRoutes =
@@ -50,7 +51,7 @@
   /**
    * Creates the state of a new session.
    *
-   * @param tables tells which endpoints are excluded
+   * @param tables the state of all proxies, which knows the excluded endpoints
    */
   ProxyRouteState(int requestClassCount, RouteTables tables, ProxyExclusions exclusions) {
     this.requestClassCount = requestClassCount;
@@ -60,7 +61,7 @@
     this.sentLimits = new AdmissionLimit[requestClassCount];
   }
 
-  /** Applies an update, and returns what is to be sent; empty if the proxy would not change. */
+  /** Applies an update, and returns the message to send; empty if nothing is to be sent. */
   ConfigMessage apply(ProxyUpdate update) {
     ExclusionChanges exclusionChanges = new ExclusionChanges();
     TouchedTables touched = new TouchedTables();
@@ -99,7 +100,8 @@
           limitsByTable.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClassCount]);
       ofTable[limit.requestClass().index()] = limit.limit().orElse(null);
       if (limit.limit().isEmpty()) {
-        touched.replaced.add(limit.table()); // nothing else makes a proxy forget a limit
+        // The protocol removes a limit only by replacing the table.
+        touched.replaced.add(limit.table());
       }
     } else if (change instanceof ProxyChange.ExclusionChange exclusion) {
       exclusionChanges.add(exclusion.endpoint(), exclusion.excluded());
@@ -117,7 +119,7 @@
     }
   }
 
-  /** Adds all routes of a table; the proxy forgets its other routes and its limit. */
+  /** Adds parts that replace the routes of a table; the proxy also removes the limit. */
   private void addReplacement(
       RouteTableId table, List<ConfigMessage.Part> parts, ExclusionChanges exclusionChanges) {
     BitSet usingClasses = classesUsing(table);
@@ -135,7 +137,7 @@
     addExclusions(allRoutes, exclusionChanges);
   }
 
-  /** Adds changed routes of a table; those of an unused one are sent when it is assigned. */
+  /** Adds parts with the changed routes of a table; an unused table is sent when assigned. */
   private void addRoutes(
       RouteTableId table,
       List<ProxyChange.RouteChange> changes,
@@ -172,7 +174,7 @@
     } while (from < changes.size());
   }
 
-  /** A proxy may hold exclusions of its own for the endpoints that it gets a route to. */
+  /** Adds the exclusion state of the routed endpoints, because the proxy may have another one. */
   private void addExclusions(
       List<ProxyChange.RouteChange> changes, ExclusionChanges exclusionChanges) {
     for (ProxyChange.RouteChange route : changes) {
@@ -182,7 +184,7 @@
     }
   }
 
-  /** Changes of an unused table are not sent: it is sent whole when it is assigned again. */
+  /** Removes the state of unused tables: such a table is sent whole when assigned again. */
   private void removeUnusedTables() {
     Set<RouteTableId> used = new HashSet<>(Arrays.asList(assignedTables));
     routesByTable.keySet().retainAll(used);
@@ -190,7 +192,7 @@
     limitsByTable.keySet().retainAll(used);
   }
 
-  /** Adds the limits that differ from what was sent; classes with equal limits share a part. */
+  /** Adds the limits that differ from the sent ones; classes with equal limits share a part. */
   private void addLimits(List<ConfigMessage.Part> parts) {
     Map<AdmissionLimit, BitSet> changed = new LinkedHashMap<>();
     for (int k = 0; k < requestClassCount; k++) {
@@ -211,8 +213,9 @@
   }
 
   /**
-   * The limit that holds for a request class, or null: the lower one of its table's and that for
-   * all tables, with the table's own retry policy.
+   * Returns the limit that applies to a request class, or null if there is none. If there is both a
+   * limit of its table and a limit for all tables, the lower value applies with the retry policy of
+   * the table's limit.
    */
   private AdmissionLimit effectiveLimit(int requestClass) {
     AdmissionLimit own = limitOf(assignedTables[requestClass], requestClass);
--- a/src/main/java/stonespring/proxyapi/platform/ProxySession.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxySession.java
@@ -6,9 +6,12 @@
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 
-/** A proxy's session: one connection and what was sent on it. */
+/** The session of a proxy: its connection, and the state that was sent on the connection. */
 final class ProxySession implements PlatformPeer {
-  /** Acknowledgements that a proxy may owe; the oldest beyond are forgotten. */
+  /**
+   * Maximum number of pending acknowledgements, beyond which the oldest is removed. A proxy that
+   * leaves more unanswered is expected never to answer them.
+   */
   private static final int MAX_PENDING_ACKS = 64;
 
   private final Event.ProxyConnected hello;
@@ -26,7 +29,7 @@
     return hello.proxy();
   }
 
-  /** The event by which it began. */
+  /** Returns the event that started the session. */
   Event.ProxyConnected hello() {
     return hello;
   }
@@ -39,7 +42,7 @@
     return routeState;
   }
 
-  /** Notes that an acknowledgement is requested. */
+  /** Records that an acknowledgement was requested and is pending. */
   void addPendingAck(AckId ack) {
     if (pendingAcks.size() >= MAX_PENDING_ACKS) {
       pendingAcks.remove(pendingAcks.iterator().next());
@@ -47,7 +50,7 @@
     pendingAcks.add(ack);
   }
 
-  /** Takes an acknowledgement; false if it is not pending. */
+  /** Removes a pending acknowledgement; returns false if it is not pending. */
   boolean removePendingAck(AckId ack) {
     return pendingAcks.remove(ack);
   }
--- a/src/main/java/stonespring/proxyapi/platform/package-info.java
+++ b/src/main/java/stonespring/proxyapi/platform/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The operators' platform towards proxies: lines of text on one connection for each proxy, and on
- * connections of each zone's collector. {@link stonespring.proxyapi.platform.PlatformMessageCodec}
- * alone knows the protocol's words; {@link stonespring.proxyapi.platform.ProxyRouteState} turns an
- * update into the protocol's messages. Everything lives on one event loop.
+ * The API for proxies on the operators' platform, over the line protocol. Each proxy has one
+ * connection, and the collector of each zone has a few. Only {@link
+ * stonespring.proxyapi.platform.PlatformMessageCodec} contains the keywords of the protocol; {@link
+ * stonespring.proxyapi.platform.ProxyRouteState} converts an update to messages of the protocol.
+ * All state is confined to one event loop.
  */
 package stonespring.proxyapi.platform;
--- a/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
@@ -32,15 +32,16 @@
 import stonespring.proxyapi.NameTable;
 
 /**
- * A {@link PlatformProxyApi} on a loopback listener, with zones west and east, request classes look
- * and buy, ten proxies, and the listed endpoints s-1 and s-2.
+ * Runs a {@link PlatformProxyApi} on a loopback listener, with the zones west and east, the request
+ * classes look and buy, ten proxies, and the listed endpoints s-1 and s-2.
  */
 final class PlatformApiFixture implements BeforeEachCallback, AfterEachCallback {
-  /** How many connections may be open that have not said who is there. */
+  /** Limit of connections with an incomplete handshake. */
   static final int MAX_PENDING_HANDSHAKES = 4;
 
-  private static final int MAX_WAIT_MILLIS =
-      10_000; // an upper bound: every wait ends with its event
+  /** Maximum duration of a wait; in a passing test, every wait ends earlier with its event. */
+  private static final int MAX_WAIT_MILLIS = 10_000;
+
   private static final int HANDSHAKE_TIMEOUT_MILLIS = 60_000;
   private static final int MAX_LINE_BYTES = 400;
   private static final int MAX_PENDING_WRITE_BYTES = 4096;
@@ -54,7 +55,7 @@
   private PlatformProxyApi api;
   private LineServer listener;
 
-  /** A peer by a plain socket: shares nothing with what it talks to. */
+  /** A peer on a plain socket, which shares no code with the tested server. */
   final class Client {
     private final Socket socket = new Socket();
     private final BufferedReader in;
@@ -78,7 +79,7 @@
       return socket.getOutputStream();
     }
 
-    /** The next line; null at the end, however it came. */
+    /** Returns the next line; null if the connection was closed or reset. */
     String receive() throws IOException {
       try {
         return in.readLine();
@@ -102,7 +103,7 @@
     startListener(HANDSHAKE_TIMEOUT_MILLIS);
   }
 
-  /** Starts anew, with so much time for connections to say who is there. */
+  /** Starts an API and a listener with the given handshake timeout, in place of earlier ones. */
   void startListener(int handshakeTimeoutMillis) throws Exception {
     if (listener != null) {
       listener.stop();
@@ -134,12 +135,12 @@
     return api;
   }
 
-  /** Runs on the event loop, and waits until it has run. */
+  /** Runs a task on the event loop, and waits until it is complete. */
   void runOnEventLoop(Runnable work) throws InterruptedException {
     eventLoop.submit(work).sync();
   }
 
-  /** Has the event loop wait for something, and does not wait itself. */
+  /** Runs a task on the event loop, and returns without waiting for it. */
   void executeOnEventLoop(Runnable work) {
     eventLoop.execute(work);
   }
@@ -153,12 +154,12 @@
     runOnEventLoop(() -> api.execute(List.of(commands), 5));
   }
 
-  /** The next event; null if none comes. */
+  /** Waits for the next event; returns null if none occurs within the maximum wait. */
   Event nextEvent() throws InterruptedException {
     return events.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** The next event if it is there already, or null. */
+  /** Returns the next event if one has occurred, or null. */
   Event pollEvent() {
     return events.poll();
   }
@@ -171,7 +172,7 @@
     return new Client();
   }
 
-  /** Connects proxy 3 of zone east, which holds no tables. */
+  /** Connects proxy 3 of zone east, which has no tables, and awaits the event. */
   Client connectProxy() throws Exception {
     Client client = connect().send(SUBSCRIBE);
     assertEquals(new Event.ProxyConnected(new ProxyId(3), new ZoneId(1), 2.5, true), nextEvent());
--- a/src/test/java/stonespring/proxyapi/platform/PlatformHandshakeTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformHandshakeTest.java
@@ -18,7 +18,7 @@
 import stonespring.model.ProxyId;
 import stonespring.proxyapi.platform.PlatformApiFixture.Client;
 
-/** Connections that have not joined: what they may send, and how long they may stay. */
+/** Tests connections before and during the handshake: valid messages, limits and refusals. */
 final class PlatformHandshakeTest {
   @RegisterExtension final PlatformApiFixture fixture = new PlatformApiFixture();
 
@@ -71,7 +71,7 @@
     }
   }
 
-  /** The oldest unjoined connection is closed, so that a proxy always finds a descriptor. */
+  /** The oldest pending connections are closed, so that file descriptors remain for proxies. */
   @Test
   void acceptsProxyWhileManyHandshakesArePending() throws Exception {
     List<Client> pendingClients = new ArrayList<>();
@@ -86,7 +86,10 @@
     assertTrue(fixture.api().isConnected(new ProxyId(3)));
   }
 
-  /** More proxies connect than may be unjoined, but all have subscribed before any is read. */
+  /**
+   * More proxies connect than the limit of pending handshakes, and all of them subscribe before the
+   * event loop reads the first message.
+   */
   @Test
   void keepsProxiesThatSubscribedWhileEventLoopWasBlocked() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
@@ -112,7 +115,10 @@
     assertTrue(fixture.hasNoEvents(), "and none disconnected");
   }
 
-  /** Its answers cannot be written, and neither can a refusal: the descriptor must not wait. */
+  /**
+   * Neither responses nor a refusal can be written to this peer. The connection must be closed
+   * without waiting for the peer, so that its file descriptor becomes free.
+   */
   @Test
   void resetsConnectionWhenPeerReadsNothingBeforeHandshake() throws Exception {
     Client client = fixture.connect();
--- a/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
@@ -22,7 +22,7 @@
 import stonespring.model.ZoneId;
 import stonespring.proxyapi.platform.PlatformApiFixture.Client;
 
-/** Proxies and collectors on loopback: what they receive, and which events they cause. */
+/** Tests the messages that proxies and collectors receive, and the events that they cause. */
 final class PlatformProxyApiTest {
   private static final List<String> INVALID_FROM_PROXY =
       List.of(
@@ -168,7 +168,10 @@
     assertEquals("CONFIG replace=1 rows=s-2:0.5 undrop=s-2", proxy.receive());
   }
 
-  /** Of removed endpoints the latest are known; an exclusion ends with its endpoint. */
+  /**
+   * Only the most recently removed endpoints stay known. When an endpoint is evicted, its exclusion
+   * is discarded too.
+   */
   @Test
   void rejectsReportsAboutEndpointsListedLongAgo() throws Exception {
     Client proxy = fixture.connectProxy();
--- a/src/test/java/stonespring/proxyapi/platform/ProxyRouteStateTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/ProxyRouteStateTest.java
@@ -17,7 +17,7 @@
 import stonespring.proxyapi.NameTable;
 import stonespring.state.RouteTables;
 
-/** Updates as lines of the platform's protocol. */
+/** Tests the encoding of updates as lines of the platform's protocol. */
 final class ProxyRouteStateTest {
   @Test
   void writesNamesThatContainSlash() {
--- a/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
@@ -36,8 +36,8 @@
 import stonespring.state.RouteTables;
 
 /**
- * Holds what goes out on the three wires for scripted input: the platform's messages, the published
- * keys, the simulator's replies.
+ * Compares the output for scripted input with recorded digests, for each of the three protocols:
+ * messages to platform proxies, published keys, and replies to the simulator.
  */
 final class RecordedBytesTest {
   private static final List<String> REQUEST_CLASSES = List.of("look", "buy", "pay/now");
@@ -283,7 +283,7 @@
       new SimulatorHost()
           .run(new ByteArrayInputStream(input.toString().getBytes(StandardCharsets.UTF_8)), output);
       RecordedDigests.Recording recording = new RecordedDigests.Recording();
-      // A logged line counts, its words are for people.
+      // The number and place of trace messages are recorded; their text is not.
       recording.add(
           output
               .toString(StandardCharsets.UTF_8)
--- a/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
@@ -27,9 +27,9 @@
 import stonespring.state.RouteTables;
 
 /**
- * The same commands, by the simulator's page and by the platform's messages, leave the same routes,
- * limits and exclusions at a proxy. Both proxies are written here, from the two pages, and share no
- * code with what is tested.
+ * Tests that the same commands give a proxy the same routes, limits and exclusions in the simulator
+ * and on the platform. Both proxies are models written from the documentation of the two protocols,
+ * and share no code with the tested classes.
  */
 final class SimulatorEquivalenceTest {
   private static final List<String> REQUEST_CLASSES = List.of("look", "buy", "pay");
@@ -40,12 +40,13 @@
 
   private record Limit(double share, int retryCode) {}
 
-  /** The weights that requests of each class are routed by, and how many are admitted. */
+  /** The weights of the usable endpoints and the admission limit, for each request class. */
   private record RoutingView(List<TreeMap<String, Double>> weights, List<Limit> limits) {}
 
   /**
-   * Proxies by the simulator's page: tables by number, exclusions of the instance, a table's limit
-   * and one for all tables.
+   * The proxies of the simulator, as its documentation describes them: tables are numbered,
+   * exclusions apply to all proxies of the instance, and a limit applies to one table or to all
+   * tables.
    */
   private static final class SimulatedProxies {
     final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
@@ -101,7 +102,7 @@
       List<Limit> limitsByClass = new ArrayList<>();
       for (int k = 0; k < REQUEST_CLASSES.size(); k++) {
         Integer table = assigned.get(proxy)[k];
-        if (table == null) { // the table that it brought along, whatever that holds
+        if (table == null) { // the proxy uses its previous table, whose content is unknown
           weightsByClass.add(null);
           limitsByClass.add(null);
           continue;
@@ -122,8 +123,8 @@
   }
 
   /**
-   * A proxy by the platform's page: a table for each request class; exclusions outlive its
-   * routeStates.
+   * A proxy of the platform, as its documentation describes it: each request class has a table, and
+   * exclusions remain when a session ends.
    */
   private static final class PlatformProxy {
     final List<TreeMap<String, Double>> weights = new ArrayList<>();
@@ -249,7 +250,7 @@
     };
   }
 
-  /** Both kinds of proxies under the same random connections and commands. */
+  /** Applies the same random connections and commands to both kinds of proxies. */
   private static final class Run {
     private final long seed;
     private final SplittableRandom random;
@@ -291,9 +292,10 @@
       boolean restarted = !proxies.containsKey(number) || random.nextInt(3) == 0;
       PlatformProxy proxy = restarted ? new PlatformProxy() : proxies.get(number);
       if (restarted) {
-        excluded.remove(number); // it holds nothing any more
+        excluded.remove(number); // a restarted proxy has no exclusions
       } else if (random.nextBoolean()) {
-        proxy.excluded.add("s-" + random.nextInt(ENDPOINTS)); // by another instance, meanwhile
+        // Another instance excluded an endpoint between the sessions.
+        proxy.excluded.add("s-" + random.nextInt(ENDPOINTS));
       }
       proxies.put(number, proxy);
       simulated.assigned.put(number, new Integer[REQUEST_CLASSES.size()]);
@@ -318,7 +320,7 @@
       RoutingView expected = simulated.view(proxy);
       RoutingView actual = proxies.get(proxy).view();
       for (int k = 0; k < REQUEST_CLASSES.size(); k++) {
-        // Without an assigned table the class goes by the one that the proxy brought along.
+        // Without an assigned table, the proxy uses its previous one, whose content is unknown.
         if (simulated.assigned.get(proxy)[k] != null) {
           String context = REQUEST_CLASSES.get(k) + ", " + stepDescription;
           assertEquals(expected.weights.get(k), actual.weights.get(k), context);
@@ -337,7 +339,7 @@
     }
   }
 
-  /** What the decisions usually command: a first table, a change of it, a limit, an exclusion. */
+  /** The commands are a first table, a change of its routes, limits and an acknowledgement. */
   @ParameterizedTest
   @ValueSource(ints = {2, 5, 30})
   void chargesSameEntriesAsSimulatorForTypicalCommands(int routes) {
