--- a/src/main/java/stonespring/line/ConnectionCloseLog.java
+++ b/src/main/java/stonespring/line/ConnectionCloseLog.java
@@ -28,7 +28,9 @@
     long now = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
     if (now != currentSecond) {
       if (suppressedThisSecond > 0) {
-        LOG.warn("{} more connections ended", suppressedThisSecond);
+        LOG.warn(
+            "{} more connections closed in the same second; their reasons are not logged",
+            suppressedThisSecond);
       }
       currentSecond = now;
       loggedThisSecond = 0;
@@ -36,8 +38,8 @@
     }
     if (loggedThisSecond++ < MAX_LINES_PER_SECOND) {
       LOG.warn(
-          "connection of {} ended: {}",
-          session == null ? "a peer that has not joined" : session,
+          "connection of {} closed: {}",
+          session == null ? "a peer with an incomplete handshake" : session,
           reason);
     } else {
       suppressedThisSecond++;
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -171,7 +171,7 @@
     } else if (root instanceof IOException) {
       close("reset");
     } else {
-      LOG.error("a connection's handler failed", root);
+      LOG.error("connection handler failed; the connection is closed", root);
       close("handler failed");
     }
   }
--- a/src/main/java/stonespring/proxyapi/JsonMessage.java
+++ b/src/main/java/stonespring/proxyapi/JsonMessage.java
@@ -44,14 +44,14 @@
     try {
       JsonNode root = JSON.readTree(bytes);
       if (root == null || !root.isObject()) {
-        throw new InvalidMessageException(kind, "it is no JSON object");
+        throw new InvalidMessageException(kind, "expected a JSON object");
       }
       return new JsonMessage(kind, root);
     } catch (JsonProcessingException e) {
       throw new InvalidMessageException(
-          kind, "it is no well-formed JSON: " + e.getOriginalMessage().split("\n")[0]);
+          kind, "malformed JSON: " + e.getOriginalMessage().split("\n")[0]);
     } catch (IOException e) {
-      throw new InvalidMessageException(kind, "it can't be read: " + e.getMessage());
+      throw new InvalidMessageException(kind, "cannot be read: " + e.getMessage());
     }
   }
 
@@ -95,7 +95,7 @@
   Iterable<JsonNode> list(String field) {
     JsonNode value = root.path(field);
     if (!value.isMissingNode() && (!value.isArray() || value.size() > MAX_LIST_SIZE)) {
-      throw invalid(field, "is not a list of at most " + MAX_LIST_SIZE);
+      throw invalid(field, "is not a list of at most " + MAX_LIST_SIZE + " elements");
     }
     return value;
   }
--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -64,7 +64,9 @@
     ZoneId zone =
         names
             .zone(zoneName)
-            .orElseThrow(() -> message.invalid(ZONE, "names no zone of the settings: " + zoneName));
+            .orElseThrow(
+                () ->
+                    message.invalid(ZONE, "names a zone that is not in the settings: " + zoneName));
     Optional<List<EndpointId>> tableEndpoints = readTableEndpoints(message);
     boolean withoutTables = message.flag(WITHOUT_TABLES);
     return new ProxyHello(
@@ -111,12 +113,12 @@
     if (!row.isArray() || row.size() < 4) {
       throw message.invalid(
           ENDPOINTS,
-          "holds a row that is not a list of endpoint, attempts, failures, seconds, load");
+          "has a row that is not a list of endpoint, attempts, failures, mean seconds, load");
     }
     long attempts = message.wholeNumber(ENDPOINTS, row.get(1), MAX_FIGURE);
     long failures = message.wholeNumber(ENDPOINTS, row.get(2), MAX_FIGURE);
     if (failures > attempts) {
-      throw message.invalid(ENDPOINTS, "holds more failures than attempts");
+      throw message.invalid(ENDPOINTS, "has a row with more failures than attempts");
     }
     return new ProxyReport.EndpointObservation(
         new EndpointId(message.name(ENDPOINTS, row.get(0))),
@@ -130,7 +132,7 @@
   private ProxyReport.RequestCount readRequestCount(JsonMessage message, JsonNode row) {
     if (!row.isArray() || row.size() != 3) {
       throw message.invalid(
-          REQUESTS, "holds a row that is not a list of request class, requests, unanswered");
+          REQUESTS, "has a row that is not a list of request class, requests, unanswered requests");
     }
     String className = row.get(0).asText();
     RequestClassId requestClass =
@@ -139,7 +141,8 @@
             .orElseThrow(
                 () ->
                     message.invalid(
-                        REQUESTS, "names no request class of the settings: " + className));
+                        REQUESTS,
+                        "names a request class that is not in the settings: " + className));
     return new ProxyReport.RequestCount(
         requestClass,
         message.wholeNumber(REQUESTS, row.get(1), MAX_FIGURE),
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -39,7 +39,8 @@
   /** Number of snapshots that one peer may wait for; a client waits for one at a time. */
   private static final int MAX_PENDING_SNAPSHOTS = 4;
 
-  private static final String OVERLOADED = "too many messages wait to be handled; connect again";
+  private static final String OVERLOADED =
+      "message refused: too many messages are queued; the peer must connect again";
 
   private static final AttributeKey<CollectorConnection> CONNECTION =
       AttributeKey.valueOf("stonespring.connection");
@@ -78,7 +79,7 @@
     AtomicInteger pending = pendingSnapshots(peer);
     if (pending.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
       throw new InvalidChpMessageException(
-          "ICANHAZ: over " + MAX_PENDING_SNAPSHOTS + " snapshots are requested at once");
+          "ICANHAZ: more than " + MAX_PENDING_SNAPSHOTS + " snapshots are pending for this peer");
     }
     boolean accepted =
         handler.requestSnapshot(
@@ -144,15 +145,16 @@
             segments[1], codec.readAcknowledgement(set.value()), connection);
       }
     }
-    throw new InvalidChpMessageException(
-        "KVSET: key " + set.key() + " is not one that clients set");
+    throw new InvalidChpMessageException("KVSET: clients must not set the key " + set.key());
   }
 
   private boolean handlePresence(
       String proxy, ChpMessage.KvSet set, CollectorConnection connection) {
     if (set.value().length == 0) {
       throw new InvalidChpMessageException(
-          "KVSET " + set.key() + ": presence ends by its ttl or its connection");
+          "KVSET "
+              + set.key()
+              + ": the value is empty; presence ends with its ttl or its connection");
     }
     return handler.handleHello(
         proxy,
--- a/src/main/java/stonespring/proxyapi/platform/MessageFields.java
+++ b/src/main/java/stonespring/proxyapi/platform/MessageFields.java
@@ -90,7 +90,7 @@
   long intervalDeciMillis(String field) {
     long intervalDeciMillis = durationDeciMillis(field);
     if (intervalDeciMillis < 1) {
-      throw invalid(field, "is no span of time");
+      throw invalid(field, "is shorter than 0.1 ms");
     }
     return intervalDeciMillis;
   }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -144,7 +144,7 @@
     long attempts = fields.wholeNumber(COUNT, MAX_COUNT);
     long failures = fields.wholeNumber(FAILURES, MAX_COUNT);
     if (failures > attempts) {
-      throw fields.invalid(FAILURES, "is more than '" + COUNT + "'");
+      throw fields.invalid(FAILURES, "is greater than '" + COUNT + "'");
     }
     return new Event.EndpointOutcomes(
         new EndpointId(fields.text(ENDPOINT)),
@@ -158,18 +158,19 @@
 
   /** Returns an exception for a LOAD message about an endpoint that is not known. */
   static InvalidMessageException unlistedEndpoint() {
-    return new InvalidMessageException(LOAD, ENDPOINT, "names an endpoint that was never listed");
+    return new InvalidMessageException(
+        LOAD, ENDPOINT, "names an endpoint that is not known from the endpoint list");
   }
 
   /** Returns an exception for a message about a proxy that is not connected, or not the sender. */
   static InvalidMessageException wrongProxy(LineMessage message) {
     return new InvalidMessageException(
-        message.kind(), PROXY, "names a proxy that is not connected here");
+        message.kind(), PROXY, "names a proxy that is not connected, or not the sender");
   }
 
   /** Returns an exception for an acknowledgement that is not pending. */
   static InvalidMessageException unrequestedAck() {
-    return new InvalidMessageException(ACK, ACK_ID, "is no acknowledgement that was requested");
+    return new InvalidMessageException(ACK, ACK_ID, "names no pending acknowledgement");
   }
 
   private ZoneId readZone(MessageFields fields) {
@@ -210,7 +211,7 @@
     for (String pair : pairs.split(",", -1)) {
       int colon = pair.indexOf(':');
       if (colon < 1) {
-        throw fields.invalidValue(LOAD_FIGURES, "holds no name:value", pair);
+        throw fields.invalidValue(LOAD_FIGURES, "has an element that is not name:value", pair);
       }
       String value = pair.substring(colon + 1);
       switch (pair.substring(0, colon)) {
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -79,7 +79,8 @@
     if (!(connection.session() instanceof PlatformPeer peer)) {
       handleFirstMessage(connection, message);
     } else if (!PlatformMessageCodec.isKnownKind(message.kind())) {
-      connection.close("it sent what can't be read: " + LineMessage.printable(message.kind()));
+      connection.close(
+          "it sent a message of unknown kind: " + LineMessage.printable(message.kind()));
     } else {
       try {
         handlePeerMessage(peer, message);
@@ -108,7 +109,7 @@
     ProxySession earlierSession = sessions.get(hello.proxy().number());
     if (earlierSession != null) {
       // Calls handleClosed(), which emits the event that the proxy disconnected.
-      earlierSession.connection().close("the proxy connected again in a newer session");
+      earlierSession.connection().close("replaced by a newer session of the proxy");
     }
     startSession(connection, hello);
   }
@@ -129,7 +130,7 @@
     connection.setSession(collector);
     collectors
         .add(collector.zone(), connection)
-        .ifPresent(oldest -> oldest.close("newer collectors of its zone connected"));
+        .ifPresent(oldest -> oldest.close("replaced by newer connections of the zone's collector"));
   }
 
   private void handlePeerMessage(PlatformPeer sender, LineMessage message) {
@@ -140,13 +141,14 @@
       case PlatformMessageCodec.PONG -> {
         // The message needs no handling.
       }
-      default -> throw new InvalidMessageException(message.kind(), "it is not to be sent here");
+      default ->
+          throw new InvalidMessageException(message.kind(), "not allowed after the handshake");
     }
   }
 
   private void handleLoad(PlatformPeer sender, LineMessage message) {
     if (!(sender instanceof Collector)) {
-      throw new InvalidMessageException(message.kind(), "only collectors send it");
+      throw new InvalidMessageException(message.kind(), "allowed from collectors only");
     }
     Event.EndpointOutcomes outcomes = codec.readLoad(message);
     // Proxies close their session when they receive a command for an endpoint that never existed.
@@ -180,7 +182,7 @@
   private void dropMessage(PlatformPeer sender, LineMessage message, String cause) {
     if (droppedMessages++ < MAX_LOGGED_DROPS) {
       LOG.warn(
-          "a message of {} is dropped: {} in: {}",
+          "message from {} dropped: {} in: {}",
           sender,
           cause,
           PlatformMessageCodec.describe(message));
@@ -243,7 +245,8 @@
     message.ack().ifPresent(session::addPendingAck);
     List<String> lines = codec.write(message);
     if (LOG.isDebugEnabled()) {
-      LOG.debug("{}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
+      LOG.debug(
+          "sending to {}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
     }
     session.connection().write(String.join("\r\n", lines) + "\r\n");
   }
--- a/src/test/java/stonespring/proxyapi/platform/PlatformHandshakeTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformHandshakeTest.java
@@ -51,7 +51,9 @@
         }) {
       Client client = fixture.connect().send(invalid);
       String answer = client.receive();
-      assertTrue(answer != null && answer.startsWith("NACK reason="), invalid + " got " + answer);
+      assertTrue(
+          answer != null && answer.startsWith("NACK reason="),
+          "answer to " + invalid + ": " + answer);
       assertNull(client.receive());
     }
     assertTrue(fixture.hasNoEvents());
@@ -80,7 +82,8 @@
     }
     Client proxy = fixture.connectProxy();
     for (int i = 0; i < 30 - PlatformApiFixture.MAX_PENDING_HANDSHAKES; i++) {
-      assertTrue(pendingClients.get(i).receive().startsWith("NACK"), "unjoined " + i);
+      assertTrue(
+          pendingClients.get(i).receive().startsWith("NACK"), "refusal of pending connection " + i);
     }
     proxy.assertAnswersKeepAlive();
     assertTrue(fixture.api().isConnected(new ProxyId(3)));
@@ -112,7 +115,7 @@
     for (Client proxy : fleet) {
       proxy.assertAnswersKeepAlive();
     }
-    assertTrue(fixture.hasNoEvents(), "and none disconnected");
+    assertTrue(fixture.hasNoEvents(), "no proxy disconnected");
   }
 
   /**
@@ -130,7 +133,7 @@
             client.out().write(keepAlives);
           }
         },
-        "a reset, long before 120 MB were taken");
+        "the connection must be reset before 120 MB are written");
   }
 
   @ParameterizedTest
--- a/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
@@ -123,7 +123,7 @@
     assertEquals(
         "CONFIG replace=1 rows=s-1:1 undrop=s-1 stamp=1",
         newer.receive(),
-        "what other instances excluded is allowed again");
+        "an endpoint that other instances may have excluded is allowed again");
     assertTrue(fixture.hasNoEvents());
   }
 
@@ -194,13 +194,13 @@
     assertEquals(
         new EndpointId("n-0"),
         ((Event.EndpointOutcomes) fixture.nextEvent()).endpoint(),
-        "the message before names a forgotten endpoint");
+        "the report before it names an evicted endpoint");
     collector.assertAnswersKeepAlive();
     assertEquals(1, fixture.api().droppedMessageCount());
     fixture.execute(route(3, "s-1", 1), route(3, "n-59999", 1), assign(3));
     assertEquals(
         "CONFIG replace=1 rows=n-59999:1,s-1:1",
         proxy.receive(),
-        "what is still excluded is excluded at the proxy already");
+        "the proxy already excludes n-59999, and s-1 is no longer excluded");
   }
 }
--- a/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
@@ -149,7 +149,9 @@
           assertEquals(null, fields.put(pair[0], pair[1]), lines.get(i));
         }
         assertEquals(
-            i < lines.size() - 1, "1".equals(fields.remove("part")), "all but the last are parts");
+            i < lines.size() - 1,
+            "1".equals(fields.remove("part")),
+            "every line except the last is marked as a part");
         applyPart(fields);
       }
       assertTrue(lines.size() <= 64);
