--- a/src/main/java/stonespring/decision/ChannelBudget.java
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -11,50 +11,84 @@
 
 /**
  * Estimates the backlog of the channel to the proxies, and decides which updates it has room for.
- * Acknowledgements tell how far the channel is, at whatever pace; without them it is taken to be
- * much slower than configured.
+ * Acknowledgements show how much of the queue has been delivered, whatever the pace of the channel.
+ * Without recent ones the channel is assumed to be much slower than configured.
  *
- * <p>The channel is seen as one queue of entries to all proxies, in the order of sending. An entry
- * is a route, limit, exclusion or acknowledgement request at one proxy, or part of a message's
- * overhead. A position in the queue is the number of entries sent before it, since the engine's
- * start. A batch is recorded when it ends: it takes the positions from where the last one ended,
- * and its acknowledgement number leads back to them. The backlog is what lies between the position
- * that acknowledgements have reached and the end of the queue.
+ * <p>The channel is modelled as one queue of entries to all proxies, in the order of sending. An
+ * entry is a route, limit, exclusion or acknowledgement request at one proxy, or part of a
+ * message's overhead. A position in the queue is the number of entries sent before it since the
+ * engine's start. A batch is recorded when it ends: it takes the positions after those of the
+ * previous batch, and its acknowledgement number identifies it. The backlog is the distance from
+ * the position that acknowledgements have reached to the end of the queue.
  */
 final class ChannelBudget {
-  /** DeciMillis between urgent updates, or exclusion notices, that may wait for each other. */
-  static final long BATCH_INTERVAL = 6 * DeciMillis.SECOND / 10;
+  /**
+   * Least time between exclusion notices, and between urgent updates of a proxy that got many
+   * messages; also the delay until postponed updates are tried again. It is well below the time
+   * that a proxy may be without a route.
+   */
+  static final long BATCH_INTERVAL_DECI_MILLIS = 6 * DeciMillis.SECOND / 10;
 
-  /** DeciMillis for which the last acknowledgement tells how far the channel is. */
-  private static final long ACKNOWLEDGEMENTS_CURRENT_FOR = 3 * DeciMillis.SECOND;
+  /** Time for which the last acknowledgement counts as recent. */
+  private static final long ACKNOWLEDGEMENT_VALIDITY_DECI_MILLIS = 3 * DeciMillis.SECOND;
 
-  /** Times slower than configured, while nothing is acknowledged. */
+  /**
+   * Factor by which the channel is assumed to be slower than configured while nothing is
+   * acknowledged; above that of the slowest channel known.
+   */
   private static final double ASSUMED_SLOWDOWN = 5;
 
-  // Shares of the backlog's limit up to which updates go out; the rest is left to what follows.
-  private static final double ROUTINE_BACKLOG = 0.3;
-  private static final double FIRST_TABLE_BACKLOG = 0.35;
-  private static final double EXCLUSION_BACKLOG = 0.6;
-  private static final double URGENT_BACKLOG = 0.85;
+  /**
+   * Share of the backlog limit up to which routine updates are sent; the rest is left to drains.
+   */
+  private static final double ROUTINE_BACKLOG_SHARE = 0.3;
+
+  /**
+   * Share of the backlog limit up to which first tables and admission limits are sent; they can
+   * wait.
+   */
+  private static final double FIRST_TABLE_BACKLOG_SHARE = 0.35;
+
+  /**
+   * Share of the backlog limit up to which exclusion notices are sent, or first tables in their
+   * place.
+   */
+  private static final double EXCLUSION_BACKLOG_SHARE = 0.6;
+
+  /**
+   * Share of the backlog limit up to which urgent updates are sent; the rest allows for the error
+   * of the estimate.
+   */
+  private static final double URGENT_BACKLOG_SHARE = 0.85;
 
-  /** Share of a proxy's messages up to which routine updates go out. */
-  private static final double ROUTINE_MESSAGES = 0.33;
+  /** Share of the message limit per proxy up to which routine updates are sent. */
+  private static final double ROUTINE_MESSAGE_SHARE = 0.33;
 
-  /** Share of a proxy's messages up to which admission limits go out. */
-  private static final double ADMISSION_MESSAGES = 2 * ROUTINE_MESSAGES;
+  /** Share of the message limit per proxy up to which admission limits are sent. */
+  private static final double ADMISSION_MESSAGE_SHARE = 2 * ROUTINE_MESSAGE_SHARE;
 
+  /** Stands for the message limit if none is configured; it is never reached. */
   private static final double UNLIMITED_MESSAGES = 1e9;
 
-  /** Messages of a proxy that are left to exclusion notices. */
+  /** Messages per proxy and window that are reserved for exclusion notices. */
   private static final int RESERVED_MESSAGES = 2;
 
-  /** Acknowledgement numbers before they start over; about an hour's batches. */
-  private static final int ACK_NUMBERS = 4_000;
+  /**
+   * Count of acknowledgement numbers before they repeat, enough for the batches of about an hour;
+   * older batches are forgotten.
+   */
+  private static final int ACK_NUMBER_COUNT = 4_000;
 
-  /** What was sent in one batch. */
-  private record SentBatch(double start, double entries, int messages) {
-    double end() {
-      return start + entries;
+  /**
+   * A batch that was sent.
+   *
+   * @param startPosition the position of its first entry
+   * @param entries its entries at all proxies, with the overhead of its messages
+   * @param messages its messages, one for each proxy that it reaches
+   */
+  private record SentBatch(double startPosition, double entries, int messages) {
+    double endPosition() {
+      return startPosition + entries;
     }
   }
 
@@ -63,10 +97,17 @@
   private final ProxyRegistry proxies;
   private final CommandBatch batch;
   private final Map<Integer, SentBatch> sentBatches = new HashMap<>();
-  private int nextAck = 1;
+  private int nextAckNumber = 1;
+
+  /** End of the queue: the entries sent so far. */
   private double sentPosition;
+
+  /** Position up to which entries count as delivered. */
   private double acknowledgedPosition;
+
+  /** When the queue would be empty at the assumed pace. */
   private long assumedEmptyAt;
+
   private long lastAcknowledgedAt = EngineClock.NEVER;
 
   ChannelBudget(
@@ -77,18 +118,19 @@
     this.batch = batch;
   }
 
-  /** The position at which the current batch starts. */
-  double sentPosition() {
+  /** Returns the position at which the current batch starts. */
+  double batchStartPosition() {
     return sentPosition;
   }
 
   /**
-   * Ends the batch: records its entries and returns its commands with an acknowledgement request.
+   * Ends the batch: records its entries and returns its commands, with an acknowledgement request
+   * at the end if it reaches any proxy.
    */
   List<Command> endBatch() {
     List<Command> commands = batch.takeCommands();
     if (!batch.proxies().isEmpty()) {
-      commands.add(new Command.RequestAck(new AckId(nextAck), false));
+      commands.add(new Command.RequestAck(new AckId(nextAckNumber), false));
       recordBatch();
     }
     batch.clearEntries();
@@ -97,49 +139,55 @@
 
   private void recordBatch() {
     int messages = batch.proxies().size();
-    sentBatches.put(nextAck, new SentBatch(sentPosition, batch.entries(), messages));
-    nextAck = nextAck % ACK_NUMBERS + 1;
+    sentBatches.put(nextAckNumber, new SentBatch(sentPosition, batch.entries(), messages));
+    nextAckNumber = nextAckNumber % ACK_NUMBER_COUNT + 1;
     sentPosition += batch.entries();
-    double assumedTime =
+    double assumedTimeDeciMillis =
         batch.entries() * DeciMillis.SECOND * ASSUMED_SLOWDOWN / limits.entriesPerSecond();
-    assumedEmptyAt = Math.max(assumedEmptyAt, clock.now()) + (long) assumedTime;
+    assumedEmptyAt = Math.max(assumedEmptyAt, clock.now()) + (long) assumedTimeDeciMillis;
     for (ProxyState proxy : batch.proxies()) {
       int entries = batch.messageOverhead() + batch.entriesFor(proxy);
-      proxy.channel().sent(entries, sentPosition, acknowledgedPosition, clock.now());
+      proxy.channel().recordMessage(entries, sentPosition, acknowledgedPosition, clock.now());
     }
   }
 
   /**
-   * Notes that a proxy applied a batch: all earlier batches left the channel, and its own message.
+   * Records that a proxy applied a batch. All earlier batches, and the proxy's message of this
+   * batch, count as delivered.
    *
-   * @return the position at which the batch started; empty if it is unknown
+   * @return the position at which the batch started; empty if no batch is recorded under the number
    */
-  OptionalDouble acknowledged(ProxyState proxy, AckId ack) {
+  OptionalDouble recordAcknowledgement(ProxyState proxy, AckId ack) {
     SentBatch sent = sentBatches.get(ack.number());
     if (sent == null) {
       return OptionalDouble.empty();
     }
     lastAcknowledgedAt = clock.now();
-    double reached =
-        Math.max(acknowledgedPosition, sent.start()) + sent.entries() / sent.messages();
-    acknowledgedPosition = Math.max(acknowledgedPosition, Math.min(reached, sent.end()));
-    proxy.channel().acknowledged(sent.end());
-    return OptionalDouble.of(sent.start());
+    double reachedPosition =
+        Math.max(acknowledgedPosition, sent.startPosition()) + sent.entries() / sent.messages();
+    acknowledgedPosition =
+        Math.max(acknowledgedPosition, Math.min(reachedPosition, sent.endPosition()));
+    proxy.channel().recordAcknowledgement(sent.endPosition());
+    return OptionalDouble.of(sent.startPosition());
   }
 
-  /** Takes off what waits for a connection that ended: it is lost and never acknowledged. */
-  void disconnected(ProxyState proxy) {
-    double lost = proxy.channel().disconnected(acknowledgedPosition);
+  /**
+   * Removes the undelivered entries of a connection that ended from the backlog: they are lost and
+   * never acknowledged.
+   */
+  void recordDisconnection(ProxyState proxy) {
+    double lost = proxy.channel().dropUnacknowledgedEntries(acknowledgedPosition);
     acknowledgedPosition = Math.min(sentPosition, acknowledgedPosition + lost);
   }
 
   /**
-   * Entries that wait, with those of the current batch. Without current acknowledgements it is no
-   * more than what waits at the assumed pace: acknowledgements may have been lost.
+   * Returns the number of undelivered entries, including those of the current batch. Without a
+   * recent acknowledgement it is at most what would still be undelivered at the assumed pace, since
+   * acknowledgements may have been lost.
    */
   private double backlog() {
     double unacknowledged = sentPosition - acknowledgedPosition;
-    if (clock.since(lastAcknowledgedAt) < ACKNOWLEDGEMENTS_CURRENT_FOR) {
+    if (clock.since(lastAcknowledgedAt) < ACKNOWLEDGEMENT_VALIDITY_DECI_MILLIS) {
       return batch.entries() + unacknowledged;
     }
     double waitingAtAssumedPace =
@@ -151,55 +199,65 @@
   }
 
   /**
-   * Whether all unknown tables can be told of exclusions. Otherwise first tables say the same for
-   * fewer entries.
+   * Returns whether exclusion notices can be sent to all proxies with unknown tables. If not, first
+   * tables have the same effect with fewer entries.
+   *
+   * @param unknownTableCount the number of proxies with unknown tables
+   * @param excludedCount the number of endpoints to exclude at each of them
    */
-  boolean hasRoomForExclusions(long unknownTables, long exclusions) {
-    double entries = backlog() + unknownTables * (batch.messageOverhead() + exclusions);
-    return entries <= EXCLUSION_BACKLOG * limits.maxBacklogEntries();
+  boolean hasRoomForExclusions(long unknownTableCount, long excludedCount) {
+    double entries = backlog() + unknownTableCount * (batch.messageOverhead() + excludedCount);
+    return entries <= EXCLUSION_BACKLOG_SHARE * limits.maxBacklogEntries();
   }
 
   /**
-   * Whether an update may go out that cannot wait for a round. Once a proxy had many messages, its
-   * urgent updates are batched; first tables can wait for the backlog.
+   * Returns whether an update that cannot wait for a round can be sent. After many messages to a
+   * proxy, its urgent updates are at least {@link #BATCH_INTERVAL_DECI_MILLIS} apart. First tables
+   * can wait for a smaller backlog.
    *
-   * @param exclusionsCrowdedOut whether first tables go out in place of exclusion notices
+   * @param exclusionsDoNotFit whether first tables replace exclusion notices, which the channel has
+   *     no room for
    */
-  boolean hasRoomForUrgent(ProxyState proxy, boolean exclusionsCrowdedOut) {
-    double firstTable = exclusionsCrowdedOut ? EXCLUSION_BACKLOG : FIRST_TABLE_BACKLOG;
-    double share = proxy.isTableAssigned() ? URGENT_BACKLOG : firstTable;
-    if (backlog() > share * limits.maxBacklogEntries()) {
+  boolean hasRoomForUrgentUpdate(ProxyState proxy, boolean exclusionsDoNotFit) {
+    double firstTableShare =
+        exclusionsDoNotFit ? EXCLUSION_BACKLOG_SHARE : FIRST_TABLE_BACKLOG_SHARE;
+    double backlogShare = proxy.isTableAssigned() ? URGENT_BACKLOG_SHARE : firstTableShare;
+    if (backlog() > backlogShare * limits.maxBacklogEntries()) {
       return false;
     }
-    if (hasRoutineMessages(proxy)) {
+    if (hasRoutineMessageAllowance(proxy)) {
       return true;
     }
-    return recentMessages(proxy) < limits.maxMessagesPerProxy() - RESERVED_MESSAGES
-        && clock.since(proxy.channel().lastMessageAt()) >= BATCH_INTERVAL;
+    return recentMessageCount(proxy) < limits.maxMessagesPerProxy() - RESERVED_MESSAGES
+        && clock.since(proxy.channel().lastMessageSentAt()) >= BATCH_INTERVAL_DECI_MILLIS;
   }
 
-  /** Whether a routine update leaves enough of the channel to drains and empty tables. */
-  boolean hasRoomForRoutine(ProxyState proxy) {
-    return backlog() < ROUTINE_BACKLOG * limits.maxBacklogEntries() && hasRoutineMessages(proxy);
+  /**
+   * Returns whether a routine update can be sent and leaves enough of the channel to updates for
+   * draining endpoints and empty tables.
+   */
+  boolean hasRoomForRoutineUpdate(ProxyState proxy) {
+    return backlog() < ROUTINE_BACKLOG_SHARE * limits.maxBacklogEntries()
+        && hasRoutineMessageAllowance(proxy);
   }
 
-  /** Whether admission limits may go out to all proxies. */
+  /** Returns whether admission limits can be sent to all proxies. */
   boolean hasRoomForAdmissionLimits() {
     double maxMessages =
         limits.maxMessagesPerProxy() == 0
             ? UNLIMITED_MESSAGES
-            : ADMISSION_MESSAGES * limits.maxMessagesPerProxy();
-    return backlog() < FIRST_TABLE_BACKLOG * limits.maxBacklogEntries()
+            : ADMISSION_MESSAGE_SHARE * limits.maxMessagesPerProxy();
+    return backlog() < FIRST_TABLE_BACKLOG_SHARE * limits.maxBacklogEntries()
         && proxies.all().stream()
-            .allMatch(proxy -> !proxy.isConnected() || recentMessages(proxy) < maxMessages);
+            .allMatch(proxy -> !proxy.isConnected() || recentMessageCount(proxy) < maxMessages);
   }
 
-  private boolean hasRoutineMessages(ProxyState proxy) {
+  private boolean hasRoutineMessageAllowance(ProxyState proxy) {
     return limits.maxMessagesPerProxy() == 0
-        || recentMessages(proxy) < ROUTINE_MESSAGES * limits.maxMessagesPerProxy();
+        || recentMessageCount(proxy) < ROUTINE_MESSAGE_SHARE * limits.maxMessagesPerProxy();
   }
 
-  private int recentMessages(ProxyState proxy) {
-    return proxy.channel().recentMessages(clock.now(), limits.messageWindow());
+  private int recentMessageCount(ProxyState proxy) {
+    return proxy.channel().countRecentMessages(clock.now(), limits.messageWindow());
   }
 }
--- a/src/main/java/stonespring/decision/PendingMove.java
+++ b/src/main/java/stonespring/decision/PendingMove.java
@@ -2,14 +2,15 @@
 
 /** The change of one proxy's table from its weights to its targets, in one scheduling round. */
 final class PendingMove {
-  /** Requests per second; less is a rounding error. */
+  /** Requests per second; a smaller change is a rounding error. */
   private static final double MIN_RATE_CHANGE = 1e-6;
 
+  /** Stands for a potential update time that is not computed yet. */
   private static final double UNKNOWN = -1;
 
   private final ProxyState proxy;
-  private double potentialTime = UNKNOWN;
-  private boolean onPath;
+  private double potentialUpdateTime = UNKNOWN;
+  private boolean onSearchPath;
 
   PendingMove(ProxyState proxy) {
     this.proxy = proxy;
@@ -19,35 +20,40 @@
     return proxy;
   }
 
-  /** Whether it adds more than a rounding error to a route's endpoint. */
-  boolean adds(Route route) {
+  /** Returns whether the move adds more than a rounding error to the load of a route's endpoint. */
+  boolean addsLoadTo(Route route) {
     return proxy.rateChange(route) > MIN_RATE_CHANGE;
   }
 
-  /** Whether it takes more than a rounding error from a route's endpoint. */
-  boolean frees(Route route) {
+  /**
+   * Returns whether the move takes more than a rounding error from the load of a route's endpoint.
+   */
+  boolean removesLoadFrom(Route route) {
     return proxy.rateChange(route) < -MIN_RATE_CHANGE;
   }
 
-  boolean isPotentialTimeKnown() {
-    return potentialTime >= 0;
+  boolean isPotentialUpdateTimeKnown() {
+    return potentialUpdateTime >= 0;
   }
 
-  /** Potential update time, DeciMillis. */
-  double potentialTime() {
-    return potentialTime;
+  /** Returns the potential update time, DeciMillis; {@link UpdateScheduler} says what it is. */
+  double potentialUpdateTime() {
+    return potentialUpdateTime;
   }
 
-  void setPotentialTime(double potentialTime) {
-    this.potentialTime = potentialTime;
+  void setPotentialUpdateTime(double potentialUpdateTime) {
+    this.potentialUpdateTime = potentialUpdateTime;
   }
 
-  /** Whether the search for the deepest dependency passes it at present. */
-  boolean isOnPath() {
-    return onPath;
+  /**
+   * Returns whether the move is on the path that the search for the longest chain of waiting moves
+   * follows at present.
+   */
+  boolean isOnSearchPath() {
+    return onSearchPath;
   }
 
-  void setOnPath(boolean onPath) {
-    this.onPath = onPath;
+  void setOnSearchPath(boolean onSearchPath) {
+    this.onSearchPath = onSearchPath;
   }
 }
--- a/src/main/java/stonespring/decision/TableUpdater.java
+++ b/src/main/java/stonespring/decision/TableUpdater.java
@@ -3,10 +3,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Sends a proxy's table towards its targets, and books the load that this shifts. */
+/** Sends changes of a proxy's table towards its targets, and records the load that they shift. */
 final class TableUpdater {
-  /** Weights are sent in steps of a thousandth. */
-  private static final double WEIGHT_STEPS = 1000;
+  /** Weights are rounded to thousandths. */
+  private static final double WEIGHT_STEPS_PER_UNIT = 1000;
 
   private final EndpointRegistry endpoints;
   private final CommandBatch batch;
@@ -28,12 +28,12 @@
   }
 
   /**
-   * Sends a share of the way from weights to targets; routes to endpoints that are not ready go at
-   * once. A proxy with an unknown table is assigned its own.
+   * Sends part of the change from weights to targets, but removes routes to endpoints that are not
+   * ready at once. A proxy with an unknown table is assigned its own table.
    *
-   * @param share 0 to 1
+   * @param share the part of the change, 0 to 1
    */
-  void send(ProxyState proxy, double share) {
+  void sendTable(ProxyState proxy, double share) {
     SortedMap<EndpointState, Double> rateChanges = sendRoutes(proxy, share);
     proxy.resetRoundsWaited();
     if (share >= 1) {
@@ -46,7 +46,7 @@
       batch.assignTable(proxy);
       proxy.markTableAssigned();
     }
-    inFlight.add(proxy, budget.sentPosition(), rateChanges);
+    inFlight.add(proxy, budget.batchStartPosition(), rateChanges);
   }
 
   private SortedMap<EndpointState, Double> sendRoutes(ProxyState proxy, double share) {
@@ -61,8 +61,8 @@
       if (weight > 0) {
         exclusions.setExcluded(endpoint, false);
       }
-      double before = proxy.isTableAssigned() ? route.weight() : 0;
-      rateChanges.put(endpoint, proxy.averageRate() * (weight - before));
+      double weightBefore = proxy.isTableAssigned() ? route.weight() : 0;
+      rateChanges.put(endpoint, proxy.averageRate() * (weight - weightBefore));
       route.setWeight(weight);
     }
     return rateChanges;
@@ -73,6 +73,6 @@
       return 0;
     }
     double weight = route.weight() + share * (route.target() - route.weight());
-    return Math.round(weight * WEIGHT_STEPS) / WEIGHT_STEPS;
+    return Math.round(weight * WEIGHT_STEPS_PER_UNIT) / WEIGHT_STEPS_PER_UNIT;
   }
 }
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -8,12 +8,15 @@
 import stonespring.model.Settings;
 
 /**
- * The proxies whose tables cannot wait for a round: they hold no route, or one to an endpoint that
- * left, or their table is unknown.
+ * Selects and sends the table updates that cannot wait for a round: those of proxies that have no
+ * route, a route to an endpoint that left, or an unknown table.
  */
 final class UrgentUpdates {
-  /** DeciMillis; the time that proxies allow for what left, less a message's way. */
-  private static final long UNKNOWN_TABLE_TIMEOUT = 17 * DeciMillis.SECOND / 10;
+  /**
+   * Time that an unknown table may stay in use: the time that proxies allow for endpoints that
+   * left, less the delivery time of a message.
+   */
+  private static final long UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS = 17 * DeciMillis.SECOND / 10;
 
   private final Settings settings;
   private final EngineClock clock;
@@ -23,7 +26,9 @@
   private final ChannelBudget budget;
   private final ExclusionNotifier exclusions;
   private final Set<ProxyState> selected = new LinkedHashSet<>();
-  private boolean exclusionsCrowdedOut;
+
+  /** Whether the channel has no room for exclusion notices, so that first tables replace them. */
+  private boolean exclusionsDoNotFit;
 
   UrgentUpdates(
       Settings settings,
@@ -48,13 +53,13 @@
    *
    * @return whether an update or a notice was postponed
    */
-  boolean select() {
+  boolean selectDueUpdates() {
     selected.clear();
-    boolean anyLeft = endpoints.notReady().findAny().isPresent();
-    exclusionsCrowdedOut = anyLeft && !exclusions.hasRoom();
+    boolean anyNotReady = endpoints.notReady().findAny().isPresent();
+    exclusionsDoNotFit = anyNotReady && !exclusions.hasRoomForNotices();
     boolean postponed = false;
     for (ProxyState proxy : proxies.all()) {
-      boolean due = isDue(proxy, anyLeft);
+      boolean due = isDue(proxy, anyNotReady);
       if (due && hasRoom(proxy)) {
         selected.add(proxy);
       } else {
@@ -62,41 +67,48 @@
         requestExclusions(proxy);
       }
     }
-    exclusions.notifyIfDue(anyLeft && !exclusionsCrowdedOut);
-    return postponed || exclusions.isPending();
+    exclusions.sendNoticesIfDue(anyNotReady && !exclusionsDoNotFit);
+    return postponed || exclusions.areNoticesPending();
   }
 
-  /** Has a proxy told, once after it connected, what its unknown table must not use. */
+  /**
+   * Requests exclusion notices once for each connection of a proxy that may hold unknown tables.
+   */
   private void requestExclusions(ProxyState proxy) {
     if (proxy.mayHoldUnknownTables() && !proxy.areExclusionsRequested()) {
-      exclusions.request();
+      exclusions.requestNotices();
       proxy.markExclusionsRequested();
     }
   }
 
-  /** Tables of shards stand as they are stored. */
-  private boolean isDue(ProxyState proxy, boolean anyLeft) {
+  /**
+   * Returns whether a proxy needs an update now. Proxies of sharded fleets never do: they keep the
+   * tables that are stored for their shards.
+   */
+  private boolean isDue(ProxyState proxy, boolean anyNotReady) {
     if (!proxy.isConnected() || settings.fleet().sharded()) {
       return false;
     }
     return proxy.isTableAssigned()
         ? proxy.table().isBroken()
-        : proxy.isWithoutTables() || cadence.hasEnoughRounds() || isOverdue(proxy, anyLeft);
+        : proxy.isWithoutTables() || cadence.hasEnoughRounds() || isOverdue(proxy, anyNotReady);
   }
 
   /**
-   * Tables from before a start stand for the first rounds, but not for long: all that one names may
-   * have left, or be about to as this instance's predecessor died, and no list tells of it.
+   * Returns whether an unknown table must be replaced although few rounds have passed. Tables from
+   * before this instance started stay for the first rounds, but not for long: all endpoints of one
+   * may have left, or may have begun to leave when this instance's predecessor died, and the
+   * endpoint list no longer shows them.
    */
-  private boolean isOverdue(ProxyState proxy, boolean anyLeft) {
-    long connectedFor = clock.since(proxy.connectedAt());
-    return exclusionsCrowdedOut
-        || anyLeft && connectedFor > settings.routing().maxTimeWithoutEndpoint() / 2
-        || cadence.hasStarted() && connectedFor > UNKNOWN_TABLE_TIMEOUT;
+  private boolean isOverdue(ProxyState proxy, boolean anyNotReady) {
+    long connectedForDeciMillis = clock.since(proxy.connectedAt());
+    return exclusionsDoNotFit
+        || anyNotReady && connectedForDeciMillis > settings.routing().maxTimeWithoutEndpoint() / 2
+        || cadence.hasStarted() && connectedForDeciMillis > UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS;
   }
 
   private boolean hasRoom(ProxyState proxy) {
-    return budget.hasRoomForUrgent(proxy, exclusionsCrowdedOut);
+    return budget.hasRoomForUrgentUpdate(proxy, exclusionsDoNotFit);
   }
 
   void add(ProxyState proxy) {
@@ -111,13 +123,16 @@
     return selected.isEmpty();
   }
 
-  /** Sends the selected tables as far as there is room, those that are in use first. */
-  void send(TableUpdater updater) {
-    List<ProxyState> byUse =
+  /**
+   * Sends the selected tables while the channel has room; updates of tables in use come before
+   * first tables.
+   */
+  void sendSelected(TableUpdater updater) {
+    List<ProxyState> assignedTablesFirst =
         selected.stream().sorted(Comparator.comparing(proxy -> !proxy.isTableAssigned())).toList();
-    for (ProxyState proxy : byUse) {
+    for (ProxyState proxy : assignedTablesFirst) {
       if (hasRoom(proxy)) {
-        updater.send(proxy, 1);
+        updater.sendTable(proxy, 1);
       }
     }
   }
--- a/src/main/java/stonespring/state/ProxySessions.java
+++ b/src/main/java/stonespring/state/ProxySessions.java
@@ -13,13 +13,15 @@
 import stonespring.model.ProxyId;
 
 /**
- * Which proxies are connected. A session begins with a hello that claims a name, is kept by
- * renewing it, and ends with its lease, its connection, or a later session of the same process.
- * Proxies' ids are dense and bounded: when all are used, that of the proxy longest disconnected is
- * reused; if there is none, the newcomer is refused. Instants are passed in as {@link
- * stonespring.model.DeciMillis}. Not safe for several threads.
+ * The sessions of connected proxies. A session starts with a hello for a proxy name. Further hellos
+ * renew its lease. It ends when the lease expires, when its connection closes, or when the same
+ * process starts a later session.
  *
- * @param <C> stands for a connection; connections are told apart by identity
+ * <p>Proxy ids are dense and less than the maximum number of proxies. When all are in use, a new
+ * proxy takes over the id of the proxy that has been disconnected longest; if none is disconnected,
+ * the new proxy is refused. Instants are in {@link stonespring.model.DeciMillis}. Not thread-safe.
+ *
+ * @param <C> type of a connection; connections are compared by identity
  */
 public final class ProxySessions<C> {
   private static final class Session<C> {
@@ -27,8 +29,8 @@
     private final ProxyId id;
     private ProxyHello hello;
     private C connection;
-    private long expiresAt;
-    private long number;
+    private long expiresAtDeciMillis;
+    private long sessionNumber;
 
     Session(String name, ProxyId id) {
       this.name = name;
@@ -46,53 +48,63 @@
   private final Map<C, Set<Session<C>>> byConnection = new IdentityHashMap<>();
   private final LinkedHashSet<Session<C>> disconnected = new LinkedHashSet<>();
   private final ArrayDeque<Session<C>> connected = new ArrayDeque<>();
-  private long sessionsBegun;
+  private long startedSessionCount;
 
-  /** Creates an empty set of sessions for at most so many proxies. */
+  /**
+   * Creates an empty set of sessions.
+   *
+   * @param maxProxies maximum number of proxies with an id, connected or not
+   */
   public ProxySessions(int maxProxies) {
     this.maxProxies = maxProxies;
   }
 
   /**
-   * Takes a hello that was received on a connection.
+   * Starts or renews a session, or refuses a hello received on a connection.
    *
-   * @param expiresAt when the session ends if it is not renewed
+   * @param expiresAtDeciMillis when the session ends if it is not renewed again
    */
   public HelloResult<C> handleHello(
-      String name, ProxyHello hello, C connection, long now, long expiresAt) {
+      String name, ProxyHello hello, C connection, long now, long expiresAtDeciMillis) {
     Session<C> session = byName.get(name);
     if (session != null && session.isConnected()) {
-      return helloAgain(session, hello, connection, now, expiresAt);
+      return handleHelloOfConnectedProxy(session, hello, connection, now, expiresAtDeciMillis);
     }
     if (session == null) {
       Optional<ProxyId> id = allocateId();
       if (id.isEmpty()) {
         return new HelloResult.Refused<>(
-            "proxy " + name + ": " + maxProxies + " proxies are here, the limit");
+            "proxy "
+                + name
+                + " refused: "
+                + maxProxies
+                + " proxies are connected, which is the limit");
       }
       session = new Session<>(name, id.get());
       byName.put(name, session);
       byId.put(session.id.number(), session);
     }
-    begin(session, hello, connection, expiresAt);
+    startSession(session, hello, connection, expiresAtDeciMillis);
     return new HelloResult.Connected<>(session.id, Optional.empty());
   }
 
-  private HelloResult<C> helloAgain(
-      Session<C> session, ProxyHello hello, C connection, long now, long expiresAt) {
-    if (session.connection == connection && hello.renews(session.hello)) {
-      session.expiresAt = expiresAt;
+  private HelloResult<C> handleHelloOfConnectedProxy(
+      Session<C> session, ProxyHello hello, C connection, long now, long expiresAtDeciMillis) {
+    if (session.connection == connection && hello.isSameSessionAs(session.hello)) {
+      session.expiresAtDeciMillis = expiresAtDeciMillis;
       session.hello = hello;
       return new HelloResult.Renewed<>(session.id);
     }
-    // Another process of the same name waits for the lease to end; the same process in a later
-    // session knows that its earlier one is dead, even if that is half open here.
-    if (session.expiresAt > now && !hello.replaces(session.hello)) {
-      return new HelloResult.Refused<>("proxy " + session.name + " is here already");
+    // Another process with the same name is refused until the lease expires. A later session of the
+    // same process replaces the earlier one at once: the process knows that its earlier connection
+    // is dead, even if that connection is still half open at this end.
+    if (session.expiresAtDeciMillis > now && !hello.isLaterSessionThan(session.hello)) {
+      return new HelloResult.Refused<>(
+          "proxy " + session.name + " refused: another session with this name is active");
     }
     C replaced = session.connection;
-    end(session);
-    begin(session, hello, connection, expiresAt);
+    endSession(session);
+    startSession(session, hello, connection, expiresAtDeciMillis);
     return new HelloResult.Connected<>(session.id, Optional.of(replaced));
   }
 
@@ -103,23 +115,24 @@
     if (disconnected.isEmpty()) {
       return Optional.empty();
     }
-    Session<C> oldest = disconnected.iterator().next();
-    disconnected.remove(oldest);
-    byName.remove(oldest.name);
-    return Optional.of(oldest.id);
+    Session<C> longestDisconnected = disconnected.iterator().next();
+    disconnected.remove(longestDisconnected);
+    byName.remove(longestDisconnected.name);
+    return Optional.of(longestDisconnected.id);
   }
 
-  private void begin(Session<C> session, ProxyHello hello, C connection, long expiresAt) {
+  private void startSession(
+      Session<C> session, ProxyHello hello, C connection, long expiresAtDeciMillis) {
     disconnected.remove(session);
     session.hello = hello;
     session.connection = connection;
-    session.expiresAt = expiresAt;
-    session.number = ++sessionsBegun;
+    session.expiresAtDeciMillis = expiresAtDeciMillis;
+    session.sessionNumber = ++startedSessionCount;
     byConnection.computeIfAbsent(connection, key -> new LinkedHashSet<>()).add(session);
     connected.add(session);
   }
 
-  private void end(Session<C> session) {
+  private void endSession(Session<C> session) {
     Set<Session<C>> sessions = byConnection.get(session.connection);
     sessions.remove(session);
     if (sessions.isEmpty()) {
@@ -130,29 +143,29 @@
     disconnected.add(session);
   }
 
-  /** A connection closed: ends all sessions on it, and returns their proxies. */
+  /** Ends all sessions on a connection that closed, and returns their proxies. */
   public List<ProxyId> endSessions(C connection) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(byConnection.getOrDefault(connection, Set.of()))) {
-      end(session);
+      endSession(session);
       ended.add(session.id);
     }
     return ended;
   }
 
-  /** Ends the sessions that were not renewed in time, and returns their proxies. */
+  /** Ends the sessions whose lease has expired, and returns their proxies. */
   public List<ProxyId> endExpiredSessions(long now) {
     List<ProxyId> ended = new ArrayList<>();
     for (Session<C> session : List.copyOf(connected)) {
-      if (session.expiresAt <= now) {
-        end(session);
+      if (session.expiresAtDeciMillis <= now) {
+        endSession(session);
         ended.add(session.id);
       }
     }
     return ended;
   }
 
-  /** The proxy of that name, if its session is on this connection. */
+  /** Returns the proxy with the name, if its session is on this connection. */
   public Optional<ProxyId> find(String name, C connection) {
     Session<C> session = byName.get(name);
     return session != null && session.connection == connection
@@ -165,22 +178,25 @@
     return session != null && session.isConnected();
   }
 
-  /** The name of a proxy that connected at least once. */
+  /** Returns the name of a proxy that has connected at least once. */
   public String name(ProxyId proxy) {
     return byId.get(proxy.number()).name;
   }
 
-  /** The latest hello of a proxy that connected at least once. */
+  /** Returns the latest hello of a proxy that has connected at least once. */
   public ProxyHello hello(ProxyId proxy) {
     return byId.get(proxy.number()).hello;
   }
 
-  /** Counts the sessions of all proxies: tells a proxy's session from every other. */
+  /**
+   * Returns the number of the latest session of a proxy that has connected at least once. Numbers
+   * are unique across all proxies and rise in the order in which sessions start.
+   */
   public long sessionNumber(ProxyId proxy) {
-    return byId.get(proxy.number()).number;
+    return byId.get(proxy.number()).sessionNumber;
   }
 
-  /** How many proxies are connected. */
+  /** Returns the number of connected proxies. */
   public int connectedCount() {
     return connected.size();
   }
--- a/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
+++ b/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 
-/** For how much of the time proxies are taken to eject an endpoint. */
+/** Share of the time for which proxies are expected to eject an endpoint. */
 final class OutlierEjectionModelTest {
   private final EngineClock clock = new EngineClock(100 * Fleet.SECOND);
   private final Settings settings = new FleetSettings().ejectAfter(3).build();
@@ -49,27 +49,27 @@
   }
 
   @Test
-  void observedEjectionGrowsWithARunOfFailures() {
-    // Ten requests per second, a hundredth of them here, half of which fail: 15 s for each run.
+  void computesObservedEjectionFromProbabilityOfFailureRun() {
+    // 10 requests per second, a hundredth of them here, half of which fail; 15 s for each run of 3.
     assertEquals(10 * 0.01 * 15 * Math.pow(0.5, 3), ejectedShare(endpoint(0, 18, 10), OBSERVED));
   }
 
   @Test
-  void worstCaseReckonsWithFailuresThatAreNotReported() {
+  void assumesUnreportedFailuresInWorstCase() {
     EndpointState healthy = endpoint(0, 18, 0);
     assertEquals(0, ejectedShare(healthy, OBSERVED));
     assertTrue(ejectedShare(healthy, WORST_CASE) > 0.1);
   }
 
   @Test
-  void failuresOfAWarmingEndpointAreNotObservedEjection() {
+  void ignoresObservedFailuresOfWarmingEndpoint() {
     EndpointState warming = endpoint(clock.now(), 18, 10);
     assertEquals(0, ejectedShare(warming, OBSERVED));
     assertTrue(ejectedShare(warming, WORST_CASE) > 0.1);
   }
 
   @Test
-  void proxiesThatEjectNothingAreTakenAtTheirWord() {
+  void expectsNoEjectionWhenProxiesDoNotEject() {
     EndpointState failing = endpoint(0, 18, 18);
     OutlierEjectionModel none =
         new OutlierEjectionModel(new FleetSettings().ejectAfter(0).build().routing(), endpoints);
