--- a/src/main/java/stonespring/daemon/ChpDaemon.java
+++ b/src/main/java/stonespring/daemon/ChpDaemon.java
@@ -27,16 +27,20 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * An instance that serves proxies by CHP: one event loop for its sockets, one thread for its
- * decision engine. It starts with the endpoint list that was saved last and without route tables.
+ * An instance that serves proxies over the Clustered Hashmap Protocol (CHP). One event loop handles
+ * its sockets, a thread of its own runs its decision engine. It starts with the last saved endpoint
+ * list and without route tables.
  */
 public final class ChpDaemon implements Instance {
   private static final Logger LOG = LoggerFactory.getLogger(ChpDaemon.class);
 
-  /** For what waits to be sent; peers that read have it long before. */
+  /**
+   * Time allowed for sending pending data at the stop. Peers that read their sockets receive it
+   * well before that.
+   */
   private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
-  /** Room for a million updates in each millisecond of a run. */
+  /** Sequence numbers reserved for each millisecond of a run, in bits: about a million updates. */
   private static final int SEQUENCE_BITS_PER_MILLI = 20;
 
   private static final long NANOS_PER_MICRO = 1_000;
@@ -48,35 +52,35 @@
   private final EngineThread engineThread;
   private final ChpServer server;
   private final EndpointSource source;
-  private final CachedEndpointList savedList;
+  private final CachedEndpointList cachedEndpointList;
 
   /** Creates an instance; {@link #start} starts it. */
   public ChpDaemon(InstanceSettings settings) {
     this.settings = settings;
-    InstanceSettings.Limits bounds = settings.limits();
-    this.engineThread = new EngineThread(clock, bounds.inboxMessages(), bounds.batchMillis());
-    NameTable names = new NameTable(settings.zones(), settings.requestClasses().names());
+    InstanceSettings.Limits limits = settings.limits();
+    this.engineThread = new EngineThread(clock, limits.inboxMessages(), limits.batchMillis());
+    NameTable nameTable = new NameTable(settings.zones(), settings.requestClasses().names());
     this.server =
         new ChpServer(
             eventLoops,
-            connectionLimits(bounds),
-            new ChpProxyApi(new QueuedMessageHandler(engineThread), names));
+            connectionLimits(limits),
+            new ChpProxyApi(new QueuedMessageHandler(engineThread), nameTable));
     EndpointListCodec codec = new EndpointListCodec(settings.zones(), clock.unixOffset());
     this.source =
         createSource(settings.endpointList().source(), codec, (EventLoop) eventLoops.next());
-    this.savedList = new CachedEndpointList(settings.endpointList().cacheFile(), codec);
+    this.cachedEndpointList = new CachedEndpointList(settings.endpointList().cacheFile(), codec);
   }
 
-  private static ZmtpLimits connectionLimits(InstanceSettings.Limits bounds) {
-    ZmtpLimits usual = ZmtpLimits.DEFAULT;
+  private static ZmtpLimits connectionLimits(InstanceSettings.Limits limits) {
+    ZmtpLimits defaults = ZmtpLimits.DEFAULT;
     return new ZmtpLimits(
-        usual.maxFrameBytes(),
-        usual.maxMessageBytes(),
-        usual.maxFrames(),
-        bounds.pendingBytes(),
-        usual.maxSubscriptions(),
-        usual.handshakeTimeoutMillis(),
-        bounds.connections());
+        defaults.maxFrameBytes(),
+        defaults.maxMessageBytes(),
+        defaults.maxFrames(),
+        limits.pendingBytes(),
+        defaults.maxSubscriptions(),
+        defaults.handshakeTimeoutMillis(),
+        limits.connections());
   }
 
   private static EndpointSource createSource(
@@ -95,25 +99,26 @@
   }
 
   /**
-   * Listens and starts the decision engine.
+   * Binds the ports and starts the decision engine.
    *
-   * @throws IOException if a port can't be had; the message names it
+   * @throws IOException if a port cannot be bound; the message names the port
    */
   public void start() throws IOException, InterruptedException {
     EngineHost host = createHost();
     server.start(settings.listen().host(), settings.listen().port());
-    List<EndpointRecord> saved = savedList.read();
+    List<EndpointRecord> cachedEndpoints = cachedEndpointList.read();
     engineThread.start(settings.name(), host);
-    onEndpointListUpdate(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, saved));
-    source.start(this::onEndpointListUpdate, savedList::store);
+    onEndpointListUpdate(
+        new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, cachedEndpoints));
+    source.start(this::onEndpointListUpdate, cachedEndpointList::store);
     LOG.info(
-        "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints of the saved list",
+        "assigner {} serves at {}:{} (snapshots), {} (updates), {} (collector); {} endpoints loaded from the saved list",
         settings.name(),
         settings.listen().host(),
         port(),
         port() + 1,
         port() + 2,
-        saved.size());
+        cachedEndpoints.size());
   }
 
   private EngineHost createHost() {
@@ -124,8 +129,8 @@
             settings.limits().proxies(),
             HostLimits.DEFAULT.reportPairs(),
             HostLimits.DEFAULT.keys());
-    // Sequences rise over restarts: subscribers drop an update whose sequence is not above the
-    // last.
+    // Sequence numbers must increase across restarts: subscribers drop an update whose sequence
+    // number is not above that of the update before.
     long firstSequence = unixMillis << SEQUENCE_BITS_PER_MILLI;
     return new EngineHost(
         settings.settings(),
@@ -151,9 +156,9 @@
     engineThread.post((host, now) -> host.handleEndpointListUpdate(update, now));
   }
 
-  /** Publishes by the server, and passes requests on to the endpoint source. */
+  /** Publishes updates through the server and forwards endpoint list requests to the source. */
   private final class ServerEnvironment implements HostEnvironment {
-    private final EndpointListRequests endpointList = EndpointListRequests.to(source);
+    private final EndpointListRequests endpointListRequests = EndpointListRequests.to(source);
 
     @Override
     public void publish(List<KeyUpdate> updates) {
@@ -164,16 +169,18 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-      endpointList.watchEndpoints(enabled);
+      endpointListRequests.watchEndpoints(enabled);
     }
 
     @Override
     public void fetchEndpoints() {
-      endpointList.fetchEndpoints();
+      endpointListRequests.fetchEndpoints();
     }
   }
 
-  /** Returns the port of snapshots; those of updates and of the collector follow it. */
+  /**
+   * Returns the port for snapshots; the next two ports are those for updates and for the collector.
+   */
   public int port() {
     return server.port();
   }
@@ -183,22 +190,22 @@
     return engineThread.awaitEnd();
   }
 
-  /** Closes the listeners, sends what waits, snapshots included, and closes all connections. */
+  /** Closes the listeners, sends pending data including snapshots, and closes all connections. */
   @Override
   public void stop() throws InterruptedException {
     source.stop();
     server.stopListening();
     engineThread.stop();
     server.stop(STOP_TIMEOUT_MILLIS);
-    savedList.stop();
-    DurationHistogram batches = engineThread.batches();
+    cachedEndpointList.stop();
+    DurationHistogram batchDurations = engineThread.batchDurations();
     LOG.info(
-        "assigner {} stopped: {} batches, p50 {} us, p99 {} us, max {} us; {} messages refused",
+        "assigner {} stopped: {} batches, duration p50 {} us, p99 {} us, max {} us; {} messages refused",
         settings.name(),
-        batches.count(),
-        batches.atPercentile(50) / NANOS_PER_MICRO,
-        batches.atPercentile(99) / NANOS_PER_MICRO,
-        batches.max() / NANOS_PER_MICRO,
+        batchDurations.count(),
+        batchDurations.atPercentile(50) / NANOS_PER_MICRO,
+        batchDurations.atPercentile(99) / NANOS_PER_MICRO,
+        batchDurations.max() / NANOS_PER_MICRO,
         engineThread.refusedJobs());
     eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -30,44 +30,49 @@
 import stonespring.state.RouteTables;
 
 /**
- * An instance without threads, clock and sockets: it passes what proxies and the endpoint list say
- * to the decision engine, and publishes what the engine commands. Reports of proxies are aggregated
- * and passed on once per report interval.
+ * An instance without threads, clock and sockets. It passes messages of proxies and updates of the
+ * endpoint list to the decision engine, and publishes the engine's commands as keys. Reports of
+ * proxies are aggregated and passed to the engine once per report interval.
  *
- * <p>All times and durations are {@link DeciMillis} and are passed in, so that tests drive a host
+ * <p>All times and durations are {@link DeciMillis} and are passed in, so that tests can run a host
  * in virtual time. Not thread-safe. Methods that pass events to the engine throw {@link
  * DecisionFailedException} if it fails; the host must not be used after that.
  */
 public final class EngineHost {
   private static final Logger LOG = LoggerFactory.getLogger(EngineHost.class);
+
+  /** Operators and monitoring probes do not read the status more often. */
   private static final long STATUS_INTERVAL = DeciMillis.SECOND;
+
+  /** Upper limit of the histogram; longer durations are recorded as this one. */
   private static final long MAX_ACKNOWLEDGEMENT_DURATION = 600 * DeciMillis.SECOND;
-  private static final int ACKNOWLEDGEMENT_DIGITS = 2;
+
+  private static final int ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS = 2;
 
   private final Settings settings;
   private final HostEnvironment environment;
-  private final EngineRunner engine;
+  private final EngineRunner engineRunner;
   private final ProxySessions<ProxyConnection> sessions;
   private final RouteTables routeTables;
   private final ReportAggregator reports;
   private final RateLimitedChannel channel;
   private final KeyStore keys;
   private final PublishedKeyCodec keyCodec;
-  private final PublishedState published;
+  private final PublishedState publishedState;
   private final ListedEndpoints endpoints = new ListedEndpoints();
-  private final DurationHistogram acknowledgements =
-      new DurationHistogram(MAX_ACKNOWLEDGEMENT_DURATION, ACKNOWLEDGEMENT_DIGITS);
+  private final DurationHistogram acknowledgementDurations =
+      new DurationHistogram(MAX_ACKNOWLEDGEMENT_DURATION, ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS);
   private final CommandCauses causes = new CommandCauses();
   private long nextReportsAt;
   private long nextStatusAt;
-  private long reportsOfUnknownEndpoints;
+  private long observationsOfUnknownEndpoints;
 
   /**
    * Creates a host without proxies and endpoints.
    *
-   * @param epoch names this start of the instance; unlike that of any other start
-   * @param firstSequence the highest sequence number that an earlier start may have given out; the
-   *     first key update has the next one
+   * @param epoch identifies this start of the instance; must differ from that of any other start
+   * @param firstSequence the highest sequence number that an earlier start may have used; the first
+   *     key update gets the next one
    */
   public EngineHost(
       Settings settings,
@@ -80,27 +85,27 @@
       long now) {
     this.settings = settings;
     this.environment = environment;
-    this.engine = new EngineRunner(engine, environment);
+    this.engineRunner = new EngineRunner(engine, environment);
     this.sessions = new ProxySessions<>(limits.proxies());
     this.routeTables = new RouteTables(requestClassNames.size());
     this.reports = new ReportAggregator(limits.reportPairs());
     this.channel = new RateLimitedChannel(settings.channel());
     this.keys = new KeyStore(firstSequence, limits.keys());
     this.keyCodec = new PublishedKeyCodec(requestClassNames);
-    this.published = new PublishedState(keys, keyCodec, epoch, sessions);
+    this.publishedState = new PublishedState(keys, keyCodec, epoch, sessions);
     this.nextReportsAt = now + settings.reportInterval();
     this.nextStatusAt = now;
   }
 
-  private void handle(long now, Event event, String cause) {
+  private void passToEngine(long now, Event event, String cause) {
     causes.add(cause);
-    engine.handle(now, event);
+    engineRunner.handle(now, event);
   }
 
   /**
-   * Opens or renews a proxy's session, or closes its connection if that is refused.
+   * Opens or renews a proxy's session, or closes the connection if the session is refused.
    *
-   * @param sessionTimeout from now
+   * @param sessionTimeout time from {@code now} after which the session expires unless renewed
    */
   public void handleHello(
       String proxy, ProxyHello hello, long sessionTimeout, ProxyConnection connection, long now) {
@@ -130,33 +135,35 @@
     Event connected =
         new Event.ProxyConnected(
             id, hello.zone(), hello.requestsPerSecond(), hello.withoutTables());
-    handle(now, connected, "connect " + proxy);
-    environment.publish(published.publishSessionStart(id));
+    passToEngine(now, connected, "connect " + proxy);
+    environment.publish(publishedState.publishSessionStart(id));
     LOG.info(
-        "proxy {} connected as {}, session {}, {}",
+        "proxy {} connected as number {}, session {}, {}",
         proxy,
         id.number(),
-        published.sessionId(id),
-        hello.withoutTables() ? "with its bootstrap table" : "with route tables of its own");
+        publishedState.sessionId(id),
+        hello.withoutTables()
+            ? "with only its bootstrap table"
+            : "with route tables from an earlier session");
   }
 
   private void endSession(ProxyId id, String reason, long now) {
     routeTables.removeProxy(id);
     channel.removeProxy(id);
     reports.discardRequestCounts(id);
-    environment.publish(published.publishSessionEnd(id));
-    handle(now, new Event.ProxyDisconnected(id), "disconnect " + sessions.name(id));
+    environment.publish(publishedState.publishSessionEnd(id));
+    passToEngine(now, new Event.ProxyDisconnected(id), "disconnect " + sessions.name(id));
     LOG.info("proxy {} disconnected: {}", sessions.name(id), reason);
   }
 
-  /** Ends the sessions of all proxies on a connection that was closed. */
+  /** Ends all sessions on a connection that has been closed. */
   public void handleConnectionClosed(ProxyConnection connection, long now) {
     for (ProxyId id : sessions.endSessions(connection)) {
       endSession(id, "its connection was closed", now);
     }
   }
 
-  /** Takes a proxy's report, or closes the connection if the proxy has no session on it. */
+  /** Handles a proxy's report, or closes the connection if the proxy has no session on it. */
   public void handleReport(String proxy, ProxyReport report, ProxyConnection connection) {
     Optional<ProxyId> id = sessions.find(proxy, connection);
     if (id.isEmpty()) {
@@ -164,17 +171,18 @@
       return;
     }
     ProxyHello hello = sessions.hello(id.get());
-    List<ProxyReport.EndpointObservation> known = ofKnownEndpoints(report.endpoints(), hello);
-    reportsOfUnknownEndpoints += report.endpoints().size() - known.size();
+    List<ProxyReport.EndpointObservation> known = selectKnownEndpoints(report.endpoints(), hello);
+    observationsOfUnknownEndpoints += report.endpoints().size() - known.size();
     reports.add(
         id.get(), hello.zone(), new ProxyReport(report.interval(), known, report.requests()));
   }
 
   /**
-   * Selects the observations of endpoints that were listed or that the proxy's own route tables
-   * name: those may have left the list before this start, and the engine must know of them.
+   * Selects the observations of endpoints that were listed since the start or that are in the
+   * proxy's own route tables. The latter may have left the list before the start, and the engine
+   * must know about them.
    */
-  private List<ProxyReport.EndpointObservation> ofKnownEndpoints(
+  private List<ProxyReport.EndpointObservation> selectKnownEndpoints(
       List<ProxyReport.EndpointObservation> observations, ProxyHello hello) {
     List<EndpointId> ownRoutes = hello.tableEndpoints().orElse(List.of());
     List<ProxyReport.EndpointObservation> known = new ArrayList<>(observations.size());
@@ -188,8 +196,8 @@
   }
 
   /**
-   * Takes a proxy's acknowledgement of an update. One for an earlier session is ignored; one that
-   * was never requested closes the connection.
+   * Handles a proxy's acknowledgement of an update. An acknowledgement for an earlier session is
+   * ignored; if it was never requested, the connection is closed.
    */
   public void handleAcknowledgement(
       String proxy, ProxyAcknowledgement acknowledgement, ProxyConnection connection, long now) {
@@ -198,29 +206,29 @@
       connection.close("answer: proxy " + proxy + " has no session on this connection");
       return;
     }
-    if (!published.sessionId(id).equals(acknowledgement.sessionId())) {
+    if (!publishedState.sessionId(id).equals(acknowledgement.sessionId())) {
       return;
     }
     AckId ack = acknowledgement.ack();
-    OptionalLong commandedAt = published.acknowledge(id, ack);
+    OptionalLong commandedAt = publishedState.acknowledge(id, ack);
     if (commandedAt.isEmpty()) {
       connection.close(
           "answer: acknowledgement " + ack.number() + " was never requested of proxy " + proxy);
       return;
     }
-    acknowledgements.record(now - commandedAt.getAsLong());
+    acknowledgementDurations.record(now - commandedAt.getAsLong());
     Event acknowledged = new Event.UpdateAcknowledged(id, ack, acknowledgement.duration());
-    handle(now, acknowledged, "ack " + proxy);
+    passToEngine(now, acknowledged, "ack " + proxy);
   }
 
-  /** Takes an update of the endpoint list. */
+  /** Handles an update of the endpoint list. */
   public void handleEndpointListUpdate(Event.EndpointListUpdate update, long now) {
     endpoints.update(update);
     LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
-    handle(now, update, "list " + update.kind() + " of " + update.endpoints().size());
+    passToEngine(now, update, "list " + update.kind() + " of " + update.endpoints().size());
   }
 
-  /** Returns the keys below a prefix, with their values. */
+  /** Returns the published keys below a prefix, with their values. */
   public List<KeyUpdate> snapshot(String subtree) {
     return keys.snapshot(subtree);
   }
@@ -231,55 +239,57 @@
   }
 
   /**
-   * Does all that is due.
+   * Runs all work that is due: timers, expiry of sessions, reports, the engine's batch, pending
+   * updates and the status.
    *
-   * @return when something is due next
+   * @return when work is due next
    */
   public long runDue(long now) {
-    if (engine.fireDueTimers(now)) {
+    if (engineRunner.fireDueTimers(now)) {
       causes.add("timer");
     }
     for (ProxyId id : sessions.endExpiredSessions(now)) {
       endSession(id, "its session expired", now);
     }
     if (now >= nextReportsAt) {
-      passReports(now);
+      passReportsToEngine(now);
     }
-    if (engine.hasPendingEvents()) {
-      carryOut(engine.endBatch(now), now);
+    if (engineRunner.hasPendingEvents()) {
+      applyCommands(engineRunner.endBatch(now), now);
       causes.clear();
     }
     for (ProxyUpdate update : channel.takeDue(now)) {
-      environment.publish(published.publish(update));
+      environment.publish(publishedState.publish(update));
     }
     if (now >= nextStatusAt) {
       nextStatusAt = now + STATUS_INTERVAL;
-      environment.publish(published.publishStatus(status()));
+      environment.publish(publishedState.publishStatus(statusJson()));
     }
     long nextAt = Math.min(Math.min(nextReportsAt, nextStatusAt), channel.nextDepartureAt());
-    return Math.min(nextAt, engine.nextTimerAt());
+    return Math.min(nextAt, engineRunner.nextTimerAt());
   }
 
-  private void passReports(long now) {
+  private void passReportsToEngine(long now) {
     List<Event> aggregated = reports.drain();
     for (Event event : aggregated) {
-      engine.handle(now, event);
+      engineRunner.handle(now, event);
     }
     if (!aggregated.isEmpty()) {
       causes.add("reports");
     }
     long interval = settings.reportInterval();
-    // After a delay the schedule is resumed, but no two intervals follow closely on each other.
+    // After a delay the original schedule resumes, but no interval is shorter than half of the
+    // usual one.
     nextReportsAt = Math.max(nextReportsAt + interval, now + interval / 2);
   }
 
-  private void carryOut(List<Command> commands, long now) {
+  private void applyCommands(List<Command> commands, long now) {
     List<ProxyUpdate> updates = routeTables.apply(commands, now);
     channel.offer(updates, now);
     if (LOG.isDebugEnabled()) {
       for (ProxyUpdate update : updates) {
         LOG.debug(
-            "update for {}: {} because of {}",
+            "update for proxy {}: {}; caused by {}",
             sessions.name(update.proxy()),
             keyCodec.describe(update),
             causes);
@@ -287,19 +297,22 @@
     }
     int limit = settings.channel().maxBacklogEntries();
     if (channel.backlogEntries() > limit) {
-      LOG.error("channel: {} entries wait, the limit is {}", channel.backlogEntries(), limit);
+      LOG.error(
+          "channel backlog exceeds its limit: {} entries wait, at most {} are allowed",
+          channel.backlogEntries(),
+          limit);
     }
   }
 
-  private String status() {
+  private String statusJson() {
     return HostStatus.toJson(
         sessions,
         endpoints,
         channel,
         settings.channel(),
-        reports.droppedObservations() + reportsOfUnknownEndpoints,
-        engine.endedBatches(),
-        acknowledgements);
+        reports.droppedObservations() + observationsOfUnknownEndpoints,
+        engineRunner.endedBatches(),
+        acknowledgementDurations);
   }
 
   /** Returns the number of connected proxies. */
@@ -307,8 +320,8 @@
     return sessions.connectedCount();
   }
 
-  /** Returns how many batches the engine has ended. */
+  /** Returns the number of batches that the engine has ended. */
   public long endedBatches() {
-    return engine.endedBatches();
+    return engineRunner.endedBatches();
   }
 }
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -12,10 +12,10 @@
 import stonespring.proxyapi.platform.PlatformProxyApi;
 
 /**
- * Runs the decision engine of a {@link PlatformDaemon}: events are passed to it in batches, its
- * commands are carried out by the proxy API. An engine that fails is replaced by a new one, which
- * starts with the current endpoint list and the connected proxies, so that no proxy loses its
- * connection; {@link RestartBudget} limits how often. Confined to the event loop, but for the
+ * Runs the decision engine of a {@link PlatformDaemon}: passes events to it in batches and has the
+ * proxy API execute its commands. A failed engine is replaced by a new one that starts with the
+ * current endpoint list and the connected proxies, so that no proxy loses its connection. {@link
+ * RestartBudget} limits how often this happens. Confined to the event loop, except for the
  * constructor.
  */
 final class PlatformEngine {
@@ -26,20 +26,21 @@
   private final InstanceClock clock;
   private final PlatformProxyApi proxyApi;
   private final PlatformEndpointSource source;
-  private final Consumer<Throwable> onGiveUp;
-  private final EndpointListRequests endpointList;
-  private final EventBatcher events;
-  private final ReportBatcher reports;
+  private final Consumer<Throwable> onRestartsExhausted;
+  private final EndpointListRequests endpointListRequests;
+  private final EventBatcher eventBatcher;
+  private final ReportBatcher reportBatcher;
   private final EngineTimer timer;
   private final PlatformStatistics statistics = new PlatformStatistics();
   private final RestartBudget restartBudget = new RestartBudget();
-  private EngineRunner runner;
-  private int failures;
+  private EngineRunner engineRunner;
+  private int engineFailures;
 
   /**
-   * Creates what runs the engine; the engine itself is created by {@link #start}.
+   * Creates an object without an engine; {@link #start} creates the engine.
    *
-   * @param onGiveUp takes the cause when the engine failed too often; it is not restarted then
+   * @param onRestartsExhausted receives the cause when the engine has failed too often to be
+   *     restarted
    */
   PlatformEngine(
       PlatformConfig config,
@@ -48,94 +49,94 @@
       InstanceClock clock,
       PlatformProxyApi proxyApi,
       PlatformEndpointSource source,
-      Consumer<Throwable> onGiveUp) {
+      Consumer<Throwable> onRestartsExhausted) {
     this.config = config;
     this.factory = factory;
     this.clock = clock;
     this.proxyApi = proxyApi;
     this.source = source;
-    this.onGiveUp = onGiveUp;
-    this.endpointList = EndpointListRequests.to(source);
-    this.events =
+    this.onRestartsExhausted = onRestartsExhausted;
+    this.endpointListRequests = EndpointListRequests.to(source);
+    this.eventBatcher =
         new EventBatcher(eventLoop, clock, config.settings().minBatchInterval(), this::runBatch);
-    this.reports = new ReportBatcher(eventLoop, clock, this::reportsGathered);
-    this.timer = new EngineTimer(eventLoop, events::requestBatch);
+    this.reportBatcher = new ReportBatcher(eventLoop, clock, this::handleReports);
+    this.timer = new EngineTimer(eventLoop, eventBatcher::requestBatch);
   }
 
-  /** Creates the engine; must be called before anything else. */
+  /** Creates the engine. Must be called before any other method. */
   void start() {
-    runner = createRunner(config.seed());
+    engineRunner = createRunner(config.seed());
   }
 
   private EngineRunner createRunner(long seed) {
     DecisionEngine engine = factory.create(config.settings().settings(), seed, clock.now());
-    return new EngineRunner(engine, endpointList);
+    return new EngineRunner(engine, endpointListRequests);
   }
 
-  /** Passes an event to the engine with one of the next batches. */
+  /** Passes an event to the engine in one of the next batches. */
   void handle(Event event) {
     if (ReportBatcher.isReport(event)) {
-      reports.add(event);
+      reportBatcher.add(event);
     } else {
-      events.add(event);
+      eventBatcher.add(event);
     }
   }
 
-  private void reportsGathered(List<Event> gathered, long firstAt) {
-    statistics.reportsGathered(firstAt);
-    events.addAll(gathered);
+  private void handleReports(List<Event> reports, long firstArrivedAt) {
+    statistics.recordFirstReport(firstArrivedAt);
+    eventBatcher.addAll(reports);
   }
 
-  /** Runs a batch of the events so far, without the minimum interval. */
+  /** Runs a batch of the events so far without waiting for the minimum interval. */
   void runBatchNow() {
-    events.runBatch();
+    eventBatcher.runBatch();
   }
 
   private void runBatch(List<Event> batch, long now) {
     try {
-      runner.fireDueTimers(now);
+      engineRunner.fireDueTimers(now);
       for (Event event : batch) {
-        runner.handle(now, event);
+        engineRunner.handle(now, event);
       }
-      if (runner.hasPendingEvents()) {
-        proxyApi.execute(runner.endBatch(now), now);
-        statistics.batchEnded(now, clock.now());
+      if (engineRunner.hasPendingEvents()) {
+        proxyApi.execute(engineRunner.endBatch(now), now);
+        statistics.recordBatch(now, clock.now());
       }
     } catch (DecisionFailedException e) {
-      restart(e.getCause());
+      restartEngine(e.getCause());
     } catch (RuntimeException | Error e) {
-      // Also after an error: the batch's events are lost, and a proxy that connected in it would
-      // never get a route table.
-      restart(e);
+      // Any other exception or error needs a restart too: the events of the batch are lost, and a
+      // proxy that connected in it would never get a route table.
+      restartEngine(e);
     }
-    timer.schedule(runner.nextTimerAt(), now);
+    timer.schedule(engineRunner.nextTimerAt(), now);
   }
 
-  private void restart(Throwable cause) {
-    failures++;
+  private void restartEngine(Throwable cause) {
+    engineFailures++;
     if (!restartBudget.tryRestart(clock.now())) {
       LOG.error(
-          "the decision engine failed too often, {} times in all: the instance ends",
-          failures,
+          "the decision engine failed too often, {} times since the start: the instance ends",
+          engineFailures,
           cause);
-      onGiveUp.accept(cause);
+      onRestartsExhausted.accept(cause);
       return;
     }
-    LOG.error("the decision engine failed and restarts", cause);
-    events.clear();
-    reports.clear();
-    runner = createRunner(config.seed() + failures);
+    LOG.error("the decision engine failed and is restarted, proxies stay connected", cause);
+    eventBatcher.clear();
+    reportBatcher.clear();
+    engineRunner = createRunner(config.seed() + engineFailures);
     timer.reset();
     handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
     proxyApi.handleEngineRestart();
   }
 
   /**
-   * Runs no more batches: proxies connect to other instances from now on, and a command from here
-   * could undo one from there.
+   * Prevents all further batches. Proxies connect to other instances from now on, and a command of
+   * this instance could undo one of theirs.
    */
   void stop() {
-    events.stop();
+    eventBatcher.stop();
   }
 
   PlatformStatistics statistics() {
--- a/src/main/java/stonespring/daemon/PlatformStatistics.java
+++ b/src/main/java/stonespring/daemon/PlatformStatistics.java
@@ -3,39 +3,42 @@
 import stonespring.model.DeciMillis;
 
 /**
- * Durations of batches, and of the way from an interval's first report to the commands that follow
+ * Durations of batches, and delays from the first report of an interval to the commands that result
  * from it. Times are {@link DeciMillis}. Confined to the event loop.
  */
 final class PlatformStatistics {
+  /** Upper limit of the histograms; longer durations are recorded as this one. */
   private static final long MAX_DURATION = 60 * DeciMillis.SECOND;
+
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final long NO_REPORTS = -1;
 
-  private final DurationHistogram batches = new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
-  private final DurationHistogram reportsToCommands =
+  private final DurationHistogram batchDurations =
+      new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
+  private final DurationHistogram reportToCommandDurations =
       new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
-  private long firstReportAt = NO_REPORTS;
+  private long firstReportArrivedAt = NO_REPORTS;
 
-  /** The next batch contains reports, of which the first arrived at this time. */
-  void reportsGathered(long firstAt) {
-    firstReportAt = firstAt;
+  /** Records that the next batch contains reports, and when the first of them arrived. */
+  void recordFirstReport(long firstArrivedAt) {
+    firstReportArrivedAt = firstArrivedAt;
   }
 
-  void batchEnded(long startedAt, long endedAt) {
-    batches.record(endedAt - startedAt);
-    if (firstReportAt != NO_REPORTS) {
-      reportsToCommands.record(endedAt - firstReportAt);
-      firstReportAt = NO_REPORTS;
+  void recordBatch(long startedAt, long endedAt) {
+    batchDurations.record(endedAt - startedAt);
+    if (firstReportArrivedAt != NO_REPORTS) {
+      reportToCommandDurations.record(endedAt - firstReportArrivedAt);
+      firstReportArrivedAt = NO_REPORTS;
     }
   }
 
-  /** Describes both distributions for the log. */
+  /** Formats both distributions for the log. */
   @Override
   public String toString() {
-    return "batches "
-        + describe(batches)
-        + "; from an interval's first report to the last byte of its commands "
-        + describe(reportsToCommands);
+    return "batch duration "
+        + describe(batchDurations)
+        + "; delay from the first report of an interval until its commands are written "
+        + describe(reportToCommandDurations);
   }
 
   private static String describe(DurationHistogram histogram) {
