--- a/src/main/java/stonespring/line/ConnectionCloseLog.java
+++ b/src/main/java/stonespring/line/ConnectionCloseLog.java
@@ -29,7 +29,7 @@
     if (now != currentSecond) {
       if (suppressedThisSecond > 0) {
         LOG.warn(
-            "{} more connections closed in the same second; their reasons are not logged",
+            "{} more connections closed within one second; their reasons are not logged",
             suppressedThisSecond);
       }
       currentSecond = now;
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -139,7 +139,7 @@
       case PlatformMessageCodec.RATE -> handleRate(sender, message);
       case PlatformMessageCodec.ACK -> handleAck(sender, message);
       case PlatformMessageCodec.PONG -> {
-        // The message needs no handling.
+        // The response to a keep-alive needs no action.
       }
       default ->
           throw new InvalidMessageException(message.kind(), "not allowed after the handshake");
@@ -211,9 +211,9 @@
   }
 
   /**
-   * Resets the state after the decision engine restarted. All tables, limits and exclusions are
-   * discarded, and a new session starts on the connection of each connected proxy. The event of
-   * each session says that the proxy may have tables, which are unknown.
+   * Resets the state after the decision engine restarted. The tables, limits and exclusions of the
+   * earlier engine are discarded, and a new session starts on the connection of each connected
+   * proxy. The event of each session says that the proxy may have tables, which are unknown.
    */
   public void handleEngineRestart() {
     tables = new RouteTables(requestClassCount);
