--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -19,31 +19,35 @@
 import stonespring.zmtp.ZmtpConnection;
 
 /**
- * Serves proxies over CHP: published keys go out, keys that proxies set are handed to a {@link
- * ProxyMessageHandler}. Proxies set {@code /presence/NAME} with a ttl, {@code /up/NAME/report} and
- * {@code /up/NAME/answer}. Calls of one connection come from its event loop; a wrong message is a
- * {@link InvalidChpMessageException}, which closes the connection.
+ * Serves proxies over CHP. It sends published keys to proxies, and passes the keys that proxies set
+ * to a {@link ProxyMessageHandler}: {@code /presence/NAME} with a ttl, {@code /up/NAME/report} and
+ * {@code /up/NAME/answer}. All calls for a connection come from the connection's event loop. An
+ * invalid message causes an {@link InvalidChpMessageException}, which closes the connection.
  */
 public final class ChpProxyApi implements ChpBackend {
   private static final String PRESENCE = "presence";
-  private static final String UPWARDS = "up";
+  private static final String UPSTREAM = "up";
   private static final String REPORT = "report";
   private static final String ACKNOWLEDGEMENT = "answer";
   private static final String LEASE_SECONDS = "ttl";
+
+  /** With a longer lease, the name of a proxy that has died would stay in use for hours. */
   private static final int MAX_LEASE_SECONDS = 3600;
-  private static final Pattern LEASE_FORM = Pattern.compile("[0-9]{1,6}");
 
-  /** Snapshots that one peer may wait for. */
+  private static final Pattern LEASE_PATTERN = Pattern.compile("[0-9]{1,6}");
+
+  /** Number of snapshots that one peer may wait for; a client waits for one at a time. */
   private static final int MAX_PENDING_SNAPSHOTS = 4;
 
-  private static final String OVERLOADED = "too many messages wait to be handled; connect again";
+  private static final String OVERLOADED =
+      "message refused: too many messages are queued; the peer must connect again";
 
   private static final AttributeKey<CollectorConnection> CONNECTION =
       AttributeKey.valueOf("stonespring.connection");
   private static final AttributeKey<AtomicInteger> PENDING_SNAPSHOTS =
       AttributeKey.valueOf("stonespring.pendingSnapshots");
 
-  /** One connection to the collector socket. */
+  /** A connection to the collector socket, on which proxies set keys. */
   private record CollectorConnection(ZmtpConnection peer) implements ProxyConnection {
     @Override
     public void close(String reason) {
@@ -54,13 +58,13 @@
   private final ProxyMessageHandler handler;
   private final ProxyMessageCodec codec;
 
-  /** Creates the API; messages go to the handler. */
+  /** Creates an API that passes the messages of proxies to the given handler. */
   public ChpProxyApi(ProxyMessageHandler handler, NameTable names) {
     this.handler = handler;
     this.codec = new ProxyMessageCodec(names);
   }
 
-  /** The messages that publish these updates. */
+  /** Returns the messages that publish the given updates. */
   public static List<ChpMessage.KvPub> publications(List<KeyUpdate> updates) {
     return updates.stream().map(ChpProxyApi::publication).toList();
   }
@@ -75,13 +79,13 @@
     AtomicInteger pending = pendingSnapshots(peer);
     if (pending.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
       throw new InvalidChpMessageException(
-          "ICANHAZ: over " + MAX_PENDING_SNAPSHOTS + " snapshots are requested at once");
+          "ICANHAZ: more than " + MAX_PENDING_SNAPSHOTS + " snapshots are pending for this peer");
     }
     boolean accepted =
-        handler.snapshot(
+        handler.requestSnapshot(
             subtree,
             snapshot -> {
-              send(peer, subtree, snapshot);
+              sendSnapshot(peer, subtree, snapshot);
               pending.decrementAndGet();
             });
     if (!accepted) {
@@ -98,7 +102,7 @@
     return pending;
   }
 
-  private static void send(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
+  private static void sendSnapshot(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
     for (KeyUpdate key : snapshot.keys()) {
       peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
     }
@@ -109,7 +113,7 @@
   public void keySet(ZmtpConnection peer, ChpMessage.KvSet set) {
     boolean accepted;
     try {
-      accepted = handle(set, connection(peer));
+      accepted = handleKeySet(set, collectorConnection(peer));
     } catch (InvalidMessageException e) {
       throw new InvalidChpMessageException("KVSET " + set.key() + ": " + e.getMessage());
     }
@@ -118,7 +122,7 @@
     }
   }
 
-  private static CollectorConnection connection(ZmtpConnection peer) {
+  private static CollectorConnection collectorConnection(ZmtpConnection peer) {
     CollectorConnection connection = peer.channel().attr(CONNECTION).get();
     if (connection == null) {
       connection = new CollectorConnection(peer);
@@ -127,31 +131,32 @@
     return connection;
   }
 
-  private boolean handle(ChpMessage.KvSet set, CollectorConnection connection) {
+  private boolean handleKeySet(ChpMessage.KvSet set, CollectorConnection connection) {
     String[] segments = set.key().substring(1).split("/");
     if (segments.length == 2 && segments[0].equals(PRESENCE)) {
       return handlePresence(segments[1], set, connection);
     }
-    if (segments.length == 3 && segments[0].equals(UPWARDS)) {
+    if (segments.length == 3 && segments[0].equals(UPSTREAM)) {
       if (segments[2].equals(REPORT)) {
-        return handler.reported(segments[1], codec.readReport(set.value()), connection);
+        return handler.handleReport(segments[1], codec.readReport(set.value()), connection);
       }
       if (segments[2].equals(ACKNOWLEDGEMENT)) {
-        return handler.acknowledged(
+        return handler.handleAcknowledgement(
             segments[1], codec.readAcknowledgement(set.value()), connection);
       }
     }
-    throw new InvalidChpMessageException(
-        "KVSET: key " + set.key() + " is not one that clients set");
+    throw new InvalidChpMessageException("KVSET: clients must not set the key " + set.key());
   }
 
   private boolean handlePresence(
       String proxy, ChpMessage.KvSet set, CollectorConnection connection) {
     if (set.value().length == 0) {
       throw new InvalidChpMessageException(
-          "KVSET " + set.key() + ": presence ends by its ttl or its connection");
+          "KVSET "
+              + set.key()
+              + ": the value is empty; presence ends with its ttl or its connection");
     }
-    return handler.hello(
+    return handler.handleHello(
         proxy,
         codec.readHello(set.value()),
         leaseSeconds(set.properties()) * DeciMillis.SECOND,
@@ -160,7 +165,7 @@
 
   private static long leaseSeconds(Map<String, String> properties) {
     String text = properties.getOrDefault(LEASE_SECONDS, "");
-    int seconds = LEASE_FORM.matcher(text).matches() ? Integer.parseInt(text) : 0;
+    int seconds = LEASE_PATTERN.matcher(text).matches() ? Integer.parseInt(text) : 0;
     if (seconds < 1 || seconds > MAX_LEASE_SECONDS) {
       throw new InvalidChpMessageException(
           "presence: property '"
@@ -175,7 +180,7 @@
   public void collectorClosed(ZmtpConnection peer) {
     CollectorConnection connection = peer.channel().attr(CONNECTION).get();
     if (connection != null) {
-      handler.connectionClosed(connection);
+      handler.handleConnectionClosed(connection);
     }
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -22,32 +22,35 @@
 import stonespring.state.ProxyChange;
 
 /**
- * The words of the platform's protocol: reads messages as events and writes updates as messages.
- * Times are milliseconds on the wire. Reading throws {@link InvalidMessageException}.
+ * Codec of the platform's protocol: decodes messages to events and encodes updates as messages.
+ * Durations are in milliseconds on the wire. The read methods throw {@link InvalidMessageException}
+ * if a message is invalid.
  */
 final class PlatformMessageCodec {
-  /** A proxy announces itself and opens a session. */
+  /** Kind of the message by which a proxy announces itself and starts a session. */
   static final String SUBSCRIBE = "SUBSCRIBE";
 
-  /** A zone's collector announces itself. */
+  /** Kind of the message by which the collector of a zone announces itself. */
   static final String SOURCE = "SOURCE";
 
-  /** What the proxies of a zone observed at an endpoint. */
+  /**
+   * Kind of a collector's report of the outcomes that the zone's proxies observed at an endpoint.
+   */
   static final String LOAD = "LOAD";
 
-  /** Requests that a proxy received. */
+  /** Kind of a report of the requests that a proxy received. */
   static final String RATE = "RATE";
 
-  /** A proxy acknowledges an update. */
+  /** Kind of the message by which a proxy acknowledges an update. */
   static final String ACK = "ACK";
 
-  /** The answer to a keep-alive. */
+  /** Kind of the response to a keep-alive. */
   static final String PONG = "PONG";
 
-  /** An update for a proxy. */
+  /** Kind of the message that carries an update to a proxy. */
   private static final String CONFIG = "CONFIG";
 
-  /** The kinds that the protocol has; a connection that sends any other cannot be read. */
+  /** All kinds of messages in the protocol; a peer that sends any other kind is disconnected. */
   private static final Set<String> KINDS =
       Set.of(
           SUBSCRIBE, SOURCE, LOAD, RATE, ACK, PONG, CONFIG, "CLOSED", "SHARD", "GRANT", "ROW",
@@ -67,43 +70,49 @@
   private static final String INTERVAL = "over";
   private static final String LOAD_FIGURES = "util";
 
-  private static final double MAX_COUNT = 1e7; // of requests or attempts in one report
+  /** Maximum number of requests or attempts in one report, far above what an endpoint serves. */
+  private static final double MAX_COUNT = 1e7;
+
+  /** Maximum request rate of one proxy. */
   private static final double MAX_REQUESTS_PER_SECOND = 1e7;
-  private static final double MAX_UTILIZATION = 2; // a noisy figure may pass 1
+
+  /** The utilization is a fraction, but a noisy measurement may exceed 1. */
+  private static final double MAX_UTILIZATION = 2;
+
   private static final double MAX_LOAD_FIGURE = 1e7;
   private static final int MAX_ACK_ID = 65_535;
   private static final int MAX_DESCRIPTION_CHARS = 200;
 
   private final NameTable names;
-  private final int proxies;
+  private final int proxyCount;
 
   /**
    * Creates a codec.
    *
-   * @param proxies how many proxies the settings have
+   * @param proxyCount the number of proxies in the settings; proxies are numbered from 0
    */
-  PlatformMessageCodec(NameTable names, int proxies) {
+  PlatformMessageCodec(NameTable names, int proxyCount) {
     this.names = names;
-    this.proxies = proxies;
+    this.proxyCount = proxyCount;
   }
 
-  /** Whether the protocol has messages of that kind. */
+  /** Returns whether the protocol has messages of the given kind. */
   static boolean isKnownKind(String kind) {
     return KINDS.contains(kind);
   }
 
-  /** Reads SOURCE: the zone whose collector it is. */
+  /** Reads SOURCE, and returns the zone of the collector that sent it. */
   ZoneId readSource(LineMessage message) {
-    return zone(new MessageFields(message));
+    return readZone(new MessageFields(message));
   }
 
-  /** Reads SUBSCRIBE. The texts of its exceptions are sent to the peer. */
+  /** Reads SUBSCRIBE. The messages of its exceptions are sent to the peer. */
   Event.ProxyConnected readSubscribe(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     boolean withoutTables = fields.flag(WITHOUT_TABLES);
     return new Event.ProxyConnected(
-        proxy(fields),
-        zone(fields),
+        readProxy(fields),
+        readZone(fields),
         fields.number(REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND),
         withoutTables);
   }
@@ -112,21 +121,21 @@
   Event.UpdateAcknowledged readAck(LineMessage message) {
     MessageFields fields = new MessageFields(message);
     return new Event.UpdateAcknowledged(
-        proxy(fields),
+        readProxy(fields),
         new AckId((int) fields.wholeNumber(ACK_ID, MAX_ACK_ID)),
-        fields.duration(ACK_DURATION));
+        fields.durationDeciMillis(ACK_DURATION));
   }
 
   /** Reads RATE. */
   Event.ProxyRequestRate readRate(LineMessage message) {
     MessageFields fields = new MessageFields(message);
-    RequestClassId requestClass = requestClass(fields);
+    RequestClassId requestClass = readRequestClass(fields);
     return new Event.ProxyRequestRate(
-        proxy(fields),
+        readProxy(fields),
         requestClass,
         fields.wholeNumber(COUNT, MAX_COUNT),
         fields.wholeNumber(FAILURES, MAX_COUNT),
-        fields.interval(INTERVAL));
+        fields.intervalDeciMillis(INTERVAL));
   }
 
   /** Reads LOAD. */
@@ -135,42 +144,43 @@
     long attempts = fields.wholeNumber(COUNT, MAX_COUNT);
     long failures = fields.wholeNumber(FAILURES, MAX_COUNT);
     if (failures > attempts) {
-      throw fields.invalid(FAILURES, "is more than '" + COUNT + "'");
+      throw fields.invalid(FAILURES, "is greater than '" + COUNT + "'");
     }
     return new Event.EndpointOutcomes(
         new EndpointId(fields.text(ENDPOINT)),
-        zone(fields),
+        readZone(fields),
         attempts,
         failures,
-        fields.interval(INTERVAL),
-        fields.duration(MEAN_LATENCY),
-        loadReport(fields));
+        fields.intervalDeciMillis(INTERVAL),
+        fields.durationDeciMillis(MEAN_LATENCY),
+        readLoadReport(fields));
   }
 
-  /** A valid LOAD message about an endpoint that was never listed. */
+  /** Returns an exception for a LOAD message about an endpoint that is not known. */
   static InvalidMessageException unlistedEndpoint() {
-    return new InvalidMessageException(LOAD, ENDPOINT, "names an endpoint that was never listed");
+    return new InvalidMessageException(
+        LOAD, ENDPOINT, "names an endpoint that is not known from the endpoint list");
   }
 
-  /** A valid message about a proxy that is not connected, or in another session. */
+  /** Returns an exception for a message about a proxy that is not connected, or not the sender. */
   static InvalidMessageException wrongProxy(LineMessage message) {
     return new InvalidMessageException(
-        message.kind(), PROXY, "names a proxy that is not connected here");
+        message.kind(), PROXY, "names a proxy that is not connected, or not the sender");
   }
 
-  /** A valid ACK message that was not requested. */
+  /** Returns an exception for an acknowledgement that is not pending. */
   static InvalidMessageException unrequestedAck() {
-    return new InvalidMessageException(ACK, ACK_ID, "is no acknowledgement that was requested");
+    return new InvalidMessageException(ACK, ACK_ID, "names no pending acknowledgement");
   }
 
-  private ZoneId zone(MessageFields fields) {
+  private ZoneId readZone(MessageFields fields) {
     String name = fields.text(ZONE);
     return names
         .zone(name)
         .orElseThrow(() -> fields.invalidValue(ZONE, "names no zone of the settings", name));
   }
 
-  private RequestClassId requestClass(MessageFields fields) {
+  private RequestClassId readRequestClass(MessageFields fields) {
     String name = fields.text(REQUEST_CLASS);
     return names
         .requestClass(name)
@@ -179,16 +189,16 @@
                 fields.invalidValue(REQUEST_CLASS, "names no request class of the settings", name));
   }
 
-  private ProxyId proxy(MessageFields fields) {
+  private ProxyId readProxy(MessageFields fields) {
     long number = fields.wholeNumber(PROXY, Integer.MAX_VALUE);
-    if (number >= proxies) {
+    if (number >= proxyCount) {
       throw fields.invalid(PROXY, "names no proxy of the settings: " + number);
     }
     return new ProxyId((int) number);
   }
 
-  /** Reads {@code name:value} pairs by the platform's names or by those of the settings. */
-  private static LoadReport loadReport(MessageFields fields) {
+  /** Reads {@code name:value} pairs; each figure has two accepted names. */
+  private static LoadReport readLoadReport(MessageFields fields) {
     String pairs = fields.optionalText(LOAD_FIGURES);
     if (pairs.isEmpty()) {
       return LoadReport.NONE;
@@ -201,33 +211,33 @@
     for (String pair : pairs.split(",", -1)) {
       int colon = pair.indexOf(':');
       if (colon < 1) {
-        throw fields.invalidValue(LOAD_FIGURES, "holds no name:value", pair);
+        throw fields.invalidValue(LOAD_FIGURES, "has an element that is not name:value", pair);
       }
       String value = pair.substring(colon + 1);
       switch (pair.substring(0, colon)) {
         case "util", "utilization" ->
             utilization = fields.number(LOAD_FIGURES, value, MAX_UTILIZATION);
-        case "queue", "backlog" -> queueLength = loadFigure(fields, value);
-        case "inflight", "outstanding" -> inFlight = loadFigure(fields, value);
-        case "latency_ms", "recent_ms" -> serviceTimeMillis = loadFigure(fields, value);
-        case "qps", "throughput" -> requestsPerSecond = loadFigure(fields, value);
+        case "queue", "backlog" -> queueLength = readLoadFigure(fields, value);
+        case "inflight", "outstanding" -> inFlight = readLoadFigure(fields, value);
+        case "latency_ms", "recent_ms" -> serviceTimeMillis = readLoadFigure(fields, value);
+        case "qps", "throughput" -> requestsPerSecond = readLoadFigure(fields, value);
         default -> {
-          // A figure that the decisions don't use.
+          // The decision engine does not use other figures.
         }
       }
     }
     return new LoadReport(utilization, queueLength, inFlight, serviceTimeMillis, requestsPerSecond);
   }
 
-  private static double loadFigure(MessageFields fields, String value) {
+  private static double readLoadFigure(MessageFields fields, String value) {
     return fields.number(LOAD_FIGURES, value, MAX_LOAD_FIGURE);
   }
 
-  /** Writes an update as CONFIG lines, one for each part, without their ends. */
+  /** Encodes an update as CONFIG lines, one for each part, without CR LF. */
   List<String> write(ConfigMessage message) {
     List<String> lines = new ArrayList<>();
     for (ConfigMessage.Part part : message.parts()) {
-      lines.add(CONFIG + requestClasses(part.requestClasses()) + tableFields(part));
+      lines.add(CONFIG + requestClassField(part.requestClasses()) + tableFields(part));
     }
     String common = commonFields(message);
     if (lines.isEmpty() && !common.isEmpty()) {
@@ -240,7 +250,8 @@
     return lines;
   }
 
-  private String requestClasses(BitSet classes) {
+  /** Returns the field that names the request classes; empty if it would name all of them. */
+  private String requestClassField(BitSet classes) {
     List<String> all = names.requestClasses();
     if (classes.cardinality() == all.size()) {
       return "";
@@ -282,18 +293,18 @@
   }
 
   private static String commonFields(ConfigMessage message) {
-    return endpoints(" undrop=", message.exclusions().allowed())
-        + endpoints(" drop=", message.exclusions().excluded())
+    return endpointsField(" undrop=", message.exclusions().allowed())
+        + endpointsField(" drop=", message.exclusions().excluded())
         + message.ack().map(ack -> " stamp=" + ack.number()).orElse("");
   }
 
-  private static String endpoints(String field, Set<EndpointId> endpoints) {
+  private static String endpointsField(String field, Set<EndpointId> endpoints) {
     return endpoints.isEmpty()
         ? ""
         : field + endpoints.stream().map(EndpointId::name).collect(Collectors.joining(","));
   }
 
-  /** A message as a log line may hold it. */
+  /** Returns a message in a form that is safe to log: shortened, printable ASCII only. */
   static String describe(LineMessage message) {
     StringBuilder text = new StringBuilder(LineMessage.printable(message.kind()));
     for (Map.Entry<String, String> field : message.fields().entrySet()) {
