--- a/src/main/java/stonespring/config/Section.java
+++ b/src/main/java/stonespring/config/Section.java
@@ -11,11 +11,11 @@
 import stonespring.config.script.Values;
 
 /**
- * Decodes one dict of a script. Each read names a key with its type and range. An invalid value is
- * recorded as an error and replaced by a valid one, so that one run finds every error. Keys that
- * were never read are errors too, recorded by {@link #rejectUnknownKeys}.
+ * Decodes one dict of a script. Each read method takes a key with its type and range. An invalid
+ * value is recorded as an error and replaced by a valid one, so that one run reports every error.
+ * {@link #rejectUnknownKeys} records an error for each key that was never read.
  *
- * <p>A {@code defaultValue} of null makes a key required. Not thread-safe.
+ * <p>A null {@code defaultValue} makes a key required. Not thread-safe.
  */
 public final class Section {
   private final String name;
@@ -32,75 +32,86 @@
     this.errors = errors;
   }
 
-  /** The names of a whole script as a section. */
+  /**
+   * Creates a section of the names that a script sets at its top level.
+   *
+   * @param errors receives the errors of this section and of those within it
+   */
   public static Section of(String file, ScriptDict globals, List<SettingsError> errors) {
     return new Section("", globals, new SourceLocation(file, 1, 1), errors);
   }
 
-  /** Records an error of a value that is valid by itself but does not go with another one. */
+  /**
+   * Records an error for a key, for example that its value contradicts another one.
+   *
+   * @param message what is wrong; follows the quoted name of the key
+   */
   public void reject(String key, String message) {
     addError(locationOf(key), key, message);
   }
 
-  /** Makes a key known that is not read here. */
-  void allow(String key) {
+  /** Marks a key as known although it is not read here. */
+  void ignoreKey(String key) {
     knownKeys.add(key);
   }
 
-  /** Reads a number. */
+  /** Reads a number; an invalid one is replaced by {@code minimum}. */
   public double number(String key, double minimum, double maximum, Double defaultValue) {
     Object value = read(key, defaultValue == null);
     if (value == null) {
       return defaultValue == null ? minimum : defaultValue;
     }
     if (!(value instanceof Number boxed)) {
-      reject(key, "is a number, not " + Values.typeName(value));
+      reject(key, "must be a number, got " + Values.typeName(value));
       return minimum;
     }
     double number = boxed.doubleValue();
     if (!(number >= minimum && number <= maximum)) {
       reject(
           key,
-          outOfRange(
-              Values.plainNumber(number),
-              Values.plainNumber(minimum),
-              Values.plainNumber(maximum)));
+          describeOutOfRange(
+              Values.formatNumber(number),
+              Values.formatNumber(minimum),
+              Values.formatNumber(maximum)));
       return minimum;
     }
     return number;
   }
 
-  /** Reads a whole number. */
+  /** Reads a whole number; an invalid one is replaced by {@code minimum}. */
   public int integer(String key, int minimum, int maximum, Integer defaultValue) {
     Object value = read(key, defaultValue == null);
     if (value == null) {
       return defaultValue == null ? minimum : defaultValue;
     }
     if (!(value instanceof Long number)) {
-      reject(key, "is a whole number, not " + Values.typeName(value));
+      reject(key, "must be a whole number, got " + Values.typeName(value));
       return minimum;
     }
     if (number < minimum || number > maximum) {
-      reject(key, outOfRange(number, minimum, maximum));
+      reject(key, describeOutOfRange(number, minimum, maximum));
       return minimum;
     }
     return number.intValue();
   }
 
-  private static String outOfRange(Object value, Object minimum, Object maximum) {
-    return "is " + value + ", outside " + minimum + " to " + maximum;
+  private static String describeOutOfRange(Object value, Object minimum, Object maximum) {
+    return "must be from " + minimum + " to " + maximum + ", got " + value;
   }
 
-  /** Reads an optional truth value. */
+  /** Reads an optional boolean. */
   public boolean bool(String key, boolean defaultValue) {
     Object value = read(key, false);
     if (value != null && !(value instanceof Boolean)) {
-      reject(key, "is True or False, not " + Values.typeName(value));
+      reject(key, "must be True or False, got " + Values.typeName(value));
     }
     return value instanceof Boolean flag ? flag : defaultValue;
   }
 
-  /** Reads a string that matches a regular expression. */
+  /**
+   * Reads a string that matches a regular expression; an invalid one is replaced by the default
+   * value, or by the empty string if there is none.
+   */
   public String text(String key, String pattern, String defaultValue) {
     Object value = read(key, defaultValue == null);
     String replacement = defaultValue == null ? "" : defaultValue;
@@ -108,17 +119,17 @@
       return replacement;
     }
     if (!(value instanceof String text)) {
-      reject(key, "is a string, not " + Values.typeName(value));
+      reject(key, "must be a string, got " + Values.typeName(value));
       return replacement;
     }
     if (!text.matches(pattern)) {
-      reject(key, "is '" + text + "', which does not fit " + pattern);
+      reject(key, "must match " + pattern + ", got '" + text + "'");
       return replacement;
     }
     return text;
   }
 
-  /** Reads one of several words. */
+  /** Reads one of several words; an invalid one is replaced by the first of them. */
   public String choice(String key, List<String> words, String defaultValue) {
     Object value = read(key, defaultValue == null);
     if (value == null) {
@@ -136,65 +147,77 @@
   }
 
   private void rejectChoice(String key, List<String> words, String found) {
-    reject(key, "is one of " + String.join(", ", words) + ", not " + found);
+    reject(key, "must be one of " + String.join(", ", words) + ", got " + found);
   }
 
-  /** Reads a list of distinct strings that match a regular expression. */
+  /**
+   * Reads a list of distinct strings that match a regular expression; invalid items are left out.
+   * The list is required if {@code minimumSize} is above 0.
+   */
   public List<String> texts(String key, String pattern, int minimumSize, int maximumSize) {
     List<String> texts = new ArrayList<>();
     ScriptList list = list(key, minimumSize, maximumSize);
     for (int i = 0; i < list.size(); i++) {
       Object item = list.get(i);
       if (texts.contains(item)) {
-        addError(locationOf(key, list, i), key, "holds '" + item + "' twice");
+        addError(
+            locationOf(key, list, i),
+            key,
+            "must have distinct items, got '" + item + "' more than once");
       } else if (item instanceof String text && text.matches(pattern)) {
         texts.add(text);
       } else {
-        addError(locationOf(key, list, i), key, "holds something that does not fit " + pattern);
+        String found = item instanceof String text ? "'" + text + "'" : Values.typeName(item);
+        addError(
+            locationOf(key, list, i),
+            key,
+            "must contain only strings that match " + pattern + ", got " + found);
       }
     }
     return texts;
   }
 
   /**
-   * Reads a dict. Where it is missing, an empty one stands for it; if it is required, its absence
-   * is the only error then.
+   * Reads a dict. A missing or invalid one is replaced by an empty one. If a required dict is
+   * missing, only its absence is reported, not that of its keys.
    */
   public Section section(String key, boolean required) {
     Object value = read(key, required);
     if (value != null && !(value instanceof ScriptDict)) {
-      reject(key, "is a dict, not " + Values.typeName(value));
+      reject(key, "must be a dict, got " + Values.typeName(value));
     }
     List<SettingsError> discardedErrors = new ArrayList<>();
     return new Section(
-        path(key),
+        qualifiedName(key),
         value instanceof ScriptDict child ? child : new ScriptDict(),
         locationOf(key),
         value == null && required ? discardedErrors : errors);
   }
 
-  /** Reads a list of dicts. */
+  /**
+   * Reads a list of dicts; other items are left out. The list is required if {@code minimumSize} is
+   * above 0.
+   */
   public List<Section> sections(String key, int minimumSize, int maximumSize) {
     List<Section> sections = new ArrayList<>();
     ScriptList list = list(key, minimumSize, maximumSize);
     for (int i = 0; i < list.size(); i++) {
       SourceLocation itemLocation = locationOf(key, list, i);
       if (list.get(i) instanceof ScriptDict child) {
-        sections.add(new Section(path(key) + "[" + i + "]", child, itemLocation, errors));
+        sections.add(new Section(qualifiedName(key) + "[" + i + "]", child, itemLocation, errors));
       } else {
-        addError(
-            itemLocation, key, "holds " + Values.typeName(list.get(i)) + " where a dict belongs");
+        addError(itemLocation, key, "must contain only dicts, got " + Values.typeName(list.get(i)));
       }
     }
     return sections;
   }
 
-  /** Ends the decoding: records an error for each key that was not read. */
+  /** Records an error for each key that was not read; to be called after all reads. */
   public void rejectUnknownKeys() {
     for (Object entryKey : dict.keySet()) {
       String key = String.valueOf(entryKey);
       if (!knownKeys.contains(key)) {
-        reject(key, "is not known" + NearestName.hint(key, knownKeys));
+        reject(key, "is not a known key" + NearestName.hint(key, knownKeys));
       }
     }
   }
@@ -207,23 +230,23 @@
     return dict.get(key);
   }
 
-  /** Reads a list; empty where it is missing or no list. */
+  /** Reads a list; an empty one replaces a missing or invalid value. */
   private ScriptList list(String key, int minimumSize, int maximumSize) {
     Object value = read(key, minimumSize > 0);
     if (value == null) {
       return new ScriptList();
     }
     if (!(value instanceof ScriptList list)) {
-      reject(key, "is a list, not " + Values.typeName(value));
+      reject(key, "must be a list, got " + Values.typeName(value));
       return new ScriptList();
     }
     if (list.size() < minimumSize || list.size() > maximumSize) {
-      reject(key, "holds " + list.size() + " items, outside " + minimumSize + " to " + maximumSize);
+      reject(key, "must have " + minimumSize + " to " + maximumSize + " items, got " + list.size());
     }
     return list;
   }
 
-  private String path(String key) {
+  private String qualifiedName(String key) {
     return name.isEmpty() ? key : name + "." + key;
   }
 
@@ -236,6 +259,6 @@
   }
 
   private void addError(SourceLocation errorLocation, String key, String message) {
-    errors.add(new SettingsError(errorLocation, "'" + path(key) + "' " + message));
+    errors.add(new SettingsError(errorLocation, "'" + qualifiedName(key) + "' " + message));
   }
 }
--- a/src/main/java/stonespring/config/script/StatementExecutor.java
+++ b/src/main/java/stonespring/config/script/StatementExecutor.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Executes statements. */
+/** Executes the statements of parsed files. */
 final class StatementExecutor {
-  /** How a statement ended. */
+  /** How the execution of a statement ended. */
   enum Completion {
     NORMAL,
     BREAK,
@@ -19,23 +19,26 @@
   private final ExecutionLimits limits = new ExecutionLimits();
   private final ExpressionEvaluator evaluator =
       new ExpressionEvaluator(limits, new FunctionCaller(this));
-  private final Map<String, SourceLocation> locationsOfGlobals = new HashMap<>();
+  private final Map<String, SourceLocation> globalLocations = new HashMap<>();
   private Object returnValue;
 
   StatementExecutor(ScriptLoader loader) {
     this.loader = loader;
   }
 
-  /** Where a name was last assigned at the top level of a file, or the given location. */
+  /**
+   * The location at which a name was last assigned at the top level of a file, or the given
+   * location if it was not.
+   */
   SourceLocation locationOf(String name, SourceLocation defaultLocation) {
-    return locationsOfGlobals.getOrDefault(name, defaultLocation);
+    return globalLocations.getOrDefault(name, defaultLocation);
   }
 
   ExpressionEvaluator evaluator() {
     return evaluator;
   }
 
-  /** Runs the body of a function and returns its value; null where it returns none. */
+  /** Executes the body of a function and returns its value; null if it returns none. */
   Object runFunction(List<Statement> body, Scope scope) {
     returnValue = null;
     run(body, scope);
@@ -44,7 +47,10 @@
     return result;
   }
 
-  /** Runs statements up to their end or to the first one that leaves them. */
+  /**
+   * Executes statements in order, up to the first one that ends with a {@code break}, {@code
+   * continue} or {@code return}.
+   */
   Completion run(List<Statement> body, Scope scope) {
     for (Statement statement : body) {
       limits.countStep(statement.location());
@@ -65,8 +71,11 @@
       return executeFor(loop, scope);
     } else if (statement instanceof Statement.FunctionDefinition definition) {
       scope.set(definition.name(), new UserFunction(definition, scope.globals()));
-    } else if (statement instanceof Statement.Return end) {
-      returnValue = end.value() == null ? null : evaluator.evaluate(end.value(), scope);
+    } else if (statement instanceof Statement.Return returnStatement) {
+      returnValue =
+          returnStatement.value() == null
+              ? null
+              : evaluator.evaluate(returnStatement.value(), scope);
       return Completion.RETURN;
     } else if (statement instanceof Statement.Break) {
       return Completion.BREAK;
@@ -74,8 +83,8 @@
       return Completion.CONTINUE;
     } else if (statement instanceof Statement.Load load) {
       load(load, scope);
-    } else if (statement instanceof Statement.Evaluate evaluate) {
-      evaluator.evaluate(evaluate.expression(), scope);
+    } else if (statement instanceof Statement.ExpressionStatement expressionStatement) {
+      evaluator.evaluate(expressionStatement.expression(), scope);
     }
     return Completion.NORMAL;
   }
@@ -86,7 +95,7 @@
         return run(branch.body(), scope);
       }
     }
-    return run(conditional.otherwise(), scope);
+    return run(conditional.elseBody(), scope);
   }
 
   private Completion executeFor(Statement.For loop, Scope scope) {
@@ -106,23 +115,24 @@
   }
 
   private void load(Statement.Load load, Scope scope) {
-    Path neighbour = Path.of(load.file());
+    Path siblingFile = Path.of(load.file());
     boolean sameFolder =
-        neighbour.getNameCount() == 1 && !neighbour.isAbsolute() && !load.file().equals("..");
+        siblingFile.getNameCount() == 1 && !siblingFile.isAbsolute() && !load.file().equals("..");
     if (scope.file() == null || !sameFolder) {
       throw new EvaluationException(
-          load.location(), "load: only a file in the same folder can be loaded, at the top level");
+          load.location(),
+          "load: only a file in the same folder can be loaded, and only at the top level");
     }
     Map<String, Object> exports =
-        loader.load(scope.file().resolveSibling(neighbour), load.location());
+        loader.load(scope.file().resolveSibling(siblingFile), load.location());
     for (Statement.ImportedName imported : load.names()) {
-      // After a syntax error nothing is run, so that the names are not there.
+      // After a syntax error no file is executed, so the names of the loaded file are not set.
       if (!exports.containsKey(imported.name()) && loader.errors().isEmpty()) {
         throw new EvaluationException(
             load.location(),
             "load: "
                 + load.file()
-                + " sets no '"
+                + " does not define '"
                 + imported.name()
                 + "'"
                 + NearestName.hint(imported.name(), exports.keySet()));
@@ -146,11 +156,12 @@
 
   private void assignName(SourceLocation location, String name, Object value, Scope scope) {
     if (BuiltinFunctions.names().contains(name)) {
-      throw new EvaluationException(location, "'" + name + "' is the language's own name");
+      throw new EvaluationException(
+          location, "cannot assign to '" + name + "': it is the name of a built-in function");
     }
     scope.set(name, value);
     if (scope.isTopLevel()) {
-      locationsOfGlobals.put(name, location);
+      globalLocations.put(name, location);
     }
   }
 
@@ -166,7 +177,7 @@
     } else {
       throw new EvaluationException(
           location,
-          "an entry can be set in a list or a dict, not in " + Values.typeName(container));
+          "can assign only to an entry of a list or dict, not of " + Values.typeName(container));
     }
   }
 }
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -58,7 +58,8 @@
     this.onRestartsExhausted = onRestartsExhausted;
     this.endpointListRequests = EndpointListRequests.to(source);
     this.eventBatcher =
-        new EventBatcher(eventLoop, clock, config.settings().minBatchInterval(), this::runBatch);
+        new EventBatcher(
+            eventLoop, clock, config.settings().minBatchIntervalDeciMillis(), this::runBatch);
     this.reportBatcher = new ReportBatcher(eventLoop, clock, this::handleReports);
     this.timer = new EngineTimer(eventLoop, eventBatcher::requestBatch);
   }
@@ -128,7 +129,7 @@
     engineRunner = createRunner(config.seed() + engineFailures);
     timer.reset();
     handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
-    proxyApi.engineRestarted();
+    proxyApi.handleEngineRestart();
   }
 
   /**
--- a/src/test/java/stonespring/proxyapi/platform/PlatformJoiningTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformHandshakeTest.java
@@ -18,22 +18,22 @@
 import stonespring.model.ProxyId;
 import stonespring.proxyapi.platform.PlatformApiFixture.Client;
 
-/** Connections that have not joined: what they may send, and how long they may stay. */
-final class PlatformJoiningTest {
+/** Tests connections before and during the handshake: valid messages, limits and refusals. */
+final class PlatformHandshakeTest {
   @RegisterExtension final PlatformApiFixture fixture = new PlatformApiFixture();
 
   @Test
-  void answersKeepAlivesOfEveryPeer() throws Exception {
-    fixture.connect().assertAlive();
-    fixture.connectProxy().assertAlive();
+  void answersKeepAlivesBeforeAndAfterHandshake() throws Exception {
+    fixture.connect().assertAnswersKeepAlive();
+    fixture.connectProxy().assertAnswersKeepAlive();
     Client collector = fixture.connect().send("SOURCE site=west");
-    collector.assertAlive();
+    collector.assertAnswersKeepAlive();
     assertTrue(fixture.hasNoEvents());
   }
 
   @Test
-  void refusesAnUnjoinedPeerThatCannotBeRead() throws Exception {
-    for (String bad :
+  void refusesPeerWhoseFirstMessageIsInvalid() throws Exception {
+    for (String invalid :
         new String[] {
           "GET / HTTP/1.1",
           "SUBSCRIBE id=10 site=east rps=1 new=1",
@@ -49,48 +49,54 @@
           "x".repeat(500),
           ""
         }) {
-      Client client = fixture.connect().send(bad);
+      Client client = fixture.connect().send(invalid);
       String answer = client.receive();
-      assertTrue(answer != null && answer.startsWith("NACK reason="), bad + " got " + answer);
+      assertTrue(
+          answer != null && answer.startsWith("NACK reason="),
+          "answer to " + invalid + ": " + answer);
       assertNull(client.receive());
     }
     assertTrue(fixture.hasNoEvents());
   }
 
   @Test
-  void limitsTheTimeToJoin() throws Exception {
-    fixture.listen(300);
-    Client silent = fixture.connect();
-    Client keepsAlive = fixture.connect();
-    keepsAlive.assertAlive();
-    Client half = fixture.connect();
-    half.out().write("SUBSCR".getBytes(StandardCharsets.US_ASCII));
-    for (Client client : List.of(silent, keepsAlive, half)) {
+  void closesConnectionWhenHandshakeTimesOut() throws Exception {
+    fixture.startListener(300);
+    Client silentClient = fixture.connect();
+    Client pingingClient = fixture.connect();
+    pingingClient.assertAnswersKeepAlive();
+    Client partialLineClient = fixture.connect();
+    partialLineClient.out().write("SUBSCR".getBytes(StandardCharsets.US_ASCII));
+    for (Client client : List.of(silentClient, pingingClient, partialLineClient)) {
       assertTrue(client.receive().startsWith("NACK"));
       assertNull(client.receive());
     }
   }
 
-  /** The oldest unjoined connection is closed, so that a proxy always finds a descriptor. */
+  /** The oldest pending connections are closed, so that file descriptors remain for proxies. */
   @Test
-  void joinsAProxyWhileManyUnjoinedConnectionsAreOpen() throws Exception {
-    List<Client> crowd = new ArrayList<>();
+  void acceptsProxyWhileManyHandshakesArePending() throws Exception {
+    List<Client> pendingClients = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      crowd.add(fixture.connect());
+      pendingClients.add(fixture.connect());
     }
     Client proxy = fixture.connectProxy();
-    for (int i = 0; i < 30 - PlatformApiFixture.MAX_UNJOINED; i++) {
-      assertTrue(crowd.get(i).receive().startsWith("NACK"), "unjoined " + i);
+    for (int i = 0; i < 30 - PlatformApiFixture.MAX_PENDING_HANDSHAKES; i++) {
+      assertTrue(
+          pendingClients.get(i).receive().startsWith("NACK"), "refusal of pending connection " + i);
     }
-    proxy.assertAlive();
+    proxy.assertAnswersKeepAlive();
     assertTrue(fixture.api().isConnected(new ProxyId(3)));
   }
 
-  /** More proxies connect than may be unjoined, but all have subscribed before any is read. */
+  /**
+   * More proxies connect than the limit of pending handshakes, and all of them subscribe before the
+   * event loop reads the first message.
+   */
   @Test
-  void keepsAFleetThatSubscribedWhileTheLoopWasBusy() throws Exception {
+  void keepsProxiesThatSubscribedWhileEventLoopWasBlocked() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    fixture.blockLoop(
+    fixture.executeOnEventLoop(
         () -> {
           try {
             release.await();
@@ -107,14 +113,17 @@
       assertTrue(fixture.nextEvent() instanceof Event.ProxyConnected);
     }
     for (Client proxy : fleet) {
-      proxy.assertAlive();
+      proxy.assertAnswersKeepAlive();
     }
-    assertTrue(fixture.hasNoEvents(), "and none disconnected");
+    assertTrue(fixture.hasNoEvents(), "no proxy disconnected");
   }
 
-  /** Its answers cannot be written, and neither can a refusal: the descriptor must not wait. */
+  /**
+   * Neither responses nor a refusal can be written to this peer. The connection must be closed
+   * without waiting for the peer, so that its file descriptor becomes free.
+   */
   @Test
-  void resetsAnUnjoinedPeerThatReadsNothing() throws Exception {
+  void resetsConnectionWhenPeerReadsNothingBeforeHandshake() throws Exception {
     Client client = fixture.connect();
     byte[] keepAlives = "PING\r\n".repeat(10_000).getBytes(StandardCharsets.US_ASCII);
     assertThrows(
@@ -124,7 +133,7 @@
             client.out().write(keepAlives);
           }
         },
-        "a reset, long before 120 MB were taken");
+        "the connection must be reset before 120 MB are written");
   }
 
   @ParameterizedTest
@@ -143,7 +152,7 @@
         "SUBSCRIBE id=3 id=3|SUBSCRIBE-id-comes-twice",
         "CONFIG rows=s-1:1|no-joining-before-CONFIG"
       })
-  void refusalsNameTheFieldAndTheProblem(String message, String reason) throws Exception {
+  void namesFieldAndProblemInRefusal(String message, String reason) throws Exception {
     assertEquals("NACK reason=" + reason, fixture.connect().send(message).receive());
   }
 }
