--- a/src/test/java/stonespring/testbed/FaultyLinkTest.java
+++ b/src/test/java/stonespring/testbed/FaultyLinkTest.java
@@ -86,7 +86,7 @@
     downstreamSocket.setSoTimeout(50);
     try {
       downstreamSocket.getInputStream().read();
-      throw new AssertionError("the frozen link forwarded a byte towards the downstream side");
+      throw new AssertionError("the read through the frozen link returned instead of timing out");
     } catch (SocketTimeoutException e) {
       // Expected: the frozen link holds the bytes back.
     }
