--- a/src/main/java/stonespring/testbed/DeploymentFaults.java
+++ b/src/main/java/stonespring/testbed/DeploymentFaults.java
@@ -3,9 +3,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Planned changes of the set of endpoints: rolling restarts, draining, growth. */
+/**
+ * Planned changes of the set of endpoints: rolling restarts, removal and growth. Used from the
+ * scenario's thread only.
+ */
 final class DeploymentFaults {
-  private static final double RESTART_MILLIS = 500;
+  /** The time from the end of an endpoint's process to its next start, in a rolling restart. */
+  private static final double RESTART_DELAY_MILLIS = 500;
 
   private final ScenarioFleet fleet;
   private final Timeline timeline;
@@ -22,23 +26,31 @@
     injections.put(FaultKind.GROWTH, this::grow);
   }
 
-  /** Restarts in batches; the magnitude is a batch's fraction of all endpoints. */
+  /**
+   * Drains and restarts the drawn endpoints in batches that are spread evenly over the fault's
+   * duration. The magnitude is the batch size as a fraction of all endpoints; the interval is the
+   * time for which an endpoint drains after instances can see it.
+   */
   private void deploy(FaultTarget target) {
     Scenario.Fault fault = target.fault();
     List<EndpointStandIn> endpoints = target.endpoints();
-    int batch = (int) Math.max(1, Math.round(fault.magnitude() * fleet.endpointCount()));
-    int batches = (endpoints.size() + batch - 1) / batch;
+    int batchSize = (int) Math.max(1, Math.round(fault.magnitude() * fleet.endpointCount()));
+    int batchCount = (endpoints.size() + batchSize - 1) / batchSize;
     for (int i = 0; i < endpoints.size(); i++) {
       EndpointStandIn endpoint = endpoints.get(i);
-      double drainAt = timeline.now() + fault.durationMillis() * (i / batch) / Math.max(1, batches);
-      timeline.at(drainAt, () -> fleet.registry().set(endpoint, true));
+      double drainAtMillis =
+          timeline.now() + fault.durationMillis() * (i / batchSize) / Math.max(1, batchCount);
+      timeline.at(drainAtMillis, () -> fleet.registry().register(endpoint, true));
       timeline.at(
-          drainAt + fault.intervalMillis() + fleet.listDelayMillis(),
-          () -> fleet.crash(endpoint, timeline.now() + RESTART_MILLIS));
+          drainAtMillis + fault.intervalMillis() + fleet.listDelayMillis(),
+          () -> fleet.crash(endpoint, timeline.now() + RESTART_DELAY_MILLIS));
     }
   }
 
-  /** Drains a new draw each interval and kills it after the magnitude, in milliseconds. */
+  /**
+   * Draws endpoints anew at each interval, drains them and kills them after a time given by the
+   * magnitude, in milliseconds.
+   */
   private void restartInWaves(FaultTarget target) {
     Scenario.Fault fault = target.fault();
     timeline.repeatedly(
@@ -50,25 +62,26 @@
   }
 
   private void drainThenRestart(EndpointStandIn endpoint, Scenario.Fault fault) {
-    fleet.registry().set(endpoint, true);
+    fleet.registry().register(endpoint, true);
     timeline.at(
         timeline.now() + fault.magnitude(),
         () -> fleet.crash(endpoint, timeline.now() + fault.intervalMillis()));
   }
 
+  /** Drains the drawn endpoints and stops them for good at the end of the fault. */
   private void shrink(FaultTarget target) {
     for (EndpointStandIn endpoint : target.endpoints()) {
-      fleet.registry().set(endpoint, true);
+      fleet.registry().register(endpoint, true);
       timeline.at(
           target.endMillis(),
           () -> {
-            fleet.registry().remove(endpoint);
+            fleet.registry().deregister(endpoint);
             endpoint.crash();
           });
     }
   }
 
-  /** Starts as many endpoints each interval as the magnitude says. */
+  /** Starts new endpoints in random zones at each interval; the magnitude is their number. */
   private void grow(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
--- a/src/main/java/stonespring/testbed/FaultyLink.java
+++ b/src/main/java/stonespring/testbed/FaultyLink.java
@@ -22,27 +22,42 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP relay on loopback that passes bytes late, slowly, one by one, not at all, or up to a stated
- * byte, and shows them to a tap. All state lives on one event loop; its methods may be called from
- * any thread. Reading stops while {@link #MAX_WAITING_BYTES} wait in one direction.
+ * A TCP relay on loopback with injected faults: it can delay bytes, limit their rate, forward them
+ * one at a time, hold them back, or close connections after a number of bytes. A {@link Tap}
+ * observes the traffic. For each connection, the downstream side is the one that connects to the
+ * link, and the upstream side is the server that the link connects to.
+ *
+ * <p>Connections and fault settings are confined to one event loop: the methods may be called from
+ * any thread and take effect asynchronously. The exception is {@link #addListener}, which is called
+ * from one thread, not the event loop, before the faults start. To bound memory, the link stops
+ * reading from a side while {@link #MAX_PENDING_BYTES} or more wait to be forwarded from it.
  */
 final class FaultyLink {
   /**
-   * Observes what was sent towards the dialling side, what passed the other way, and the ends of
-   * connections; called on the link's event loop.
+   * Observes the traffic of a link. Bytes towards the downstream side are reported when the link
+   * receives them, whether or not it forwards them; bytes towards the upstream side are reported
+   * when it forwards them. Called on the link's event loop.
    */
   interface Tap {
-    /** Bytes passed on a connection; {@code down} is towards the dialling side. */
-    void passed(int listener, long connection, boolean down, byte[] bytes);
+    /**
+     * Observes bytes of a connection.
+     *
+     * @param listener the index of the listener that accepted the connection
+     * @param connection a number that identifies the connection within the link
+     * @param towardsDownstream whether the bytes travel towards the downstream side
+     */
+    void bytesPassed(int listener, long connection, boolean towardsDownstream, byte[] bytes);
 
-    /** A connection ended. */
-    default void ended(int listener, long connection) {}
+    /** Observes that a connection is closed. */
+    default void connectionClosed(int listener, long connection) {}
 
-    /** Nothing passes from now on, though connections stay open. */
-    default void frozen() {}
+    /** Observes that the link holds back all bytes from now on; connections stay open. */
+    default void linkFrozen() {}
   }
 
-  private static final int MAX_WAITING_BYTES = 1 << 20;
+  private static final int MAX_PENDING_BYTES = 1 << 20;
+
+  /** Value of {@link #closingListener} while no connection is to be closed by byte count. */
   private static final int NO_LISTENER = -1;
 
   private final EventLoop loop;
@@ -51,21 +66,24 @@
   private final Set<Connection> connections = new HashSet<>();
   private long connectionCount;
   private boolean frozen;
-  private boolean refusing;
+  private boolean refusesConnections;
   private boolean byteByByte;
-  private long delayUpMillis;
-  private long delayDownMillis;
-  private double bytesPerMillisecond = Double.MAX_VALUE;
-  private int cutListener = NO_LISTENER;
-  private long cutAfterBytes;
+  private long upstreamDelayMillis;
+  private long downstreamDelayMillis;
+  private double downstreamBytesPerMillisecond = Double.MAX_VALUE;
+  private int closingListener = NO_LISTENER;
+  private long closeAfterBytes;
 
   FaultyLink(EventLoop loop, Tap tap) {
     this.loop = loop;
     this.tap = tap;
   }
 
-  /** Adds a listener that relays to a port; returns its own port. Listeners count from 0. */
-  int listen(int target) throws InterruptedException {
+  /**
+   * Adds a listener that relays connections to a loopback port, and returns the listener's port.
+   * Listeners are identified by index, from 0 in the order of their creation.
+   */
+  int addListener(int targetPort) throws InterruptedException {
     int index = listeners.size();
     Channel listener =
         new ServerBootstrap()
@@ -76,11 +94,11 @@
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
-                  protected void initChannel(SocketChannel near) {
-                    if (refusing) {
-                      near.close();
+                  protected void initChannel(SocketChannel downstream) {
+                    if (refusesConnections) {
+                      downstream.close();
                     } else {
-                      new Connection(index, ++connectionCount).open(near, target);
+                      new Connection(index, ++connectionCount).open(downstream, targetPort);
                     }
                   }
                 })
@@ -95,95 +113,105 @@
     loop.execute(action);
   }
 
-  /** Ends all connections; with {@code refuse}, also new ones until the next call. */
-  void cut(boolean refuse) {
+  /**
+   * Closes all connections.
+   *
+   * @param refuseNew whether new connections are closed on accept until the next call
+   */
+  void closeConnections(boolean refuseNew) {
     execute(
         () -> {
-          refusing = refuse;
-          List.copyOf(connections).forEach(Connection::end);
+          refusesConnections = refuseNew;
+          List.copyOf(connections).forEach(Connection::close);
         });
   }
 
-  /** Holds back all bytes while connections stay open, or passes them on again. */
-  void freeze(boolean on) {
+  /**
+   * Freezes or unfreezes the link. While it is frozen, connections stay open, and bytes are held
+   * back and forwarded afterwards.
+   */
+  void setFrozen(boolean on) {
     execute(
         () -> {
           frozen = on;
           if (on) {
-            tap.frozen();
+            tap.linkFrozen();
           }
           connections.forEach(
               connection -> {
-                connection.up.passDue();
-                connection.down.passDue();
+                connection.towardsUpstream.forwardDue();
+                connection.towardsDownstream.forwardDue();
               });
         });
   }
 
-  /** Delays what passes from now on, by direction; up is from the dialling side. */
-  void delay(long upMillis, long downMillis) {
+  /** Sets the delay of bytes that arrive from now on, by direction. */
+  void setDelays(long upstreamMillis, long downstreamMillis) {
     execute(
         () -> {
-          delayUpMillis = upMillis;
-          delayDownMillis = downMillis;
+          upstreamDelayMillis = upstreamMillis;
+          downstreamDelayMillis = downstreamMillis;
         });
   }
 
-  /** Limits the rate towards the dialling side. */
-  void slow(double newBytesPerMillisecond) {
-    execute(() -> bytesPerMillisecond = newBytesPerMillisecond);
+  /** Limits the rate towards the downstream side; {@link Double#MAX_VALUE} stands for no limit. */
+  void setDownstreamRate(double newBytesPerMillisecond) {
+    execute(() -> downstreamBytesPerMillisecond = newBytesPerMillisecond);
   }
 
-  /** Passes each byte by itself, or no more. */
-  void byteByByte(boolean on) {
+  /** Switches whether every byte is forwarded in a write of its own. */
+  void setByteByByte(boolean on) {
     execute(() -> byteByByte = on);
   }
 
-  /** Ends the next connection of a listener after some bytes towards the dialling side. */
-  void cutAfter(int listener, long bytes) {
+  /**
+   * Closes one connection of a listener: the first whose total of bytes towards the downstream side
+   * reaches a number. Bytes beyond that number are dropped.
+   */
+  void closeConnectionAfter(int listener, long downstreamBytes) {
     execute(
         () -> {
-          cutListener = listener;
-          cutAfterBytes = bytes;
+          closingListener = listener;
+          closeAfterBytes = downstreamBytes;
         });
   }
 
-  /** Ends the direction towards the dialling side of all connections of a listener. */
+  /** Half-closes all connections of a listener: ends the direction towards the downstream side. */
   void halfClose(int listener) {
     execute(
         () ->
             connections.stream()
                 .filter(connection -> connection.listener == listener)
-                .forEach(connection -> ((SocketChannel) connection.near).shutdownOutput()));
+                .forEach(connection -> ((SocketChannel) connection.downstream).shutdownOutput()));
   }
 
-  /** Ends all connections and listeners. */
+  /** Closes all listeners and connections. */
   void close() {
     execute(
         () -> {
           listeners.forEach(Channel::close);
-          List.copyOf(connections).forEach(Connection::end);
+          List.copyOf(connections).forEach(Connection::close);
         });
   }
 
   private final class Connection {
     private final int listener;
     private final long id;
-    private Channel near;
-    private Channel far;
-    private Direction up;
-    private Direction down;
-    private long downBytes;
+    private Channel downstream;
+    private Channel upstream;
+    private Direction towardsUpstream;
+    private Direction towardsDownstream;
+    private long downstreamBytes;
 
     Connection(int listener, long id) {
       this.listener = listener;
       this.id = id;
     }
 
-    void open(Channel dialled, int target) {
-      near = dialled;
+    void open(Channel accepted, int targetPort) {
+      downstream = accepted;
       connections.add(this);
-      far =
+      upstream =
           new Bootstrap()
               .group(loop)
               .channel(NioSocketChannel.class)
@@ -193,135 +221,138 @@
                   new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                      // Filled in below, before anything is read.
+                      // The handler is added below: auto-read is off until the connect succeeds.
                     }
                   })
-              .connect(new InetSocketAddress("127.0.0.1", target))
+              .connect(new InetSocketAddress("127.0.0.1", targetPort))
               .addListener(
                   f -> {
                     if (f.isSuccess()) {
-                      near.config().setAutoRead(true);
-                      far.config().setAutoRead(true);
+                      downstream.config().setAutoRead(true);
+                      upstream.config().setAutoRead(true);
                     } else {
-                      end();
+                      close();
                     }
                   })
               .channel();
-      up = new Direction(this, near, far, false);
-      down = new Direction(this, far, near, true);
-      near.pipeline().addLast(up);
-      far.pipeline().addLast(down);
+      towardsUpstream = new Direction(this, downstream, upstream, false);
+      towardsDownstream = new Direction(this, upstream, downstream, true);
+      downstream.pipeline().addLast(towardsUpstream);
+      upstream.pipeline().addLast(towardsDownstream);
     }
 
-    void end() {
+    void close() {
       if (connections.remove(this)) {
-        near.close();
-        far.close();
-        up.discard();
-        down.discard();
-        tap.ended(listener, id);
+        downstream.close();
+        upstream.close();
+        towardsUpstream.releasePending();
+        towardsDownstream.releasePending();
+        tap.connectionClosed(listener, id);
       }
     }
   }
 
-  /** One direction. */
+  /** Forwards the bytes of one direction of a connection, in order, once they are due. */
   private final class Direction extends ChannelInboundHandlerAdapter {
     private final Connection connection;
-    private final Channel from;
-    private final Channel to;
-    private final boolean towardsNear;
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+    private final Channel source;
+    private final Channel destination;
+    private final boolean toDownstream;
+    private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
     private final ArrayDeque<Long> dueAtNanos = new ArrayDeque<>();
-    private long waitingBytes;
-    private long freeAtNanos;
+    private long pendingBytes;
+
+    /** When the latest pending bytes are due; later bytes are never due before them. */
+    private long lastDueAtNanos;
 
-    Direction(Connection connection, Channel from, Channel to, boolean towardsNear) {
+    Direction(Connection connection, Channel source, Channel destination, boolean toDownstream) {
       this.connection = connection;
-      this.from = from;
-      this.to = to;
-      this.towardsNear = towardsNear;
+      this.source = source;
+      this.destination = destination;
+      this.toDownstream = toDownstream;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       ByteBuf in = (ByteBuf) message;
-      if (towardsNear) {
+      if (toDownstream) {
         byte[] copy = new byte[in.readableBytes()];
         in.getBytes(in.readerIndex(), copy);
-        tap.passed(
+        tap.bytesPassed(
             connection.listener,
             connection.id,
             true,
-            copy); // as the far side sent it, whatever happens to it here
+            copy); // reported as received: the link may still hold back or drop it
       }
-      long delay = TimeUnit.MILLISECONDS.toNanos(towardsNear ? delayDownMillis : delayUpMillis);
+      long delayNanos =
+          TimeUnit.MILLISECONDS.toNanos(toDownstream ? downstreamDelayMillis : upstreamDelayMillis);
       while (in.isReadable()) {
         int size = byteByByte ? 1 : in.readableBytes();
-        freeAtNanos =
-            Math.max(freeAtNanos, System.nanoTime() + delay)
-                + (towardsNear ? (long) (size / bytesPerMillisecond * 1e6) : 0);
-        waiting.add(in.readRetainedSlice(size));
-        dueAtNanos.add(freeAtNanos);
-        waitingBytes += size;
+        lastDueAtNanos =
+            Math.max(lastDueAtNanos, System.nanoTime() + delayNanos)
+                + (toDownstream ? (long) (size / downstreamBytesPerMillisecond * 1e6) : 0);
+        pending.add(in.readRetainedSlice(size));
+        dueAtNanos.add(lastDueAtNanos);
+        pendingBytes += size;
       }
       in.release();
-      from.config().setAutoRead(waitingBytes < MAX_WAITING_BYTES);
-      passDue();
+      source.config().setAutoRead(pendingBytes < MAX_PENDING_BYTES);
+      forwardDue();
     }
 
-    void passDue() {
-      while (!frozen && !waiting.isEmpty()) {
+    void forwardDue() {
+      while (!frozen && !pending.isEmpty()) {
         long waitNanos = dueAtNanos.peek() - System.nanoTime();
         if (waitNanos > 0) {
-          loop.schedule(this::passDue, waitNanos, TimeUnit.NANOSECONDS);
+          loop.schedule(this::forwardDue, waitNanos, TimeUnit.NANOSECONDS);
           return;
         }
-        pass(waiting.poll());
+        forward(pending.poll());
         dueAtNanos.poll();
       }
-      from.config().setAutoRead(waitingBytes < MAX_WAITING_BYTES);
+      source.config().setAutoRead(pendingBytes < MAX_PENDING_BYTES);
     }
 
-    private void pass(ByteBuf out) {
+    private void forward(ByteBuf out) {
       int size = out.readableBytes();
-      waitingBytes -= size;
-      boolean cutsHere =
-          towardsNear
-              && connection.listener == cutListener
-              && connection.downBytes + size >= cutAfterBytes;
-      if (cutsHere) {
-        size = (int) Math.max(0, cutAfterBytes - connection.downBytes);
-        cutListener = NO_LISTENER;
+      pendingBytes -= size;
+      boolean closesHere =
+          toDownstream
+              && connection.listener == closingListener
+              && connection.downstreamBytes + size >= closeAfterBytes;
+      if (closesHere) {
+        size = (int) Math.max(0, closeAfterBytes - connection.downstreamBytes);
+        closingListener = NO_LISTENER;
       }
-      connection.downBytes += towardsNear ? size : 0;
+      connection.downstreamBytes += toDownstream ? size : 0;
       byte[] copy = new byte[size];
       out.readBytes(copy);
       out.release();
-      if (!towardsNear) {
-        tap.passed(connection.listener, connection.id, false, copy);
+      if (!toDownstream) {
+        tap.bytesPassed(connection.listener, connection.id, false, copy);
       }
-      var written = to.writeAndFlush(Unpooled.wrappedBuffer(copy));
-      if (cutsHere) {
-        written.addListener(f -> connection.end());
+      var written = destination.writeAndFlush(Unpooled.wrappedBuffer(copy));
+      if (closesHere) {
+        written.addListener(f -> connection.close());
       }
     }
 
-    void discard() {
-      waiting.forEach(ByteBuf::release);
-      waiting.clear();
+    void releasePending() {
+      pending.forEach(ByteBuf::release);
+      pending.clear();
       dueAtNanos.clear();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (!frozen) {
-        connection.end();
+        connection.close();
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      connection.end();
+      connection.close();
     }
   }
 }
