--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -122,7 +122,7 @@
           commit = CommitReader.read(key.value());
         }
       }
-      handle(subscriber.snapshot(values, commit));
+      handle(subscriber.handleSnapshot(values, commit));
     }
 
     @Override
@@ -132,7 +132,7 @@
       boolean isDeleted = value.length == 0;
       boolean isCommit = name.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
       handle(
-          subscriber.keyChanged(
+          subscriber.handleKeyChange(
               name, isDeleted ? null : text(value), isCommit ? CommitReader.read(value) : null));
     }
 
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -83,7 +83,7 @@
           .addArray()
           .add(settings.router().requestClasses().get(k).name())
           .add(statistics.requests(requestClass))
-          .add(statistics.unanswered(requestClass));
+          .add(statistics.unansweredRequests(requestClass));
     }
     return set("/up/" + settings.name() + "/report", Map.of(), value);
   }
@@ -92,7 +92,7 @@
       ArrayNode row, RequestStatistics.EndpointObservation observation) {
     long successes = observation.attempts() - observation.failures();
     double meanSeconds =
-        successes == 0 ? 0 : DeciMillis.toSeconds(observation.successTime()) / successes;
+        successes == 0 ? 0 : DeciMillis.toSeconds(observation.totalSuccessDeciMillis()) / successes;
     row.add(observation.endpoint())
         .add(observation.attempts())
         .add(observation.failures())
--- a/src/main/java/stonespring/proxy/RequestExchange.java
+++ b/src/main/java/stonespring/proxy/RequestExchange.java
@@ -50,7 +50,7 @@
 
   /** Admits the request and sends it, or rejects it. */
   void start() {
-    proxy.statistics().requestReceived(requestClass);
+    proxy.statistics().recordRequest(requestClass);
     if (proxy.now() >= deadline) {
       // It waited here for longer than its client does.
       exchange.respond(rejection(504, REASON_TIMEOUT));
@@ -95,10 +95,10 @@
         result instanceof HttpCallResult.Completed completed ? completed.response() : null;
     RequestOutcome outcome = outcome(result);
     boolean succeeded = outcome == RequestOutcome.SUCCEEDED;
-    proxy.router().attemptEnded(endpoint, succeeded, now);
+    proxy.router().recordAttemptEnd(endpoint, succeeded, now);
     proxy
         .statistics()
-        .attemptEnded(
+        .recordAttempt(
             endpoint,
             succeeded,
             now - sentAt,
@@ -164,7 +164,7 @@
   private void finish(HttpResponse response) {
     proxy.requestEnded();
     if (response.status() != 200) {
-      proxy.statistics().requestUnanswered(requestClass);
+      proxy.statistics().recordUnansweredRequest(requestClass);
     }
     exchange.respond(response);
   }
--- a/src/main/java/stonespring/proxy/routing/RequestStatistics.java
+++ b/src/main/java/stonespring/proxy/routing/RequestStatistics.java
@@ -16,16 +16,20 @@
   /**
    * What was observed at one endpoint.
    *
-   * @param successTime the successful attempts' durations added up
+   * @param totalSuccessDeciMillis the successful attempts' durations added up
    * @param load the latest load report, or null
    */
   public record EndpointObservation(
-      String endpoint, long attempts, long failures, long successTime, LoadReport load) {}
+      String endpoint,
+      long attempts,
+      long failures,
+      long totalSuccessDeciMillis,
+      LoadReport load) {}
 
   private static final class EndpointCounters {
     private long attempts;
     private long failures;
-    private long successTime;
+    private long totalSuccessDeciMillis;
     private LoadReport load;
   }
 
@@ -42,12 +46,12 @@
   }
 
   /** A request was received. */
-  public void requestReceived(RequestClassId requestClass) {
+  public void recordRequest(RequestClassId requestClass) {
     requests[requestClass.index()]++;
   }
 
   /** An admitted request ended without a successful answer. */
-  public void requestUnanswered(RequestClassId requestClass) {
+  public void recordUnansweredRequest(RequestClassId requestClass) {
     unanswered[requestClass.index()]++;
   }
 
@@ -56,12 +60,13 @@
    *
    * @param load null if the answer brought none
    */
-  public void attemptEnded(EndpointId endpoint, boolean succeeded, long duration, LoadReport load) {
+  public void recordAttempt(
+      EndpointId endpoint, boolean succeeded, long duration, LoadReport load) {
     EndpointCounters counters =
         countersByEndpoint.computeIfAbsent(endpoint.name(), name -> new EndpointCounters());
     counters.attempts++;
     if (succeeded) {
-      counters.successTime += duration;
+      counters.totalSuccessDeciMillis += duration;
     } else {
       counters.failures++;
     }
@@ -76,7 +81,8 @@
     countersByEndpoint.forEach(
         (endpoint, c) ->
             observations.add(
-                new EndpointObservation(endpoint, c.attempts, c.failures, c.successTime, c.load)));
+                new EndpointObservation(
+                    endpoint, c.attempts, c.failures, c.totalSuccessDeciMillis, c.load)));
     return observations;
   }
 
@@ -86,7 +92,7 @@
   }
 
   /** Requests of a class that were admitted and ended without a successful answer. */
-  public long unanswered(RequestClassId requestClass) {
+  public long unansweredRequests(RequestClassId requestClass) {
     return unanswered[requestClass.index()];
   }
 
--- a/src/main/java/stonespring/proxy/routing/Router.java
+++ b/src/main/java/stonespring/proxy/routing/Router.java
@@ -83,7 +83,8 @@
   }
 
   /**
-   * Where a request of this class goes. Until {@link #attemptEnded} it counts as in flight there.
+   * Where a request of this class goes. Until {@link #recordAttemptEnd} it counts as in flight
+   * there.
    *
    * @param avoided an endpoint that an earlier attempt failed at; null for none
    * @return empty if no route is left
@@ -99,7 +100,7 @@
   }
 
   /** An attempt ended. */
-  public void attemptEnded(EndpointId endpoint, boolean succeeded, long now) {
+  public void recordAttemptEnd(EndpointId endpoint, boolean succeeded, long now) {
     int index = endpoints.index(endpoint.name());
     endpoints.attemptEnded(index);
     ejector.attemptEnded(index, succeeded, now);
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -67,7 +67,7 @@
    * @param value null if it was deleted
    * @param commit the decoded value if the key is {@link #COMMIT_KEY}, else null
    */
-  public Step keyChanged(String key, String value, Commit commit) {
+  public Step handleKeyChange(String key, String value, Commit commit) {
     if (!key.equals(COMMIT_KEY)) {
       return gather(key, value);
     }
@@ -111,7 +111,7 @@
    *
    * @param commit null if the stream has sent nothing yet
    */
-  public Step snapshot(Map<String, String> keys, Commit commit) {
+  public Step handleSnapshot(Map<String, String> keys, Commit commit) {
     gathered.clear();
     if (commit == null) {
       return GATHERED;
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -119,7 +119,7 @@
     String value = deleted ? null : new String(update.value(), StandardCharsets.UTF_8);
     boolean isCommit = !deleted && key.equals(COMMIT_KEY);
     TableSubscriber.Step step =
-        subscriber.keyChanged(key, value, isCommit ? CommitReader.read(update.value()) : null);
+        subscriber.handleKeyChange(key, value, isCommit ? CommitReader.read(update.value()) : null);
     if (step instanceof TableSubscriber.Step.Resync resync) {
       throw new IllegalStateException(
           name() + " needs a resync on a lossless channel: " + resync.cause());
@@ -168,7 +168,7 @@
               new EndpointId(observed.endpoint()),
               observed.attempts(),
               observed.failures(),
-              successes == 0 ? 0 : observed.successTime() / successes,
+              successes == 0 ? 0 : observed.totalSuccessDeciMillis() / successes,
               observed.load() == null ? LoadReport.NONE : observed.load()));
     }
     List<ProxyReport.RequestCount> requestCounts = new ArrayList<>();
@@ -178,7 +178,7 @@
           new ProxyReport.RequestCount(
               requestClass,
               statistics.requests(requestClass),
-              statistics.unanswered(requestClass)));
+              statistics.unansweredRequests(requestClass)));
     }
     statistics.reset(events.now());
     return new ProxyReport(interval, observations, requestCounts);
--- a/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
@@ -73,7 +73,7 @@
   }
 
   private void arrive() {
-    proxy.statistics().requestReceived(requestClass);
+    proxy.statistics().recordRequest(requestClass);
     attempts = 0;
     provenNotExecuted = true;
     if (proxy.router().admit(requestClass, events.now())) {
@@ -132,10 +132,10 @@
     long now = events.now();
     EndpointId endpoint = pendingEndpoint;
     pendingEndpoint = null;
-    proxy.router().attemptEnded(endpoint, result.succeeded(), now);
+    proxy.router().recordAttemptEnd(endpoint, result.succeeded(), now);
     proxy
         .statistics()
-        .attemptEnded(endpoint, result.succeeded(), now - pendingSince, result.load());
+        .recordAttempt(endpoint, result.succeeded(), now - pendingSince, result.load());
     if (result.succeeded()) {
       end(RequestResult.SUCCEEDED);
       return;
@@ -157,7 +157,7 @@
    */
   private void proxyGaveUp(boolean rejected) {
     if (!rejected) {
-      proxy.statistics().requestUnanswered(requestClass);
+      proxy.statistics().recordUnansweredRequest(requestClass);
     }
     if (!clientMayRetry()) {
       end(rejected ? RequestResult.REJECTED : RequestResult.FAILED);
@@ -195,9 +195,9 @@
     generation++;
     long now = events.now();
     if (pendingEndpoint != null) {
-      proxy.router().attemptEnded(pendingEndpoint, false, now);
-      proxy.statistics().attemptEnded(pendingEndpoint, false, now - pendingSince, null);
-      proxy.statistics().requestUnanswered(requestClass);
+      proxy.router().recordAttemptEnd(pendingEndpoint, false, now);
+      proxy.statistics().recordAttempt(pendingEndpoint, false, now - pendingSince, null);
+      proxy.statistics().recordUnansweredRequest(requestClass);
     }
     boolean inTime =
         result == RequestResult.SUCCEEDED && now - startedAt <= classSettings.latencyObjective();
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -156,7 +156,7 @@
     String key = update.key().substring(subtree().length());
     String value = update.value().length == 0 ? null : text(update);
     boolean isCommit = value != null && key.equals(TableSubscriber.COMMIT_KEY);
-    apply(subscriber.keyChanged(key, value, isCommit ? parseCommit(value) : null), host, now);
+    apply(subscriber.handleKeyChange(key, value, isCommit ? parseCommit(value) : null), host, now);
   }
 
   /** Applies all keys that the host has published for this proxy. */
@@ -167,7 +167,7 @@
       keys.put(key.key().substring(subtree().length()), text(key));
       commit = key.key().endsWith("/commit") ? parseCommit(text(key)) : commit;
     }
-    apply(subscriber.snapshot(keys, commit), host, now);
+    apply(subscriber.handleSnapshot(keys, commit), host, now);
   }
 
   private void apply(TableSubscriber.Step step, EngineHost host, long now) {
--- a/src/test/java/stonespring/proxy/routing/RouterTest.java
+++ b/src/test/java/stonespring/proxy/routing/RouterTest.java
@@ -87,7 +87,7 @@
     for (int i = 0; i < 4000; i++) {
       EndpointId endpoint = router.pick(VIEW, null, 0).orElseThrow();
       picks.merge(endpoint.name(), 1, Integer::sum);
-      router.attemptEnded(endpoint, true, 0);
+      router.recordAttemptEnd(endpoint, true, 0);
     }
     assertEquals(0.75, picks.get("x") / 4000.0, 0.02);
     assertEquals(
@@ -159,7 +159,7 @@
   void ejectsAFailingEndpointUnlessNothingElseIsLeft() {
     Router router = routerWithTables();
     for (int i = 0; i < 3; i++) {
-      router.attemptEnded(new EndpointId("x"), false, 0);
+      router.recordAttemptEnd(new EndpointId("x"), false, 0);
     }
     for (int i = 0; i < 50; i++) {
       assertEquals("y", router.pick(VIEW, null, SECOND).orElseThrow().name());
--- a/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
+++ b/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
@@ -16,48 +16,50 @@
   @Test
   void appliesAnUpdateWholeOrNotAtAll() {
     assertInstanceOf(
-        TableSubscriber.Step.Gathered.class, subscriber.keyChanged("line/1/x", "1", null));
+        TableSubscriber.Step.Gathered.class, subscriber.handleKeyChange("line/1/x", "1", null));
     TableSubscriber.Step.Update first =
-        (TableSubscriber.Step.Update) subscriber.keyChanged("commit", "{}", commit("a", 1, 1));
+        (TableSubscriber.Step.Update) subscriber.handleKeyChange("commit", "{}", commit("a", 1, 1));
     assertEquals(Map.of("line/1/x", "1"), first.changes());
     assertEquals(9, first.ackId());
-    subscriber.keyChanged("line/1/y", "1", null);
+    subscriber.handleKeyChange("line/1/y", "1", null);
     assertInstanceOf(
         TableSubscriber.Step.Resync.class,
-        subscriber.keyChanged("commit", "{}", commit("a", 2, 2)),
+        subscriber.handleKeyChange("commit", "{}", commit("a", 2, 2)),
         "a key is missing");
   }
 
   @Test
   void requestsTheSnapshotWhenAnUpdateIsOutOfSequence() {
-    subscriber.keyChanged("commit", "{}", commit("a", 1, 0));
+    subscriber.handleKeyChange("commit", "{}", commit("a", 1, 0));
     assertInstanceOf(
         TableSubscriber.Step.Resync.class,
-        subscriber.keyChanged("commit", "{}", commit("a", 3, 0)));
+        subscriber.handleKeyChange("commit", "{}", commit("a", 3, 0)));
     assertInstanceOf(
         TableSubscriber.Step.Resync.class,
-        subscriber.keyChanged("commit", "{}", commit("b", 2, 0)),
+        subscriber.handleKeyChange("commit", "{}", commit("b", 2, 0)),
         "another stream that does not begin with its first message");
     TableSubscriber.Step.Update whole =
         (TableSubscriber.Step.Update)
-            subscriber.snapshot(Map.of("commit", "{}", "out/x", "1"), commit("b", 2, 1));
+            subscriber.handleSnapshot(Map.of("commit", "{}", "out/x", "1"), commit("b", 2, 1));
     assertEquals(Map.of("out/x", "1"), whole.changes());
     assertEquals(true, whole.wholeState());
     assertInstanceOf(
         TableSubscriber.Step.Update.class,
-        subscriber.keyChanged("commit", "{}", commit("b", 3, 0)));
+        subscriber.handleKeyChange("commit", "{}", commit("b", 3, 0)));
   }
 
   @Test
   void ignoresASnapshotWithoutNews() {
-    subscriber.keyChanged("commit", "{}", commit("a", 1, 0));
+    subscriber.handleKeyChange("commit", "{}", commit("a", 1, 0));
     assertInstanceOf(
         TableSubscriber.Step.Gathered.class,
-        subscriber.snapshot(Map.of("commit", "{}"), commit("a", 1, 0)));
-    assertInstanceOf(TableSubscriber.Step.Gathered.class, subscriber.snapshot(Map.of(), null));
-    assertInstanceOf(TableSubscriber.Step.Ended.class, subscriber.keyChanged("commit", null, null));
+        subscriber.handleSnapshot(Map.of("commit", "{}"), commit("a", 1, 0)));
+    assertInstanceOf(
+        TableSubscriber.Step.Gathered.class, subscriber.handleSnapshot(Map.of(), null));
+    assertInstanceOf(
+        TableSubscriber.Step.Ended.class, subscriber.handleKeyChange("commit", null, null));
     assertInstanceOf(
         TableSubscriber.Step.Update.class,
-        subscriber.keyChanged("commit", "{}", commit("c", 1, 0)));
+        subscriber.handleKeyChange("commit", "{}", commit("c", 1, 0)));
   }
 }
