--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -26,7 +26,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(InstanceConnection.class);
 
   /** Renewals of the session within its time; two may be late. */
-  private static final long RENEWALS_PER_SESSION = 3;
+  private static final long RENEWALS_PER_SESSION_TTL = 3;
 
   private static final int RANDOM_ID_RADIX = 36;
   private static final long NANOS_PER_DECI_MILLI = 100_000;
@@ -44,8 +44,8 @@
   private final TableSubscriber subscriber = new TableSubscriber();
   private ChpClient client;
   private long connectionCount;
-  private int nextInstance;
-  private boolean ready;
+  private int nextInstanceIndex;
+  private boolean channelReady;
   private boolean stopped;
   private volatile long appliedUpdates;
 
@@ -74,10 +74,15 @@
 
   void start() {
     connect();
-    long renewMillis = TimeUnit.SECONDS.toMillis(link.sessionSeconds()) / RENEWALS_PER_SESSION;
-    loop.scheduleAtFixedRate(this::sendHello, renewMillis, renewMillis, TimeUnit.MILLISECONDS);
+    long renewIntervalMillis =
+        TimeUnit.SECONDS.toMillis(link.sessionTtlSeconds()) / RENEWALS_PER_SESSION_TTL;
     loop.scheduleAtFixedRate(
-        this::sendReport, link.reportMillis(), link.reportMillis(), TimeUnit.MILLISECONDS);
+        this::sendHello, renewIntervalMillis, renewIntervalMillis, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        this::sendReport,
+        link.reportIntervalMillis(),
+        link.reportIntervalMillis(),
+        TimeUnit.MILLISECONDS);
   }
 
   void stop() {
@@ -98,10 +103,10 @@
     if (stopped || link.instances().isEmpty()) {
       return;
     }
-    ProxySettings.Ports ports = link.instances().get(nextInstance++ % link.instances().size());
+    ProxySettings.Ports ports = link.instances().get(nextInstanceIndex++ % link.instances().size());
     connectionCount++;
     Listener listener = new Listener();
-    listener.owner = new ChpClient(loop, subtree, link.silenceMillis(), listener);
+    listener.owner = new ChpClient(loop, subtree, link.silenceTimeoutMillis(), listener);
     client = listener.owner;
     client.connect(
         ports.host(), ports.snapshots(), ports.updates(), ports.collector(), ZmtpLimits.DEFAULT);
@@ -116,50 +121,52 @@
       Map<String, String> values = new LinkedHashMap<>();
       TableSubscriber.Commit commit = null;
       for (ChpMessage.KvSync key : keys) {
-        String name = relative(key.key());
-        values.put(name, text(key.value()));
+        String name = relativeKey(key.key());
+        values.put(name, decodeUtf8(key.value()));
         if (name.equals(TableSubscriber.COMMIT_KEY)) {
           commit = CommitReader.read(key.value());
         }
       }
-      handle(subscriber.handleSnapshot(values, commit));
+      handleStep(subscriber.handleSnapshot(values, commit));
     }
 
     @Override
     public void update(ChpMessage.KvPub update) {
-      String name = relative(update.key());
+      String name = relativeKey(update.key());
       byte[] value = update.value();
       boolean isDeleted = value.length == 0;
       boolean isCommit = name.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
-      handle(
+      handleStep(
           subscriber.handleKeyChange(
-              name, isDeleted ? null : text(value), isCommit ? CommitReader.read(value) : null));
+              name,
+              isDeleted ? null : decodeUtf8(value),
+              isCommit ? CommitReader.read(value) : null));
     }
 
     @Override
     public void ready() {
-      ready = true;
+      channelReady = true;
       sendHello();
     }
 
     @Override
     public void ended(String cause) {
       if (client == owner) {
-        connectionLost(cause);
+        handleConnectionLoss(cause);
       }
     }
   }
 
-  private String relative(String key) {
+  private String relativeKey(String key) {
     return key.substring(subtree.length());
   }
 
-  private static String text(byte[] value) {
+  private static String decodeUtf8(byte[] value) {
     return new String(value, StandardCharsets.UTF_8);
   }
 
-  private void connectionLost(String cause) {
-    ready = false;
+  private void handleConnectionLoss(String cause) {
+    channelReady = false;
     client = null;
     if (stopped) {
       return;
@@ -169,24 +176,25 @@
         settings.name(),
         connectionCount,
         cause);
-    int range = Math.max(1, link.maxReconnectMillis() - link.minReconnectMillis());
-    int waitMillis = link.minReconnectMillis() + random.nextInt(range);
+    int reconnectRangeMillis = Math.max(1, link.maxReconnectMillis() - link.minReconnectMillis());
+    int waitMillis = link.minReconnectMillis() + random.nextInt(reconnectRangeMillis);
     loop.schedule(this::connect, waitMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void handle(TableSubscriber.Step step) {
+  private void handleStep(TableSubscriber.Step step) {
     if (step instanceof TableSubscriber.Step.Resync resync) {
       LOG.warn("proxy {}: the snapshot is requested: {}", settings.name(), resync.cause());
       client.resync();
     } else if (step instanceof TableSubscriber.Step.Update update) {
-      long arrivedAt = now();
+      long arrivedAtDeciMillis = now();
       // The proxy halts for each change that it takes in; an update is applied whole after that.
-      long haltMicros = (long) link.changeMicros() * update.changes().size();
-      loop.schedule(() -> apply(update, arrivedAt), haltMicros, TimeUnit.MICROSECONDS);
+      long applyDelayMicros = (long) link.applyDelayMicrosPerChange() * update.changes().size();
+      loop.schedule(
+          () -> apply(update, arrivedAtDeciMillis), applyDelayMicros, TimeUnit.MICROSECONDS);
     }
   }
 
-  private void apply(TableSubscriber.Step.Update update, long arrivedAt) {
+  private void apply(TableSubscriber.Step.Update update, long arrivedAtDeciMillis) {
     try {
       router.apply(update);
     } catch (IllegalArgumentException e) {
@@ -195,13 +203,13 @@
     }
     appliedUpdates++;
     if (update.ackId() >= 0 && client != null) {
-      client.set(messages.acknowledgement(update, now() - arrivedAt));
+      client.set(messages.acknowledgement(update, now() - arrivedAtDeciMillis));
     }
   }
 
   /** Opens the session, or renews it. */
   private void sendHello() {
-    if (ready && client != null) {
+    if (channelReady && client != null) {
       client.set(
           messages.hello(
               new InstanceMessages.Hello(
@@ -211,7 +219,7 @@
 
   /** Reports what was observed; without a connection it is reported with the next. */
   private void sendReport() {
-    if (ready && client != null && client.set(messages.report(statistics, now()))) {
+    if (channelReady && client != null && client.set(messages.report(statistics, now()))) {
       statistics.reset(now());
     }
   }
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -48,11 +48,11 @@
         .put("ops", settings.usualRequestsPerSecond())
         .put("fresh", hello.withoutTables());
     if (hello.namedEndpoints().size() <= MAX_NAMED_ENDPOINTS) {
-      ArrayNode named = value.putArray("holds");
-      hello.namedEndpoints().forEach(named::add);
+      ArrayNode endpointNames = value.putArray("holds");
+      hello.namedEndpoints().forEach(endpointNames::add);
     }
-    String timeToLive = String.valueOf(settings.instanceLink().sessionSeconds());
-    return set("/presence/" + settings.name(), Map.of("ttl", timeToLive), value);
+    String timeToLive = String.valueOf(settings.instanceLink().sessionTtlSeconds());
+    return keyValue("/presence/" + settings.name(), Map.of("ttl", timeToLive), value);
   }
 
   /**
@@ -60,32 +60,32 @@
    *
    * @param duration from its arrival, DeciMillis
    */
-  ChpMessage.KvSet acknowledgement(TableSubscriber.Step.Update update, long duration) {
+  ChpMessage.KvSet acknowledgement(TableSubscriber.Step.Update update, long durationDeciMillis) {
     ObjectNode value = JSON.createObjectNode();
     value
         .put("origin", update.stream())
         .put("mark", update.ackId())
-        .put("took", DeciMillis.toSeconds(duration));
-    return set("/up/" + settings.name() + "/answer", Map.of(), value);
+        .put("took", DeciMillis.toSeconds(durationDeciMillis));
+    return keyValue("/up/" + settings.name() + "/answer", Map.of(), value);
   }
 
   ChpMessage.KvSet report(RequestStatistics statistics, long now) {
     ObjectNode value = JSON.createObjectNode();
-    value.put("span", DeciMillis.toSeconds(statistics.interval(now)));
-    ArrayNode endpoints = value.putArray("tasks");
+    value.put("span", DeciMillis.toSeconds(statistics.intervalDeciMillis(now)));
+    ArrayNode endpointRows = value.putArray("tasks");
     for (RequestStatistics.EndpointObservation observation : statistics.observations()) {
-      writeObservation(endpoints.addArray(), observation);
+      writeObservation(endpointRows.addArray(), observation);
     }
-    ArrayNode requests = value.putArray("ops");
+    ArrayNode requestRows = value.putArray("ops");
     for (int k = 0; k < settings.router().requestClasses().size(); k++) {
       RequestClassId requestClass = new RequestClassId(k);
-      requests
+      requestRows
           .addArray()
           .add(settings.router().requestClasses().get(k).name())
           .add(statistics.requests(requestClass))
           .add(statistics.unansweredRequests(requestClass));
     }
-    return set("/up/" + settings.name() + "/report", Map.of(), value);
+    return keyValue("/up/" + settings.name() + "/report", Map.of(), value);
   }
 
   private static void writeObservation(
@@ -110,13 +110,13 @@
     putIfKnown(node, "ops_per_s", load.requestsPerSecond());
   }
 
-  private static void putIfKnown(ObjectNode node, String name, double figure) {
-    if (!Double.isNaN(figure)) {
-      node.put(name, figure);
+  private static void putIfKnown(ObjectNode node, String name, double value) {
+    if (!Double.isNaN(value)) {
+      node.put(name, value);
     }
   }
 
-  private static ChpMessage.KvSet set(
+  private static ChpMessage.KvSet keyValue(
       String key, Map<String, String> properties, ObjectNode value) {
     try {
       return new ChpMessage.KvSet(key, ChpMessage.NONE, properties, JSON.writeValueAsBytes(value));
--- a/src/main/java/stonespring/proxy/LoadReportHeader.java
+++ b/src/main/java/stonespring/proxy/LoadReportHeader.java
@@ -11,16 +11,16 @@
   /** The header's name. */
   public static final String NAME = "endpoint-load-metrics";
 
-  private static final String TEXT_FORM = "TEXT ";
+  private static final String TEXT_FORMAT_PREFIX = "TEXT ";
 
   /** Figures at or above it are implausible and count as unknown. */
-  private static final double MAX_FIGURE = 1e9;
+  private static final double MAX_METRIC_VALUE = 1e9;
 
   private LoadReportHeader() {}
 
   /** The load that a header tells; null if it is not in this form. */
   static LoadReport read(String header) {
-    if (!header.startsWith(TEXT_FORM)) {
+    if (!header.startsWith(TEXT_FORMAT_PREFIX)) {
       return null;
     }
     double utilization = Double.NaN;
@@ -29,16 +29,16 @@
     double serviceTimeMillis = Double.NaN;
     double requestsPerSecond = Double.NaN;
     try {
-      for (String pair : header.substring(TEXT_FORM.length()).split(",")) {
-        int equals = pair.indexOf('=');
-        String name = equals < 0 ? "" : pair.substring(0, equals).strip();
-        String value = pair.substring(equals + 1).strip();
+      for (String pair : header.substring(TEXT_FORMAT_PREFIX.length()).split(",")) {
+        int separator = pair.indexOf('=');
+        String name = separator < 0 ? "" : pair.substring(0, separator).strip();
+        String value = pair.substring(separator + 1).strip();
         switch (name) {
-          case "cpu_utilization" -> utilization = figure(value);
-          case "named_metrics.waiting" -> queueLength = figure(value);
-          case "named_metrics.in_hand" -> inFlight = figure(value);
-          case "named_metrics.work_ms" -> serviceTimeMillis = figure(value);
-          case "rps_fractional" -> requestsPerSecond = figure(value);
+          case "cpu_utilization" -> utilization = parseMetric(value);
+          case "named_metrics.waiting" -> queueLength = parseMetric(value);
+          case "named_metrics.in_hand" -> inFlight = parseMetric(value);
+          case "named_metrics.work_ms" -> serviceTimeMillis = parseMetric(value);
+          case "rps_fractional" -> requestsPerSecond = parseMetric(value);
           default -> {
             // other metrics say nothing of the load
           }
@@ -50,8 +50,8 @@
     return new LoadReport(utilization, queueLength, inFlight, serviceTimeMillis, requestsPerSecond);
   }
 
-  private static double figure(String text) {
+  private static double parseMetric(String text) {
     double value = Double.parseDouble(text);
-    return value >= 0 && value < MAX_FIGURE ? value : Double.NaN;
+    return value >= 0 && value < MAX_METRIC_VALUE ? value : Double.NaN;
   }
 }
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -36,12 +36,12 @@
   private static final int MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 8;
 
   /** Most requests in flight, and most that wait while the proxy is stalled. */
-  private static final int MAX_IN_FLIGHT = 5_000;
+  private static final int MAX_REQUESTS = 5_000;
 
   /** What waits in the socket is read and applied by then. */
-  private static final long CATCH_UP_MILLIS = 100;
+  private static final long RESUME_DELAY_MILLIS = 100;
 
-  private static final String METHOD = "POST";
+  private static final String REQUEST_METHOD = "POST";
   private static final String USAGE = "POST /op/TYPE with header x-op\n";
 
   private final ProxySettings settings;
@@ -52,7 +52,7 @@
   private final HttpClient client;
   private final HttpServer server;
   private final TreeSet<String> usedEndpoints = new TreeSet<>();
-  private final ArrayDeque<RequestExchange> waiting = new ArrayDeque<>();
+  private final ArrayDeque<RequestExchange> waitingRequests = new ArrayDeque<>();
   private int inFlight;
   private boolean stalled;
 
@@ -102,15 +102,15 @@
           if (stall) {
             stalled = true;
           } else {
-            loop.schedule(this::goOn, CATCH_UP_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::resume, RESUME_DELAY_MILLIS, TimeUnit.MILLISECONDS);
           }
         });
   }
 
-  private void goOn() {
+  private void resume() {
     stalled = false;
-    while (!stalled && !waiting.isEmpty()) {
-      waiting.poll().start();
+    while (!stalled && !waitingRequests.isEmpty()) {
+      waitingRequests.poll().start();
     }
   }
 
@@ -125,9 +125,9 @@
   }
 
   private void closeUnusedConnections() {
-    TreeSet<String> named = router.namedEndpoints();
+    TreeSet<String> namedEndpoints = router.namedEndpoints();
     for (String endpoint : new TreeSet<>(usedEndpoints)) {
-      if (!named.contains(endpoint)) {
+      if (!namedEndpoints.contains(endpoint)) {
         usedEndpoints.remove(endpoint);
         client.closeIdle(ProxySettings.address(new EndpointId(endpoint)));
       }
@@ -137,24 +137,25 @@
   private void handle(HttpRequest request, HttpServer.Exchange exchange) {
     Optional<RequestClassId> requestClass = requestClass(request.target());
     boolean hasId = !request.header(ProxyHeaders.REQUEST_ID).isEmpty();
-    if (requestClass.isEmpty() || !request.method().equals(METHOD) || !hasId) {
+    if (requestClass.isEmpty() || !request.method().equals(REQUEST_METHOD) || !hasId) {
       exchange.respond(HttpResponse.of(404, USAGE));
       return;
     }
-    RequestExchange started = new RequestExchange(this, requestClass.get(), request, exchange);
+    RequestExchange requestExchange =
+        new RequestExchange(this, requestClass.get(), request, exchange);
     if (!stalled) {
-      started.start();
-    } else if (waiting.size() < MAX_IN_FLIGHT) {
-      waiting.add(started);
+      requestExchange.start();
+    } else if (waitingRequests.size() < MAX_REQUESTS) {
+      waitingRequests.add(requestExchange);
     } else {
-      started.rejectAsFull();
+      requestExchange.rejectAsFull();
     }
   }
 
   private Optional<RequestClassId> requestClass(String target) {
     List<RouterSettings.ClassSettings> classes = settings.router().requestClasses();
     for (int k = classes.size() - 1; k >= 0; k--) {
-      if (target.equals(ProxyHeaders.PATH + classes.get(k).name())) {
+      if (target.equals(ProxyHeaders.REQUEST_PATH_PREFIX + classes.get(k).name())) {
         return Optional.of(new RequestClassId(k));
       }
     }
@@ -179,20 +180,23 @@
   }
 
   boolean isFull() {
-    return inFlight >= MAX_IN_FLIGHT;
+    return inFlight >= MAX_REQUESTS;
   }
 
-  void requestStarted() {
+  void incrementInFlight() {
     inFlight++;
   }
 
-  void requestEnded() {
+  void decrementInFlight() {
     inFlight--;
   }
 
   void call(
-      EndpointId endpoint, HttpRequest attempt, long timeoutMillis, Consumer<HttpCallResult> then) {
+      EndpointId endpoint,
+      HttpRequest attempt,
+      long timeoutMillis,
+      Consumer<HttpCallResult> resultHandler) {
     usedEndpoints.add(endpoint.name());
-    client.call(ProxySettings.address(endpoint), attempt, timeoutMillis, then);
+    client.call(ProxySettings.address(endpoint), attempt, timeoutMillis, resultHandler);
   }
 }
--- a/src/main/java/stonespring/proxy/ProxyHeaders.java
+++ b/src/main/java/stonespring/proxy/ProxyHeaders.java
@@ -5,7 +5,7 @@
  */
 public final class ProxyHeaders {
   /** Requests are posted to this path and the request class's name. */
-  public static final String PATH = "/op/";
+  public static final String REQUEST_PATH_PREFIX = "/op/";
 
   /** The request's id; an endpoint recognises a repeat by it. */
   public static final String REQUEST_ID = "x-op";
@@ -22,7 +22,7 @@
   /** Counts the attempts of a request, from 1. */
   public static final String ATTEMPT = "x-try";
 
-  /** In an answer with {@link #YES}: it is certain that the request was not executed. */
+  /** In an answer with {@link #FLAG_SET}: it is certain that the request was not executed. */
   public static final String NOT_EXECUTED = "x-not-run";
 
   /** In an answer: why the request was not served. */
@@ -32,7 +32,7 @@
   public static final String RETRY_AFTER = "retry-after";
 
   /** The value of a flag that is set. */
-  public static final String YES = "1";
+  public static final String FLAG_SET = "1";
 
   private ProxyHeaders() {}
 }
--- a/src/main/java/stonespring/proxy/ProxySettings.java
+++ b/src/main/java/stonespring/proxy/ProxySettings.java
@@ -26,22 +26,23 @@
    * How it connects to an instance.
    *
    * @param instances where instances may be reached, in order
-   * @param changeMicros how long it halts for each change of an update that it applies,
-   *     microseconds
-   * @param reportMillis interval of its reports
-   * @param silenceMillis how long an instance may be silent before the connection is given up
+   * @param applyDelayMicrosPerChange how long it halts for each change of an update that it
+   *     applies, microseconds
+   * @param reportIntervalMillis interval of its reports
+   * @param silenceTimeoutMillis how long an instance may be silent before the connection is given
+   *     up
    * @param minReconnectMillis the shortest wait before it connects again; the wait is drawn up to
    *     {@code maxReconnectMillis}
-   * @param sessionSeconds how long an instance keeps its session without a renewal
+   * @param sessionTtlSeconds how long an instance keeps its session without a renewal
    */
   public record InstanceLink(
       List<Ports> instances,
-      int changeMicros,
-      long reportMillis,
-      long silenceMillis,
+      int applyDelayMicrosPerChange,
+      long reportIntervalMillis,
+      long silenceTimeoutMillis,
       int minReconnectMillis,
       int maxReconnectMillis,
-      int sessionSeconds) {}
+      int sessionTtlSeconds) {}
 
   /** An instance's three ports; a link in between may have moved each of them. */
   public record Ports(String host, int snapshots, int updates, int collector) {}
--- a/src/main/java/stonespring/proxy/RequestExchange.java
+++ b/src/main/java/stonespring/proxy/RequestExchange.java
@@ -43,9 +43,11 @@
 
   /** The class's timeout, or the client's if that is shorter. */
   private long timeoutMillis() {
-    long max = proxy.settings().requestTimeoutsMillis().get(requestClass.index());
-    String wanted = request.header(ProxyHeaders.TIMEOUT_MILLIS);
-    return wanted.matches("[0-9]{1,7}") ? Math.min(max, Long.parseLong(wanted)) : max;
+    long classTimeoutMillis = proxy.settings().requestTimeoutsMillis().get(requestClass.index());
+    String requestedTimeout = request.header(ProxyHeaders.TIMEOUT_MILLIS);
+    return requestedTimeout.matches("[0-9]{1,7}")
+        ? Math.min(classTimeoutMillis, Long.parseLong(requestedTimeout))
+        : classTimeoutMillis;
   }
 
   /** Admits the request and sends it, or rejects it. */
@@ -53,43 +55,48 @@
     proxy.statistics().recordRequest(requestClass);
     if (proxy.now() >= deadline) {
       // It waited here for longer than its client does.
-      exchange.respond(rejection(504, REASON_TIMEOUT));
+      exchange.respond(rejectionResponse(504, REASON_TIMEOUT));
     } else if (proxy.isFull()) {
-      exchange.respond(rejection(503, REASON_FULL));
+      exchange.respond(rejectionResponse(503, REASON_FULL));
     } else if (!proxy.router().admit(requestClass, proxy.now())) {
-      exchange.respond(rejection(429, REASON_LIMIT));
+      exchange.respond(rejectionResponse(429, REASON_LIMIT));
     } else {
-      proxy.requestStarted();
-      send(null);
+      proxy.incrementInFlight();
+      sendAttempt(null);
     }
   }
 
   /** Rejects the request, which has not been sent to any endpoint. */
   void rejectAsFull() {
-    exchange.respond(rejection(503, REASON_FULL));
+    exchange.respond(rejectionResponse(503, REASON_FULL));
   }
 
-  private void send(EndpointId avoided) {
-    EndpointId endpoint = proxy.router().pick(requestClass, avoided, proxy.now()).orElse(null);
+  private void sendAttempt(EndpointId avoidedEndpoint) {
+    EndpointId endpoint =
+        proxy.router().pick(requestClass, avoidedEndpoint, proxy.now()).orElse(null);
     if (endpoint == null) {
-      finish(avoided == null ? rejection(503, REASON_NO_ENDPOINT) : failure(503, REASON_FAILED));
+      finish(
+          avoidedEndpoint == null
+              ? rejectionResponse(503, REASON_NO_ENDPOINT)
+              : failureResponse(503, REASON_FAILED));
       return;
     }
     long sentAt = proxy.now();
     attempts++;
     firstAttemptAt = provenNotExecuted ? sentAt : firstAttemptAt;
-    long leftMillis = Math.max(1, (deadline - sentAt) / DECI_MILLIS_PER_MILLI);
+    long remainingMillis = Math.max(1, (deadline - sentAt) / DECI_MILLIS_PER_MILLI);
     HttpRequest attempt =
         HttpRequest.post(ProxySettings.address(endpoint), request.target(), request.body())
             .setHeader(ProxyHeaders.REQUEST_ID, request.header(ProxyHeaders.REQUEST_ID))
             .setHeader(ProxyHeaders.PROXY, proxy.settings().name())
             .setHeader(ProxyHeaders.ZONE, proxy.settings().zone())
             .setHeader(ProxyHeaders.ATTEMPT, String.valueOf(attempts))
-            .setHeader(ProxyHeaders.TIMEOUT_MILLIS, String.valueOf(leftMillis));
-    proxy.call(endpoint, attempt, leftMillis, result -> ended(endpoint, sentAt, result));
+            .setHeader(ProxyHeaders.TIMEOUT_MILLIS, String.valueOf(remainingMillis));
+    proxy.call(
+        endpoint, attempt, remainingMillis, result -> handleResult(endpoint, sentAt, result));
   }
 
-  private void ended(EndpointId endpoint, long sentAt, HttpCallResult result) {
+  private void handleResult(EndpointId endpoint, long sentAt, HttpCallResult result) {
     long now = proxy.now();
     HttpResponse response =
         result instanceof HttpCallResult.Completed completed ? completed.response() : null;
@@ -117,18 +124,19 @@
     RequestProgress progress =
         new RequestProgress(attempts, provenNotExecuted, firstAttemptAt, deadline);
     if (proxy.router().mayRetry(requestClass, progress, now)) {
-      send(endpoint);
+      sendAttempt(endpoint);
     } else if (outcome == RequestOutcome.TIMED_OUT) {
-      finish(failure(504, REASON_TIMEOUT));
+      finish(failureResponse(504, REASON_TIMEOUT));
     } else {
-      finish(failure(503, REASON_FAILED));
+      finish(failureResponse(503, REASON_FAILED));
     }
   }
 
   private static RequestOutcome outcome(HttpCallResult result) {
     if (result instanceof HttpCallResult.Completed completed) {
       HttpResponse response = completed.response();
-      boolean saysNotExecuted = response.header(ProxyHeaders.NOT_EXECUTED).equals(ProxyHeaders.YES);
+      boolean saysNotExecuted =
+          response.header(ProxyHeaders.NOT_EXECUTED).equals(ProxyHeaders.FLAG_SET);
       return RequestOutcome.ofAnswer(response.status(), saysNotExecuted);
     }
     return outcome(((HttpCallResult.Failed) result).failure());
@@ -145,16 +153,16 @@
   }
 
   /** An answer that promises that the request was not executed. */
-  private static HttpResponse rejection(int status, String reason) {
+  private static HttpResponse rejectionResponse(int status, String reason) {
     return HttpResponse.of(status, reason + "\n")
         .setHeader(ProxyHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS)
-        .setHeader(ProxyHeaders.NOT_EXECUTED, ProxyHeaders.YES)
+        .setHeader(ProxyHeaders.NOT_EXECUTED, ProxyHeaders.FLAG_SET)
         .setHeader(ProxyHeaders.REASON, reason);
   }
 
-  private HttpResponse failure(int status, String reason) {
+  private HttpResponse failureResponse(int status, String reason) {
     if (provenNotExecuted) {
-      return rejection(status, reason);
+      return rejectionResponse(status, reason);
     }
     return HttpResponse.of(status, reason + "\n")
         .setHeader(ProxyHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS)
@@ -162,7 +170,7 @@
   }
 
   private void finish(HttpResponse response) {
-    proxy.requestEnded();
+    proxy.decrementInFlight();
     if (response.status() != 200) {
       proxy.statistics().recordUnansweredRequest(requestClass);
     }
--- a/src/main/java/stonespring/proxy/routing/AdmissionLimit.java
+++ b/src/main/java/stonespring/proxy/routing/AdmissionLimit.java
@@ -12,13 +12,13 @@
    * The limit that two make together: the lower value, and the retry policy of the table's own.
    *
    * @param forAllTables the limit for every table, or null
-   * @param ofTable the table's own limit, or null
+   * @param forTable the table's own limit, or null
    * @return null if there is neither
    */
-  static AdmissionLimit combine(AdmissionLimit forAllTables, AdmissionLimit ofTable) {
-    if (forAllTables == null || ofTable == null) {
-      return forAllTables == null ? ofTable : forAllTables;
+  static AdmissionLimit combine(AdmissionLimit forAllTables, AdmissionLimit forTable) {
+    if (forAllTables == null || forTable == null) {
+      return forAllTables == null ? forTable : forAllTables;
     }
-    return new AdmissionLimit(Math.min(forAllTables.value, ofTable.value), ofTable.retryPolicy);
+    return new AdmissionLimit(Math.min(forAllTables.value, forTable.value), forTable.retryPolicy);
   }
 }
--- a/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
+++ b/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
@@ -13,13 +13,13 @@
   private final AdmissionLimitKind kind;
   private final DeterministicRandom random;
   private final double[] tokens;
-  private final long[] filledAt;
+  private final long[] lastRefillAt;
 
-  AdmissionLimiter(AdmissionLimitKind kind, int requestClasses, DeterministicRandom random) {
+  AdmissionLimiter(AdmissionLimitKind kind, int requestClassCount, DeterministicRandom random) {
     this.kind = kind;
     this.random = random;
-    this.tokens = new double[requestClasses];
-    this.filledAt = new long[requestClasses];
+    this.tokens = new double[requestClassCount];
+    this.lastRefillAt = new long[requestClassCount];
     Arrays.fill(tokens, Double.NaN);
   }
 
@@ -40,13 +40,13 @@
 
   private boolean takeToken(int requestClass, double requestsPerSecond, long now) {
     double capacity = Math.max(1, requestsPerSecond * BURST_SECONDS);
-    double sinceSeconds = (now - filledAt[requestClass]) / (double) DeciMillis.SECOND;
-    double filled =
+    double elapsedSeconds = (now - lastRefillAt[requestClass]) / (double) DeciMillis.SECOND;
+    double refilled =
         Double.isNaN(tokens[requestClass])
             ? capacity
-            : tokens[requestClass] + sinceSeconds * requestsPerSecond;
-    tokens[requestClass] = Math.min(capacity, filled);
-    filledAt[requestClass] = now;
+            : tokens[requestClass] + elapsedSeconds * requestsPerSecond;
+    tokens[requestClass] = Math.min(capacity, refilled);
+    lastRefillAt[requestClass] = now;
     if (tokens[requestClass] < 1 || requestsPerSecond == 0) {
       return false;
     }
--- a/src/main/java/stonespring/proxy/routing/EndpointPicker.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointPicker.java
@@ -43,36 +43,36 @@
   /**
    * Picks an endpoint.
    *
-   * @param avoided an endpoint to leave out, or {@link EndpointStates#NONE}
+   * @param avoidedEndpoint an endpoint to leave out, or {@link EndpointStates#NONE}
    * @return the endpoint's index, or {@link EndpointStates#NONE} if no route is left
    */
-  int pick(List<Route> routes, int avoided, long now) {
-    List<Route> candidates = candidates(routes, avoided, now);
+  int pick(List<Route> routes, int avoidedEndpoint, long now) {
+    List<Route> candidates = candidates(routes, avoidedEndpoint, now);
     if (candidates.isEmpty()) {
       return EndpointStates.NONE;
     }
     Route route =
         switch (picking) {
-          case WEIGHTED -> draw(candidates);
-          case ROUND_ROBIN -> next(candidates);
-          case TWO_CHOICES -> lessLoaded(draw(candidates), draw(candidates));
+          case WEIGHTED -> drawByWeight(candidates);
+          case ROUND_ROBIN -> nextInRoundRobin(candidates);
+          case TWO_CHOICES -> lessLoaded(drawByWeight(candidates), drawByWeight(candidates));
         };
     return route.endpoint;
   }
 
-  private List<Route> candidates(List<Route> routes, int avoided, long now) {
-    List<Route> admissible = new ArrayList<>();
+  private List<Route> candidates(List<Route> routes, int avoidedEndpoint, long now) {
+    List<Route> notEjected = new ArrayList<>();
     List<Route> all = new ArrayList<>();
     for (Route route : routes) {
-      if (route.endpoint == avoided) {
+      if (route.endpoint == avoidedEndpoint) {
         continue;
       }
       all.add(route);
       if (!endpoints.isEjected(route.endpoint, now)) {
-        admissible.add(route);
+        notEjected.add(route);
       }
     }
-    return admissible.isEmpty() ? all : admissible;
+    return notEjected.isEmpty() ? all : notEjected;
   }
 
   private Route lessLoaded(Route first, Route second) {
@@ -81,7 +81,7 @@
     return secondHasFewer ? second : first;
   }
 
-  private Route draw(List<Route> candidates) {
+  private Route drawByWeight(List<Route> candidates) {
     double total = 0;
     for (Route route : candidates) {
       total += route.weight;
@@ -96,16 +96,17 @@
     return candidates.get(candidates.size() - 1);
   }
 
-  /** Smooth weighted round robin: each route earns its weight, the richest pays for all. */
-  private static Route next(List<Route> candidates) {
+  /** Smooth weighted round robin: each route earns its weight, the highestCredit pays for all. */
+  private static Route nextInRoundRobin(List<Route> candidates) {
     double total = 0;
-    Route richest = null;
+    Route highestCredit = null;
     for (Route route : candidates) {
       route.credit += route.weight;
       total += route.weight;
-      richest = richest == null || route.credit > richest.credit ? route : richest;
+      highestCredit =
+          highestCredit == null || route.credit > highestCredit.credit ? route : highestCredit;
     }
-    richest.credit -= total;
-    return richest;
+    highestCredit.credit -= total;
+    return highestCredit;
   }
 }
--- a/src/main/java/stonespring/proxy/routing/EndpointStates.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointStates.java
@@ -21,7 +21,7 @@
   private long[] ejectedUntil = new long[INITIAL_CAPACITY];
 
   /** The index of an endpoint, given out at its first use. */
-  int index(String name) {
+  int indexOf(String name) {
     Integer known = indexByName.get(name);
     if (known != null) {
       return known;
@@ -50,16 +50,16 @@
     return inFlight[index];
   }
 
-  void attemptStarted(int index) {
+  void incrementInFlight(int index) {
     inFlight[index]++;
   }
 
-  void attemptEnded(int index) {
+  void decrementInFlight(int index) {
     inFlight[index] = Math.max(0, inFlight[index] - 1);
   }
 
   /** Counts an attempt's outcome; returns the failures in a row that it makes. */
-  int countOutcome(int index, boolean succeeded) {
+  int recordOutcome(int index, boolean succeeded) {
     consecutiveFailures[index] = succeeded ? 0 : consecutiveFailures[index] + 1;
     return consecutiveFailures[index];
   }
--- a/src/main/java/stonespring/proxy/routing/OutlierEjector.java
+++ b/src/main/java/stonespring/proxy/routing/OutlierEjector.java
@@ -15,13 +15,14 @@
   }
 
   /** An attempt ended. */
-  void attemptEnded(int endpoint, boolean succeeded, long now) {
-    int failures = endpoints.countOutcome(endpoint, succeeded);
+  void recordOutcome(int endpoint, boolean succeeded, long now) {
+    int failures = endpoints.recordOutcome(endpoint, succeeded);
     int threshold = settings.ejectAfterConsecutiveFailures();
     if (threshold > 0 && failures >= threshold) {
-      long range = settings.maxEjectionTime() - settings.minEjectionTime();
+      long rangeDeciMillis = settings.maxEjectionDeciMillis() - settings.minEjectionDeciMillis();
       endpoints.eject(
-          endpoint, now + settings.minEjectionTime() + (long) (random.nextDouble() * range));
+          endpoint,
+          now + settings.minEjectionDeciMillis() + (long) (random.nextDouble() * rangeDeciMillis));
     }
   }
 }
--- a/src/main/java/stonespring/proxy/routing/ReceivedTables.java
+++ b/src/main/java/stonespring/proxy/routing/ReceivedTables.java
@@ -26,8 +26,8 @@
   private final Map<LimitKey, AdmissionLimit> limits = new HashMap<>();
 
   // Held before it.
-  private final List<TreeMap<String, Double>> earlierTables = new ArrayList<>();
-  private final TreeSet<String> excludedEarlier = new TreeSet<>();
+  private final List<TreeMap<String, Double>> previousTables = new ArrayList<>();
+  private final TreeSet<String> previouslyExcluded = new TreeSet<>();
 
   /** What an admission limit holds for. */
   private record LimitKey(String table, String requestClass) {
@@ -40,21 +40,21 @@
     this.requestClasses = requestClasses;
     this.assignedTable = new String[requestClasses.size()];
     for (int k = 0; k < assignedTable.length; k++) {
-      earlierTables.add(new TreeMap<>());
+      previousTables.add(new TreeMap<>());
     }
   }
 
   /** Adds routes of equal weight for every request class: the table that a proxy starts with. */
   void addBootstrapRoutes(List<EndpointId> endpoints) {
-    for (TreeMap<String, Double> table : earlierTables) {
+    for (TreeMap<String, Double> table : previousTables) {
       endpoints.forEach(endpoint -> table.put(endpoint.name(), 1.0));
     }
   }
 
   /** A whole state of a stream is about to be applied: what this stream sent before is dropped. */
-  void beginWholeState(String nextStream) {
+  void beginFullState(String nextStream) {
     if (!nextStream.equals(stream)) {
-      keepAsEarlier();
+      retainCurrentTables();
     }
     stream = nextStream;
     tables.clear();
@@ -64,24 +64,24 @@
     limits.keySet().removeIf(key -> !key.isForAllTables());
   }
 
-  private void keepAsEarlier() {
+  private void retainCurrentTables() {
     for (int k = 0; k < assignedTable.length; k++) {
-      earlierTables.set(k, routes(k));
+      previousTables.set(k, routes(k));
     }
     // Exclusions go with the tables that they were sent with: that stream alone could end them.
     if (Arrays.stream(assignedTable).allMatch(Objects::nonNull)) {
-      excludedEarlier.clear();
+      previouslyExcluded.clear();
     }
-    excludedEarlier.addAll(excluded);
+    previouslyExcluded.addAll(excluded);
   }
 
   void apply(PublishedChange change) {
     if (change instanceof PublishedChange.RouteChange c) {
       applyRoute(c);
     } else if (change instanceof PublishedChange.TableAssignment c) {
-      assign(c);
+      applyAssignment(c);
     } else if (change instanceof PublishedChange.Exclusion c) {
-      exclude(c);
+      applyExclusion(c);
     } else if (change instanceof PublishedChange.LimitChange c) {
       applyLimit(c);
     }
@@ -96,7 +96,7 @@
     }
   }
 
-  private void assign(PublishedChange.TableAssignment change) {
+  private void applyAssignment(PublishedChange.TableAssignment change) {
     for (int k = 0; k < assignedTable.length; k++) {
       if (requestClasses.get(k).name().equals(change.requestClass())) {
         assignedTable[k] = change.table();
@@ -105,12 +105,12 @@
     }
   }
 
-  private void exclude(PublishedChange.Exclusion change) {
+  private void applyExclusion(PublishedChange.Exclusion change) {
     if (change.excluded()) {
       excluded.add(change.endpoint());
     } else {
       excluded.remove(change.endpoint());
-      excludedEarlier.remove(change.endpoint());
+      previouslyExcluded.remove(change.endpoint());
     }
   }
 
@@ -127,22 +127,22 @@
   TreeMap<String, Double> routes(int requestClass) {
     String table = assignedTable[requestClass];
     return table == null
-        ? new TreeMap<>(earlierTables.get(requestClass))
+        ? new TreeMap<>(previousTables.get(requestClass))
         : new TreeMap<>(tables.getOrDefault(table, new TreeMap<>()));
   }
 
   /** Whether nothing may be sent to an endpoint for a request class. */
   boolean isExcluded(int requestClass, String endpoint) {
     return excluded.contains(endpoint)
-        || assignedTable[requestClass] == null && excludedEarlier.contains(endpoint);
+        || assignedTable[requestClass] == null && previouslyExcluded.contains(endpoint);
   }
 
   /** The limit that holds for a request class, or null. */
   AdmissionLimit limit(int requestClass) {
     String name = requestClasses.get(requestClass).name();
     String table = assignedTable[requestClass];
-    AdmissionLimit ofTable = table == null ? null : limits.get(new LimitKey(table, name));
+    AdmissionLimit forTable = table == null ? null : limits.get(new LimitKey(table, name));
     AdmissionLimit forAllTables = limits.get(new LimitKey(PublishedChange.ALL_TABLES, name));
-    return AdmissionLimit.combine(forAllTables, ofTable);
+    return AdmissionLimit.combine(forAllTables, forTable);
   }
 }
--- a/src/main/java/stonespring/proxy/routing/RequestStatistics.java
+++ b/src/main/java/stonespring/proxy/routing/RequestStatistics.java
@@ -36,13 +36,13 @@
   private final TreeMap<String, EndpointCounters> countersByEndpoint = new TreeMap<>();
   private final long[] requests;
   private final long[] unanswered;
-  private long since;
+  private long intervalStart;
 
   /** Starts an interval at {@code now}. */
-  public RequestStatistics(int requestClasses, long now) {
-    this.requests = new long[requestClasses];
-    this.unanswered = new long[requestClasses];
-    this.since = now;
+  public RequestStatistics(int requestClassCount, long now) {
+    this.requests = new long[requestClassCount];
+    this.unanswered = new long[requestClassCount];
+    this.intervalStart = now;
   }
 
   /** A request was received. */
@@ -61,12 +61,12 @@
    * @param load null if the answer brought none
    */
   public void recordAttempt(
-      EndpointId endpoint, boolean succeeded, long duration, LoadReport load) {
+      EndpointId endpoint, boolean succeeded, long durationDeciMillis, LoadReport load) {
     EndpointCounters counters =
         countersByEndpoint.computeIfAbsent(endpoint.name(), name -> new EndpointCounters());
     counters.attempts++;
     if (succeeded) {
-      counters.totalSuccessDeciMillis += duration;
+      counters.totalSuccessDeciMillis += durationDeciMillis;
     } else {
       counters.failures++;
     }
@@ -97,8 +97,8 @@
   }
 
   /** The time that the figures stand for; at least 1. */
-  public long interval(long now) {
-    return Math.max(1, now - since);
+  public long intervalDeciMillis(long now) {
+    return Math.max(1, now - intervalStart);
   }
 
   /** Starts the next interval: what was gathered is reported. */
@@ -106,6 +106,6 @@
     countersByEndpoint.clear();
     Arrays.fill(requests, 0);
     Arrays.fill(unanswered, 0);
-    since = now;
+    intervalStart = now;
   }
 }
--- a/src/main/java/stonespring/proxy/routing/RetryRule.java
+++ b/src/main/java/stonespring/proxy/routing/RetryRule.java
@@ -21,8 +21,10 @@
    */
   boolean mayRetry(int requestClass, RequestProgress request, AdmissionLimit limit, long now) {
     RetryPolicy policy = limit == null ? RetryPolicy.IF_NOT_EXECUTED : limit.retryPolicy();
-    boolean timeIsLeft = request.deadline() - now >= settings.minRetryTime();
-    if (policy == RetryPolicy.NEVER || !timeIsLeft || request.attempts() > maxRetries(policy)) {
+    boolean hasTimeForRetry = request.deadline() - now >= settings.minTimeForRetryDeciMillis();
+    if (policy == RetryPolicy.NEVER
+        || !hasTimeForRetry
+        || request.attempts() > maxRetries(policy)) {
       return false;
     }
     if (request.provenNotExecuted()) {
@@ -36,11 +38,12 @@
   }
 
   private boolean isSafeToRepeat(int requestClass, RequestProgress request, long now) {
-    RouterSettings.ClassSettings of = settings.requestClasses().get(requestClass);
-    return switch (of.retrySafety()) {
+    RouterSettings.ClassSettings classSettings = settings.requestClasses().get(requestClass);
+    return switch (classSettings.retrySafety()) {
       case IDEMPOTENT -> true;
       // The repeat must arrive before the endpoints forget the key of the first attempt.
-      case IDEMPOTENCY_KEYED -> now - request.firstAttemptAt() < of.deduplicationWindow();
+      case IDEMPOTENCY_KEYED ->
+          now - request.firstAttemptAt() < classSettings.deduplicationWindowDeciMillis();
       case NON_IDEMPOTENT -> false;
     };
   }
--- a/src/main/java/stonespring/proxy/routing/Router.java
+++ b/src/main/java/stonespring/proxy/routing/Router.java
@@ -55,8 +55,8 @@
   public void apply(TableSubscriber.Step.Update update) {
     List<PublishedChange> changes = new ArrayList<>();
     update.changes().forEach((key, value) -> changes.add(PublishedChange.read(key, value)));
-    if (update.wholeState()) {
-      tables.beginWholeState(update.stream());
+    if (update.fullState()) {
+      tables.beginFullState(update.stream());
     }
     changes.forEach(tables::apply);
     withoutTables = false;
@@ -68,7 +68,7 @@
       List<EndpointPicker.Route> routes = new ArrayList<>();
       for (Map.Entry<String, Double> route : tables.routes(k).entrySet()) {
         if (!tables.isExcluded(k, route.getKey())) {
-          int endpoint = endpoints.index(route.getKey());
+          int endpoint = endpoints.indexOf(route.getKey());
           routes.add(new EndpointPicker.Route(endpoint, route.getValue()));
         }
       }
@@ -86,24 +86,28 @@
    * Where a request of this class goes. Until {@link #recordAttemptEnd} it counts as in flight
    * there.
    *
-   * @param avoided an endpoint that an earlier attempt failed at; null for none
+   * @param avoidedEndpoint an endpoint that an earlier attempt failed at; null for none
    * @return empty if no route is left
    */
-  public Optional<EndpointId> pick(RequestClassId requestClass, EndpointId avoided, long now) {
-    int without = avoided == null ? EndpointStates.NONE : endpoints.indexIfKnown(avoided.name());
-    int picked = picker.pick(routesByClass.get(requestClass.index()), without, now);
-    if (picked == EndpointStates.NONE) {
+  public Optional<EndpointId> pick(
+      RequestClassId requestClass, EndpointId avoidedEndpoint, long now) {
+    int avoidedIndex =
+        avoidedEndpoint == null
+            ? EndpointStates.NONE
+            : endpoints.indexIfKnown(avoidedEndpoint.name());
+    int pickedIndex = picker.pick(routesByClass.get(requestClass.index()), avoidedIndex, now);
+    if (pickedIndex == EndpointStates.NONE) {
       return Optional.empty();
     }
-    endpoints.attemptStarted(picked);
-    return Optional.of(endpoints.endpoint(picked));
+    endpoints.incrementInFlight(pickedIndex);
+    return Optional.of(endpoints.endpoint(pickedIndex));
   }
 
   /** An attempt ended. */
   public void recordAttemptEnd(EndpointId endpoint, boolean succeeded, long now) {
-    int index = endpoints.index(endpoint.name());
-    endpoints.attemptEnded(index);
-    ejector.attemptEnded(index, succeeded, now);
+    int index = endpoints.indexOf(endpoint.name());
+    endpoints.decrementInFlight(index);
+    ejector.recordOutcome(index, succeeded, now);
   }
 
   /** Whether another attempt may be made. */
--- a/src/main/java/stonespring/proxy/routing/RouterSettings.java
+++ b/src/main/java/stonespring/proxy/routing/RouterSettings.java
@@ -11,28 +11,30 @@
  *     position among them
  * @param ejectAfterConsecutiveFailures failures in a row of the proxy's own attempts after which it
  *     ejects an endpoint; 0 for never
- * @param minEjectionTime the shortest ejection; its time is drawn between this and {@code
- *     maxEjectionTime}
- * @param minRetryTime the time that must be left before the deadline for another attempt
+ * @param minEjectionDeciMillis the shortest ejection; its time is drawn between this and {@code
+ *     maxEjectionDeciMillis}
+ * @param minTimeForRetryDeciMillis the time that must be left before the deadline for another
+ *     attempt
  * @param picking how an endpoint is picked from a table
  * @param limitKind what the number of an admission limit means
  */
 public record RouterSettings(
     List<ClassSettings> requestClasses,
     int ejectAfterConsecutiveFailures,
-    long minEjectionTime,
-    long maxEjectionTime,
-    long minRetryTime,
+    long minEjectionDeciMillis,
+    long maxEjectionDeciMillis,
+    long minTimeForRetryDeciMillis,
     Picking picking,
     AdmissionLimitKind limitKind) {
   /**
    * One request class.
    *
    * @param name its name in published keys
-   * @param deduplicationWindow how long endpoints recognise a repeat by its key, from the first
-   *     attempt that might have been executed
+   * @param deduplicationWindowDeciMillis how long endpoints recognise a repeat by its key, from the
+   *     first attempt that might have been executed
    */
-  public record ClassSettings(String name, RetrySafety retrySafety, long deduplicationWindow) {}
+  public record ClassSettings(
+      String name, RetrySafety retrySafety, long deduplicationWindowDeciMillis) {}
 
   /** How an endpoint is picked from the routes of a table. */
   public enum Picking {
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -28,11 +28,11 @@
      * A whole update.
      *
      * @param stream the stream that it belongs to
-     * @param wholeState whether it is all that the stream has sent so far
+     * @param fullState whether it is all that the stream has sent so far
      * @param changes values by key, in the order of arrival; null for a deleted key
      * @param ackId the number to acknowledge, or {@link Commit#NO_ACK}
      */
-    record Update(String stream, boolean wholeState, Map<String, String> changes, int ackId)
+    record Update(String stream, boolean fullState, Map<String, String> changes, int ackId)
         implements Step {}
 
     /** Something is missing. */
@@ -57,7 +57,7 @@
 
   private static final Step GATHERED = new Step.Gathered();
 
-  private final LinkedHashMap<String, String> gathered = new LinkedHashMap<>();
+  private final LinkedHashMap<String, String> pendingChanges = new LinkedHashMap<>();
   private String stream = "";
   private int sequence;
 
@@ -69,41 +69,41 @@
    */
   public Step handleKeyChange(String key, String value, Commit commit) {
     if (!key.equals(COMMIT_KEY)) {
-      return gather(key, value);
+      return collect(key, value);
     }
     if (value == null) {
-      gathered.clear();
+      pendingChanges.clear();
       return new Step.Ended();
     }
-    return complete(commit);
+    return completeUpdate(commit);
   }
 
-  private Step gather(String key, String value) {
-    if (gathered.size() >= MAX_KEYS) {
-      gathered.clear();
+  private Step collect(String key, String value) {
+    if (pendingChanges.size() >= MAX_KEYS) {
+      pendingChanges.clear();
       return new Step.Resync("over " + MAX_KEYS + " keys came without a commit");
     }
-    gathered.remove(key);
-    gathered.put(key, value);
+    pendingChanges.remove(key);
+    pendingChanges.put(key, value);
     return GATHERED;
   }
 
-  private Step complete(Commit commit) {
-    LinkedHashMap<String, String> changes = new LinkedHashMap<>(gathered);
-    gathered.clear();
-    int expected = commit.stream().equals(stream) ? sequence + 1 : 1;
-    if (commit.sequence() != expected || commit.keys() != changes.size()) {
-      return new Step.Resync(gap(commit, changes.size(), expected));
+  private Step completeUpdate(Commit commit) {
+    LinkedHashMap<String, String> changes = new LinkedHashMap<>(pendingChanges);
+    pendingChanges.clear();
+    int expectedSequence = commit.stream().equals(stream) ? sequence + 1 : 1;
+    if (commit.sequence() != expectedSequence || commit.keys() != changes.size()) {
+      return new Step.Resync(describeMismatch(commit, changes.size(), expectedSequence));
     }
     stream = commit.stream();
     sequence = commit.sequence();
     return new Step.Update(stream, sequence == 1, changes, commit.ackId());
   }
 
-  private static String gap(Commit commit, int keys, int expected) {
+  private static String describeMismatch(Commit commit, int receivedKeys, int expectedSequence) {
     return String.format(
         "update %d of %s with %d of %d keys came where update %d was due",
-        commit.sequence(), commit.stream(), keys, commit.keys(), expected);
+        commit.sequence(), commit.stream(), receivedKeys, commit.keys(), expectedSequence);
   }
 
   /**
@@ -112,16 +112,16 @@
    * @param commit null if the stream has sent nothing yet
    */
   public Step handleSnapshot(Map<String, String> keys, Commit commit) {
-    gathered.clear();
+    pendingChanges.clear();
     if (commit == null) {
       return GATHERED;
     }
-    boolean isNew = !commit.stream().equals(stream) || commit.sequence() != sequence;
+    boolean isNewState = !commit.stream().equals(stream) || commit.sequence() != sequence;
     stream = commit.stream();
     sequence = commit.sequence();
     Map<String, String> changes = new LinkedHashMap<>(keys);
     changes.remove(COMMIT_KEY);
     // The snapshot is acknowledged too: the update that asked for it may never arrive.
-    return isNew ? new Step.Update(stream, true, changes, commit.ackId()) : GATHERED;
+    return isNewState ? new Step.Update(stream, true, changes, commit.ackId()) : GATHERED;
   }
 }
--- a/src/test/java/stonespring/proxy/routing/RouterTest.java
+++ b/src/test/java/stonespring/proxy/routing/RouterTest.java
@@ -51,12 +51,12 @@
   }
 
   private static TableSubscriber.Step.Update update(
-      String stream, boolean wholeState, String... pairs) {
+      String stream, boolean fullState, String... pairs) {
     Map<String, String> changes = new LinkedHashMap<>();
     for (int i = 0; i < pairs.length; i += 2) {
       changes.put(pairs[i], pairs[i + 1]);
     }
-    return new TableSubscriber.Step.Update(stream, wholeState, changes, -1);
+    return new TableSubscriber.Step.Update(stream, fullState, changes, -1);
   }
 
   private static Router routerWithTables() {
--- a/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
+++ b/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
@@ -42,7 +42,7 @@
         (TableSubscriber.Step.Update)
             subscriber.handleSnapshot(Map.of("commit", "{}", "out/x", "1"), commit("b", 2, 1));
     assertEquals(Map.of("out/x", "1"), whole.changes());
-    assertEquals(true, whole.wholeState());
+    assertEquals(true, whole.fullState());
     assertInstanceOf(
         TableSubscriber.Step.Update.class,
         subscriber.handleKeyChange("commit", "{}", commit("b", 3, 0)));
