--- a/src/main/java/stonespring/proxy/CommitReader.java
+++ b/src/main/java/stonespring/proxy/CommitReader.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import stonespring.proxy.routing.TableSubscriber;
 
-/** Reads the key that completes an update. */
+/** Decodes the JSON value of the {@code commit} key, which completes an update. */
 public final class CommitReader {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int INVALID = -1;
@@ -13,8 +13,8 @@
   private CommitReader() {}
 
   /**
-   * Reads a commit. One that can't be read is out of any sequence, so that the snapshot is
-   * requested.
+   * Decodes a commit. Malformed JSON gives a commit with the invalid sequence number -1, which
+   * fails the sequence check of {@link TableSubscriber}, so that the snapshot is requested again.
    */
   public static TableSubscriber.Commit read(byte[] value) {
     try {
--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -17,15 +17,18 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * A proxy's connection to an instance: it connects, takes the snapshot, opens a session, follows
- * updates, acknowledges them and reports. When the connection ends the proxy keeps its tables and
- * connects again after a random wait, to the next instance if there are several. Confined to the
- * proxy's event loop, but for {@link #appliedUpdates}.
+ * A proxy's connection to an instance: it connects, receives the snapshot, opens a session, applies
+ * and acknowledges updates, and sends load reports. When the connection ends, the proxy keeps its
+ * tables and reconnects after a random delay, to the next configured instance if there are several.
+ * Confined to the proxy's event loop, except {@link #appliedUpdates}, which any thread may call.
  */
 final class InstanceConnection {
   private static final Logger LOG = LoggerFactory.getLogger(InstanceConnection.class);
 
-  /** Renewals of the session within its time; two may be late. */
+  /**
+   * Session renewals sent per time-to-live: two renewals in a row may be late without the session
+   * expiring.
+   */
   private static final long RENEWALS_PER_SESSION_TTL = 3;
 
   private static final int RANDOM_ID_RADIX = 36;
@@ -62,12 +65,12 @@
     this.processId = Long.toUnsignedString(random.nextLong() ^ System.nanoTime(), RANDOM_ID_RADIX);
   }
 
-  /** Time since the proxy's start, DeciMillis. */
+  /** Time since the proxy was created, in deci-milliseconds. */
   long now() {
     return (System.nanoTime() - startNanos) / NANOS_PER_DECI_MILLI;
   }
 
-  /** Updates applied so far; from any thread. */
+  /** Number of updates applied so far. Safe to call from any thread. */
   long appliedUpdates() {
     return appliedUpdates;
   }
@@ -92,7 +95,7 @@
     }
   }
 
-  /** Reads from the instance, or does not for the time being. */
+  /** Resumes or pauses reading from the instance. */
   void setReading(boolean reading) {
     if (client != null) {
       client.setReading(reading);
@@ -112,7 +115,7 @@
         ports.host(), ports.snapshots(), ports.updates(), ports.collector(), ZmtpLimits.DEFAULT);
   }
 
-  /** Hears of one connection; what ends after a newer one began changes nothing. */
+  /** Observes one connection. The end of a connection that a newer one has replaced is ignored. */
   private final class Listener implements ChpClient.Listener {
     private ChpClient owner;
 
@@ -187,7 +190,8 @@
       client.resync();
     } else if (step instanceof TableSubscriber.Step.Update update) {
       long arrivedAtDeciMillis = now();
-      // The proxy halts for each change that it takes in; an update is applied whole after that.
+      // The delay stands for the pause that a proxy needs for each change; the update is then
+      // applied as a whole.
       long applyDelayMicros = (long) link.applyDelayMicrosPerChange() * update.changes().size();
       loop.schedule(
           () -> apply(update, arrivedAtDeciMillis), applyDelayMicros, TimeUnit.MICROSECONDS);
@@ -207,7 +211,7 @@
     }
   }
 
-  /** Opens the session, or renews it. */
+  /** Opens the session or renews it. */
   private void sendHello() {
     if (channelReady && client != null) {
       client.set(
@@ -217,7 +221,10 @@
     }
   }
 
-  /** Reports what was observed; without a connection it is reported with the next. */
+  /**
+   * Sends a load report. While there is no connection, the statistics accumulate and are sent with
+   * the first report after reconnecting.
+   */
   private void sendReport() {
     if (channelReady && client != null && client.set(messages.report(statistics, now()))) {
       statistics.reset(now());
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -13,21 +13,30 @@
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.TableSubscriber;
 
-/** Writes what a proxy tells an instance: keys and JSON values of {@code docs/channel.md}. */
+/**
+ * Encodes the messages that a proxy sends to an instance, with the keys and JSON values that {@code
+ * docs/channel.md} defines.
+ */
 final class InstanceMessages {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Endpoints named in a hello; with more none is named, which means that it may hold any. */
+  /**
+   * Maximum number of endpoints listed in a hello. Above it the list is left out, which tells the
+   * instance that the proxy may hold any endpoint.
+   */
   private static final int MAX_NAMED_ENDPOINTS = 4096;
 
   private final ProxySettings settings;
 
   /**
-   * Who the proxy is.
+   * The state that a proxy announces when it opens or renews its session.
    *
-   * @param processId drawn at its start
-   * @param connectionCount counts its connections
-   * @param withoutTables whether it holds its bootstrap routes at most
+   * @param processId random id, drawn when the proxy starts
+   * @param connectionCount number of connections that the proxy has opened so far, this one
+   *     included
+   * @param withoutTables whether the proxy has applied no update yet and holds at most its
+   *     bootstrap routes
+   * @param namedEndpoints endpoints in the tables that the proxy holds
    */
   record Hello(
       String processId,
@@ -56,9 +65,9 @@
   }
 
   /**
-   * An update was applied.
+   * Encodes the acknowledgement of an applied update.
    *
-   * @param duration from its arrival, DeciMillis
+   * @param durationDeciMillis time from the update's arrival until it was applied
    */
   ChpMessage.KvSet acknowledgement(TableSubscriber.Step.Update update, long durationDeciMillis) {
     ObjectNode value = JSON.createObjectNode();
--- a/src/main/java/stonespring/proxy/LoadReportHeader.java
+++ b/src/main/java/stonespring/proxy/LoadReportHeader.java
@@ -3,22 +3,27 @@
 import stonespring.model.LoadReport;
 
 /**
- * An endpoint's load as it stands in an answer's {@code endpoint-load-metrics} header, in the text
- * form of the Open Request Cost Aggregation load report: {@code TEXT
+ * Decodes an endpoint's load from the {@code endpoint-load-metrics} header of its answer, which has
+ * the text format of the Open Request Cost Aggregation (ORCA) load report: {@code TEXT
  * cpu_utilization=0.5,rps_fractional=12,named_metrics.waiting=3}.
  */
 public final class LoadReportHeader {
-  /** The header's name. */
+  /** Name of the header. */
   public static final String NAME = "endpoint-load-metrics";
 
   private static final String TEXT_FORMAT_PREFIX = "TEXT ";
 
-  /** Figures at or above it are implausible and count as unknown. */
+  /** Values at or above this bound are implausible and count as unknown. */
   private static final double MAX_METRIC_VALUE = 1e9;
 
   private LoadReportHeader() {}
 
-  /** The load that a header tells; null if it is not in this form. */
+  /**
+   * Decodes a header value.
+   *
+   * @return the load, with NaN for each metric that is missing or implausible; null if the header
+   *     is not in the text format or a number in it is malformed
+   */
   static LoadReport read(String header) {
     if (!header.startsWith(TEXT_FORMAT_PREFIX)) {
       return null;
@@ -40,12 +45,12 @@
           case "named_metrics.work_ms" -> serviceTimeMillis = parseMetric(value);
           case "rps_fractional" -> requestsPerSecond = parseMetric(value);
           default -> {
-            // other metrics say nothing of the load
+            // Other metrics are not part of the load report.
           }
         }
       }
     } catch (NumberFormatException e) {
-      return null; // a number that can't be read invalidates the whole report
+      return null; // A malformed number invalidates the whole report.
     }
     return new LoadReport(utilization, queueLength, inFlight, serviceTimeMillis, requestsPerSecond);
   }
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -21,24 +21,27 @@
 import stonespring.proxy.routing.RouterSettings;
 
 /**
- * A plain proxy: takes requests by HTTP ({@code POST /op/TYPE} with the request's id in {@code
- * x-op}), sends them to endpoints as its tables say, and answers. What it gives up on is answered
- * at once, with {@code retry-after} and, where the request was certainly not executed, {@code
- * x-not-run: 1}.
+ * A plain proxy: receives requests over HTTP ({@code POST /op/TYPE} with the request's id in {@code
+ * x-op}), forwards them to endpoints according to its route tables, and answers them. A request
+ * that is rejected or has failed is answered at once, with {@code retry-after} and, if it is
+ * certain that no endpoint executed it, {@code x-not-run: 1}.
  *
  * <p>Confined to one event loop; the public methods may be called from any thread.
  */
 public final class Proxy {
-  /** An endpoint that accepts connections does so in a few milliseconds. */
+  /** An endpoint that accepts connections does so within a few milliseconds. */
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
   private static final int MAX_BODY_BYTES = 64 << 10;
   private static final int MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 8;
 
-  /** Most requests in flight, and most that wait while the proxy is stalled. */
-  private static final int MAX_REQUESTS = 5_000;
+  /** Maximum number of requests in flight, and of requests that wait while the proxy is stalled. */
+  private static final int MAX_IN_FLIGHT = 5_000;
 
-  /** What waits in the socket is read and applied by then. */
+  /**
+   * Time between the end of a stall and the first request that is sent: updates buffered in the
+   * socket are read and applied in the meantime.
+   */
   private static final long RESUME_DELAY_MILLIS = 100;
 
   private static final String REQUEST_METHOD = "POST";
@@ -56,7 +59,10 @@
   private int inFlight;
   private boolean stalled;
 
-  /** Creates a proxy that holds its bootstrap routes; it does nothing until {@link #start}. */
+  /**
+   * Creates a proxy with its bootstrap routes. It neither listens nor connects until {@link
+   * #start}.
+   */
   public Proxy(ProxySettings settings, EventLoop loop) {
     this.settings = settings;
     this.loop = loop;
@@ -72,7 +78,11 @@
             (request, exchange) -> loop.execute(() -> handle(request, exchange)), MAX_BODY_BYTES);
   }
 
-  /** Listens and connects to its instance; port 0 takes a free one. */
+  /**
+   * Starts listening on the loopback interface and connects to an instance.
+   *
+   * @param port the port to listen on; 0 selects a free port
+   */
   public Proxy start(EventLoopGroup loops, int port) throws IOException, InterruptedException {
     server.start(loops, "127.0.0.1", port);
     loop.execute(connection::start);
@@ -80,20 +90,20 @@
     return this;
   }
 
-  /** The port that it listens at. */
+  /** The port on which the proxy listens. */
   public int port() {
     return server.port();
   }
 
-  /** Updates of its instance that were applied so far; may lag a little. */
+  /** Number of updates from the instance that were applied so far; may be slightly out of date. */
   public long appliedUpdates() {
     return connection.appliedUpdates();
   }
 
   /**
-   * Stalls, or goes on: nothing is read from its instance, no request is taken up. When it goes on
-   * it reads the updates of the meantime before it sends the first request, as its tables are as
-   * old as its halt was long.
+   * Stalls or resumes the proxy. While stalled, it reads nothing from its instance and starts no
+   * request. On resuming, it first reads the updates that arrived during the stall and only then
+   * sends requests, because its tables are as old as the stall was long.
    */
   public void setStalled(boolean stall) {
     loop.execute(
@@ -114,7 +124,7 @@
     }
   }
 
-  /** Ends it at once; requests in flight get no answer. Waits until its port is free. */
+  /** Stops the proxy at once and waits until its port is free. Requests in flight get no answer. */
   public void stop() throws InterruptedException {
     server.stop().await();
     loop.execute(
@@ -145,7 +155,7 @@
         new RequestExchange(this, requestClass.get(), request, exchange);
     if (!stalled) {
       requestExchange.start();
-    } else if (waitingRequests.size() < MAX_REQUESTS) {
+    } else if (waitingRequests.size() < MAX_IN_FLIGHT) {
       waitingRequests.add(requestExchange);
     } else {
       requestExchange.rejectAsFull();
@@ -174,13 +184,13 @@
     return statistics;
   }
 
-  /** Time since the start, DeciMillis. */
+  /** Time since the proxy was created, in deci-milliseconds. */
   long now() {
     return connection.now();
   }
 
   boolean isFull() {
-    return inFlight >= MAX_REQUESTS;
+    return inFlight >= MAX_IN_FLIGHT;
   }
 
   void incrementInFlight() {
--- a/src/main/java/stonespring/proxy/ProxyHeaders.java
+++ b/src/main/java/stonespring/proxy/ProxyHeaders.java
@@ -1,37 +1,42 @@
 package stonespring.proxy;
 
 /**
- * Names of the headers and the path of the proxy's HTTP interface, towards clients and endpoints.
+ * Header names and the request path of the proxy's HTTP interface towards clients and endpoints.
  */
 public final class ProxyHeaders {
-  /** Requests are posted to this path and the request class's name. */
+  /** Path prefix of requests; the request class's name follows it. */
   public static final String REQUEST_PATH_PREFIX = "/op/";
 
-  /** The request's id; an endpoint recognises a repeat by it. */
+  /** The request's id, by which an endpoint recognises a repeated request. */
   public static final String REQUEST_ID = "x-op";
 
-  /** When the client, or the proxy towards an endpoint, gives up: milliseconds. */
+  /**
+   * Timeout of a request, set by the client, or of an attempt, set by the proxy; in milliseconds.
+   */
   public static final String TIMEOUT_MILLIS = "x-op-timeout-ms";
 
-  /** The proxy that sends an attempt. */
+  /** Name of the proxy that sends an attempt. */
   public static final String PROXY = "x-proxy";
 
-  /** The zone of the proxy that sends an attempt. */
+  /** Zone of the proxy that sends an attempt. */
   public static final String ZONE = "x-zone";
 
-  /** Counts the attempts of a request, from 1. */
+  /** Number of the attempt within its request, counted from 1. */
   public static final String ATTEMPT = "x-try";
 
-  /** In an answer with {@link #FLAG_SET}: it is certain that the request was not executed. */
+  /**
+   * Answer header that, with the value {@link #FLAG_SET}, guarantees that the request was not
+   * executed.
+   */
   public static final String NOT_EXECUTED = "x-not-run";
 
-  /** In an answer: why the request was not served. */
+  /** Answer header with the reason why the request was not served. */
   public static final String REASON = "x-reason";
 
-  /** In an answer: seconds after which the client may try again. */
+  /** Answer header with the number of seconds after which the client may retry. */
   public static final String RETRY_AFTER = "retry-after";
 
-  /** The value of a flag that is set. */
+  /** Value of a flag header that is set. */
   public static final String FLAG_SET = "1";
 
   private ProxyHeaders() {}
--- a/src/main/java/stonespring/proxy/ProxySettings.java
+++ b/src/main/java/stonespring/proxy/ProxySettings.java
@@ -6,12 +6,13 @@
 import stonespring.proxy.routing.RouterSettings;
 
 /**
- * What a proxy is started with.
+ * Settings of a proxy.
  *
- * @param seed of its random numbers
- * @param requestTimeoutsMillis by request class
- * @param bootstrapEndpoints the endpoints of the table that it starts with
- * @param usualRequestsPerSecond what it usually receives; rough
+ * @param seed seed of the proxy's random number generators
+ * @param requestTimeoutsMillis longest time for a request, by request class, in milliseconds
+ * @param bootstrapEndpoints endpoints that the proxy uses, with equal weights, for a request class
+ *     until it receives a table for the class
+ * @param usualRequestsPerSecond rough rate of requests that the proxy usually receives
  */
 public record ProxySettings(
     String name,
@@ -23,17 +24,17 @@
     double usualRequestsPerSecond,
     InstanceLink instanceLink) {
   /**
-   * How it connects to an instance.
+   * Settings of the connection to an instance.
    *
-   * @param instances where instances may be reached, in order
-   * @param applyDelayMicrosPerChange how long it halts for each change of an update that it
-   *     applies, microseconds
-   * @param reportIntervalMillis interval of its reports
-   * @param silenceTimeoutMillis how long an instance may be silent before the connection is given
-   *     up
-   * @param minReconnectMillis the shortest wait before it connects again; the wait is drawn up to
-   *     {@code maxReconnectMillis}
-   * @param sessionTtlSeconds how long an instance keeps its session without a renewal
+   * @param instances ports of the instances, in the order in which they are tried
+   * @param applyDelayMicrosPerChange delay before an update is applied, for each change in it, in
+   *     microseconds
+   * @param reportIntervalMillis interval between load reports, in milliseconds
+   * @param silenceTimeoutMillis how long an instance may send nothing before the connection is
+   *     closed, in milliseconds
+   * @param minReconnectMillis shortest delay before reconnecting, in milliseconds
+   * @param maxReconnectMillis upper bound of the random delay before reconnecting, in milliseconds
+   * @param sessionTtlSeconds how long an instance keeps the session without a renewal, in seconds
    */
   public record InstanceLink(
       List<Ports> instances,
@@ -44,10 +45,13 @@
       int maxReconnectMillis,
       int sessionTtlSeconds) {}
 
-  /** An instance's three ports; a link in between may have moved each of them. */
+  /**
+   * An instance's host and its three ports. Each port is given separately because a relay between
+   * proxy and instance may map it to a different one.
+   */
   public record Ports(String host, int snapshots, int updates, int collector) {}
 
-  /** The address that an endpoint's id holds. */
+  /** Parses the address from an endpoint's id, {@code NAME@HOST:PORT}. */
   static InetSocketAddress address(EndpointId endpoint) {
     String address = endpoint.name().substring(endpoint.name().lastIndexOf('@') + 1);
     int colon = address.lastIndexOf(':');
--- a/src/main/java/stonespring/proxy/RequestExchange.java
+++ b/src/main/java/stonespring/proxy/RequestExchange.java
@@ -11,8 +11,8 @@
 import stonespring.proxy.routing.RequestProgress;
 
 /**
- * One request on its way: it is admitted, sent to an endpoint, repeated where the routing allows
- * it, and answered once. Confined to the proxy's event loop.
+ * The handling of one request: it is admitted or rejected, sent to an endpoint, retried where the
+ * retry policy allows it, and answered exactly once. Confined to the proxy's event loop.
  */
 final class RequestExchange {
   private static final int DECI_MILLIS_PER_MILLI = 10;
@@ -41,7 +41,7 @@
     this.deadline = proxy.now() + timeoutMillis() * DECI_MILLIS_PER_MILLI;
   }
 
-  /** The class's timeout, or the client's if that is shorter. */
+  /** The request class's timeout, or the client's if that is shorter. */
   private long timeoutMillis() {
     long classTimeoutMillis = proxy.settings().requestTimeoutsMillis().get(requestClass.index());
     String requestedTimeout = request.header(ProxyHeaders.TIMEOUT_MILLIS);
@@ -54,7 +54,7 @@
   void start() {
     proxy.statistics().recordRequest(requestClass);
     if (proxy.now() >= deadline) {
-      // It waited here for longer than its client does.
+      // The request waited in the proxy for longer than its timeout.
       exchange.respond(rejectionResponse(504, REASON_TIMEOUT));
     } else if (proxy.isFull()) {
       exchange.respond(rejectionResponse(503, REASON_FULL));
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Rejects the request, which has not been sent to any endpoint. */
+  /** Rejects the request because too many are waiting. It has not been sent to any endpoint. */
   void rejectAsFull() {
     exchange.respond(rejectionResponse(503, REASON_FULL));
   }
@@ -142,7 +142,7 @@
     return outcome(((HttpCallResult.Failed) result).failure());
   }
 
-  /** The outcome of a call that brought no answer. */
+  /** Maps the failure of a call without an answer to its outcome. */
   static RequestOutcome outcome(HttpCallFailure failure) {
     return switch (failure) {
       case CONNECT_FAILED -> RequestOutcome.NOT_CONNECTED;
@@ -152,7 +152,7 @@
     };
   }
 
-  /** An answer that promises that the request was not executed. */
+  /** An error answer that guarantees that the request was not executed. */
   private static HttpResponse rejectionResponse(int status, String reason) {
     return HttpResponse.of(status, reason + "\n")
         .setHeader(ProxyHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS)
--- a/src/main/java/stonespring/proxy/package-info.java
+++ b/src/main/java/stonespring/proxy/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A plain proxy: takes requests by HTTP, sends them to endpoints as its routing says ({@link
- * stonespring.proxy.routing}), and keeps a connection to an instance by CHP. Each proxy is confined
- * to one event loop.
+ * A plain proxy: receives requests over HTTP, forwards them to endpoints according to its route
+ * tables ({@link stonespring.proxy.routing}), and maintains a CHP connection to an instance. Each
+ * proxy is confined to one event loop.
  */
 package stonespring.proxy;
--- a/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
+++ b/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
@@ -5,9 +5,15 @@
 import stonespring.model.DeciMillis;
 import stonespring.model.DeterministicRandom;
 
-/** Admits requests as limits say: a fraction at random, or a rate by a token bucket. */
+/**
+ * Enforces admission limits: a fraction by random choice, a rate with a token bucket for each
+ * request class.
+ */
 final class AdmissionLimiter {
-  /** How much of a rate may be saved up while few requests arrive, seconds. */
+  /**
+   * Capacity of a token bucket, in seconds at its rate; it bounds the burst that is admitted after
+   * a period with few requests.
+   */
   private static final double BURST_SECONDS = 1;
 
   private final AdmissionLimitKind kind;
@@ -24,9 +30,9 @@
   }
 
   /**
-   * Whether one request is admitted.
+   * Decides whether one request is admitted; with a rate limit, an admitted request takes a token.
    *
-   * @param limit the limit that holds, or null for none
+   * @param limit the limit that applies, or null if there is none
    */
   boolean admit(int requestClass, AdmissionLimit limit, long now) {
     if (limit == null || kind == AdmissionLimitKind.NONE) {
--- a/src/main/java/stonespring/proxy/routing/EndpointPicker.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointPicker.java
@@ -5,11 +5,11 @@
 import stonespring.model.DeterministicRandom;
 
 /**
- * Picks an endpoint from a table's routes. Ejected endpoints are passed over unless nothing else is
- * left: an attempt that may fail is better than none.
+ * Picks an endpoint from a table's routes. Ejected endpoints are skipped unless no other is left,
+ * because an attempt that may fail is better than none.
  */
 final class EndpointPicker {
-  /** One route of a table that holds for a request class. */
+  /** One route of the table in force for a request class. */
   static final class Route {
     private final int endpoint;
     private final double weight;
@@ -43,7 +43,7 @@
   /**
    * Picks an endpoint.
    *
-   * @param avoidedEndpoint an endpoint to leave out, or {@link EndpointStates#NONE}
+   * @param avoidedEndpoint index of an endpoint to leave out, or {@link EndpointStates#NONE}
    * @return the endpoint's index, or {@link EndpointStates#NONE} if no route is left
    */
   int pick(List<Route> routes, int avoidedEndpoint, long now) {
@@ -96,7 +96,10 @@
     return candidates.get(candidates.size() - 1);
   }
 
-  /** Smooth weighted round robin: each route earns its weight, the highestCredit pays for all. */
+  /**
+   * Smooth weighted round robin: every route gains its weight as credit, and the route with the
+   * highest credit is picked and loses the sum of all weights.
+   */
   private static Route nextInRoundRobin(List<Route> candidates) {
     double total = 0;
     Route highestCredit = null;
--- a/src/main/java/stonespring/proxy/routing/EndpointStates.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointStates.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import stonespring.model.EndpointId;
 
-/** What a proxy knows of each endpoint by its own attempts, under a dense index. */
+/** The state of each endpoint as observed from the proxy's own attempts, under a dense index. */
 final class EndpointStates {
-  /** The index of no endpoint. */
+  /** Stands for no endpoint in place of an index. */
   static final int NONE = -1;
 
   private static final int INITIAL_CAPACITY = 16;
@@ -20,7 +20,7 @@
   private int[] consecutiveFailures = new int[INITIAL_CAPACITY];
   private long[] ejectedUntil = new long[INITIAL_CAPACITY];
 
-  /** The index of an endpoint, given out at its first use. */
+  /** The index of an endpoint, assigned when the endpoint is first seen. */
   int indexOf(String name) {
     Integer known = indexByName.get(name);
     if (known != null) {
@@ -37,7 +37,7 @@
     return index;
   }
 
-  /** The index of an endpoint, {@link #NONE} if it has none yet. */
+  /** The index of an endpoint, or {@link #NONE} if none has been assigned. */
   int indexIfKnown(String name) {
     return indexByName.getOrDefault(name, NONE);
   }
@@ -58,7 +58,10 @@
     inFlight[index] = Math.max(0, inFlight[index] - 1);
   }
 
-  /** Counts an attempt's outcome; returns the failures in a row that it makes. */
+  /**
+   * Records an attempt's outcome and returns the number of consecutive failures, this attempt
+   * included.
+   */
   int recordOutcome(int index, boolean succeeded) {
     consecutiveFailures[index] = succeeded ? 0 : consecutiveFailures[index] + 1;
     return consecutiveFailures[index];
--- a/src/main/java/stonespring/proxy/routing/OutlierEjector.java
+++ b/src/main/java/stonespring/proxy/routing/OutlierEjector.java
@@ -2,7 +2,10 @@
 
 import stonespring.model.DeterministicRandom;
 
-/** Ejects an endpoint, for a random time, after failures in a row of the proxy's own attempts. */
+/**
+ * Ejects an endpoint, for a random time, after a configured number of consecutive failures of the
+ * proxy's own attempts.
+ */
 final class OutlierEjector {
   private final RouterSettings settings;
   private final EndpointStates endpoints;
@@ -14,7 +17,7 @@
     this.random = random;
   }
 
-  /** An attempt ended. */
+  /** Records the outcome of an attempt and ejects the endpoint if the threshold is reached. */
   void recordOutcome(int endpoint, boolean succeeded, long now) {
     int failures = endpoints.recordOutcome(endpoint, succeeded);
     int threshold = settings.ejectAfterConsecutiveFailures();
--- a/src/main/java/stonespring/proxy/routing/PublishedChange.java
+++ b/src/main/java/stonespring/proxy/routing/PublishedChange.java
@@ -3,39 +3,42 @@
 import java.util.Locale;
 import stonespring.model.RetryPolicy;
 
-/** One change of what an instance published for this proxy, read from a key and its value. */
+/** One change to a proxy's published state, decoded from a key and its value. */
 sealed interface PublishedChange {
-  /** The word in place of a table's number in a limit that holds for every table. */
+  /** Key segment that replaces the table's number in a limit that applies to all tables. */
   String ALL_TABLES = "every";
 
-  /** A route was set, or removed if the weight is null. */
+  /** Sets a route, or removes it if the weight is null. */
   record RouteChange(String table, String endpoint, Double weight) implements PublishedChange {}
 
-  /** A request class uses a table from now on. */
+  /** Assigns a table to a request class. */
   record TableAssignment(String requestClass, String table) implements PublishedChange {}
 
-  /** An endpoint is excluded, or allowed again. */
+  /** Excludes an endpoint or ends its exclusion. */
   record Exclusion(String endpoint, boolean excluded) implements PublishedChange {}
 
-  /** A limit was set, or removed if it is null. */
+  /** Sets a limit, or removes it if it is null. */
   record LimitChange(String table, String requestClass, AdmissionLimit limit)
       implements PublishedChange {}
 
-  /** A key that this version does not know: a later one may publish more. */
+  /** A key that this version does not know and ignores: later versions may publish further keys. */
   record Unknown() implements PublishedChange {}
 
-  /** The highest weight or limit that is read. */
+  /** Exclusive upper bound of weights and limits; larger values are rejected. */
   double MAX_NUMBER = 1e12;
 
-  /** The published word for {@link RetryPolicy#IF_NOT_EXECUTED}; the others have their names. */
+  /**
+   * The published word for {@link RetryPolicy#IF_NOT_EXECUTED}. Every other policy is published
+   * under its constant's name in lower case.
+   */
   String IF_NOT_EXECUTED_WORD = "on_proof";
 
   /**
-   * Reads a change.
+   * Decodes a change.
    *
    * @param key relative to the proxy's subtree
    * @param value null if the key was deleted
-   * @throws IllegalArgumentException if the key is known and its value can't be read
+   * @throws IllegalArgumentException if the key is known and its value is malformed
    */
   static PublishedChange read(String key, String value) {
     String[] segments = key.split("/", 3);
@@ -72,7 +75,7 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      // reported below, with the key
+      // Reported below, together with the key.
     }
     throw new IllegalArgumentException(key + ": '" + value + "' is no number from 0");
   }
--- a/src/main/java/stonespring/proxy/routing/ReceivedTables.java
+++ b/src/main/java/stonespring/proxy/routing/ReceivedTables.java
@@ -11,25 +11,26 @@
 import stonespring.model.EndpointId;
 
 /**
- * The route tables, exclusions and admission limits that a proxy holds. What one stream of updates
- * assigns to a request class replaces what was held for it before; classes that the stream has not
- * assigned keep what was held, without endpoints that were excluded then or now.
+ * The route tables, exclusions and admission limits that a proxy holds. When a stream of updates
+ * assigns a table to a request class, that table replaces the one held from earlier streams. A
+ * class without an assignment in the current stream keeps its earlier table, minus the endpoints
+ * that the earlier streams or the current one exclude.
  */
 final class ReceivedTables {
   private final List<RouterSettings.ClassSettings> requestClasses;
 
-  // Of the present stream.
+  // State received from the current stream.
   private String stream = "";
   private final TreeMap<String, TreeMap<String, Double>> tables = new TreeMap<>();
   private final String[] assignedTable;
   private final TreeSet<String> excluded = new TreeSet<>();
   private final Map<LimitKey, AdmissionLimit> limits = new HashMap<>();
 
-  // Held before it.
+  // State kept from earlier streams.
   private final List<TreeMap<String, Double>> previousTables = new ArrayList<>();
   private final TreeSet<String> previouslyExcluded = new TreeSet<>();
 
-  /** What an admission limit holds for. */
+  /** The table and request class to which an admission limit applies. */
   private record LimitKey(String table, String requestClass) {
     boolean isForAllTables() {
       return table.equals(PublishedChange.ALL_TABLES);
@@ -44,14 +45,21 @@
     }
   }
 
-  /** Adds routes of equal weight for every request class: the table that a proxy starts with. */
+  /**
+   * Adds routes of equal weight for every request class, which a proxy uses until it receives
+   * tables.
+   */
   void addBootstrapRoutes(List<EndpointId> endpoints) {
     for (TreeMap<String, Double> table : previousTables) {
       endpoints.forEach(endpoint -> table.put(endpoint.name(), 1.0));
     }
   }
 
-  /** A whole state of a stream is about to be applied: what this stream sent before is dropped. */
+  /**
+   * Prepares for the full state of a stream, whose changes are applied next: drops what was
+   * received earlier from this stream. If the stream is new, the previous stream's tables and
+   * exclusions are kept as earlier state.
+   */
   void beginFullState(String nextStream) {
     if (!nextStream.equals(stream)) {
       retainCurrentTables();
@@ -60,7 +68,7 @@
     tables.clear();
     Arrays.fill(assignedTable, null);
     excluded.clear();
-    // Limits for all tables hold until they are replaced: an overload does not end with a stream.
+    // Limits for all tables stay until they are replaced: an overload does not end with a stream.
     limits.keySet().removeIf(key -> !key.isForAllTables());
   }
 
@@ -68,7 +76,8 @@
     for (int k = 0; k < assignedTable.length; k++) {
       previousTables.set(k, routes(k));
     }
-    // Exclusions go with the tables that they were sent with: that stream alone could end them.
+    // An earlier exclusion is dropped once no table from its stream is left, because that
+    // stream can no longer end it.
     if (Arrays.stream(assignedTable).allMatch(Objects::nonNull)) {
       previouslyExcluded.clear();
     }
@@ -123,7 +132,7 @@
     }
   }
 
-  /** Weights by endpoint that hold for a request class, excluded endpoints included. */
+  /** The weights in force for a request class by endpoint, excluded endpoints included. */
   TreeMap<String, Double> routes(int requestClass) {
     String table = assignedTable[requestClass];
     return table == null
@@ -131,13 +140,13 @@
         : new TreeMap<>(tables.getOrDefault(table, new TreeMap<>()));
   }
 
-  /** Whether nothing may be sent to an endpoint for a request class. */
+  /** Whether an endpoint is excluded for a request class. */
   boolean isExcluded(int requestClass, String endpoint) {
     return excluded.contains(endpoint)
         || assignedTable[requestClass] == null && previouslyExcluded.contains(endpoint);
   }
 
-  /** The limit that holds for a request class, or null. */
+  /** The limit in force for a request class, or null if there is none. */
   AdmissionLimit limit(int requestClass) {
     String name = requestClasses.get(requestClass).name();
     String table = assignedTable[requestClass];
--- a/src/main/java/stonespring/proxy/routing/RequestOutcome.java
+++ b/src/main/java/stonespring/proxy/routing/RequestOutcome.java
@@ -2,8 +2,9 @@
 
 /**
  * How an attempt at an endpoint ended, and whether that proves that the request was not executed
- * there. Only proof lets a non-idempotent request be repeated. The list is complete: every end that
- * HTTP/1.1 (RFC 9112) and a socket can show is one of these, and what is in doubt is no proof.
+ * there. A non-idempotent request may be repeated only with such proof. The list is complete: each
+ * way in which an attempt over HTTP/1.1 (RFC 9112) and a socket can end is one of these outcomes,
+ * and an outcome that leaves doubt proves nothing.
  */
 public enum RequestOutcome {
   /** An answer with status 200. */
@@ -14,27 +15,30 @@
    */
   NOT_CONNECTED(true),
   /**
-   * The endpoint's own statement, with its answer, that it refused the request before reading it or
-   * dropped it before it began.
+   * The endpoint's answer states that it rejected the request before reading it or dropped it
+   * before execution began.
    */
   REJECTED_UNREAD(true),
   /**
-   * Any other answer: 4xx or 5xx alone does not say how far the endpoint came (RFC 9110, section
-   * 9.2.2).
+   * Any other answer. A 4xx or 5xx status alone does not say how far the endpoint got with the
+   * request (RFC 9110, section 9.2.2).
    */
   FAILED(false),
   /**
-   * Reset, closed or half-closed before a whole answer, at whatever byte of the request or the
-   * answer. What was sent may lie in the endpoint's buffers and be read after the break, and a kept
-   * connection that breaks as the request goes out looks the same.
+   * The connection was reset, closed or half-closed before the answer was complete, at any byte of
+   * the request or the answer. The endpoint may still read the bytes in its buffers after the
+   * connection has broken. A reused connection that breaks while the request is being sent can't be
+   * told apart from this.
    */
   CONNECTION_BROKEN(false),
-  /** Bytes that are no answer: who sends such may have done anything. */
+  /**
+   * The received bytes are not a valid HTTP answer. Such an endpoint may have executed the request.
+   */
   MALFORMED_ANSWER(false),
-  /** No answer in time, a connection that was being made included. */
+  /** No complete answer arrived before the timeout, which includes the time for connecting. */
   TIMED_OUT(false);
 
-  /** The status of a successful answer. */
+  /** HTTP status of a successful answer. */
   private static final int OK = 200;
 
   private final boolean provesNotExecuted;
--- a/src/main/java/stonespring/proxy/routing/RequestProgress.java
+++ b/src/main/java/stonespring/proxy/routing/RequestProgress.java
@@ -1,12 +1,12 @@
 package stonespring.proxy.routing;
 
 /**
- * How far a request has come when another attempt is considered. Instants are in {@link
+ * The progress of a request at the time when a retry is considered. Instants are in {@link
  * stonespring.model.DeciMillis}.
  *
  * @param attempts attempts made so far
  * @param provenNotExecuted whether it is certain that none of them was executed
- * @param firstAttemptAt when the first attempt that might have been executed was sent
+ * @param firstAttemptAt when the first attempt that may have been executed was sent
  * @param deadline when the request times out
  */
 public record RequestProgress(
--- a/src/main/java/stonespring/proxy/routing/RequestStatistics.java
+++ b/src/main/java/stonespring/proxy/routing/RequestStatistics.java
@@ -9,15 +9,16 @@
 import stonespring.model.RequestClassId;
 
 /**
- * What a proxy observed since its last report: one figure for each endpoint and request class,
- * however many requests there are. Times are in {@link stonespring.model.DeciMillis}.
+ * What a proxy observed since its last report: counters for each endpoint and request class, so
+ * that the size does not depend on the number of requests. Times are in {@link
+ * stonespring.model.DeciMillis}.
  */
 public final class RequestStatistics {
   /**
-   * What was observed at one endpoint.
+   * The observations of one endpoint.
    *
-   * @param totalSuccessDeciMillis the successful attempts' durations added up
-   * @param load the latest load report, or null
+   * @param totalSuccessDeciMillis sum of the durations of the successful attempts
+   * @param load the latest load report of the endpoint, or null if there is none
    */
   public record EndpointObservation(
       String endpoint,
@@ -45,20 +46,20 @@
     this.intervalStart = now;
   }
 
-  /** A request was received. */
+  /** Counts a received request. */
   public void recordRequest(RequestClassId requestClass) {
     requests[requestClass.index()]++;
   }
 
-  /** An admitted request ended without a successful answer. */
+  /** Counts an admitted request that ended without a successful answer. */
   public void recordUnansweredRequest(RequestClassId requestClass) {
     unanswered[requestClass.index()]++;
   }
 
   /**
-   * An attempt ended.
+   * Records an attempt that has ended.
    *
-   * @param load null if the answer brought none
+   * @param load load report of the answer, or null if there is none
    */
   public void recordAttempt(
       EndpointId endpoint, boolean succeeded, long durationDeciMillis, LoadReport load) {
@@ -75,7 +76,7 @@
     }
   }
 
-  /** What was observed at each endpoint, by name. */
+  /** The observations of each endpoint, ordered by its name. */
   public List<EndpointObservation> observations() {
     List<EndpointObservation> observations = new ArrayList<>();
     countersByEndpoint.forEach(
@@ -86,22 +87,22 @@
     return observations;
   }
 
-  /** Requests of a class that were received. */
+  /** Number of requests of a class that were received. */
   public long requests(RequestClassId requestClass) {
     return requests[requestClass.index()];
   }
 
-  /** Requests of a class that were admitted and ended without a successful answer. */
+  /** Number of requests of a class that were admitted and ended without a successful answer. */
   public long unansweredRequests(RequestClassId requestClass) {
     return unanswered[requestClass.index()];
   }
 
-  /** The time that the figures stand for; at least 1. */
+  /** Length of the current interval; at least 1. */
   public long intervalDeciMillis(long now) {
     return Math.max(1, now - intervalStart);
   }
 
-  /** Starts the next interval: what was gathered is reported. */
+  /** Clears all counters and starts the next interval. */
   public void reset(long now) {
     countersByEndpoint.clear();
     Arrays.fill(requests, 0);
--- a/src/main/java/stonespring/proxy/routing/RetryRule.java
+++ b/src/main/java/stonespring/proxy/routing/RetryRule.java
@@ -3,8 +3,8 @@
 import stonespring.model.RetryPolicy;
 
 /**
- * Whether a request may be sent again. A request that may have been executed is repeated only if
- * the retry policy in force allows it and its class is safe to repeat.
+ * Decides whether a request may be sent again. A request that may have been executed is repeated
+ * only if the retry policy in force allows it and its class is safe to repeat.
  */
 final class RetryRule {
   private final RouterSettings settings;
@@ -16,8 +16,8 @@
   /**
    * Whether another attempt may be made.
    *
-   * @param limit the limit that holds for the class and names the retry policy; null for the
-   *     default, a retry if it is proven that nothing was executed
+   * @param limit the admission limit in force for the class, which carries the retry policy; if
+   *     null, the policy is {@link RetryPolicy#IF_NOT_EXECUTED}
    */
   boolean mayRetry(int requestClass, RequestProgress request, AdmissionLimit limit, long now) {
     RetryPolicy policy = limit == null ? RetryPolicy.IF_NOT_EXECUTED : limit.retryPolicy();
@@ -41,7 +41,7 @@
     RouterSettings.ClassSettings classSettings = settings.requestClasses().get(requestClass);
     return switch (classSettings.retrySafety()) {
       case IDEMPOTENT -> true;
-      // The repeat must arrive before the endpoints forget the key of the first attempt.
+      // The retry must be sent before the endpoints forget the key of the first attempt.
       case IDEMPOTENCY_KEYED ->
           now - request.firstAttemptAt() < classSettings.deduplicationWindowDeciMillis();
       case NON_IDEMPOTENT -> false;
--- a/src/main/java/stonespring/proxy/routing/Router.java
+++ b/src/main/java/stonespring/proxy/routing/Router.java
@@ -11,9 +11,10 @@
 import stonespring.model.RequestClassId;
 
 /**
- * A proxy's routing: applies the updates that it receives and answers, for each request, whether it
- * is admitted ({@link AdmissionLimiter}), where it goes ({@link EndpointPicker}) and whether it may
- * be repeated ({@link RetryRule}). The same calls in the same order give the same answers.
+ * A proxy's routing: applies received updates and decides, for each request, whether it is admitted
+ * ({@link AdmissionLimiter}), to which endpoint it is sent ({@link EndpointPicker}) and whether it
+ * may be retried ({@link RetryRule}). It is deterministic: with the same seed, the same sequence of
+ * calls gives the same results.
  */
 public final class Router {
   private final RouterSettings settings;
@@ -26,7 +27,7 @@
   private final List<List<EndpointPicker.Route>> routesByClass = new ArrayList<>();
   private boolean withoutTables = true;
 
-  /** Starts without any route. */
+  /** Creates a router without routes. */
   public Router(RouterSettings settings, long seed) {
     DeterministicRandom random = new DeterministicRandom(seed);
     this.settings = settings;
@@ -41,16 +42,17 @@
     }
   }
 
-  /** Sets the table that the proxy starts with, for all request classes alike. */
+  /** Adds routes of equal weight to the bootstrap endpoints, for every request class. */
   public void useBootstrapRoutes(List<EndpointId> bootstrap) {
     tables.addBootstrapRoutes(bootstrap);
     refreshRoutes();
   }
 
   /**
-   * Applies a whole update.
+   * Applies a complete update, all of it or nothing.
    *
-   * @throws IllegalArgumentException if a known key's value can't be read; nothing has changed then
+   * @throws IllegalArgumentException if the value of a known key is malformed; the router is
+   *     unchanged then
    */
   public void apply(TableSubscriber.Step.Update update) {
     List<PublishedChange> changes = new ArrayList<>();
@@ -76,17 +78,18 @@
     }
   }
 
-  /** Whether one request of this class is admitted now. */
+  /** Decides whether one request of this class is admitted now. */
   public boolean admit(RequestClassId requestClass, long now) {
     int k = requestClass.index();
     return limiter.admit(k, tables.limit(k), now);
   }
 
   /**
-   * Where a request of this class goes. Until {@link #recordAttemptEnd} it counts as in flight
-   * there.
+   * Picks the endpoint for an attempt. The attempt counts as in flight there until {@link
+   * #recordAttemptEnd}.
    *
-   * @param avoidedEndpoint an endpoint that an earlier attempt failed at; null for none
+   * @param avoidedEndpoint an endpoint to leave out because an earlier attempt failed there, or
+   *     null
    * @return empty if no route is left
    */
   public Optional<EndpointId> pick(
@@ -103,7 +106,7 @@
     return Optional.of(endpoints.endpoint(pickedIndex));
   }
 
-  /** An attempt ended. */
+  /** Records the end of an attempt. */
   public void recordAttemptEnd(EndpointId endpoint, boolean succeeded, long now) {
     int index = endpoints.indexOf(endpoint.name());
     endpoints.decrementInFlight(index);
@@ -116,7 +119,10 @@
     return retryRule.mayRetry(k, request, tables.limit(k), now);
   }
 
-  /** The endpoints that any table names, excluded ones too: connections to others can be closed. */
+  /**
+   * The endpoints named by the tables in force, excluded ones included. Connections to any other
+   * endpoint can be closed.
+   */
   public TreeSet<String> namedEndpoints() {
     TreeSet<String> named = new TreeSet<>();
     for (int k = 0; k < settings.requestClasses().size(); k++) {
@@ -125,7 +131,7 @@
     return named;
   }
 
-  /** Weights by endpoint that hold for a request class; for tests and views. */
+  /** The weights in force for a request class by endpoint, without excluded endpoints. */
   public Map<String, Double> weights(RequestClassId requestClass) {
     Map<String, Double> weights = new TreeMap<>();
     for (EndpointPicker.Route route : routesByClass.get(requestClass.index())) {
@@ -134,7 +140,9 @@
     return weights;
   }
 
-  /** Whether no update was ever applied: at most the bootstrap routes are held. */
+  /**
+   * Whether no update has been applied yet, so that the router holds at most the bootstrap routes.
+   */
   public boolean isWithoutTables() {
     return withoutTables;
   }
--- a/src/main/java/stonespring/proxy/routing/RouterSettings.java
+++ b/src/main/java/stonespring/proxy/routing/RouterSettings.java
@@ -5,18 +5,18 @@
 import stonespring.model.RetrySafety;
 
 /**
- * What a proxy's routing is configured with. Durations are in {@link stonespring.model.DeciMillis}.
+ * Settings of a proxy's routing. Durations are in {@link stonespring.model.DeciMillis}.
  *
- * @param requestClasses the request classes; a {@link stonespring.model.RequestClassId} is a
- *     position among them
- * @param ejectAfterConsecutiveFailures failures in a row of the proxy's own attempts after which it
- *     ejects an endpoint; 0 for never
- * @param minEjectionDeciMillis the shortest ejection; its time is drawn between this and {@code
+ * @param requestClasses the request classes; a {@link stonespring.model.RequestClassId} is an index
+ *     into this list
+ * @param ejectAfterConsecutiveFailures number of consecutive failures of the proxy's own attempts
+ *     after which it ejects an endpoint; 0 disables ejection
+ * @param minEjectionDeciMillis shortest ejection; the duration is random between this and {@code
  *     maxEjectionDeciMillis}
- * @param minTimeForRetryDeciMillis the time that must be left before the deadline for another
- *     attempt
+ * @param maxEjectionDeciMillis longest ejection
+ * @param minTimeForRetryDeciMillis time that must be left before the deadline for a retry
  * @param picking how an endpoint is picked from a table
- * @param limitKind what the number of an admission limit means
+ * @param limitKind whether the value of an admission limit is a fraction or a rate, or is ignored
  */
 public record RouterSettings(
     List<ClassSettings> requestClasses,
@@ -38,11 +38,13 @@
 
   /** How an endpoint is picked from the routes of a table. */
   public enum Picking {
-    /** At random, by weight. */
+    /** At random, with probabilities proportional to the weights. */
     WEIGHTED,
-    /** In turn, by weight. */
+    /** Smooth weighted round robin. */
     ROUND_ROBIN,
-    /** Of two drawn by weight, the one with fewer of the proxy's own requests in flight. */
+    /**
+     * Of two endpoints drawn by weight, the one with fewer of the proxy's own attempts in flight.
+     */
     TWO_CHOICES
   }
 }
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -4,41 +4,44 @@
 import java.util.Map;
 
 /**
- * Turns published keys into whole updates: gathers what arrives until a commit says that an update
- * is complete, and notices at once when something is missing. It does no I/O; keys are relative to
- * the proxy's subtree, and the value of a deleted key is null.
+ * Assembles published keys into complete updates: collects changes until a commit marks the update
+ * as complete, and uses the commit to detect lost changes. It does no I/O; keys are relative to the
+ * proxy's subtree, and the value of a deleted key is null.
  *
- * <p>A commit names its stream, counts the stream's updates and says how many keys the update
- * changed. An update out of sequence, or with another number of keys, means that something was
- * lost: nothing of it takes effect, and the snapshot has to be requested.
+ * <p>A commit holds its stream, the sequence number of the update within the stream and the number
+ * of keys that the update changed. If the sequence number or the number of keys differs from what
+ * was expected, changes were lost: the update is discarded, and the snapshot must be requested.
  */
 public final class TableSubscriber {
-  /** The key that ends an update. */
+  /** The key that completes an update. */
   public static final String COMMIT_KEY = "commit";
 
-  /** An update with more keys is no route table. */
+  /** Maximum number of keys in an update. One with more keys cannot be a route table. */
   private static final int MAX_KEYS = 100_000;
 
-  /** What a key led to. */
+  /** The result of handling a key or a snapshot. */
   public sealed interface Step {
-    /** Nothing yet. */
+    /**
+     * There is nothing to apply: the update is not complete, or the snapshot contains no change.
+     */
     record Gathered() implements Step {}
 
     /**
-     * A whole update.
+     * A complete update that must be applied.
      *
      * @param stream the stream that it belongs to
-     * @param fullState whether it is all that the stream has sent so far
-     * @param changes values by key, in the order of arrival; null for a deleted key
+     * @param fullState whether the update replaces everything that the stream has sent before
+     * @param changes values by key, in the order of their last arrival; the value is null for a
+     *     deleted key
      * @param ackId the number to acknowledge, or {@link Commit#NO_ACK}
      */
     record Update(String stream, boolean fullState, Map<String, String> changes, int ackId)
         implements Step {}
 
-    /** Something is missing. */
+    /** Changes were lost, and the snapshot must be requested. */
     record Resync(String cause) implements Step {}
 
-    /** The stream ended at the instance; what is held stands. */
+    /** The instance ended the stream; the tables received so far stay in force. */
     record Ended() implements Step {}
   }
 
@@ -46,12 +49,12 @@
    * A commit.
    *
    * @param stream the stream of updates that it belongs to
-   * @param sequence counts the stream's updates, from 1
-   * @param keys how many keys the update changed
+   * @param sequence number of the update within the stream, from 1
+   * @param keys number of keys that the update changed
    * @param ackId the number to acknowledge, or {@link #NO_ACK}
    */
   public record Commit(String stream, int sequence, int keys, int ackId) {
-    /** In place of a number where no acknowledgement is requested. */
+    /** Used in place of a number if no acknowledgement is requested. */
     public static final int NO_ACK = -1;
   }
 
@@ -62,9 +65,9 @@
   private int sequence;
 
   /**
-   * One key changed.
+   * Handles a change of one key.
    *
-   * @param value null if it was deleted
+   * @param value the new value, or null if the key was deleted
    * @param commit the decoded value if the key is {@link #COMMIT_KEY}, else null
    */
   public Step handleKeyChange(String key, String value, Commit commit) {
@@ -107,7 +110,7 @@
   }
 
   /**
-   * A whole snapshot.
+   * Handles a complete snapshot, which replaces the changes collected so far.
    *
    * @param commit null if the stream has sent nothing yet
    */
@@ -121,7 +124,8 @@
     sequence = commit.sequence();
     Map<String, String> changes = new LinkedHashMap<>(keys);
     changes.remove(COMMIT_KEY);
-    // The snapshot is acknowledged too: the update that asked for it may never arrive.
+    // The snapshot is acknowledged as well, because the update that requested the acknowledgement
+    // may never arrive.
     return isNewState ? new Step.Update(stream, true, changes, commit.ackId()) : GATHERED;
   }
 }
--- a/src/main/java/stonespring/proxy/routing/package-info.java
+++ b/src/main/java/stonespring/proxy/routing/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Where a proxy sends a request, whether it admits it, and when it repeats it. The package obeys
- * the tables that it receives; the only decision of its own is to eject an endpoint that keeps
- * failing. It does no I/O, reads no clock and starts no thread: time is passed in, in {@link
- * stonespring.model.DeciMillis}, and random numbers follow from a seed. Nothing here is safe for
- * use by several threads at a time.
+ * Decides where a proxy sends a request, whether it admits the request, and when it retries it.
+ * These decisions follow the received tables; the only decision made locally is to eject an
+ * endpoint that keeps failing. The package does no I/O, reads no clock and starts no thread: time
+ * is passed in, in {@link stonespring.model.DeciMillis}, and random numbers are generated from a
+ * seed. No class here is thread-safe.
  */
 package stonespring.proxy.routing;
