--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -175,7 +175,7 @@
       return;
     }
     LOG.info(
-        "proxy {}: connection {} ended, tables are kept: {}",
+        "proxy {}: connection {} to the instance ended, keeping the tables and reconnecting: {}",
         settings.name(),
         connectionCount,
         cause);
@@ -186,7 +186,10 @@
 
   private void handleStep(TableSubscriber.Step step) {
     if (step instanceof TableSubscriber.Step.Resync resync) {
-      LOG.warn("proxy {}: the snapshot is requested: {}", settings.name(), resync.cause());
+      LOG.warn(
+          "proxy {}: received updates are incomplete or invalid, requesting the snapshot: {}",
+          settings.name(),
+          resync.cause());
       client.resync();
     } else if (step instanceof TableSubscriber.Step.Update update) {
       long arrivedAtDeciMillis = now();
@@ -202,7 +205,8 @@
     try {
       router.apply(update);
     } catch (IllegalArgumentException e) {
-      LOG.warn("proxy {}: an update is not applied: {}", settings.name(), e.getMessage());
+      LOG.warn(
+          "proxy {}: update rejected, routing is unchanged: {}", settings.name(), e.getMessage());
       return;
     }
     appliedUpdates++;
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -130,7 +130,7 @@
     try {
       return new ChpMessage.KvSet(key, ChpMessage.NONE, properties, JSON.writeValueAsBytes(value));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of JSON can't be written", e);
+      throw new IllegalStateException("cannot serialize the JSON value of key " + key, e);
     }
   }
 }
--- a/src/main/java/stonespring/proxy/routing/PublishedChange.java
+++ b/src/main/java/stonespring/proxy/routing/PublishedChange.java
@@ -63,7 +63,8 @@
   private static double weight(String key, String value) {
     double weight = number(key, value);
     if (weight <= 0) {
-      throw new IllegalArgumentException(key + ": a weight of " + value);
+      throw new IllegalArgumentException(
+          key + ": expected a weight above 0, found '" + value + "'");
     }
     return weight;
   }
@@ -77,7 +78,8 @@
     } catch (NumberFormatException e) {
       // Reported below, together with the key.
     }
-    throw new IllegalArgumentException(key + ": '" + value + "' is no number from 0");
+    throw new IllegalArgumentException(
+        key + ": expected a number from 0 to below " + MAX_NUMBER + ", found '" + value + "'");
   }
 
   private static AdmissionLimit limit(String key, String value) {
@@ -85,7 +87,7 @@
     RetryPolicy policy = words.length == 2 ? retryPolicy(words[1]) : null;
     if (policy == null) {
       throw new IllegalArgumentException(
-          key + ": '" + value + "' is no admission limit and retry policy");
+          key + ": expected an admission limit and a retry policy, found '" + value + "'");
     }
     return new AdmissionLimit(number(key, words[0]), policy);
   }
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -38,7 +38,7 @@
     record Update(String stream, boolean fullState, Map<String, String> changes, int ackId)
         implements Step {}
 
-    /** Changes were lost, and the snapshot must be requested. */
+    /** The received changes are incomplete or invalid, and the snapshot must be requested. */
     record Resync(String cause) implements Step {}
 
     /** The instance ended the stream; the tables received so far stay in force. */
@@ -84,7 +84,7 @@
   private Step collect(String key, String value) {
     if (pendingChanges.size() >= MAX_KEYS) {
       pendingChanges.clear();
-      return new Step.Resync("over " + MAX_KEYS + " keys came without a commit");
+      return new Step.Resync("received more than " + MAX_KEYS + " keys without a commit");
     }
     pendingChanges.remove(key);
     pendingChanges.put(key, value);
@@ -105,7 +105,7 @@
 
   private static String describeMismatch(Commit commit, int receivedKeys, int expectedSequence) {
     return String.format(
-        "update %d of %s with %d of %d keys came where update %d was due",
+        "received update %d of stream '%s' with %d of %d keys, expected update %d",
         commit.sequence(), commit.stream(), receivedKeys, commit.keys(), expectedSequence);
   }
 
