--- a/src/test/java/stonespring/proxy/RequestOutcomeProofTest.java
+++ b/src/test/java/stonespring/proxy/RequestOutcomeProofTest.java
@@ -28,37 +28,37 @@
 import stonespring.proxy.routing.RouterSettings;
 
 /**
- * What proves that a non-idempotent request was not executed, by causing it: two bare sockets as
- * endpoints, a real proxy before them.
+ * Guards against a retry of a non-idempotent request that may have been executed. The tests make
+ * attempts of a real proxy fail in different ways, with two plain server sockets as its endpoints.
  */
 final class RequestOutcomeProofTest {
-  /** What an endpoint does once it has read so many bytes of a request. */
+  /** How an endpoint breaks the connection after it has read part of a request. */
   private enum Ending {
     RESET,
     CLOSE,
     HALF_CLOSE
   }
 
-  private interface Behaviour {
-    void on(Socket socket) throws IOException;
+  private interface EndpointBehaviour {
+    void handle(Socket socket) throws IOException;
   }
 
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final AtomicInteger attempts = new AtomicInteger();
-  private ServerSocket one;
-  private ServerSocket other;
-  private volatile Behaviour behaviour;
+  private ServerSocket firstEndpoint;
+  private ServerSocket secondEndpoint;
+  private volatile EndpointBehaviour endpointBehaviour;
   private Proxy proxy;
 
   @BeforeEach
   void start() throws Exception {
-    one = endpoint();
-    other = endpoint();
-    start(one.getLocalPort(), other.getLocalPort());
+    firstEndpoint = openEndpoint();
+    secondEndpoint = openEndpoint();
+    startProxy(firstEndpoint.getLocalPort(), secondEndpoint.getLocalPort());
   }
 
-  private void start(int... ports) throws Exception {
+  private void startProxy(int... ports) throws Exception {
     RouterSettings routing =
         new RouterSettings(
             List.of(new RouterSettings.ClassSettings("extract", RetrySafety.NON_IDEMPOTENT, 0)),
@@ -89,13 +89,13 @@
 
   @AfterEach
   void stop() throws Exception {
-    one.close();
-    other.close();
+    firstEndpoint.close();
+    secondEndpoint.close();
     proxy.stop();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private ServerSocket endpoint() throws IOException {
+  private ServerSocket openEndpoint() throws IOException {
     ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread thread =
         new Thread(
@@ -103,9 +103,9 @@
               while (!server.isClosed()) {
                 try (Socket socket = server.accept()) {
                   attempts.incrementAndGet();
-                  behaviour.on(socket);
+                  endpointBehaviour.handle(socket);
                 } catch (IOException e) {
-                  // a cut is what the test is about; a closed server ends it
+                  // Broken connections are part of the tests; a closed server socket ends the loop.
                 }
               }
             });
@@ -114,8 +114,8 @@
     return server;
   }
 
-  /** Sends one request; returns its final answer. */
-  private String request() throws IOException {
+  /** Sends one request to the proxy and returns the proxy's answer. */
+  private String sendRequest() throws IOException {
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.port())) {
       client.setSoTimeout(10_000);
       client
@@ -129,8 +129,8 @@
     }
   }
 
-  /** Reads the whole head of a request, as the proxy sends it; returns its bytes. */
-  private static int head(InputStream in) throws IOException {
+  /** Reads the head of a request that the proxy sends and returns its length in bytes. */
+  private static int readHead(InputStream in) throws IOException {
     int n = 0;
     for (int match = 0; match < 4; n++) {
       int c = in.read();
@@ -142,8 +142,8 @@
     return n;
   }
 
-  private static void answer(Socket socket, String head) throws IOException {
-    head(socket.getInputStream());
+  private static void sendAnswer(Socket socket, String head) throws IOException {
+    readHead(socket.getInputStream());
     socket
         .getOutputStream()
         .write(
@@ -151,26 +151,26 @@
                 .getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** However far a request came when its connection broke, it is never sent a second time. */
+  /** A request is sent only once, whatever number of its bytes the endpoint has read. */
   @ParameterizedTest
   @EnumSource(Ending.class)
-  void aBreakAtAnyByteProvesNothing(Ending ending) throws Exception {
+  void doesNotRetryWhenConnectionBreaksAfterAnyByte(Ending ending) throws Exception {
     AtomicInteger length = new AtomicInteger();
-    behaviour =
+    endpointBehaviour =
         socket -> {
-          length.set(head(socket.getInputStream()));
+          length.set(readHead(socket.getInputStream()));
           socket.setSoLinger(true, 0);
         };
-    request();
-    assertTrue(length.get() > 100, "a request has " + length + " bytes");
-    // From the first byte read on: a reset before it may reach the proxy before it has sent any,
-    // which is proof.
-    for (int at = 1; at <= length.get(); at++) {
-      int bytes = at;
+    sendRequest();
+    assertTrue(length.get() > 100, "length of the request head in bytes: " + length);
+    // Starts after the first byte: an earlier reset may reach the proxy before it has sent any
+    // byte, which proves that the request was not executed.
+    for (int cutAt = 1; cutAt <= length.get(); cutAt++) {
+      int bytesToRead = cutAt;
       attempts.set(0);
-      behaviour =
+      endpointBehaviour =
           socket -> {
-            socket.getInputStream().readNBytes(bytes);
+            socket.getInputStream().readNBytes(bytesToRead);
             if (ending == Ending.RESET) {
               socket.setSoLinger(true, 0);
             } else if (ending == Ending.HALF_CLOSE) {
@@ -178,62 +178,69 @@
               socket.getInputStream().readAllBytes();
             }
           };
-      String answer = request();
-      assertTrue(answer.startsWith("HTTP/1.1 503"), "cut after " + at + " bytes: " + answer);
+      String answer = sendRequest();
+      assertTrue(
+          answer.startsWith("HTTP/1.1 503"),
+          "answer when the connection broke after " + cutAt + " bytes: " + answer);
       assertTrue(
           !answer.contains("x-not-run"),
-          "cut after " + at + " bytes, and yet answered as not executed");
-      assertEquals(1, attempts.get(), "attempts of a request cut after " + at + " bytes");
+          "answered as not executed although the connection broke after " + cutAt + " bytes");
+      assertEquals(
+          1,
+          attempts.get(),
+          "attempts of a request whose connection broke after " + cutAt + " bytes");
     }
   }
 
   @Test
-  void anEndpointsStatementThatItRejectedUnreadIsProof() throws Exception {
-    behaviour = socket -> answer(socket, "HTTP/1.1 503 x\r\nx-not-run: 1");
-    String answer = request();
+  void retriesWhenEndpointStatesThatItRejectedRequestUnread() throws Exception {
+    endpointBehaviour = socket -> sendAnswer(socket, "HTTP/1.1 503 x\r\nx-not-run: 1");
+    String answer = sendRequest();
     assertEquals(2, attempts.get());
     assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("x-not-run: 1"), answer);
   }
 
   @Test
-  void anErrorStatusAloneProvesNothing() throws Exception {
+  void doesNotRetryOnErrorStatusAlone() throws Exception {
     for (String status : List.of("400", "404", "408", "429", "500", "502", "503", "504")) {
       attempts.set(0);
-      behaviour = socket -> answer(socket, "HTTP/1.1 " + status + " x");
-      request();
-      assertEquals(1, attempts.get(), "attempts after " + status);
+      endpointBehaviour = socket -> sendAnswer(socket, "HTTP/1.1 " + status + " x");
+      sendRequest();
+      assertEquals(1, attempts.get(), "attempts after status " + status);
     }
   }
 
   @Test
-  void malformedAnswersProveNothing() throws Exception {
-    behaviour =
+  void doesNotRetryAfterMalformedAnswer() throws Exception {
+    endpointBehaviour =
         socket -> {
-          head(socket.getInputStream());
+          readHead(socket.getInputStream());
           socket
               .getOutputStream()
               .write("x-not-run: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         };
-    request();
+    sendRequest();
     assertEquals(1, attempts.get());
   }
 
   @Test
-  void aConnectionThatWasNeverMadeIsProof() throws Exception {
-    other.close();
-    behaviour = socket -> answer(socket, "HTTP/1.1 200 x");
+  void retriesOnOtherEndpointWhenConnectionIsRefused() throws Exception {
+    secondEndpoint.close();
+    endpointBehaviour = socket -> sendAnswer(socket, "HTTP/1.1 200 x");
     for (int i = 0; i < 20; i++) {
-      assertTrue(request().startsWith("HTTP/1.1 200"), "the closed one's requests go to the other");
+      assertTrue(
+          sendRequest().startsWith("HTTP/1.1 200"),
+          "a request refused by the closed endpoint is retried on the open one");
     }
     assertEquals(20, attempts.get());
   }
 
   /**
-   * Every failure that the client can report has an outcome, so that a new one can't pass for
-   * proof.
+   * Among the failures that the HTTP client can report, only a failed connect proves that the
+   * request was not executed. A failure that is added later is checked too.
    */
   @Test
-  void everyFailureOfACallHasAnOutcome() {
+  void onlyFailedConnectProvesNotExecutedAmongCallFailures() {
     for (HttpCallFailure failure : HttpCallFailure.values()) {
       assertEquals(
           failure == HttpCallFailure.CONNECT_FAILED,
--- a/src/test/java/stonespring/proxy/routing/RouterTest.java
+++ b/src/test/java/stonespring/proxy/routing/RouterTest.java
@@ -80,7 +80,7 @@
 
   @ParameterizedTest
   @EnumSource(RouterSettings.Picking.class)
-  void picksFollowWeights(RouterSettings.Picking picking) {
+  void picksEndpointsInProportionToWeights(RouterSettings.Picking picking) {
     Router router = router(picking, AdmissionLimitKind.NONE);
     router.apply(update("a", true, "bind/view", "1", "line/1/x", "0.75", "line/1/y", "0.25"));
     Map<String, Integer> picks = new HashMap<>();
@@ -93,11 +93,11 @@
     assertEquals(
         Optional.empty(),
         router.pick(SKETCH, null, 0),
-        "no table is assigned to the class, and none was held before");
+        "a class without a table, now or earlier, has no routes");
   }
 
   @Test
-  void picksOfTwoTheOneWithFewerRequestsInFlight() {
+  void picksLessLoadedOfTwoEndpointsWithTwoChoices() {
     Router router = router(RouterSettings.Picking.TWO_CHOICES, AdmissionLimitKind.NONE);
     router.apply(update("a", true, "bind/view", "1", "line/1/x", "0.5", "line/1/y", "0.5"));
     Map<String, Integer> inFlight = new HashMap<>();
@@ -108,25 +108,25 @@
   }
 
   @Test
-  void keepsTablesOfAnEarlierStreamUntilAnotherAssignsItsOwn() {
+  void keepsEarlierTableUntilNewStreamAssignsOne() {
     Router router = routerWithTables();
     router.apply(update("b", true, "out/x", "1"));
     assertEquals(
         Set.of("y"),
         router.weights(VIEW).keySet(),
-        "an exclusion holds for tables of every stream");
+        "an exclusion also applies to tables of earlier streams");
     router.apply(update("b", false, "bind/view", "1", "line/1/z", "1"));
     assertEquals(
         Set.of("z"),
         router.weights(VIEW).keySet(),
-        "a class with an assignment has this stream's table alone");
+        "a class with an assignment uses only the table of the current stream");
     assertEquals(Set.of("y"), router.weights(EXTRACT).keySet());
     router.apply(update("b", false, "out/x", null));
     assertEquals(Set.of("x", "y"), router.weights(EXTRACT).keySet());
   }
 
   @Test
-  void replacesTheStreamsStateByItsSnapshot() {
+  void replacesStateOfStreamWhenFullStateArrives() {
     Router router = routerWithTables();
     router.apply(
         update("a", true, "bind/view", "1", "line/1/z", "1", "level/every/view", "0.5 never"));
@@ -134,9 +134,9 @@
   }
 
   @Test
-  void appliesNothingOfAnUpdateThatCannotBeRead() {
+  void rejectsWholeUpdateWhenOneValueIsMalformed() {
     Router router = routerWithTables();
-    for (String[] bad :
+    for (String[] malformed :
         new String[][] {
           {"line/1/z", "-1"},
           {"line/1/z", "NaN"},
@@ -148,15 +148,15 @@
         }) {
       assertThrows(
           IllegalArgumentException.class,
-          () -> router.apply(update("a", false, "line/1/x", null, bad[0], bad[1])),
-          bad[1]);
+          () -> router.apply(update("a", false, "line/1/x", null, malformed[0], malformed[1])),
+          malformed[1]);
     }
     assertEquals(Map.of("x", 0.75, "y", 0.25), router.weights(VIEW));
     router.apply(update("a", false, "some/later/word", "1"));
   }
 
   @Test
-  void ejectsAFailingEndpointUnlessNothingElseIsLeft() {
+  void ejectsFailingEndpointUnlessNoOtherIsLeft() {
     Router router = routerWithTables();
     for (int i = 0; i < 3; i++) {
       router.recordAttemptEnd(new EndpointId("x"), false, 0);
@@ -167,7 +167,7 @@
     assertEquals(
         "x",
         router.pick(VIEW, new EndpointId("y"), SECOND).orElseThrow().name(),
-        "nothing else is left");
+        "an ejected endpoint is picked if no other is left");
     boolean pickedAgain = false;
     for (int i = 0; i < 50; i++) {
       pickedAgain |= router.pick(VIEW, null, 5 * SECOND).orElseThrow().name().equals("x");
@@ -184,22 +184,22 @@
     for (int i = 0; i < 4000; i++) {
       admitted += router.admit(VIEW, 0) ? 1 : 0;
     }
-    assertEquals(1000, admitted, 100, "the lower of the two limits holds");
+    assertEquals(1000, admitted, 100, "the lower of the two limits applies");
     assertTrue(
         router.mayRetry(VIEW, new RequestProgress(1, true, 0, SECOND), 0),
-        "and the table's own retry policy");
-    Router rates = router(RouterSettings.Picking.WEIGHTED, AdmissionLimitKind.RATE);
-    rates.apply(
+        "the retry policy of the table's own limit applies");
+    Router rateRouter = router(RouterSettings.Picking.WEIGHTED, AdmissionLimitKind.RATE);
+    rateRouter.apply(
         update("a", true, "level/every/view", "10 never", "level/every/extract", "0 never"));
     admitted = 0;
     for (long now = 0; now < 10 * SECOND; now += 10) {
-      admitted += rates.admit(VIEW, now) ? 1 : 0;
-      assertFalse(rates.admit(EXTRACT, now));
+      admitted += rateRouter.admit(VIEW, now) ? 1 : 0;
+      assertFalse(rateRouter.admit(EXTRACT, now));
     }
     assertEquals(105, admitted, 10);
   }
 
-  /** A limit as an instance publishes it. */
+  /** The published value of a limit, as an instance encodes it. */
   private static String publishedLimit(double limit, RetryPolicy policy) {
     ProxyChange change =
         new ProxyChange.AdmissionLimitChange(
@@ -209,9 +209,9 @@
     return new PublishedKeyCodec(List.of()).value(change).orElseThrow();
   }
 
-  /** Every answer, by class, policy, proof and number of attempts. */
+  /** Checks every combination of request class, retry policy, proof and number of attempts. */
   @Test
-  void retriesAsPolicyAndSafetyAllow() {
+  void retriesAccordingToPolicyAndRetrySafety() {
     for (RetryPolicy policy : RetryPolicy.values()) {
       Router router = routerWithTables();
       String word = publishedLimit(1, policy);
@@ -229,39 +229,39 @@
         for (int attempts = 1; attempts <= 4; attempts++) {
           int maxRetries =
               policy == RetryPolicy.NEVER ? 0 : policy == RetryPolicy.TWICE_ON_FAILURE ? 2 : 1;
-          boolean onFailure =
+          boolean retriesOnFailure =
               policy == RetryPolicy.ONCE_ON_FAILURE || policy == RetryPolicy.TWICE_ON_FAILURE;
           assertEquals(
               attempts <= maxRetries,
               router.mayRetry(requestClass, new RequestProgress(attempts, true, 0, SECOND), 0));
           assertEquals(
-              attempts <= maxRetries && onFailure && requestClass != EXTRACT,
+              attempts <= maxRetries && retriesOnFailure && requestClass != EXTRACT,
               router.mayRetry(requestClass, new RequestProgress(attempts, false, 0, SECOND), 0),
               policy + " " + requestClass + " " + attempts);
           assertFalse(
               router.mayRetry(
                   requestClass, new RequestProgress(attempts, true, 0, SECOND), SECOND - 50),
-              "too little time is left");
+              "no retry with too little time left");
         }
       }
       assertFalse(
           router.mayRetry(SKETCH, new RequestProgress(1, false, 0, 9 * SECOND), 2 * SECOND),
-          "endpoints have forgotten the first attempt by then");
+          "no retry after the deduplication window of the endpoints");
       assertFalse(
           router.mayRetry(EXTRACT, new RequestProgress(1, false, 0, 9 * SECOND), 0),
-          "a non-idempotent request that may have been executed");
+          "no retry of a non-idempotent request that may have been executed");
     }
   }
 
   @Test
-  void givesTheSameAnswersToTheSameCalls() {
-    Router one = routerWithTables();
-    Router other = routerWithTables();
+  void returnsSameResultsForSameSeedAndCalls() {
+    Router first = routerWithTables();
+    Router second = routerWithTables();
     for (int i = 0; i < 200; i++) {
-      Optional<EndpointId> endpoint = one.pick(VIEW, null, i);
+      Optional<EndpointId> endpoint = first.pick(VIEW, null, i);
       assertTrue(endpoint.isPresent());
-      assertEquals(endpoint, other.pick(VIEW, null, i));
-      assertEquals(one.admit(VIEW, i), other.admit(VIEW, i));
+      assertEquals(endpoint, second.pick(VIEW, null, i));
+      assertEquals(first.admit(VIEW, i), second.admit(VIEW, i));
     }
   }
 }
--- a/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
+++ b/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
@@ -14,7 +14,7 @@
   }
 
   @Test
-  void appliesAnUpdateWholeOrNotAtAll() {
+  void appliesUpdateOnlyWhenAllItsKeysArrived() {
     assertInstanceOf(
         TableSubscriber.Step.Gathered.class, subscriber.handleKeyChange("line/1/x", "1", null));
     TableSubscriber.Step.Update first =
@@ -25,11 +25,11 @@
     assertInstanceOf(
         TableSubscriber.Step.Resync.class,
         subscriber.handleKeyChange("commit", "{}", commit("a", 2, 2)),
-        "a key is missing");
+        "an update with a missing key requires the snapshot");
   }
 
   @Test
-  void requestsTheSnapshotWhenAnUpdateIsOutOfSequence() {
+  void requestsSnapshotWhenUpdateIsOutOfSequence() {
     subscriber.handleKeyChange("commit", "{}", commit("a", 1, 0));
     assertInstanceOf(
         TableSubscriber.Step.Resync.class,
@@ -37,19 +37,19 @@
     assertInstanceOf(
         TableSubscriber.Step.Resync.class,
         subscriber.handleKeyChange("commit", "{}", commit("b", 2, 0)),
-        "another stream that does not begin with its first message");
-    TableSubscriber.Step.Update whole =
+        "another stream must begin with its first update");
+    TableSubscriber.Step.Update snapshot =
         (TableSubscriber.Step.Update)
             subscriber.handleSnapshot(Map.of("commit", "{}", "out/x", "1"), commit("b", 2, 1));
-    assertEquals(Map.of("out/x", "1"), whole.changes());
-    assertEquals(true, whole.fullState());
+    assertEquals(Map.of("out/x", "1"), snapshot.changes());
+    assertEquals(true, snapshot.fullState());
     assertInstanceOf(
         TableSubscriber.Step.Update.class,
         subscriber.handleKeyChange("commit", "{}", commit("b", 3, 0)));
   }
 
   @Test
-  void ignoresASnapshotWithoutNews() {
+  void ignoresSnapshotWithoutNewUpdates() {
     subscriber.handleKeyChange("commit", "{}", commit("a", 1, 0));
     assertInstanceOf(
         TableSubscriber.Step.Gathered.class,
