--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -9,11 +9,12 @@
 import stonespring.model.Settings;
 
 /**
- * Decides on the route tables of all proxies of one instance. Events change what is known at once;
- * commands come at the end of a batch. A batch with new reports runs a scheduling round, about once
- * a report interval; others update only what cannot wait.
+ * Decides on the route tables of all proxies that are connected to one instance. Each event updates
+ * the engine's state immediately; commands are issued at the end of a batch. About once per report
+ * interval, a batch that contains new reports runs a scheduling round, which may change every
+ * table. Batches between rounds only send urgent updates.
  *
- * <p>A sharded fleet gets no route tables from this engine: its proxies keep to the tables that are
+ * <p>A sharded fleet gets no route tables from this engine: its proxies use the tables that are
  * stored for their shards.
  *
  * <p>Equal settings, seeds and events give equal commands. Not thread-safe.
@@ -30,7 +31,7 @@
   private final EndpointListWatcher listWatcher;
   private final UrgentUpdates urgent;
   private final AdmissionController admission;
-  private final EntrantSelector entrants;
+  private final EndpointIntroducer introducer;
   private final ProposalBlender proposals;
   private final RouteSelector routes;
   private final WeightOptimizer weights;
@@ -38,14 +39,14 @@
   private final InFlightMoves inFlight;
   private final TableUpdater updater;
   private final UpdateScheduler scheduler;
-  private boolean changed;
+  private boolean fleetChanged;
   private boolean initialLimitsPublished;
 
   /**
    * Creates an engine that knows no endpoint and no proxy.
    *
-   * @param seed of the random numbers
-   * @param now the host's clock, DeciMillis
+   * @param seed the seed of the engine's random number generator
+   * @param now the present instant by the host's clock, in DeciMillis
    */
   public AssignmentEngine(Settings settings, long seed, long now) {
     this.settings = settings;
@@ -67,7 +68,7 @@
     urgent = new UrgentUpdates(settings, clock, endpoints, proxies, cadence, budget, exclusions);
     admission =
         new AdmissionController(settings, clock, endpoints, proxies, estimates, batch, budget);
-    entrants = new EntrantSelector(clock, random, endpoints, proxies, capacity, exclusions);
+    introducer = new EndpointIntroducer(clock, random, endpoints, proxies, capacity, exclusions);
     proposals = new ProposalBlender(clock, endpoints);
     routes = new RouteSelector(settings, random, endpoints, estimates);
     weights = new WeightOptimizer(settings, endpoints, capacity);
@@ -94,14 +95,14 @@
   private void handleOutcomes(Event.EndpointOutcomes outcomes) {
     if (endpoints.recordOutcomes(outcomes)) {
       admission.recordOutcomes(outcomes);
-      estimates.cadence().reportReceived();
+      estimates.cadence().recordReport();
     }
   }
 
   private void handleProxyEvent(Event.ProxyEvent event) {
     if (event instanceof Event.ProxyConnected connected) {
-      proxies.findOrAdd(connected.proxy()).connect(connected, clock.now());
-      changed = true;
+      proxies.findOrAdd(connected.proxy()).markConnected(connected, clock.now());
+      fleetChanged = true;
       return;
     }
     proxies.find(event.proxy()).ifPresent(proxy -> handleEventOfKnownProxy(proxy, event));
@@ -115,15 +116,15 @@
           .recordAcknowledgement(proxy, acknowledged.ack())
           .ifPresent(position -> inFlight.recordAcknowledgement(proxy, position));
     } else if (event instanceof Event.WeightsProposed proposed) {
-      takeProposal(proxy, proposed);
+      storeProposal(proxy, proposed);
     } else if (event instanceof Event.ProxyDisconnected) {
-      proxy.disconnect(clock.now());
+      proxy.markDisconnected(clock.now());
       budget.recordDisconnection(proxy);
       inFlight.recordDisconnection(proxy);
     }
   }
 
-  private void takeProposal(ProxyState proxy, Event.WeightsProposed proposed) {
+  private void storeProposal(ProxyState proxy, Event.WeightsProposed proposed) {
     proxy.proposal().restart(clock.now());
     for (Event.WeightsProposed.Share share : proposed.routes()) {
       if (share.weight() > 0) {
@@ -135,21 +136,22 @@
   }
 
   /**
-   * Handles an event that is not about one proxy and no report. It also makes sure that the watch
-   * and the periodic timer run, and has the end of the batch look for urgent updates.
+   * Handles an event that is neither about a single proxy nor a report of outcomes. Also requests
+   * the endpoint list watch and starts the periodic timer where they do not run, and has the end of
+   * the batch check for urgent updates.
    */
   private void handleFleetEvent(Event event) {
-    changed = true;
+    fleetChanged = true;
     if (event instanceof Event.EndpointListUpdate update) {
-      listWatcher.updated(update.kind());
+      listWatcher.recordUpdate(update.kind());
       if (update.kind() != Event.ListUpdateKind.FETCH_FAILED) {
         endpoints.applyUpdate(update);
       }
     } else if (event instanceof Event.TimerFired timer) {
-      timers.fired(timer.token());
+      timers.handleFired(timer.token());
     }
     listWatcher.ensureWatch();
-    timers.ensurePeriodic();
+    timers.ensurePeriodicTimer();
   }
 
   @Override
@@ -157,26 +159,26 @@
     clock.advanceTo(now);
     updateTables();
     if (!initialLimitsPublished) {
-      // The initial limits follow any limits that this batch already holds, and override them.
+      // Appended after any limits that this batch already contains: the last limit takes effect.
       initialLimitsPublished = true;
       admission.publishInitialLimits();
     }
     return budget.endBatch();
   }
 
-  /** Sends urgent updates, and runs a round if one is due. */
+  /** Sends urgent updates, and runs a scheduling round if one is due. */
   private void updateTables() {
     boolean inRound = estimates.cadence().isRoundDue();
-    if (!inRound && !changed) {
+    if (!inRound && !fleetChanged) {
       return;
     }
-    changed = false;
+    fleetChanged = false;
     if (inRound) {
       startRound();
     }
     boolean postponed = urgent.selectDueUpdates();
     if (postponed) {
-      timers.ensureRetry();
+      timers.ensureRetryTimer();
     }
     if (settings.fleet().sharded() || urgent.isEmpty() && !inRound) {
       return;
@@ -185,17 +187,20 @@
     estimates.capacity().refresh();
     admission.updateLimits(inRound);
     if (inRound) {
-      entrants.admitEntrants();
+      introducer.introduceEndpoints();
       proxies.all().forEach(proposals::scheduleReplacement);
     }
-    List<ProxyState> known = setTargets(inRound);
+    List<ProxyState> plannedProxies = setTargets(inRound);
     urgent.sendSelected(updater);
     if (inRound) {
-      scheduler.runRound(known.stream().filter(proxy -> !urgent.contains(proxy)).toList());
+      scheduler.runRound(plannedProxies.stream().filter(proxy -> !urgent.contains(proxy)).toList());
     }
   }
 
-  /** Starts a round: brings what is derived from reports up to date, in this order. */
+  /**
+   * Starts a round by updating the estimates that are derived from reports. The order matters:
+   * later estimates use earlier ones.
+   */
   private void startRound() {
     estimates.traffic().startRound();
     endpoints.startRound(proxies::isInTable);
@@ -204,8 +209,9 @@
   }
 
   /**
-   * Sets the targets of all tables that this instance knows or assigns now. Between rounds, known
-   * tables only lose what left and get what takes its place: reports are old.
+   * Sets the target weights of all tables that this instance has assigned or assigns in this batch.
+   * Between rounds, a table that is already assigned only has routes to unavailable endpoints
+   * replaced, because the reports are too old to adjust other weights by.
    *
    * @return the proxies of these tables
    */
@@ -213,13 +219,13 @@
     for (EndpointState endpoint : endpoints.all()) {
       endpoint.setPlannedLoad(0);
     }
-    List<ProxyState> known = new ArrayList<>();
+    List<ProxyState> plannedProxies = new ArrayList<>();
     List<ProxyState> adjustable = new ArrayList<>();
     for (ProxyState proxy : proxies.all()) {
       if (!proxy.isTableAssigned() && !(proxy.isConnected() && urgent.contains(proxy))) {
         continue;
       }
-      known.add(proxy);
+      plannedProxies.add(proxy);
       if (inRound || !proxy.isTableAssigned()) {
         adjustable.add(proxy);
       }
@@ -228,9 +234,9 @@
         route.endpoint().addPlannedLoad(proxy.averageRate() * route.target());
       }
     }
-    weights.optimize(known, adjustable);
+    weights.optimize(plannedProxies, adjustable);
     adjustable.forEach(proposals::blendTargets);
-    slowStart.limitTargets(known, urgent);
-    return known;
+    slowStart.limitTargets(plannedProxies, urgent);
+    return plannedProxies;
   }
 }
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -50,15 +50,15 @@
     try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // waits for the reader
       platform.replaceConfig(platform.config(newer));
       process.sendSighup();
-      process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery moves from");
+      process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery address changed from");
       writeToPipe(pipe, platform.config(older));
     }
     // Whether or not the older address is contacted, the newer one is used in the end.
     EndpointListRequest last = platform.acceptListRequest(newer);
     last.beginWatch(endpointList(6, endpoint("s-1", "west")));
-    process.awaitLog("/127.0.0.1:" + newer.getLocalPort() + " answers");
+    process.awaitLog("/127.0.0.1:" + newer.getLocalPort() + " responded");
     process.awaitLog(
-        "discovery moves from /127.0.0.1:"
+        "discovery address changed from /127.0.0.1:"
             + older.getLocalPort()
             + " to /127.0.0.1:"
             + newer.getLocalPort());
--- a/src/test/java/stonespring/decision/AdmissionControlTest.java
+++ b/src/test/java/stonespring/decision/AdmissionControlTest.java
@@ -23,19 +23,19 @@
     Fleet fleet = Fleet.create(8, 8);
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
-    fleet.rounds(8, 0.1, failureShares);
+    fleet.runRounds(8, 0.1, failureShares);
     double before = fleet.meanLimit();
     assertTrue(before < 0.6, "mean limit under overload: " + before);
     for (int p = 0; p < 8; p += 2) {
       fleet.disconnect(p);
     }
     for (int round = 0; round < 6; round++) {
-      fleet.rounds(1, 0.1, failureShares);
+      fleet.runRounds(1, 0.1, failureShares);
       assertTrue(
           fleet.meanLimit() < 1.3 * before,
           "round " + round + ": mean limit rose from " + before + " to " + fleet.meanLimit());
     }
-    fleet.rounds(15, 0.03, Map.of());
+    fleet.runRounds(15, 0.03, Map.of());
     assertEquals(
         1, fleet.meanLimit(), 1e-9, "mean limit once requests of lost proxies no longer count");
   }
@@ -43,7 +43,7 @@
   @Test
   void admitsAllRequestsWhileEndpointsHaveCapacity() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(20, 0.05, Map.of());
+    fleet.runRounds(20, 0.05, Map.of());
     assertEquals(1, fleet.lowestLimit);
     assertEquals(RetryPolicy.IF_NOT_EXECUTED, fleet.retryPolicies.get(0));
   }
@@ -51,8 +51,8 @@
   @Test
   void limitsRequestsUnderOverloadAndAdmitsAllAfterwards() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(5, 0.05, Map.of());
-    fleet.rounds(60, 0.2, Map.of());
+    fleet.runRounds(5, 0.05, Map.of());
+    fleet.runRounds(60, 0.2, Map.of());
     assertTrue(fleet.lowestLimit < 0.95, "lowest limit " + fleet.lowestLimit);
     assertEquals(RetryPolicy.NEVER, fleet.retryPolicies.get(0), "retry policy under overload");
     assertTrue(
@@ -62,7 +62,7 @@
     assertTrue(
         fleet.limits[2] > 0.2,
         "the most limited class must still be admitted: limit " + fleet.limits[2]);
-    fleet.rounds(30, 0.03, Map.of());
+    fleet.runRounds(30, 0.03, Map.of());
     assertEquals(1, fleet.lowestLimit);
   }
 
@@ -71,16 +71,16 @@
   void limitsRequestsWhenAttemptsFailOrAreLateDespiteLowUtilization() {
     for (boolean late : List.of(false, true)) {
       Fleet fleet = Fleet.create(8, 8);
-      fleet.rounds(12, 0.07, Map.of());
+      fleet.runRounds(12, 0.07, Map.of());
       assertEquals(1, fleet.lowestLimit);
       Map<String, Double> failureShares = new TreeMap<>();
       fleet.endpoints.keySet().forEach(name -> failureShares.put(name, late ? 0 : 0.5));
       fleet.successLatency = late ? 2 * SECOND : fleet.successLatency;
-      fleet.rounds(12, 0.03, failureShares);
+      fleet.runRounds(12, 0.03, failureShares);
       assertTrue(
           fleet.lowestLimit < 0.9, "lowest limit " + fleet.lowestLimit + ", late answers " + late);
       fleet.successLatency = 1000;
-      fleet.rounds(30, 0.03, Map.of());
+      fleet.runRounds(30, 0.03, Map.of());
       assertEquals(1, fleet.lowestLimit);
     }
   }
@@ -88,7 +88,7 @@
   @Test
   void lowersLimitWhenEndpointsDrainBeforeReportsArrive() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(12, 0.07, Map.of());
+    fleet.runRounds(12, 0.07, Map.of());
     for (int i = 0; i < 4; i++) {
       fleet.updateEndpoint("t" + i, i % 2, EndpointRecord.State.DRAINING, 0);
     }
@@ -101,10 +101,10 @@
   @Test
   void lowersLimitOnFirstReportsOfSurge() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(12, 0.08, Map.of());
+    fleet.runRounds(12, 0.08, Map.of());
     fleet.trafficFactor = 3;
     fleet.reportSpan = SECOND;
-    fleet.rounds(1, 0.08, Map.of());
+    fleet.runRounds(1, 0.08, Map.of());
     double limit = fleet.meanLimit();
     assertTrue(limit < 0.5, "mean limit after the first reports: " + limit);
   }
@@ -116,10 +116,10 @@
     double[] lowestLimits = {1, 1};
     for (int busy = 0; busy < 2; busy++) {
       Fleet fleet = Fleet.create(8, 8);
-      fleet.rounds(12, 0.07, Map.of());
+      fleet.runRounds(12, 0.07, Map.of());
       fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.5));
       for (int i = 0; i < 12; i++) {
-        fleet.rounds(1, busy == 1 ? 0.2 : 0.05, failureShares);
+        fleet.runRounds(1, busy == 1 ? 0.2 : 0.05, failureShares);
         lowestLimits[busy] = Math.min(lowestLimits[busy], fleet.meanLimit());
       }
     }
@@ -131,8 +131,8 @@
   @Test
   void admitsAllRequestsWhenFewEndpointsFail() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(12, 0.05, Map.of());
-    fleet.rounds(12, 0.05, Map.of("t0", 1.0, "t1", 1.0, "t2", 1.0));
+    fleet.runRounds(12, 0.05, Map.of());
+    fleet.runRounds(12, 0.05, Map.of("t0", 1.0, "t1", 1.0, "t2", 1.0));
     assertEquals(1, fleet.lowestLimit);
   }
 
@@ -140,8 +140,8 @@
   void limitsRequestClassesWhenOneHasNoTraffic() {
     Fleet fleet = Fleet.create(8, 8);
     fleet.reportedClasses = 2;
-    fleet.rounds(5, 0.05, Map.of());
-    fleet.rounds(60, 0.2, Map.of());
+    fleet.runRounds(5, 0.05, Map.of());
+    fleet.runRounds(60, 0.2, Map.of());
     assertTrue(
         fleet.limits[0] > 0 && fleet.limits[2] > 0 && fleet.limits[1] < 1,
         "limits by class: " + Arrays.toString(fleet.limits));
--- a/src/test/java/stonespring/decision/EndpointStatisticsTest.java
+++ b/src/test/java/stonespring/decision/EndpointStatisticsTest.java
@@ -11,7 +11,7 @@
 import stonespring.model.RetrySafety;
 import stonespring.model.ZoneId;
 
-/** What is kept of the outcomes at one endpoint. */
+/** Tests the statistics of the outcomes at one endpoint. */
 final class EndpointStatisticsTest {
   private static final LatencyModel LATENCY =
       new LatencyModel(List.of(new RequestClass(RetrySafety.IDEMPOTENT, 1000, 1)));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void failuresCountByZoneAndOverAll() {
+  void countsFailuresPerZoneAndInTotal() {
     record(0, 8, 8, 0, 1);
     record(1, 8, 0, 100, 1);
     assertEquals(0.8, statistics.failureShare(0));
@@ -48,20 +48,21 @@
   }
 
   @Test
-  void answersAfterTheObjectiveAreTrouble() {
+  void countsAnswersAfterObjectiveAsLate() {
     record(0, 8, 0, 1000, 1);
     assertEquals(Math.exp(-1), statistics.lateShare());
     assertEquals(Math.exp(-1), statistics.failedOrLateShare(), 1e-12);
   }
 
   @Test
-  void ratesOfZonesAddUpAndFadeOnceReportsStop() {
+  void sumsRatesOfZonesAndDecaysThemOnceReportsStop() {
     record(0, 8, 0, 100, 1);
     record(1, 4, 0, 100, 1);
     statistics.startRound(1, Fleet.SECOND);
     assertEquals(12, statistics.attemptRate());
     statistics.startRound(1 + 5 * Fleet.SECOND, Fleet.SECOND);
-    assertEquals(12, statistics.attemptRate(), "a report may be five seconds late");
+    assertEquals(
+        12, statistics.attemptRate(), "a report that is up to five seconds old does not decay");
     statistics.startRound(2 + 5 * Fleet.SECOND, Fleet.SECOND);
     assertEquals(12 * Math.sqrt(0.5), statistics.attemptRate(), 1e-9);
   }
--- a/src/test/java/stonespring/decision/EngineRestartTest.java
+++ b/src/test/java/stonespring/decision/EngineRestartTest.java
@@ -17,22 +17,25 @@
 import stonespring.model.LoadReport;
 import stonespring.model.ZoneId;
 
-/** A restarted engine, and proxies whose tables it does not know. */
+/** Tests a restarted engine with proxies whose tables it does not know. */
 final class EngineRestartTest {
-  /** An engine that restarted with a list that lacks an endpoint which old tables may name. */
-  private static Fleet restartedWithout(String endpoint) {
+  /**
+   * Creates a fleet whose engine was restarted with a list that lacks an endpoint to which earlier
+   * tables may have routes.
+   */
+  private static Fleet createRestartedWithout(String endpoint) {
     Fleet fleet = Fleet.create(8, 4);
-    fleet.rounds(5, 0.03, Map.of());
+    fleet.runRounds(5, 0.03, Map.of());
     fleet.endpoints.remove(endpoint);
-    fleet.restart(9);
+    fleet.restartEngine(9);
     return fleet;
   }
 
   @Test
-  void leavesUnknownTablesAloneUntilReportsArrive() {
+  void keepsUnknownTablesUntilReportsArrive() {
     Fleet fleet = Fleet.create(8, 4);
-    fleet.rounds(3, 0.03, Map.of());
-    fleet.restart(9);
+    fleet.runRounds(3, 0.03, Map.of());
+    fleet.restartEngine(9);
     fleet.step(10);
     assertTrue(fleet.commandsOf(Command.AssignRouteTable.class).isEmpty());
     assertTrue(fleet.commandsOf(Command.ExcludeEndpoint.class).isEmpty());
@@ -41,7 +44,7 @@
     assertEquals(
         1,
         fleet.commandsOf(Command.ExcludeEndpoint.class).size(),
-        "exclusions do not wait for reports");
+        "exclusions are sent before any report arrives");
     List<Command.AssignRouteTable> assignments = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       fleet.events.add(
@@ -56,7 +59,7 @@
   @Test
   void repeatsExclusionsForLaterProxiesInBatches() {
     Fleet fleet = Fleet.create(8, 2);
-    fleet.restart(9);
+    fleet.restartEngine(9);
     fleet.updateEndpoint("t0", 0, EndpointRecord.State.REMOVED, 0);
     fleet.step(10);
     int messages = fleet.proxies.get(0).messagesSentAt.size();
@@ -68,37 +71,46 @@
     assertTrue(fleet.proxies.get(24).excluded.contains("t0"));
     assertTrue(
         fleet.proxies.get(0).messagesSentAt.size() <= messages + 3,
-        "notices to twenty proxies are batched");
+        "the exclusion notices for 20 proxies are batched");
   }
 
-  /** What left before the restart is in no list; reports are the first to name it. */
+  /**
+   * An endpoint that was removed before the restart is in no list; the engine learns of it from
+   * reports.
+   */
   @Test
   void excludesUnlistedEndpointsThatReportsName() {
-    Fleet fleet = restartedWithout("t0");
+    Fleet fleet = createRestartedWithout("t0");
     fleet.step(10);
-    assertEquals(0, fleet.commandsOf(Command.ExcludeEndpoint.class).size(), "nothing names it yet");
+    assertEquals(
+        0,
+        fleet.commandsOf(Command.ExcludeEndpoint.class).size(),
+        "neither the list nor a report has named t0");
     fleet.reportOutcomes("t0", 3, 3);
     fleet.step(SECOND);
     assertEquals(
         List.of(new Command.ExcludeEndpoint(new EndpointId("t0"), true)),
         fleet.commandsOf(Command.ExcludeEndpoint.class));
     fleet.updateEndpoint("t0", 0, READY, fleet.now);
-    boolean back = false;
+    boolean allowedAgain = false;
     for (int round = 0; round < 20; round++) {
       fleet.reportOutcomes("t1", 10, 0);
-      fleet.rounds(1, 0.03, Map.of());
-      back |=
+      fleet.runRounds(1, 0.03, Map.of());
+      allowedAgain |=
           fleet
               .commandsOf(Command.ExcludeEndpoint.class)
               .contains(new Command.ExcludeEndpoint(new EndpointId("t0"), false));
     }
-    assertTrue(back, "it is allowed again once a list has it");
+    assertTrue(allowedAgain, "t0 is allowed again after it is listed as ready");
   }
 
-  /** Reports may not show what a proxy of little traffic names. */
+  /**
+   * Unknown tables are replaced soon, because reports may not show to which endpoints a proxy of
+   * little traffic has routes.
+   */
   @Test
   void replacesUnknownTablesSoonAfterTheFirstReports() {
-    Fleet fleet = restartedWithout("t0");
+    Fleet fleet = createRestartedWithout("t0");
     long restartedAt = fleet.now;
     int assignments = 0;
     for (int i = 0; fleet.now < restartedAt + 2 * SECOND; i++) {
@@ -107,28 +119,32 @@
       }
       fleet.step(SECOND / 10);
       assignments += fleet.commandsOf(Command.AssignRouteTable.class).size();
-      assertTrue(i > 3 || assignments == 0, "left alone until reports arrive");
+      assertTrue(i > 3 || assignments == 0, "unknown tables are kept until reports arrive");
     }
     assertEquals(4, assignments);
   }
 
-  /** Under overload, requests include what clients repeat; only what succeeds shows capacity. */
+  /**
+   * Under overload, requests include clients' retries. Only successful attempts show how much the
+   * endpoints can serve.
+   */
   @Test
-  void doesNotTakeRetriesForCapacityAfterAStartUnderOverload() {
+  void doesNotCountRetriesAsCapacityAfterStartUnderOverload() {
     Fleet fleet = Fleet.create(8, 8);
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.8));
-    fleet.rounds(3, 0.1, failureShares);
+    fleet.runRounds(3, 0.1, failureShares);
     for (int i = 0; i < 6; i++) {
       fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
     }
-    fleet.rounds(7, 0.1, failureShares);
-    // Of 80 requests a fifth succeeds, at 14 endpoints; each can serve at least 0.76 of its part.
+    fleet.runRounds(7, 0.1, failureShares);
+    // A fifth of 80 requests per second succeeds, at 14 endpoints; each endpoint can serve at least
+    // 0.76 of its share.
     double limit = fleet.meanLimit();
     double capacity = 0.76 * 80 * 0.2 / 0.6 / 14;
     for (int i = 0; i < 6; i++) {
       String entrant = "entrant" + i;
-      double all =
+      double possibleRate =
           fleet.proxies.values().stream()
               .filter(p -> p.shares().containsKey(entrant))
               .mapToDouble(
@@ -140,25 +156,33 @@
                               .count())
               .sum();
       assertTrue(
-          all <= 1.5 * 1.3 * capacity, all + " may come to an endpoint that can serve " + capacity);
+          possibleRate <= 1.5 * 1.3 * capacity,
+          possibleRate
+              + " requests per second may reach "
+              + entrant
+              + ", which can serve "
+              + capacity);
     }
   }
 
-  /** A started engine knows no load, and old tables may name the same endpoints. */
+  /**
+   * An engine that has just started knows no load, and earlier tables may have routes to the same
+   * warming endpoints, so that its first tables must omit them.
+   */
   @Test
-  void firstTablesNameNoWarmingEndpoint() {
+  void firstTablesOmitWarmingEndpoints() {
     Fleet fleet = new Fleet(new FleetSettings().build());
     for (int i = 0; i < 12; i++) {
       fleet.endpoints.put(
           "t" + i, Fleet.endpointRecord("t" + i, i % 2, READY, i < 6 ? 0 : fleet.now - 100));
     }
-    fleet.start(7);
+    fleet.startEngine(7);
     for (int p = 0; p < 8; p++) {
       fleet.connect(p, p % 2, 10, true);
     }
     fleet.step(1);
     for (int i = 6; i < 12; i++) {
-      assertEquals(0, fleet.load("t" + i));
+      assertEquals(0, fleet.load("t" + i), "load of the warming endpoint t" + i);
     }
   }
 }
