--- a/src/main/java/stonespring/proxy/RequestExchange.java
+++ b/src/main/java/stonespring/proxy/RequestExchange.java
@@ -12,7 +12,8 @@
 
 /**
  * The handling of one request: it is admitted or rejected, sent to an endpoint, retried where the
- * retry policy allows it, and answered exactly once. Confined to the proxy's event loop.
+ * retry policy allows it, and answered exactly once. Instants are in deci-milliseconds since the
+ * proxy was created. Confined to the proxy's event loop.
  */
 final class RequestExchange {
   private static final int DECI_MILLIS_PER_MILLI = 10;
