--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -18,10 +18,10 @@
   }
 
   /**
-   * The value of an expression; null for {@code None}.
+   * Evaluates an expression; the result is null for {@code None}.
    *
-   * <p>Chains of operators and nested expressions recurse here: the method is kept to few
-   * variables, so that it needs little stack.
+   * <p>Operator chains and nested expressions recurse through this method. It is kept to few local
+   * variables, so that each call needs little stack.
    */
   Object evaluate(Expression expression, Scope scope) {
     limits.countStep(expression.location());
@@ -36,13 +36,13 @@
     }
     if (expression instanceof Expression.Binary binary) {
       Object left = evaluate(binary.left(), scope);
-      return isDecidedBy(binary.operator(), left)
+      return shortCircuits(binary.operator(), left)
           ? left
           : applyBinary(binary, left, evaluate(binary.right(), scope));
     }
     if (expression instanceof Expression.Conditional conditional) {
-      boolean holds = Values.isTrue(evaluate(conditional.condition(), scope));
-      return evaluate(holds ? conditional.whenTrue() : conditional.whenFalse(), scope);
+      boolean conditionHolds = Values.isTrue(evaluate(conditional.condition(), scope));
+      return evaluate(conditionHolds ? conditional.whenTrue() : conditional.whenFalse(), scope);
     }
     if (expression instanceof Expression.Index index) {
       Object container = evaluate(index.container(), scope);
@@ -60,14 +60,21 @@
     return evaluateCall((Expression.Call) expression, scope);
   }
 
-  /** Sets one name to an item, or several names to the items of a list of as many. */
+  /** Assigns an item to a single name, or the items of a list to as many names. */
   void unpack(SourceLocation location, List<String> names, Object item, Scope scope) {
     if (names.size() == 1) {
       scope.set(names.get(0), item);
       return;
     }
     if (!(item instanceof ScriptList list) || list.size() != names.size()) {
-      throw new EvaluationException(location, names.size() + " names need a list of as many");
+      String found =
+          item instanceof ScriptList other ? "a list of " + other.size() : Values.typeName(item);
+      throw new EvaluationException(
+          location,
+          "cannot unpack into "
+              + names.size()
+              + " names: expected a list of as many items, got "
+              + found);
     }
     for (int i = 0; i < names.size(); i++) {
       scope.set(names.get(i), list.get(i));
@@ -89,11 +96,14 @@
     known.addAll(scope.globals().keySet());
     known.addAll(BuiltinFunctions.names());
     throw new EvaluationException(
-        reference.location(), "'" + name + "' is not set" + NearestName.hint(name, known));
+        reference.location(), "'" + name + "' is not defined" + NearestName.hint(name, known));
   }
 
-  /** Whether the left operand is the value of AND or OR, so that the right one is not evaluated. */
-  private static boolean isDecidedBy(BinaryOperator operator, Object left) {
+  /**
+   * Whether the left operand decides the value of AND or OR, so that the right one is not
+   * evaluated.
+   */
+  private static boolean shortCircuits(BinaryOperator operator, Object left) {
     return switch (operator) {
       case AND -> !Values.isTrue(left);
       case OR -> Values.isTrue(left);
@@ -121,7 +131,7 @@
     for (Expression.DictEntry entry : display.entries()) {
       Object key = Values.requireKey(entry.location(), evaluate(entry.key(), scope));
       if (dict.containsKey(key)) {
-        throw new EvaluationException(entry.location(), "the key " + key + " comes twice");
+        throw new EvaluationException(entry.location(), "duplicate key " + key + " in a dict");
       }
       dict.put(key, evaluate(entry.value(), scope), entry.location());
     }
@@ -135,8 +145,8 @@
   }
 
   /**
-   * Runs the clauses from one position on, each inside the one before, and adds an item or entry to
-   * the result for each iteration of the last one.
+   * Runs the clauses from a position on, each nested in the previous one. Each iteration of the
+   * last clause adds an item or entry to the result.
    */
   private void runClauses(
       Expression.Comprehension comprehension, int position, Scope scope, Object result) {
@@ -181,13 +191,13 @@
       if (argument.name() != null) {
         if (named.put(argument.name(), value) != null) {
           throw new EvaluationException(
-              call.location(), "argument '" + argument.name() + "' comes twice");
+              call.location(), "argument '" + argument.name() + "' is given more than once");
         }
       } else if (named.isEmpty()) {
         positional.add(value);
       } else {
         throw new EvaluationException(
-            call.location(), "an argument without a name stands after one with a name");
+            call.location(), "a positional argument must not follow a named argument");
       }
     }
     return functions.call(call.location(), function, positional, named);
--- a/src/main/java/stonespring/config/script/ExpressionParser.java
+++ b/src/main/java/stonespring/config/script/ExpressionParser.java
@@ -14,13 +14,13 @@
     this.tokens = tokens;
   }
 
-  /** Parses a whole expression. */
+  /** Parses a complete expression, conditional or not. */
   Expression parse() {
     tokens.enter(tokens.peek().location());
-    Expression expression = parseOperators();
+    Expression expression = parseOperatorExpression();
     if (tokens.nextIs("if")) {
       SourceLocation location = tokens.next().location();
-      Expression condition = parseOperators();
+      Expression condition = parseOperatorExpression();
       tokens.expect("else");
       expression = new Expression.Conditional(location, expression, condition, parse());
     }
@@ -28,20 +28,20 @@
     return expression;
   }
 
-  /** Parses an expression that is no conditional one. */
-  private Expression parseOperators() {
+  /** Parses an expression that is not a conditional. */
+  private Expression parseOperatorExpression() {
     return parseBinary(0);
   }
 
-  private Expression parseBinary(int level) {
-    if (level == PRECEDENCES.length) {
+  private Expression parseBinary(int precedenceLevel) {
+    if (precedenceLevel == PRECEDENCES.length) {
       return parseUnary();
     }
-    Precedence precedence = PRECEDENCES[level];
+    Precedence precedence = PRECEDENCES[precedenceLevel];
     if (precedence == Precedence.COMPARISON && tokens.nextIs("not")) {
-      return parseNot(level);
+      return parseNot(precedenceLevel);
     }
-    Expression left = parseBinary(level + 1);
+    Expression left = parseBinary(precedenceLevel + 1);
     while (true) {
       BinaryOperator operator = peekBinaryOperator();
       if (operator == null || operator.precedence() != precedence) {
@@ -51,19 +51,19 @@
       if (operator == BinaryOperator.NOT_IN) {
         tokens.next();
       }
-      left = new Expression.Binary(location, operator, left, parseBinary(level + 1));
+      left = new Expression.Binary(location, operator, left, parseBinary(precedenceLevel + 1));
     }
   }
 
-  private Expression parseNot(int level) {
+  private Expression parseNot(int precedenceLevel) {
     SourceLocation location = tokens.next().location();
     tokens.enter(location);
-    Expression operand = parseBinary(level);
+    Expression operand = parseBinary(precedenceLevel);
     tokens.leave();
     return new Expression.Unary(location, UnaryOperator.NOT, operand);
   }
 
-  /** The operator that stands next; null where there is none. */
+  /** The binary operator at the next token; null if there is none. */
   private BinaryOperator peekBinaryOperator() {
     Token token = tokens.peek();
     if (!token.isKeywordOrOperator()) {
@@ -87,7 +87,7 @@
     return parsePostfix();
   }
 
-  /** Parses a primary expression with the calls and indexes that follow it. */
+  /** Parses a primary expression and the calls and index operations that follow it. */
   private Expression parsePostfix() {
     Expression expression = parsePrimary();
     while (true) {
@@ -152,7 +152,7 @@
       }
       default -> {
         tokens.stepBack();
-        throw tokens.error(token.location(), "a value is missing before " + token.description());
+        throw tokens.error(token.location(), "expected a value, found " + token.description());
       }
     }
   }
@@ -202,8 +202,8 @@
       SourceLocation location = tokens.next().location();
       List<String> names = tokens.expectNames();
       tokens.expect("in");
-      Expression iterable = parseOperators();
-      Expression condition = tokens.take("if") ? parseOperators() : null;
+      Expression iterable = parseOperatorExpression();
+      Expression condition = tokens.take("if") ? parseOperatorExpression() : null;
       clauses.add(new Expression.ComprehensionClause(location, names, iterable, condition));
     }
     return clauses;
