--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -15,8 +15,8 @@
 import stonespring.state.ProxyReport;
 
 /**
- * Reads the messages that proxies send as JSON objects; {@code docs/channel.md} describes them. All
- * methods throw {@link InvalidMessageException}.
+ * Decodes the messages that proxies send as JSON objects; {@code docs/channel.md} describes their
+ * format. The read methods throw {@link InvalidMessageException} if a message is invalid.
  */
 public final class ProxyMessageCodec {
   private static final String PRESENCE = "presence";
@@ -42,25 +42,31 @@
   private static final String ACK_ID = "mark";
   private static final String DURATION = "took";
 
-  private static final double MAX_SECONDS = 3600;
-  private static final double MAX_FIGURE = 1e9; // of requests, attempts or any load figure
+  /** A longer duration indicates that the clock of the proxy is wrong. */
+  private static final double MAX_DURATION_SECONDS = 3600;
+
+  /** Upper bound of a request rate, a number of requests or attempts, or a load figure. */
+  private static final double MAX_FIGURE = 1e9;
+
   private static final int MAX_ACK_ID = 65_535;
 
   private final NameTable names;
 
-  /** Creates a codec for the settings' names. */
+  /** Creates a codec that resolves the names of zones and request classes with the given table. */
   public ProxyMessageCodec(NameTable names) {
     this.names = names;
   }
 
-  /** Reads a proxy's announcement of its presence. */
+  /** Reads the message by which a proxy announces its presence. */
   public ProxyHello readHello(byte[] bytes) {
     JsonMessage message = JsonMessage.parse(PRESENCE, bytes);
     String zoneName = message.name(ZONE);
     ZoneId zone =
         names
             .zone(zoneName)
-            .orElseThrow(() -> message.invalid(ZONE, "names no zone of the settings: " + zoneName));
+            .orElseThrow(
+                () ->
+                    message.invalid(ZONE, "names a zone that is not in the settings: " + zoneName));
     Optional<List<EndpointId>> tableEndpoints = readTableEndpoints(message);
     boolean withoutTables = message.flag(WITHOUT_TABLES);
     return new ProxyHello(
@@ -83,10 +89,10 @@
     return Optional.of(endpoints);
   }
 
-  /** Reads a proxy's report. */
+  /** Reads a report: the endpoint outcomes and the request counts that a proxy observed. */
   public ProxyReport readReport(byte[] bytes) {
     JsonMessage message = JsonMessage.parse(REPORT, bytes);
-    double seconds = message.number(INTERVAL, MAX_SECONDS);
+    double seconds = message.number(INTERVAL, MAX_DURATION_SECONDS);
     List<ProxyReport.EndpointObservation> endpoints = new ArrayList<>();
     for (JsonNode row : message.list(ENDPOINTS)) {
       endpoints.add(readObservation(message, row));
@@ -98,32 +104,35 @@
     return new ProxyReport(Math.max(1, DeciMillis.ofSeconds(seconds)), endpoints, requests);
   }
 
-  /** Reads a row of endpoint, attempts, failures, mean seconds of the successful, load report. */
+  /**
+   * Reads one row: endpoint, attempts, failures, mean duration of successful attempts in seconds,
+   * and an optional load report.
+   */
   private static ProxyReport.EndpointObservation readObservation(
       JsonMessage message, JsonNode row) {
     if (!row.isArray() || row.size() < 4) {
       throw message.invalid(
           ENDPOINTS,
-          "holds a row that is not a list of endpoint, attempts, failures, seconds, load");
+          "has a row that is not a list of endpoint, attempts, failures, mean seconds, load");
     }
     long attempts = message.wholeNumber(ENDPOINTS, row.get(1), MAX_FIGURE);
     long failures = message.wholeNumber(ENDPOINTS, row.get(2), MAX_FIGURE);
     if (failures > attempts) {
-      throw message.invalid(ENDPOINTS, "holds more failures than attempts");
+      throw message.invalid(ENDPOINTS, "has a row with more failures than attempts");
     }
     return new ProxyReport.EndpointObservation(
         new EndpointId(message.name(ENDPOINTS, row.get(0))),
         attempts,
         failures,
-        DeciMillis.ofSeconds(message.number(ENDPOINTS, row.get(3), MAX_SECONDS)),
-        readLoad(message, row.path(4)));
+        DeciMillis.ofSeconds(message.number(ENDPOINTS, row.get(3), MAX_DURATION_SECONDS)),
+        readLoadReport(message, row.path(4)));
   }
 
-  /** Reads a row of request class, requests, unanswered requests. */
+  /** Reads one row: request class, number of requests, number of unanswered requests. */
   private ProxyReport.RequestCount readRequestCount(JsonMessage message, JsonNode row) {
     if (!row.isArray() || row.size() != 3) {
       throw message.invalid(
-          REQUESTS, "holds a row that is not a list of request class, requests, unanswered");
+          REQUESTS, "has a row that is not a list of request class, requests, unanswered requests");
     }
     String className = row.get(0).asText();
     RequestClassId requestClass =
@@ -132,38 +141,40 @@
             .orElseThrow(
                 () ->
                     message.invalid(
-                        REQUESTS, "names no request class of the settings: " + className));
+                        REQUESTS,
+                        "names a request class that is not in the settings: " + className));
     return new ProxyReport.RequestCount(
         requestClass,
         message.wholeNumber(REQUESTS, row.get(1), MAX_FIGURE),
         message.wholeNumber(REQUESTS, row.get(2), MAX_FIGURE));
   }
 
-  private static LoadReport readLoad(JsonMessage message, JsonNode load) {
+  private static LoadReport readLoadReport(JsonMessage message, JsonNode load) {
     if (!load.isObject()) {
       return LoadReport.NONE;
     }
     return new LoadReport(
-        readFigure(message, load, UTILIZATION),
-        readFigure(message, load, QUEUE_LENGTH),
-        readFigure(message, load, IN_FLIGHT),
-        readFigure(message, load, SERVICE_TIME_MILLIS),
-        readFigure(message, load, LOAD_REQUESTS_PER_SECOND));
+        readLoadFigure(message, load, UTILIZATION),
+        readLoadFigure(message, load, QUEUE_LENGTH),
+        readLoadFigure(message, load, IN_FLIGHT),
+        readLoadFigure(message, load, SERVICE_TIME_MILLIS),
+        readLoadFigure(message, load, LOAD_REQUESTS_PER_SECOND));
   }
 
-  private static double readFigure(JsonMessage message, JsonNode load, String field) {
+  /** Returns a load figure; NaN if it is missing. */
+  private static double readLoadFigure(JsonMessage message, JsonNode load, String field) {
     JsonNode value = load.path(field);
     return value.isMissingNode() || value.isNull()
         ? Double.NaN
         : message.number(ENDPOINTS + "." + field, value, MAX_FIGURE);
   }
 
-  /** Reads a proxy's acknowledgement of an update. */
+  /** Reads the message by which a proxy acknowledges an update. */
   public ProxyAcknowledgement readAcknowledgement(byte[] bytes) {
     JsonMessage message = JsonMessage.parse(ACKNOWLEDGEMENT, bytes);
     return new ProxyAcknowledgement(
         message.name(ORIGIN),
         new AckId((int) message.wholeNumber(ACK_ID, MAX_ACK_ID)),
-        DeciMillis.ofSeconds(message.number(DURATION, MAX_SECONDS)));
+        DeciMillis.ofSeconds(message.number(DURATION, MAX_DURATION_SECONDS)));
   }
 }
