--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -22,16 +22,16 @@
   /** Observes a session, on its event loop. */
   public interface Listener {
     /** The snapshot is complete, and updates follow; called again after each {@link #resync}. */
-    void snapshot(List<ChpMessage.KvSync> keys, long sequence);
+    void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence);
 
     /** A key was changed or deleted. */
-    void update(ChpMessage.KvPub update);
+    void updateReceived(ChpMessage.KvPub update);
 
     /** There is a snapshot, and the server reads the collector's connection, if there is one. */
-    default void ready() {}
+    default void sessionReady() {}
 
     /** The session is over; called once. */
-    void ended(String cause);
+    void sessionEnded(String cause);
   }
 
   private static final int NO_COLLECTOR = 0;
@@ -133,12 +133,12 @@
   private void advance() {
     if (subscribed && snapshots != null && !replica.isRequested()) {
       replica.snapshotRequested();
-      snapshots.sendNow(new ChpMessage.IcanHaz(subtree).frames());
+      snapshots.writeMessageAndFlush(new ChpMessage.IcanHaz(subtree).frames());
     }
     boolean collectorReady = collector == null || collectorSubscribed;
     if (replica.isInSync() && !readyReported && collectorReady) {
       readyReported = true;
-      listener.ready();
+      listener.sessionReady();
     }
   }
 
@@ -147,7 +147,7 @@
     if (collector == null || !collectorSubscribed || ended) {
       return false;
     }
-    collector.sendNow(set.frames());
+    collector.writeMessageAndFlush(set.frames());
     return true;
   }
 
@@ -173,18 +173,18 @@
     for (ChannelFuture connect : connects) {
       connect.channel().close();
     }
-    listener.ended(cause);
+    listener.sessionEnded(cause);
   }
 
   private final class SnapshotListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
+    public void connectionOpened(ZmtpConnection connection) {
       snapshots = connection;
       advance();
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       try {
         accept(ChpDecoder.decodeSnapshot(frames));
       } catch (InvalidChpMessageException e) {
@@ -202,22 +202,22 @@
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
+    public void connectionClosed(ZmtpConnection connection) {
       end("the snapshot port's connection ended");
     }
   }
 
   private final class UpdateListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
+    public void connectionOpened(ZmtpConnection connection) {
       updates = connection;
-      connection.subscribe(ChpMessage.bytes(subtree));
+      connection.subscribe(ChpMessage.textFrame(subtree));
       // The last one: its first heartbeat shows that the subtree's subscription is in force.
-      connection.subscribe(ChpMessage.bytes(ChpMessage.HUGZ));
+      connection.subscribe(ChpMessage.textFrame(ChpMessage.HUGZ));
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       lastReceivedNanos = System.nanoTime();
       try {
         if (ChpDecoder.decodeUpdate(frames) instanceof ChpMessage.KvPub update) {
@@ -233,26 +233,27 @@
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
+    public void connectionClosed(ZmtpConnection connection) {
       end("the update port's connection ended");
     }
   }
 
   private final class CollectorListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
+    public void connectionOpened(ZmtpConnection connection) {
       collector = connection;
     }
 
     @Override
-    public void subscription(ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
+    public void subscriptionChanged(
+        ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
       // Messages sent before the server subscribed would be dropped.
       collectorSubscribed = isSubscribed;
       advance();
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
+    public void connectionClosed(ZmtpConnection connection) {
       end("the collector's connection ended");
     }
   }
--- a/src/main/java/stonespring/chp/ChpMessage.java
+++ b/src/main/java/stonespring/chp/ChpMessage.java
@@ -8,7 +8,7 @@
 /** The protocol's commands (RFC 12, "The CHP Commands"). Byte arrays must not be changed. */
 public sealed interface ChpMessage {
   /** An empty frame. */
-  byte[] NONE = new byte[0];
+  byte[] EMPTY_FRAME = new byte[0];
 
   /** The key of a heartbeat. */
   String HUGZ = "HUGZ";
@@ -26,7 +26,7 @@
   record IcanHaz(String subtree) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(ICANHAZ), bytes(subtree));
+      return List.of(textFrame(ICANHAZ), textFrame(subtree));
     }
   }
 
@@ -34,7 +34,7 @@
   record KvSync(String key, long sequence, byte[] value) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(key), number(sequence), NONE, NONE, value);
+      return List.of(textFrame(key), sequenceFrame(sequence), EMPTY_FRAME, EMPTY_FRAME, value);
     }
   }
 
@@ -42,7 +42,12 @@
   record Kthxbai(long sequence, String subtree) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(KTHXBAI), number(sequence), NONE, NONE, bytes(subtree));
+      return List.of(
+          textFrame(KTHXBAI),
+          sequenceFrame(sequence),
+          EMPTY_FRAME,
+          EMPTY_FRAME,
+          textFrame(subtree));
     }
   }
 
@@ -51,7 +56,7 @@
       implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(key), number(sequence), uuid, properties, value);
+      return List.of(textFrame(key), sequenceFrame(sequence), uuid, properties, value);
     }
   }
 
@@ -59,7 +64,7 @@
   record Hugz() implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(HUGZ), number(0), NONE, NONE, NONE);
+      return List.of(textFrame(HUGZ), sequenceFrame(0), EMPTY_FRAME, EMPTY_FRAME, EMPTY_FRAME);
     }
   }
 
@@ -71,17 +76,17 @@
       StringBuilder lines = new StringBuilder();
       properties.forEach(
           (name, property) -> lines.append(name).append('=').append(property).append('\n'));
-      return List.of(bytes(key), number(0), uuid, bytes(lines.toString()), value);
+      return List.of(textFrame(key), sequenceFrame(0), uuid, textFrame(lines.toString()), value);
     }
   }
 
   /** A text as a frame. */
-  static byte[] bytes(String text) {
+  static byte[] textFrame(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
   /** A sequence as a frame. */
-  static byte[] number(long value) {
+  static byte[] sequenceFrame(long value) {
     return ByteBuffer.allocate(Long.BYTES).putLong(value).array();
   }
 }
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -171,51 +171,51 @@
     }
 
     @Override
-    public void opened(ZmtpConnection connection) {
+    public void connectionOpened(ZmtpConnection connection) {
       connections.add(connection.channel());
-      delegate.opened(connection);
+      delegate.connectionOpened(connection);
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       try {
-        delegate.message(connection, frames);
+        delegate.messageReceived(connection, frames);
       } catch (InvalidChpMessageException e) {
         connection.close(e.getMessage());
       }
     }
 
     @Override
-    public void subscription(ZmtpConnection connection, byte[] prefix, boolean subscribed) {
-      delegate.subscription(connection, prefix, subscribed);
+    public void subscriptionChanged(ZmtpConnection connection, byte[] prefix, boolean subscribed) {
+      delegate.subscriptionChanged(connection, prefix, subscribed);
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
-      delegate.closed(connection);
+    public void connectionClosed(ZmtpConnection connection) {
+      delegate.connectionClosed(connection);
     }
   }
 
   private final class SnapshotListener implements ZmtpListener {
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       backend.snapshotRequested(connection, ChpDecoder.decodeRequest(frames).subtree());
     }
   }
 
   private final class CollectorListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
-      connection.subscribe(ChpMessage.NONE);
+    public void connectionOpened(ZmtpConnection connection) {
+      connection.subscribe(ChpMessage.EMPTY_FRAME);
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       backend.keySet(connection, ChpDecoder.decodeSet(frames));
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
+    public void connectionClosed(ZmtpConnection connection) {
       backend.collectorClosed(connection);
     }
   }
--- a/src/main/java/stonespring/chp/SubtreeReplica.java
+++ b/src/main/java/stonespring/chp/SubtreeReplica.java
@@ -71,7 +71,7 @@
     sequence = snapshotSequence;
     List<ChpMessage.KvSync> keys = snapshotKeys;
     snapshotKeys = new ArrayList<>();
-    listener.snapshot(keys, sequence);
+    listener.snapshotReceived(keys, sequence);
     // The listener may reset or stop this replica at any update.
     while (!bufferedUpdates.isEmpty() && inSync && !stopped) {
       apply(bufferedUpdates.poll());
@@ -94,7 +94,7 @@
   private void apply(ChpMessage.KvPub update) {
     if (update.sequence() > sequence) {
       sequence = update.sequence();
-      listener.update(update);
+      listener.updateReceived(update);
     }
   }
 }
--- a/src/main/java/stonespring/chp/UpdatePublisher.java
+++ b/src/main/java/stonespring/chp/UpdatePublisher.java
@@ -23,7 +23,8 @@
   }
 
   @Override
-  public void subscription(ZmtpConnection connection, byte[] prefixBytes, boolean subscribed) {
+  public void subscriptionChanged(
+      ZmtpConnection connection, byte[] prefixBytes, boolean subscribed) {
     String prefix = SubscriptionIndex.text(prefixBytes);
     if (!subscribed) {
       subscriptions.remove(connection, prefix);
@@ -33,12 +34,12 @@
     if (prefix.equals(ChpMessage.HUGZ)) {
       // Tells the subscriber that its earlier subscriptions are in force, so that it can request
       // its snapshot.
-      connection.sendNow(new ChpMessage.Hugz().frames());
+      connection.writeMessageAndFlush(new ChpMessage.Hugz().frames());
     }
   }
 
   @Override
-  public void closed(ZmtpConnection connection) {
+  public void connectionClosed(ZmtpConnection connection) {
     writtenSinceHeartbeat.remove(connection);
     subscriptions.remove(connection);
   }
@@ -53,7 +54,7 @@
     List<byte[]> heartbeat = new ChpMessage.Hugz().frames();
     for (ZmtpConnection connection : subscriptions.subscribersOfPrefix(ChpMessage.HUGZ)) {
       if (!writtenSinceHeartbeat.contains(connection)) {
-        connection.sendNow(heartbeat);
+        connection.writeMessageAndFlush(heartbeat);
       }
     }
     writtenSinceHeartbeat.clear();
@@ -68,12 +69,12 @@
       for (ZmtpConnection connection : subscriptions.subscribers(key)) {
         ByteBuf buffer =
             buffers.computeIfAbsent(connection, unused -> PooledByteBufAllocator.DEFAULT.buffer());
-        ZmtpEncoder.append(buffer, frames);
+        ZmtpEncoder.appendMessage(buffer, frames);
       }
     }
     buffers.forEach(
         (connection, buffer) -> {
-          connection.write(buffer);
+          connection.writeEncoded(buffer);
           connection.flush();
           writtenSinceHeartbeat.add(connection);
         });
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -78,7 +78,7 @@
     private final CompletableFuture<String> ended = new CompletableFuture<>();
 
     @Override
-    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+    public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
       for (ChpMessage.KvSync key : keys) {
         print(key.key(), key.value());
       }
@@ -89,12 +89,12 @@
     }
 
     @Override
-    public void update(ChpMessage.KvPub update) {
+    public void updateReceived(ChpMessage.KvPub update) {
       print(update.key(), update.value());
     }
 
     @Override
-    public void ended(String cause) {
+    public void sessionEnded(String cause) {
       ended.complete(cause);
     }
   }
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -82,7 +82,7 @@
   }
 
   @Override
-  public void received(byte[] bytes) {
+  public void bytesReceived(byte[] bytes) {
     listener.watchResponded(this);
     int start = 0;
     while (start < bytes.length && !over) {
@@ -144,11 +144,11 @@
 
   private void fail(String cause) {
     response.cancel();
-    ended(cause);
+    watchEnded(cause);
   }
 
   @Override
-  public void ended(String cause) {
+  public void watchEnded(String cause) {
     over = true;
     cancelMessageTimeout();
     listener.watchFailed(this, cause);
--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -11,18 +11,18 @@
 
 /**
  * A call whose response arrives in chunks and may never end, on a connection of its own. It ends by
- * {@link Listener#ended}, once, or by {@link #cancel}; the listener is not called after either. A
- * silent peer counts as ended, as a machine that vanished sends nothing. State lives on the
- * connector's event loop, and all calls come from there.
+ * {@link Listener#watchEnded}, once, or by {@link #cancel}; the listener is not called after
+ * either. A silent peer counts as ended, as a machine that vanished sends nothing. State lives on
+ * the connector's event loop, and all calls come from there.
  */
 public final class HttpWatch {
   /** Observes a response, on the event loop. */
   public interface Listener {
     /** Bytes of the body arrived, cut anywhere. */
-    void received(byte[] bytes);
+    void bytesReceived(byte[] bytes);
 
     /** The response ended, or there was none. */
-    void ended(String cause);
+    void watchEnded(String cause);
   }
 
   /**
@@ -80,7 +80,7 @@
   private void end(String cause) {
     if (!over) {
       cancel();
-      listener.ended(cause);
+      listener.watchEnded(cause);
     }
   }
 
@@ -112,7 +112,7 @@
       if (part instanceof HttpResponse response) {
         acceptHead(response);
       } else if (part instanceof StreamPart.Bytes chunk) {
-        listener.received(chunk.bytes());
+        listener.bytesReceived(chunk.bytes());
       } else if (part instanceof StreamPart.End) {
         end("its response ended");
       }
@@ -123,7 +123,7 @@
       if (response.status() != 200) {
         end("unexpected status " + response.status());
       } else if (response.body().length > 0) {
-        listener.received(response.body());
+        listener.bytesReceived(response.body());
       }
     }
 
--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -112,7 +112,7 @@
     private ChpClient owner;
 
     @Override
-    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+    public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
       Map<String, String> values = new LinkedHashMap<>();
       TableSubscriber.Commit commit = null;
       for (ChpMessage.KvSync key : keys) {
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void update(ChpMessage.KvPub update) {
+    public void updateReceived(ChpMessage.KvPub update) {
       String name = relative(update.key());
       byte[] value = update.value();
       boolean isDeleted = value.length == 0;
@@ -137,13 +137,13 @@
     }
 
     @Override
-    public void ready() {
+    public void sessionReady() {
       ready = true;
       sendHello();
     }
 
     @Override
-    public void ended(String cause) {
+    public void sessionEnded(String cause) {
       if (client == owner) {
         connectionLost(cause);
       }
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -119,7 +119,8 @@
   private static ChpMessage.KvSet set(
       String key, Map<String, String> properties, ObjectNode value) {
     try {
-      return new ChpMessage.KvSet(key, ChpMessage.NONE, properties, JSON.writeValueAsBytes(value));
+      return new ChpMessage.KvSet(
+          key, ChpMessage.EMPTY_FRAME, properties, JSON.writeValueAsBytes(value));
     } catch (JsonProcessingException e) {
       throw new IllegalStateException("a tree of JSON can't be written", e);
     }
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -67,7 +67,11 @@
 
   private static ChpMessage.KvPub publication(KeyUpdate update) {
     return new ChpMessage.KvPub(
-        update.key(), update.sequence(), ChpMessage.NONE, ChpMessage.NONE, update.value());
+        update.key(),
+        update.sequence(),
+        ChpMessage.EMPTY_FRAME,
+        ChpMessage.EMPTY_FRAME,
+        update.value());
   }
 
   @Override
@@ -100,9 +104,9 @@
 
   private static void send(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
     for (KeyUpdate key : snapshot.keys()) {
-      peer.send(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
+      peer.writeMessage(new ChpMessage.KvSync(key.key(), key.sequence(), key.value()).frames());
     }
-    peer.sendNow(new ChpMessage.Kthxbai(snapshot.sequence(), subtree).frames());
+    peer.writeMessageAndFlush(new ChpMessage.Kthxbai(snapshot.sequence(), subtree).frames());
   }
 
   @Override
--- a/src/main/java/stonespring/testbed/FleetMeasurement.java
+++ b/src/main/java/stonespring/testbed/FleetMeasurement.java
@@ -156,17 +156,17 @@
     ChpClient.Listener listener =
         new ChpClient.Listener() {
           @Override
-          public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+          public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
             keys.forEach(key -> status.set(new String(key.value(), StandardCharsets.UTF_8)));
           }
 
           @Override
-          public void update(ChpMessage.KvPub update) {
+          public void updateReceived(ChpMessage.KvPub update) {
             status.set(new String(update.value(), StandardCharsets.UTF_8));
           }
 
           @Override
-          public void ended(String cause) {
+          public void sessionEnded(String cause) {
             // The instance is stopped at the end.
           }
         };
--- a/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
+++ b/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
@@ -27,17 +27,17 @@
     ChpClient.Listener listener =
         new ChpClient.Listener() {
           @Override
-          public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+          public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
             keys.forEach(key -> WireTap.status(evidence, key.value()));
           }
 
           @Override
-          public void update(ChpMessage.KvPub update) {
+          public void updateReceived(ChpMessage.KvPub update) {
             WireTap.status(evidence, update.value());
           }
 
           @Override
-          public void ended(String cause) {
+          public void sessionEnded(String cause) {
             if (!stopped) {
               loop.schedule(() -> watch(instance), REDIAL_MILLIS, TimeUnit.MILLISECONDS);
             }
--- a/src/main/java/stonespring/testbed/ThroughputMeasurement.java
+++ b/src/main/java/stonespring/testbed/ThroughputMeasurement.java
@@ -61,8 +61,8 @@
     return new ChpMessage.KvPub(
         "/proxy/p" + i % READERS + "/line/7/task-" + i % 50 + "@127.0.0.1:9000",
         i + 1,
-        ChpMessage.NONE,
-        ChpMessage.NONE,
+        ChpMessage.EMPTY_FRAME,
+        ChpMessage.EMPTY_FRAME,
         "0.125".getBytes(StandardCharsets.US_ASCII));
   }
 
@@ -176,7 +176,7 @@
   }
 
   private static byte[] encode(ChpMessage.KvPub update) {
-    ByteBuf encoded = ZmtpEncoder.message(PooledByteBufAllocator.DEFAULT, update.frames());
+    ByteBuf encoded = ZmtpEncoder.encodeMessage(PooledByteBufAllocator.DEFAULT, update.frames());
     byte[] copy = new byte[encoded.readableBytes()];
     encoded.readBytes(copy);
     encoded.release();
--- a/src/main/java/stonespring/zmtp/ErrorCommand.java
+++ b/src/main/java/stonespring/zmtp/ErrorCommand.java
@@ -16,7 +16,7 @@
     byte[] data = new byte[text.length + 1];
     data[0] = (byte) text.length;
     System.arraycopy(text, 0, data, 1, text.length);
-    return ZmtpEncoder.command(NAME, data);
+    return ZmtpEncoder.encodeCommand(NAME, data);
   }
 
   /** The reason, as far as the data hold it. */
--- a/src/main/java/stonespring/zmtp/ReadyCommand.java
+++ b/src/main/java/stonespring/zmtp/ReadyCommand.java
@@ -25,7 +25,7 @@
     if (type == SocketType.DEALER) {
       appendProperty(data, IDENTITY, "");
     }
-    return ZmtpEncoder.command(NAME, ByteBufUtil.getBytes(data));
+    return ZmtpEncoder.encodeCommand(NAME, ByteBufUtil.getBytes(data));
   }
 
   private static void appendProperty(ByteBuf out, String name, String value) {
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -14,9 +14,10 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * One connection. Its state lives on its event loop; {@code send}, {@code sendNow}, {@code write},
- * {@code flush} and {@code close} may be called from any thread. A violation by the peer, or an
- * exception of its listener, closes this connection alone and is logged once.
+ * One connection. Its state lives on its event loop; {@code writeMessage}, {@code
+ * writeMessageAndFlush}, {@code writeEncoded}, {@code flush} and {@code close} may be called from
+ * any thread. A violation by the peer, or an exception of its listener, closes this connection
+ * alone and is logged once.
  */
 public final class ZmtpConnection extends SimpleChannelInboundHandler<ZmtpPart> {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpConnection.class);
@@ -34,7 +35,7 @@
   private final ZmtpLimits limits;
   private final ZmtpListener listener;
   private Channel channel;
-  private String name = "?";
+  private String peerAddress = "?";
   private int peerMinorVersion;
   private boolean greeted;
   private boolean ready;
@@ -49,8 +50,8 @@
   }
 
   /** The peer's address, as log lines have it. */
-  public String name() {
-    return name;
+  public String peerAddress() {
+    return peerAddress;
   }
 
   /** The connection's channel. */
@@ -59,13 +60,13 @@
   }
 
   /** Sends one message with the next {@link #flush}. */
-  public void send(List<byte[]> frames) {
-    write(ZmtpEncoder.message(channel.alloc(), frames));
+  public void writeMessage(List<byte[]> frames) {
+    writeEncoded(ZmtpEncoder.encodeMessage(channel.alloc(), frames));
   }
 
   /** Sends one message, and all that waits, at once. */
-  public void sendNow(List<byte[]> frames) {
-    send(frames);
+  public void writeMessageAndFlush(List<byte[]> frames) {
+    writeMessage(frames);
     flush();
   }
 
@@ -73,7 +74,7 @@
    * Writes encoded messages with the next {@link #flush}, and takes over the reference. Closes the
    * connection of a peer that reads too slowly.
    */
-  public void write(ByteBuf messages) {
+  public void writeEncoded(ByteBuf messages) {
     var buffer = channel.unsafe().outboundBuffer();
     if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingBytes()) {
       messages.release();
@@ -92,19 +93,19 @@
   /** Subscribes to the publisher's messages that start with a prefix. */
   public void subscribe(byte[] prefix) {
     if (peerMinorVersion >= 1) {
-      channel.writeAndFlush(ZmtpEncoder.command("SUBSCRIBE", prefix));
+      channel.writeAndFlush(ZmtpEncoder.encodeCommand("SUBSCRIBE", prefix));
     } else {
       byte[] frame = new byte[prefix.length + 1];
       frame[0] = SUBSCRIBE;
       System.arraycopy(prefix, 0, frame, 1, prefix.length);
-      sendNow(List.of(frame));
+      writeMessageAndFlush(List.of(frame));
     }
   }
 
   /** Closes the connection and logs why. */
   public void close(String cause) {
     if (channel.isOpen()) {
-      LOG.warn("zmtp {} peer {}: connection ended: {}", type, name, cause);
+      LOG.warn("zmtp {} peer {}: connection ended: {}", type, peerAddress, cause);
     }
     channel.close();
   }
@@ -112,8 +113,8 @@
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    name = String.valueOf(channel.remoteAddress());
-    ctx.writeAndFlush(ZmtpEncoder.greeting(asServer));
+    peerAddress = String.valueOf(channel.remoteAddress());
+    ctx.writeAndFlush(ZmtpEncoder.encodeGreeting(asServer));
     ctx.executor()
         .schedule(this::closeUnlessReady, limits.handshakeTimeoutMillis(), TimeUnit.MILLISECONDS);
   }
@@ -190,7 +191,7 @@
       throw incompatible;
     }
     ready = true;
-    listener.opened(this);
+    listener.connectionOpened(this);
   }
 
   private void acceptPing(ChannelHandlerContext ctx, byte[] data) {
@@ -198,7 +199,7 @@
       throw new ZmtpProtocolException("PING", data.length + " bytes of data");
     }
     byte[] context = Arrays.copyOfRange(data, PING_TTL_BYTES, data.length);
-    ctx.writeAndFlush(ZmtpEncoder.command("PONG", context));
+    ctx.writeAndFlush(ZmtpEncoder.encodeCommand("PONG", context));
   }
 
   private void acceptMessage(List<byte[]> frames) {
@@ -206,7 +207,7 @@
       throw new ZmtpProtocolException("message", "it comes before READY");
     }
     if (!type.publishes()) {
-      listener.message(this, frames);
+      listener.messageReceived(this, frames);
       return;
     }
     byte[] first = frames.get(0);
@@ -225,7 +226,7 @@
       throw new ZmtpProtocolException(
           "subscription", "over the limit of " + limits.maxSubscriptions());
     }
-    listener.subscription(this, prefix, subscribed);
+    listener.subscriptionChanged(this, prefix, subscribed);
   }
 
   /** A peer's text as a log line may hold it. */
@@ -238,7 +239,7 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     if (!closedReported) {
       closedReported = true;
-      listener.closed(this);
+      listener.connectionClosed(this);
     }
   }
 
@@ -248,7 +249,7 @@
     if (root instanceof ZmtpProtocolException || root instanceof IOException) {
       close(String.valueOf(root.getMessage()));
     } else {
-      LOG.error("zmtp {} peer {}: connection ended: its handler failed", type, name, root);
+      LOG.error("zmtp {} peer {}: connection ended: its handler failed", type, peerAddress, root);
       ctx.close();
     }
   }
--- a/src/main/java/stonespring/zmtp/ZmtpEncoder.java
+++ b/src/main/java/stonespring/zmtp/ZmtpEncoder.java
@@ -15,7 +15,7 @@
 
   private ZmtpEncoder() {}
 
-  static ByteBuf greeting(boolean asServer) {
+  static ByteBuf encodeGreeting(boolean asServer) {
     ByteBuf out = Unpooled.buffer(GreetingDecoder.GREETING_BYTES);
     out.writeByte(0xFF).writeZero(8).writeByte(0x7F); // signature
     out.writeByte(3).writeByte(1); // version
@@ -24,25 +24,25 @@
   }
 
   /** Encodes one message; the bytes can be written to any number of connections. */
-  public static ByteBuf message(ByteBufAllocator allocator, List<byte[]> frames) {
+  public static ByteBuf encodeMessage(ByteBufAllocator allocator, List<byte[]> frames) {
     int size = 0;
     for (byte[] frame : frames) {
       size += frame.length + (isLong(frame) ? LONG_HEADER_BYTES : SHORT_HEADER_BYTES);
     }
     ByteBuf out = allocator.buffer(size);
-    append(out, frames);
+    appendMessage(out, frames);
     return out;
   }
 
   /** Appends one message to bytes that are written together. */
-  public static void append(ByteBuf out, List<byte[]> frames) {
+  public static void appendMessage(ByteBuf out, List<byte[]> frames) {
     for (int i = 0; i < frames.size(); i++) {
       boolean last = i == frames.size() - 1;
       appendFrame(out, last ? 0 : FrameFlags.MORE, frames.get(i));
     }
   }
 
-  static ByteBuf command(String name, byte[] data) {
+  static ByteBuf encodeCommand(String name, byte[] data) {
     byte[] body = new byte[1 + name.length() + data.length];
     body[0] = (byte) name.length();
     System.arraycopy(name.getBytes(StandardCharsets.US_ASCII), 0, body, 1, name.length());
--- a/src/test/java/stonespring/chp/ChpClientTest.java
+++ b/src/test/java/stonespring/chp/ChpClientTest.java
@@ -38,22 +38,22 @@
   /** Writes down what it is notified of. */
   private final class RecordingListener implements ChpClient.Listener {
     @Override
-    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+    public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
       events.add("snapshot " + keys.size() + " at " + sequence);
     }
 
     @Override
-    public void update(ChpMessage.KvPub update) {
+    public void updateReceived(ChpMessage.KvPub update) {
       events.add(update.key() + "=" + new String(update.value(), StandardCharsets.UTF_8));
     }
 
     @Override
-    public void ready() {
+    public void sessionReady() {
       events.add("ready");
     }
 
     @Override
-    public void ended(String cause) {
+    public void sessionEnded(String cause) {
       events.add("ended " + cause);
     }
   }
@@ -106,7 +106,7 @@
             () ->
                 client.set(
                     new ChpMessage.KvSet(
-                        "/up/x", ChpMessage.NONE, Map.of("ttl", "3"), bytes("v"))));
+                        "/up/x", ChpMessage.EMPTY_FRAME, Map.of("ttl", "3"), bytes("v"))));
     ZMsg set = ZMsg.recvMsg(collector);
     assertEquals("/up/x", text(set, 0));
     assertEquals("ttl=3\n", text(set, 3));
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -210,16 +210,16 @@
             TIMEOUT_MILLIS,
             new ChpClient.Listener() {
               @Override
-              public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+              public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
                 snapshot.complete(
                     Arrays.toString(keys.stream().map(ChpMessage.KvSync::key).toArray()));
               }
 
               @Override
-              public void update(ChpMessage.KvPub update) {}
+              public void updateReceived(ChpMessage.KvPub update) {}
 
               @Override
-              public void ended(String cause) {
+              public void sessionEnded(String cause) {
                 snapshot.complete("ended: " + cause);
               }
             });
--- a/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
@@ -41,12 +41,12 @@
                 LIMITS,
                 new ZmtpListener() {
                   @Override
-                  public void opened(ZmtpConnection connection) {
+                  public void connectionOpened(ZmtpConnection connection) {
                     opened.add(connection);
                   }
 
                   @Override
-                  public void subscription(
+                  public void subscriptionChanged(
                       ZmtpConnection connection, byte[] prefix, boolean subscribed) {
                     events.add(
                         (subscribed ? "+" : "-") + new String(prefix, StandardCharsets.US_ASCII));
@@ -56,7 +56,7 @@
                   }
 
                   @Override
-                  public void closed(ZmtpConnection connection) {
+                  public void connectionClosed(ZmtpConnection connection) {
                     events.add("closed");
                   }
                 })
@@ -120,7 +120,7 @@
       assertArrayEquals(hex("04 08 04 504F4E47 636F6E"), pong);
       opened
           .poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-          .sendNow(List.of(new byte[] {'a'}, new byte[300]));
+          .writeMessageAndFlush(List.of(new byte[] {'a'}, new byte[300]));
       byte[] message = new byte[3 + 9 + 300];
       in.readFully(message);
       assertArrayEquals(hex("01 01 61 02 000000000000012C"), java.util.Arrays.copyOf(message, 12));
@@ -188,7 +188,7 @@
       socket.getOutputStream().write(hex(READY_SUB));
       ZmtpConnection connection = opened.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       for (int i = 0; i < 1_000_000 && connection.channel().isOpen(); i++) {
-        connection.send(List.of(new byte[1000]));
+        connection.writeMessage(List.of(new byte[1000]));
         if (i % 100 == 0) {
           connection.flush();
         }
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -53,13 +53,14 @@
   private static byte[] stream(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ByteBuf out = Unpooled.buffer();
-    out.writeBytes(ZmtpEncoder.greeting(false)).writeBytes(ReadyCommand.encode(SocketType.DEALER));
+    out.writeBytes(ZmtpEncoder.encodeGreeting(false))
+        .writeBytes(ReadyCommand.encode(SocketType.DEALER));
     for (int i = 0; i < 5; i++) {
       List<byte[]> frames = new ArrayList<>();
       for (int f = 0; f <= random.nextInt(4); f++) {
         frames.add(new byte[random.nextInt(400)]);
       }
-      ByteBuf message = ZmtpEncoder.message(UnpooledByteBufAllocator.DEFAULT, frames);
+      ByteBuf message = ZmtpEncoder.encodeMessage(UnpooledByteBufAllocator.DEFAULT, frames);
       out.writeBytes(message);
       message.release();
     }
@@ -96,7 +97,7 @@
   }
 
   private static String violation(int... afterGreeting) {
-    ByteBuf out = ZmtpEncoder.greeting(false);
+    ByteBuf out = ZmtpEncoder.encodeGreeting(false);
     for (int b : afterGreeting) {
       out.writeByte(b);
     }
