--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -41,20 +41,20 @@
   private final long silenceTimeoutMillis;
   private final Listener listener;
   private final SubtreeReplica replica;
-  private final List<ChannelFuture> connects = new ArrayList<>();
+  private final List<ChannelFuture> connectFutures = new ArrayList<>();
 
   /** The connections; null until their handshakes are complete. */
-  private ZmtpConnection snapshots;
+  private ZmtpConnection snapshotConnection;
 
-  private ZmtpConnection updates;
-  private ZmtpConnection collector;
+  private ZmtpConnection updateConnection;
+  private ZmtpConnection collectorConnection;
 
   /** The publisher sent something, so that the subscription is in force. */
-  private boolean subscribed;
+  private boolean subscriptionActive;
 
-  private boolean collectorSubscribed;
+  private boolean serverSubscribedToCollector;
   private boolean readyReported;
-  private boolean ended;
+  private boolean sessionOver;
   private long lastReceivedNanos = System.nanoTime();
 
   /**
@@ -98,10 +98,10 @@
 
   private void connect(
       SocketType type, String host, int port, ZmtpLimits limits, ZmtpListener zmtpListener) {
-    ChannelFuture connect =
+    ChannelFuture connectFuture =
         ZmtpSockets.connect(loop, type, new InetSocketAddress(host, port), limits, zmtpListener);
-    connects.add(connect);
-    connect.addListener(
+    connectFutures.add(connectFuture);
+    connectFuture.addListener(
         future -> {
           if (!future.isSuccess()) {
             end("can't reach " + host + ":" + port + ": " + future.cause().getMessage());
@@ -110,7 +110,7 @@
   }
 
   private void checkSilence() {
-    if (ended) {
+    if (sessionOver) {
       return;
     }
     long silenceNanos = System.nanoTime() - lastReceivedNanos;
@@ -124,18 +124,18 @@
   /** Requests a new snapshot, as an update was missed. */
   public void resync() {
     if (replica.isInSync()) {
-      replica.reset();
-      advance();
+      replica.markOutOfSync();
+      advanceHandshake();
     }
   }
 
   /** Takes the session's next step, if its conditions are met. */
-  private void advance() {
-    if (subscribed && snapshots != null && !replica.isRequested()) {
-      replica.snapshotRequested();
-      snapshots.writeMessageAndFlush(new ChpMessage.IcanHaz(subtree).frames());
+  private void advanceHandshake() {
+    if (subscriptionActive && snapshotConnection != null && !replica.isSnapshotRequested()) {
+      replica.startSnapshot();
+      snapshotConnection.writeMessageAndFlush(new ChpMessage.IcanHaz(subtree).frames());
     }
-    boolean collectorReady = collector == null || collectorSubscribed;
+    boolean collectorReady = collectorConnection == null || serverSubscribedToCollector;
     if (replica.isInSync() && !readyReported && collectorReady) {
       readyReported = true;
       listener.sessionReady();
@@ -144,18 +144,18 @@
 
   /** Sets a key at the server; false if the collector is not ready. */
   public boolean set(ChpMessage.KvSet set) {
-    if (collector == null || !collectorSubscribed || ended) {
+    if (collectorConnection == null || !serverSubscribedToCollector || sessionOver) {
       return false;
     }
-    collector.writeMessageAndFlush(set.frames());
+    collectorConnection.writeMessageAndFlush(set.frames());
     return true;
   }
 
   /** Pauses or resumes reading from the publisher. */
   public void setReading(boolean enabled) {
     lastReceivedNanos = System.nanoTime();
-    if (updates != null) {
-      updates.channel().config().setAutoRead(enabled);
+    if (updateConnection != null) {
+      updateConnection.channel().config().setAutoRead(enabled);
     }
   }
 
@@ -165,13 +165,13 @@
   }
 
   private void end(String cause) {
-    if (ended) {
+    if (sessionOver) {
       return;
     }
-    ended = true;
+    sessionOver = true;
     replica.stop();
-    for (ChannelFuture connect : connects) {
-      connect.channel().close();
+    for (ChannelFuture connectFuture : connectFutures) {
+      connectFuture.channel().close();
     }
     listener.sessionEnded(cause);
   }
@@ -179,25 +179,26 @@
   private final class SnapshotListener implements ZmtpListener {
     @Override
     public void connectionOpened(ZmtpConnection connection) {
-      snapshots = connection;
-      advance();
+      snapshotConnection = connection;
+      advanceHandshake();
     }
 
     @Override
     public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       try {
-        accept(ChpDecoder.decodeSnapshot(frames));
+        acceptSnapshotMessage(ChpDecoder.decodeSnapshot(frames));
       } catch (InvalidChpMessageException e) {
         end("snapshot: " + e.getMessage());
       }
     }
 
-    private void accept(ChpMessage message) {
+    private void acceptSnapshotMessage(ChpMessage message) {
       lastReceivedNanos = System.nanoTime();
       if (message instanceof ChpMessage.KvSync key) {
-        replica.addKey(key);
-      } else if (message instanceof ChpMessage.Kthxbai end && replica.complete(end.sequence())) {
-        advance();
+        replica.addSnapshotKey(key);
+      } else if (message instanceof ChpMessage.Kthxbai snapshotEnd
+          && replica.completeSnapshot(snapshotEnd.sequence())) {
+        advanceHandshake();
       }
     }
 
@@ -210,7 +211,7 @@
   private final class UpdateListener implements ZmtpListener {
     @Override
     public void connectionOpened(ZmtpConnection connection) {
-      updates = connection;
+      updateConnection = connection;
       connection.subscribe(ChpMessage.textFrame(subtree));
       // The last one: its first heartbeat shows that the subtree's subscription is in force.
       connection.subscribe(ChpMessage.textFrame(ChpMessage.HUGZ));
@@ -221,14 +222,14 @@
       lastReceivedNanos = System.nanoTime();
       try {
         if (ChpDecoder.decodeUpdate(frames) instanceof ChpMessage.KvPub update) {
-          replica.update(update);
+          replica.applyOrBuffer(update);
         }
       } catch (InvalidChpMessageException e) {
         end("update: " + e.getMessage());
       }
-      if (!subscribed) {
-        subscribed = true;
-        advance();
+      if (!subscriptionActive) {
+        subscriptionActive = true;
+        advanceHandshake();
       }
     }
 
@@ -241,15 +242,15 @@
   private final class CollectorListener implements ZmtpListener {
     @Override
     public void connectionOpened(ZmtpConnection connection) {
-      collector = connection;
+      collectorConnection = connection;
     }
 
     @Override
     public void subscriptionChanged(
         ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
       // Messages sent before the server subscribed would be dropped.
-      collectorSubscribed = isSubscribed;
-      advance();
+      serverSubscribedToCollector = isSubscribed;
+      advanceHandshake();
     }
 
     @Override
--- a/src/main/java/stonespring/chp/ChpDecoder.java
+++ b/src/main/java/stonespring/chp/ChpDecoder.java
@@ -9,7 +9,7 @@
 
 /** Decodes frames to commands, by the port at which they arrive. */
 final class ChpDecoder {
-  private static final String ICANHAZ = "ICANHAZ";
+  private static final String ICANHAZ_NAME = "ICANHAZ";
   private static final String KVSYNC = "KVSYNC";
   private static final String KVPUB = "KVPUB";
   private static final String KVSET = "KVSET";
@@ -26,62 +26,62 @@
 
   /** Decodes what a client sent to the snapshot port. */
   static ChpMessage.IcanHaz decodeRequest(List<byte[]> frames) {
-    checkCount(ICANHAZ, frames, REQUEST_FRAMES);
-    if (!text(ICANHAZ, "command", frames.get(0)).equals(ChpMessage.ICANHAZ)) {
+    checkFrameCount(ICANHAZ_NAME, frames, REQUEST_FRAMES);
+    if (!decodeText(ICANHAZ_NAME, "command", frames.get(0)).equals(ChpMessage.ICANHAZ)) {
       throw new InvalidChpMessageException("snapshot port", "a command other than ICANHAZ?");
     }
-    return new ChpMessage.IcanHaz(subtree(text(ICANHAZ, "subtree", frames.get(1))));
+    return new ChpMessage.IcanHaz(checkSubtree(decodeText(ICANHAZ_NAME, "subtree", frames.get(1))));
   }
 
   /** Decodes what a client sent to the collector. */
   static ChpMessage.KvSet decodeSet(List<byte[]> frames) {
-    checkCount(KVSET, frames, KEY_VALUE_FRAMES);
-    sequence(KVSET, frames.get(1));
+    checkFrameCount(KVSET, frames, KEY_VALUE_FRAMES);
+    decodeSequence(KVSET, frames.get(1));
     return new ChpMessage.KvSet(
-        key(KVSET, frames.get(0)),
-        uuid(KVSET, frames.get(2)),
-        properties(frames.get(3)),
+        decodeKey(KVSET, frames.get(0)),
+        checkUuid(KVSET, frames.get(2)),
+        decodeProperties(frames.get(3)),
         frames.get(4));
   }
 
   /** Decodes what a publisher sent: an update or a heartbeat. */
   static ChpMessage decodeUpdate(List<byte[]> frames) {
-    checkCount(KVPUB, frames, KEY_VALUE_FRAMES);
-    long sequence = sequence(KVPUB, frames.get(1));
+    checkFrameCount(KVPUB, frames, KEY_VALUE_FRAMES);
+    long sequence = decodeSequence(KVPUB, frames.get(1));
     if (isHeartbeatKey(frames.get(0))) {
       return new ChpMessage.Hugz();
     }
-    properties(frames.get(3));
+    decodeProperties(frames.get(3));
     return new ChpMessage.KvPub(
-        key(KVPUB, frames.get(0)),
+        decodeKey(KVPUB, frames.get(0)),
         sequence,
-        uuid(KVPUB, frames.get(2)),
+        checkUuid(KVPUB, frames.get(2)),
         frames.get(3),
         frames.get(4));
   }
 
   /** Decodes what a server sent from the snapshot port: a key or the end. */
   static ChpMessage decodeSnapshot(List<byte[]> frames) {
-    checkCount(KVSYNC, frames, KEY_VALUE_FRAMES);
-    long sequence = sequence(KVSYNC, frames.get(1));
-    if (text(KVSYNC, "key", frames.get(0)).equals(ChpMessage.KTHXBAI)) {
-      String subtree = subtree(text(ChpMessage.KTHXBAI, "subtree", frames.get(4)));
+    checkFrameCount(KVSYNC, frames, KEY_VALUE_FRAMES);
+    long sequence = decodeSequence(KVSYNC, frames.get(1));
+    if (decodeText(KVSYNC, "key", frames.get(0)).equals(ChpMessage.KTHXBAI)) {
+      String subtree = checkSubtree(decodeText(ChpMessage.KTHXBAI, "subtree", frames.get(4)));
       return new ChpMessage.Kthxbai(sequence, subtree);
     }
-    return new ChpMessage.KvSync(key(KVSYNC, frames.get(0)), sequence, frames.get(4));
+    return new ChpMessage.KvSync(decodeKey(KVSYNC, frames.get(0)), sequence, frames.get(4));
   }
 
   private static boolean isHeartbeatKey(byte[] frame) {
     return new String(frame, StandardCharsets.ISO_8859_1).equals(ChpMessage.HUGZ);
   }
 
-  private static void checkCount(String command, List<byte[]> frames, int expected) {
+  private static void checkFrameCount(String command, List<byte[]> frames, int expected) {
     if (frames.size() != expected) {
       throw new InvalidChpMessageException(command, frames.size() + " frames, not " + expected);
     }
   }
 
-  private static String text(String command, String field, byte[] frame) {
+  private static String decodeText(String command, String field, byte[] frame) {
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(frame)).toString();
     } catch (CharacterCodingException e) {
@@ -89,8 +89,8 @@
     }
   }
 
-  private static String key(String command, byte[] frame) {
-    String key = text(command, "key", frame);
+  private static String decodeKey(String command, byte[] frame) {
+    String key = decodeText(command, "key", frame);
     if (key.length() < 2
         || key.length() > MAX_KEY_CHARS
         || key.charAt(0) != '/'
@@ -103,7 +103,7 @@
     return key;
   }
 
-  private static String subtree(String text) {
+  private static String checkSubtree(String text) {
     boolean valid = text.length() <= MAX_KEY_CHARS && text.startsWith("/") && text.endsWith("/");
     if (!text.isEmpty() && !valid) {
       throw new InvalidChpMessageException("subtree is neither empty nor segments between slashes");
@@ -111,7 +111,7 @@
     return text;
   }
 
-  private static byte[] uuid(String command, byte[] frame) {
+  private static byte[] checkUuid(String command, byte[] frame) {
     if (frame.length != 0 && frame.length != UUID_BYTES) {
       throw new InvalidChpMessageException(
           command, "uuid has " + frame.length + " bytes, not 16 or none");
@@ -119,7 +119,7 @@
     return frame;
   }
 
-  private static long sequence(String command, byte[] frame) {
+  private static long decodeSequence(String command, byte[] frame) {
     if (frame.length != Long.BYTES) {
       throw new InvalidChpMessageException(
           command, "sequence has " + frame.length + " bytes, not 8");
@@ -127,9 +127,9 @@
     return ByteBuffer.wrap(frame).getLong();
   }
 
-  private static Map<String, String> properties(byte[] frame) {
+  private static Map<String, String> decodeProperties(byte[] frame) {
     Map<String, String> properties = new TreeMap<>();
-    String lines = text(KVSET, "properties", frame);
+    String lines = decodeText(KVSET, "properties", frame);
     if (lines.isEmpty()) {
       return properties;
     }
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -38,8 +38,8 @@
   private final ChpBackend backend;
   private final UpdatePublisher publisher;
   private final ChannelGroup connections;
-  private final List<Channel> listeners = new ArrayList<>();
-  private Future<?> heartbeats;
+  private final List<Channel> listeningChannels = new ArrayList<>();
+  private Future<?> heartbeatTask;
   private int port;
 
   /**
@@ -97,7 +97,7 @@
     bind(SocketType.ROUTER, host, port, new SnapshotListener());
     bind(SocketType.PUB, host, port + 1, publisher);
     bind(SocketType.SUB, host, port + 2, new CollectorListener());
-    heartbeats =
+    heartbeatTask =
         loops
             .next()
             .scheduleAtFixedRate(
@@ -109,7 +109,7 @@
 
   private void bind(SocketType type, String host, int bindPort, ZmtpListener listener)
       throws IOException, InterruptedException {
-    ChannelFuture bind =
+    ChannelFuture bindFuture =
         ZmtpSockets.listen(
                 loops,
                 type,
@@ -117,11 +117,11 @@
                 limits,
                 new TrackingListener(listener))
             .await();
-    if (!bind.isSuccess()) {
+    if (!bindFuture.isSuccess()) {
       throw new IOException(
-          "can't listen at " + host + ":" + bindPort + ": " + bind.cause().getMessage());
+          "can't listen at " + host + ":" + bindPort + ": " + bindFuture.cause().getMessage());
     }
-    listeners.add(bind.channel());
+    listeningChannels.add(bindFuture.channel());
   }
 
   /** The snapshot port, once it listens. */
@@ -136,10 +136,10 @@
 
   /** Accepts no new connections from now on; those that are open stay. */
   public void stopListening() throws InterruptedException {
-    for (Channel listener : listeners) {
+    for (Channel listener : listeningChannels) {
       listener.close().await();
     }
-    listeners.clear();
+    listeningChannels.clear();
   }
 
   /**
@@ -149,8 +149,8 @@
    */
   public void stop(long writeTimeoutMillis) throws InterruptedException {
     stopListening();
-    if (heartbeats != null) {
-      heartbeats.cancel(false);
+    if (heartbeatTask != null) {
+      heartbeatTask.cancel(false);
     }
     long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(writeTimeoutMillis);
     for (Channel connection : connections) {
--- a/src/main/java/stonespring/chp/SubscriptionIndex.java
+++ b/src/main/java/stonespring/chp/SubscriptionIndex.java
@@ -20,12 +20,12 @@
   private final Map<String, Map<ZmtpConnection, Integer>> countsByPrefix = new HashMap<>();
 
   /** How many prefixes of each length there are. */
-  private final TreeMap<Integer, Integer> prefixesByLength = new TreeMap<>();
+  private final TreeMap<Integer, Integer> prefixCountsByLength = new TreeMap<>();
 
   private final Map<ZmtpConnection, Set<String>> prefixesByConnection = new HashMap<>();
 
   /** The form of bytes in which keys and prefixes are compared: a character for each byte. */
-  static String text(byte[] bytes) {
+  static String toByteString(byte[] bytes) {
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
@@ -34,7 +34,7 @@
     if (counts == null) {
       counts = new LinkedHashMap<>();
       countsByPrefix.put(prefix, counts);
-      prefixesByLength.merge(prefix.length(), 1, Integer::sum);
+      prefixCountsByLength.merge(prefix.length(), 1, Integer::sum);
     }
     counts.merge(connection, 1, Integer::sum);
     prefixesByConnection.computeIfAbsent(connection, key -> new LinkedHashSet<>()).add(prefix);
@@ -50,45 +50,45 @@
     if (remaining > 0) {
       counts.put(connection, remaining);
     } else {
-      removeAll(connection, prefix);
+      removePrefix(connection, prefix);
       prefixesByConnection.get(connection).remove(prefix);
     }
   }
 
   /** Cancels all of a connection's subscriptions. */
-  void remove(ZmtpConnection connection) {
+  void removeConnection(ZmtpConnection connection) {
     Set<String> prefixes = prefixesByConnection.remove(connection);
     if (prefixes != null) {
-      prefixes.forEach(prefix -> removeAll(connection, prefix));
+      prefixes.forEach(prefix -> removePrefix(connection, prefix));
     }
   }
 
-  private void removeAll(ZmtpConnection connection, String prefix) {
+  private void removePrefix(ZmtpConnection connection, String prefix) {
     Map<ZmtpConnection, Integer> counts = countsByPrefix.get(prefix);
     if (counts == null || counts.remove(connection) == null || !counts.isEmpty()) {
       return;
     }
     countsByPrefix.remove(prefix);
-    if (prefixesByLength.merge(prefix.length(), -1, Integer::sum) == 0) {
-      prefixesByLength.remove(prefix.length());
+    if (prefixCountsByLength.merge(prefix.length(), -1, Integer::sum) == 0) {
+      prefixCountsByLength.remove(prefix.length());
     }
   }
 
   /** The connections that subscribed to exactly this prefix. */
-  Set<ZmtpConnection> subscribersOfPrefix(String prefix) {
+  Set<ZmtpConnection> subscribersOfExactPrefix(String prefix) {
     return countsByPrefix.getOrDefault(prefix, Map.of()).keySet();
   }
 
   /** The connections that subscribed to any prefix of the key, each once. */
-  List<ZmtpConnection> subscribers(String key) {
+  List<ZmtpConnection> subscribersOfKey(String key) {
     List<ZmtpConnection> subscribers = new ArrayList<>();
     // Needed from the second matching prefix on only.
     Set<ZmtpConnection> seen = null;
-    for (int length : prefixesByLength.keySet()) {
+    for (int length : prefixCountsByLength.keySet()) {
       if (length > key.length()) {
         break;
       }
-      Set<ZmtpConnection> matching = subscribersOfPrefix(key.substring(0, length));
+      Set<ZmtpConnection> matching = subscribersOfExactPrefix(key.substring(0, length));
       if (seen == null && !subscribers.isEmpty() && !matching.isEmpty()) {
         seen = new LinkedHashSet<>(subscribers);
       }
--- a/src/main/java/stonespring/chp/SubtreeReplica.java
+++ b/src/main/java/stonespring/chp/SubtreeReplica.java
@@ -15,18 +15,18 @@
   private final ChpClient.Listener listener;
   private final ArrayDeque<ChpMessage.KvPub> bufferedUpdates = new ArrayDeque<>();
   private List<ChpMessage.KvSync> snapshotKeys = new ArrayList<>();
-  private boolean requested;
+  private boolean snapshotRequested;
   private boolean inSync;
   private boolean stopped;
-  private long sequence = Long.MIN_VALUE;
+  private long lastSequence = Long.MIN_VALUE;
 
   SubtreeReplica(ChpClient.Listener listener) {
     this.listener = listener;
   }
 
   /** Whether a snapshot was requested, also one that is complete. */
-  boolean isRequested() {
-    return requested;
+  boolean isSnapshotRequested() {
+    return snapshotRequested;
   }
 
   /** Whether the snapshot is complete. */
@@ -35,15 +35,15 @@
   }
 
   /** A snapshot is requested now. */
-  void snapshotRequested() {
-    requested = true;
+  void startSnapshot() {
+    snapshotRequested = true;
     snapshotKeys = new ArrayList<>();
   }
 
   /** A new snapshot is needed. */
-  void reset() {
+  void markOutOfSync() {
     inSync = false;
-    requested = false;
+    snapshotRequested = false;
   }
 
   /** Passes on nothing any more. */
@@ -51,7 +51,7 @@
     stopped = true;
   }
 
-  void addKey(ChpMessage.KvSync key) {
+  void addSnapshotKey(ChpMessage.KvSync key) {
     if (snapshotKeys.size() >= MAX_SNAPSHOT_KEYS) {
       throw new InvalidChpMessageException("over " + MAX_SNAPSHOT_KEYS + " keys");
     }
@@ -63,15 +63,15 @@
    *
    * @return false if no snapshot is under way
    */
-  boolean complete(long snapshotSequence) {
-    if (!requested || inSync) {
+  boolean completeSnapshot(long snapshotSequence) {
+    if (!snapshotRequested || inSync) {
       return false;
     }
     inSync = true;
-    sequence = snapshotSequence;
+    lastSequence = snapshotSequence;
     List<ChpMessage.KvSync> keys = snapshotKeys;
     snapshotKeys = new ArrayList<>();
-    listener.snapshotReceived(keys, sequence);
+    listener.snapshotReceived(keys, lastSequence);
     // The listener may reset or stop this replica at any update.
     while (!bufferedUpdates.isEmpty() && inSync && !stopped) {
       apply(bufferedUpdates.poll());
@@ -80,7 +80,7 @@
   }
 
   /** Takes an update, which waits while there is no snapshot. */
-  void update(ChpMessage.KvPub update) {
+  void applyOrBuffer(ChpMessage.KvPub update) {
     if (inSync) {
       apply(update);
     } else if (bufferedUpdates.size() < MAX_BUFFERED_UPDATES) {
@@ -92,8 +92,8 @@
   }
 
   private void apply(ChpMessage.KvPub update) {
-    if (update.sequence() > sequence) {
-      sequence = update.sequence();
+    if (update.sequence() > lastSequence) {
+      lastSequence = update.sequence();
       listener.updateReceived(update);
     }
   }
--- a/src/main/java/stonespring/chp/UpdatePublisher.java
+++ b/src/main/java/stonespring/chp/UpdatePublisher.java
@@ -16,7 +16,7 @@
 final class UpdatePublisher implements ZmtpListener {
   private final EventLoop loop;
   private final SubscriptionIndex subscriptions = new SubscriptionIndex();
-  private final Set<ZmtpConnection> writtenSinceHeartbeat = new HashSet<>();
+  private final Set<ZmtpConnection> writtenSinceLastHeartbeat = new HashSet<>();
 
   UpdatePublisher(EventLoop loop) {
     this.loop = loop;
@@ -25,7 +25,7 @@
   @Override
   public void subscriptionChanged(
       ZmtpConnection connection, byte[] prefixBytes, boolean subscribed) {
-    String prefix = SubscriptionIndex.text(prefixBytes);
+    String prefix = SubscriptionIndex.toByteString(prefixBytes);
     if (!subscribed) {
       subscriptions.remove(connection, prefix);
       return;
@@ -40,33 +40,33 @@
 
   @Override
   public void connectionClosed(ZmtpConnection connection) {
-    writtenSinceHeartbeat.remove(connection);
-    subscriptions.remove(connection);
+    writtenSinceLastHeartbeat.remove(connection);
+    subscriptions.removeConnection(connection);
   }
 
   /** Sends updates to their subscribers, in order; from any thread. */
   void publish(List<? extends ChpMessage> updates) {
-    loop.execute(() -> send(updates));
+    loop.execute(() -> sendBatched(updates));
   }
 
   /** Sends a heartbeat to each of its subscribers that was sent nothing else since the last one. */
   void sendHeartbeats() {
     List<byte[]> heartbeat = new ChpMessage.Hugz().frames();
-    for (ZmtpConnection connection : subscriptions.subscribersOfPrefix(ChpMessage.HUGZ)) {
-      if (!writtenSinceHeartbeat.contains(connection)) {
+    for (ZmtpConnection connection : subscriptions.subscribersOfExactPrefix(ChpMessage.HUGZ)) {
+      if (!writtenSinceLastHeartbeat.contains(connection)) {
         connection.writeMessageAndFlush(heartbeat);
       }
     }
-    writtenSinceHeartbeat.clear();
+    writtenSinceLastHeartbeat.clear();
   }
 
   /** Sends all updates for one connection by one write, as a write costs more than an update. */
-  private void send(List<? extends ChpMessage> updates) {
+  private void sendBatched(List<? extends ChpMessage> updates) {
     Map<ZmtpConnection, ByteBuf> buffers = new LinkedHashMap<>();
     for (ChpMessage update : updates) {
       List<byte[]> frames = update.frames();
-      String key = SubscriptionIndex.text(frames.get(0));
-      for (ZmtpConnection connection : subscriptions.subscribers(key)) {
+      String key = SubscriptionIndex.toByteString(frames.get(0));
+      for (ZmtpConnection connection : subscriptions.subscribersOfKey(key)) {
         ByteBuf buffer =
             buffers.computeIfAbsent(connection, unused -> PooledByteBufAllocator.DEFAULT.buffer());
         ZmtpEncoder.appendMessage(buffer, frames);
@@ -76,7 +76,7 @@
         (connection, buffer) -> {
           connection.writeEncoded(buffer);
           connection.flush();
-          writtenSinceHeartbeat.add(connection);
+          writtenSinceLastHeartbeat.add(connection);
         });
   }
 }
--- a/src/main/java/stonespring/http/Connector.java
+++ b/src/main/java/stonespring/http/Connector.java
@@ -29,7 +29,7 @@
   }
 
   private final EventLoop loop;
-  private final ChannelFactory<? extends SocketChannel> sockets;
+  private final ChannelFactory<? extends SocketChannel> socketFactory;
 
   /** Creates a connector for TCP sockets. */
   public Connector(EventLoop loop) {
@@ -39,11 +39,11 @@
   /**
    * Creates a connector.
    *
-   * @param sockets makes the socket of each connection, or throws if there is none to be had
+   * @param socketFactory makes the socket of each connection, or throws if there is none to be had
    */
-  public Connector(EventLoop loop, ChannelFactory<? extends SocketChannel> sockets) {
+  public Connector(EventLoop loop, ChannelFactory<? extends SocketChannel> socketFactory) {
     this.loop = loop;
-    this.sockets = sockets;
+    this.socketFactory = socketFactory;
   }
 
   /** The event loop of all connections. */
@@ -58,10 +58,10 @@
    */
   Channel connect(
       InetSocketAddress address, int timeoutMillis, Listener listener, ChannelHandler... handlers) {
-    ChannelFuture connect =
+    ChannelFuture connectFuture =
         new Bootstrap()
             .group(loop)
-            .channelFactory(sockets)
+            .channelFactory(socketFactory)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(
@@ -72,14 +72,14 @@
                   }
                 })
             .connect(address);
-    connect.addListener(future -> loop.execute(() -> report(connect, listener)));
-    return connect.channel();
+    connectFuture.addListener(future -> loop.execute(() -> reportOutcome(connectFuture, listener)));
+    return connectFuture.channel();
   }
 
-  private static void report(ChannelFuture connect, Listener listener) {
-    if (!connect.isSuccess()) {
-      listener.connectFailed(connect.cause());
-    } else if (!connect.channel().isActive()) {
+  private static void reportOutcome(ChannelFuture connectFuture, Listener listener) {
+    if (!connectFuture.isSuccess()) {
+      listener.connectFailed(connectFuture.cause());
+    } else if (!connectFuture.channel().isActive()) {
       // It was closed before it could be used, and its handlers had nobody to notify.
       listener.connectFailed(new ClosedChannelException());
     } else {
--- a/src/main/java/stonespring/http/HttpClient.java
+++ b/src/main/java/stonespring/http/HttpClient.java
@@ -60,7 +60,8 @@
       long timeoutMillis,
       Consumer<HttpCallResult> listener) {
     Call call = new Call(address, request, listener);
-    call.timeout = connector.loop().schedule(call::timeOut, timeoutMillis, TimeUnit.MILLISECONDS);
+    call.timeoutTask =
+        connector.loop().schedule(call::timeOut, timeoutMillis, TimeUnit.MILLISECONDS);
     Channel idle = takeIdle(address);
     if (idle != null) {
       call.sendOn(idle);
@@ -113,7 +114,7 @@
     private final InetSocketAddress address;
     private final HttpRequest request;
     private final Consumer<HttpCallResult> listener;
-    private Future<?> timeout;
+    private Future<?> timeoutTask;
     private Channel channel;
     private boolean ended;
 
@@ -148,7 +149,7 @@
 
     void sendOn(Channel connection) {
       channel = connection;
-      connection.pipeline().get(ResponseHandler.class).call = this;
+      connection.pipeline().get(ResponseHandler.class).currentCall = this;
       connection.writeAndFlush(HttpEncoder.encode(request));
     }
 
@@ -158,7 +159,7 @@
 
     void fail(HttpCallFailure failure) {
       if (!ended) {
-        detach();
+        finish();
         // The response may still arrive, so the connection can't be used again.
         Connector.close(channel);
         listener.accept(new HttpCallResult.Failed(failure));
@@ -167,7 +168,7 @@
 
     void complete(HttpResponse response) {
       if (!ended) {
-        detach();
+        finish();
         if (response.header("connection").equalsIgnoreCase("close")) {
           Connector.close(channel);
         } else {
@@ -177,12 +178,12 @@
       }
     }
 
-    private void detach() {
+    private void finish() {
       ended = true;
-      timeout.cancel(false);
+      timeoutTask.cancel(false);
       ResponseHandler handler = channel.pipeline().get(ResponseHandler.class);
       if (handler != null) {
-        handler.call = null;
+        handler.currentCall = null;
       }
     }
   }
@@ -190,28 +191,28 @@
   /** Passes what arrives on a connection to its call. */
   private static final class ResponseHandler extends SimpleChannelInboundHandler<HttpResponse> {
     /** The call under way; null while the connection is idle. */
-    private Call call;
+    private Call currentCall;
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpResponse response) {
-      if (call == null) {
+      if (currentCall == null) {
         ctx.close(); // a response to no request
       } else if (!response.isInformational()) {
-        call.complete(response);
+        currentCall.complete(response);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (call != null) {
-        call.fail(HttpCallFailure.CONNECTION_LOST);
+      if (currentCall != null) {
+        currentCall.fail(HttpCallFailure.CONNECTION_LOST);
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       // Closing the connection may end the call as lost.
-      Call failed = call;
+      Call failed = currentCall;
       ctx.close();
       if (failed != null) {
         failed.fail(
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -30,20 +30,20 @@
     TRAILERS
   }
 
-  private final boolean requests;
-  private final boolean streamed;
+  private final boolean decodesRequests;
+  private final boolean streaming;
   private final int maxBodyBytes;
   private State state = State.START_LINE;
   private StartLine startLine;
-  private HeaderParser headers = new HeaderParser();
+  private HeaderParser headerParser = new HeaderParser();
   private ByteArrayOutputStream body;
 
   /** Bytes of the body or the chunk that are yet to come. */
   private int remainingBytes;
 
-  private HttpDecoder(boolean requests, boolean streamed, int maxBodyBytes) {
-    this.requests = requests;
-    this.streamed = streamed;
+  private HttpDecoder(boolean decodesRequests, boolean streaming, int maxBodyBytes) {
+    this.decodesRequests = decodesRequests;
+    this.streaming = streaming;
     this.maxBodyBytes = maxBodyBytes;
   }
 
@@ -99,13 +99,13 @@
     }
     String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.ISO_8859_1);
     in.skipBytes(length + 1);
-    if (holdsControlCharacter(line)) {
+    if (containsControlCharacter(line)) {
       throw new MalformedHttpException(place(), "a line holds a control character");
     }
     return line;
   }
 
-  private static boolean holdsControlCharacter(String line) {
+  private static boolean containsControlCharacter(String line) {
     for (int i = 0; i < line.length(); i++) {
       char character = line.charAt(i);
       if (character < ' ' && character != '\t' || character == DELETE_CHARACTER) {
@@ -119,17 +119,17 @@
   private String place() {
     return switch (state) {
       case START_LINE -> StartLine.PLACE;
-      case HEADERS -> headers.nextPlace();
+      case HEADERS -> headerParser.nextPlace();
       default -> BODY_PLACE;
     };
   }
 
   private void acceptStartLine(String line) {
-    if (line.isEmpty() && requests) {
+    if (line.isEmpty() && decodesRequests) {
       return; // RFC 9112, 2.2: empty lines before a request are ignored
     }
-    startLine = requests ? StartLine.Request.parse(line) : StartLine.Response.parse(line);
-    headers = new HeaderParser();
+    startLine = decodesRequests ? StartLine.Request.parse(line) : StartLine.Response.parse(line);
+    headerParser = new HeaderParser();
     body = new ByteArrayOutputStream();
     state = State.HEADERS;
   }
@@ -138,12 +138,12 @@
     if (line.isEmpty()) {
       startBody(out);
     } else {
-      headers.addHeader(line);
+      headerParser.addHeader(line);
     }
   }
 
   private void startBody(List<Object> out) {
-    Map<String, String> values = headers.headers();
+    Map<String, String> values = headerParser.headers();
     String length = values.get(LENGTH_HEADER);
     String encoding = values.get(ENCODING_HEADER);
     if (encoding == null) {
@@ -155,8 +155,8 @@
           headerPlace(ENCODING_HEADER), "it is not 'chunked', or a length stands beside it");
     }
     state = State.CHUNK_SIZE;
-    if (streamed) {
-      out.add(message());
+    if (streaming) {
+      out.add(toMessage());
     }
   }
 
@@ -169,7 +169,7 @@
           headerPlace(LENGTH_HEADER), "it is missing, and no chunks are announced");
     }
     boolean empty = length == null || startLine.excludesBody();
-    remainingBytes = empty ? 0 : checkSize(Integer.parseInt(length));
+    remainingBytes = empty ? 0 : checkBodySize(Integer.parseInt(length));
     state = State.BODY;
     if (remainingBytes == 0) {
       completeMessage(out);
@@ -180,7 +180,7 @@
     return "header '" + name + "'";
   }
 
-  private int checkSize(int bytes) {
+  private int checkBodySize(int bytes) {
     if (bytes > maxBodyBytes - body.size()) {
       throw new MalformedHttpException(BODY_PLACE, "over " + maxBodyBytes + " bytes");
     }
@@ -193,7 +193,7 @@
     if (!size.matches("[0-9A-Fa-f]{1,7}")) {
       throw new MalformedHttpException(BODY_PLACE, "a chunk's size is no number");
     }
-    remainingBytes = checkSize(Integer.parseInt(size, 16));
+    remainingBytes = checkBodySize(Integer.parseInt(size, 16));
     state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
   }
 
@@ -206,8 +206,8 @@
 
   private void acceptTrailer(String line, List<Object> out) {
     if (!line.isEmpty()) {
-      headers.skipTrailer(line);
-    } else if (streamed) {
+      headerParser.checkTrailer(line);
+    } else if (streaming) {
       out.add(new StreamPart.End());
       state = State.START_LINE;
     } else {
@@ -219,7 +219,7 @@
     byte[] bytes = new byte[Math.min(remainingBytes, in.readableBytes())];
     in.readBytes(bytes);
     remainingBytes -= bytes.length;
-    if (!streamed || state == State.BODY) {
+    if (!streaming || state == State.BODY) {
       body.write(bytes, 0, bytes.length);
     } else if (bytes.length > 0) {
       out.add(new StreamPart.Bytes(bytes));
@@ -235,11 +235,11 @@
   }
 
   private void completeMessage(List<Object> out) {
-    out.add(message());
+    out.add(toMessage());
     state = State.START_LINE;
   }
 
-  private HttpMessage message() {
-    return startLine.message(headers.headers(), body.toByteArray());
+  private HttpMessage toMessage() {
+    return startLine.toMessage(headerParser.headers(), body.toByteArray());
   }
 }
--- a/src/main/java/stonespring/http/HttpServer.java
+++ b/src/main/java/stonespring/http/HttpServer.java
@@ -60,7 +60,7 @@
    */
   public HttpServer start(EventLoopGroup loops, String host, int port)
       throws IOException, InterruptedException {
-    ChannelFuture bind =
+    ChannelFuture bindFuture =
         new ServerBootstrap()
             .group(loops)
             .channel(NioServerSocketChannel.class)
@@ -76,11 +76,11 @@
                 })
             .bind(new InetSocketAddress(host, port))
             .await();
-    if (!bind.isSuccess()) {
+    if (!bindFuture.isSuccess()) {
       throw new IOException(
-          "can't listen at " + host + ":" + port + ": " + bind.cause().getMessage());
+          "can't listen at " + host + ":" + port + ": " + bindFuture.cause().getMessage());
     }
-    listener = bind.channel();
+    listener = bindFuture.channel();
     return this;
   }
 
--- a/src/main/java/stonespring/http/HttpServerConnection.java
+++ b/src/main/java/stonespring/http/HttpServerConnection.java
@@ -20,8 +20,8 @@
   private static final int MAX_WAITING_REQUESTS = 16;
 
   private final HttpServer.Handler handler;
-  private final ArrayDeque<HttpRequest> waiting = new ArrayDeque<>();
-  private boolean handling;
+  private final ArrayDeque<HttpRequest> waitingRequests = new ArrayDeque<>();
+  private boolean requestInProgress;
 
   HttpServerConnection(HttpServer.Handler handler) {
     this.handler = handler;
@@ -29,22 +29,22 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpRequest request) {
-    waiting.add(request);
-    limitReading(ctx);
+    waitingRequests.add(request);
+    updateAutoRead(ctx);
     handleNext(ctx);
   }
 
-  private void limitReading(ChannelHandlerContext ctx) {
-    ctx.channel().config().setAutoRead(waiting.size() < MAX_WAITING_REQUESTS);
+  private void updateAutoRead(ChannelHandlerContext ctx) {
+    ctx.channel().config().setAutoRead(waitingRequests.size() < MAX_WAITING_REQUESTS);
   }
 
   private void handleNext(ChannelHandlerContext ctx) {
-    HttpRequest request = handling ? null : waiting.poll();
+    HttpRequest request = requestInProgress ? null : waitingRequests.poll();
     if (request == null) {
       return;
     }
-    handling = true;
-    limitReading(ctx);
+    requestInProgress = true;
+    updateAutoRead(ctx);
     handler.handle(request, new ConnectionExchange(ctx));
   }
 
@@ -66,7 +66,7 @@
 
     private void write(HttpResponse response) {
       ctx.writeAndFlush(HttpEncoder.encode(response));
-      handling = false;
+      requestInProgress = false;
       handleNext(ctx);
     }
 
@@ -78,25 +78,27 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    waiting.clear();
+    waitingRequests.clear();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    Throwable root = FailStopDecoder.unwrap(cause);
-    if (root instanceof MalformedHttpException) {
+    Throwable rootCause = FailStopDecoder.unwrap(cause);
+    if (rootCause instanceof MalformedHttpException) {
       LOG.warn(
-          "http peer {}: connection closed: {}", ctx.channel().remoteAddress(), root.getMessage());
+          "http peer {}: connection closed: {}",
+          ctx.channel().remoteAddress(),
+          rootCause.getMessage());
       HttpResponse response =
-          HttpResponse.of(400, root.getMessage() + "\n").setHeader("connection", "close");
+          HttpResponse.of(400, rootCause.getMessage() + "\n").setHeader("connection", "close");
       ctx.writeAndFlush(HttpEncoder.encode(response)).addListener(future -> ctx.close());
       return;
     }
-    if (!(root instanceof IOException)) {
+    if (!(rootCause instanceof IOException)) {
       LOG.error(
           "http peer {}: connection closed: its handler failed",
           ctx.channel().remoteAddress(),
-          root);
+          rootCause);
     }
     ctx.close();
   }
--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -39,8 +39,8 @@
   private final Limits limits;
   private final Listener listener;
   private final Channel channel;
-  private Future<?> timeout;
-  private boolean over;
+  private Future<?> timeoutTask;
+  private boolean ended;
 
   /** Connects and sends the request. */
   public HttpWatch(
@@ -53,8 +53,8 @@
     this.request = request;
     this.limits = limits;
     this.listener = listener;
-    timeout =
-        endAfter(
+    timeoutTask =
+        scheduleEnd(
             limits.responseTimeoutMillis(),
             "no response within " + limits.responseTimeoutMillis() + " ms");
     channel =
@@ -66,19 +66,19 @@
             new ResponseHandler());
   }
 
-  private Future<?> endAfter(long millis, String cause) {
+  private Future<?> scheduleEnd(long millis, String cause) {
     return loop.schedule(() -> end(cause), millis, TimeUnit.MILLISECONDS);
   }
 
   /** Ends the watch; the listener is not called any more. */
   public void cancel() {
-    over = true;
-    timeout.cancel(false);
+    ended = true;
+    timeoutTask.cancel(false);
     Connector.close(channel);
   }
 
   private void end(String cause) {
-    if (!over) {
+    if (!ended) {
       cancel();
       listener.watchEnded(cause);
     }
@@ -87,7 +87,7 @@
   private final class ConnectListener implements Connector.Listener {
     @Override
     public void connected() {
-      if (!over) {
+      if (!ended) {
         channel.writeAndFlush(HttpEncoder.encode(request));
       }
     }
@@ -101,12 +101,12 @@
   private final class ResponseHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object part) {
-      if (over) {
+      if (ended) {
         return;
       }
-      timeout.cancel(false);
-      timeout =
-          endAfter(
+      timeoutTask.cancel(false);
+      timeoutTask =
+          scheduleEnd(
               limits.silenceTimeoutMillis(),
               "it was silent for " + limits.silenceTimeoutMillis() + " ms");
       if (part instanceof HttpResponse response) {
--- a/src/main/java/stonespring/http/StartLine.java
+++ b/src/main/java/stonespring/http/StartLine.java
@@ -14,14 +14,14 @@
   boolean requiresLength();
 
   /** The message of this first line. */
-  HttpMessage message(Map<String, String> headers, byte[] body);
+  HttpMessage toMessage(Map<String, String> headers, byte[] body);
 
   /** The first line of a request. */
   record Request(String method, String target) implements StartLine {
     static Request parse(String line) {
       String[] parts = line.split(" ", 3);
       if (parts.length != 3
-          || !isVersion(parts[2])
+          || !isSupportedVersion(parts[2])
           || !parts[0].matches("[A-Z]{1,20}")
           || !parts[1].startsWith("/")) {
         throw new MalformedHttpException(PLACE, "it is no request of HTTP/1.1");
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public HttpRequest message(Map<String, String> headers, byte[] body) {
+    public HttpRequest toMessage(Map<String, String> headers, byte[] body) {
       return new HttpRequest(method, target, headers, body);
     }
   }
@@ -49,7 +49,9 @@
   record Response(int status, String reason) implements StartLine {
     static Response parse(String line) {
       String[] parts = line.split(" ", 3);
-      if (parts.length < 2 || !isVersion(parts[0]) || !parts[1].matches("[1-5][0-9][0-9]")) {
+      if (parts.length < 2
+          || !isSupportedVersion(parts[0])
+          || !parts[1].matches("[1-5][0-9][0-9]")) {
         throw new MalformedHttpException(PLACE, "it is no answer of HTTP/1.1");
       }
       return new Response(Integer.parseInt(parts[1]), parts.length == 3 ? parts[2] : "");
@@ -66,12 +68,12 @@
     }
 
     @Override
-    public HttpResponse message(Map<String, String> headers, byte[] body) {
+    public HttpResponse toMessage(Map<String, String> headers, byte[] body) {
       return new HttpResponse(status, reason, headers, body);
     }
   }
 
-  private static boolean isVersion(String word) {
+  private static boolean isSupportedVersion(String word) {
     return word.matches("HTTP/1\\.[01]");
   }
 }
--- a/src/main/java/stonespring/zmtp/FrameDecoder.java
+++ b/src/main/java/stonespring/zmtp/FrameDecoder.java
@@ -14,9 +14,9 @@
   private final ZmtpLimits limits;
 
   /** The frames of an incomplete message. */
-  private List<byte[]> frames = new ArrayList<>();
+  private List<byte[]> pendingFrames = new ArrayList<>();
 
-  private long messageBytes;
+  private long pendingMessageBytes;
 
   FrameDecoder(ZmtpLimits limits) {
     this.limits = limits;
@@ -44,11 +44,11 @@
     byte[] body = new byte[(int) size];
     in.readBytes(body);
     if (FrameFlags.has(flags, FrameFlags.COMMAND)) {
-      out.add(command(body));
+      out.add(decodeCommand(body));
     } else {
       addFrame(body);
       if (!FrameFlags.has(flags, FrameFlags.MORE)) {
-        out.add(completeMessage());
+        out.add(takeCompleteMessage());
       }
     }
   }
@@ -58,7 +58,7 @@
       throw new ZmtpProtocolException(
           PLACE, "flags 0x" + Integer.toHexString(flags) + " are not allowed");
     }
-    if (FrameFlags.has(flags, FrameFlags.COMMAND) && !frames.isEmpty()) {
+    if (FrameFlags.has(flags, FrameFlags.COMMAND) && !pendingFrames.isEmpty()) {
       throw new ZmtpProtocolException(PLACE, "a command stands inside a message");
     }
   }
@@ -76,9 +76,10 @@
   }
 
   private void addFrame(byte[] body) {
-    frames.add(body);
-    messageBytes += body.length;
-    if (frames.size() > limits.maxFrames() || messageBytes > limits.maxMessageBytes()) {
+    pendingFrames.add(body);
+    pendingMessageBytes += body.length;
+    if (pendingFrames.size() > limits.maxFrames()
+        || pendingMessageBytes > limits.maxMessageBytes()) {
       throw new ZmtpProtocolException(
           "message",
           "over the limit of "
@@ -89,14 +90,14 @@
     }
   }
 
-  private ZmtpPart.Message completeMessage() {
-    ZmtpPart.Message message = new ZmtpPart.Message(frames);
-    frames = new ArrayList<>();
-    messageBytes = 0;
+  private ZmtpPart.Message takeCompleteMessage() {
+    ZmtpPart.Message message = new ZmtpPart.Message(pendingFrames);
+    pendingFrames = new ArrayList<>();
+    pendingMessageBytes = 0;
     return message;
   }
 
-  private static ZmtpPart.Command command(byte[] body) {
+  private static ZmtpPart.Command decodeCommand(byte[] body) {
     int nameLength = body.length == 0 ? 0 : Byte.toUnsignedInt(body[0]);
     int dataIndex = 1 + nameLength;
     if (nameLength == 0 || dataIndex > body.length) {
--- a/src/main/java/stonespring/zmtp/GreetingDecoder.java
+++ b/src/main/java/stonespring/zmtp/GreetingDecoder.java
@@ -12,11 +12,11 @@
   static final int GREETING_BYTES = 64;
 
   private static final String PLACE = "greeting";
-  private static final int SIGNATURE_END = 9;
-  private static final int MAJOR_VERSION = 10;
-  private static final int MINOR_VERSION = 11;
-  private static final int MECHANISM = 12;
-  private static final int AS_SERVER = 32;
+  private static final int SIGNATURE_END_INDEX = 9;
+  private static final int MAJOR_VERSION_INDEX = 10;
+  private static final int MINOR_VERSION_INDEX = 11;
+  private static final int MECHANISM_INDEX = 12;
+  private static final int AS_SERVER_INDEX = 32;
   private static final int MIN_MAJOR_VERSION = 3;
 
   private int checkedBytes;
@@ -26,7 +26,7 @@
     int start = in.readerIndex();
     int available = Math.min(GREETING_BYTES, in.readableBytes());
     while (checkedBytes < available) {
-      check(checkedBytes, in.getUnsignedByte(start + checkedBytes));
+      checkByte(checkedBytes, in.getUnsignedByte(start + checkedBytes));
       checkedBytes++;
     }
     if (checkedBytes < GREETING_BYTES) {
@@ -34,25 +34,26 @@
     }
     ZmtpPart.Greeting greeting =
         new ZmtpPart.Greeting(
-            in.getUnsignedByte(start + MINOR_VERSION),
-            mechanism(in, start),
-            in.getByte(start + AS_SERVER) == 1);
+            in.getUnsignedByte(start + MINOR_VERSION_INDEX),
+            decodeMechanism(in, start),
+            in.getByte(start + AS_SERVER_INDEX) == 1);
     in.skipBytes(GREETING_BYTES);
     return Optional.of(greeting);
   }
 
-  private static void check(int index, int value) {
+  private static void checkByte(int index, int value) {
     boolean valid =
         switch (index) {
           case 0 -> value == 0xFF;
-          case SIGNATURE_END -> value == 0x7F;
-          case MAJOR_VERSION -> value >= MIN_MAJOR_VERSION;
-          case AS_SERVER -> value <= 1;
-          default -> index < MECHANISM || index > AS_SERVER || isMechanismCharacter(value);
+          case SIGNATURE_END_INDEX -> value == 0x7F;
+          case MAJOR_VERSION_INDEX -> value >= MIN_MAJOR_VERSION;
+          case AS_SERVER_INDEX -> value <= 1;
+          default ->
+              index < MECHANISM_INDEX || index > AS_SERVER_INDEX || isMechanismCharacter(value);
         };
     if (!valid) {
       String problem = "byte " + index + " is 0x" + Integer.toHexString(value);
-      if (index == MAJOR_VERSION) {
+      if (index == MAJOR_VERSION_INDEX) {
         problem += ": versions before 3.0 are not spoken";
       }
       throw new ZmtpProtocolException(PLACE, problem);
@@ -66,9 +67,9 @@
         || "-_.+".indexOf(value) >= 0;
   }
 
-  private static String mechanism(ByteBuf in, int start) {
+  private static String decodeMechanism(ByteBuf in, int start) {
     StringBuilder mechanism = new StringBuilder();
-    for (int i = MECHANISM; i < AS_SERVER; i++) {
+    for (int i = MECHANISM_INDEX; i < AS_SERVER_INDEX; i++) {
       char character = (char) in.getUnsignedByte(start + i);
       if (character != 0) {
         mechanism.append(character);
--- a/src/main/java/stonespring/zmtp/ReadyCommand.java
+++ b/src/main/java/stonespring/zmtp/ReadyCommand.java
@@ -13,17 +13,17 @@
   /** The command's name. */
   static final String NAME = "READY";
 
-  private static final String SOCKET_TYPE = "Socket-Type";
-  private static final String IDENTITY = "Identity";
+  private static final String SOCKET_TYPE_PROPERTY = "Socket-Type";
+  private static final String IDENTITY_PROPERTY = "Identity";
   private static final int VALUE_LENGTH_BYTES = 4;
 
   private ReadyCommand() {}
 
   static ByteBuf encode(SocketType type) {
     ByteBuf data = Unpooled.buffer();
-    appendProperty(data, SOCKET_TYPE, type.name());
+    appendProperty(data, SOCKET_TYPE_PROPERTY, type.name());
     if (type == SocketType.DEALER) {
-      appendProperty(data, IDENTITY, "");
+      appendProperty(data, IDENTITY_PROPERTY, "");
     }
     return ZmtpEncoder.encodeCommand(NAME, ByteBufUtil.getBytes(data));
   }
@@ -40,7 +40,7 @@
     while (in.isReadable()) {
       String name = readName(in);
       String value = readValue(in, name);
-      if (name.equalsIgnoreCase(SOCKET_TYPE)) {
+      if (name.equalsIgnoreCase(SOCKET_TYPE_PROPERTY)) {
         socketType = Optional.of(value);
       }
     }
--- a/src/main/java/stonespring/zmtp/SocketType.java
+++ b/src/main/java/stonespring/zmtp/SocketType.java
@@ -31,7 +31,7 @@
   }
 
   /** The type of that name; empty if it is not supported. */
-  static Optional<SocketType> ofName(String name) {
+  static Optional<SocketType> fromWireName(String name) {
     for (SocketType type : values()) {
       if (type.name().equals(name)) {
         return Optional.of(type);
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -23,9 +23,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpConnection.class);
 
   /** The first byte of a subscription in the form of version 3.0, a message. */
-  private static final int SUBSCRIBE = 1;
+  private static final int SUBSCRIBE_BYTE = 1;
 
-  private static final int CANCEL = 0;
+  private static final int CANCEL_BYTE = 0;
   private static final int PING_TTL_BYTES = 2;
   private static final int MAX_PING_CONTEXT_BYTES = 16;
   private static final int MAX_PRINTED_CHARS = 80;
@@ -37,10 +37,10 @@
   private Channel channel;
   private String peerAddress = "?";
   private int peerMinorVersion;
-  private boolean greeted;
-  private boolean ready;
-  private boolean closedReported;
-  private int subscriptions;
+  private boolean greetingReceived;
+  private boolean handshakeComplete;
+  private boolean closeReported;
+  private int subscriptionCount;
 
   ZmtpConnection(SocketType type, boolean asServer, ZmtpLimits limits, ZmtpListener listener) {
     this.type = type;
@@ -96,7 +96,7 @@
       channel.writeAndFlush(ZmtpEncoder.encodeCommand("SUBSCRIBE", prefix));
     } else {
       byte[] frame = new byte[prefix.length + 1];
-      frame[0] = SUBSCRIBE;
+      frame[0] = SUBSCRIBE_BYTE;
       System.arraycopy(prefix, 0, frame, 1, prefix.length);
       writeMessageAndFlush(List.of(frame));
     }
@@ -116,11 +116,14 @@
     peerAddress = String.valueOf(channel.remoteAddress());
     ctx.writeAndFlush(ZmtpEncoder.encodeGreeting(asServer));
     ctx.executor()
-        .schedule(this::closeUnlessReady, limits.handshakeTimeoutMillis(), TimeUnit.MILLISECONDS);
+        .schedule(
+            this::closeIfHandshakeIncomplete,
+            limits.handshakeTimeoutMillis(),
+            TimeUnit.MILLISECONDS);
   }
 
-  private void closeUnlessReady() {
-    if (!ready && channel.isOpen()) {
+  private void closeIfHandshakeIncomplete() {
+    if (!handshakeComplete && channel.isOpen()) {
       close("no handshake within " + limits.handshakeTimeoutMillis() + " ms");
     }
   }
@@ -129,7 +132,7 @@
   protected void channelRead0(ChannelHandlerContext ctx, ZmtpPart part) {
     if (part instanceof ZmtpPart.Greeting greeting) {
       acceptGreeting(ctx, greeting);
-    } else if (!greeted) {
+    } else if (!greetingReceived) {
       throw new ZmtpProtocolException("greeting", "it is missing");
     } else if (part instanceof ZmtpPart.Command command) {
       acceptCommand(ctx, command);
@@ -143,14 +146,14 @@
       throw new ZmtpProtocolException(
           "greeting", "mechanism '" + greeting.mechanism() + "' is not spoken, NULL is");
     }
-    greeted = true;
+    greetingReceived = true;
     peerMinorVersion = greeting.minorVersion();
     ctx.writeAndFlush(ReadyCommand.encode(type));
   }
 
   private void acceptCommand(ChannelHandlerContext ctx, ZmtpPart.Command command) {
     String commandName = command.name();
-    if (!ready
+    if (!handshakeComplete
         && !commandName.equals(ReadyCommand.NAME)
         && !commandName.equals(ErrorCommand.NAME)) {
       throw new ZmtpProtocolException("command " + commandName, "it comes before READY");
@@ -160,7 +163,7 @@
       case ReadyCommand.NAME -> acceptReady(data);
       case ErrorCommand.NAME ->
           throw new ZmtpProtocolException(
-              "it says ERROR", printable(ErrorCommand.decodeReason(data)));
+              "it says ERROR", sanitizeForLog(ErrorCommand.decodeReason(data)));
       case "SUBSCRIBE" -> acceptSubscription(data, true);
       case "CANCEL" -> acceptSubscription(data, false);
       case "PING" -> acceptPing(ctx, data);
@@ -169,28 +172,28 @@
       }
       default ->
           throw new ZmtpProtocolException(
-              "command '" + printable(commandName) + "'", "it is not known");
+              "command '" + sanitizeForLog(commandName) + "'", "it is not known");
     }
   }
 
   private void acceptReady(byte[] data) {
-    if (ready) {
+    if (handshakeComplete) {
       throw new ZmtpProtocolException(ReadyCommand.NAME, "it comes twice");
     }
     Optional<String> peerType = ReadyCommand.decodeSocketType(data);
     boolean compatible =
-        peerType.flatMap(SocketType::ofName).filter(type::isCompatibleWith).isPresent();
+        peerType.flatMap(SocketType::fromWireName).filter(type::isCompatibleWith).isPresent();
     if (!compatible) {
       String problem =
           "socket type "
               + peerType
-                  .map(word -> printable(word) + " can't talk to " + type)
+                  .map(peerTypeName -> sanitizeForLog(peerTypeName) + " can't talk to " + type)
                   .orElse("is missing");
       ZmtpProtocolException incompatible = new ZmtpProtocolException(ReadyCommand.NAME, problem);
       channel.writeAndFlush(ErrorCommand.encode(incompatible.getMessage()));
       throw incompatible;
     }
-    ready = true;
+    handshakeComplete = true;
     listener.connectionOpened(this);
   }
 
@@ -203,26 +206,29 @@
   }
 
   private void acceptMessage(List<byte[]> frames) {
-    if (!ready) {
+    if (!handshakeComplete) {
       throw new ZmtpProtocolException("message", "it comes before READY");
     }
     if (!type.publishes()) {
       listener.messageReceived(this, frames);
       return;
     }
-    byte[] first = frames.get(0);
-    if (frames.size() > 1 || first.length == 0 || first[0] != SUBSCRIBE && first[0] != CANCEL) {
+    byte[] firstFrame = frames.get(0);
+    if (frames.size() > 1
+        || firstFrame.length == 0
+        || firstFrame[0] != SUBSCRIBE_BYTE && firstFrame[0] != CANCEL_BYTE) {
       throw new ZmtpProtocolException("message", "a subscriber may send subscriptions alone");
     }
-    acceptSubscription(Arrays.copyOfRange(first, 1, first.length), first[0] == SUBSCRIBE);
+    acceptSubscription(
+        Arrays.copyOfRange(firstFrame, 1, firstFrame.length), firstFrame[0] == SUBSCRIBE_BYTE);
   }
 
   private void acceptSubscription(byte[] prefix, boolean subscribed) {
     if (!type.publishes()) {
       throw new ZmtpProtocolException("subscription", "this socket does not publish");
     }
-    subscriptions += subscribed ? 1 : -1;
-    if (subscriptions > limits.maxSubscriptions()) {
+    subscriptionCount += subscribed ? 1 : -1;
+    if (subscriptionCount > limits.maxSubscriptions()) {
       throw new ZmtpProtocolException(
           "subscription", "over the limit of " + limits.maxSubscriptions());
     }
@@ -230,26 +236,27 @@
   }
 
   /** A peer's text as a log line may hold it. */
-  private static String printable(String text) {
+  private static String sanitizeForLog(String text) {
     String shortened = text.substring(0, Math.min(MAX_PRINTED_CHARS, text.length()));
     return shortened.replaceAll("[^\\x20-\\x7e]", "?");
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (!closedReported) {
-      closedReported = true;
+    if (!closeReported) {
+      closeReported = true;
       listener.connectionClosed(this);
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    Throwable root = FailStopDecoder.unwrap(cause);
-    if (root instanceof ZmtpProtocolException || root instanceof IOException) {
-      close(String.valueOf(root.getMessage()));
+    Throwable rootCause = FailStopDecoder.unwrap(cause);
+    if (rootCause instanceof ZmtpProtocolException || rootCause instanceof IOException) {
+      close(String.valueOf(rootCause.getMessage()));
     } else {
-      LOG.error("zmtp {} peer {}: connection ended: its handler failed", type, peerAddress, root);
+      LOG.error(
+          "zmtp {} peer {}: connection ended: its handler failed", type, peerAddress, rootCause);
       ctx.close();
     }
   }
--- a/src/main/java/stonespring/zmtp/ZmtpDecoder.java
+++ b/src/main/java/stonespring/zmtp/ZmtpDecoder.java
@@ -9,7 +9,7 @@
 final class ZmtpDecoder extends FailStopDecoder {
   private final GreetingDecoder greetingDecoder = new GreetingDecoder();
   private final FrameDecoder frameDecoder;
-  private boolean greeted;
+  private boolean greetingDecoded;
 
   ZmtpDecoder(ZmtpLimits limits) {
     this.frameDecoder = new FrameDecoder(limits);
@@ -18,13 +18,13 @@
 
   @Override
   protected void decode(ByteBuf in, List<Object> out) {
-    if (greeted) {
+    if (greetingDecoded) {
       frameDecoder.decode(in, out);
       return;
     }
     Optional<ZmtpPart.Greeting> greeting = greetingDecoder.decode(in);
     if (greeting.isPresent()) {
-      greeted = true;
+      greetingDecoded = true;
       out.add(greeting.get());
     }
   }
--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -40,7 +40,7 @@
         .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(new AcceptedInitializer(type, limits, listener))
+        .childHandler(new AcceptedConnectionInitializer(type, limits, listener))
         .bind(address);
   }
 
@@ -60,13 +60,13 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel channel) {
-                init(channel, new ZmtpConnection(type, false, limits, listener), limits);
+                initPipeline(channel, new ZmtpConnection(type, false, limits, listener), limits);
               }
             })
         .connect(address);
   }
 
-  private static void init(Channel channel, ZmtpConnection connection, ZmtpLimits limits) {
+  private static void initPipeline(Channel channel, ZmtpConnection connection, ZmtpLimits limits) {
     int maxPendingBytes = limits.maxPendingBytes();
     channel
         .config()
@@ -75,13 +75,14 @@
   }
 
   /** Counts the connections of one listener, and closes those over its limit. */
-  private static final class AcceptedInitializer extends ChannelInitializer<SocketChannel> {
+  private static final class AcceptedConnectionInitializer
+      extends ChannelInitializer<SocketChannel> {
     private final SocketType type;
     private final ZmtpLimits limits;
     private final ZmtpListener listener;
-    private final AtomicInteger connections = new AtomicInteger();
+    private final AtomicInteger openConnections = new AtomicInteger();
 
-    AcceptedInitializer(SocketType type, ZmtpLimits limits, ZmtpListener listener) {
+    AcceptedConnectionInitializer(SocketType type, ZmtpLimits limits, ZmtpListener listener) {
       this.type = type;
       this.limits = limits;
       this.listener = listener;
@@ -89,18 +90,18 @@
 
     @Override
     protected void initChannel(SocketChannel accepted) {
-      if (connections.incrementAndGet() > limits.maxConnections()) {
+      if (openConnections.incrementAndGet() > limits.maxConnections()) {
         LOG.warn(
             "zmtp {} peer {}: refused: over {} connections",
             type,
             accepted.remoteAddress(),
             limits.maxConnections());
-        connections.decrementAndGet();
+        openConnections.decrementAndGet();
         accepted.close();
         return;
       }
-      accepted.closeFuture().addListener(future -> connections.decrementAndGet());
-      init(accepted, new ZmtpConnection(type, true, limits, listener), limits);
+      accepted.closeFuture().addListener(future -> openConnections.decrementAndGet());
+      initPipeline(accepted, new ZmtpConnection(type, true, limits, listener), limits);
     }
   }
 }
--- a/src/test/java/stonespring/chp/ChpClientTest.java
+++ b/src/test/java/stonespring/chp/ChpClientTest.java
@@ -59,10 +59,10 @@
   }
 
   @BeforeEach
-  void connect() {
-    router = socket(SocketType.ROUTER);
-    publisher = socket(SocketType.XPUB);
-    collector = socket(SocketType.SUB);
+  void connectClient() {
+    router = createSocket(SocketType.ROUTER);
+    publisher = createSocket(SocketType.XPUB);
+    collector = createSocket(SocketType.SUB);
     int snapshotPort = router.bindToRandomPort("tcp://127.0.0.1");
     int updatePort = publisher.bindToRandomPort("tcp://127.0.0.1");
     int collectorPort = collector.bindToRandomPort("tcp://127.0.0.1");
@@ -72,20 +72,20 @@
     client.connect("127.0.0.1", snapshotPort, updatePort, collectorPort, ZmtpLimits.DEFAULT);
   }
 
-  private ZMQ.Socket socket(SocketType type) {
+  private ZMQ.Socket createSocket(SocketType type) {
     ZMQ.Socket socket = context.createSocket(type);
     socket.setReceiveTimeOut(TIMEOUT_MILLIS);
     return socket;
   }
 
   @AfterEach
-  void stop() {
+  void stopClientAndServer() {
     context.close();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
   @Test
-  void followsAServerOnAStockLibrary() throws Exception {
+  void followsServerBuiltOnAnIndependentLibrary() throws Exception {
     assertArrayEquals(
         bytes("\u0001/x/"), publisher.recv(), "a subscription as this library's version takes it");
     assertArrayEquals(bytes("\u0001HUGZ"), publisher.recv());
@@ -107,10 +107,10 @@
                 client.set(
                     new ChpMessage.KvSet(
                         "/up/x", ChpMessage.EMPTY_FRAME, Map.of("ttl", "3"), bytes("v"))));
-    ZMsg set = ZMsg.recvMsg(collector);
-    assertEquals("/up/x", text(set, 0));
-    assertEquals("ttl=3\n", text(set, 3));
-    assertEquals("v", text(set, 4));
+    ZMsg setMessage = ZMsg.recvMsg(collector);
+    assertEquals("/up/x", text(setMessage, 0));
+    assertEquals("ttl=3\n", text(setMessage, 3));
+    assertEquals("v", text(setMessage, 4));
     loops.next().execute(client::close);
     assertEquals("ended closed", nextEvent());
   }
--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -37,7 +37,7 @@
              {"id": "c", "address": "127.0.0.1:3", "zone": "west"}]
             """;
 
-  private static ChpDaemon started(Path folder) throws Exception {
+  private static ChpDaemon startDaemon(Path folder) throws Exception {
     Files.writeString(folder.resolve("tasks.json"), TASKS);
     Files.writeString(folder.resolve("settings.star"), SCRIPT);
     ChpDaemon daemon = new ChpDaemon(InstanceSettings.read(folder.resolve("settings.star")));
@@ -47,7 +47,7 @@
 
   @Test
   void aStockClientSnapshotsFollowsSetsAndExpiresAKey(@TempDir Path folder) throws Exception {
-    ChpDaemon daemon = started(folder);
+    ChpDaemon daemon = startDaemon(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket updates = context.createSocket(SocketType.SUB);
       updates.setReceiveTimeOut(TIMEOUT_MILLIS);
@@ -77,12 +77,12 @@
    * A publisher drops what nobody has subscribed to yet, so the key is set until it is published.
    */
   private static ZMsg setPresenceUntilPublished(ZMQ.Socket collector, ZMQ.Socket updates) {
-    String hello =
+    String presenceJson =
         "{\"life\":\"l1\",\"stream\":1,\"zone\":\"west\",\"ops\":3,\"fresh\":true,\"holds\":[]}";
     ZMsg message = null;
     updates.setReceiveTimeOut(50);
     for (int i = 0; i < 200 && message == null; i++) {
-      set(collector, "/presence/p1", "ttl=1\n", hello);
+      set(collector, "/presence/p1", "ttl=1\n", presenceJson);
       message = ZMsg.recvMsg(updates);
       message = message != null && text(message, 0).equals("HUGZ") ? null : message;
     }
@@ -138,8 +138,9 @@
    * all the same.
    */
   @Test
-  void followerOfAQuietSubtreeGetsHeartbeatsOfABusyServer(@TempDir Path folder) throws Exception {
-    ChpDaemon daemon = started(folder);
+  void sendsHeartbeatsToFollowerOfQuietSubtreeWhileServerIsBusy(@TempDir Path folder)
+      throws Exception {
+    ChpDaemon daemon = startDaemon(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket quiet = context.createSocket(SocketType.SUB);
       quiet.setReceiveTimeOut(TIMEOUT_MILLIS);
--- a/src/test/java/stonespring/http/HttpDecoderTest.java
+++ b/src/test/java/stonespring/http/HttpDecoderTest.java
@@ -19,8 +19,8 @@
 final class HttpDecoderTest {
   private static final int MAX_BODY_BYTES = 1000;
 
-  private static List<String> decodeRequests(byte[] bytes, SplittableRandom cuts) {
-    return decode(HttpDecoder.forRequests(MAX_BODY_BYTES), bytes, cuts);
+  private static List<String> decodeRequests(byte[] bytes, SplittableRandom splitRandom) {
+    return decode(HttpDecoder.forRequests(MAX_BODY_BYTES), bytes, splitRandom);
   }
 
   private static List<String> decodeResponses(String text) {
@@ -30,28 +30,32 @@
   /**
    * Decodes bytes and describes messages and violations.
    *
-   * @param cuts cuts the bytes into pieces; null for one piece
+   * @param splitRandom cuts the bytes into pieces; null for one piece
    */
-  private static List<String> decode(HttpDecoder decoder, byte[] bytes, SplittableRandom cuts) {
+  private static List<String> decode(
+      HttpDecoder decoder, byte[] bytes, SplittableRandom splitRandom) {
     EmbeddedChannel channel = new EmbeddedChannel(decoder);
-    List<String> all = new ArrayList<>();
+    List<String> results = new ArrayList<>();
     try {
-      for (int at = 0; at < bytes.length; ) {
-        int size = Math.min(bytes.length - at, cuts == null ? bytes.length : 1 + cuts.nextInt(5));
-        channel.writeInbound(Unpooled.copiedBuffer(bytes, at, size));
-        at += size;
+      for (int offset = 0; offset < bytes.length; ) {
+        int pieceBytes =
+            Math.min(
+                bytes.length - offset,
+                splitRandom == null ? bytes.length : 1 + splitRandom.nextInt(5));
+        channel.writeInbound(Unpooled.copiedBuffer(bytes, offset, pieceBytes));
+        offset += pieceBytes;
       }
     } catch (DecoderException e) {
       assertTrue(
           e.getCause() instanceof MalformedHttpException,
           () -> "an exception that is no violation: " + e);
-      all.add("violation " + e.getCause().getMessage());
+      results.add("violation " + e.getCause().getMessage());
     }
     for (HttpMessage next = channel.readInbound(); next != null; next = channel.readInbound()) {
-      all.add(describe(next));
+      results.add(describe(next));
     }
     channel.finishAndReleaseAll();
-    return all;
+    return results;
   }
 
   private static String describe(HttpMessage message) {
@@ -71,14 +75,14 @@
           + "POST /c HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n4;x=1\r\nwiki\r\n0\r\ntrailer: t\r\n\r\n";
 
   @Property(tries = 100, seed = "1")
-  void decodesPipelinedRequestsHoweverTheBytesAreCut(@ForAll long seed) {
+  void decodesPipelinedRequestsWhereverTheBytesAreSplit(@ForAll long seed) {
     assertEquals(
         List.of("POST /a abc", "GET /b ", "POST /c wiki"),
         decodeRequests(bytes(PIPELINED), new SplittableRandom(seed)));
   }
 
   @Property(tries = 300, seed = "1")
-  void alteredBytesAreAViolationAtMost(@ForAll long seed) {
+  void throwsOnlyMalformedHttpExceptionsOnCorruptedBytes(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     byte[] bytes = bytes(PIPELINED);
     for (int i = 0; i < 3; i++) {
@@ -104,13 +108,13 @@
         "content-length: 1001\r\n\r\n",
         "host: a\r\nhost: b\r\n\r\n"
       })
-  void refusesFormsUsedForRequestSmuggling(String rest) {
-    List<String> all = decodeRequests(bytes("POST / HTTP/1.1\r\n" + rest), null);
-    assertTrue(all.size() == 1 && all.get(0).startsWith("violation "), all.toString());
+  void rejectsAmbiguousRequestsUsedForSmuggling(String afterRequestLine) {
+    List<String> results = decodeRequests(bytes("POST / HTTP/1.1\r\n" + afterRequestLine), null);
+    assertTrue(results.size() == 1 && results.get(0).startsWith("violation "), results.toString());
   }
 
   @Test
-  void refusesAResponseWithoutLength() {
+  void rejectsResponseWithoutLength() {
     assertEquals(
         List.of("200 OK hi"), decodeResponses("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi"));
     assertTrue(decodeResponses("HTTP/1.1 200 OK\r\n\r\n").get(0).contains("content-length"));
@@ -118,21 +122,21 @@
 
   /** A response that may never end, cut anywhere. */
   @Test
-  void passesOnChunksAsTheyArrive() {
+  void emitsChunksAsTheyArrive() {
     byte[] bytes =
         bytes(
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n5\r\ndefgh\r\n0\r\n\r\n");
-    for (int cut = 0; cut <= bytes.length; cut++) {
+    for (int splitIndex = 0; splitIndex <= bytes.length; splitIndex++) {
       EmbeddedChannel channel = new EmbeddedChannel(HttpDecoder.forStreamedResponses(10));
-      channel.writeInbound(Unpooled.wrappedBuffer(bytes, 0, cut));
-      channel.writeInbound(Unpooled.wrappedBuffer(bytes, cut, bytes.length - cut));
+      channel.writeInbound(Unpooled.wrappedBuffer(bytes, 0, splitIndex));
+      channel.writeInbound(Unpooled.wrappedBuffer(bytes, splitIndex, bytes.length - splitIndex));
       assertEquals(200, ((HttpResponse) channel.readInbound()).status());
       StringBuilder body = new StringBuilder();
       Object next = channel.readInbound();
       for (; next instanceof StreamPart.Bytes part; next = channel.readInbound()) {
         body.append(new String(part.bytes(), StandardCharsets.US_ASCII));
       }
-      assertEquals("abcdefgh", body.toString(), "cut at " + cut);
+      assertEquals("abcdefgh", body.toString(), "cut at " + splitIndex);
       assertEquals(new StreamPart.End(), next);
     }
   }
--- a/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
@@ -28,12 +28,12 @@
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
-  private final LinkedBlockingQueue<ZmtpConnection> opened = new LinkedBlockingQueue<>();
-  private Channel listener;
+  private final LinkedBlockingQueue<ZmtpConnection> openedConnections = new LinkedBlockingQueue<>();
+  private Channel serverChannel;
 
   @BeforeEach
-  void start() throws InterruptedException {
-    listener =
+  void startPublisher() throws InterruptedException {
+    serverChannel =
         ZmtpSockets.listen(
                 loops,
                 SocketType.PUB,
@@ -42,7 +42,7 @@
                 new ZmtpListener() {
                   @Override
                   public void connectionOpened(ZmtpConnection connection) {
-                    opened.add(connection);
+                    openedConnections.add(connection);
                   }
 
                   @Override
@@ -65,8 +65,8 @@
   }
 
   @AfterEach
-  void stop() {
-    listener.close();
+  void stopPublisher() {
+    serverChannel.close();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
@@ -78,20 +78,20 @@
   private static final String READY_SUB =
       "04 19 05 5245414459 0B 536F636B65742D54797065 00000003 535542";
 
-  private Socket connect(String minor) throws IOException {
+  private Socket connect(String minorVersionHex) throws IOException {
     Socket socket =
-        new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort());
+        new Socket("127.0.0.1", ((InetSocketAddress) serverChannel.localAddress()).getPort());
     socket.setSoTimeout(TIMEOUT_MILLIS);
-    socket.getOutputStream().write(hex(String.format(GREETING, minor)));
+    socket.getOutputStream().write(hex(String.format(GREETING, minorVersionHex)));
     return socket;
   }
 
-  private String next() throws InterruptedException {
+  private String nextEvent() throws InterruptedException {
     return events.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   @Test
-  void handlesGreetingSubscriptionsOfBothVersionsAndPing() throws Exception {
+  void acceptsSubscriptionsOfBothVersionsAndAnswersPing() throws Exception {
     try (Socket socket = connect("01")) {
       DataInputStream in = new DataInputStream(socket.getInputStream());
       byte[] greeting = new byte[64];
@@ -105,37 +105,37 @@
       assertArrayEquals(hex(READY_SUB.replace("535542", "505542")), ready);
       // As seen from a widely used library: a command to a 3.1 peer, a message to a 3.0 peer.
       socket.getOutputStream().write(hex("04 13 09 535542534352494245 2F70726F78792F312F"));
-      assertEquals("+/proxy/1/", next());
+      assertEquals("+/proxy/1/", nextEvent());
       socket.getOutputStream().write(hex("00 0A 01 2F70726F78792F312F"));
-      assertEquals("+/proxy/1/", next());
+      assertEquals("+/proxy/1/", nextEvent());
       socket.getOutputStream().write(hex("00 0A 00 2F70726F78792F312F"));
-      assertEquals("-/proxy/1/", next());
+      assertEquals("-/proxy/1/", nextEvent());
       socket.getOutputStream().write(hex("04 10 06 43414E43454C 2F70726F78792F312F"));
-      assertEquals("-/proxy/1/", next());
+      assertEquals("-/proxy/1/", nextEvent());
       socket
           .getOutputStream()
           .write(hex("04 0A 04 50494E47 000A 636F6E")); // a TTL of 1 s and a context
       byte[] pong = new byte[10];
       in.readFully(pong);
       assertArrayEquals(hex("04 08 04 504F4E47 636F6E"), pong);
-      opened
+      openedConnections
           .poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
           .writeMessageAndFlush(List.of(new byte[] {'a'}, new byte[300]));
       byte[] message = new byte[3 + 9 + 300];
       in.readFully(message);
       assertArrayEquals(hex("01 01 61 02 000000000000012C"), java.util.Arrays.copyOf(message, 12));
     }
-    assertEquals("closed", next());
+    assertEquals("closed", nextEvent());
   }
 
   @Test
-  void handlesAHandshakeByteByByte() throws Exception {
+  void completesHandshakeWhenBytesArriveOneByOne() throws Exception {
     try (Socket socket = connect("00")) {
       for (byte b : hex(READY_SUB)) {
         socket.getOutputStream().write(b);
       }
       socket.getOutputStream().write(hex("00 01 01"));
-      assertEquals("+", next());
+      assertEquals("+", nextEvent());
     }
   }
 
@@ -152,48 +152,48 @@
   }
 
   @Test
-  void closesAnIncompleteHandshakeAfterItsTimeout() throws Exception {
+  void closesConnectionWhenHandshakeTimesOut() throws Exception {
     try (Socket socket =
-        new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort())) {
+        new Socket("127.0.0.1", ((InetSocketAddress) serverChannel.localAddress()).getPort())) {
       socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.getOutputStream().write(hex("FF 0000000000000000 7F 03"));
       awaitClosed(socket);
     }
-    assertEquals("closed", next());
+    assertEquals("closed", nextEvent());
   }
 
   @Test
-  void limitsAndAFailingListenerCloseOneConnectionAlone() throws Exception {
-    try (Socket good = connect("00");
-        Socket bad = connect("00");
-        Socket third = connect("00")) {
-      awaitClosed(third); // one connection over the limit
-      good.getOutputStream().write(hex(READY_SUB));
-      bad.getOutputStream().write(hex(READY_SUB + "00 05 01 626F6F6D"));
-      assertEquals("+boom", next());
-      awaitClosed(bad);
-      assertEquals("closed", next());
-      good.getOutputStream().write(hex("00 02 01 61 00 02 01 62"));
-      assertEquals("+a", next());
-      assertEquals("+b", next());
-      good.getOutputStream().write(hex("00 02 01 63"));
-      awaitClosed(good); // one subscription over the limit
+  void closesOnlyTheOffendingConnectionWhenLimitIsExceededOrListenerThrows() throws Exception {
+    try (Socket healthy = connect("00");
+        Socket failing = connect("00");
+        Socket overLimit = connect("00")) {
+      awaitClosed(overLimit); // one connection over the limit
+      healthy.getOutputStream().write(hex(READY_SUB));
+      failing.getOutputStream().write(hex(READY_SUB + "00 05 01 626F6F6D"));
+      assertEquals("+boom", nextEvent());
+      awaitClosed(failing);
+      assertEquals("closed", nextEvent());
+      healthy.getOutputStream().write(hex("00 02 01 61 00 02 01 62"));
+      assertEquals("+a", nextEvent());
+      assertEquals("+b", nextEvent());
+      healthy.getOutputStream().write(hex("00 02 01 63"));
+      awaitClosed(healthy); // one subscription over the limit
     }
   }
 
   /** Nothing is left out of the middle: the connection is closed once too much waits. */
   @Test
-  void closesTheConnectionOfAPeerThatNeverReads() throws Exception {
+  void closesConnectionWhenPeerNeverReads() throws Exception {
     try (Socket socket = connect("00")) {
       socket.getOutputStream().write(hex(READY_SUB));
-      ZmtpConnection connection = opened.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      ZmtpConnection connection = openedConnections.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       for (int i = 0; i < 1_000_000 && connection.channel().isOpen(); i++) {
         connection.writeMessage(List.of(new byte[1000]));
         if (i % 100 == 0) {
           connection.flush();
         }
       }
-      assertEquals("closed", next());
+      assertEquals("closed", nextEvent());
     }
   }
 }
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -20,14 +20,17 @@
 final class ZmtpDecoderTest {
   private static final ZmtpLimits LIMITS = new ZmtpLimits(1000, 2000, 8, 10_000, 4, 100, 10);
 
-  private static List<String> decode(byte[] bytes, SplittableRandom cuts) {
+  private static List<String> decode(byte[] bytes, SplittableRandom splitRandom) {
     EmbeddedChannel channel = new EmbeddedChannel(new ZmtpDecoder(LIMITS));
     List<String> parts = new ArrayList<>();
     try {
-      for (int at = 0; at < bytes.length; ) {
-        int size = Math.min(bytes.length - at, cuts == null ? bytes.length : 1 + cuts.nextInt(20));
-        channel.writeInbound(Unpooled.copiedBuffer(bytes, at, size));
-        at += size;
+      for (int offset = 0; offset < bytes.length; ) {
+        int pieceBytes =
+            Math.min(
+                bytes.length - offset,
+                splitRandom == null ? bytes.length : 1 + splitRandom.nextInt(20));
+        channel.writeInbound(Unpooled.copiedBuffer(bytes, offset, pieceBytes));
+        offset += pieceBytes;
       }
     } catch (DecoderException e) {
       assertTrue(
@@ -50,7 +53,7 @@
   }
 
   /** A greeting, READY and five messages. */
-  private static byte[] stream(long seed) {
+  private static byte[] encodeStream(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ByteBuf out = Unpooled.buffer();
     out.writeBytes(ZmtpEncoder.encodeGreeting(false))
@@ -70,16 +73,16 @@
   }
 
   @Property(tries = 200, seed = "1")
-  void decodesTheSamePartsHoweverTheBytesAreCut(@ForAll long seed) {
-    byte[] bytes = stream(seed);
+  void decodesTheSamePartsWhereverTheBytesAreSplit(@ForAll long seed) {
+    byte[] bytes = encodeStream(seed);
     List<String> whole = decode(bytes, null);
     assertEquals(7, whole.size());
     assertEquals(whole, decode(bytes, new SplittableRandom(seed)));
   }
 
   @Property(tries = 500, seed = "1")
-  void alteredBytesAreAViolationAtMost(@ForAll long seed) {
-    byte[] bytes = stream(seed);
+  void throwsOnlyProtocolExceptionsOnCorruptedBytes(@ForAll long seed) {
+    byte[] bytes = encodeStream(seed);
     SplittableRandom random = new SplittableRandom(seed ^ 7);
     for (int i = 0; i < 3; i++) {
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
@@ -88,7 +91,7 @@
   }
 
   @Property(tries = 500, seed = "1")
-  void rejectsOtherProtocolsAtTheirFirstByte(@ForAll @Size(min = 1, max = 300) byte[] bytes) {
+  void rejectsStreamAtFirstByteWhenItIsNotZmtp(@ForAll @Size(min = 1, max = 300) byte[] bytes) {
     List<String> parts = decode(bytes, null);
     if (bytes[0] != (byte) 0xFF) {
       assertEquals(1, parts.size());
@@ -96,7 +99,7 @@
     }
   }
 
-  private static String violation(int... afterGreeting) {
+  private static String violationMessage(int... afterGreeting) {
     ByteBuf out = ZmtpEncoder.encodeGreeting(false);
     for (int b : afterGreeting) {
       out.writeByte(b);
@@ -108,16 +111,18 @@
   }
 
   @Test
-  void rejectsFramesThatTheProtocolForbids() {
-    assertTrue(violation(8, 0).contains("flags 0x8"));
-    assertTrue(violation(5, 0).contains("flags 0x5"), "a command is never one of several frames");
-    assertTrue(violation(1, 0, 4, 0).contains("command stands inside a message"));
-    assertTrue(violation(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
+  void rejectsFramesThatViolateTheProtocol() {
+    assertTrue(violationMessage(8, 0).contains("flags 0x8"));
     assertTrue(
-        violation(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"),
+        violationMessage(5, 0).contains("flags 0x5"), "a command is never one of several frames");
+    assertTrue(violationMessage(1, 0, 4, 0).contains("command stands inside a message"));
+    assertTrue(violationMessage(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
+    assertTrue(
+        violationMessage(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"),
         "a size below 0 as a signed number");
     assertTrue(
-        violation(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0).contains("8 frames"));
-    assertTrue(violation(4, 1, 5).contains("name's length"));
+        violationMessage(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0)
+            .contains("8 frames"));
+    assertTrue(violationMessage(4, 1, 5).contains("name's length"));
   }
 }
