--- a/src/main/java/stonespring/chp/ChpBackend.java
+++ b/src/main/java/stonespring/chp/ChpBackend.java
@@ -3,20 +3,20 @@
 import stonespring.zmtp.ZmtpConnection;
 
 /**
- * What a server serves. Calls come from the server's event loop and must not block; messages may be
- * sent on a connection from any thread. An {@link InvalidChpMessageException} closes the
- * connection.
+ * Handles the client messages that a {@link ChpServer} receives. Methods are called on the server's
+ * event loop and must not block; responses may be written to a connection from any thread. An
+ * {@link InvalidChpMessageException} thrown by a method closes the connection.
  */
 public interface ChpBackend {
   /**
-   * A client requests a snapshot of a subtree; it is answered by {@link ChpMessage.KvSync}s and one
-   * {@link ChpMessage.Kthxbai}.
+   * Called when a client requests a snapshot of a subtree. The backend answers with one {@link
+   * ChpMessage.KvSync} per key, followed by a {@link ChpMessage.Kthxbai}.
    */
   void snapshotRequested(ZmtpConnection connection, String subtree);
 
-  /** A client sets a key. */
+  /** Called when a client sets or deletes a key. */
   void keySet(ZmtpConnection connection, ChpMessage.KvSet set);
 
-  /** A connection to the collector was closed. */
+  /** Called when a connection to the collector port was closed. */
   void collectorClosed(ZmtpConnection connection);
 }
--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -13,24 +13,32 @@
 import stonespring.zmtp.ZmtpSockets;
 
 /**
- * One session of a client with a server: it subscribes, waits until its subscription is in force,
- * requests the snapshot and then follows the updates. A session that loses one of its connections,
- * or whose server is silent for too long, ends as a whole. State lives on one event loop, and all
- * calls come from there, {@code connect} excepted.
+ * A client session with one server. It subscribes to updates, waits until the subscription is
+ * active, requests a snapshot and then follows the updates. The whole session ends when one of its
+ * connections is lost or the server sends nothing for too long. State is confined to one event
+ * loop; all methods but {@code connect} must be called on it.
  */
 public final class ChpClient {
-  /** Observes a session, on its event loop. */
+  /** Receives the events of a session, on its event loop. */
   public interface Listener {
-    /** The snapshot is complete, and updates follow; called again after each {@link #resync}. */
+    /**
+     * Called when the snapshot is complete; updates follow. Called again after each {@link
+     * #resync}.
+     *
+     * @param sequence the highest sequence contained in the snapshot
+     */
     void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence);
 
-    /** A key was changed or deleted. */
+    /** Called when a key was changed, or deleted (empty value). */
     void updateReceived(ChpMessage.KvPub update);
 
-    /** There is a snapshot, and the server reads the collector's connection, if there is one. */
+    /**
+     * Called once the first snapshot is complete and, if the session has a collector connection,
+     * the server has subscribed on it.
+     */
     default void sessionReady() {}
 
-    /** The session is over; called once. */
+    /** Called once when the session has ended, also after {@link #close}. */
     void sessionEnded(String cause);
   }
 
@@ -43,13 +51,13 @@
   private final SubtreeReplica replica;
   private final List<ChannelFuture> connectFutures = new ArrayList<>();
 
-  /** The connections; null until their handshakes are complete. */
+  /** Null until the connection's handshake is complete; likewise the two fields below. */
   private ZmtpConnection snapshotConnection;
 
   private ZmtpConnection updateConnection;
   private ZmtpConnection collectorConnection;
 
-  /** The publisher sent something, so that the subscription is in force. */
+  /** Whether the publisher has sent a message, which shows that the subscription is active. */
   private boolean subscriptionActive;
 
   private boolean serverSubscribedToCollector;
@@ -58,10 +66,12 @@
   private long lastReceivedNanos = System.nanoTime();
 
   /**
-   * Creates a session; it is not connected yet.
+   * Creates a session that is not connected yet.
    *
-   * @param subtree what keys start with; begins and ends with a slash, or is empty for all keys
-   * @param silenceTimeoutMillis how long the server may send nothing, not even heartbeats
+   * @param subtree the prefix of all keys of interest; starts and ends with a slash, or is empty
+   *     for all keys
+   * @param silenceTimeoutMillis the session ends when nothing, not even a heartbeat, is received
+   *     for this long
    */
   public ChpClient(EventLoop loop, String subtree, long silenceTimeoutMillis, Listener listener) {
     this.loop = loop;
@@ -72,9 +82,9 @@
   }
 
   /**
-   * Connects to a server's three ports in a row.
+   * Connects to a server, whose ports are consecutive: snapshots, updates, collector.
    *
-   * @param withCollector whether to connect to the collector too
+   * @param withCollector whether to connect to the collector, which {@link #set} needs
    */
   public void connect(String host, int snapshotPort, boolean withCollector, ZmtpLimits limits) {
     int collectorPort = withCollector ? snapshotPort + 2 : NO_COLLECTOR;
@@ -82,9 +92,9 @@
   }
 
   /**
-   * Connects to three ports, which may be those of a relay.
+   * Connects to arbitrary ports, such as those of a relay.
    *
-   * @param collectorPort 0 for no collector
+   * @param collectorPort 0 to use no collector
    */
   public void connect(
       String host, int snapshotPort, int updatePort, int collectorPort, ZmtpLimits limits) {
@@ -121,7 +131,9 @@
     }
   }
 
-  /** Requests a new snapshot, as an update was missed. */
+  /**
+   * Requests a new snapshot, for a caller that missed an update. No effect while one is pending.
+   */
   public void resync() {
     if (replica.isInSync()) {
       replica.markOutOfSync();
@@ -129,7 +141,7 @@
     }
   }
 
-  /** Takes the session's next step, if its conditions are met. */
+  /** Requests the snapshot and reports the session as ready, each as soon as it is possible. */
   private void advanceHandshake() {
     if (subscriptionActive && snapshotConnection != null && !replica.isSnapshotRequested()) {
       replica.startSnapshot();
@@ -142,7 +154,7 @@
     }
   }
 
-  /** Sets a key at the server; false if the collector is not ready. */
+  /** Sets a key at the server; returns false and sends nothing if the collector is not ready. */
   public boolean set(ChpMessage.KvSet set) {
     if (collectorConnection == null || !serverSubscribedToCollector || sessionOver) {
       return false;
@@ -151,7 +163,9 @@
     return true;
   }
 
-  /** Pauses or resumes reading from the publisher. */
+  /**
+   * Pauses or resumes reading updates, to simulate a stalled client; restarts the silence timer.
+   */
   public void setReading(boolean enabled) {
     lastReceivedNanos = System.nanoTime();
     if (updateConnection != null) {
@@ -213,7 +227,7 @@
     public void connectionOpened(ZmtpConnection connection) {
       updateConnection = connection;
       connection.subscribe(ChpMessage.textFrame(subtree));
-      // The last one: its first heartbeat shows that the subtree's subscription is in force.
+      // Must be the last subscription: its first heartbeat shows that the subtree's is active.
       connection.subscribe(ChpMessage.textFrame(ChpMessage.HUGZ));
     }
 
@@ -248,7 +262,7 @@
     @Override
     public void subscriptionChanged(
         ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
-      // Messages sent before the server subscribed would be dropped.
+      // A PUB socket drops messages that are sent before the server has subscribed.
       serverSubscribedToCollector = isSubscribed;
       advanceHandshake();
     }
--- a/src/main/java/stonespring/chp/ChpDecoder.java
+++ b/src/main/java/stonespring/chp/ChpDecoder.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Decodes frames to commands, by the port at which they arrive. */
+/** Decodes frames into commands; which commands are valid depends on the receiving port. */
 final class ChpDecoder {
   private static final String ICANHAZ_NAME = "ICANHAZ";
   private static final String KVSYNC = "KVSYNC";
@@ -16,7 +16,7 @@
 
   private static final int REQUEST_FRAMES = 2;
 
-  /** Of all other commands: key, sequence, UUID, properties, value. */
+  /** All commands but ICANHAZ have the frames key, sequence, UUID, properties and value. */
   private static final int KEY_VALUE_FRAMES = 5;
 
   private static final int UUID_BYTES = 16;
@@ -24,7 +24,7 @@
 
   private ChpDecoder() {}
 
-  /** Decodes what a client sent to the snapshot port. */
+  /** Decodes a message that a client sent to the snapshot port. */
   static ChpMessage.IcanHaz decodeRequest(List<byte[]> frames) {
     checkFrameCount(ICANHAZ_NAME, frames, REQUEST_FRAMES);
     if (!decodeText(ICANHAZ_NAME, "command", frames.get(0)).equals(ChpMessage.ICANHAZ)) {
@@ -33,7 +33,7 @@
     return new ChpMessage.IcanHaz(checkSubtree(decodeText(ICANHAZ_NAME, "subtree", frames.get(1))));
   }
 
-  /** Decodes what a client sent to the collector. */
+  /** Decodes a message that a client sent to the collector port. */
   static ChpMessage.KvSet decodeSet(List<byte[]> frames) {
     checkFrameCount(KVSET, frames, KEY_VALUE_FRAMES);
     decodeSequence(KVSET, frames.get(1));
@@ -44,7 +44,7 @@
         frames.get(4));
   }
 
-  /** Decodes what a publisher sent: an update or a heartbeat. */
+  /** Decodes a message that a publisher sent: an update or a heartbeat. */
   static ChpMessage decodeUpdate(List<byte[]> frames) {
     checkFrameCount(KVPUB, frames, KEY_VALUE_FRAMES);
     long sequence = decodeSequence(KVPUB, frames.get(1));
@@ -60,7 +60,7 @@
         frames.get(4));
   }
 
-  /** Decodes what a server sent from the snapshot port: a key or the end. */
+  /** Decodes a message that a server sent from the snapshot port: one key or the end marker. */
   static ChpMessage decodeSnapshot(List<byte[]> frames) {
     checkFrameCount(KVSYNC, frames, KEY_VALUE_FRAMES);
     long sequence = decodeSequence(KVSYNC, frames.get(1));
--- a/src/main/java/stonespring/chp/ChpMessage.java
+++ b/src/main/java/stonespring/chp/ChpMessage.java
@@ -5,24 +5,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** The protocol's commands (RFC 12, "The CHP Commands"). Byte arrays must not be changed. */
+/**
+ * The commands of the protocol (RFC 12, "The CHP Commands"). Callers must not modify the byte
+ * arrays.
+ */
 public sealed interface ChpMessage {
-  /** An empty frame. */
   byte[] EMPTY_FRAME = new byte[0];
 
   /** The key of a heartbeat. */
   String HUGZ = "HUGZ";
 
-  /** The first frame of a snapshot's request. */
+  /** The first frame of a snapshot request. */
   String ICANHAZ = "ICANHAZ?";
 
-  /** The key of a snapshot's end. */
+  /** The key of the message that ends a snapshot. */
   String KTHXBAI = "KTHXBAI";
 
-  /** The frames of this command. */
+  /** Encodes the command as frames. */
   List<byte[]> frames();
 
-  /** A client requests a snapshot of a subtree. */
+  /** The request of a client for a snapshot of a subtree. */
   record IcanHaz(String subtree) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
@@ -38,7 +40,7 @@
     }
   }
 
-  /** The end of a snapshot, with the highest sequence that it contains. */
+  /** The end of a snapshot; {@code sequence} is the highest that the snapshot contains. */
   record Kthxbai(long sequence, String subtree) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
@@ -51,7 +53,7 @@
     }
   }
 
-  /** One update; an empty value deletes the key. */
+  /** An update of a key, sent to subscribers; an empty value means that the key is deleted. */
   record KvPub(String key, long sequence, byte[] uuid, byte[] properties, byte[] value)
       implements ChpMessage {
     @Override
@@ -60,7 +62,7 @@
     }
   }
 
-  /** A heartbeat. */
+  /** A heartbeat of the publisher. */
   record Hugz() implements ChpMessage {
     @Override
     public List<byte[]> frames() {
@@ -68,7 +70,7 @@
     }
   }
 
-  /** A client sets a key; an empty value deletes it. */
+  /** The request of a client to set a key; an empty value deletes it. */
   record KvSet(String key, byte[] uuid, Map<String, String> properties, byte[] value)
       implements ChpMessage {
     @Override
@@ -80,12 +82,12 @@
     }
   }
 
-  /** A text as a frame. */
+  /** Encodes text as a UTF-8 frame. */
   static byte[] textFrame(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A sequence as a frame. */
+  /** Encodes a sequence as a frame of eight bytes, big-endian. */
   static byte[] sequenceFrame(long value) {
     return ByteBuffer.allocate(Long.BYTES).putLong(value).array();
   }
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -22,15 +22,19 @@
 import stonespring.zmtp.ZmtpSockets;
 
 /**
- * A server: snapshots at a port P, updates at P+1, the collector at P+2. What messages mean is its
- * {@link ChpBackend}'s.
+ * A CHP server with three consecutive ports: snapshots at P, updates at P+1, the collector at P+2.
+ * A {@link ChpBackend} handles the messages of clients.
  */
 public final class ChpServer {
-  /** RFC 12 asks for a heartbeat about once a second. */
+  /** RFC 12 specifies a heartbeat about once a second. */
   private static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
 
+  /** Attempts to find three free consecutive ports. */
   private static final int MAX_FREE_PORT_ATTEMPTS = 50;
+
+  /** The two ports that follow must be valid too. */
   private static final int MAX_SNAPSHOT_PORT = 65_533;
+
   private static final long MIN_CLOSE_WAIT_MILLIS = 100;
 
   private final EventLoopGroup loops;
@@ -43,9 +47,10 @@
   private int port;
 
   /**
-   * Creates a server; it does not listen yet.
+   * Creates a server that does not listen yet.
    *
-   * @param loops must have one event loop, on which the subscriptions of all connections live
+   * @param loops a group of exactly one event loop, as the subscriptions of all connections are
+   *     confined to it
    */
   public ChpServer(EventLoopGroup loops, ZmtpLimits limits, ChpBackend backend) {
     this.loops = loops;
@@ -57,10 +62,10 @@
   }
 
   /**
-   * Listens, and waits until it does.
+   * Binds the three ports and waits until they are bound.
    *
-   * @param snapshotPort the first of three, or 0 for any three free ports in a row
-   * @throws IOException if a port is taken; names it
+   * @param snapshotPort the first of the three ports, or 0 for any three free consecutive ports
+   * @throws IOException if a port can't be bound; the message names the port
    */
   public void start(String host, int snapshotPort) throws IOException, InterruptedException {
     if (snapshotPort == 0 && listenAtFreePorts(host)) {
@@ -124,17 +129,17 @@
     listeningChannels.add(bindFuture.channel());
   }
 
-  /** The snapshot port, once it listens. */
+  /** Returns the snapshot port; valid once the server listens. */
   public int port() {
     return port;
   }
 
-  /** Sends updates to their subscribers, in order; from any thread. */
+  /** Sends updates to their subscribers, in order. May be called from any thread. */
   public void publish(List<? extends ChpMessage> updates) {
     publisher.publish(updates);
   }
 
-  /** Accepts no new connections from now on; those that are open stay. */
+  /** Stops accepting connections; open connections are kept. */
   public void stopListening() throws InterruptedException {
     for (Channel listener : listeningChannels) {
       listener.close().await();
@@ -143,9 +148,9 @@
   }
 
   /**
-   * Writes out what waits, then closes all connections.
+   * Stops listening, sends all pending messages and closes all connections.
    *
-   * @param writeTimeoutMillis how long to wait for the writes of all connections together
+   * @param writeTimeoutMillis the maximum wait for pending writes, for all connections together
    */
   public void stop(long writeTimeoutMillis) throws InterruptedException {
     stopListening();
@@ -162,7 +167,7 @@
     connections.close().await(Math.max(MIN_CLOSE_WAIT_MILLIS, writeTimeoutMillis));
   }
 
-  /** Keeps track of open connections, and closes those that send invalid messages. */
+  /** Records open connections for {@link #stop} and closes those that send invalid messages. */
   private final class TrackingListener implements ZmtpListener {
     private final ZmtpListener delegate;
 
--- a/src/main/java/stonespring/chp/InvalidChpMessageException.java
+++ b/src/main/java/stonespring/chp/InvalidChpMessageException.java
@@ -1,10 +1,13 @@
 package stonespring.chp;
 
-/** A message that the protocol or the backend does not allow. Its text names command and field. */
+/**
+ * Thrown for a message that violates CHP or that the backend rejects. The text names command and
+ * field.
+ */
 public final class InvalidChpMessageException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  /** Creates one without a stack trace, as peers may cause it at will. */
+  /** Creates an exception without a stack trace, as peers can trigger any number of them. */
   public InvalidChpMessageException(String message) {
     super(message, null, false, false);
   }
--- a/src/main/java/stonespring/chp/SubscriptionIndex.java
+++ b/src/main/java/stonespring/chp/SubscriptionIndex.java
@@ -12,19 +12,23 @@
 import stonespring.zmtp.ZmtpConnection;
 
 /**
- * Who subscribed to which prefixes. A key is looked up by its own prefixes, so that the cost
- * depends on the key's length and not on the number of subscribers. Not thread-safe.
+ * Maps key prefixes to the connections that subscribed to them. The subscribers of a key are found
+ * by looking up each prefix of the key, so that the cost depends on the key's length and the number
+ * of matching subscribers, not on the number of all subscribers. Not thread-safe.
  */
 final class SubscriptionIndex {
-  /** How often each connection subscribed to a prefix, in order of the first subscription. */
+  /**
+   * For each prefix, how many times each connection subscribed to it; connections in the order of
+   * their first subscription.
+   */
   private final Map<String, Map<ZmtpConnection, Integer>> countsByPrefix = new HashMap<>();
 
-  /** How many prefixes of each length there are. */
+  /** The number of distinct prefixes of each length, in bytes. */
   private final TreeMap<Integer, Integer> prefixCountsByLength = new TreeMap<>();
 
   private final Map<ZmtpConnection, Set<String>> prefixesByConnection = new HashMap<>();
 
-  /** The form of bytes in which keys and prefixes are compared: a character for each byte. */
+  /** Converts bytes to a string of one character per byte, so that prefixes match bytewise. */
   static String toByteString(byte[] bytes) {
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
@@ -40,7 +44,7 @@
     prefixesByConnection.computeIfAbsent(connection, key -> new LinkedHashSet<>()).add(prefix);
   }
 
-  /** Cancels one of the connection's subscriptions to a prefix, if there is one. */
+  /** Cancels one subscription of a connection to a prefix; no effect if there is none. */
   void remove(ZmtpConnection connection, String prefix) {
     Map<ZmtpConnection, Integer> counts = countsByPrefix.get(prefix);
     if (counts == null || !counts.containsKey(connection)) {
@@ -55,7 +59,7 @@
     }
   }
 
-  /** Cancels all of a connection's subscriptions. */
+  /** Cancels all subscriptions of a connection. */
   void removeConnection(ZmtpConnection connection) {
     Set<String> prefixes = prefixesByConnection.remove(connection);
     if (prefixes != null) {
@@ -74,15 +78,15 @@
     }
   }
 
-  /** The connections that subscribed to exactly this prefix. */
+  /** Returns the connections that subscribed to exactly this prefix. */
   Set<ZmtpConnection> subscribersOfExactPrefix(String prefix) {
     return countsByPrefix.getOrDefault(prefix, Map.of()).keySet();
   }
 
-  /** The connections that subscribed to any prefix of the key, each once. */
+  /** Returns the connections that subscribed to any prefix of the key, without duplicates. */
   List<ZmtpConnection> subscribersOfKey(String key) {
     List<ZmtpConnection> subscribers = new ArrayList<>();
-    // Needed from the second matching prefix on only.
+    // Only needed to remove duplicates once a second prefix matches.
     Set<ZmtpConnection> seen = null;
     for (int length : prefixCountsByLength.keySet()) {
       if (length > key.length()) {
--- a/src/main/java/stonespring/chp/SubtreeReplica.java
+++ b/src/main/java/stonespring/chp/SubtreeReplica.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * A client's view of a subtree: collects a snapshot, buffers updates meanwhile, and passes on each
- * update once, in order. Not thread-safe.
+ * Merges the snapshot of a subtree with its updates: buffers updates until the snapshot is
+ * complete, then passes each update that is newer than the snapshot to the listener, once and in
+ * order. Not thread-safe.
  */
 final class SubtreeReplica {
   private static final int MAX_BUFFERED_UPDATES = 100_000;
@@ -24,29 +25,29 @@
     this.listener = listener;
   }
 
-  /** Whether a snapshot was requested, also one that is complete. */
+  /** Returns whether a snapshot was requested; stays true once that snapshot is complete. */
   boolean isSnapshotRequested() {
     return snapshotRequested;
   }
 
-  /** Whether the snapshot is complete. */
+  /** Returns whether the snapshot is complete, so that updates are passed on directly. */
   boolean isInSync() {
     return inSync;
   }
 
-  /** A snapshot is requested now. */
+  /** Prepares to collect a snapshot that the caller requests now. */
   void startSnapshot() {
     snapshotRequested = true;
     snapshotKeys = new ArrayList<>();
   }
 
-  /** A new snapshot is needed. */
+  /** Buffers updates again until a new snapshot is requested and complete. */
   void markOutOfSync() {
     inSync = false;
     snapshotRequested = false;
   }
 
-  /** Passes on nothing any more. */
+  /** Stops passing on buffered updates, as the session has ended. */
   void stop() {
     stopped = true;
   }
@@ -59,9 +60,9 @@
   }
 
   /**
-   * The snapshot is complete: passes it on, then the updates that it does not contain.
+   * Passes the complete snapshot to the listener, then the buffered updates that are newer.
    *
-   * @return false if no snapshot is under way
+   * @return false if no snapshot is in progress
    */
   boolean completeSnapshot(long snapshotSequence) {
     if (!snapshotRequested || inSync) {
@@ -72,14 +73,14 @@
     List<ChpMessage.KvSync> keys = snapshotKeys;
     snapshotKeys = new ArrayList<>();
     listener.snapshotReceived(keys, lastSequence);
-    // The listener may reset or stop this replica at any update.
+    // The listener may call markOutOfSync or stop during any update.
     while (!bufferedUpdates.isEmpty() && inSync && !stopped) {
       apply(bufferedUpdates.poll());
     }
     return true;
   }
 
-  /** Takes an update, which waits while there is no snapshot. */
+  /** Passes on an update, or buffers it while the snapshot is incomplete. */
   void applyOrBuffer(ChpMessage.KvPub update) {
     if (inSync) {
       apply(update);
--- a/src/main/java/stonespring/chp/UpdatePublisher.java
+++ b/src/main/java/stonespring/chp/UpdatePublisher.java
@@ -12,7 +12,7 @@
 import stonespring.zmtp.ZmtpEncoder;
 import stonespring.zmtp.ZmtpListener;
 
-/** Sends updates and heartbeats to subscribers. State lives on one event loop. */
+/** Sends updates and heartbeats to subscribers. State is confined to one event loop. */
 final class UpdatePublisher implements ZmtpListener {
   private final EventLoop loop;
   private final SubscriptionIndex subscriptions = new SubscriptionIndex();
@@ -32,8 +32,8 @@
     }
     subscriptions.add(connection, prefix);
     if (prefix.equals(ChpMessage.HUGZ)) {
-      // Tells the subscriber that its earlier subscriptions are in force, so that it can request
-      // its snapshot.
+      // Shows the subscriber that its earlier subscriptions are active, so that it can request
+      // its snapshot without missing an update.
       connection.writeMessageAndFlush(new ChpMessage.Hugz().frames());
     }
   }
@@ -44,12 +44,15 @@
     subscriptions.removeConnection(connection);
   }
 
-  /** Sends updates to their subscribers, in order; from any thread. */
+  /** Sends updates to their subscribers, in order. May be called from any thread. */
   void publish(List<? extends ChpMessage> updates) {
     loop.execute(() -> sendBatched(updates));
   }
 
-  /** Sends a heartbeat to each of its subscribers that was sent nothing else since the last one. */
+  /**
+   * Sends a heartbeat to each heartbeat subscriber to which no update was sent since the previous
+   * call.
+   */
   void sendHeartbeats() {
     List<byte[]> heartbeat = new ChpMessage.Hugz().frames();
     for (ZmtpConnection connection : subscriptions.subscribersOfExactPrefix(ChpMessage.HUGZ)) {
@@ -60,7 +63,10 @@
     writtenSinceLastHeartbeat.clear();
   }
 
-  /** Sends all updates for one connection by one write, as a write costs more than an update. */
+  /**
+   * Sends the updates with one write per connection, since a write costs more than encoding an
+   * update.
+   */
   private void sendBatched(List<? extends ChpMessage> updates) {
     Map<ZmtpConnection, ByteBuf> buffers = new LinkedHashMap<>();
     for (ChpMessage update : updates) {
--- a/src/main/java/stonespring/http/Connector.java
+++ b/src/main/java/stonespring/http/Connector.java
@@ -14,17 +14,18 @@
 import java.nio.channels.ClosedChannelException;
 
 /**
- * Opens connections on one event loop; all calls come from there. The outcome is reported on that
- * loop and never before {@link #connect} has returned. Netty alone does not guarantee that: without
- * a free file descriptor it fails at once and reports on a thread of its own.
+ * Opens TCP connections on one event loop; methods must be called on that loop. The outcome is
+ * reported on the loop too, and never before {@link #connect} has returned. Netty alone does not
+ * guarantee that: if no file descriptor is free, the connect fails immediately and is reported on
+ * another thread.
  */
 public final class Connector {
-  /** Receives the outcome of a connect. */
+  /** Receives the outcome of a connection attempt. */
   interface Listener {
-    /** The connection is established. */
+    /** Called when the connection is established. */
     void connected();
 
-    /** There is no connection. */
+    /** Called when the connection could not be established or was closed at once. */
     void connectFailed(Throwable cause);
   }
 
@@ -39,22 +40,22 @@
   /**
    * Creates a connector.
    *
-   * @param socketFactory makes the socket of each connection, or throws if there is none to be had
+   * @param socketFactory creates the socket of each connection; may throw if none is available
    */
   public Connector(EventLoop loop, ChannelFactory<? extends SocketChannel> socketFactory) {
     this.loop = loop;
     this.socketFactory = socketFactory;
   }
 
-  /** The event loop of all connections. */
+  /** Returns the event loop of all connections. */
   public EventLoop loop() {
     return loop;
   }
 
   /**
-   * Begins to connect.
+   * Starts to connect; the outcome is reported to the listener.
    *
-   * @param handlers the connection's own
+   * @param handlers the handlers of this connection's pipeline, not shared with others
    */
   Channel connect(
       InetSocketAddress address, int timeoutMillis, Listener listener, ChannelHandler... handlers) {
@@ -80,16 +81,16 @@
     if (!connectFuture.isSuccess()) {
       listener.connectFailed(connectFuture.cause());
     } else if (!connectFuture.channel().isActive()) {
-      // It was closed before it could be used, and its handlers had nobody to notify.
+      // The connection was closed before the listener knew of it, so no handler reported the end.
       listener.connectFailed(new ClosedChannelException());
     } else {
       listener.connected();
     }
   }
 
-  /** Closes a connection, whether or not there ever was a socket. */
+  /** Closes a connection, even if its socket could not be created. */
   static void close(Channel channel) {
-    // Channel.close throws on one that was never registered with an event loop.
+    // Channel.close throws if the channel was never registered with an event loop.
     if (channel.isRegistered()) {
       channel.close();
     }
--- a/src/main/java/stonespring/http/HeaderParser.java
+++ b/src/main/java/stonespring/http/HeaderParser.java
@@ -4,19 +4,21 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Collects the headers of one message, and checks its trailers. */
+/** Collects the headers of one message and checks its trailers. */
 final class HeaderParser {
+  /** Applies to the headers and trailers of a message together. */
   private static final int MAX_HEADERS = 100;
+
   private static final String NAME_PATTERN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
 
-  /** Two of these could make two readers see different messages. */
+  /** Headers whose repetition different HTTP implementations could interpret differently. */
   private static final Set<String> UNIQUE_HEADERS =
       Set.of("content-length", "transfer-encoding", "host");
 
   private final Map<String, String> headers = new LinkedHashMap<>();
   private int lineCount;
 
-  /** Takes a header's line; values of a repeated header are joined. */
+  /** Adds a header line; the values of a repeated header are joined with a comma. */
   void addHeader(String line) {
     int colon = checkLine(line);
     String name = HttpMessage.headerKey(line.substring(0, colon));
@@ -30,12 +32,12 @@
     }
   }
 
-  /** Takes a trailer's line, which may be left out (RFC 9110, 6.5). */
+  /** Checks a trailer line and discards it, which RFC 9110, 6.5 permits. */
   void checkTrailer(String line) {
     checkLine(line);
   }
 
-  /** Counts a line and returns the place of its colon. */
+  /** Counts and checks a header or trailer line; returns the index of its colon. */
   private int checkLine(String line) {
     if (++lineCount > MAX_HEADERS) {
       throw new MalformedHttpException(place(lineCount), "over " + MAX_HEADERS + " of them");
@@ -47,7 +49,7 @@
     return colon;
   }
 
-  /** Where errors of the next line are reported. */
+  /** Returns the location to report in an error of the next line. */
   String nextPlace() {
     return place(lineCount + 1);
   }
--- a/src/main/java/stonespring/http/HttpCallResult.java
+++ b/src/main/java/stonespring/http/HttpCallResult.java
@@ -1,10 +1,10 @@
 package stonespring.http;
 
-/** How a call ended. */
+/** The outcome of a call. */
 public sealed interface HttpCallResult {
-  /** There was a response, of whatever status. */
+  /** A complete response arrived; its status may be an error. */
   record Completed(HttpResponse response) implements HttpCallResult {}
 
-  /** There was none. */
+  /** No complete response arrived. */
   record Failed(HttpCallFailure failure) implements HttpCallResult {}
 }
--- a/src/main/java/stonespring/http/HttpClient.java
+++ b/src/main/java/stonespring/http/HttpClient.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * An HTTP/1.1 client with one call at a time on each connection; connections are kept for later
- * calls. State lives on one event loop, and all calls come from there.
+ * An HTTP/1.1 client that reuses idle connections and runs one call at a time on each. State is
+ * confined to one event loop; all methods must be called on it.
  */
 public final class HttpClient {
   private final Connector connector;
@@ -23,7 +23,7 @@
   private final int maxBodyBytes;
   private final int maxIdlePerAddress;
 
-  /** Connections without a call by address, the longest idle first. */
+  /** Idle connections by address, the longest idle first. */
   private final Map<InetSocketAddress, ArrayDeque<Channel>> idleConnections = new HashMap<>();
 
   private long openedConnections;
@@ -43,16 +43,17 @@
     this.maxIdlePerAddress = maxIdlePerAddress;
   }
 
-  /** How many connections were opened so far. */
+  /** Returns the number of connections established so far. */
   public long openedConnections() {
     return openedConnections;
   }
 
   /**
-   * Sends a request, on an idle connection if there is one.
+   * Sends a request, on an idle connection if there is one, otherwise on a new connection.
    *
-   * @param listener notified once, on the event loop
-   * @return cancels the call, which then ends as {@link HttpCallFailure#TIMED_OUT}
+   * @param timeoutMillis the maximum duration of the call, connecting included
+   * @param listener receives the result once, on the event loop
+   * @return an action that cancels the call, whose result is then {@link HttpCallFailure#TIMED_OUT}
    */
   public Runnable call(
       InetSocketAddress address,
@@ -72,7 +73,8 @@
   }
 
   /**
-   * The connection that was idle for the shortest time and is still open; null if there is none.
+   * Removes and returns the open connection that was idle for the shortest time; null if there is
+   * none.
    */
   private Channel takeIdle(InetSocketAddress address) {
     ArrayDeque<Channel> idle = idleConnections.get(address);
@@ -93,7 +95,7 @@
     }
   }
 
-  /** Closes the idle connections to an address. */
+  /** Closes the idle connections to an address; calls in progress continue. */
   public void closeIdle(InetSocketAddress address) {
     ArrayDeque<Channel> idle = idleConnections.remove(address);
     if (idle != null) {
@@ -101,7 +103,7 @@
     }
   }
 
-  /** Closes all idle connections; calls under way go on. */
+  /** Closes all idle connections; calls in progress continue. */
   public void close() {
     for (ArrayDeque<Channel> idle : idleConnections.values()) {
       idle.forEach(Channel::close);
@@ -109,7 +111,7 @@
     idleConnections.clear();
   }
 
-  /** One call. */
+  /** A call in progress. */
   private final class Call implements Connector.Listener {
     private final InetSocketAddress address;
     private final HttpRequest request;
@@ -160,7 +162,7 @@
     void fail(HttpCallFailure failure) {
       if (!ended) {
         finish();
-        // The response may still arrive, so the connection can't be used again.
+        // The connection can't be reused: the response to this call may still arrive on it.
         Connector.close(channel);
         listener.accept(new HttpCallResult.Failed(failure));
       }
@@ -188,15 +190,15 @@
     }
   }
 
-  /** Passes what arrives on a connection to its call. */
+  /** Passes responses and errors of a connection to its current call. */
   private static final class ResponseHandler extends SimpleChannelInboundHandler<HttpResponse> {
-    /** The call under way; null while the connection is idle. */
+    /** Null while the connection is idle. */
     private Call currentCall;
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpResponse response) {
       if (currentCall == null) {
-        ctx.close(); // a response to no request
+        ctx.close(); // a response without a request
       } else if (!response.isInformational()) {
         currentCall.complete(response);
       }
@@ -211,7 +213,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // Closing the connection may end the call as lost.
+      // Closing the connection may fail the call as CONNECTION_LOST, which resets currentCall.
       Call failed = currentCall;
       ctx.close();
       if (failed != null) {
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -8,13 +8,16 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * Decodes bytes to whole {@link HttpMessage}s (RFC 9112). A response in chunks may instead be
- * passed on as it arrives: its head with an empty body, then {@link StreamPart}s. Forms that two
- * readers could understand differently are refused: two lengths, a length beside chunks, folded
- * lines, a space before a colon, bare line ends.
+ * Decodes bytes into complete {@link HttpMessage}s (RFC 9112). In streaming mode a chunked response
+ * is emitted as it arrives: its head as a response with an empty body, then {@link StreamPart}s.
+ * Forms that different HTTP implementations could interpret differently are rejected, since they
+ * allow request smuggling: repeated lengths, a length together with chunked encoding, folded header
+ * lines, a space before a colon, line ends without CR.
  */
 final class HttpDecoder extends FailStopDecoder {
+  /** Applies to the first line, header and trailer lines and chunk size lines. */
   private static final int MAX_LINE_BYTES = 8192;
+
   private static final int DELETE_CHARACTER = 127;
   private static final String BODY_PLACE = "body";
   private static final String LENGTH_HEADER = "content-length";
@@ -38,7 +41,7 @@
   private HeaderParser headerParser = new HeaderParser();
   private ByteArrayOutputStream body;
 
-  /** Bytes of the body or the chunk that are yet to come. */
+  /** Bytes of the current body or chunk that have not arrived yet. */
   private int remainingBytes;
 
   private HttpDecoder(boolean decodesRequests, boolean streaming, int maxBodyBytes) {
@@ -55,7 +58,10 @@
     return new HttpDecoder(false, false, maxBodyBytes);
   }
 
-  /** A decoder that passes on chunks; each is bounded alone, as the response may never end. */
+  /**
+   * Creates a decoder that emits chunks as they arrive. The limit applies to each chunk alone, as
+   * the response may never end.
+   */
   static HttpDecoder forStreamedResponses(int maxChunkBytes) {
     return new HttpDecoder(false, true, maxChunkBytes);
   }
@@ -83,7 +89,7 @@
     }
   }
 
-  /** Reads a line without its end; null if it is incomplete. */
+  /** Reads a line and returns it without CR LF; returns null while the line is incomplete. */
   private String readLine(ByteBuf in) {
     int lineFeed = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
     if (lineFeed < 0) {
@@ -115,7 +121,7 @@
     return false;
   }
 
-  /** Where an error of the next line is reported. */
+  /** Returns the location to report in an error of the next line. */
   private String place() {
     return switch (state) {
       case START_LINE -> StartLine.PLACE;
--- a/src/main/java/stonespring/http/HttpEncoder.java
+++ b/src/main/java/stonespring/http/HttpEncoder.java
@@ -4,13 +4,13 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes whole messages. */
+/** Encodes complete messages. */
 final class HttpEncoder {
   private static final String VERSION = "HTTP/1.1";
 
   private HttpEncoder() {}
 
-  /** Encodes a request; one without a body has no content-length of its own. */
+  /** Encodes a request; content-length is added only if there is a body. */
   static ByteBuf encode(HttpRequest request) {
     String startLine = request.method() + ' ' + request.target() + ' ' + VERSION;
     return encode(startLine, request, request.body().length > 0);
--- a/src/main/java/stonespring/http/HttpMessage.java
+++ b/src/main/java/stonespring/http/HttpMessage.java
@@ -5,31 +5,31 @@
 import java.util.Map;
 
 /**
- * A whole message of HTTP/1.1. Header names are in lower case, in the order in which they are sent.
- * A message may be changed by one thread until it is sent.
+ * A complete HTTP/1.1 message. Header names are in lower case; headers are sent in the order of the
+ * map. A message is not thread-safe and must not be modified once it is sent.
  */
 public sealed interface HttpMessage permits HttpRequest, HttpResponse {
-  /** The headers by their names in lower case. */
+  /** Returns the header values by header name in lower case. */
   Map<String, String> headers();
 
-  /** The body's bytes; empty if there is none. */
+  /** Returns the body; an empty array if there is none. */
   byte[] body();
 
   /**
-   * The value of a header; empty if it is missing.
+   * Returns the value of a header, or an empty string if the header is missing.
    *
-   * @param name in lower case
+   * @param name the header name in lower case
    */
   default String header(String name) {
     return headers().getOrDefault(name, "");
   }
 
-  /** The body as UTF-8 text. */
+  /** Returns the body decoded as UTF-8. */
   default String text() {
     return new String(body(), StandardCharsets.UTF_8);
   }
 
-  /** The form of a header's name as a key of {@link #headers}. */
+  /** Returns the key of a header in {@link #headers}: its name in lower case. */
   static String headerKey(String name) {
     return name.toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/stonespring/http/HttpRequest.java
+++ b/src/main/java/stonespring/http/HttpRequest.java
@@ -4,17 +4,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A request; see {@link HttpMessage}. */
+/** An HTTP request; see {@link HttpMessage}. */
 public record HttpRequest(String method, String target, Map<String, String> headers, byte[] body)
     implements HttpMessage {
   private static final byte[] NO_BODY = new byte[0];
 
-  /** A GET request with the host header of its server. */
+  /** Creates a GET request with the host header for the server. */
   public static HttpRequest get(InetSocketAddress server, String target) {
     return withHost("GET", server, target, NO_BODY);
   }
 
-  /** A POST request with the host header of its server. */
+  /** Creates a POST request with the host header for the server. */
   public static HttpRequest post(InetSocketAddress server, String target, byte[] body) {
     return withHost("POST", server, target, body);
   }
@@ -25,7 +25,7 @@
         .setHeader("host", server.getHostString() + ":" + server.getPort());
   }
 
-  /** Sets a header and returns this request. */
+  /** Sets a header, replacing a previous value, and returns this request. */
   public HttpRequest setHeader(String name, String value) {
     headers.put(HttpMessage.headerKey(name), value);
     return this;
--- a/src/main/java/stonespring/http/HttpResponse.java
+++ b/src/main/java/stonespring/http/HttpResponse.java
@@ -4,10 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A response; see {@link HttpMessage}. */
+/** An HTTP response; see {@link HttpMessage}. */
 public record HttpResponse(int status, String reason, Map<String, String> headers, byte[] body)
     implements HttpMessage {
-  /** A response with a text, empty for none. */
+  /** Creates a response with a plain-text body; an empty text gives an empty body. */
   public static HttpResponse of(int status, String text) {
     Map<String, String> headers = new LinkedHashMap<>();
     if (!text.isEmpty()) {
@@ -17,13 +17,13 @@
         status, reasonPhrase(status), headers, text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Sets a header and returns this response. */
+  /** Sets a header, replacing a previous value, and returns this response. */
   public HttpResponse setHeader(String name, String value) {
     headers.put(HttpMessage.headerKey(name), value);
     return this;
   }
 
-  /** Whether the status is 1xx: the final response is yet to come. */
+  /** Returns whether the status is 1xx, so that the final response is still to come. */
   boolean isInformational() {
     return status < 200;
   }
--- a/src/main/java/stonespring/http/HttpServer.java
+++ b/src/main/java/stonespring/http/HttpServer.java
@@ -15,27 +15,27 @@
 import java.net.InetSocketAddress;
 
 /**
- * An HTTP/1.1 server. Requests of one connection are handled one after the other, in order, on its
- * event loop.
+ * An HTTP/1.1 server. The requests of a connection are handled one at a time, in order, on the
+ * connection's event loop.
  */
 public final class HttpServer {
-  /** Handles requests; called on the connection's event loop. */
+  /** Handles requests; its methods are called on the connection's event loop. */
   public interface Handler {
-    /** Handles a request; the response may be given later, from any thread. */
+    /** Handles a request; the response may be sent later and from any thread. */
     void handle(HttpRequest request, Exchange exchange);
 
-    /** A connection was accepted; false closes it. */
+    /** Called for each new connection; returns false to close it. */
     default boolean accept(Channel channel) {
       return true;
     }
   }
 
-  /** One request and the response that it is to get. */
+  /** A request that awaits its response. */
   public interface Exchange {
-    /** Sends the response; must be called once, from any thread. */
+    /** Sends the response. Must be called exactly once; may be called from any thread. */
     void respond(HttpResponse response);
 
-    /** The connection. */
+    /** Returns the channel of the connection. */
     Channel channel();
   }
 
@@ -46,17 +46,21 @@
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private Channel listener;
 
-  /** Creates a server; it does not listen yet. */
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param maxBodyBytes the maximum size of a request body; larger requests are rejected
+   */
   public HttpServer(Handler handler, int maxBodyBytes) {
     this.handler = handler;
     this.maxBodyBytes = maxBodyBytes;
   }
 
   /**
-   * Listens, and waits until it does.
+   * Binds the port and waits until it is bound.
    *
-   * @param port 0 for any free one
-   * @throws IOException if it can't listen
+   * @param port 0 for any free port
+   * @throws IOException if the port can't be bound
    */
   public HttpServer start(EventLoopGroup loops, String host, int port)
       throws IOException, InterruptedException {
@@ -95,18 +99,18 @@
         .addLast(HttpDecoder.forRequests(maxBodyBytes), new HttpServerConnection(handler));
   }
 
-  /** The local port, once it listens. */
+  /** Returns the local port; valid once the server listens. */
   public int port() {
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  /** Stops listening and closes all connections; the future is done once the port is free. */
+  /** Stops listening and closes all connections; the future completes when the port is free. */
   public ChannelFuture stop() {
     connections.close();
     return listener.close();
   }
 
-  /** The open connections. */
+  /** Returns the open connections. */
   public ChannelGroup connections() {
     return connections;
   }
--- a/src/main/java/stonespring/http/HttpServerConnection.java
+++ b/src/main/java/stonespring/http/HttpServerConnection.java
@@ -10,13 +10,13 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * A server's connection: passes requests on one by one, while further ones wait. State lives on its
- * event loop.
+ * A connection of a server. Passes requests to the handler one at a time and queues pipelined ones.
+ * State is confined to the connection's event loop.
  */
 final class HttpServerConnection extends SimpleChannelInboundHandler<HttpRequest> {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServerConnection.class);
 
-  /** At so many waiting requests nothing more is read. */
+  /** Reading from the connection pauses while this many requests are queued. */
   private static final int MAX_WAITING_REQUESTS = 16;
 
   private final HttpServer.Handler handler;
--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -10,27 +10,28 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * A call whose response arrives in chunks and may never end, on a connection of its own. It ends by
- * {@link Listener#watchEnded}, once, or by {@link #cancel}; the listener is not called after
- * either. A silent peer counts as ended, as a machine that vanished sends nothing. State lives on
- * the connector's event loop, and all calls come from there.
+ * A call on its own connection whose response arrives in chunks and may never end. It ends with one
+ * call of {@link Listener#watchEnded} or with {@link #cancel}; the listener is not called after
+ * either. The watch also ends when the peer is silent for too long, since a machine that vanished
+ * sends nothing. State is confined to the connector's event loop; all methods must be called on it.
  */
 public final class HttpWatch {
-  /** Observes a response, on the event loop. */
+  /** Receives the events of a watch, on the event loop. */
   public interface Listener {
-    /** Bytes of the body arrived, cut anywhere. */
+    /** Called for received bytes of the body, which may be split at any position. */
     void bytesReceived(byte[] bytes);
 
-    /** The response ended, or there was none. */
+    /** Called once when the response has ended or the call has failed. */
     void watchEnded(String cause);
   }
 
   /**
-   * Limits of a watch.
+   * Limits of a watch; it ends when one of them is exceeded.
    *
-   * @param responseTimeoutMillis for connecting and the complete head of the response together
-   * @param silenceTimeoutMillis for each further wait for bytes
-   * @param maxChunkBytes the longest chunk
+   * @param responseTimeoutMillis the maximum time until the head of the response has arrived,
+   *     connecting included
+   * @param silenceTimeoutMillis the maximum time between received parts after the head
+   * @param maxChunkBytes the maximum size of a chunk
    */
   public record Limits(int responseTimeoutMillis, long silenceTimeoutMillis, int maxChunkBytes) {}
 
@@ -42,7 +43,7 @@
   private Future<?> timeoutTask;
   private boolean ended;
 
-  /** Connects and sends the request. */
+  /** Starts the watch: connects, then sends the request. */
   public HttpWatch(
       Connector connector,
       InetSocketAddress address,
@@ -70,7 +71,7 @@
     return loop.schedule(() -> end(cause), millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends the watch; the listener is not called any more. */
+  /** Ends the watch without calling the listener. */
   public void cancel() {
     ended = true;
     timeoutTask.cancel(false);
@@ -118,7 +119,7 @@
       }
     }
 
-    /** A head, or a whole response if it was not in chunks. */
+    /** Accepts the head of a chunked response, or a complete response that was not chunked. */
     private void acceptHead(HttpResponse response) {
       if (response.status() != 200) {
         end("unexpected status " + response.status());
--- a/src/main/java/stonespring/http/MalformedHttpException.java
+++ b/src/main/java/stonespring/http/MalformedHttpException.java
@@ -3,8 +3,8 @@
 import stonespring.netty.ProtocolViolationException;
 
 /**
- * A peer's bytes are no HTTP/1.1 that is accepted here. The message names place and problem; a
- * server sends it to the peer.
+ * Thrown when bytes received from a peer are not HTTP/1.1 or are in a form that is rejected. The
+ * message states location and problem; a server sends it to the peer.
  */
 public final class MalformedHttpException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
--- a/src/main/java/stonespring/http/StartLine.java
+++ b/src/main/java/stonespring/http/StartLine.java
@@ -2,18 +2,18 @@
 
 import java.util.Map;
 
-/** The first line of a message. */
+/** The first line of a request or response. */
 sealed interface StartLine {
-  /** Where errors of the first line are reported. */
+  /** The location that is reported in errors of the first line. */
   String PLACE = "first line";
 
-  /** Whether a message with this first line never has a body, whatever its headers say. */
+  /** Returns whether a message with this first line never has a body, whatever its headers say. */
   boolean excludesBody();
 
-  /** Whether a message with this first line must announce its body's length. */
+  /** Returns whether the headers must state the length of the body or chunked encoding. */
   boolean requiresLength();
 
-  /** The message of this first line. */
+  /** Creates a message from this first line, headers and body. */
   HttpMessage toMessage(Map<String, String> headers, byte[] body);
 
   /** The first line of a request. */
--- a/src/main/java/stonespring/http/StreamPart.java
+++ b/src/main/java/stonespring/http/StreamPart.java
@@ -1,10 +1,10 @@
 package stonespring.http;
 
-/** What follows on the head of a response whose chunks are passed on as they arrive. */
+/** A part of a streamed response that follows its head. */
 sealed interface StreamPart {
-  /** Bytes of the body, cut anywhere. */
+  /** Bytes of the body, which may be split at any position. */
   record Bytes(byte[] bytes) implements StreamPart {}
 
-  /** The body is complete. */
+  /** The end of the body. */
   record End() implements StreamPart {}
 }
--- a/src/main/java/stonespring/http/package-info.java
+++ b/src/main/java/stonespring/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * HTTP/1.1 (RFC 9112) on Netty: whole messages, a client with kept connections, a server that
- * responds in order, and responses that stay open ({@link stonespring.http.HttpWatch}). Forms of
- * messages that two readers could understand differently are refused. The state of a connection
- * lives on its event loop.
+ * HTTP/1.1 (RFC 9112) on Netty: complete messages, a client that reuses connections, a server that
+ * responds in order, and long-lived streamed responses ({@link stonespring.http.HttpWatch}).
+ * Message forms that different implementations could interpret differently are rejected. The state
+ * of a connection is confined to its event loop.
  */
 package stonespring.http;
--- a/src/main/java/stonespring/zmtp/ErrorCommand.java
+++ b/src/main/java/stonespring/zmtp/ErrorCommand.java
@@ -3,14 +3,14 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** The command by which a peer ends a handshake; its data are a reason. */
+/** The ERROR command: rejects a handshake. Its data hold the reason as a short ASCII string. */
 final class ErrorCommand {
-  /** The command's name. */
+  /** The command name on the wire. */
   static final String NAME = "ERROR";
 
   private ErrorCommand() {}
 
-  /** Encodes a reason of up to 255 characters. */
+  /** Encodes an ASCII reason of at most 255 characters. */
   static ByteBuf encode(String reason) {
     byte[] text = reason.getBytes(StandardCharsets.US_ASCII);
     byte[] data = new byte[text.length + 1];
@@ -19,7 +19,7 @@
     return ZmtpEncoder.encodeCommand(NAME, data);
   }
 
-  /** The reason, as far as the data hold it. */
+  /** Returns the reason, truncated if the data are shorter than the length that they state. */
   static String decodeReason(byte[] data) {
     if (data.length == 0) {
       return "";
--- a/src/main/java/stonespring/zmtp/FrameDecoder.java
+++ b/src/main/java/stonespring/zmtp/FrameDecoder.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decodes frames to commands and whole messages (RFC 37, "Formal Grammar"). */
+/** Decodes frames into commands and complete messages (RFC 37, "Formal Grammar"). */
 final class FrameDecoder {
   private static final String PLACE = "frame";
   private static final int SHORT_HEADER_BYTES = 2;
@@ -13,7 +13,7 @@
 
   private final ZmtpLimits limits;
 
-  /** The frames of an incomplete message. */
+  /** Frames received so far of a message whose last frame has not arrived. */
   private List<byte[]> pendingFrames = new ArrayList<>();
 
   private long pendingMessageBytes;
@@ -22,7 +22,7 @@
     this.limits = limits;
   }
 
-  /** Decodes the next frame, if it is complete. */
+  /** Decodes the next frame; consumes nothing while the frame is incomplete. */
   void decode(ByteBuf in, List<Object> out) {
     if (!in.isReadable()) {
       return;
--- a/src/main/java/stonespring/zmtp/FrameFlags.java
+++ b/src/main/java/stonespring/zmtp/FrameFlags.java
@@ -1,14 +1,14 @@
 package stonespring.zmtp;
 
-/** The first byte of a frame (RFC 37, "Formal Grammar"). */
+/** Bits of the flags byte that starts each frame (RFC 37, "Formal Grammar"). */
 final class FrameFlags {
-  /** Further frames of the message follow. */
+  /** More frames of the same message follow. */
   static final int MORE = 1;
 
-  /** The size takes eight bytes in place of one. */
+  /** The frame size is encoded in eight bytes instead of one. */
   static final int LONG = 2;
 
-  /** The frame is a command. */
+  /** The frame is a command, not part of a message. */
   static final int COMMAND = 4;
 
   private static final int ALL = MORE | LONG | COMMAND;
@@ -19,7 +19,7 @@
     return (flags & flag) != 0;
   }
 
-  /** Whether the flags may stand together. */
+  /** Returns whether no unknown bit is set and the combination of flags is allowed. */
   static boolean areValid(int flags) {
     return flags <= ALL && !(has(flags, COMMAND) && has(flags, MORE));
   }
--- a/src/main/java/stonespring/zmtp/GreetingDecoder.java
+++ b/src/main/java/stonespring/zmtp/GreetingDecoder.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * Decodes a greeting. Each byte is checked as it arrives, so that a peer that speaks another
- * protocol is rejected at its first byte.
+ * Decodes the greeting that starts each connection. Each byte is checked as it arrives, so that a
+ * peer that uses another protocol is rejected at its first byte.
  */
 final class GreetingDecoder {
-  /** The size of a greeting. */
+  /** The fixed size of a greeting. */
   static final int GREETING_BYTES = 64;
 
   private static final String PLACE = "greeting";
@@ -21,7 +21,7 @@
 
   private int checkedBytes;
 
-  /** Decodes the greeting; empty while it is incomplete. */
+  /** Decodes the greeting; returns empty and consumes nothing while it is incomplete. */
   Optional<ZmtpPart.Greeting> decode(ByteBuf in) {
     int start = in.readerIndex();
     int available = Math.min(GREETING_BYTES, in.readableBytes());
--- a/src/main/java/stonespring/zmtp/ReadyCommand.java
+++ b/src/main/java/stonespring/zmtp/ReadyCommand.java
@@ -7,10 +7,11 @@
 import java.util.Optional;
 
 /**
- * The command that completes a handshake; its data are properties (RFC 37, "The NULL Mechanism").
+ * The READY command: completes a handshake. Its data are a list of named properties (RFC 37, "The
+ * NULL Mechanism").
  */
 final class ReadyCommand {
-  /** The command's name. */
+  /** The command name on the wire. */
   static final String NAME = "READY";
 
   private static final String SOCKET_TYPE_PROPERTY = "Socket-Type";
@@ -33,7 +34,7 @@
     out.writeInt(value.length()).writeBytes(value.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** The name of the peer's socket type; empty if there is none. */
+  /** Returns the peer's socket type as sent; empty if the property is missing. */
   static Optional<String> decodeSocketType(byte[] data) {
     Optional<String> socketType = Optional.empty();
     ByteBuf in = Unpooled.wrappedBuffer(data);
--- a/src/main/java/stonespring/zmtp/SocketType.java
+++ b/src/main/java/stonespring/zmtp/SocketType.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** The supported socket types, by their names on the wire (RFC 37, "The Socket Semantics"). */
+/**
+ * The supported socket types. The names of the constants are sent on the wire (RFC 37, "The Socket
+ * Semantics").
+ */
 public enum SocketType {
   PUB,
   SUB,
@@ -11,7 +14,7 @@
   DEALER,
   ROUTER;
 
-  /** Whether sockets of this type may be connected to sockets of the other. */
+  /** Returns whether a socket of this type may connect to a socket of the other type. */
   public boolean isCompatibleWith(SocketType other) {
     return switch (this) {
       case PUB, XPUB -> other.subscribes();
@@ -21,7 +24,7 @@
     };
   }
 
-  /** Whether it sends messages to those who subscribed to them. */
+  /** Returns whether sockets of this type send messages to subscribers. */
   boolean publishes() {
     return this == PUB || this == XPUB;
   }
@@ -30,7 +33,7 @@
     return this == SUB || this == XSUB;
   }
 
-  /** The type of that name; empty if it is not supported. */
+  /** Returns the type with the name, or empty if the type is not supported. */
   static Optional<SocketType> fromWireName(String name) {
     for (SocketType type : values()) {
       if (type.name().equals(name)) {
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -14,18 +14,20 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * One connection. Its state lives on its event loop; {@code writeMessage}, {@code
- * writeMessageAndFlush}, {@code writeEncoded}, {@code flush} and {@code close} may be called from
- * any thread. A violation by the peer, or an exception of its listener, closes this connection
- * alone and is logged once.
+ * A ZMTP connection, inbound or outbound. Its state is confined to its event loop; {@code
+ * writeMessage}, {@code writeMessageAndFlush}, {@code writeEncoded}, {@code flush} and {@code
+ * close} may be called from any thread. A protocol violation by the peer or an exception thrown by
+ * the listener closes this connection only and is logged once.
  */
 public final class ZmtpConnection extends SimpleChannelInboundHandler<ZmtpPart> {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpConnection.class);
 
-  /** The first byte of a subscription in the form of version 3.0, a message. */
+  /** ZMTP 3.0 peers send a subscription as a message that starts with this byte. */
   private static final int SUBSCRIBE_BYTE = 1;
 
+  /** ZMTP 3.0 peers cancel a subscription by a message that starts with this byte. */
   private static final int CANCEL_BYTE = 0;
+
   private static final int PING_TTL_BYTES = 2;
   private static final int MAX_PING_CONTEXT_BYTES = 16;
   private static final int MAX_PRINTED_CHARS = 80;
@@ -49,48 +51,50 @@
     this.listener = listener;
   }
 
-  /** The peer's address, as log lines have it. */
+  /**
+   * Returns the peer's address in the form used in log lines; "?" before the connection is active.
+   */
   public String peerAddress() {
     return peerAddress;
   }
 
-  /** The connection's channel. */
   public Channel channel() {
     return channel;
   }
 
-  /** Sends one message with the next {@link #flush}. */
+  /** Writes a message; it is sent with the next {@link #flush}. */
   public void writeMessage(List<byte[]> frames) {
     writeEncoded(ZmtpEncoder.encodeMessage(channel.alloc(), frames));
   }
 
-  /** Sends one message, and all that waits, at once. */
+  /** Writes a message and sends it together with all messages written before. */
   public void writeMessageAndFlush(List<byte[]> frames) {
     writeMessage(frames);
     flush();
   }
 
   /**
-   * Writes encoded messages with the next {@link #flush}, and takes over the reference. Closes the
-   * connection of a peer that reads too slowly.
+   * Writes encoded messages, which are sent with the next {@link #flush}, and takes ownership of
+   * the buffer. If more than {@link ZmtpLimits#maxPendingBytes} bytes already wait because the peer
+   * reads too slowly, drops the messages and closes the connection.
    */
   public void writeEncoded(ByteBuf messages) {
     var buffer = channel.unsafe().outboundBuffer();
     if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingBytes()) {
       messages.release();
-      // Nothing can be left out of the middle; the peer connects again and gets a snapshot.
+      // Messages can't be skipped in mid-stream; the peer reconnects and requests a new snapshot.
       close("it reads too slowly: over " + limits.maxPendingBytes() + " bytes wait for it");
       return;
     }
     channel.write(messages, channel.voidPromise());
   }
 
-  /** Sends what was written. */
+  /** Sends all messages written so far. */
   public void flush() {
     channel.flush();
   }
 
-  /** Subscribes to the publisher's messages that start with a prefix. */
+  /** Subscribes to the peer's messages whose first frame starts with the prefix. */
   public void subscribe(byte[] prefix) {
     if (peerMinorVersion >= 1) {
       channel.writeAndFlush(ZmtpEncoder.encodeCommand("SUBSCRIBE", prefix));
@@ -102,7 +106,7 @@
     }
   }
 
-  /** Closes the connection and logs why. */
+  /** Closes the connection and logs the cause, unless it is already closed. */
   public void close(String cause) {
     if (channel.isOpen()) {
       LOG.warn("zmtp {} peer {}: connection ended: {}", type, peerAddress, cause);
@@ -168,7 +172,7 @@
       case "CANCEL" -> acceptSubscription(data, false);
       case "PING" -> acceptPing(ctx, data);
       case "PONG" -> {
-        // No PING is sent, so none awaits it.
+        // Ignored: this side never sends PING, so it expects no PONG.
       }
       default ->
           throw new ZmtpProtocolException(
@@ -235,7 +239,7 @@
     listener.subscriptionChanged(this, prefix, subscribed);
   }
 
-  /** A peer's text as a log line may hold it. */
+  /** Truncates text from a peer and replaces everything but printable ASCII for logging. */
   private static String sanitizeForLog(String text) {
     String shortened = text.substring(0, Math.min(MAX_PRINTED_CHARS, text.length()));
     return shortened.replaceAll("[^\\x20-\\x7e]", "?");
--- a/src/main/java/stonespring/zmtp/ZmtpDecoder.java
+++ b/src/main/java/stonespring/zmtp/ZmtpDecoder.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import stonespring.netty.FailStopDecoder;
 
-/** Decodes bytes to {@link ZmtpPart}s: the greeting, then what frames hold. */
+/** Decodes a byte stream into {@link ZmtpPart}s: one greeting, then commands and messages. */
 final class ZmtpDecoder extends FailStopDecoder {
   private final GreetingDecoder greetingDecoder = new GreetingDecoder();
   private final FrameDecoder frameDecoder;
--- a/src/main/java/stonespring/zmtp/ZmtpEncoder.java
+++ b/src/main/java/stonespring/zmtp/ZmtpEncoder.java
@@ -23,7 +23,7 @@
     return out.writeByte(asServer ? 1 : 0).writeZero(31);
   }
 
-  /** Encodes one message; the bytes can be written to any number of connections. */
+  /** Encodes a message; the same bytes can be written to any number of connections. */
   public static ByteBuf encodeMessage(ByteBufAllocator allocator, List<byte[]> frames) {
     int size = 0;
     for (byte[] frame : frames) {
@@ -34,7 +34,7 @@
     return out;
   }
 
-  /** Appends one message to bytes that are written together. */
+  /** Appends an encoded message to a buffer, so that several messages share one write. */
   public static void appendMessage(ByteBuf out, List<byte[]> frames) {
     for (int i = 0; i < frames.size(); i++) {
       boolean last = i == frames.size() - 1;
--- a/src/main/java/stonespring/zmtp/ZmtpLimits.java
+++ b/src/main/java/stonespring/zmtp/ZmtpLimits.java
@@ -1,16 +1,16 @@
 package stonespring.zmtp;
 
 /**
- * Limits of a connection. One that exceeds them, or takes longer for its handshake, is closed.
+ * Limits of a connection. A connection that exceeds one of them is closed.
  *
- * @param maxFrameBytes the longest frame
- * @param maxMessageBytes the longest message, all frames together
- * @param maxFrames the most frames of a message
- * @param maxPendingBytes the most bytes that may wait to be written
- * @param maxSubscriptions the most prefixes that a peer may subscribe to
- * @param handshakeTimeoutMillis how long a handshake may take
- * @param maxConnections the most connections of one listener; further ones are closed before their
- *     greeting
+ * @param maxFrameBytes the maximum size of a frame's body
+ * @param maxMessageBytes the maximum size of a message: the sum of its frames' bodies
+ * @param maxFrames the maximum number of frames in a message
+ * @param maxPendingBytes the maximum number of bytes that may wait to be sent to the peer
+ * @param maxSubscriptions the maximum number of subscriptions of a peer
+ * @param handshakeTimeoutMillis the maximum time from connecting to the peer's READY
+ * @param maxConnections the maximum number of open connections per listening socket; further ones
+ *     are closed before the greeting is sent
  */
 public record ZmtpLimits(
     int maxFrameBytes,
@@ -20,7 +20,7 @@
     int maxSubscriptions,
     long handshakeTimeoutMillis,
     int maxConnections) {
-  /** The limits of clients and, but for the number of connections, of servers. */
+  /** The limits of clients; servers use them with their own {@code maxConnections}. */
   public static final ZmtpLimits DEFAULT =
       new ZmtpLimits(1 << 20, 2 << 20, 64, 8 << 20, 256, 10_000, 10_000);
 }
--- a/src/main/java/stonespring/zmtp/ZmtpListener.java
+++ b/src/main/java/stonespring/zmtp/ZmtpListener.java
@@ -2,17 +2,22 @@
 
 import java.util.List;
 
-/** Observes connections; all calls for one come from its event loop. */
+/** Receives the events of connections, each on the event loop of its connection. */
 public interface ZmtpListener {
-  /** The handshake is complete. */
+  /** Called when the handshake is complete. */
   default void connectionOpened(ZmtpConnection connection) {}
 
-  /** A message arrived. An exception closes the connection. */
+  /** Called for each message received. An exception thrown here closes the connection. */
   default void messageReceived(ZmtpConnection connection, List<byte[]> frames) {}
 
-  /** The peer subscribed to messages that start with a prefix, or cancelled a subscription. */
+  /**
+   * Called when the peer subscribed to messages that start with the prefix, or cancelled such a
+   * subscription.
+   *
+   * @param subscribed false for a cancelled subscription
+   */
   default void subscriptionChanged(ZmtpConnection connection, byte[] prefix, boolean subscribed) {}
 
-  /** The connection was closed, whether or not its handshake was complete; called once. */
+  /** Called once when the connection is closed, even if its handshake was never completed. */
   default void connectionClosed(ZmtpConnection connection) {}
 }
--- a/src/main/java/stonespring/zmtp/ZmtpProtocolException.java
+++ b/src/main/java/stonespring/zmtp/ZmtpProtocolException.java
@@ -2,7 +2,9 @@
 
 import stonespring.netty.ProtocolViolationException;
 
-/** A peer sent what the protocol does not allow. The message names the place. */
+/**
+ * Thrown when a peer violates ZMTP. The message states where in the protocol and what was wrong.
+ */
 public final class ZmtpProtocolException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -16,18 +16,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Opens listening and connecting sockets. Thread-safe. */
+/** Opens listening sockets and outbound connections. Thread-safe. */
 public final class ZmtpSockets {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpSockets.class);
 
-  /** A whole fleet may connect again within a second. */
+  /** Holds a whole fleet that reconnects within a second. */
   private static final int ACCEPT_BACKLOG = 2048;
 
+  /** Loopback and neighbouring data centres answer within a few milliseconds. */
   private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
   private ZmtpSockets() {}
 
-  /** Begins to listen; the future is done once it does, or can't. */
+  /** Starts to listen; the future completes when the socket is bound or binding has failed. */
   public static ChannelFuture listen(
       EventLoopGroup loops,
       SocketType type,
@@ -44,7 +45,10 @@
         .bind(address);
   }
 
-  /** Begins to connect; the future is done once the TCP connection is established, or can't be. */
+  /**
+   * Starts to connect; the future completes when the TCP connection is established or has failed,
+   * before the ZMTP handshake.
+   */
   public static ChannelFuture connect(
       EventLoopGroup loops,
       SocketType type,
@@ -74,7 +78,7 @@
     channel.pipeline().addLast(new ZmtpDecoder(limits), connection);
   }
 
-  /** Counts the connections of one listener, and closes those over its limit. */
+  /** Counts the open connections of a listening socket and closes new ones over the limit. */
   private static final class AcceptedConnectionInitializer
       extends ChannelInitializer<SocketChannel> {
     private final SocketType type;
--- a/src/test/java/stonespring/chp/ChpClientTest.java
+++ b/src/test/java/stonespring/chp/ChpClientTest.java
@@ -24,7 +24,7 @@
 import org.zeromq.ZMsg;
 import stonespring.zmtp.ZmtpLimits;
 
-/** A client against a server on an independent ZeroMQ library. */
+/** Tests the client against a server built on an independent ZeroMQ library. */
 final class ChpClientTest {
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -35,7 +35,7 @@
   private ZMQ.Socket collector;
   private ChpClient client;
 
-  /** Writes down what it is notified of. */
+  /** Records each call as text in {@link #events}. */
   private final class RecordingListener implements ChpClient.Listener {
     @Override
     public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
@@ -115,7 +115,9 @@
     assertEquals("ended closed", nextEvent());
   }
 
-  /** The library greets new peers only while its socket is called. */
+  /**
+   * Polls the collector meanwhile: the library processes new peers only when its socket is used.
+   */
   private String awaitCollectorReady() throws InterruptedException {
     String event = null;
     for (int i = 0; i < 200 && event == null; i++) {
--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -19,7 +19,7 @@
 import stonespring.config.InstanceSettings;
 import stonespring.daemon.ChpDaemon;
 
-/** A client on an independent ZeroMQ library against a whole instance. */
+/** Tests a complete instance against a client built on an independent ZeroMQ library. */
 final class StockClientTest {
   private static final String SCRIPT =
       """
@@ -62,7 +62,7 @@
       assertEquals("/presence/p1", text(presence, 0));
       long sequence = assertTableOfThreeRoutes(updates, sequence(presence));
       assertSnapshotOfThreeRoutes(context, daemon.port(), sequence);
-      // The client is silent from now on: the key expires, and its deletion is published.
+      // The client no longer renews the key: it expires, and its deletion is published.
       ZMsg message;
       do {
         message = ZMsg.recvMsg(updates);
@@ -74,7 +74,8 @@
   }
 
   /**
-   * A publisher drops what nobody has subscribed to yet, so the key is set until it is published.
+   * Sets the key repeatedly until it is published: a PUB socket drops messages that are sent before
+   * the server has subscribed.
    */
   private static ZMsg setPresenceUntilPublished(ZMQ.Socket collector, ZMQ.Socket updates) {
     String presenceJson =
@@ -91,9 +92,9 @@
   }
 
   /**
-   * Receives the table up to its commit.
+   * Receives updates up to the commit of the table and checks its three routes.
    *
-   * @return the last sequence
+   * @return the highest sequence received before the commit
    */
   private static long assertTableOfThreeRoutes(ZMQ.Socket updates, long firstSequence) {
     long sequence = firstSequence;
@@ -134,8 +135,8 @@
   }
 
   /**
-   * The server publishes its own status each second; a follower of something else needs heartbeats
-   * all the same.
+   * The server publishes its own status every second. Guards against heartbeats being left out for
+   * followers of other subtrees, which do not receive the status.
    */
   @Test
   void sendsHeartbeatsToFollowerOfQuietSubtreeWhileServerIsBusy(@TempDir Path folder)
--- a/src/test/java/stonespring/chp/StockMessages.java
+++ b/src/test/java/stonespring/chp/StockMessages.java
@@ -6,14 +6,14 @@
 import org.zeromq.ZMQ;
 import org.zeromq.ZMsg;
 
-/** Messages of the protocol, written and read by an independent ZeroMQ library. */
+/** Writes and reads CHP messages by means of an independent ZeroMQ library. */
 final class StockMessages {
-  /** An upper bound: every wait ends with its event. */
+  /** Upper bound only: each wait ends as soon as the expected event happens. */
   static final int TIMEOUT_MILLIS = 10_000;
 
   private StockMessages() {}
 
-  /** A frame as text. */
+  /** Returns a frame of the message decoded as UTF-8. */
   static String text(ZMsg message, int frame) {
     return message.toArray(new ZFrame[0])[frame].getString(StandardCharsets.UTF_8);
   }
@@ -22,7 +22,7 @@
     return ByteBuffer.wrap(message.toArray(new ZFrame[0])[1].getData()).getLong();
   }
 
-  /** Sets a key at a collector. */
+  /** Sends a set request for a key to a collector port. */
   static void set(ZMQ.Socket collector, String key, String properties, String value) {
     keyValue(key, 0, properties, value).send(collector);
   }
@@ -32,7 +32,7 @@
     keyValue(key, sequence, "", value).send(publisher);
   }
 
-  /** Answers a snapshot request with one key or its end. */
+  /** Sends one message of a snapshot: a key or the end marker. */
   static void reply(ZMQ.Socket router, byte[] client, String key, long sequence, String value) {
     ZMsg message = keyValue(key, sequence, "", value);
     message.addFirst(client);
--- a/src/test/java/stonespring/http/HttpDecoderTest.java
+++ b/src/test/java/stonespring/http/HttpDecoderTest.java
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Decodes bytes and describes messages and violations.
+   * Decodes bytes; returns descriptions of the messages, after that of a violation if there is one.
    *
-   * @param splitRandom cuts the bytes into pieces; null for one piece
+   * @param splitRandom determines where the bytes are split; null to pass them in one piece
    */
   private static List<String> decode(
       HttpDecoder decoder, byte[] bytes, SplittableRandom splitRandom) {
@@ -91,7 +91,7 @@
     decodeRequests(bytes, random);
   }
 
-  /** Forms by which two readers could see different messages. */
+  /** Requests that different HTTP implementations could interpret differently. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -120,7 +120,7 @@
     assertTrue(decodeResponses("HTTP/1.1 200 OK\r\n\r\n").get(0).contains("content-length"));
   }
 
-  /** A response that may never end, cut anywhere. */
+  /** Splits a streamed response at each position. */
   @Test
   void emitsChunksAsTheyArrive() {
     byte[] bytes =
--- a/src/test/java/stonespring/http/ManualHttpExchange.java
+++ b/src/test/java/stonespring/http/ManualHttpExchange.java
@@ -9,8 +9,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One request as a server sees it on a plain socket, with a response that a test writes by hand. It
- * shares no code with the client under test.
+ * The server side of one HTTP request on a plain socket; the test writes the response itself.
+ * Shares no code with the client under test.
  */
 public final class ManualHttpExchange implements Closeable {
   /** The head of a chunked response. */
@@ -19,7 +19,7 @@
   private final Socket socket;
   private final String target;
 
-  /** Accepts the next connection and reads its request. */
+  /** Accepts the next connection and reads the head of its request. */
   public ManualHttpExchange(ServerSocket server) throws IOException {
     socket = server.accept();
     BufferedReader in =
@@ -32,18 +32,18 @@
     }
   }
 
-  /** The request's target. */
+  /** Returns the target in the request line. */
   public String target() {
     return target;
   }
 
-  /** Writes text as it is. */
+  /** Writes text unchanged. */
   public ManualHttpExchange writeRaw(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     return this;
   }
 
-  /** Writes a whole response with a body of ASCII text. */
+  /** Writes a complete response with an ASCII body. */
   public ManualHttpExchange writeResponse(String body) throws IOException {
     return writeRaw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
   }
@@ -54,7 +54,7 @@
     return writeRaw(Integer.toHexString(size) + "\r\n" + text + "\r\n");
   }
 
-  /** Whether the client closed the connection; waits until it closes or writes. */
+  /** Waits until the client closes the connection or sends a byte; returns whether it closed. */
   public boolean closedByClient() throws IOException {
     return socket.getInputStream().read() == -1;
   }
--- a/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A publisher, and peers that write the protocol byte by byte as its specification has it. */
+/** Tests a publisher against raw sockets that write the protocol's bytes as specified. */
 final class ZmtpConnectionTest {
-  /** An upper bound: every wait ends with its event. */
+  /** Upper bound only: each wait ends as soon as the expected event happens. */
   private static final int TIMEOUT_MILLIS = 10_000;
 
   private static final ZmtpLimits LIMITS = new ZmtpLimits(1000, 2000, 8, 1 << 16, 2, 300, 2);
@@ -103,7 +103,7 @@
       byte[] ready = new byte[hex(READY_SUB).length];
       in.readFully(ready);
       assertArrayEquals(hex(READY_SUB.replace("535542", "505542")), ready);
-      // As seen from a widely used library: a command to a 3.1 peer, a message to a 3.0 peer.
+      // As common libraries send it: a command to a 3.1 peer, a message to a 3.0 peer.
       socket.getOutputStream().write(hex("04 13 09 535542534352494245 2F70726F78792F312F"));
       assertEquals("+/proxy/1/", nextEvent());
       socket.getOutputStream().write(hex("00 0A 01 2F70726F78792F312F"));
@@ -114,7 +114,7 @@
       assertEquals("-/proxy/1/", nextEvent());
       socket
           .getOutputStream()
-          .write(hex("04 0A 04 50494E47 000A 636F6E")); // a TTL of 1 s and a context
+          .write(hex("04 0A 04 50494E47 000A 636F6E")); // TTL of 1 s, context "con"
       byte[] pong = new byte[10];
       in.readFully(pong);
       assertArrayEquals(hex("04 08 04 504F4E47 636F6E"), pong);
@@ -142,12 +142,12 @@
   private static void awaitClosed(Socket socket) throws IOException {
     try {
       while (socket.getInputStream().read() >= 0) {
-        // what is sent before does not matter here
+        // ignores what was sent before the close
       }
     } catch (java.net.SocketTimeoutException e) {
       throw new AssertionError("the connection still stands", e);
     } catch (IOException e) {
-      // a reset is an end too
+      // a connection reset counts as closed
     }
   }
 
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Nothing is left out of the middle: the connection is closed once too much waits. */
+  /** Messages must not be dropped in mid-stream, so the connection is closed instead. */
   @Test
   void closesConnectionWhenPeerNeverReads() throws Exception {
     try (Socket socket = connect("00")) {
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -52,7 +52,7 @@
     return part instanceof ZmtpPart.Command command ? "command " + command.name() : part.toString();
   }
 
-  /** A greeting, READY and five messages. */
+  /** Encodes a greeting, READY and five messages with random frame sizes: seven parts. */
   private static byte[] encodeStream(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ByteBuf out = Unpooled.buffer();
