--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -114,7 +114,7 @@
     connectFuture.addListener(
         future -> {
           if (!future.isSuccess()) {
-            end("can't reach " + host + ":" + port + ": " + future.cause().getMessage());
+            end("can't connect to " + host + ":" + port + ": " + future.cause().getMessage());
           }
         });
   }
@@ -125,7 +125,7 @@
     }
     long silenceNanos = System.nanoTime() - lastReceivedNanos;
     if (silenceNanos > TimeUnit.MILLISECONDS.toNanos(silenceTimeoutMillis)) {
-      end("nothing received for " + silenceTimeoutMillis + " ms");
+      end("nothing received from the server for " + silenceTimeoutMillis + " ms");
     } else {
       loop.schedule(this::checkSilence, silenceTimeoutMillis / 4, TimeUnit.MILLISECONDS);
     }
@@ -202,7 +202,7 @@
       try {
         acceptSnapshotMessage(ChpDecoder.decodeSnapshot(frames));
       } catch (InvalidChpMessageException e) {
-        end("snapshot: " + e.getMessage());
+        end("invalid snapshot message: " + e.getMessage());
       }
     }
 
@@ -218,7 +218,7 @@
 
     @Override
     public void connectionClosed(ZmtpConnection connection) {
-      end("the snapshot port's connection ended");
+      end("the connection to the snapshot port was closed");
     }
   }
 
@@ -239,7 +239,7 @@
           replica.applyOrBuffer(update);
         }
       } catch (InvalidChpMessageException e) {
-        end("update: " + e.getMessage());
+        end("invalid update message: " + e.getMessage());
       }
       if (!subscriptionActive) {
         subscriptionActive = true;
@@ -249,7 +249,7 @@
 
     @Override
     public void connectionClosed(ZmtpConnection connection) {
-      end("the update port's connection ended");
+      end("the connection to the update port was closed");
     }
   }
 
@@ -269,7 +269,7 @@
 
     @Override
     public void connectionClosed(ZmtpConnection connection) {
-      end("the collector's connection ended");
+      end("the connection to the collector was closed");
     }
   }
 }
--- a/src/main/java/stonespring/chp/ChpDecoder.java
+++ b/src/main/java/stonespring/chp/ChpDecoder.java
@@ -28,7 +28,7 @@
   static ChpMessage.IcanHaz decodeRequest(List<byte[]> frames) {
     checkFrameCount(ICANHAZ_NAME, frames, REQUEST_FRAMES);
     if (!decodeText(ICANHAZ_NAME, "command", frames.get(0)).equals(ChpMessage.ICANHAZ)) {
-      throw new InvalidChpMessageException("snapshot port", "a command other than ICANHAZ?");
+      throw new InvalidChpMessageException("snapshot port", "expected the command ICANHAZ?");
     }
     return new ChpMessage.IcanHaz(checkSubtree(decodeText(ICANHAZ_NAME, "subtree", frames.get(1))));
   }
@@ -77,7 +77,8 @@
 
   private static void checkFrameCount(String command, List<byte[]> frames, int expected) {
     if (frames.size() != expected) {
-      throw new InvalidChpMessageException(command, frames.size() + " frames, not " + expected);
+      throw new InvalidChpMessageException(
+          command, "expected " + expected + " frames, got " + frames.size());
     }
   }
 
@@ -85,7 +86,7 @@
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(frame)).toString();
     } catch (CharacterCodingException e) {
-      throw new InvalidChpMessageException(command, field + " is not UTF-8");
+      throw new InvalidChpMessageException(command, field + " is not valid UTF-8");
     }
   }
 
@@ -98,7 +99,9 @@
         || key.contains("//")
         || key.chars().anyMatch(character -> character <= ' ')) {
       throw new InvalidChpMessageException(
-          command, "key is not a slash and segments of up to 255 characters");
+          command,
+          "key is not a slash-separated path of 2 to 255 characters: expected a leading slash, no"
+              + " trailing or double slash, no spaces or control characters");
     }
     return key;
   }
@@ -106,7 +109,9 @@
   private static String checkSubtree(String text) {
     boolean valid = text.length() <= MAX_KEY_CHARS && text.startsWith("/") && text.endsWith("/");
     if (!text.isEmpty() && !valid) {
-      throw new InvalidChpMessageException("subtree is neither empty nor segments between slashes");
+      throw new InvalidChpMessageException(
+          "subtree: expected an empty text, or one that starts and ends with a slash and has at most"
+              + " 255 characters");
     }
     return text;
   }
@@ -114,7 +119,7 @@
   private static byte[] checkUuid(String command, byte[] frame) {
     if (frame.length != 0 && frame.length != UUID_BYTES) {
       throw new InvalidChpMessageException(
-          command, "uuid has " + frame.length + " bytes, not 16 or none");
+          command, "uuid: expected 0 or 16 bytes, got " + frame.length);
     }
     return frame;
   }
@@ -122,7 +127,7 @@
   private static long decodeSequence(String command, byte[] frame) {
     if (frame.length != Long.BYTES) {
       throw new InvalidChpMessageException(
-          command, "sequence has " + frame.length + " bytes, not 8");
+          command, "sequence: expected 8 bytes, got " + frame.length);
     }
     return ByteBuffer.wrap(frame).getLong();
   }
@@ -134,12 +139,13 @@
       return properties;
     }
     if (!lines.endsWith("\n")) {
-      throw new InvalidChpMessageException("properties", "the last line has no end");
+      throw new InvalidChpMessageException(
+          "properties", "the last line does not end with a line feed");
     }
     for (String line : lines.split("\n")) {
       int separator = line.indexOf('=');
       if (separator < 1) {
-        throw new InvalidChpMessageException("properties", "a line is not name=value");
+        throw new InvalidChpMessageException("properties", "a line is not of the form name=value");
       }
       properties.put(line.substring(0, separator), line.substring(separator + 1));
     }
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -97,7 +97,11 @@
 
   private void listen(String host) throws IOException, InterruptedException {
     if (port < 1 || port > MAX_SNAPSHOT_PORT) {
-      throw new IOException("no three ports in a row at port " + port);
+      throw new IOException(
+          "can't listen at three consecutive ports from port "
+              + port
+              + ": expected a port from 1 to "
+              + MAX_SNAPSHOT_PORT);
     }
     bind(SocketType.ROUTER, host, port, new SnapshotListener());
     bind(SocketType.PUB, host, port + 1, publisher);
--- a/src/main/java/stonespring/chp/SubtreeReplica.java
+++ b/src/main/java/stonespring/chp/SubtreeReplica.java
@@ -54,7 +54,8 @@
 
   void addSnapshotKey(ChpMessage.KvSync key) {
     if (snapshotKeys.size() >= MAX_SNAPSHOT_KEYS) {
-      throw new InvalidChpMessageException("over " + MAX_SNAPSHOT_KEYS + " keys");
+      throw new InvalidChpMessageException(
+          "the snapshot has more than " + MAX_SNAPSHOT_KEYS + " keys");
     }
     snapshotKeys.add(key);
   }
@@ -88,7 +89,9 @@
       bufferedUpdates.add(update);
     } else {
       throw new InvalidChpMessageException(
-          "over " + MAX_BUFFERED_UPDATES + " updates came before the snapshot ended");
+          "more than "
+              + MAX_BUFFERED_UPDATES
+              + " updates arrived before the snapshot was complete");
     }
   }
 
--- a/src/main/java/stonespring/http/HttpServerConnection.java
+++ b/src/main/java/stonespring/http/HttpServerConnection.java
@@ -96,7 +96,7 @@
     }
     if (!(rootCause instanceof IOException)) {
       LOG.error(
-          "http peer {}: connection closed: its handler failed",
+          "http peer {}: connection closed: unexpected exception in its handler",
           ctx.channel().remoteAddress(),
           rootCause);
     }
--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -95,7 +95,7 @@
 
     @Override
     public void connectFailed(Throwable cause) {
-      end("it can't be reached: " + cause.getMessage());
+      end("can't connect: " + cause.getMessage());
     }
   }
 
@@ -109,20 +109,20 @@
       timeoutTask =
           scheduleEnd(
               limits.silenceTimeoutMillis(),
-              "it was silent for " + limits.silenceTimeoutMillis() + " ms");
+              "nothing received for " + limits.silenceTimeoutMillis() + " ms");
       if (part instanceof HttpResponse response) {
         acceptHead(response);
       } else if (part instanceof StreamPart.Bytes chunk) {
         listener.bytesReceived(chunk.bytes());
       } else if (part instanceof StreamPart.End) {
-        end("its response ended");
+        end("the response ended");
       }
     }
 
     /** Accepts the head of a chunked response, or a complete response that was not chunked. */
     private void acceptHead(HttpResponse response) {
       if (response.status() != 200) {
-        end("unexpected status " + response.status());
+        end("expected status 200, got " + response.status());
       } else if (response.body().length > 0) {
         listener.bytesReceived(response.body());
       }
@@ -130,7 +130,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      end("its connection ended");
+      end("the connection was closed");
     }
 
     @Override
--- a/src/main/java/stonespring/zmtp/FrameDecoder.java
+++ b/src/main/java/stonespring/zmtp/FrameDecoder.java
@@ -56,10 +56,10 @@
   private void checkFlags(int flags) {
     if (!FrameFlags.areValid(flags)) {
       throw new ZmtpProtocolException(
-          PLACE, "flags 0x" + Integer.toHexString(flags) + " are not allowed");
+          PLACE, "flags 0x" + Integer.toHexString(flags) + " are not valid");
     }
     if (FrameFlags.has(flags, FrameFlags.COMMAND) && !pendingFrames.isEmpty()) {
-      throw new ZmtpProtocolException(PLACE, "a command stands inside a message");
+      throw new ZmtpProtocolException(PLACE, "a command arrived between the frames of a message");
     }
   }
 
@@ -82,7 +82,10 @@
         || pendingMessageBytes > limits.maxMessageBytes()) {
       throw new ZmtpProtocolException(
           "message",
-          "over the limit of "
+          pendingFrames.size()
+              + " frames with "
+              + pendingMessageBytes
+              + " bytes are over the limit of "
               + limits.maxFrames()
               + " frames or "
               + limits.maxMessageBytes()
@@ -103,7 +106,7 @@
     if (nameLength == 0 || dataIndex > body.length) {
       throw new ZmtpProtocolException(
           "command",
-          "its name's length " + nameLength + " does not fit its " + body.length + " bytes");
+          "name length " + nameLength + " does not fit into a body of " + body.length + " bytes");
     }
     String name = new String(body, 1, nameLength, StandardCharsets.US_ASCII);
     byte[] data = new byte[body.length - dataIndex];
--- a/src/main/java/stonespring/zmtp/GreetingDecoder.java
+++ b/src/main/java/stonespring/zmtp/GreetingDecoder.java
@@ -52,9 +52,9 @@
               index < MECHANISM_INDEX || index > AS_SERVER_INDEX || isMechanismCharacter(value);
         };
     if (!valid) {
-      String problem = "byte " + index + " is 0x" + Integer.toHexString(value);
+      String problem = "byte " + index + " has the invalid value 0x" + Integer.toHexString(value);
       if (index == MAJOR_VERSION_INDEX) {
-        problem += ": versions before 3.0 are not spoken";
+        problem += ": versions before 3.0 are not supported";
       }
       throw new ZmtpProtocolException(PLACE, problem);
     }
--- a/src/main/java/stonespring/zmtp/ReadyCommand.java
+++ b/src/main/java/stonespring/zmtp/ReadyCommand.java
@@ -51,7 +51,8 @@
   private static String readName(ByteBuf in) {
     int length = in.readUnsignedByte();
     if (length == 0 || in.readableBytes() < length + VALUE_LENGTH_BYTES) {
-      throw new ZmtpProtocolException(NAME, "a property's name does not fit");
+      throw new ZmtpProtocolException(
+          NAME, "the name of a property is empty or exceeds the remaining data");
     }
     return in.readCharSequence(length, StandardCharsets.US_ASCII).toString();
   }
@@ -59,7 +60,8 @@
   private static String readValue(ByteBuf in, String name) {
     int length = in.readInt();
     if (length < 0 || length > in.readableBytes()) {
-      throw new ZmtpProtocolException(NAME, "property " + name + "'s value does not fit");
+      throw new ZmtpProtocolException(
+          NAME, "the value of property " + name + " exceeds the remaining data");
     }
     return in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
   }
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -83,7 +83,7 @@
     if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingBytes()) {
       messages.release();
       // Messages can't be skipped in mid-stream; the peer reconnects and requests a new snapshot.
-      close("it reads too slowly: over " + limits.maxPendingBytes() + " bytes wait for it");
+      close("peer reads too slowly: more than " + limits.maxPendingBytes() + " bytes are pending");
       return;
     }
     channel.write(messages, channel.voidPromise());
@@ -109,7 +109,7 @@
   /** Closes the connection and logs the cause, unless it is already closed. */
   public void close(String cause) {
     if (channel.isOpen()) {
-      LOG.warn("zmtp {} peer {}: connection ended: {}", type, peerAddress, cause);
+      LOG.warn("zmtp {} peer {}: connection closed: {}", type, peerAddress, cause);
     }
     channel.close();
   }
@@ -128,7 +128,7 @@
 
   private void closeIfHandshakeIncomplete() {
     if (!handshakeComplete && channel.isOpen()) {
-      close("no handshake within " + limits.handshakeTimeoutMillis() + " ms");
+      close("handshake not complete within " + limits.handshakeTimeoutMillis() + " ms");
     }
   }
 
@@ -137,7 +137,7 @@
     if (part instanceof ZmtpPart.Greeting greeting) {
       acceptGreeting(ctx, greeting);
     } else if (!greetingReceived) {
-      throw new ZmtpProtocolException("greeting", "it is missing");
+      throw new ZmtpProtocolException("greeting", "not received before the first frame");
     } else if (part instanceof ZmtpPart.Command command) {
       acceptCommand(ctx, command);
     } else if (part instanceof ZmtpPart.Message message) {
@@ -148,7 +148,7 @@
   private void acceptGreeting(ChannelHandlerContext ctx, ZmtpPart.Greeting greeting) {
     if (!greeting.mechanism().equals("NULL")) {
       throw new ZmtpProtocolException(
-          "greeting", "mechanism '" + greeting.mechanism() + "' is not spoken, NULL is");
+          "greeting", "mechanism '" + greeting.mechanism() + "' is not supported, expected NULL");
     }
     greetingReceived = true;
     peerMinorVersion = greeting.minorVersion();
@@ -160,14 +160,14 @@
     if (!handshakeComplete
         && !commandName.equals(ReadyCommand.NAME)
         && !commandName.equals(ErrorCommand.NAME)) {
-      throw new ZmtpProtocolException("command " + commandName, "it comes before READY");
+      throw new ZmtpProtocolException("command " + commandName, "received before READY");
     }
     byte[] data = command.data();
     switch (commandName) {
       case ReadyCommand.NAME -> acceptReady(data);
       case ErrorCommand.NAME ->
           throw new ZmtpProtocolException(
-              "it says ERROR", sanitizeForLog(ErrorCommand.decodeReason(data)));
+              "peer sent ERROR", sanitizeForLog(ErrorCommand.decodeReason(data)));
       case "SUBSCRIBE" -> acceptSubscription(data, true);
       case "CANCEL" -> acceptSubscription(data, false);
       case "PING" -> acceptPing(ctx, data);
@@ -176,13 +176,13 @@
       }
       default ->
           throw new ZmtpProtocolException(
-              "command '" + sanitizeForLog(commandName) + "'", "it is not known");
+              "command '" + sanitizeForLog(commandName) + "'", "unknown command name");
     }
   }
 
   private void acceptReady(byte[] data) {
     if (handshakeComplete) {
-      throw new ZmtpProtocolException(ReadyCommand.NAME, "it comes twice");
+      throw new ZmtpProtocolException(ReadyCommand.NAME, "received twice");
     }
     Optional<String> peerType = ReadyCommand.decodeSocketType(data);
     boolean compatible =
@@ -203,7 +203,14 @@
 
   private void acceptPing(ChannelHandlerContext ctx, byte[] data) {
     if (data.length < PING_TTL_BYTES || data.length > PING_TTL_BYTES + MAX_PING_CONTEXT_BYTES) {
-      throw new ZmtpProtocolException("PING", data.length + " bytes of data");
+      throw new ZmtpProtocolException(
+          "PING",
+          "expected "
+              + PING_TTL_BYTES
+              + " to "
+              + (PING_TTL_BYTES + MAX_PING_CONTEXT_BYTES)
+              + " bytes of data, got "
+              + data.length);
     }
     byte[] context = Arrays.copyOfRange(data, PING_TTL_BYTES, data.length);
     ctx.writeAndFlush(ZmtpEncoder.encodeCommand("PONG", context));
@@ -211,7 +218,7 @@
 
   private void acceptMessage(List<byte[]> frames) {
     if (!handshakeComplete) {
-      throw new ZmtpProtocolException("message", "it comes before READY");
+      throw new ZmtpProtocolException("message", "received before READY");
     }
     if (!type.publishes()) {
       listener.messageReceived(this, frames);
@@ -221,7 +228,8 @@
     if (frames.size() > 1
         || firstFrame.length == 0
         || firstFrame[0] != SUBSCRIBE_BYTE && firstFrame[0] != CANCEL_BYTE) {
-      throw new ZmtpProtocolException("message", "a subscriber may send subscriptions alone");
+      throw new ZmtpProtocolException(
+          "message", "subscribers may only send subscriptions and cancellations");
     }
     acceptSubscription(
         Arrays.copyOfRange(firstFrame, 1, firstFrame.length), firstFrame[0] == SUBSCRIBE_BYTE);
@@ -229,12 +237,12 @@
 
   private void acceptSubscription(byte[] prefix, boolean subscribed) {
     if (!type.publishes()) {
-      throw new ZmtpProtocolException("subscription", "this socket does not publish");
+      throw new ZmtpProtocolException("subscription", "received by a socket that does not publish");
     }
     subscriptionCount += subscribed ? 1 : -1;
     if (subscriptionCount > limits.maxSubscriptions()) {
       throw new ZmtpProtocolException(
-          "subscription", "over the limit of " + limits.maxSubscriptions());
+          "subscription", "over the limit of " + limits.maxSubscriptions() + " subscriptions");
     }
     listener.subscriptionChanged(this, prefix, subscribed);
   }
@@ -260,7 +268,10 @@
       close(String.valueOf(rootCause.getMessage()));
     } else {
       LOG.error(
-          "zmtp {} peer {}: connection ended: its handler failed", type, peerAddress, rootCause);
+          "zmtp {} peer {}: connection closed: unexpected exception in its handler",
+          type,
+          peerAddress,
+          rootCause);
       ctx.close();
     }
   }
--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -96,7 +96,7 @@
     protected void initChannel(SocketChannel accepted) {
       if (openConnections.incrementAndGet() > limits.maxConnections()) {
         LOG.warn(
-            "zmtp {} peer {}: refused: over {} connections",
+            "zmtp {} peer {}: connection refused: limit of {} connections reached",
             type,
             accepted.remoteAddress(),
             limits.maxConnections());
--- a/src/test/java/stonespring/chp/ChpClientTest.java
+++ b/src/test/java/stonespring/chp/ChpClientTest.java
@@ -87,7 +87,9 @@
   @Test
   void followsServerBuiltOnAnIndependentLibrary() throws Exception {
     assertArrayEquals(
-        bytes("\u0001/x/"), publisher.recv(), "a subscription as this library's version takes it");
+        bytes("\u0001/x/"),
+        publisher.recv(),
+        "the subscription in the form of the library's ZMTP version");
     assertArrayEquals(bytes("\u0001HUGZ"), publisher.recv());
     publish(publisher, "/x/early", 5, "dropped, the snapshot holds it");
     publish(publisher, "/x/late", 8, "kept");
--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -55,7 +55,10 @@
       updates.subscribe("/presence/");
       updates.subscribe("HUGZ");
       updates.connect("tcp://127.0.0.1:" + (daemon.port() + 1));
-      assertEquals("HUGZ", text(ZMsg.recvMsg(updates), 0), "the subscription's first heartbeat");
+      assertEquals(
+          "HUGZ",
+          text(ZMsg.recvMsg(updates), 0),
+          "the first message is the heartbeat that confirms the subscription");
       ZMQ.Socket collector = context.createSocket(SocketType.PUB);
       collector.connect("tcp://127.0.0.1:" + (daemon.port() + 2));
       ZMsg presence = setPresenceUntilPublished(collector, updates);
@@ -66,7 +69,7 @@
       ZMsg message;
       do {
         message = ZMsg.recvMsg(updates);
-        assertNotNull(message, "the expiry is published");
+        assertNotNull(message, "no message announced the expiry of the key");
       } while (!text(message, 0).equals("/presence/p1") || !text(message, 4).isEmpty());
     } finally {
       daemon.stop();
@@ -103,12 +106,13 @@
         !text(message, 0).equals("/proxy/p1/commit");
         message = ZMsg.recvMsg(updates)) {
       if (!text(message, 0).equals("HUGZ")) {
-        assertTrue(sequence(message) > sequence, "sequences rise strictly");
+        assertTrue(sequence(message) > sequence, "sequences must increase strictly");
         sequence = sequence(message);
         routes += text(message, 0).startsWith("/proxy/p1/line/") ? 1 : 0;
       }
     }
-    assertEquals(3, routes, "a proxy without tables gets one of the three endpoints there are");
+    assertEquals(
+        3, routes, "a proxy without route tables gets routes to the three available endpoints");
     return sequence;
   }
 
@@ -128,7 +132,7 @@
       committed |= text(message, 0).equals("/proxy/p1/commit");
       message = ZMsg.recvMsg(snapshots);
     }
-    assertTrue(sequence(message) >= sequence, "the snapshot is as new as the updates");
+    assertTrue(sequence(message) >= sequence, "the snapshot must not be older than the updates");
     assertEquals("/proxy/p1/", text(message, 4));
     assertTrue(committed);
     assertEquals(3, routes);
--- a/src/test/java/stonespring/http/HttpDecoderTest.java
+++ b/src/test/java/stonespring/http/HttpDecoderTest.java
@@ -48,7 +48,7 @@
     } catch (DecoderException e) {
       assertTrue(
           e.getCause() instanceof MalformedHttpException,
-          () -> "an exception that is no violation: " + e);
+          () -> "expected a MalformedHttpException, got: " + e);
       results.add("violation " + e.getCause().getMessage());
     }
     for (HttpMessage next = channel.readInbound(); next != null; next = channel.readInbound()) {
@@ -136,7 +136,7 @@
       for (; next instanceof StreamPart.Bytes part; next = channel.readInbound()) {
         body.append(new String(part.bytes(), StandardCharsets.US_ASCII));
       }
-      assertEquals("abcdefgh", body.toString(), "cut at " + splitIndex);
+      assertEquals("abcdefgh", body.toString(), "split at " + splitIndex);
       assertEquals(new StreamPart.End(), next);
     }
   }
--- a/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
@@ -51,7 +51,7 @@
                     events.add(
                         (subscribed ? "+" : "-") + new String(prefix, StandardCharsets.US_ASCII));
                     if (prefix.length == 4) {
-                      throw new IllegalStateException("a listener that fails");
+                      throw new IllegalStateException("thrown by the listener of the test");
                     }
                   }
 
@@ -98,7 +98,7 @@
       in.readFully(greeting);
       assertArrayEquals(
           hex("FF 0000000000000000 7F 03 01 4E554C4C"), java.util.Arrays.copyOf(greeting, 16));
-      assertEquals(1, greeting[32], "as a server");
+      assertEquals(1, greeting[32], "the as-server flag is set");
       socket.getOutputStream().write(hex(READY_SUB));
       byte[] ready = new byte[hex(READY_SUB).length];
       in.readFully(ready);
@@ -145,7 +145,7 @@
         // ignores what was sent before the close
       }
     } catch (java.net.SocketTimeoutException e) {
-      throw new AssertionError("the connection still stands", e);
+      throw new AssertionError("the connection was not closed within the timeout", e);
     } catch (IOException e) {
       // a connection reset counts as closed
     }
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -35,7 +35,7 @@
     } catch (DecoderException e) {
       assertTrue(
           e.getCause() instanceof ZmtpProtocolException,
-          () -> "an exception that is no violation: " + e);
+          () -> "expected a protocol violation, got: " + e);
       parts.add("violation " + e.getCause().getMessage());
     }
     for (Object part = channel.readInbound(); part != null; part = channel.readInbound()) {
@@ -114,15 +114,16 @@
   void rejectsFramesThatViolateTheProtocol() {
     assertTrue(violationMessage(8, 0).contains("flags 0x8"));
     assertTrue(
-        violationMessage(5, 0).contains("flags 0x5"), "a command is never one of several frames");
-    assertTrue(violationMessage(1, 0, 4, 0).contains("command stands inside a message"));
+        violationMessage(5, 0).contains("flags 0x5"), "a command must not have the MORE flag");
+    assertTrue(
+        violationMessage(1, 0, 4, 0).contains("command arrived between the frames of a message"));
     assertTrue(violationMessage(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
     assertTrue(
         violationMessage(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"),
-        "a size below 0 as a signed number");
+        "a size with the sign bit set");
     assertTrue(
         violationMessage(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0)
-            .contains("8 frames"));
-    assertTrue(violationMessage(4, 1, 5).contains("name's length"));
+            .contains("9 frames with 0 bytes are over the limit of 8 frames"));
+    assertTrue(violationMessage(4, 1, 5).contains("name length 5 does not fit"));
   }
 }
