--- a/src/main/java/stonespring/http/HeaderParser.java
+++ b/src/main/java/stonespring/http/HeaderParser.java
@@ -26,7 +26,7 @@
     String previous = headers.put(name, value);
     if (previous != null) {
       if (UNIQUE_HEADERS.contains(name)) {
-        throw new MalformedHttpException(place(lineCount), "'" + name + "' comes twice");
+        throw new MalformedHttpException(place(lineCount), "'" + name + "' must not be repeated");
       }
       headers.put(name, previous + ", " + value);
     }
@@ -40,11 +40,11 @@
   /** Counts and checks a header or trailer line; returns the index of its colon. */
   private int checkLine(String line) {
     if (++lineCount > MAX_HEADERS) {
-      throw new MalformedHttpException(place(lineCount), "over " + MAX_HEADERS + " of them");
+      throw new MalformedHttpException(place(lineCount), "more than " + MAX_HEADERS + " headers");
     }
     int colon = line.indexOf(':');
     if (colon < 1 || !line.substring(0, colon).matches(NAME_PATTERN)) {
-      throw new MalformedHttpException(place(lineCount), "it has no proper name");
+      throw new MalformedHttpException(place(lineCount), "the name is missing or invalid");
     }
     return colon;
   }
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -94,19 +94,20 @@
     int lineFeed = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
     if (lineFeed < 0) {
       if (in.readableBytes() > MAX_LINE_BYTES) {
-        throw new MalformedHttpException(place(), "a line is over " + MAX_LINE_BYTES + " bytes");
+        throw new MalformedHttpException(
+            place(), "a line is longer than " + MAX_LINE_BYTES + " bytes");
       }
       return null;
     }
     int length = lineFeed - in.readerIndex();
     if (length > MAX_LINE_BYTES || length == 0 || in.getByte(lineFeed - 1) != '\r') {
       throw new MalformedHttpException(
-          place(), "a line is over " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
+          place(), "a line is longer than " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
     }
     String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.ISO_8859_1);
     in.skipBytes(length + 1);
     if (containsControlCharacter(line)) {
-      throw new MalformedHttpException(place(), "a line holds a control character");
+      throw new MalformedHttpException(place(), "a line contains a control character");
     }
     return line;
   }
@@ -158,7 +159,7 @@
     }
     if (length != null || !encoding.equalsIgnoreCase("chunked")) {
       throw new MalformedHttpException(
-          headerPlace(ENCODING_HEADER), "it is not 'chunked', or a length stands beside it");
+          headerPlace(ENCODING_HEADER), "expected 'chunked' and no content-length");
     }
     state = State.CHUNK_SIZE;
     if (streaming) {
@@ -168,11 +169,12 @@
 
   private void startBodyOfLength(String length, List<Object> out) {
     if (length != null && !length.matches("[0-9]{1,9}")) {
-      throw new MalformedHttpException(headerPlace(LENGTH_HEADER), "it is no length");
+      throw new MalformedHttpException(
+          headerPlace(LENGTH_HEADER), "expected a number of 1 to 9 digits");
     }
     if (length == null && startLine.requiresLength()) {
       throw new MalformedHttpException(
-          headerPlace(LENGTH_HEADER), "it is missing, and no chunks are announced");
+          headerPlace(LENGTH_HEADER), "missing, and transfer-encoding is not 'chunked'");
     }
     boolean empty = length == null || startLine.excludesBody();
     remainingBytes = empty ? 0 : checkBodySize(Integer.parseInt(length));
@@ -188,7 +190,7 @@
 
   private int checkBodySize(int bytes) {
     if (bytes > maxBodyBytes - body.size()) {
-      throw new MalformedHttpException(BODY_PLACE, "over " + maxBodyBytes + " bytes");
+      throw new MalformedHttpException(BODY_PLACE, "longer than " + maxBodyBytes + " bytes");
     }
     return bytes;
   }
@@ -197,7 +199,8 @@
     int extension = line.indexOf(';');
     String size = (extension < 0 ? line : line.substring(0, extension)).strip();
     if (!size.matches("[0-9A-Fa-f]{1,7}")) {
-      throw new MalformedHttpException(BODY_PLACE, "a chunk's size is no number");
+      throw new MalformedHttpException(
+          BODY_PLACE, "a chunk size is not a hexadecimal number of 1 to 7 digits");
     }
     remainingBytes = checkBodySize(Integer.parseInt(size, 16));
     state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
@@ -205,7 +208,7 @@
 
   private void acceptChunkEnd(String line) {
     if (!line.isEmpty()) {
-      throw new MalformedHttpException(BODY_PLACE, "a chunk is longer than its size");
+      throw new MalformedHttpException(BODY_PLACE, "a chunk is longer than its stated size");
     }
     state = State.CHUNK_SIZE;
   }
--- a/src/main/java/stonespring/http/StartLine.java
+++ b/src/main/java/stonespring/http/StartLine.java
@@ -24,7 +24,7 @@
           || !isSupportedVersion(parts[2])
           || !parts[0].matches("[A-Z]{1,20}")
           || !parts[1].startsWith("/")) {
-        throw new MalformedHttpException(PLACE, "it is no request of HTTP/1.1");
+        throw new MalformedHttpException(PLACE, "not a valid HTTP/1.1 request line");
       }
       return new Request(parts[0], parts[1]);
     }
@@ -52,7 +52,7 @@
       if (parts.length < 2
           || !isSupportedVersion(parts[0])
           || !parts[1].matches("[1-5][0-9][0-9]")) {
-        throw new MalformedHttpException(PLACE, "it is no answer of HTTP/1.1");
+        throw new MalformedHttpException(PLACE, "not a valid HTTP/1.1 status line");
       }
       return new Response(Integer.parseInt(parts[1]), parts.length == 3 ? parts[2] : "");
     }
