--- a/src/main/java/stonespring/daemon/ReportBatcher.java
+++ b/src/main/java/stonespring/daemon/ReportBatcher.java
@@ -8,34 +8,37 @@
 import stonespring.model.Event;
 
 /**
- * Gathers the reports of one interval, which arrive in pieces on many connections, and delivers
- * them together: a part of them would look to the engine like an interval without requests. They
- * are delivered once none arrived for a short while, but no later than a bound. Confined to its
- * event loop.
+ * Collects the reports of one interval, which arrive in pieces on many connections, and delivers
+ * them together. If only a part were delivered, the missing ones would look to the engine like an
+ * interval without requests. The reports are delivered once none has arrived for {@link
+ * #QUIET_PERIOD_MILLIS}, but at the latest {@link #MAX_DELAY_MILLIS} after the first; they describe
+ * a past interval and nothing else waits for them. Confined to its event loop.
  */
 final class ReportBatcher {
-  private static final long QUIET_MILLIS = 30;
+  private static final long QUIET_PERIOD_MILLIS = 30;
   private static final long MAX_DELAY_MILLIS = 200;
+
+  /** Number of collected reports at which they are delivered immediately. */
   private static final int MAX_REPORTS = 20_000;
 
-  /** Takes gathered reports, on the event loop. */
+  /** Receives the collected reports on the event loop. */
   @FunctionalInterface
   interface Listener {
     /**
-     * Takes reports in the order of their arrival.
+     * Handles reports in the order of their arrival.
      *
      * @param reports valid during the call only; may be empty
-     * @param firstAt when the first of them arrived, {@link DeciMillis}
+     * @param firstArrivedAt arrival time of the first report, in {@link DeciMillis}
      */
-    void reportsGathered(List<Event> reports, long firstAt);
+    void handleReports(List<Event> reports, long firstArrivedAt);
   }
 
   private final EventLoop eventLoop;
   private final InstanceClock clock;
   private final Listener listener;
   private final List<Event> reports = new ArrayList<>();
-  private long firstAt;
-  private long lastAt;
+  private long firstArrivedAt;
+  private long lastArrivedAt;
 
   ReportBatcher(EventLoop eventLoop, InstanceClock clock, Listener listener) {
     this.eventLoop = eventLoop;
@@ -43,16 +46,16 @@
     this.listener = listener;
   }
 
-  /** Returns whether an event is a report, to be gathered here. */
+  /** Returns whether an event is a report, which this class collects. */
   static boolean isReport(Event event) {
     return event instanceof Event.EndpointOutcomes || event instanceof Event.ProxyRequestRate;
   }
 
   void add(Event report) {
-    lastAt = clock.now();
+    lastArrivedAt = clock.now();
     if (reports.isEmpty()) {
-      firstAt = lastAt;
-      eventLoop.schedule(this::deliverIfQuiet, QUIET_MILLIS, TimeUnit.MILLISECONDS);
+      firstArrivedAt = lastArrivedAt;
+      eventLoop.schedule(this::deliverIfDue, QUIET_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
     reports.add(report);
     if (reports.size() >= MAX_REPORTS) {
@@ -60,27 +63,27 @@
     }
   }
 
-  /** Discards what was gathered and not delivered. */
+  /** Discards the collected reports. */
   void clear() {
     reports.clear();
   }
 
-  private void deliverIfQuiet() {
+  private void deliverIfDue() {
     long now = clock.now();
     long dueAt =
         Math.min(
-            lastAt + InstanceClock.ofMillis(QUIET_MILLIS),
-            firstAt + InstanceClock.ofMillis(MAX_DELAY_MILLIS));
+            lastArrivedAt + InstanceClock.ofMillis(QUIET_PERIOD_MILLIS),
+            firstArrivedAt + InstanceClock.ofMillis(MAX_DELAY_MILLIS));
     if (now >= dueAt) {
       deliver();
     } else {
       eventLoop.schedule(
-          this::deliverIfQuiet, InstanceClock.toMicros(dueAt - now), TimeUnit.MICROSECONDS);
+          this::deliverIfDue, InstanceClock.toMicros(dueAt - now), TimeUnit.MICROSECONDS);
     }
   }
 
   private void deliver() {
-    listener.reportsGathered(reports, firstAt);
+    listener.handleReports(reports, firstArrivedAt);
     reports.clear();
   }
 }
--- a/src/main/java/stonespring/state/ConnectedProxy.java
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -9,24 +9,25 @@
 import stonespring.model.RouteTableId;
 
 /**
- * What was sent to one connected proxy: its tables, by request class, and the limits for all
- * tables.
+ * What this instance has sent to one connected proxy: the table of each request class, and the
+ * limits that apply to all tables.
  */
 final class ConnectedProxy {
   private final ProxyId id;
-  private final RouteTableId[] assigned;
+  private final RouteTableId[] assignedTables;
   private final AdmissionLimit[] limitsForAllTables;
   private final Optional<Set<EndpointId>> initialEndpoints;
 
   /**
-   * Creates a proxy without tables of this instance.
+   * Creates a proxy to which this instance has assigned no table yet.
    *
-   * @param initialEndpoints the endpoints that the tables it brought along name; empty if unknown
+   * @param initialEndpoints the endpoints in the tables that the proxy held when it connected;
+   *     empty if they are unknown
    */
-  ConnectedProxy(ProxyId id, int requestClasses, Optional<List<EndpointId>> initialEndpoints) {
+  ConnectedProxy(ProxyId id, int requestClassCount, Optional<List<EndpointId>> initialEndpoints) {
     this.id = id;
-    this.assigned = new RouteTableId[requestClasses];
-    this.limitsForAllTables = new AdmissionLimit[requestClasses];
+    this.assignedTables = new RouteTableId[requestClassCount];
+    this.limitsForAllTables = new AdmissionLimit[requestClassCount];
     this.initialEndpoints = initialEndpoints.map(HashSet::new);
   }
 
@@ -34,17 +35,20 @@
     return id;
   }
 
-  /** The table that it uses for a request class; null for one that it brought along. */
-  RouteTableId assigned(int requestClass) {
-    return assigned[requestClass];
+  /**
+   * Returns the table assigned for a request class; null if the proxy still uses the table that it
+   * held when it connected.
+   */
+  RouteTableId assignedTable(int requestClass) {
+    return assignedTables[requestClass];
   }
 
-  void assign(int requestClass, RouteTableId table) {
-    assigned[requestClass] = table;
+  void assignTable(int requestClass, RouteTableId table) {
+    assignedTables[requestClass] = table;
   }
 
   boolean uses(RouteTableId table) {
-    for (RouteTableId used : assigned) {
+    for (RouteTableId used : assignedTables) {
       if (table.equals(used)) {
         return true;
       }
@@ -52,18 +56,22 @@
     return false;
   }
 
-  /** Whether it may use the endpoint by a table that it brought along. */
-  boolean mayUseInitially(EndpointId endpoint) {
-    for (RouteTableId used : assigned) {
+  /** Whether the proxy may use the endpoint through a table that it held when it connected. */
+  boolean mayUseByInitialTable(EndpointId endpoint) {
+    for (RouteTableId used : assignedTables) {
       if (used == null) {
-        return initialEndpoints.map(known -> known.contains(endpoint)).orElse(true);
+        return initialEndpoints.map(endpoints -> endpoints.contains(endpoint)).orElse(true);
       }
     }
     return false;
   }
 
-  /** Replaces a limit for all tables; false if it equals the last one sent. */
-  boolean replaceLimitIfDifferent(int requestClass, AdmissionLimit limit) {
+  /**
+   * Replaces the limit of a request class for all tables.
+   *
+   * @return false if the limit equals the last one sent
+   */
+  boolean replaceLimitForAllTablesIfDifferent(int requestClass, AdmissionLimit limit) {
     if (limit.equals(limitsForAllTables[requestClass])) {
       return false;
     }
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -17,15 +17,15 @@
 import stonespring.config.InvalidConfigException;
 import stonespring.config.PlatformConfig;
 
-/** The platform's configuration: at the start, and read again by a SIGHUP or without one. */
+/** Reading of the platform's configuration at the start, and reloads with and without SIGHUP. */
 final class PlatformConfigurationTest {
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
-  private static void write(OutputStream pipe, String text) throws Exception {
+  private static void writeToPipe(OutputStream pipe, String text) throws Exception {
     pipe.write(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Answers the first watch with a list of version 5. */
+  /** Answers the first watch with version 5 of the endpoint list. */
   private EndpointListRequest answerFirstWatch() throws Exception {
     EndpointListRequest watch = platform.acceptListRequest(platform.discovery());
     watch.beginWatch(endpointList(5, endpoint("s-1", "west")));
@@ -33,26 +33,27 @@
   }
 
   /**
-   * Two signals follow closely, each with a thread of its own. The first one's file is a pipe that
-   * the test holds back, the second one's is newer: what the first reads must not be applied last.
+   * Two signals arrive shortly after each other and are handled on threads of their own. The first
+   * reload reads an older configuration from a pipe that the test holds back, the second one reads
+   * a newer file. The older configuration must not be applied last.
    */
   @Test
-  void appliesTheLaterOfTwoReloads() throws Exception {
+  void appliesNewerConfigurationWhenTwoReloadsOverlap() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcess();
     process.awaitPort();
     answerFirstWatch();
     ServerSocket older = platform.listen();
     ServerSocket newer = platform.listen();
-    platform.replaceConfigByPipe();
-    process.hangUp();
-    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
+    platform.replaceConfigWithPipe();
+    process.sendSighup();
+    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // waits for the reader
       platform.replaceConfig(platform.config(newer));
-      process.hangUp();
+      process.sendSighup();
       process.awaitThreadsOrLog("SIGHUP handler", 2, "discovery moves from");
-      write(pipe, platform.config(older));
+      writeToPipe(pipe, platform.config(older));
     }
-    // The older address may have been asked or not; the one asked in the end is the newer one.
+    // Whether or not the older address is contacted, the newer one is used in the end.
     EndpointListRequest last = platform.acceptListRequest(newer);
     last.beginWatch(endpointList(6, endpoint("s-1", "west")));
     process.awaitLog("/127.0.0.1:" + newer.getLocalPort() + " answers");
@@ -63,24 +64,27 @@
             + newer.getLocalPort());
   }
 
-  /** The signal arrives while the file is read for the first time, from a pipe held back. */
+  /**
+   * The signal arrives while the first read of the configuration waits for a pipe that the test
+   * holds back.
+   */
   @Test
-  void reloadsAfterTheStartWhereTheSignalArrivesDuringIt() throws Exception {
+  void reloadsAfterStartWhenSignalArrivesDuringStart() throws Exception {
     ServerSocket newer = platform.listen();
-    platform.replaceConfigByPipe();
+    platform.replaceConfigWithPipe();
     PlatformProcess process = platform.startProcess();
-    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // once it is read
+    try (OutputStream pipe = Files.newOutputStream(platform.configFile())) { // waits for the reader
       platform.replaceConfig(platform.config(newer));
-      process.hangUp();
-      write(pipe, platform.config());
+      process.sendSighup();
+      writeToPipe(pipe, platform.config());
     }
     assertEquals(
         "/registry/instances?stream=1&index=4", platform.acceptListRequest(newer).target());
   }
 
-  /** The old address ends the watch and accepts nobody; there is no signal. */
+  /** The old address ends the watch and accepts no connections; no signal is sent. */
   @Test
-  void findsAMovedDiscoveryWithoutASignal() throws Exception {
+  void followsDiscoveryToNewAddressWithoutSignal() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcess();
     process.awaitPort();
@@ -93,9 +97,9 @@
         "/registry/instances?stream=1&index=5", platform.acceptListRequest(moved).target());
   }
 
-  /** As under nohup, where no handler of the process is called. */
+  /** SIGHUP is ignored as under nohup, so no signal handler of the process is called. */
   @Test
-  void findsAMovedDiscoveryWhereSignalsAreIgnoredAndSaysSo() throws Exception {
+  void followsDiscoveryToNewAddressAndLogsThatSighupIsIgnored() throws Exception {
     platform.writeConfig(platform.config());
     PlatformProcess process = platform.startProcessAfter("trap '' HUP");
     process.awaitPort();
@@ -103,16 +107,19 @@
     EndpointListRequest watch = answerFirstWatch();
     ServerSocket moved = platform.listen();
     platform.writeConfig(platform.config(moved));
-    process.hangUp();
+    process.sendSighup();
     platform.discovery().close();
     watch.close();
     assertEquals(
         "/registry/instances?stream=1&index=5", platform.acceptListRequest(moved).target());
   }
 
-  /** The settings tell of the simulator's discovery; on the platform a list must be watched. */
+  /**
+   * The setting {@code pushed} describes discovery in the simulator; on the platform the endpoint
+   * list must be watched in any case.
+   */
   @Test
-  void watchesTheListWhereSettingsSayThatItIsPushed() throws Exception {
+  void watchesEndpointListWhenSettingsSayThatItIsPushed() throws Exception {
     platform.writeConfig(platform.config().replace("\"on_request\"", "\"pushed\""));
     PlatformDaemon daemon = new PlatformDaemon(PlatformConfig.read(platform.configFile()));
     daemon.start();
@@ -123,9 +130,9 @@
   }
 
   @Test
-  void rejectsABadConfigurationWithOneLineThatNamesTheField() throws Exception {
+  void rejectsInvalidConfigurationWithOneLineThatNamesTheField() throws Exception {
     String good = PlatformFixture.config(1);
-    String[][] rows = {
+    String[][] configsAndErrors = {
       {"{", "line 1"},
       {"[]", "no JSON object"},
       {good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "field 'listen'"},
@@ -143,12 +150,16 @@
       {good.replace("\"sockets\":256", "\"sockets\":0"), "limits.sockets"}
     };
     Path file = platform.file("bad.json");
-    for (String[] row : rows) {
-      Files.writeString(file, row[0]);
+    for (String[] configAndError : configsAndErrors) {
+      Files.writeString(file, configAndError[0]);
       Exception e =
           assertThrows(
-              InvalidConfigException.class, () -> PlatformConfig.read(file), "taken: " + row[0]);
-      assertTrue(e.getMessage().contains(row[1]) && !e.getMessage().contains("\n"), e.getMessage());
+              InvalidConfigException.class,
+              () -> PlatformConfig.read(file),
+              "invalid configuration accepted: " + configAndError[0]);
+      assertTrue(
+          e.getMessage().contains(configAndError[1]) && !e.getMessage().contains("\n"),
+          e.getMessage());
     }
     platform.writeConfig("{}");
     PlatformProcess process = platform.startProcess();
--- a/src/test/java/stonespring/daemon/PlatformEngineTest.java
+++ b/src/test/java/stonespring/daemon/PlatformEngineTest.java
@@ -18,14 +18,16 @@
 import stonespring.model.ProxyId;
 import stonespring.model.RouteTableId;
 
-/** Batches, restarts and the stop of the decision engine on the platform, with scripted engines. */
+/** Batches, restarts and stop of the decision engine on the platform, with scripted engines. */
 final class PlatformEngineTest {
   private static final RouteTableId TABLE = new RouteTableId(1);
-  private static final String FAILURE = "as the test wants it";
+  private static final String FAILURE_MESSAGE = "failure injected by the test";
 
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
-  /** An engine that returns at each batch's end what it queued while it handled events. */
+  /**
+   * An engine that returns at the end of each batch the commands it queued while it handled events.
+   */
   private abstract static class ScriptedEngine implements DecisionEngine {
     private final List<Command> queued = new ArrayList<>();
 
@@ -45,25 +47,26 @@
     }
   }
 
-  /** Fails when a proxy connects: with an error for proxy 3, with an exception for others. */
+  /** Fails when a proxy connects: with an error for proxy 3, with an exception for all others. */
   private static final class FailingEngine extends ScriptedEngine {
     @Override
     public void handle(long now, Event event) {
       if (event instanceof Event.ProxyConnected connected) {
         if (connected.proxy().number() == 3) {
-          throw new NoClassDefFoundError(FAILURE);
+          throw new NoClassDefFoundError(FAILURE_MESSAGE);
         }
-        throw new IllegalStateException(FAILURE);
+        throw new IllegalStateException(FAILURE_MESSAGE);
       }
     }
   }
 
-  /** Takes over from a failed engine. */
+  /** Replaces a failed engine. */
   private static final class SucceedingEngine extends ScriptedEngine {
     @Override
     public void handle(long now, Event event) {
       if (event instanceof Event.ProxyConnected connected) {
-        assertFalse(connected.withoutTables(), "it may hold what was commanded before");
+        assertFalse(
+            connected.withoutTables(), "the proxy may hold route tables of the failed engine");
         setRoute("s-1", 1);
         assignTable(connected.proxy());
       }
@@ -79,8 +82,8 @@
   }
 
   @ParameterizedTest
-  @ValueSource(ints = {2, 3}) // an exception, an error
-  void restartsAFailedEngineWithoutClosingConnections(int proxyId) throws Exception {
+  @ValueSource(ints = {2, 3}) // proxy 2: exception, proxy 3: error
+  void restartsFailedEngineWithoutClosingConnections(int proxyId) throws Exception {
     List<DecisionEngine> engines = new ArrayList<>();
     PlatformDaemon daemon =
         platform.createDaemon(
@@ -97,19 +100,19 @@
   }
 
   @Test
-  void endsWhereTheEngineAlwaysFails() throws Exception {
+  void endsWithEngineFailureWhenEveryRestartFails() throws Exception {
     PlatformDaemon daemon = platform.createDaemon((settings, seed, now) -> new FailingEngine());
     daemon.start();
     LineClient proxy = platform.connect(daemon.port());
     proxy.send("SUBSCRIBE id=2 site=west rps=3.0 new=1");
-    assertEquals(FAILURE, daemon.awaitEnd().orElseThrow().getMessage());
+    assertEquals(FAILURE_MESSAGE, daemon.awaitEnd().orElseThrow().getMessage());
     daemon.stop();
   }
 
-  /** Blocks in a report until the test goes on, and then changes the table. */
+  /** Blocks at a report until the test resumes it, and then changes the route table. */
   private static final class EngineBlockedByReport extends ScriptedEngine {
     private final CountDownLatch blocked = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch resume = new CountDownLatch(1);
 
     @Override
     public void handle(long now, Event event) {
@@ -118,18 +121,19 @@
         assignTable(connected.proxy());
       } else if (event instanceof Event.ProxyRequestRate) {
         blocked.countDown();
-        await(goOn);
+        await(resume);
         setRoute("s-2", 0.5);
       }
     }
   }
 
   /**
-   * A proxy's connection breaks and it connects again while the engine changes its table: the
-   * change must not go out on the new connection, whose first message is the whole table.
+   * A proxy's connection breaks and the proxy connects again while the engine changes its route
+   * table. The change must not be sent on the new connection, whose first message is the whole
+   * table.
    */
   @Test
-  void sendsNoChangeForABrokenConnectionOnTheNewOne() throws Exception {
+  void sendsNoUpdateOfOldConnectionOnNewConnection() throws Exception {
     EngineBlockedByReport engine = new EngineBlockedByReport();
     PlatformDaemon daemon = platform.createDaemon((settings, seed, now) -> engine);
     daemon.start();
@@ -141,30 +145,30 @@
     old.close();
     LineClient newer = platform.connect(daemon.port());
     newer.send("SUBSCRIBE id=2 site=west rps=3.0 new=0");
-    engine.goOn.countDown();
+    engine.resume.countDown();
     assertEquals("CONFIG replace=1 rows=s-1:1,s-2:0.5 undrop=s-1,s-2", newer.readLine());
     daemon.stop();
   }
 
-  /** Notes the proxies that connect, and blocks at each until the test goes on. */
+  /** Records the proxies that connect, and blocks at each one until the test resumes it. */
   private static final class EngineBlockedByConnection extends ScriptedEngine {
     private final List<Event> connected = Collections.synchronizedList(new ArrayList<>());
     private final CountDownLatch blocked = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch resume = new CountDownLatch(1);
 
     @Override
     public void handle(long now, Event event) {
       if (event instanceof Event.ProxyConnected) {
         connected.add(event);
         blocked.countDown();
-        await(goOn);
+        await(resume);
       }
     }
   }
 
-  /** The stop comes while a batch runs, and a second proxy's message waits at its socket. */
+  /** The stop begins while a batch runs and the message of a second proxy waits in its socket. */
   @Test
-  void runsNoBatchOnceTheStopHasBegun() throws Exception {
+  void runsNoBatchAfterStopHasBegun() throws Exception {
     EngineBlockedByConnection engine = new EngineBlockedByConnection();
     PlatformDaemon daemon = platform.createDaemon((settings, seed, now) -> engine);
     daemon.start();
@@ -179,9 +183,9 @@
     stop.start();
     while (stop.getState() != Thread.State.TIMED_WAITING
         && stop.getState() != Thread.State.WAITING) {
-      Thread.onSpinWait(); // it waits for the event loop, behind what it queued there
+      Thread.onSpinWait(); // until it waits for the event loop to run what it queued there
     }
-    engine.goOn.countDown();
+    engine.resume.countDown();
     stop.join();
     assertEquals(1, engine.connected.size(), engine.connected.toString());
   }
