--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -20,7 +20,7 @@
 public final class ZmtpSockets {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpSockets.class);
 
-  /** Holds a whole fleet that reconnects within a second. */
+  /** Large enough for a whole fleet that reconnects within a second. */
   private static final int ACCEPT_BACKLOG = 2048;
 
   /** Loopback and neighbouring data centres answer within a few milliseconds. */
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -75,9 +75,9 @@
   @Property(tries = 200, seed = "1")
   void decodesTheSamePartsWhereverTheBytesAreSplit(@ForAll long seed) {
     byte[] bytes = encodeStream(seed);
-    List<String> whole = decode(bytes, null);
-    assertEquals(7, whole.size());
-    assertEquals(whole, decode(bytes, new SplittableRandom(seed)));
+    List<String> unsplitParts = decode(bytes, null);
+    assertEquals(7, unsplitParts.size());
+    assertEquals(unsplitParts, decode(bytes, new SplittableRandom(seed)));
   }
 
   @Property(tries = 500, seed = "1")
