--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -51,10 +51,13 @@
   private final SubtreeReplica replica;
   private final List<ChannelFuture> connectFutures = new ArrayList<>();
 
-  /** Null until the connection's handshake is complete; likewise the two fields below. */
+  /** Null until its handshake is complete. */
   private ZmtpConnection snapshotConnection;
 
+  /** Null until its handshake is complete. */
   private ZmtpConnection updateConnection;
+
+  /** Null until its handshake is complete, and in sessions without a collector. */
   private ZmtpConnection collectorConnection;
 
   /** Whether the publisher has sent a message, which shows that the subscription is active. */
--- a/src/main/java/stonespring/http/HeaderParser.java
+++ b/src/main/java/stonespring/http/HeaderParser.java
@@ -26,7 +26,8 @@
     String previous = headers.put(name, value);
     if (previous != null) {
       if (UNIQUE_HEADERS.contains(name)) {
-        throw new MalformedHttpException(place(lineCount), "'" + name + "' must not be repeated");
+        throw new MalformedHttpException(
+            location(lineCount), "'" + name + "' must not be repeated");
       }
       headers.put(name, previous + ", " + value);
     }
@@ -40,21 +41,22 @@
   /** Counts and checks a header or trailer line; returns the index of its colon. */
   private int checkLine(String line) {
     if (++lineCount > MAX_HEADERS) {
-      throw new MalformedHttpException(place(lineCount), "more than " + MAX_HEADERS + " headers");
+      throw new MalformedHttpException(
+          location(lineCount), "more than " + MAX_HEADERS + " headers");
     }
     int colon = line.indexOf(':');
     if (colon < 1 || !line.substring(0, colon).matches(NAME_PATTERN)) {
-      throw new MalformedHttpException(place(lineCount), "the name is missing or invalid");
+      throw new MalformedHttpException(location(lineCount), "the name is missing or invalid");
     }
     return colon;
   }
 
   /** Returns the location to report in an error of the next line. */
-  String nextPlace() {
-    return place(lineCount + 1);
+  String nextLocation() {
+    return location(lineCount + 1);
   }
 
-  private static String place(int line) {
+  private static String location(int line) {
     return "header " + line;
   }
 
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -19,7 +19,7 @@
   private static final int MAX_LINE_BYTES = 8192;
 
   private static final int DELETE_CHARACTER = 127;
-  private static final String BODY_PLACE = "body";
+  private static final String BODY_LOCATION = "body";
   private static final String LENGTH_HEADER = "content-length";
   private static final String ENCODING_HEADER = "transfer-encoding";
 
@@ -95,19 +95,20 @@
     if (lineFeed < 0) {
       if (in.readableBytes() > MAX_LINE_BYTES) {
         throw new MalformedHttpException(
-            place(), "a line is longer than " + MAX_LINE_BYTES + " bytes");
+            location(), "a line is longer than " + MAX_LINE_BYTES + " bytes");
       }
       return null;
     }
     int length = lineFeed - in.readerIndex();
     if (length > MAX_LINE_BYTES || length == 0 || in.getByte(lineFeed - 1) != '\r') {
       throw new MalformedHttpException(
-          place(), "a line is longer than " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
+          location(),
+          "a line is longer than " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
     }
     String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.ISO_8859_1);
     in.skipBytes(length + 1);
     if (containsControlCharacter(line)) {
-      throw new MalformedHttpException(place(), "a line contains a control character");
+      throw new MalformedHttpException(location(), "a line contains a control character");
     }
     return line;
   }
@@ -123,11 +124,11 @@
   }
 
   /** Returns the location to report in an error of the next line. */
-  private String place() {
+  private String location() {
     return switch (state) {
-      case START_LINE -> StartLine.PLACE;
-      case HEADERS -> headerParser.nextPlace();
-      default -> BODY_PLACE;
+      case START_LINE -> StartLine.LOCATION;
+      case HEADERS -> headerParser.nextLocation();
+      default -> BODY_LOCATION;
     };
   }
 
@@ -159,7 +160,7 @@
     }
     if (length != null || !encoding.equalsIgnoreCase("chunked")) {
       throw new MalformedHttpException(
-          headerPlace(ENCODING_HEADER), "expected 'chunked' and no content-length");
+          headerLocation(ENCODING_HEADER), "expected 'chunked' and no content-length");
     }
     state = State.CHUNK_SIZE;
     if (streaming) {
@@ -170,11 +171,11 @@
   private void startBodyOfLength(String length, List<Object> out) {
     if (length != null && !length.matches("[0-9]{1,9}")) {
       throw new MalformedHttpException(
-          headerPlace(LENGTH_HEADER), "expected a number of 1 to 9 digits");
+          headerLocation(LENGTH_HEADER), "expected a number of 1 to 9 digits");
     }
     if (length == null && startLine.requiresLength()) {
       throw new MalformedHttpException(
-          headerPlace(LENGTH_HEADER), "missing, and transfer-encoding is not 'chunked'");
+          headerLocation(LENGTH_HEADER), "missing, and transfer-encoding is not 'chunked'");
     }
     boolean empty = length == null || startLine.excludesBody();
     remainingBytes = empty ? 0 : checkBodySize(Integer.parseInt(length));
@@ -184,13 +185,13 @@
     }
   }
 
-  private static String headerPlace(String name) {
+  private static String headerLocation(String name) {
     return "header '" + name + "'";
   }
 
   private int checkBodySize(int bytes) {
     if (bytes > maxBodyBytes - body.size()) {
-      throw new MalformedHttpException(BODY_PLACE, "longer than " + maxBodyBytes + " bytes");
+      throw new MalformedHttpException(BODY_LOCATION, "longer than " + maxBodyBytes + " bytes");
     }
     return bytes;
   }
@@ -200,7 +201,7 @@
     String size = (extension < 0 ? line : line.substring(0, extension)).strip();
     if (!size.matches("[0-9A-Fa-f]{1,7}")) {
       throw new MalformedHttpException(
-          BODY_PLACE, "a chunk size is not a hexadecimal number of 1 to 7 digits");
+          BODY_LOCATION, "a chunk size is not a hexadecimal number of 1 to 7 digits");
     }
     remainingBytes = checkBodySize(Integer.parseInt(size, 16));
     state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
@@ -208,7 +209,7 @@
 
   private void acceptChunkEnd(String line) {
     if (!line.isEmpty()) {
-      throw new MalformedHttpException(BODY_PLACE, "a chunk is longer than its stated size");
+      throw new MalformedHttpException(BODY_LOCATION, "a chunk is longer than its stated size");
     }
     state = State.CHUNK_SIZE;
   }
--- a/src/main/java/stonespring/http/MalformedHttpException.java
+++ b/src/main/java/stonespring/http/MalformedHttpException.java
@@ -9,7 +9,7 @@
 public final class MalformedHttpException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
 
-  MalformedHttpException(String place, String problem) {
-    super(place + ": " + problem);
+  MalformedHttpException(String location, String problem) {
+    super(location + ": " + problem);
   }
 }
--- a/src/main/java/stonespring/http/StartLine.java
+++ b/src/main/java/stonespring/http/StartLine.java
@@ -5,7 +5,7 @@
 /** The first line of a request or response. */
 sealed interface StartLine {
   /** The location that is reported in errors of the first line. */
-  String PLACE = "first line";
+  String LOCATION = "first line";
 
   /** Returns whether a message with this first line never has a body, whatever its headers say. */
   boolean excludesBody();
@@ -24,7 +24,7 @@
           || !isSupportedVersion(parts[2])
           || !parts[0].matches("[A-Z]{1,20}")
           || !parts[1].startsWith("/")) {
-        throw new MalformedHttpException(PLACE, "not a valid HTTP/1.1 request line");
+        throw new MalformedHttpException(LOCATION, "not a valid HTTP/1.1 request line");
       }
       return new Request(parts[0], parts[1]);
     }
@@ -52,7 +52,7 @@
       if (parts.length < 2
           || !isSupportedVersion(parts[0])
           || !parts[1].matches("[1-5][0-9][0-9]")) {
-        throw new MalformedHttpException(PLACE, "not a valid HTTP/1.1 status line");
+        throw new MalformedHttpException(LOCATION, "not a valid HTTP/1.1 status line");
       }
       return new Response(Integer.parseInt(parts[1]), parts.length == 3 ? parts[2] : "");
     }
--- a/src/main/java/stonespring/zmtp/FrameDecoder.java
+++ b/src/main/java/stonespring/zmtp/FrameDecoder.java
@@ -7,7 +7,7 @@
 
 /** Decodes frames into commands and complete messages (RFC 37, "Formal Grammar"). */
 final class FrameDecoder {
-  private static final String PLACE = "frame";
+  private static final String LOCATION = "frame";
   private static final int SHORT_HEADER_BYTES = 2;
   private static final int LONG_HEADER_BYTES = 9;
 
@@ -56,17 +56,18 @@
   private void checkFlags(int flags) {
     if (!FrameFlags.areValid(flags)) {
       throw new ZmtpProtocolException(
-          PLACE, "flags 0x" + Integer.toHexString(flags) + " are not valid");
+          LOCATION, "flags 0x" + Integer.toHexString(flags) + " are not valid");
     }
     if (FrameFlags.has(flags, FrameFlags.COMMAND) && !pendingFrames.isEmpty()) {
-      throw new ZmtpProtocolException(PLACE, "a command arrived between the frames of a message");
+      throw new ZmtpProtocolException(
+          LOCATION, "a command arrived between the frames of a message");
     }
   }
 
   private void checkSize(long size) {
     if (size < 0 || size > limits.maxFrameBytes()) {
       throw new ZmtpProtocolException(
-          PLACE,
+          LOCATION,
           "size "
               + Long.toUnsignedString(size)
               + " is over the limit of "
--- a/src/main/java/stonespring/zmtp/GreetingDecoder.java
+++ b/src/main/java/stonespring/zmtp/GreetingDecoder.java
@@ -11,7 +11,7 @@
   /** The fixed size of a greeting. */
   static final int GREETING_BYTES = 64;
 
-  private static final String PLACE = "greeting";
+  private static final String LOCATION = "greeting";
   private static final int SIGNATURE_END_INDEX = 9;
   private static final int MAJOR_VERSION_INDEX = 10;
   private static final int MINOR_VERSION_INDEX = 11;
@@ -56,7 +56,7 @@
       if (index == MAJOR_VERSION_INDEX) {
         problem += ": versions before 3.0 are not supported";
       }
-      throw new ZmtpProtocolException(PLACE, problem);
+      throw new ZmtpProtocolException(LOCATION, problem);
     }
   }
 
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -30,7 +30,7 @@
 
   private static final int PING_TTL_BYTES = 2;
   private static final int MAX_PING_CONTEXT_BYTES = 16;
-  private static final int MAX_PRINTED_CHARS = 80;
+  private static final int MAX_LOGGED_CHARS = 80;
 
   private final SocketType type;
   private final boolean asServer;
@@ -251,7 +251,7 @@
 
   /** Truncates text from a peer and replaces everything but printable ASCII for logging. */
   private static String sanitizeForLog(String text) {
-    String shortened = text.substring(0, Math.min(MAX_PRINTED_CHARS, text.length()));
+    String shortened = text.substring(0, Math.min(MAX_LOGGED_CHARS, text.length()));
     return shortened.replaceAll("[^\\x20-\\x7e]", "?");
   }
 
--- a/src/main/java/stonespring/zmtp/ZmtpProtocolException.java
+++ b/src/main/java/stonespring/zmtp/ZmtpProtocolException.java
@@ -8,7 +8,7 @@
 public final class ZmtpProtocolException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
 
-  ZmtpProtocolException(String place, String problem) {
-    super(place + ": " + problem);
+  ZmtpProtocolException(String location, String problem) {
+    super(location + ": " + problem);
   }
 }
