--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -1,66 +1,77 @@
 package stonespring.decision;
 
-/** Estimates what each endpoint can serve and how loaded it is, in requests per second. */
+/** Estimates the capacity and the load of each endpoint, in requests per second. */
 final class CapacityEstimator {
-  /** Load over capacity in normal operation; assumed until endpoints report utilization. */
-  static final double TYPICAL_FILL = 0.6;
+  /** Ratio of load to capacity in normal operation; assumed until endpoints report utilization. */
+  static final double TYPICAL_LOAD_RATIO = 0.6;
 
-  /** Utilization below which a report's noise outweighs what it says of capacity. */
+  /** Utilization below which the noise of a report hides the capacity. */
   private static final double MIN_UTILIZATION = 0.15;
 
-  /** Requests per second below which an endpoint's load is not read. */
-  private static final double MIN_LOAD = 1;
+  /** Load below which an endpoint's utilization does not count as a sample of capacity. */
+  private static final double MIN_LOAD_PER_SECOND = 1;
 
-  /** Replaces a capacity of 0 as divisor. */
+  /** Divisor that replaces a capacity of 0. */
   static final double MIN_CAPACITY = 1e-9;
 
-  /** Share of the new reading; the fleet's mean cost of a request is steady, its load is not. */
-  private static final double READING_SHARE = 0.03;
+  /**
+   * Weight of a new sample in the capacity average once there are many. It is small because the
+   * fleet's mean cost of a request is steady, while its load is not.
+   */
+  private static final double MIN_SAMPLE_WEIGHT = 0.03;
 
   private final EndpointRegistry endpoints;
   private final TrafficEstimator traffic;
-  private double unitCapacity = Double.NaN;
-  private int readings;
-  private double listedWeight;
+  private double capacityPerWeight = Double.NaN;
+  private int sampleCount;
+  private double totalListedWeight;
   private double totalCapacity;
   private double meanCapacity;
-  private double meanFill;
+  private double meanLoadRatio;
 
   CapacityEstimator(EndpointRegistry endpoints, TrafficEstimator traffic) {
     this.endpoints = endpoints;
     this.traffic = traffic;
   }
 
-  /** Reads the capacity of a unit of listed weight from utilizations, at the start of a round. */
+  /**
+   * Updates the capacity per unit of listed weight from reported utilizations, at the start of a
+   * round.
+   */
   void startRound() {
-    double busyWeight =
+    double utilizedWeight =
         endpoints.sumOverReady(
             endpoint ->
-                isReadable(endpoint)
+                isUsableSample(endpoint)
                     ? endpoint.statistics().utilization() * endpoint.listedWeight()
                     : 0);
-    if (busyWeight > 0) {
-      readings++;
-      double newShare = Math.max(READING_SHARE, 2.0 / (1 + readings));
+    if (utilizedWeight > 0) {
+      sampleCount++;
+      double sampleWeight = Math.max(MIN_SAMPLE_WEIGHT, 2.0 / (1 + sampleCount));
       double load =
-          endpoints.sumOverReady(endpoint -> isReadable(endpoint) ? reportedLoad(endpoint) : 0);
-      unitCapacity = ExponentialAverage.update(unitCapacity, load / busyWeight, 1 - newShare);
+          endpoints.sumOverReady(endpoint -> isUsableSample(endpoint) ? reportedLoad(endpoint) : 0);
+      capacityPerWeight =
+          ExponentialAverage.update(capacityPerWeight, load / utilizedWeight, 1 - sampleWeight);
     }
   }
 
   /**
-   * Whether an endpoint's utilization tells its capacity: it is warm, busy and healthy. Under
-   * overload attempts are refused or fail, and a slow endpoint may report too little.
+   * Whether an endpoint's capacity can be derived from its utilization, which requires that it is
+   * warm, busy and healthy. Under overload attempts are refused or fail, and a slow endpoint may
+   * report too low a utilization.
    */
-  private boolean isReadable(EndpointState endpoint) {
+  private boolean isUsableSample(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
     return statistics.utilization() > MIN_UTILIZATION
-        && reportedLoad(endpoint) > MIN_LOAD
+        && reportedLoad(endpoint) > MIN_LOAD_PER_SECOND
         && endpoints.isWarm(endpoint)
         && statistics.failedOrLateShare() < EndpointStatistics.NORMAL_FAILED_OR_LATE_SHARE;
   }
 
-  /** Requests per second at an endpoint by its reports, or from this instance's part of them. */
+  /**
+   * Requests per second at an endpoint by its own reports; without these, extrapolated from the
+   * attempts of this instance's proxies.
+   */
   private double reportedLoad(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
     return Double.isNaN(statistics.reportedRate())
@@ -69,32 +80,34 @@
   }
 
   /**
-   * Brings all capacities up to date: listed weight times the capacity of a unit, reduced while an
-   * endpoint warms up. Until utilizations are read, the present load is taken for a typical one.
+   * Updates all capacities. An endpoint's capacity is its listed weight times the capacity per unit
+   * of weight, reduced while the endpoint warms up. Until there are samples of utilization, the
+   * present load is assumed to be {@link #TYPICAL_LOAD_RATIO} of the capacity.
    */
   void refresh() {
-    listedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
+    totalListedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
     double assumedLoad = assumedLoad();
     for (EndpointState endpoint : endpoints.all()) {
       double warmCapacity =
-          unitCapacity > 0
-              ? unitCapacity * endpoint.listedWeight()
+          capacityPerWeight > 0
+              ? capacityPerWeight * endpoint.listedWeight()
               : endpoint.listedWeight()
-                  / listedWeight
-                  * Math.max(MIN_LOAD, assumedLoad)
-                  / TYPICAL_FILL;
+                  / totalListedWeight
+                  * Math.max(MIN_LOAD_PER_SECOND, assumedLoad)
+                  / TYPICAL_LOAD_RATIO;
       endpoint.setCapacity(
           endpoint.isReady() ? warmCapacity * endpoints.warmUpFraction(endpoint) : 0);
     }
     totalCapacity = endpoints.sumOverReady(EndpointState::capacity);
     meanCapacity = totalCapacity / Math.max(1, endpoints.sumOverReady(endpoint -> 1));
-    meanFill = endpoints.sumOverReady(this::load) / totalCapacity;
+    meanLoadRatio = endpoints.sumOverReady(this::load) / totalCapacity;
   }
 
   /**
-   * The fleet's load while no capacity is read: what succeeds, since clients' retries are no
-   * measure of what endpoints can do. The first reports hold little of what newly connected proxies
-   * send; only their share of success counts.
+   * The fleet's load, in requests per second, that is assumed while there is no sample of capacity.
+   * Only successful attempts count, since clients' retries do not show what endpoints can serve.
+   * The first reports cover little of the traffic of newly connected proxies, so only their success
+   * share is used.
    */
   private double assumedLoad() {
     double succeeded =
@@ -104,7 +117,7 @@
     if (succeeded <= 0) {
       return offered;
     }
-    if (!traffic.isVisible()) {
+    if (!traffic.hasVisibleProxies()) {
       return offered
           * succeeded
           / endpoints.sumOverReady(endpoint -> endpoint.statistics().attemptRate());
@@ -112,39 +125,44 @@
     return Math.min(offered, succeeded / traffic.reportedShare());
   }
 
-  /** Requests per second at an endpoint from all instances: no less than this one's attempts. */
+  /**
+   * Estimated requests per second at an endpoint from all instances' proxies; at least the attempts
+   * of this instance's proxies.
+   */
   double load(EndpointState endpoint) {
     EndpointStatistics statistics = endpoint.statistics();
-    return statistics.utilization() >= 0 && unitCapacity > 0
+    return statistics.utilization() >= 0 && capacityPerWeight > 0
         ? Math.max(statistics.attemptRate(), statistics.utilization() * endpoint.capacity())
         : reportedLoad(endpoint);
   }
 
-  /** Load over capacity; 1 for an endpoint that is fully used. */
-  double fill(EndpointState endpoint) {
+  /** Ratio of load to capacity; 1 for an endpoint that is fully utilized. */
+  double loadRatio(EndpointState endpoint) {
     return load(endpoint) / Math.max(MIN_CAPACITY, endpoint.capacity());
   }
 
-  /** How often the capacity was read from utilizations. */
-  int readings() {
-    return readings;
+  /** Number of rounds in which the capacity was sampled from utilizations. */
+  int sampleCount() {
+    return sampleCount;
   }
 
-  /** Listed weight of all endpoints that are ready. */
-  double listedWeight() {
-    return listedWeight;
+  /** Sum of the listed weights of all ready endpoints. */
+  double totalListedWeight() {
+    return totalListedWeight;
   }
 
+  /** Sum of the capacities of all ready endpoints, in requests per second. */
   double totalCapacity() {
     return totalCapacity;
   }
 
+  /** Mean capacity of a ready endpoint, in requests per second; 0 if none is ready. */
   double meanCapacity() {
     return meanCapacity;
   }
 
-  /** Load of all endpoints that are ready over their capacity. */
-  double meanFill() {
-    return meanFill;
+  /** Ratio of the total load to the total capacity of all ready endpoints. */
+  double meanLoadRatio() {
+    return meanLoadRatio;
   }
 }
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -16,12 +16,21 @@
 import stonespring.model.Event;
 import stonespring.model.Settings;
 
-/** All known endpoints, under dense indexes, and how updates of the endpoint list change them. */
+/**
+ * Holds all known endpoints under dense indexes, and applies updates of the endpoint list and
+ * reported outcomes to them.
+ */
 final class EndpointRegistry {
-  /** DeciMillis; longer than any proxy keeps a table that names a removed endpoint. */
-  private static final long FORGET_AFTER = 600 * DeciMillis.SECOND;
+  /**
+   * How long a removed endpoint is kept. Longer than any proxy keeps a table that names a removed
+   * endpoint.
+   */
+  private static final long REMOVED_RETENTION_DECI_MILLIS = 600 * DeciMillis.SECOND;
 
-  /** Share of failures that confirms a removal; more than overloaded endpoints show. */
+  /**
+   * Share of failed attempts above which a pending removal is confirmed; higher than overloaded
+   * endpoints show.
+   */
   private static final double REMOVAL_CONFIRMED_FAILURE_SHARE = 0.8;
 
   private final Settings settings;
@@ -29,9 +38,9 @@
   private final LatencyModel latencyModel;
   private final List<EndpointState> endpoints = new ArrayList<>();
   private final List<EndpointState> endpointsView = Collections.unmodifiableList(endpoints);
-  private final ArrayDeque<EndpointState> reusable = new ArrayDeque<>();
+  private final ArrayDeque<EndpointState> vacantStates = new ArrayDeque<>();
   private final Map<EndpointId, EndpointState> byId = new HashMap<>();
-  private final List<EndpointState> entrants = new ArrayList<>();
+  private final List<EndpointState> newlyReady = new ArrayList<>();
   private boolean exclusionsNeeded;
 
   EndpointRegistry(Settings settings, EngineClock clock, LatencyModel latencyModel) {
@@ -40,7 +49,10 @@
     this.latencyModel = latencyModel;
   }
 
-  /** All endpoints by index, including forgotten ones, which are not ready. */
+  /**
+   * All endpoint states by index, as an unmodifiable view. Includes those of evicted endpoints,
+   * which are not ready.
+   */
   List<EndpointState> all() {
     return endpointsView;
   }
@@ -57,18 +69,18 @@
     return endpoints.stream().filter(endpoint -> !endpoint.isReady());
   }
 
-  /** Sums a figure over the endpoints that are ready, in the order of their indexes. */
-  double sumOverReady(ToDoubleFunction<EndpointState> figure) {
+  /** Sums a value over the ready endpoints, in the order of their indexes. */
+  double sumOverReady(ToDoubleFunction<EndpointState> value) {
     double sum = 0;
     for (EndpointState endpoint : endpoints) {
       if (endpoint.isReady()) {
-        sum += figure.applyAsDouble(endpoint);
+        sum += value.applyAsDouble(endpoint);
       }
     }
     return sum;
   }
 
-  /** The share of its capacity that an endpoint has at least while it warms up. */
+  /** The minimum share of its full capacity that a warming endpoint has now; 1 once it is warm. */
   double warmUpFraction(EndpointState endpoint) {
     return settings.slowStart().warmUpFraction(endpoint.startedAt(), clock.now());
   }
@@ -78,23 +90,24 @@
   }
 
   /**
-   * Whether exclusion notices are needed since the last call: an endpoint left, or a name was added
-   * that old tables may hold. Clears the mark.
+   * Returns whether exclusion notices have become necessary since the last call, and clears the
+   * flag. They are necessary when an endpoint went out of service, or when an endpoint was added
+   * that tables unknown to this instance may name.
    */
-  boolean takeExclusionsNeeded() {
+  boolean testAndClearExclusionsNeeded() {
     boolean taken = exclusionsNeeded;
     exclusionsNeeded = false;
     return taken;
   }
 
   /** Removes and returns the endpoints that became ready or restarted since the last call. */
-  List<EndpointState> takeEntrants() {
-    List<EndpointState> taken = new ArrayList<>(entrants);
-    entrants.clear();
+  List<EndpointState> takeNewlyReady() {
+    List<EndpointState> taken = new ArrayList<>(newlyReady);
+    newlyReady.clear();
     return taken;
   }
 
-  /** Takes a list, or the part of it that changed. */
+  /** Applies a whole endpoint list or a delta. */
   void applyUpdate(Event.EndpointListUpdate update) {
     boolean[] listed = new boolean[endpoints.size() + update.endpoints().size()];
     for (EndpointRecord entry : update.endpoints()) {
@@ -120,7 +133,7 @@
     }
     boolean restarted = entry.startedAt() > endpoint.startedAt();
     if (restarted || !endpoint.isReady()) {
-      entrants.add(endpoint);
+      newlyReady.add(endpoint);
     }
     if (restarted) {
       endpoint.statistics().reset();
@@ -129,8 +142,10 @@
   }
 
   /**
-   * A list may lack endpoints that serve. Where the settings allow it, a removed one is used until
-   * its attempts fail too.
+   * Stops the use of an endpoint that is listed as draining or removed. A list may lack endpoints
+   * that still serve: where the settings allow it, a removed endpoint is used until its attempts
+   * fail as well. This guards against wrong or late lists, at the cost of the attempts that fail
+   * when the endpoint really is gone.
    */
   private void stopUsing(EndpointState endpoint, EndpointRecord.State newState) {
     if (settings.endpointList().removedEndpointsKeepServing()
@@ -139,19 +154,20 @@
       endpoint.markRemovalPending();
       return;
     }
-    leave(endpoint, newState);
+    takeOutOfService(endpoint, newState);
   }
 
-  private void leave(EndpointState endpoint, EndpointRecord.State newState) {
-    endpoint.markLeft(newState, clock.now());
+  private void takeOutOfService(EndpointState endpoint, EndpointRecord.State newState) {
+    endpoint.markOutOfService(newState, clock.now());
     exclusionsNeeded = true;
   }
 
   /**
-   * Adds observed outcomes. An endpoint that proxies try and no list had was removed before this
-   * instance started; it is ignored where removed endpoints may keep serving.
+   * Records reported outcomes. An endpoint that proxies use although no list has named it was
+   * removed before this instance started; its outcomes are ignored where removed endpoints may keep
+   * serving.
    *
-   * @return whether the outcomes count
+   * @return whether the outcomes were recorded
    */
   boolean recordOutcomes(Event.EndpointOutcomes outcomes) {
     if (settings.endpointList().removedEndpointsKeepServing()
@@ -162,7 +178,7 @@
     endpoint.statistics().record(outcomes, clock.now());
     double failureShare = 1 - endpoint.statistics().successShare();
     if (endpoint.isRemovalPending() && failureShare > REMOVAL_CONFIRMED_FAILURE_SHARE) {
-      leave(endpoint, EndpointRecord.State.REMOVED);
+      takeOutOfService(endpoint, EndpointRecord.State.REMOVED);
     }
     return true;
   }
@@ -172,8 +188,8 @@
     if (known != null) {
       return known;
     }
-    EndpointState added = reusable.isEmpty() ? append() : reusable.poll();
-    added.assign(id, clock.now());
+    EndpointState added = vacantStates.isEmpty() ? append() : vacantStates.poll();
+    added.resetFor(id, clock.now());
     byId.put(id, added);
     exclusionsNeeded = true;
     return added;
@@ -187,18 +203,20 @@
   }
 
   /**
-   * Brings all statistics up to date at the start of a round, and forgets what was removed long ago
-   * and is in no route table.
+   * Updates all statistics at the start of a round, and evicts endpoints that were removed longer
+   * ago than the retention period and are in no route table.
+   *
+   * @param inTable whether any route table has a route to an endpoint
    */
   void startRound(Predicate<EndpointState> inTable) {
     for (EndpointState endpoint : endpoints) {
-      if (!endpoint.isForgotten()
+      if (!endpoint.isEvicted()
           && endpoint.state() == EndpointRecord.State.REMOVED
-          && clock.since(endpoint.leftAt()) > FORGET_AFTER
+          && clock.since(endpoint.outOfServiceSince()) > REMOVED_RETENTION_DECI_MILLIS
           && !inTable.test(endpoint)) {
         byId.remove(endpoint.id());
-        endpoint.markForgotten();
-        reusable.add(endpoint);
+        endpoint.markEvicted();
+        vacantStates.add(endpoint);
       }
       endpoint.statistics().startRound(clock.now(), settings.reportInterval());
     }
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -61,7 +61,7 @@
    *     are dropped
    */
   void sendNoticesIfDue(boolean permitted) {
-    noticesPending |= endpoints.takeExclusionsNeeded();
+    noticesPending |= endpoints.testAndClearExclusionsNeeded();
     noticesPending &= permitted;
     if (noticesPending && clock.since(lastNotifiedAt) >= ChannelBudget.BATCH_INTERVAL_DECI_MILLIS) {
       endpoints.notReady().forEach(endpoint -> setExcluded(endpoint, true));
@@ -72,7 +72,7 @@
 
   /** Excludes an endpoint if any unknown table may name it, or allows an excluded one again. */
   void setExcluded(EndpointState endpoint, boolean excluded) {
-    if (endpoint.isForgotten()) {
+    if (endpoint.isEvicted()) {
       return;
     }
     boolean needed =
--- a/src/test/java/stonespring/decision/RouteWeightsTest.java
+++ b/src/test/java/stonespring/decision/RouteWeightsTest.java
@@ -12,7 +12,7 @@
   @Test
   void addsRoutesWhenProxyHasMuchTraffic() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 5, 100, 5);
-    fleet.rounds(20, 0.05, Map.of());
+    fleet.runRounds(20, 0.05, Map.of());
     assertTrue(
         fleet.shares(0).size() >= 10, "routes of the large proxy: " + fleet.shares(0).size());
     assertTrue(fleet.shares(1).size() <= 6, "routes of a small proxy: " + fleet.shares(1).size());
@@ -21,9 +21,9 @@
   @Test
   void keepsSmallRouteToFailingEndpoint() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(5, 0.03, Map.of());
+    fleet.runRounds(5, 0.03, Map.of());
     double loadBefore = fleet.load("t3");
-    fleet.rounds(10, 0.03, Map.of("t3", 1.0));
+    fleet.runRounds(10, 0.03, Map.of("t3", 1.0));
     assertTrue(
         fleet.load("t3") < loadBefore / 3,
         "load of t3 went from " + loadBefore + " to " + fleet.load("t3"));
@@ -33,10 +33,10 @@
   @Test
   void keepsLoadWhenAllEndpointsFailAlike() {
     Fleet fleet = Fleet.create(8, 8);
-    fleet.rounds(10, 0.03, Map.of());
+    fleet.runRounds(10, 0.03, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
-    fleet.rounds(6, 0.03, failureShares);
+    fleet.runRounds(6, 0.03, failureShares);
     for (String endpoint : fleet.endpoints.keySet()) {
       assertTrue(
           fleet.load(endpoint) > 2, endpoint + " has a load of only " + fleet.load(endpoint));
@@ -50,12 +50,12 @@
       fleet.endpoints.put("t" + i, Fleet.endpointRecord("t" + i, i % 2, READY, 0));
       fleet.otherInstancesLoad.put("t" + i, i < 4 ? 16.0 : 4.0);
     }
-    fleet.start(7);
+    fleet.startEngine(7);
     for (int p = 0; p < 8; p++) {
       fleet.connect(p, p % 2, 10, true);
     }
     fleet.step(1);
-    fleet.rounds(30, 0.03, Map.of());
+    fleet.runRounds(30, 0.03, Map.of());
     double rateAtLoadedEndpoints =
         fleet.load("t0") + fleet.load("t1") + fleet.load("t2") + fleet.load("t3");
     assertTrue(
@@ -66,7 +66,7 @@
   @Test
   void keepsRequestsInZoneWhileCapacityIsAmple() {
     Fleet fleet = Fleet.create(12, 8);
-    fleet.rounds(60, 0.03, Map.of());
+    fleet.runRounds(60, 0.03, Map.of());
     double crossZoneRate =
         fleet.proxies.values().stream()
             .mapToDouble(
@@ -82,7 +82,7 @@
   @Test
   void addsIdleEndpointsToTables() {
     Fleet fleet = Fleet.create(16, 3);
-    fleet.rounds(60, 0.05, Map.of());
+    fleet.runRounds(60, 0.05, Map.of());
     long idleCount =
         fleet.endpoints.keySet().stream().filter(name -> fleet.load(name) == 0).count();
     assertTrue(idleCount <= 6, idleCount + " of 16 endpoints idle with 3 tables of 4 routes");
@@ -91,11 +91,11 @@
   @Test
   void addsNewEndpointsToTables() {
     Fleet fleet = Fleet.create(6, 8);
-    fleet.rounds(5, 0.04, Map.of());
+    fleet.runRounds(5, 0.04, Map.of());
     for (int i = 0; i < 10; i++) {
       fleet.updateEndpoint("new" + i, i % 2, READY, fleet.now);
     }
-    fleet.rounds(25, 0.04, Map.of());
+    fleet.runRounds(25, 0.04, Map.of());
     long usedCount =
         fleet.endpoints.keySet().stream()
             .filter(name -> name.startsWith("new") && fleet.load(name) > 0.5)
