--- a/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -14,9 +14,9 @@
 import stonespring.model.ZoneId;
 
 /**
- * Reads the platform's endpoint list: JSON objects with a version ({@code seq}), whether they are
- * the whole list ({@code whole}), and entries ({@code hosts}). The only place that knows the
- * platform's names. Immutable.
+ * Reads messages of the platform's endpoint list. A message is a JSON object with the list's
+ * version ({@code seq}), a flag that tells a snapshot from a delta ({@code whole}), and entries
+ * ({@code hosts}). The platform's field names are used in this class only. Immutable.
  */
 public final class PlatformEndpointCodec {
   private static final int MAX_NESTING_DEPTH = 16;
@@ -31,102 +31,121 @@
                       .build())
               .build());
 
+  /** Upper bound of a weight, exclusive; no unit. A greater weight is a mistake of its producer. */
   private static final double MAX_WEIGHT = 1e6;
 
-  /** Exact in any JSON reader. */
+  /**
+   * Upper bound of a start time, exclusive. All JSON parsers represent smaller integers exactly.
+   */
   private static final long MAX_UNIX_MILLIS = 1L << 53;
 
-  /** Printable ASCII but for comma and colon: ids stand unaltered in the lines to proxies. */
+  /**
+   * Printable ASCII except space, comma and colon. Endpoint ids are written to the proxies' line
+   * protocol without escaping.
+   */
   private static final String ENDPOINT_ID_PATTERN = "[!-+\\--9;-~]{1,200}";
 
   private final EndpointFields fields;
 
   /**
-   * Creates a codec for one instance.
+   * Creates a codec with the zones and the clock of one instance.
    *
-   * @param zones the names of the configured zones
-   * @param unixOffset Unix time minus the instance's clock, {@link stonespring.model.DeciMillis}
+   * @param zoneNames the names of the configured zones
+   * @param unixOffsetDeciMillis Unix time minus the instance's clock, in {@link
+   *     stonespring.model.DeciMillis}
    */
-  public PlatformEndpointCodec(List<String> zones, long unixOffset) {
-    this.fields = new EndpointFields(zones, unixOffset);
+  public PlatformEndpointCodec(List<String> zoneNames, long unixOffsetDeciMillis) {
+    this.fields = new EndpointFields(zoneNames, unixOffsetDeciMillis);
   }
 
-  /** Reads one message from its bytes; otherwise as {@link #read(JsonNode, Map)}. */
-  PlatformListMessage read(byte[] bytes, Map<EndpointId, EndpointRecord> held)
+  /** Parses one message and reads it as {@link #read(JsonNode, Map)} does. */
+  PlatformListMessage read(byte[] bytes, Map<EndpointId, EndpointRecord> heldEndpoints)
       throws InvalidEndpointListException {
     JsonNode message;
     try {
       message = JSON.readTree(bytes);
     } catch (IOException e) {
-      throw new InvalidEndpointListException("a message is no well-formed JSON");
+      throw new InvalidEndpointListException("malformed JSON in a list message");
     }
-    return read(message, held);
+    return read(message, heldEndpoints);
   }
 
   /**
-   * Reads one message. An invalid entry does not invalidate the message: the held record, if any,
-   * is used instead.
+   * Reads one message. An invalid entry does not make the message invalid: the record held for that
+   * endpoint is used in its place, and without such a record the entry is skipped.
    *
-   * @param message may be null, which is invalid
-   * @param held the endpoints held before this message, which stand in for invalid entries
+   * @param message the parsed message; null is invalid
+   * @param heldEndpoints the endpoints held before this message, by id
+   * @throws InvalidEndpointListException if the message has no valid version, snapshot flag or list
+   *     of entries
    */
-  PlatformListMessage read(JsonNode message, Map<EndpointId, EndpointRecord> held)
+  PlatformListMessage read(JsonNode message, Map<EndpointId, EndpointRecord> heldEndpoints)
       throws InvalidEndpointListException {
     if (message == null || !message.isObject()) {
-      throw new InvalidEndpointListException("a message is no object");
+      throw new InvalidEndpointListException("a list message must be a JSON object");
     }
     JsonNode version = message.path("seq");
     if (!version.isIntegralNumber() || version.asLong() < 0) {
-      throw InvalidEndpointListException.ofField("seq", "is no version");
+      throw InvalidEndpointListException.ofField("seq", "must be an integer of 0 or more");
     }
     JsonNode snapshot = message.path("whole");
     if (!snapshot.isBoolean()) {
-      throw InvalidEndpointListException.ofField("whole", "is neither true nor false");
+      throw InvalidEndpointListException.ofField(
+          "whole", "must be true or false, found " + snapshot.getNodeType());
     }
     JsonNode entries = message.path("hosts");
     if (!entries.isArray() || entries.size() > EndpointListCodec.MAX_ENDPOINTS) {
       throw InvalidEndpointListException.ofField(
-          "hosts", "is no list of at most " + EndpointListCodec.MAX_ENDPOINTS + " entries");
+          "hosts",
+          "must be an array of at most "
+              + EndpointListCodec.MAX_ENDPOINTS
+              + " entries, found "
+              + entries.getNodeType()
+              + " of size "
+              + entries.size());
     }
-    return readEntries(version.asLong(), snapshot.asBoolean(), entries, held);
+    return readEntries(version.asLong(), snapshot.asBoolean(), entries, heldEndpoints);
   }
 
   private PlatformListMessage readEntries(
-      long version, boolean snapshot, JsonNode entries, Map<EndpointId, EndpointRecord> held) {
+      long version,
+      boolean snapshot,
+      JsonNode entries,
+      Map<EndpointId, EndpointRecord> heldEndpoints) {
     List<EndpointRecord> endpoints = new ArrayList<>();
-    int invalidEntries = 0;
+    int invalidEntryCount = 0;
     for (JsonNode entry : entries) {
-      EndpointRecord heldRecord = held.get(new EndpointId(entry.path("host").asText()));
+      EndpointRecord heldRecord = heldEndpoints.get(new EndpointId(entry.path("host").asText()));
       Optional<EndpointRecord> endpoint = readEntry(entry, heldRecord);
       if (endpoint.isPresent()) {
         endpoints.add(endpoint.get());
       } else {
-        invalidEntries++;
+        invalidEntryCount++;
         if (heldRecord != null) {
           endpoints.add(heldRecord);
         }
       }
     }
-    return new PlatformListMessage(version, snapshot, endpoints, invalidEntries);
+    return new PlatformListMessage(version, snapshot, endpoints, invalidEntryCount);
   }
 
   /**
-   * Reads one entry; empty if it is invalid.
+   * Reads one entry; returns empty if it is invalid.
    *
-   * @param held the record held of the same endpoint; null if there is none
+   * @param heldRecord the record held for the same endpoint; null if there is none
    */
-  private Optional<EndpointRecord> readEntry(JsonNode entry, EndpointRecord held) {
+  private Optional<EndpointRecord> readEntry(JsonNode entry, EndpointRecord heldRecord) {
     JsonNode id = entry.path("host");
     JsonNode weight = entry.path("share");
     JsonNode startedUnixMillis = entry.path("born_ms");
     Optional<EndpointRecord.State> state = readState(entry.path("health"));
-    Optional<ZoneId> zone = readZone(entry.path("site"), state, held);
+    Optional<ZoneId> zone = readZone(entry.path("site"), state, heldRecord);
     if (!id.isTextual()
         || !id.asText().matches(ENDPOINT_ID_PATTERN)
         || state.isEmpty()
         || zone.isEmpty()
-        || !isAbsentOrWithin(weight, MAX_WEIGHT)
-        || !isAbsentOrWithin(startedUnixMillis, MAX_UNIX_MILLIS)) {
+        || !isAbsentOrInRange(weight, MAX_WEIGHT)
+        || !isAbsentOrInRange(startedUnixMillis, MAX_UNIX_MILLIS)) {
       return Optional.empty();
     }
     return Optional.of(
@@ -135,7 +154,7 @@
             zone.get(),
             weight.asDouble(1),
             state.get(),
-            fields.startedAt((long) startedUnixMillis.asDouble(0))));
+            fields.toInstanceClock((long) startedUnixMillis.asDouble(0))));
   }
 
   private static Optional<EndpointRecord.State> readState(JsonNode health) {
@@ -147,20 +166,24 @@
     };
   }
 
-  /** Reads the zone; an entry of a removed endpoint may come without one. */
+  /**
+   * Reads the zone; returns empty if it is invalid. The entry of a removed endpoint may omit its
+   * zone, in which case that of the held record is used.
+   */
   private Optional<ZoneId> readZone(
-      JsonNode site, Optional<EndpointRecord.State> state, EndpointRecord held) {
-    int index = fields.zones().indexOf(site.asText());
+      JsonNode site, Optional<EndpointRecord.State> state, EndpointRecord heldRecord) {
+    int index = fields.zoneNames().indexOf(site.asText());
     if (index >= 0) {
       return Optional.of(new ZoneId(index));
     }
     boolean removed = state.isPresent() && state.get() == EndpointRecord.State.REMOVED;
-    return removed && held != null ? Optional.of(held.zone()) : Optional.empty();
+    return removed && heldRecord != null ? Optional.of(heldRecord.zone()) : Optional.empty();
   }
 
-  private static boolean isAbsentOrWithin(JsonNode node, double limit) {
+  /** Whether a node is missing, null, or a number from 0 to below the limit. */
+  private static boolean isAbsentOrInRange(JsonNode node, double exclusiveLimit) {
     return node.isMissingNode()
         || node.isNull()
-        || node.isNumber() && node.asDouble() >= 0 && node.asDouble() < limit;
+        || node.isNumber() && node.asDouble() >= 0 && node.asDouble() < exclusiveLimit;
   }
 }
