--- a/src/main/java/stonespring/config/script/BuiltinFunctions.java
+++ b/src/main/java/stonespring/config/script/BuiltinFunctions.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The functions of the language. */
+/** The built-in functions of the language. */
 final class BuiltinFunctions {
   private static final Set<String> NAMES =
       Set.of(
@@ -28,7 +28,10 @@
     return NAMES;
   }
 
-  /** Calls a function; too few arguments or ones of a wrong type are an error of the call. */
+  /**
+   * Calls a built-in function. Too few arguments or arguments of a wrong type are reported as an
+   * error of the call.
+   */
   static Object call(SourceLocation location, String name, List<Object> arguments) {
     try {
       return callUnchecked(location, name, arguments);
@@ -36,7 +39,8 @@
         | ClassCastException
         | NullPointerException
         | NumberFormatException e) {
-      throw new EvaluationException(location, name + " does not take these arguments");
+      throw new EvaluationException(
+          location, name + ": too few arguments, or an argument of the wrong type or value");
     }
   }
 
@@ -46,8 +50,8 @@
       case "len" -> length(location, arguments.get(0));
       case "range" -> range(location, arguments);
       case "str" -> toText(arguments.get(0));
-      case "int" -> toWholeNumber(arguments.get(0));
-      case "float" -> toFloat(arguments.get(0));
+      case "int" -> toLong(arguments.get(0));
+      case "float" -> toDouble(arguments.get(0));
       case "abs" -> absolute(arguments.get(0));
       case "min" -> minimum(location, candidates(location, arguments));
       case "max" -> maximum(location, candidates(location, arguments));
@@ -57,7 +61,7 @@
       case "zip" -> zip(location, arguments);
       case "get" -> get(arguments);
       case "fail" -> throw failure(location, arguments);
-      default -> throw new IllegalStateException("no built-in function " + name);
+      default -> throw new IllegalStateException("unknown built-in function " + name);
     };
   }
 
@@ -78,14 +82,14 @@
   }
 
   private static String toText(Object value) {
-    return value instanceof Double number ? Values.plainNumber(number) : String.valueOf(value);
+    return value instanceof Double number ? Values.formatNumber(number) : String.valueOf(value);
   }
 
-  private static Long toWholeNumber(Object value) {
+  private static Long toLong(Object value) {
     return value instanceof String text ? Long.valueOf(text) : (Long) ((Number) value).longValue();
   }
 
-  private static Double toFloat(Object value) {
+  private static Double toDouble(Object value) {
     return value instanceof String text
         ? Double.valueOf(text)
         : (Double) ((Number) value).doubleValue();
@@ -97,7 +101,10 @@
         : (Object) Math.abs((Double) value);
   }
 
-  /** What the smallest or greatest is chosen from: a list's items, or the arguments themselves. */
+  /**
+   * The values among which {@code min} or {@code max} chooses: the items of a single argument, or
+   * the arguments themselves.
+   */
   private static List<Object> candidates(SourceLocation location, List<Object> arguments) {
     return arguments.size() == 1 ? Values.items(location, arguments.get(0)) : arguments;
   }
--- a/src/main/java/stonespring/config/script/FunctionCaller.java
+++ b/src/main/java/stonespring/config/script/FunctionCaller.java
@@ -5,14 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Binds arguments and calls functions; recursion is an error. */
+/** Binds arguments to parameters and calls functions. Recursion is an error. */
 final class FunctionCaller {
-  /** The most calls inside one another. */
+  /** The largest number of nested calls. */
   private static final int MAX_CALL_DEPTH = 32;
 
   private final StatementExecutor executor;
 
-  /** The definitions of the functions being called, outermost first, by name and location. */
+  /**
+   * The functions being called, outermost first, each as its name and the location of its
+   * definition.
+   */
   private final List<String> activeCalls = new ArrayList<>();
 
   FunctionCaller(StatementExecutor executor) {
@@ -22,7 +25,7 @@
   /**
    * Calls a function with evaluated arguments.
    *
-   * @param named arguments by name; the call removes those that it binds
+   * @param named the arguments by name; the call removes those that it binds
    */
   Object call(
       SourceLocation location,
@@ -36,7 +39,8 @@
       return BuiltinFunctions.call(location, builtin.name(), positional);
     }
     if (!(function instanceof UserFunction userFunction)) {
-      throw new EvaluationException(location, Values.typeName(function) + " can't be called");
+      throw new EvaluationException(
+          location, "only a function can be called, not " + Values.typeName(function));
     }
     return call(location, userFunction, positional, named);
   }
@@ -54,14 +58,14 @@
           location,
           "'"
               + name
-              + "' calls itself, or over "
+              + "' calls itself, or calls are nested more than "
               + MAX_CALL_DEPTH
-              + " calls stand inside each other");
+              + " levels deep");
     }
     Map<String, Object> arguments = bind(location, function, positional, named);
     if (!named.isEmpty()) {
       String unknown = named.keySet().iterator().next();
-      throw new EvaluationException(location, name + " takes no argument '" + unknown + "'");
+      throw new EvaluationException(location, name + " has no parameter '" + unknown + "'");
     }
     activeCalls.add(callKey);
     Object result =
@@ -70,7 +74,9 @@
     return result;
   }
 
-  /** The arguments by parameter; those bound by name are removed from {@code named}. */
+  /**
+   * Returns the arguments by parameter name. Those bound by name are removed from {@code named}.
+   */
   private Map<String, Object> bind(
       SourceLocation location,
       UserFunction function,
@@ -80,7 +86,8 @@
     List<Statement.Parameter> parameters = function.definition().parameters();
     if (positional.size() > parameters.size()) {
       throw new EvaluationException(
-          location, name + " takes " + parameters.size() + " arguments, not " + positional.size());
+          location,
+          name + " takes at most " + parameters.size() + " arguments, got " + positional.size());
     }
     Map<String, Object> arguments = new HashMap<>();
     for (int i = 0; i < parameters.size(); i++) {
@@ -95,7 +102,7 @@
         value = executor.evaluator().evaluate(parameter.defaultValue(), scope);
       } else {
         throw new EvaluationException(
-            location, name + ": argument '" + parameter.name() + "' is missing");
+            location, name + ": required argument '" + parameter.name() + "' is missing");
       }
       arguments.put(parameter.name(), value);
     }
--- a/src/main/java/stonespring/config/script/StatementParser.java
+++ b/src/main/java/stonespring/config/script/StatementParser.java
@@ -5,9 +5,10 @@
 
 /**
  * Parses the statements of a file. A statement with an error is skipped to the end of its line and
- * of its block, so that one run finds the errors of all statements.
+ * of the block that follows, so that one run reports the errors of all statements.
  */
 final class StatementParser {
+  /** The operators that an augmented assignment such as {@code +=} can have. */
   private static final BinaryOperator[] AUGMENTING_OPERATORS = {
     BinaryOperator.ADD,
     BinaryOperator.SUBTRACT,
@@ -20,7 +21,7 @@
   private final TokenStream tokens;
   private final ExpressionParser expressions;
 
-  /** Parses the tokens; syntax errors are added to the list. */
+  /** Creates a parser of a file's tokens; syntax errors are added to the list. */
   StatementParser(List<Token> tokens, List<SettingsError> errors) {
     this.tokens = new TokenStream(tokens, errors);
     this.expressions = new ExpressionParser(this.tokens);
@@ -43,7 +44,7 @@
       } else if (tokens.nextIs(Token.Kind.INDENT)) {
         Token indent = tokens.next();
         throw tokens.error(
-            indent.location(), "this line is indented, but no block begins above it");
+            indent.location(), "unexpected indentation: the previous line does not start a block");
       } else if (tokens.nextIs("if")) {
         statements.add(parseIf(inFunction));
       } else if (tokens.nextIs("for")) {
@@ -62,7 +63,7 @@
 
   private void expectEndOfLine() {
     if (!tokens.nextIs(Token.Kind.NEWLINE)) {
-      throw tokens.error(tokens.peek().description() + " does not belong here");
+      throw tokens.error("expected the end of the line, found " + tokens.peek().description());
     }
     tokens.next();
   }
@@ -101,7 +102,7 @@
     }
     tokens.next();
     if (!tokens.nextIs(Token.Kind.INDENT)) {
-      throw tokens.error("an indented block is missing");
+      throw tokens.error("expected an indented block, found " + tokens.peek().description());
     }
     tokens.next();
     while (!tokens.nextIs(Token.Kind.DEDENT) && !tokens.nextIs(Token.Kind.END)) {
@@ -120,8 +121,8 @@
       Expression condition = expressions.parse();
       branches.add(new Statement.Branch(condition, parseBlock(inFunction)));
     } while (tokens.nextIs("elif"));
-    List<Statement> otherwise = tokens.take("else") ? parseBlock(inFunction) : List.of();
-    return new Statement.If(location, branches, otherwise);
+    List<Statement> elseBody = tokens.take("else") ? parseBlock(inFunction) : List.of();
+    return new Statement.If(location, branches, elseBody);
   }
 
   private Statement parseFor(boolean inFunction) {
@@ -134,7 +135,7 @@
 
   private Statement parseFunctionDefinition(boolean inFunction) {
     if (inFunction) {
-      throw tokens.error("a function inside a function is not part of this language");
+      throw tokens.error("a function definition inside a function is not supported");
     }
     SourceLocation location = tokens.next().location();
     String name = tokens.expectName();
@@ -175,7 +176,7 @@
   private Statement parseReturn(boolean inFunction) {
     SourceLocation location = tokens.next().location();
     if (!inFunction) {
-      throw tokens.error(location, "'return' stands outside a function");
+      throw tokens.error(location, "'return' is allowed only inside a function");
     }
     Expression value = tokens.nextIs(Token.Kind.NEWLINE) ? null : expressions.parse();
     return new Statement.Return(location, value);
@@ -191,12 +192,14 @@
         return parseAssignedValue(left, operator);
       }
     }
-    return new Statement.Evaluate(left);
+    return new Statement.ExpressionStatement(left);
   }
 
   private Statement parseAssignedValue(Expression target, BinaryOperator operator) {
     if (!(target instanceof Expression.Name || target instanceof Expression.Index)) {
-      throw tokens.error(target.location(), "only a name or an entry can be set");
+      throw tokens.error(
+          target.location(),
+          "cannot assign to this expression: expected a name or an entry of a list or dict");
     }
     return new Statement.Assign(target.location(), target, operator, expressions.parse());
   }
@@ -204,7 +207,7 @@
   private Statement parseLoad() {
     SourceLocation location = tokens.next().location();
     tokens.expect("(");
-    String file = expectString("load: the file's name is missing");
+    String file = expectString("load: expected the file name as a string");
     List<Statement.ImportedName> names = new ArrayList<>();
     while (tokens.take(",") && !tokens.nextIs(")")) {
       names.add(parseImportedName());
@@ -219,13 +222,13 @@
       localName = tokens.next().text();
       tokens.expect("=");
     }
-    String name = expectString("load: names to load are strings");
+    String name = expectString("load: expected the name to load as a string");
     return new Statement.ImportedName(name, localName == null ? name : localName);
   }
 
   private String expectString(String errorMessage) {
     if (!tokens.nextIs(Token.Kind.STRING)) {
-      throw tokens.error(errorMessage);
+      throw tokens.error(errorMessage + ", found " + tokens.peek().description());
     }
     return tokens.next().text();
   }
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -58,7 +58,8 @@
     this.onRestartsExhausted = onRestartsExhausted;
     this.endpointListRequests = EndpointListRequests.to(source);
     this.eventBatcher =
-        new EventBatcher(eventLoop, clock, config.settings().minBatchInterval(), this::runBatch);
+        new EventBatcher(
+            eventLoop, clock, config.settings().minBatchIntervalDeciMillis(), this::runBatch);
     this.reportBatcher = new ReportBatcher(eventLoop, clock, this::handleReports);
     this.timer = new EngineTimer(eventLoop, eventBatcher::requestBatch);
   }
