--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -129,7 +129,7 @@
     engineRunner = createRunner(config.seed() + engineFailures);
     timer.reset();
     handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
-    proxyApi.engineRestarted();
+    proxyApi.handleEngineRestart();
   }
 
   /**
--- a/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
@@ -5,46 +5,50 @@
 import stonespring.model.EndpointId;
 
 /**
- * Which endpoints a proxy may have excluded. A proxy keeps its exclusions when its session ends,
- * and another instance may have added some meanwhile, so an endpoint that this session has not
- * changed yet is uncertain.
+ * The endpoints that a proxy has excluded, as far as this instance knows. A proxy keeps its
+ * exclusions when its session ends, and other instances may change them before the next session
+ * starts. The state of an endpoint is therefore uncertain until this session changes it.
  */
 final class ProxyExclusions {
   private final Set<EndpointId> excluded;
-  private final boolean othersMayHaveExcluded;
-  private final Set<EndpointId> certain = new HashSet<>();
+  private final boolean otherInstancesMayHaveExcluded;
+  private final Set<EndpointId> changedInSession = new HashSet<>();
 
   /**
    * Creates the exclusions of a new session.
    *
-   * @param excluded what this instance excluded in earlier sessions of the proxy; changed here
-   * @param othersMayHaveExcluded whether the proxy may hold exclusions of other instances
+   * @param excluded the endpoints that this instance excluded in earlier sessions of the proxy;
+   *     this object updates the set
+   * @param otherInstancesMayHaveExcluded whether the proxy may have exclusions of other instances
    */
-  ProxyExclusions(Set<EndpointId> excluded, boolean othersMayHaveExcluded) {
+  ProxyExclusions(Set<EndpointId> excluded, boolean otherInstancesMayHaveExcluded) {
     this.excluded = excluded;
-    this.othersMayHaveExcluded = othersMayHaveExcluded;
+    this.otherInstancesMayHaveExcluded = otherInstancesMayHaveExcluded;
   }
 
-  /** Applies changes, and drops those that the proxy has made already; exclusion goes first. */
+  /**
+   * Applies changes, and removes from them those that have no effect at the proxy. For an endpoint
+   * that is both excluded and allowed, the exclusion takes precedence.
+   */
   void apply(ExclusionChanges changes) {
     changes.allowed().removeAll(changes.excluded());
     changes.allowed().removeIf(endpoint -> !mayBeExcluded(endpoint));
-    changes.excluded().removeIf(this::isSurelyExcluded);
+    changes.excluded().removeIf(this::isKnownToBeExcluded);
     excluded.removeAll(changes.allowed());
     excluded.addAll(changes.excluded());
-    certain.addAll(changes.allowed());
-    certain.addAll(changes.excluded());
+    changedInSession.addAll(changes.allowed());
+    changedInSession.addAll(changes.excluded());
   }
 
   private boolean mayBeExcluded(EndpointId endpoint) {
     return excluded.contains(endpoint) || isUncertain(endpoint);
   }
 
-  private boolean isSurelyExcluded(EndpointId endpoint) {
+  private boolean isKnownToBeExcluded(EndpointId endpoint) {
     return excluded.contains(endpoint) && !isUncertain(endpoint);
   }
 
   private boolean isUncertain(EndpointId endpoint) {
-    return othersMayHaveExcluded && !certain.contains(endpoint);
+    return otherInstancesMayHaveExcluded && !changedInSession.contains(endpoint);
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -22,25 +22,26 @@
 import stonespring.state.RouteTables;
 
 /**
- * What one proxy holds by the updates of its session. The platform's protocol has a table for each
- * request class and no numbers of tables, one limit in place of a table's and that for all tables,
- * and exclusions that outlive the session; updates become its messages here, for the same number of
- * entries.
+ * The route state of one proxy, as the updates of its session set it. It converts updates to
+ * messages of the platform's protocol, which differs from the update model: each request class has
+ * its own route table and tables have no numbers; a request class has a single admission limit,
+ * which combines the limit of its table with the limit for all tables; and exclusions remain when
+ * the session ends. The message of a typical update has as many entries as the update.
  */
 final class ProxyRouteState {
-  /** Keeps a line far below the longest that a proxy reads. */
+  /** Keeps a line much shorter than the maximum line length of a proxy. */
   private static final int MAX_ROUTES_PER_PART = 512;
 
-  private final int requestClasses;
+  private final int requestClassCount;
   private final RouteTables tables;
   private final ProxyExclusions exclusions;
-  private final RouteTableId[] assigned;
-  private final Map<RouteTableId, TreeMap<EndpointId, ProxyChange.RouteChange>> routes =
+  private final RouteTableId[] assignedTables;
+  private final Map<RouteTableId, TreeMap<EndpointId, ProxyChange.RouteChange>> routesByTable =
       new HashMap<>();
-  private final Map<RouteTableId, AdmissionLimit[]> limits = new HashMap<>();
+  private final Map<RouteTableId, AdmissionLimit[]> limitsByTable = new HashMap<>();
   private final AdmissionLimit[] sentLimits;
 
-  /** The tables that one update touches, in the order of its changes. */
+  /** The tables that one update changes, in the order of its changes. */
   private static final class TouchedTables {
     private final Set<RouteTableId> replaced = new LinkedHashSet<>();
     private final Map<RouteTableId, List<ProxyChange.RouteChange>> changedRoutes =
@@ -50,17 +51,17 @@
   /**
    * Creates the state of a new session.
    *
-   * @param tables tells which endpoints are excluded
+   * @param tables the state of all proxies, which knows the excluded endpoints
    */
-  ProxyRouteState(int requestClasses, RouteTables tables, ProxyExclusions exclusions) {
-    this.requestClasses = requestClasses;
+  ProxyRouteState(int requestClassCount, RouteTables tables, ProxyExclusions exclusions) {
+    this.requestClassCount = requestClassCount;
     this.tables = tables;
     this.exclusions = exclusions;
-    this.assigned = new RouteTableId[requestClasses];
-    this.sentLimits = new AdmissionLimit[requestClasses];
+    this.assignedTables = new RouteTableId[requestClassCount];
+    this.sentLimits = new AdmissionLimit[requestClassCount];
   }
 
-  /** Applies an update, and returns what is to be sent; empty if the proxy would not change. */
+  /** Applies an update, and returns the message to send; empty if nothing is to be sent. */
   ConfigMessage apply(ProxyUpdate update) {
     ExclusionChanges exclusionChanges = new ExclusionChanges();
     TouchedTables touched = new TouchedTables();
@@ -80,7 +81,7 @@
         addReplacement(table, parts, exclusionChanges);
       }
     }
-    forgetUnusedTables();
+    removeUnusedTables();
     addLimits(parts);
     exclusions.apply(exclusionChanges);
     return new ConfigMessage(parts, exclusionChanges, update.ack());
@@ -89,17 +90,18 @@
   private void applyChange(
       ProxyChange change, TouchedTables touched, ExclusionChanges exclusionChanges) {
     if (change instanceof ProxyChange.TableAssignment assignment) {
-      assigned[assignment.requestClass().index()] = assignment.table();
+      assignedTables[assignment.requestClass().index()] = assignment.table();
       touched.replaced.add(assignment.table());
     } else if (change instanceof ProxyChange.RouteChange route) {
       applyRoute(route);
       touched.changedRoutes.computeIfAbsent(route.table(), id -> new ArrayList<>()).add(route);
     } else if (change instanceof ProxyChange.AdmissionLimitChange limit) {
       AdmissionLimit[] ofTable =
-          limits.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClasses]);
+          limitsByTable.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClassCount]);
       ofTable[limit.requestClass().index()] = limit.limit().orElse(null);
       if (limit.limit().isEmpty()) {
-        touched.replaced.add(limit.table()); // nothing else makes a proxy forget a limit
+        // The protocol removes a limit only by replacing the table.
+        touched.replaced.add(limit.table());
       }
     } else if (change instanceof ProxyChange.ExclusionChange exclusion) {
       exclusionChanges.add(exclusion.endpoint(), exclusion.excluded());
@@ -108,7 +110,7 @@
 
   private void applyRoute(ProxyChange.RouteChange route) {
     TreeMap<EndpointId, ProxyChange.RouteChange> ofTable =
-        routes.computeIfAbsent(
+        routesByTable.computeIfAbsent(
             route.table(), id -> new TreeMap<>(Comparator.comparing(EndpointId::name)));
     if (route.weight() > 0) {
       ofTable.put(route.endpoint(), route);
@@ -117,46 +119,48 @@
     }
   }
 
-  /** Adds all routes of a table; the proxy forgets its other routes and its limit. */
+  /** Adds parts that replace the routes of a table; the proxy also removes the limit. */
   private void addReplacement(
       RouteTableId table, List<ConfigMessage.Part> parts, ExclusionChanges exclusionChanges) {
-    BitSet users = classesUsing(table);
-    if (users.isEmpty()) {
+    BitSet usingClasses = classesUsing(table);
+    if (usingClasses.isEmpty()) {
       return;
     }
-    for (int k = 0; k < requestClasses; k++) {
-      sentLimits[k] = users.get(k) ? null : sentLimits[k];
+    for (int k = 0; k < requestClassCount; k++) {
+      sentLimits[k] = usingClasses.get(k) ? null : sentLimits[k];
     }
-    List<ProxyChange.RouteChange> all =
-        routes.containsKey(table) ? List.copyOf(routes.get(table).values()) : List.of();
-    addParts(users, true, all, parts);
-    addExclusions(all, exclusionChanges);
+    List<ProxyChange.RouteChange> allRoutes =
+        routesByTable.containsKey(table)
+            ? List.copyOf(routesByTable.get(table).values())
+            : List.of();
+    addParts(usingClasses, true, allRoutes, parts);
+    addExclusions(allRoutes, exclusionChanges);
   }
 
-  /** Adds changed routes of a table; those of an unused one are sent when it is assigned. */
+  /** Adds parts with the changed routes of a table; an unused table is sent when assigned. */
   private void addRoutes(
       RouteTableId table,
       List<ProxyChange.RouteChange> changes,
       List<ConfigMessage.Part> parts,
       ExclusionChanges exclusionChanges) {
-    BitSet users = classesUsing(table);
-    if (users.isEmpty()) {
+    BitSet usingClasses = classesUsing(table);
+    if (usingClasses.isEmpty()) {
       return;
     }
-    addParts(users, false, changes, parts);
+    addParts(usingClasses, false, changes, parts);
     addExclusions(changes, exclusionChanges);
   }
 
   private BitSet classesUsing(RouteTableId table) {
-    BitSet users = new BitSet(requestClasses);
-    for (int k = 0; k < requestClasses; k++) {
-      users.set(k, table.equals(assigned[k]));
+    BitSet usingClasses = new BitSet(requestClassCount);
+    for (int k = 0; k < requestClassCount; k++) {
+      usingClasses.set(k, table.equals(assignedTables[k]));
     }
-    return users;
+    return usingClasses;
   }
 
   private static void addParts(
-      BitSet users,
+      BitSet usingClasses,
       boolean replace,
       List<ProxyChange.RouteChange> changes,
       List<ConfigMessage.Part> parts) {
@@ -165,12 +169,12 @@
       int to = Math.min(from + MAX_ROUTES_PER_PART, changes.size());
       parts.add(
           new ConfigMessage.Part(
-              users, replace && from == 0, changes.subList(from, to), Optional.empty()));
+              usingClasses, replace && from == 0, changes.subList(from, to), Optional.empty()));
       from = to;
     } while (from < changes.size());
   }
 
-  /** A proxy may hold exclusions of its own for the endpoints that it gets a route to. */
+  /** Adds the exclusion state of the routed endpoints, because the proxy may have another one. */
   private void addExclusions(
       List<ProxyChange.RouteChange> changes, ExclusionChanges exclusionChanges) {
     for (ProxyChange.RouteChange route : changes) {
@@ -180,22 +184,22 @@
     }
   }
 
-  /** Changes of an unused table are not sent: it is sent whole when it is assigned again. */
-  private void forgetUnusedTables() {
-    Set<RouteTableId> used = new HashSet<>(Arrays.asList(assigned));
-    routes.keySet().retainAll(used);
+  /** Removes the state of unused tables: such a table is sent whole when assigned again. */
+  private void removeUnusedTables() {
+    Set<RouteTableId> used = new HashSet<>(Arrays.asList(assignedTables));
+    routesByTable.keySet().retainAll(used);
     used.add(Command.ALL_TABLES);
-    limits.keySet().retainAll(used);
+    limitsByTable.keySet().retainAll(used);
   }
 
-  /** Adds the limits that differ from what was sent; classes with equal limits share a part. */
+  /** Adds the limits that differ from the sent ones; classes with equal limits share a part. */
   private void addLimits(List<ConfigMessage.Part> parts) {
     Map<AdmissionLimit, BitSet> changed = new LinkedHashMap<>();
-    for (int k = 0; k < requestClasses; k++) {
+    for (int k = 0; k < requestClassCount; k++) {
       AdmissionLimit limit = effectiveLimit(k);
       if (limit != null && !limit.equals(sentLimits[k])) {
         sentLimits[k] = limit;
-        changed.computeIfAbsent(limit, key -> new BitSet(requestClasses)).set(k);
+        changed.computeIfAbsent(limit, key -> new BitSet(requestClassCount)).set(k);
       }
     }
     changed.forEach(
@@ -209,20 +213,21 @@
   }
 
   /**
-   * The limit that holds for a request class, or null: the lower one of its table's and that for
-   * all tables, with the table's own retry policy.
+   * Returns the limit that applies to a request class, or null if there is none. If there is both a
+   * limit of its table and a limit for all tables, the lower value applies with the retry policy of
+   * the table's limit.
    */
   private AdmissionLimit effectiveLimit(int requestClass) {
-    AdmissionLimit own = limit(assigned[requestClass], requestClass);
-    AdmissionLimit common = limit(Command.ALL_TABLES, requestClass);
+    AdmissionLimit own = limitOf(assignedTables[requestClass], requestClass);
+    AdmissionLimit common = limitOf(Command.ALL_TABLES, requestClass);
     if (own == null || common == null) {
       return own == null ? common : own;
     }
     return new AdmissionLimit(Math.min(own.limit(), common.limit()), own.retryPolicy());
   }
 
-  private AdmissionLimit limit(RouteTableId table, int requestClass) {
-    AdmissionLimit[] ofTable = limits.get(table);
+  private AdmissionLimit limitOf(RouteTableId table, int requestClass) {
+    AdmissionLimit[] ofTable = limitsByTable.get(table);
     return ofTable == null ? null : ofTable[requestClass];
   }
 }
