--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -13,25 +13,33 @@
 import stonespring.zmtp.ZmtpSockets;
 
 /**
- * One session of a client with a server: it subscribes, waits until its subscription is in force,
- * requests the snapshot and then follows the updates. A session that loses one of its connections,
- * or whose server is silent for too long, ends as a whole. State lives on one event loop, and all
- * calls come from there, {@code connect} excepted.
+ * A client session with one server. It subscribes to updates, waits until the subscription is
+ * active, requests a snapshot and then follows the updates. The whole session ends when one of its
+ * connections is lost or the server sends nothing for too long. State is confined to one event
+ * loop; all methods but {@code connect} must be called on it.
  */
 public final class ChpClient {
-  /** Observes a session, on its event loop. */
+  /** Receives the events of a session, on its event loop. */
   public interface Listener {
-    /** The snapshot is complete, and updates follow; called again after each {@link #resync}. */
-    void snapshot(List<ChpMessage.KvSync> keys, long sequence);
-
-    /** A key was changed or deleted. */
-    void update(ChpMessage.KvPub update);
-
-    /** There is a snapshot, and the server reads the collector's connection, if there is one. */
-    default void ready() {}
-
-    /** The session is over; called once. */
-    void ended(String cause);
+    /**
+     * Called when the snapshot is complete; updates follow. Called again after each {@link
+     * #resync}.
+     *
+     * @param sequence the highest sequence contained in the snapshot
+     */
+    void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence);
+
+    /** Called when a key was changed, or deleted (empty value). */
+    void updateReceived(ChpMessage.KvPub update);
+
+    /**
+     * Called once the first snapshot is complete and, if the session has a collector connection,
+     * the server has subscribed on it.
+     */
+    default void sessionReady() {}
+
+    /** Called once when the session has ended, also after {@link #close}. */
+    void sessionEnded(String cause);
   }
 
   private static final int NO_COLLECTOR = 0;
@@ -41,27 +49,32 @@
   private final long silenceTimeoutMillis;
   private final Listener listener;
   private final SubtreeReplica replica;
-  private final List<ChannelFuture> connects = new ArrayList<>();
+  private final List<ChannelFuture> connectFutures = new ArrayList<>();
+
+  /** Null until its handshake is complete. */
+  private ZmtpConnection snapshotConnection;
 
-  /** The connections; null until their handshakes are complete. */
-  private ZmtpConnection snapshots;
+  /** Null until its handshake is complete. */
+  private ZmtpConnection updateConnection;
 
-  private ZmtpConnection updates;
-  private ZmtpConnection collector;
+  /** Null until its handshake is complete, and in sessions without a collector. */
+  private ZmtpConnection collectorConnection;
 
-  /** The publisher sent something, so that the subscription is in force. */
-  private boolean subscribed;
+  /** Whether the publisher has sent a message, which shows that the subscription is active. */
+  private boolean subscriptionActive;
 
-  private boolean collectorSubscribed;
+  private boolean serverSubscribedToCollector;
   private boolean readyReported;
-  private boolean ended;
+  private boolean sessionOver;
   private long lastReceivedNanos = System.nanoTime();
 
   /**
-   * Creates a session; it is not connected yet.
+   * Creates a session that is not connected yet.
    *
-   * @param subtree what keys start with; begins and ends with a slash, or is empty for all keys
-   * @param silenceTimeoutMillis how long the server may send nothing, not even heartbeats
+   * @param subtree the prefix of all keys of interest; starts and ends with a slash, or is empty
+   *     for all keys
+   * @param silenceTimeoutMillis the session ends when nothing, not even a heartbeat, is received
+   *     for this long
    */
   public ChpClient(EventLoop loop, String subtree, long silenceTimeoutMillis, Listener listener) {
     this.loop = loop;
@@ -72,9 +85,9 @@
   }
 
   /**
-   * Connects to a server's three ports in a row.
+   * Connects to a server, whose ports are consecutive: snapshots, updates, collector.
    *
-   * @param withCollector whether to connect to the collector too
+   * @param withCollector whether to connect to the collector, which {@link #set} needs
    */
   public void connect(String host, int snapshotPort, boolean withCollector, ZmtpLimits limits) {
     int collectorPort = withCollector ? snapshotPort + 2 : NO_COLLECTOR;
@@ -82,9 +95,9 @@
   }
 
   /**
-   * Connects to three ports, which may be those of a relay.
+   * Connects to arbitrary ports, such as those of a relay.
    *
-   * @param collectorPort 0 for no collector
+   * @param collectorPort 0 to use no collector
    */
   public void connect(
       String host, int snapshotPort, int updatePort, int collectorPort, ZmtpLimits limits) {
@@ -98,64 +111,68 @@
 
   private void connect(
       SocketType type, String host, int port, ZmtpLimits limits, ZmtpListener zmtpListener) {
-    ChannelFuture connect =
+    ChannelFuture connectFuture =
         ZmtpSockets.connect(loop, type, new InetSocketAddress(host, port), limits, zmtpListener);
-    connects.add(connect);
-    connect.addListener(
+    connectFutures.add(connectFuture);
+    connectFuture.addListener(
         future -> {
           if (!future.isSuccess()) {
-            end("can't reach " + host + ":" + port + ": " + future.cause().getMessage());
+            end("can't connect to " + host + ":" + port + ": " + future.cause().getMessage());
           }
         });
   }
 
   private void checkSilence() {
-    if (ended) {
+    if (sessionOver) {
       return;
     }
     long silenceNanos = System.nanoTime() - lastReceivedNanos;
     if (silenceNanos > TimeUnit.MILLISECONDS.toNanos(silenceTimeoutMillis)) {
-      end("nothing received for " + silenceTimeoutMillis + " ms");
+      end("nothing received from the server for " + silenceTimeoutMillis + " ms");
     } else {
       loop.schedule(this::checkSilence, silenceTimeoutMillis / 4, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Requests a new snapshot, as an update was missed. */
+  /**
+   * Requests a new snapshot, for a caller that missed an update. No effect while one is pending.
+   */
   public void resync() {
     if (replica.isInSync()) {
-      replica.reset();
-      advance();
+      replica.markOutOfSync();
+      advanceHandshake();
     }
   }
 
-  /** Takes the session's next step, if its conditions are met. */
-  private void advance() {
-    if (subscribed && snapshots != null && !replica.isRequested()) {
-      replica.snapshotRequested();
-      snapshots.sendNow(new ChpMessage.IcanHaz(subtree).frames());
+  /** Requests the snapshot and reports the session as ready, each as soon as it is possible. */
+  private void advanceHandshake() {
+    if (subscriptionActive && snapshotConnection != null && !replica.isSnapshotRequested()) {
+      replica.startSnapshot();
+      snapshotConnection.writeMessageAndFlush(new ChpMessage.IcanHaz(subtree).frames());
     }
-    boolean collectorReady = collector == null || collectorSubscribed;
+    boolean collectorReady = collectorConnection == null || serverSubscribedToCollector;
     if (replica.isInSync() && !readyReported && collectorReady) {
       readyReported = true;
-      listener.ready();
+      listener.sessionReady();
     }
   }
 
-  /** Sets a key at the server; false if the collector is not ready. */
+  /** Sets a key at the server; returns false and sends nothing if the collector is not ready. */
   public boolean set(ChpMessage.KvSet set) {
-    if (collector == null || !collectorSubscribed || ended) {
+    if (collectorConnection == null || !serverSubscribedToCollector || sessionOver) {
       return false;
     }
-    collector.sendNow(set.frames());
+    collectorConnection.writeMessageAndFlush(set.frames());
     return true;
   }
 
-  /** Pauses or resumes reading from the publisher. */
+  /**
+   * Pauses or resumes reading updates, to simulate a stalled client; restarts the silence timer.
+   */
   public void setReading(boolean enabled) {
     lastReceivedNanos = System.nanoTime();
-    if (updates != null) {
-      updates.channel().config().setAutoRead(enabled);
+    if (updateConnection != null) {
+      updateConnection.channel().config().setAutoRead(enabled);
     }
   }
 
@@ -165,95 +182,97 @@
   }
 
   private void end(String cause) {
-    if (ended) {
+    if (sessionOver) {
       return;
     }
-    ended = true;
+    sessionOver = true;
     replica.stop();
-    for (ChannelFuture connect : connects) {
-      connect.channel().close();
+    for (ChannelFuture connectFuture : connectFutures) {
+      connectFuture.channel().close();
     }
-    listener.ended(cause);
+    listener.sessionEnded(cause);
   }
 
   private final class SnapshotListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
-      snapshots = connection;
-      advance();
+    public void connectionOpened(ZmtpConnection connection) {
+      snapshotConnection = connection;
+      advanceHandshake();
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       try {
-        accept(ChpDecoder.decodeSnapshot(frames));
+        acceptSnapshotMessage(ChpDecoder.decodeSnapshot(frames));
       } catch (InvalidChpMessageException e) {
-        end("snapshot: " + e.getMessage());
+        end("invalid snapshot message: " + e.getMessage());
       }
     }
 
-    private void accept(ChpMessage message) {
+    private void acceptSnapshotMessage(ChpMessage message) {
       lastReceivedNanos = System.nanoTime();
       if (message instanceof ChpMessage.KvSync key) {
-        replica.addKey(key);
-      } else if (message instanceof ChpMessage.Kthxbai end && replica.complete(end.sequence())) {
-        advance();
+        replica.addSnapshotKey(key);
+      } else if (message instanceof ChpMessage.Kthxbai snapshotEnd
+          && replica.completeSnapshot(snapshotEnd.sequence())) {
+        advanceHandshake();
       }
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
-      end("the snapshot port's connection ended");
+    public void connectionClosed(ZmtpConnection connection) {
+      end("the connection to the snapshot port was closed");
     }
   }
 
   private final class UpdateListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
-      updates = connection;
-      connection.subscribe(ChpMessage.bytes(subtree));
-      // The last one: its first heartbeat shows that the subtree's subscription is in force.
-      connection.subscribe(ChpMessage.bytes(ChpMessage.HUGZ));
+    public void connectionOpened(ZmtpConnection connection) {
+      updateConnection = connection;
+      connection.subscribe(ChpMessage.textFrame(subtree));
+      // Must be the last subscription: its first heartbeat shows that the subtree's is active.
+      connection.subscribe(ChpMessage.textFrame(ChpMessage.HUGZ));
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       lastReceivedNanos = System.nanoTime();
       try {
         if (ChpDecoder.decodeUpdate(frames) instanceof ChpMessage.KvPub update) {
-          replica.update(update);
+          replica.applyOrBuffer(update);
         }
       } catch (InvalidChpMessageException e) {
-        end("update: " + e.getMessage());
+        end("invalid update message: " + e.getMessage());
       }
-      if (!subscribed) {
-        subscribed = true;
-        advance();
+      if (!subscriptionActive) {
+        subscriptionActive = true;
+        advanceHandshake();
       }
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
-      end("the update port's connection ended");
+    public void connectionClosed(ZmtpConnection connection) {
+      end("the connection to the update port was closed");
     }
   }
 
   private final class CollectorListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
-      collector = connection;
+    public void connectionOpened(ZmtpConnection connection) {
+      collectorConnection = connection;
     }
 
     @Override
-    public void subscription(ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
-      // Messages sent before the server subscribed would be dropped.
-      collectorSubscribed = isSubscribed;
-      advance();
+    public void subscriptionChanged(
+        ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
+      // A PUB socket drops messages that are sent before the server has subscribed.
+      serverSubscribedToCollector = isSubscribed;
+      advanceHandshake();
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
-      end("the collector's connection ended");
+    public void connectionClosed(ZmtpConnection connection) {
+      end("the connection to the collector was closed");
     }
   }
 }
--- a/src/main/java/stonespring/chp/ChpMessage.java
+++ b/src/main/java/stonespring/chp/ChpMessage.java
@@ -5,28 +5,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** The protocol's commands (RFC 12, "The CHP Commands"). Byte arrays must not be changed. */
+/**
+ * The commands of the protocol (RFC 12, "The CHP Commands"). Callers must not modify the byte
+ * arrays.
+ */
 public sealed interface ChpMessage {
-  /** An empty frame. */
-  byte[] NONE = new byte[0];
+  byte[] EMPTY_FRAME = new byte[0];
 
   /** The key of a heartbeat. */
   String HUGZ = "HUGZ";
 
-  /** The first frame of a snapshot's request. */
+  /** The first frame of a snapshot request. */
   String ICANHAZ = "ICANHAZ?";
 
-  /** The key of a snapshot's end. */
+  /** The key of the message that ends a snapshot. */
   String KTHXBAI = "KTHXBAI";
 
-  /** The frames of this command. */
+  /** Encodes the command as frames. */
   List<byte[]> frames();
 
-  /** A client requests a snapshot of a subtree. */
+  /** The request of a client for a snapshot of a subtree. */
   record IcanHaz(String subtree) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(ICANHAZ), bytes(subtree));
+      return List.of(textFrame(ICANHAZ), textFrame(subtree));
     }
   }
 
@@ -34,36 +36,41 @@
   record KvSync(String key, long sequence, byte[] value) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(key), number(sequence), NONE, NONE, value);
+      return List.of(textFrame(key), sequenceFrame(sequence), EMPTY_FRAME, EMPTY_FRAME, value);
     }
   }
 
-  /** The end of a snapshot, with the highest sequence that it contains. */
+  /** The end of a snapshot; {@code sequence} is the highest that the snapshot contains. */
   record Kthxbai(long sequence, String subtree) implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(KTHXBAI), number(sequence), NONE, NONE, bytes(subtree));
+      return List.of(
+          textFrame(KTHXBAI),
+          sequenceFrame(sequence),
+          EMPTY_FRAME,
+          EMPTY_FRAME,
+          textFrame(subtree));
     }
   }
 
-  /** One update; an empty value deletes the key. */
+  /** An update of a key, sent to subscribers; an empty value means that the key is deleted. */
   record KvPub(String key, long sequence, byte[] uuid, byte[] properties, byte[] value)
       implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(key), number(sequence), uuid, properties, value);
+      return List.of(textFrame(key), sequenceFrame(sequence), uuid, properties, value);
     }
   }
 
-  /** A heartbeat. */
+  /** A heartbeat of the publisher. */
   record Hugz() implements ChpMessage {
     @Override
     public List<byte[]> frames() {
-      return List.of(bytes(HUGZ), number(0), NONE, NONE, NONE);
+      return List.of(textFrame(HUGZ), sequenceFrame(0), EMPTY_FRAME, EMPTY_FRAME, EMPTY_FRAME);
     }
   }
 
-  /** A client sets a key; an empty value deletes it. */
+  /** The request of a client to set a key; an empty value deletes it. */
   record KvSet(String key, byte[] uuid, Map<String, String> properties, byte[] value)
       implements ChpMessage {
     @Override
@@ -71,17 +78,17 @@
       StringBuilder lines = new StringBuilder();
       properties.forEach(
           (name, property) -> lines.append(name).append('=').append(property).append('\n'));
-      return List.of(bytes(key), number(0), uuid, bytes(lines.toString()), value);
+      return List.of(textFrame(key), sequenceFrame(0), uuid, textFrame(lines.toString()), value);
     }
   }
 
-  /** A text as a frame. */
-  static byte[] bytes(String text) {
+  /** Encodes text as a UTF-8 frame. */
+  static byte[] textFrame(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A sequence as a frame. */
-  static byte[] number(long value) {
+  /** Encodes a sequence as a frame of eight bytes, big-endian. */
+  static byte[] sequenceFrame(long value) {
     return ByteBuffer.allocate(Long.BYTES).putLong(value).array();
   }
 }
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -22,15 +22,19 @@
 import stonespring.zmtp.ZmtpSockets;
 
 /**
- * A server: snapshots at a port P, updates at P+1, the collector at P+2. What messages mean is its
- * {@link ChpBackend}'s.
+ * A CHP server with three consecutive ports: snapshots at P, updates at P+1, the collector at P+2.
+ * A {@link ChpBackend} handles the messages of clients.
  */
 public final class ChpServer {
-  /** RFC 12 asks for a heartbeat about once a second. */
+  /** RFC 12 specifies a heartbeat about once a second. */
   private static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
 
+  /** Attempts to find three free consecutive ports. */
   private static final int MAX_FREE_PORT_ATTEMPTS = 50;
+
+  /** The two ports that follow must be valid too. */
   private static final int MAX_SNAPSHOT_PORT = 65_533;
+
   private static final long MIN_CLOSE_WAIT_MILLIS = 100;
 
   private final EventLoopGroup loops;
@@ -38,14 +42,15 @@
   private final ChpBackend backend;
   private final UpdatePublisher publisher;
   private final ChannelGroup connections;
-  private final List<Channel> listeners = new ArrayList<>();
-  private Future<?> heartbeats;
+  private final List<Channel> listeningChannels = new ArrayList<>();
+  private Future<?> heartbeatTask;
   private int port;
 
   /**
-   * Creates a server; it does not listen yet.
+   * Creates a server that does not listen yet.
    *
-   * @param loops must have one event loop, on which the subscriptions of all connections live
+   * @param loops a group of exactly one event loop, as the subscriptions of all connections are
+   *     confined to it
    */
   public ChpServer(EventLoopGroup loops, ZmtpLimits limits, ChpBackend backend) {
     this.loops = loops;
@@ -57,10 +62,10 @@
   }
 
   /**
-   * Listens, and waits until it does.
+   * Binds the three ports and waits until they are bound.
    *
-   * @param snapshotPort the first of three, or 0 for any three free ports in a row
-   * @throws IOException if a port is taken; names it
+   * @param snapshotPort the first of the three ports, or 0 for any three free consecutive ports
+   * @throws IOException if a port can't be bound; the message names the port
    */
   public void start(String host, int snapshotPort) throws IOException, InterruptedException {
     if (snapshotPort == 0 && listenAtFreePorts(host)) {
@@ -92,12 +97,16 @@
 
   private void listen(String host) throws IOException, InterruptedException {
     if (port < 1 || port > MAX_SNAPSHOT_PORT) {
-      throw new IOException("no three ports in a row at port " + port);
+      throw new IOException(
+          "can't listen at three consecutive ports from port "
+              + port
+              + ": expected a port from 1 to "
+              + MAX_SNAPSHOT_PORT);
     }
     bind(SocketType.ROUTER, host, port, new SnapshotListener());
     bind(SocketType.PUB, host, port + 1, publisher);
     bind(SocketType.SUB, host, port + 2, new CollectorListener());
-    heartbeats =
+    heartbeatTask =
         loops
             .next()
             .scheduleAtFixedRate(
@@ -109,7 +118,7 @@
 
   private void bind(SocketType type, String host, int bindPort, ZmtpListener listener)
       throws IOException, InterruptedException {
-    ChannelFuture bind =
+    ChannelFuture bindFuture =
         ZmtpSockets.listen(
                 loops,
                 type,
@@ -117,40 +126,40 @@
                 limits,
                 new TrackingListener(listener))
             .await();
-    if (!bind.isSuccess()) {
+    if (!bindFuture.isSuccess()) {
       throw new IOException(
-          "can't listen at " + host + ":" + bindPort + ": " + bind.cause().getMessage());
+          "can't listen at " + host + ":" + bindPort + ": " + bindFuture.cause().getMessage());
     }
-    listeners.add(bind.channel());
+    listeningChannels.add(bindFuture.channel());
   }
 
-  /** The snapshot port, once it listens. */
+  /** Returns the snapshot port; valid once the server listens. */
   public int port() {
     return port;
   }
 
-  /** Sends updates to their subscribers, in order; from any thread. */
+  /** Sends updates to their subscribers, in order. May be called from any thread. */
   public void publish(List<? extends ChpMessage> updates) {
     publisher.publish(updates);
   }
 
-  /** Accepts no new connections from now on; those that are open stay. */
+  /** Stops accepting connections; open connections are kept. */
   public void stopListening() throws InterruptedException {
-    for (Channel listener : listeners) {
+    for (Channel listener : listeningChannels) {
       listener.close().await();
     }
-    listeners.clear();
+    listeningChannels.clear();
   }
 
   /**
-   * Writes out what waits, then closes all connections.
+   * Stops listening, sends all pending messages and closes all connections.
    *
-   * @param writeTimeoutMillis how long to wait for the writes of all connections together
+   * @param writeTimeoutMillis the maximum wait for pending writes, for all connections together
    */
   public void stop(long writeTimeoutMillis) throws InterruptedException {
     stopListening();
-    if (heartbeats != null) {
-      heartbeats.cancel(false);
+    if (heartbeatTask != null) {
+      heartbeatTask.cancel(false);
     }
     long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(writeTimeoutMillis);
     for (Channel connection : connections) {
@@ -162,7 +171,7 @@
     connections.close().await(Math.max(MIN_CLOSE_WAIT_MILLIS, writeTimeoutMillis));
   }
 
-  /** Keeps track of open connections, and closes those that send invalid messages. */
+  /** Records open connections for {@link #stop} and closes those that send invalid messages. */
   private final class TrackingListener implements ZmtpListener {
     private final ZmtpListener delegate;
 
@@ -171,51 +180,51 @@
     }
 
     @Override
-    public void opened(ZmtpConnection connection) {
+    public void connectionOpened(ZmtpConnection connection) {
       connections.add(connection.channel());
-      delegate.opened(connection);
+      delegate.connectionOpened(connection);
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       try {
-        delegate.message(connection, frames);
+        delegate.messageReceived(connection, frames);
       } catch (InvalidChpMessageException e) {
         connection.close(e.getMessage());
       }
     }
 
     @Override
-    public void subscription(ZmtpConnection connection, byte[] prefix, boolean subscribed) {
-      delegate.subscription(connection, prefix, subscribed);
+    public void subscriptionChanged(ZmtpConnection connection, byte[] prefix, boolean subscribed) {
+      delegate.subscriptionChanged(connection, prefix, subscribed);
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
-      delegate.closed(connection);
+    public void connectionClosed(ZmtpConnection connection) {
+      delegate.connectionClosed(connection);
     }
   }
 
   private final class SnapshotListener implements ZmtpListener {
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       backend.snapshotRequested(connection, ChpDecoder.decodeRequest(frames).subtree());
     }
   }
 
   private final class CollectorListener implements ZmtpListener {
     @Override
-    public void opened(ZmtpConnection connection) {
-      connection.subscribe(ChpMessage.NONE);
+    public void connectionOpened(ZmtpConnection connection) {
+      connection.subscribe(ChpMessage.EMPTY_FRAME);
     }
 
     @Override
-    public void message(ZmtpConnection connection, List<byte[]> frames) {
+    public void messageReceived(ZmtpConnection connection, List<byte[]> frames) {
       backend.keySet(connection, ChpDecoder.decodeSet(frames));
     }
 
     @Override
-    public void closed(ZmtpConnection connection) {
+    public void connectionClosed(ZmtpConnection connection) {
       backend.collectorClosed(connection);
     }
   }
--- a/src/main/java/stonespring/chp/SubtreeReplica.java
+++ b/src/main/java/stonespring/chp/SubtreeReplica.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * A client's view of a subtree: collects a snapshot, buffers updates meanwhile, and passes on each
- * update once, in order. Not thread-safe.
+ * Merges the snapshot of a subtree with its updates: buffers updates until the snapshot is
+ * complete, then passes each update that is newer than the snapshot to the listener, once and in
+ * order. Not thread-safe.
  */
 final class SubtreeReplica {
   private static final int MAX_BUFFERED_UPDATES = 100_000;
@@ -15,86 +16,89 @@
   private final ChpClient.Listener listener;
   private final ArrayDeque<ChpMessage.KvPub> bufferedUpdates = new ArrayDeque<>();
   private List<ChpMessage.KvSync> snapshotKeys = new ArrayList<>();
-  private boolean requested;
+  private boolean snapshotRequested;
   private boolean inSync;
   private boolean stopped;
-  private long sequence = Long.MIN_VALUE;
+  private long lastSequence = Long.MIN_VALUE;
 
   SubtreeReplica(ChpClient.Listener listener) {
     this.listener = listener;
   }
 
-  /** Whether a snapshot was requested, also one that is complete. */
-  boolean isRequested() {
-    return requested;
+  /** Returns whether a snapshot was requested; stays true once that snapshot is complete. */
+  boolean isSnapshotRequested() {
+    return snapshotRequested;
   }
 
-  /** Whether the snapshot is complete. */
+  /** Returns whether the snapshot is complete, so that updates are passed on directly. */
   boolean isInSync() {
     return inSync;
   }
 
-  /** A snapshot is requested now. */
-  void snapshotRequested() {
-    requested = true;
+  /** Prepares to collect a snapshot that the caller requests now. */
+  void startSnapshot() {
+    snapshotRequested = true;
     snapshotKeys = new ArrayList<>();
   }
 
-  /** A new snapshot is needed. */
-  void reset() {
+  /** Buffers updates again until a new snapshot is requested and complete. */
+  void markOutOfSync() {
     inSync = false;
-    requested = false;
+    snapshotRequested = false;
   }
 
-  /** Passes on nothing any more. */
+  /** Stops passing on buffered updates, as the session has ended. */
   void stop() {
     stopped = true;
   }
 
-  void addKey(ChpMessage.KvSync key) {
+  void addSnapshotKey(ChpMessage.KvSync key) {
     if (snapshotKeys.size() >= MAX_SNAPSHOT_KEYS) {
-      throw new InvalidChpMessageException("over " + MAX_SNAPSHOT_KEYS + " keys");
+      throw new InvalidChpMessageException(
+          "the snapshot has more than " + MAX_SNAPSHOT_KEYS + " keys");
     }
     snapshotKeys.add(key);
   }
 
   /**
-   * The snapshot is complete: passes it on, then the updates that it does not contain.
+   * Passes the complete snapshot to the listener, then the buffered updates that are newer.
    *
-   * @return false if no snapshot is under way
+   * @return false if no snapshot is in progress
    */
-  boolean complete(long snapshotSequence) {
-    if (!requested || inSync) {
+  boolean completeSnapshot(long snapshotSequence) {
+    if (!snapshotRequested || inSync) {
       return false;
     }
     inSync = true;
-    sequence = snapshotSequence;
+    lastSequence = snapshotSequence;
     List<ChpMessage.KvSync> keys = snapshotKeys;
     snapshotKeys = new ArrayList<>();
-    listener.snapshot(keys, sequence);
-    // The listener may reset or stop this replica at any update.
+    listener.snapshotReceived(keys, lastSequence);
+    // The listener may call markOutOfSync or stop during any update.
     while (!bufferedUpdates.isEmpty() && inSync && !stopped) {
       apply(bufferedUpdates.poll());
     }
     return true;
   }
 
-  /** Takes an update, which waits while there is no snapshot. */
-  void update(ChpMessage.KvPub update) {
+  /** Passes on an update, or buffers it while the snapshot is incomplete. */
+  void applyOrBuffer(ChpMessage.KvPub update) {
     if (inSync) {
       apply(update);
     } else if (bufferedUpdates.size() < MAX_BUFFERED_UPDATES) {
       bufferedUpdates.add(update);
     } else {
       throw new InvalidChpMessageException(
-          "over " + MAX_BUFFERED_UPDATES + " updates came before the snapshot ended");
+          "more than "
+              + MAX_BUFFERED_UPDATES
+              + " updates arrived before the snapshot was complete");
     }
   }
 
   private void apply(ChpMessage.KvPub update) {
-    if (update.sequence() > sequence) {
-      sequence = update.sequence();
-      listener.update(update);
+    if (update.sequence() > lastSequence) {
+      lastSequence = update.sequence();
+      listener.updateReceived(update);
     }
   }
 }
--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -120,7 +120,7 @@
     private ChpClient owner;
 
     @Override
-    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+    public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
       Map<String, String> values = new LinkedHashMap<>();
       TableSubscriber.Commit commit = null;
       for (ChpMessage.KvSync key : keys) {
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void update(ChpMessage.KvPub update) {
+    public void updateReceived(ChpMessage.KvPub update) {
       String name = relativeKey(update.key());
       byte[] value = update.value();
       boolean isDeleted = value.length == 0;
@@ -147,13 +147,13 @@
     }
 
     @Override
-    public void ready() {
+    public void sessionReady() {
       channelReady = true;
       sendHello();
     }
 
     @Override
-    public void ended(String cause) {
+    public void sessionEnded(String cause) {
       if (client == owner) {
         handleConnectionLoss(cause);
       }
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -14,32 +14,35 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * One connection. Its state lives on its event loop; {@code send}, {@code sendNow}, {@code write},
- * {@code flush} and {@code close} may be called from any thread. A violation by the peer, or an
- * exception of its listener, closes this connection alone and is logged once.
+ * A ZMTP connection, inbound or outbound. Its state is confined to its event loop; {@code
+ * writeMessage}, {@code writeMessageAndFlush}, {@code writeEncoded}, {@code flush} and {@code
+ * close} may be called from any thread. A protocol violation by the peer or an exception thrown by
+ * the listener closes this connection only and is logged once.
  */
 public final class ZmtpConnection extends SimpleChannelInboundHandler<ZmtpPart> {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpConnection.class);
 
-  /** The first byte of a subscription in the form of version 3.0, a message. */
-  private static final int SUBSCRIBE = 1;
+  /** ZMTP 3.0 peers send a subscription as a message that starts with this byte. */
+  private static final int SUBSCRIBE_BYTE = 1;
+
+  /** ZMTP 3.0 peers cancel a subscription by a message that starts with this byte. */
+  private static final int CANCEL_BYTE = 0;
 
-  private static final int CANCEL = 0;
   private static final int PING_TTL_BYTES = 2;
   private static final int MAX_PING_CONTEXT_BYTES = 16;
-  private static final int MAX_PRINTED_CHARS = 80;
+  private static final int MAX_LOGGED_CHARS = 80;
 
   private final SocketType type;
   private final boolean asServer;
   private final ZmtpLimits limits;
   private final ZmtpListener listener;
   private Channel channel;
-  private String name = "?";
+  private String peerAddress = "?";
   private int peerMinorVersion;
-  private boolean greeted;
-  private boolean ready;
-  private boolean closedReported;
-  private int subscriptions;
+  private boolean greetingReceived;
+  private boolean handshakeComplete;
+  private boolean closeReported;
+  private int subscriptionCount;
 
   ZmtpConnection(SocketType type, boolean asServer, ZmtpLimits limits, ZmtpListener listener) {
     this.type = type;
@@ -48,63 +51,65 @@
     this.listener = listener;
   }
 
-  /** The peer's address, as log lines have it. */
-  public String name() {
-    return name;
+  /**
+   * Returns the peer's address in the form used in log lines; "?" before the connection is active.
+   */
+  public String peerAddress() {
+    return peerAddress;
   }
 
-  /** The connection's channel. */
   public Channel channel() {
     return channel;
   }
 
-  /** Sends one message with the next {@link #flush}. */
-  public void send(List<byte[]> frames) {
-    write(ZmtpEncoder.message(channel.alloc(), frames));
+  /** Writes a message; it is sent with the next {@link #flush}. */
+  public void writeMessage(List<byte[]> frames) {
+    writeEncoded(ZmtpEncoder.encodeMessage(channel.alloc(), frames));
   }
 
-  /** Sends one message, and all that waits, at once. */
-  public void sendNow(List<byte[]> frames) {
-    send(frames);
+  /** Writes a message and sends it together with all messages written before. */
+  public void writeMessageAndFlush(List<byte[]> frames) {
+    writeMessage(frames);
     flush();
   }
 
   /**
-   * Writes encoded messages with the next {@link #flush}, and takes over the reference. Closes the
-   * connection of a peer that reads too slowly.
+   * Writes encoded messages, which are sent with the next {@link #flush}, and takes ownership of
+   * the buffer. If more than {@link ZmtpLimits#maxPendingBytes} bytes already wait because the peer
+   * reads too slowly, drops the messages and closes the connection.
    */
-  public void write(ByteBuf messages) {
+  public void writeEncoded(ByteBuf messages) {
     var buffer = channel.unsafe().outboundBuffer();
     if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingBytes()) {
       messages.release();
-      // Nothing can be left out of the middle; the peer connects again and gets a snapshot.
-      close("it reads too slowly: over " + limits.maxPendingBytes() + " bytes wait for it");
+      // Messages can't be skipped in mid-stream; the peer reconnects and requests a new snapshot.
+      close("peer reads too slowly: more than " + limits.maxPendingBytes() + " bytes are pending");
       return;
     }
     channel.write(messages, channel.voidPromise());
   }
 
-  /** Sends what was written. */
+  /** Sends all messages written so far. */
   public void flush() {
     channel.flush();
   }
 
-  /** Subscribes to the publisher's messages that start with a prefix. */
+  /** Subscribes to the peer's messages whose first frame starts with the prefix. */
   public void subscribe(byte[] prefix) {
     if (peerMinorVersion >= 1) {
-      channel.writeAndFlush(ZmtpEncoder.command("SUBSCRIBE", prefix));
+      channel.writeAndFlush(ZmtpEncoder.encodeCommand("SUBSCRIBE", prefix));
     } else {
       byte[] frame = new byte[prefix.length + 1];
-      frame[0] = SUBSCRIBE;
+      frame[0] = SUBSCRIBE_BYTE;
       System.arraycopy(prefix, 0, frame, 1, prefix.length);
-      sendNow(List.of(frame));
+      writeMessageAndFlush(List.of(frame));
     }
   }
 
-  /** Closes the connection and logs why. */
+  /** Closes the connection and logs the cause, unless it is already closed. */
   public void close(String cause) {
     if (channel.isOpen()) {
-      LOG.warn("zmtp {} peer {}: connection ended: {}", type, name, cause);
+      LOG.warn("zmtp {} peer {}: connection closed: {}", type, peerAddress, cause);
     }
     channel.close();
   }
@@ -112,15 +117,18 @@
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    name = String.valueOf(channel.remoteAddress());
-    ctx.writeAndFlush(ZmtpEncoder.greeting(asServer));
+    peerAddress = String.valueOf(channel.remoteAddress());
+    ctx.writeAndFlush(ZmtpEncoder.encodeGreeting(asServer));
     ctx.executor()
-        .schedule(this::closeUnlessReady, limits.handshakeTimeoutMillis(), TimeUnit.MILLISECONDS);
+        .schedule(
+            this::closeIfHandshakeIncomplete,
+            limits.handshakeTimeoutMillis(),
+            TimeUnit.MILLISECONDS);
   }
 
-  private void closeUnlessReady() {
-    if (!ready && channel.isOpen()) {
-      close("no handshake within " + limits.handshakeTimeoutMillis() + " ms");
+  private void closeIfHandshakeIncomplete() {
+    if (!handshakeComplete && channel.isOpen()) {
+      close("handshake not complete within " + limits.handshakeTimeoutMillis() + " ms");
     }
   }
 
@@ -128,8 +136,8 @@
   protected void channelRead0(ChannelHandlerContext ctx, ZmtpPart part) {
     if (part instanceof ZmtpPart.Greeting greeting) {
       acceptGreeting(ctx, greeting);
-    } else if (!greeted) {
-      throw new ZmtpProtocolException("greeting", "it is missing");
+    } else if (!greetingReceived) {
+      throw new ZmtpProtocolException("greeting", "not received before the first frame");
     } else if (part instanceof ZmtpPart.Command command) {
       acceptCommand(ctx, command);
     } else if (part instanceof ZmtpPart.Message message) {
@@ -140,115 +148,132 @@
   private void acceptGreeting(ChannelHandlerContext ctx, ZmtpPart.Greeting greeting) {
     if (!greeting.mechanism().equals("NULL")) {
       throw new ZmtpProtocolException(
-          "greeting", "mechanism '" + greeting.mechanism() + "' is not spoken, NULL is");
+          "greeting", "mechanism '" + greeting.mechanism() + "' is not supported, expected NULL");
     }
-    greeted = true;
+    greetingReceived = true;
     peerMinorVersion = greeting.minorVersion();
     ctx.writeAndFlush(ReadyCommand.encode(type));
   }
 
   private void acceptCommand(ChannelHandlerContext ctx, ZmtpPart.Command command) {
     String commandName = command.name();
-    if (!ready
+    if (!handshakeComplete
         && !commandName.equals(ReadyCommand.NAME)
         && !commandName.equals(ErrorCommand.NAME)) {
-      throw new ZmtpProtocolException("command " + commandName, "it comes before READY");
+      throw new ZmtpProtocolException("command " + commandName, "received before READY");
     }
     byte[] data = command.data();
     switch (commandName) {
       case ReadyCommand.NAME -> acceptReady(data);
       case ErrorCommand.NAME ->
           throw new ZmtpProtocolException(
-              "it says ERROR", printable(ErrorCommand.decodeReason(data)));
+              "peer sent ERROR", sanitizeForLog(ErrorCommand.decodeReason(data)));
       case "SUBSCRIBE" -> acceptSubscription(data, true);
       case "CANCEL" -> acceptSubscription(data, false);
       case "PING" -> acceptPing(ctx, data);
       case "PONG" -> {
-        // No PING is sent, so none awaits it.
+        // Ignored: this side never sends PING, so it expects no PONG.
       }
       default ->
           throw new ZmtpProtocolException(
-              "command '" + printable(commandName) + "'", "it is not known");
+              "command '" + sanitizeForLog(commandName) + "'", "unknown command name");
     }
   }
 
   private void acceptReady(byte[] data) {
-    if (ready) {
-      throw new ZmtpProtocolException(ReadyCommand.NAME, "it comes twice");
+    if (handshakeComplete) {
+      throw new ZmtpProtocolException(ReadyCommand.NAME, "received twice");
     }
     Optional<String> peerType = ReadyCommand.decodeSocketType(data);
     boolean compatible =
-        peerType.flatMap(SocketType::ofName).filter(type::isCompatibleWith).isPresent();
+        peerType.flatMap(SocketType::fromWireName).filter(type::isCompatibleWith).isPresent();
     if (!compatible) {
       String problem =
           "socket type "
               + peerType
-                  .map(word -> printable(word) + " can't talk to " + type)
+                  .map(
+                      peerTypeName ->
+                          sanitizeForLog(peerTypeName) + " is not compatible with " + type)
                   .orElse("is missing");
       ZmtpProtocolException incompatible = new ZmtpProtocolException(ReadyCommand.NAME, problem);
       channel.writeAndFlush(ErrorCommand.encode(incompatible.getMessage()));
       throw incompatible;
     }
-    ready = true;
-    listener.opened(this);
+    handshakeComplete = true;
+    listener.connectionOpened(this);
   }
 
   private void acceptPing(ChannelHandlerContext ctx, byte[] data) {
     if (data.length < PING_TTL_BYTES || data.length > PING_TTL_BYTES + MAX_PING_CONTEXT_BYTES) {
-      throw new ZmtpProtocolException("PING", data.length + " bytes of data");
+      throw new ZmtpProtocolException(
+          "PING",
+          "expected "
+              + PING_TTL_BYTES
+              + " to "
+              + (PING_TTL_BYTES + MAX_PING_CONTEXT_BYTES)
+              + " bytes of data, got "
+              + data.length);
     }
     byte[] context = Arrays.copyOfRange(data, PING_TTL_BYTES, data.length);
-    ctx.writeAndFlush(ZmtpEncoder.command("PONG", context));
+    ctx.writeAndFlush(ZmtpEncoder.encodeCommand("PONG", context));
   }
 
   private void acceptMessage(List<byte[]> frames) {
-    if (!ready) {
-      throw new ZmtpProtocolException("message", "it comes before READY");
+    if (!handshakeComplete) {
+      throw new ZmtpProtocolException("message", "received before READY");
     }
     if (!type.publishes()) {
-      listener.message(this, frames);
+      listener.messageReceived(this, frames);
       return;
     }
-    byte[] first = frames.get(0);
-    if (frames.size() > 1 || first.length == 0 || first[0] != SUBSCRIBE && first[0] != CANCEL) {
-      throw new ZmtpProtocolException("message", "a subscriber may send subscriptions alone");
+    byte[] firstFrame = frames.get(0);
+    if (frames.size() > 1
+        || firstFrame.length == 0
+        || firstFrame[0] != SUBSCRIBE_BYTE && firstFrame[0] != CANCEL_BYTE) {
+      throw new ZmtpProtocolException(
+          "message", "subscribers may only send subscriptions and cancellations");
     }
-    acceptSubscription(Arrays.copyOfRange(first, 1, first.length), first[0] == SUBSCRIBE);
+    acceptSubscription(
+        Arrays.copyOfRange(firstFrame, 1, firstFrame.length), firstFrame[0] == SUBSCRIBE_BYTE);
   }
 
   private void acceptSubscription(byte[] prefix, boolean subscribed) {
     if (!type.publishes()) {
-      throw new ZmtpProtocolException("subscription", "this socket does not publish");
+      throw new ZmtpProtocolException("subscription", "received by a socket that does not publish");
     }
-    subscriptions += subscribed ? 1 : -1;
-    if (subscriptions > limits.maxSubscriptions()) {
+    subscriptionCount += subscribed ? 1 : -1;
+    if (subscriptionCount > limits.maxSubscriptions()) {
       throw new ZmtpProtocolException(
-          "subscription", "over the limit of " + limits.maxSubscriptions());
+          "subscription", "over the limit of " + limits.maxSubscriptions() + " subscriptions");
     }
-    listener.subscription(this, prefix, subscribed);
+    listener.subscriptionChanged(this, prefix, subscribed);
   }
 
-  /** A peer's text as a log line may hold it. */
-  private static String printable(String text) {
-    String shortened = text.substring(0, Math.min(MAX_PRINTED_CHARS, text.length()));
+  /** Truncates text from a peer and replaces everything but printable ASCII for logging. */
+  private static String sanitizeForLog(String text) {
+    String shortened = text.substring(0, Math.min(MAX_LOGGED_CHARS, text.length()));
     return shortened.replaceAll("[^\\x20-\\x7e]", "?");
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (!closedReported) {
-      closedReported = true;
-      listener.closed(this);
+    if (!closeReported) {
+      closeReported = true;
+      listener.connectionClosed(this);
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    Throwable root = FailStopDecoder.unwrap(cause);
-    if (root instanceof ZmtpProtocolException || root instanceof IOException) {
-      close(String.valueOf(root.getMessage()));
+    Throwable rootCause = FailStopDecoder.unwrap(cause);
+    if (rootCause instanceof ZmtpProtocolException || rootCause instanceof IOException) {
+      close(String.valueOf(rootCause.getMessage()));
     } else {
-      LOG.error("zmtp {} peer {}: connection ended: its handler failed", type, name, root);
+      LOG.error(
+          "zmtp {} peer {}: connection closed: unexpected exception in its handler",
+          type,
+          peerAddress,
+          rootCause);
       ctx.close();
     }
   }
--- a/src/main/java/stonespring/zmtp/ZmtpDecoder.java
+++ b/src/main/java/stonespring/zmtp/ZmtpDecoder.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import stonespring.netty.FailStopDecoder;
 
-/** Decodes bytes to {@link ZmtpPart}s: the greeting, then what frames hold. */
+/** Decodes a byte stream into {@link ZmtpPart}s: one greeting, then commands and messages. */
 final class ZmtpDecoder extends FailStopDecoder {
   private final GreetingDecoder greetingDecoder = new GreetingDecoder();
   private final FrameDecoder frameDecoder;
-  private boolean greeted;
+  private boolean greetingDecoded;
 
   ZmtpDecoder(ZmtpLimits limits) {
     this.frameDecoder = new FrameDecoder(limits);
@@ -18,13 +18,13 @@
 
   @Override
   protected void decode(ByteBuf in, List<Object> out) {
-    if (greeted) {
+    if (greetingDecoded) {
       frameDecoder.decode(in, out);
       return;
     }
     Optional<ZmtpPart.Greeting> greeting = greetingDecoder.decode(in);
     if (greeting.isPresent()) {
-      greeted = true;
+      greetingDecoded = true;
       out.add(greeting.get());
     }
   }
--- a/src/test/java/stonespring/chp/ChpClientTest.java
+++ b/src/test/java/stonespring/chp/ChpClientTest.java
@@ -24,7 +24,7 @@
 import org.zeromq.ZMsg;
 import stonespring.zmtp.ZmtpLimits;
 
-/** A client against a server on an independent ZeroMQ library. */
+/** Tests the client against a server built on an independent ZeroMQ library. */
 final class ChpClientTest {
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -35,34 +35,34 @@
   private ZMQ.Socket collector;
   private ChpClient client;
 
-  /** Writes down what it is notified of. */
+  /** Records each call as text in {@link #events}. */
   private final class RecordingListener implements ChpClient.Listener {
     @Override
-    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+    public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
       events.add("snapshot " + keys.size() + " at " + sequence);
     }
 
     @Override
-    public void update(ChpMessage.KvPub update) {
+    public void updateReceived(ChpMessage.KvPub update) {
       events.add(update.key() + "=" + new String(update.value(), StandardCharsets.UTF_8));
     }
 
     @Override
-    public void ready() {
+    public void sessionReady() {
       events.add("ready");
     }
 
     @Override
-    public void ended(String cause) {
+    public void sessionEnded(String cause) {
       events.add("ended " + cause);
     }
   }
 
   @BeforeEach
-  void connect() {
-    router = socket(SocketType.ROUTER);
-    publisher = socket(SocketType.XPUB);
-    collector = socket(SocketType.SUB);
+  void connectClient() {
+    router = createSocket(SocketType.ROUTER);
+    publisher = createSocket(SocketType.XPUB);
+    collector = createSocket(SocketType.SUB);
     int snapshotPort = router.bindToRandomPort("tcp://127.0.0.1");
     int updatePort = publisher.bindToRandomPort("tcp://127.0.0.1");
     int collectorPort = collector.bindToRandomPort("tcp://127.0.0.1");
@@ -72,22 +72,24 @@
     client.connect("127.0.0.1", snapshotPort, updatePort, collectorPort, ZmtpLimits.DEFAULT);
   }
 
-  private ZMQ.Socket socket(SocketType type) {
+  private ZMQ.Socket createSocket(SocketType type) {
     ZMQ.Socket socket = context.createSocket(type);
     socket.setReceiveTimeOut(TIMEOUT_MILLIS);
     return socket;
   }
 
   @AfterEach
-  void stop() {
+  void stopClientAndServer() {
     context.close();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
   @Test
-  void followsAServerOnAStockLibrary() throws Exception {
+  void followsServerBuiltOnAnIndependentLibrary() throws Exception {
     assertArrayEquals(
-        bytes("\u0001/x/"), publisher.recv(), "a subscription as this library's version takes it");
+        bytes("\u0001/x/"),
+        publisher.recv(),
+        "the subscription in the form of the library's ZMTP version");
     assertArrayEquals(bytes("\u0001HUGZ"), publisher.recv());
     publish(publisher, "/x/early", 5, "dropped, the snapshot holds it");
     publish(publisher, "/x/late", 8, "kept");
@@ -106,16 +108,18 @@
             () ->
                 client.set(
                     new ChpMessage.KvSet(
-                        "/up/x", ChpMessage.NONE, Map.of("ttl", "3"), bytes("v"))));
-    ZMsg set = ZMsg.recvMsg(collector);
-    assertEquals("/up/x", text(set, 0));
-    assertEquals("ttl=3\n", text(set, 3));
-    assertEquals("v", text(set, 4));
+                        "/up/x", ChpMessage.EMPTY_FRAME, Map.of("ttl", "3"), bytes("v"))));
+    ZMsg setMessage = ZMsg.recvMsg(collector);
+    assertEquals("/up/x", text(setMessage, 0));
+    assertEquals("ttl=3\n", text(setMessage, 3));
+    assertEquals("v", text(setMessage, 4));
     loops.next().execute(client::close);
     assertEquals("ended closed", nextEvent());
   }
 
-  /** The library greets new peers only while its socket is called. */
+  /**
+   * Polls the collector meanwhile: the library processes new peers only when its socket is used.
+   */
   private String awaitCollectorReady() throws InterruptedException {
     String event = null;
     for (int i = 0; i < 200 && event == null; i++) {
