--- a/src/main/java/stonespring/http/HeaderParser.java
+++ b/src/main/java/stonespring/http/HeaderParser.java
@@ -26,8 +26,7 @@
     String previous = headers.put(name, value);
     if (previous != null) {
       if (UNIQUE_HEADERS.contains(name)) {
-        throw new MalformedHttpException(
-            location(lineCount), "'" + name + "' must not be repeated");
+        throw new MalformedHttpException(location(lineCount), "'" + name + "' comes twice");
       }
       headers.put(name, previous + ", " + value);
     }
@@ -41,12 +40,11 @@
   /** Counts and checks a header or trailer line; returns the index of its colon. */
   private int checkLine(String line) {
     if (++lineCount > MAX_HEADERS) {
-      throw new MalformedHttpException(
-          location(lineCount), "more than " + MAX_HEADERS + " headers");
+      throw new MalformedHttpException(location(lineCount), "over " + MAX_HEADERS + " of them");
     }
     int colon = line.indexOf(':');
     if (colon < 1 || !line.substring(0, colon).matches(NAME_PATTERN)) {
-      throw new MalformedHttpException(location(lineCount), "the name is missing or invalid");
+      throw new MalformedHttpException(location(lineCount), "it has no proper name");
     }
     return colon;
   }
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -94,21 +94,19 @@
     int lineFeed = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
     if (lineFeed < 0) {
       if (in.readableBytes() > MAX_LINE_BYTES) {
-        throw new MalformedHttpException(
-            location(), "a line is longer than " + MAX_LINE_BYTES + " bytes");
+        throw new MalformedHttpException(location(), "a line is over " + MAX_LINE_BYTES + " bytes");
       }
       return null;
     }
     int length = lineFeed - in.readerIndex();
     if (length > MAX_LINE_BYTES || length == 0 || in.getByte(lineFeed - 1) != '\r') {
       throw new MalformedHttpException(
-          location(),
-          "a line is longer than " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
+          location(), "a line is over " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
     }
     String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.ISO_8859_1);
     in.skipBytes(length + 1);
     if (containsControlCharacter(line)) {
-      throw new MalformedHttpException(location(), "a line contains a control character");
+      throw new MalformedHttpException(location(), "a line holds a control character");
     }
     return line;
   }
@@ -160,7 +158,7 @@
     }
     if (length != null || !encoding.equalsIgnoreCase("chunked")) {
       throw new MalformedHttpException(
-          headerLocation(ENCODING_HEADER), "expected 'chunked' and no content-length");
+          headerLocation(ENCODING_HEADER), "it is not 'chunked', or a length stands beside it");
     }
     state = State.CHUNK_SIZE;
     if (streaming) {
@@ -170,12 +168,11 @@
 
   private void startBodyOfLength(String length, List<Object> out) {
     if (length != null && !length.matches("[0-9]{1,9}")) {
-      throw new MalformedHttpException(
-          headerLocation(LENGTH_HEADER), "expected a number of 1 to 9 digits");
+      throw new MalformedHttpException(headerLocation(LENGTH_HEADER), "it is no length");
     }
     if (length == null && startLine.requiresLength()) {
       throw new MalformedHttpException(
-          headerLocation(LENGTH_HEADER), "missing, and transfer-encoding is not 'chunked'");
+          headerLocation(LENGTH_HEADER), "it is missing, and no chunks are announced");
     }
     boolean empty = length == null || startLine.excludesBody();
     remainingBytes = empty ? 0 : checkBodySize(Integer.parseInt(length));
@@ -191,7 +188,7 @@
 
   private int checkBodySize(int bytes) {
     if (bytes > maxBodyBytes - body.size()) {
-      throw new MalformedHttpException(BODY_LOCATION, "longer than " + maxBodyBytes + " bytes");
+      throw new MalformedHttpException(BODY_LOCATION, "over " + maxBodyBytes + " bytes");
     }
     return bytes;
   }
@@ -200,8 +197,7 @@
     int extension = line.indexOf(';');
     String size = (extension < 0 ? line : line.substring(0, extension)).strip();
     if (!size.matches("[0-9A-Fa-f]{1,7}")) {
-      throw new MalformedHttpException(
-          BODY_LOCATION, "a chunk size is not a hexadecimal number of 1 to 7 digits");
+      throw new MalformedHttpException(BODY_LOCATION, "a chunk's size is no number");
     }
     remainingBytes = checkBodySize(Integer.parseInt(size, 16));
     state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
@@ -209,7 +205,7 @@
 
   private void acceptChunkEnd(String line) {
     if (!line.isEmpty()) {
-      throw new MalformedHttpException(BODY_LOCATION, "a chunk is longer than its stated size");
+      throw new MalformedHttpException(BODY_LOCATION, "a chunk is longer than its size");
     }
     state = State.CHUNK_SIZE;
   }
--- a/src/main/java/stonespring/http/StartLine.java
+++ b/src/main/java/stonespring/http/StartLine.java
@@ -24,7 +24,7 @@
           || !isSupportedVersion(parts[2])
           || !parts[0].matches("[A-Z]{1,20}")
           || !parts[1].startsWith("/")) {
-        throw new MalformedHttpException(LOCATION, "not a valid HTTP/1.1 request line");
+        throw new MalformedHttpException(LOCATION, "it is no request of HTTP/1.1");
       }
       return new Request(parts[0], parts[1]);
     }
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -191,9 +191,7 @@
       String problem =
           "socket type "
               + peerType
-                  .map(
-                      peerTypeName ->
-                          sanitizeForLog(peerTypeName) + " is not compatible with " + type)
+                  .map(peerTypeName -> sanitizeForLog(peerTypeName) + " can't talk to " + type)
                   .orElse("is missing");
       ZmtpProtocolException incompatible = new ZmtpProtocolException(ReadyCommand.NAME, problem);
       channel.writeAndFlush(ErrorCommand.encode(incompatible.getMessage()));
