--- a/benchmarks/stonespring/testbed/SolverBenchmark.java
+++ b/benchmarks/stonespring/testbed/SolverBenchmark.java
@@ -44,7 +44,7 @@
 
   @Setup(Level.Invocation)
   public void change() {
-    trial.change();
+    trial.applyRandomChanges();
     changed = trial.problem(plan);
   }
 
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -57,7 +57,7 @@
     for (Path file : files) {
       loads.add(InputFiles.readRecording("compare", file));
     }
-    List<ComparisonRow> rows = Comparison.of(loads, policies, seeds);
+    List<ComparisonRow> rows = Comparison.run(loads, policies, seeds);
     if (json) {
       System.out.println(
           new ObjectMapper()
--- a/src/main/java/stonespring/cli/ComparisonJson.java
+++ b/src/main/java/stonespring/cli/ComparisonJson.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonUnwrapped;
 import stonespring.testbed.virtual.ComparisonRow;
-import stonespring.testbed.virtual.Interval;
+import stonespring.testbed.virtual.ConfidenceInterval;
 import stonespring.testbed.virtual.Policy;
 
 /**
@@ -20,7 +20,7 @@
     double bareSeconds) {
 
   record Span(double mean, double low, double high) {
-    private static Span of(Interval interval) {
+    private static Span of(ConfidenceInterval interval) {
       return new Span(interval.mean(), interval.low(), interval.high());
     }
   }
--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -39,7 +39,8 @@
           long seconds)
       throws Exception {
     System.out.print(
-        FleetMeasurement.run(file, proxies, withinMillis, seconds, ScenarioRun.folder()));
+        FleetMeasurement.run(
+            file, proxies, withinMillis, seconds, ScenarioRun.createTemporaryFolder()));
     System.exit(ExitCode.OK); // the idle proxies reconnect and would keep the process running
     return ExitCode.OK;
   }
--- a/src/main/java/stonespring/cli/ScenarioCommand.java
+++ b/src/main/java/stonespring/cli/ScenarioCommand.java
@@ -50,7 +50,10 @@
   public Integer call() throws Exception {
     logging.apply();
     Scenario scenario = readScenario();
-    Path folder = logFolder == null ? ScenarioRun.folder() : Files.createDirectories(logFolder);
+    Path folder =
+        logFolder == null
+            ? ScenarioRun.createTemporaryFolder()
+            : Files.createDirectories(logFolder);
     try {
       ScenarioRun run = new ScenarioRun(scenario, file, seed, folder);
       InvariantChecker.Verdict verdict = run.run();
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -43,7 +43,7 @@
     }
     double atSeconds = at == null ? endSeconds : at;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
-    fleet.playTo((long) (atSeconds * DeciMillis.SECOND));
+    fleet.replayUntil((long) (atSeconds * DeciMillis.SECOND));
     Plan plan = fleet.plan().orElse(null);
     if (plan == null) {
       throw CommandFailedException.failed(
--- a/src/main/java/stonespring/testbed/DeploymentFaults.java
+++ b/src/main/java/stonespring/testbed/DeploymentFaults.java
@@ -31,17 +31,17 @@
     for (int i = 0; i < endpoints.size(); i++) {
       EndpointStandIn endpoint = endpoints.get(i);
       double drainAt = timeline.now() + fault.durationMillis() * (i / batch) / Math.max(1, batches);
-      timeline.at(drainAt, () -> fleet.registry().set(endpoint, true));
-      timeline.at(
+      timeline.scheduleAt(drainAt, () -> fleet.registry().set(endpoint, true));
+      timeline.scheduleAt(
           drainAt + fault.intervalMillis() + fleet.listDelayMillis(),
-          () -> fleet.crash(endpoint, timeline.now() + RESTART_MILLIS));
+          () -> fleet.crashAndRestart(endpoint, timeline.now() + RESTART_MILLIS));
     }
   }
 
   /** Drains a new draw each interval and kills it after the magnitude, in milliseconds. */
   private void restartInWaves(FaultTarget target) {
     Scenario.Fault fault = target.fault();
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         fault,
         () ->
             fleet
@@ -51,15 +51,15 @@
 
   private void drainThenRestart(EndpointStandIn endpoint, Scenario.Fault fault) {
     fleet.registry().set(endpoint, true);
-    timeline.at(
+    timeline.scheduleAt(
         timeline.now() + fault.magnitude(),
-        () -> fleet.crash(endpoint, timeline.now() + fault.intervalMillis()));
+        () -> fleet.crashAndRestart(endpoint, timeline.now() + fault.intervalMillis()));
   }
 
   private void shrink(FaultTarget target) {
     for (EndpointStandIn endpoint : target.endpoints()) {
       fleet.registry().set(endpoint, true);
-      timeline.at(
+      timeline.scheduleAt(
           target.endMillis(),
           () -> {
             fleet.registry().remove(endpoint);
@@ -70,7 +70,7 @@
 
   /** Starts as many endpoints each interval as the magnitude says. */
   private void grow(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () -> {
           for (int i = 0; i < target.fault().magnitude(); i++) {
--- a/src/main/java/stonespring/testbed/EndpointFaults.java
+++ b/src/main/java/stonespring/testbed/EndpointFaults.java
@@ -29,18 +29,18 @@
   }
 
   private void crash(FaultTarget target) {
-    target.endpoints().forEach(endpoint -> fleet.crash(endpoint, target.endMillis()));
+    target.endpoints().forEach(endpoint -> fleet.crashAndRestart(endpoint, target.endMillis()));
   }
 
   private void loseZone(FaultTarget target) {
     fleet
         .runningEndpoints(target.fault().zone())
-        .forEach(endpoint -> fleet.crash(endpoint, target.endMillis()));
+        .forEach(endpoint -> fleet.crashAndRestart(endpoint, target.endMillis()));
   }
 
   private void silence(FaultTarget target) throws Exception {
     List<EndpointStandIn> endpoints = target.endpoints();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> endpoints.forEach(endpoint -> endpoint.silent(true)),
         () -> crashRunning(endpoints));
@@ -49,21 +49,21 @@
   private void crashRunning(List<EndpointStandIn> endpoints) {
     for (EndpointStandIn endpoint : endpoints) {
       if (endpoint.isUp()) {
-        fleet.crash(endpoint, timeline.now());
+        fleet.crashAndRestart(endpoint, timeline.now());
       }
     }
   }
 
   private void failFast(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.fail(fraction)),
         () -> target.endpoints().forEach(endpoint -> endpoint.fail(0)));
   }
 
   private void flap(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () ->
             target
@@ -74,7 +74,7 @@
   private void failRequestClass(FaultTarget target) throws Exception {
     List<String> names = fleet.requestClassNames();
     String name = names.get(Math.min(names.size() - 1, (int) target.fault().magnitude()));
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.failRequestClass(name)),
         () -> target.endpoints().forEach(endpoint -> endpoint.failRequestClass(NO_REQUEST_CLASS)));
@@ -82,7 +82,7 @@
 
   private void loseAnswers(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.loseAnswers(fraction)),
         () -> target.endpoints().forEach(endpoint -> endpoint.loseAnswers(0)));
@@ -90,7 +90,7 @@
 
   private void pause(FaultTarget target) {
     double millis = target.fault().magnitude();
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () ->
             target
@@ -100,7 +100,7 @@
 
   private void reportFalsely(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.falseReports(multiple)),
         () -> target.endpoints().forEach(endpoint -> endpoint.falseReports(1)));
@@ -108,7 +108,7 @@
 
   private void slowHandshakes(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.slowHandshakes(multiple)),
         () -> target.endpoints().forEach(endpoint -> endpoint.slowHandshakes(1)));
--- a/src/main/java/stonespring/testbed/Evidence.java
+++ b/src/main/java/stonespring/testbed/Evidence.java
@@ -97,7 +97,7 @@
   }
 
   /** All observations of a kind, in the order in which they were added. */
-  public synchronized <T> List<T> of(Class<T> kind) {
+  public synchronized <T> List<T> observationsOf(Class<T> kind) {
     List<T> matching = new ArrayList<>();
     for (Object observation : observations) {
       if (kind.isInstance(observation)) {
--- a/src/main/java/stonespring/testbed/InfrastructureFaults.java
+++ b/src/main/java/stonespring/testbed/InfrastructureFaults.java
@@ -27,16 +27,16 @@
     List<InstanceProcess> killed = fleet.sample(fleet.instances(), target.fault().fraction());
     for (InstanceProcess instance : killed) {
       instance.kill();
-      timeline.at(target.endMillis(), instance::start);
+      timeline.scheduleAt(target.endMillis(), instance::start);
     }
   }
 
   private void stallInstances(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () -> {
           ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(true));
-          timeline.at(
+          timeline.scheduleAt(
               timeline.now() + target.fault().magnitude(),
               () -> ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(false)));
         });
@@ -44,20 +44,21 @@
 
   private void hideEndpoints(FaultTarget target) throws Exception {
     RegistryStandIn registry = fleet.registry();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), true)),
         () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), false)));
   }
 
   private void stopRegistry(FaultTarget target) throws Exception {
-    timeline.during(
+    timeline.runDuring(
         target.fault(), () -> fleet.registry().dead(true), () -> fleet.registry().dead(false));
   }
 
   private void isolateZone(FaultTarget target) throws Exception {
     String zone = fleet.zones().get(Math.max(0, target.fault().zone()));
-    timeline.during(target.fault(), () -> setIsolated(zone, true), () -> setIsolated(zone, false));
+    timeline.runDuring(
+        target.fault(), () -> setIsolated(zone, true), () -> setIsolated(zone, false));
   }
 
   private void setIsolated(String zone, boolean isolated) {
--- a/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
+++ b/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
@@ -28,12 +28,12 @@
         new ChpClient.Listener() {
           @Override
           public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
-            keys.forEach(key -> WireTap.status(evidence, key.value()));
+            keys.forEach(key -> WireTap.recordStatus(evidence, key.value()));
           }
 
           @Override
           public void update(ChpMessage.KvPub update) {
-            WireTap.status(evidence, update.value());
+            WireTap.recordStatus(evidence, update.value());
           }
 
           @Override
--- a/src/main/java/stonespring/testbed/InvariantChecker.java
+++ b/src/main/java/stonespring/testbed/InvariantChecker.java
@@ -89,7 +89,7 @@
     checkSlowStart();
     checkBacklog();
     checkMessageRate();
-    List<Evidence.Outcome> outcomes = evidence.of(Evidence.Outcome.class);
+    List<Evidence.Outcome> outcomes = evidence.observationsOf(Evidence.Outcome.class);
     count(outcomes);
     double worstClass = 1;
     String worstClassName = "";
@@ -155,11 +155,15 @@
       }
     }
     long furtherAttempts =
-        evidence.of(Evidence.Arrival.class).stream().filter(a -> a.attempt() > 1).count();
+        evidence.observationsOf(Evidence.Arrival.class).stream()
+            .filter(a -> a.attempt() > 1)
+            .count();
     counts.put("further tries", (int) furtherAttempts);
-    counts.put("messages", evidence.of(Evidence.Commit.class).size());
+    counts.put("messages", evidence.observationsOf(Evidence.Commit.class).size());
     long connects =
-        evidence.of(Evidence.Session.class).stream().filter(Evidence.Session::connected).count();
+        evidence.observationsOf(Evidence.Session.class).stream()
+            .filter(Evidence.Session::connected)
+            .count();
     counts.put("joins", (int) connects);
   }
 
@@ -170,7 +174,7 @@
   /** Whether an endpoint past its slow start was listed as ready at a time. */
   private boolean warmEndpointListed(double at) {
     Map<String, Evidence.Listed> listed = new HashMap<>();
-    for (Evidence.Listed entry : evidence.of(Evidence.Listed.class)) {
+    for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
       if (entry.at() > at) {
         break;
       }
@@ -186,7 +190,8 @@
   /** Rule 1: no connected proxy lacks an endpoint for long while a warm one is listed. */
   private void checkTimeWithoutEndpoint() {
     Map<String, Double> withoutSince = new HashMap<>();
-    List<Evidence.Outcome> outcomes = new ArrayList<>(evidence.of(Evidence.Outcome.class));
+    List<Evidence.Outcome> outcomes =
+        new ArrayList<>(evidence.observationsOf(Evidence.Outcome.class));
     outcomes.sort(Comparator.comparingDouble(Evidence.Outcome::endedAt));
     for (Evidence.Outcome outcome : outcomes) {
       String who = outcome.proxy() + " for " + outcome.requestClass();
@@ -210,7 +215,7 @@
 
   private Map<String, List<Evidence.Effect>> nonIdempotentEffects() {
     Map<String, List<Evidence.Effect>> effects = new HashMap<>();
-    for (Evidence.Effect effect : evidence.of(Evidence.Effect.class)) {
+    for (Evidence.Effect effect : evidence.observationsOf(Evidence.Effect.class)) {
       if (!requestClasses.get(effect.requestClass()).idempotent()) {
         effects.computeIfAbsent(effect.requestId(), id -> new ArrayList<>()).add(effect);
       }
@@ -237,7 +242,7 @@
   /** Rule 2: an answer tells the truth on whether a non-idempotent request took effect. */
   private void checkAnswersMatchEffects() {
     Map<String, List<Evidence.Effect>> effectsById = nonIdempotentEffects();
-    for (Evidence.Outcome outcome : evidence.of(Evidence.Outcome.class)) {
+    for (Evidence.Outcome outcome : evidence.observationsOf(Evidence.Outcome.class)) {
       if (requestClasses.get(outcome.requestClass()).idempotent()) {
         continue;
       }
@@ -270,7 +275,7 @@
   /** By endpoint, from when on it was listed as leaving (true) or as ready again (false). */
   private Map<String, TreeMap<Double, Boolean>> leavingTimes() {
     Map<String, TreeMap<Double, Boolean>> leaving = new HashMap<>();
-    for (Evidence.Listed entry : evidence.of(Evidence.Listed.class)) {
+    for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
       TreeMap<Double, Boolean> changes =
           leaving.computeIfAbsent(entry.endpoint(), endpoint -> new TreeMap<>());
       boolean leaves = !entry.state().equals("ready");
@@ -285,7 +290,7 @@
   private void checkDraining() {
     Map<String, TreeMap<Double, Boolean>> leaving = leavingTimes();
     Set<String> reported = new HashSet<>();
-    for (Evidence.Arrival arrival : evidence.of(Evidence.Arrival.class)) {
+    for (Evidence.Arrival arrival : evidence.observationsOf(Evidence.Arrival.class)) {
       Map.Entry<Double, Boolean> change =
           leaving.getOrDefault(arrival.endpoint(), new TreeMap<>()).floorEntry(arrival.at());
       double connected = sessions.connectedSince(arrival.proxy(), arrival.at());
@@ -305,7 +310,7 @@
 
   /** Rule 4: no warming-up endpoint is sent so much that it crashes. */
   private void checkSlowStart() {
-    for (Evidence.Overloaded overloaded : evidence.of(Evidence.Overloaded.class)) {
+    for (Evidence.Overloaded overloaded : evidence.observationsOf(Evidence.Overloaded.class)) {
       violated(
           SLOW_START,
           String.format(
@@ -317,7 +322,7 @@
   /** Rule 5: an instance's backlog stays within its limit. */
   private void checkBacklog() {
     int highest = 0;
-    for (Evidence.ChannelBacklog channel : evidence.of(Evidence.ChannelBacklog.class)) {
+    for (Evidence.ChannelBacklog channel : evidence.observationsOf(Evidence.ChannelBacklog.class)) {
       highest = Math.max(highest, channel.backlog());
       if (channel.backlog() > channel.limit()) {
         violated(
@@ -334,7 +339,7 @@
   private void checkMessageRate() {
     Map<String, List<Double>> recentCommits = new HashMap<>();
     int most = 0;
-    for (Evidence.Commit commit : evidence.of(Evidence.Commit.class)) {
+    for (Evidence.Commit commit : evidence.observationsOf(Evidence.Commit.class)) {
       List<Double> times = recentCommits.computeIfAbsent(commit.proxy(), p -> new ArrayList<>());
       times.add(commit.at());
       double connected = sessions.connectedSince(commit.proxy(), commit.at());
--- a/src/main/java/stonespring/testbed/InvariantCheckerSessions.java
+++ b/src/main/java/stonespring/testbed/InvariantCheckerSessions.java
@@ -10,7 +10,7 @@
   private final Map<String, List<Evidence.Session>> byProxy = new HashMap<>();
 
   InvariantCheckerSessions(Evidence evidence) {
-    for (Evidence.Session session : evidence.of(Evidence.Session.class)) {
+    for (Evidence.Session session : evidence.observationsOf(Evidence.Session.class)) {
       byProxy.computeIfAbsent(session.proxy(), proxy -> new ArrayList<>()).add(session);
     }
   }
--- a/src/main/java/stonespring/testbed/ProxyFaults.java
+++ b/src/main/java/stonespring/testbed/ProxyFaults.java
@@ -43,7 +43,7 @@
 
   private void delayReports(FaultTarget target) throws Exception {
     long millis = (long) target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> forEachLink(target.proxies(), link -> link.delay(millis, 0)),
         () -> forEachLink(target.proxies(), link -> link.delay(0, 0)));
@@ -51,14 +51,14 @@
 
   private void slowChannel(FaultTarget target) throws Exception {
     double bytesPerMillisecond = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> forEachLink(target.proxies(), link -> link.slow(bytesPerMillisecond)),
         () -> forEachLink(target.proxies(), link -> link.slow(Double.MAX_VALUE)));
   }
 
   private void passByteByByte(FaultTarget target) throws Exception {
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> forEachLink(target.proxies(), link -> link.byteByByte(true)),
         () -> forEachLink(target.proxies(), link -> link.byteByByte(false)));
@@ -77,24 +77,24 @@
   private void crash(FaultTarget target) throws InterruptedException {
     for (ScenarioProxy proxy : target.proxies()) {
       proxy.proxy().stop();
-      timeline.at(target.endMillis(), () -> fleet.startProxy(proxy));
+      timeline.scheduleAt(target.endMillis(), () -> fleet.startProxy(proxy));
     }
   }
 
   private void stall(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () -> target.proxies().forEach(proxy -> stall(proxy.proxy(), target.fault().magnitude())));
   }
 
   private void stall(Proxy proxy, double millis) {
     proxy.setStalled(true);
-    timeline.at(timeline.now() + millis, () -> proxy.setStalled(false));
+    timeline.scheduleAt(timeline.now() + millis, () -> proxy.setStalled(false));
   }
 
   private void surge(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> fleet.proxies().forEach(p -> p.client().rate(p.requestsPerSecond() * multiple)),
         () -> fleet.proxies().forEach(p -> p.client().rate(p.requestsPerSecond())));
@@ -102,7 +102,7 @@
 
   private void shortenPatience(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> fleet.proxies().forEach(proxy -> proxy.client().patience(fraction)),
         () -> fleet.proxies().forEach(proxy -> proxy.client().patience(1)));
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -176,10 +176,10 @@
   }
 
   /** Kills an endpoint; it comes back warming up, unless overload killed it before. */
-  void crash(EndpointStandIn endpoint, double restartAtMillis) {
+  void crashAndRestart(EndpointStandIn endpoint, double restartAtMillis) {
     endpoint.crash();
     registry.remove(endpoint);
-    timeline.at(
+    timeline.scheduleAt(
         restartAtMillis,
         () -> {
           if (!endpoint.isUp() && !crashedFromOverload(endpoint)) {
@@ -190,7 +190,7 @@
   }
 
   private boolean crashedFromOverload(EndpointStandIn endpoint) {
-    return evidence.of(Evidence.Overloaded.class).stream()
+    return evidence.observationsOf(Evidence.Overloaded.class).stream()
         .anyMatch(overloaded -> overloaded.endpoint().equals(endpoint.id()));
   }
 
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -77,7 +77,7 @@
 
   private void addProcesses(List<LoadSample> samples) {
     Map<String, Integer> zones = new HashMap<>();
-    for (Evidence.ProcessChange change : evidence.of(Evidence.ProcessChange.class)) {
+    for (Evidence.ProcessChange change : evidence.observationsOf(Evidence.ProcessChange.class)) {
       zones.put(change.endpoint(), zone(change.zone()));
       samples.add(
           new LoadSample.ProcessChanged(
@@ -88,7 +88,7 @@
               1,
               change.warmingUp()));
     }
-    for (Evidence.Listed listed : evidence.of(Evidence.Listed.class)) {
+    for (Evidence.Listed listed : evidence.observationsOf(Evidence.Listed.class)) {
       // An endpoint that ran before the start has warmed up long ago; no start is known of it.
       long started = listed.startedAt() > startedMillis ? at(listed.startedAt()) : 0;
       samples.add(
@@ -103,7 +103,7 @@
   }
 
   private void addFalseReports(List<LoadSample> samples) {
-    for (Evidence.FalseReport report : evidence.of(Evidence.FalseReport.class)) {
+    for (Evidence.FalseReport report : evidence.observationsOf(Evidence.FalseReport.class)) {
       samples.add(
           new LoadSample.CapacityClaimed(at(report.at()), report.endpoint(), report.multiple()));
     }
@@ -127,7 +127,7 @@
     }
     List<String> classNames = scenario.instance().requestClasses().names();
     TreeMap<Long, int[]> counts = new TreeMap<>();
-    for (Evidence.Outcome outcome : evidence.of(Evidence.Outcome.class)) {
+    for (Evidence.Outcome outcome : evidence.observationsOf(Evidence.Outcome.class)) {
       // A sample stands at its span's end: all requests are one span late, evenly.
       long span = at(outcome.askedAt()) / SPAN + 1;
       long key = span * proxies.size() + proxyIndex.get(outcome.proxy());
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -64,9 +64,9 @@
     fleet.startClients();
     FaultInjector injector = new FaultInjector(fleet, timeline);
     for (Scenario.Fault fault : scenario.faults()) {
-      timeline.at(fault.atMillis(), () -> injector.inject(fault));
+      timeline.scheduleAt(fault.atMillis(), () -> injector.inject(fault));
     }
-    timeline.play(durationMillis);
+    timeline.runUntil(durationMillis);
     fleet.stopClients();
     awaitAnswers();
     return checker().judge(timeline.startedMillis() + durationMillis);
@@ -119,7 +119,7 @@
   }
 
   /** Makes a temporary folder for a run's files. */
-  public static Path folder() throws IOException {
+  public static Path createTemporaryFolder() throws IOException {
     return Files.createTempDirectory("stonespring-day");
   }
 }
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -83,7 +83,7 @@
   }
 
   /** Changes one in a hundred endpoints and proxies by up to 30 percent. */
-  void change() {
+  void applyRandomChanges() {
     for (int i = 0; i < Math.max(1, proxies.size() / 100); i++) {
       Problem.Proxy proxy = proxies.get(random.nextInt(proxies.size()));
       double factor = 0.7 + 0.6 * random.nextDouble();
@@ -123,7 +123,7 @@
       Plan plan = solver.solve(trial.problem(null));
       long tookNanos = System.nanoTime() - startNanos;
       for (int i = 0; i < CHANGES_PER_ROUND; i++) {
-        trial.change();
+        trial.applyRandomChanges();
         Problem problem = trial.problem(plan);
         startNanos = System.nanoTime();
         plan = solver.solve(problem);
--- a/src/main/java/stonespring/testbed/Timeline.java
+++ b/src/main/java/stonespring/testbed/Timeline.java
@@ -5,7 +5,7 @@
 
 /**
  * What is due during a scenario, in order of time and, at one time, of entry. Actions run on the
- * thread that calls {@link #play}; only that thread may use a timeline. Times are milliseconds
+ * thread that calls {@link #runUntil}; only that thread may use a timeline. Times are milliseconds
  * since {@link #start}.
  */
 final class Timeline {
@@ -46,28 +46,28 @@
     return evidence.now() - startedMillis;
   }
 
-  void at(double millis, Action action) {
-    scheduled.add(new Scheduled(millis, sequence++, action));
+  void scheduleAt(double atMillis, Action action) {
+    scheduled.add(new Scheduled(atMillis, sequence++, action));
   }
 
   /** Runs one action at once and another when the fault ends. */
-  void during(Scenario.Fault fault, Action begin, Action end) throws Exception {
+  void runDuring(Scenario.Fault fault, Action begin, Action end) throws Exception {
     begin.run();
-    at(now() + fault.durationMillis(), end);
+    scheduleAt(now() + fault.durationMillis(), end);
   }
 
   /** Schedules an action at each of the fault's intervals while it lasts. */
-  void repeatedly(Scenario.Fault fault, Action action) {
+  void scheduleRepeatedly(Scenario.Fault fault, Action action) {
     // The clock is read again each time: an action that falls on the fault's end is included.
-    for (double when = now();
-        when < now() + fault.durationMillis();
-        when += fault.intervalMillis()) {
-      at(when, action);
+    for (double whenMillis = now();
+        whenMillis < now() + fault.durationMillis();
+        whenMillis += fault.intervalMillis()) {
+      scheduleAt(whenMillis, action);
     }
   }
 
   /** Runs what is due until a time. */
-  void play(double untilMillis) throws Exception {
+  void runUntil(double untilMillis) throws Exception {
     while (now() < untilMillis) {
       Scheduled next = scheduled.peek();
       if (next != null && next.atMillis() <= now()) {
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -92,7 +92,7 @@
    * Adds what an instance's status says of its channel; an unreadable status counts as over the
    * limit.
    */
-  static void status(Evidence evidence, byte[] json) {
+  static void recordStatus(Evidence evidence, byte[] json) {
     try {
       JsonNode node = JSON.readTree(json);
       evidence.add(
--- a/src/main/java/stonespring/testbed/virtual/Bootstrap.java
+++ b/src/main/java/stonespring/testbed/virtual/BootstrapResampling.java
@@ -10,7 +10,7 @@
  * chapter 13). The windows of all seeds are resampled and not the requests, since requests of one
  * overload fail together.
  */
-final class Bootstrap {
+final class BootstrapResampling {
   private static final int RESAMPLES = 2_000;
 
   /** The fraction of resampled means on each side of the interval. */
@@ -20,13 +20,13 @@
 
   private record Sample(double weightRequested, double weightInTime) {}
 
-  private Bootstrap() {}
+  private BootstrapResampling() {}
 
   /** The service over the windows of all results. */
-  static Interval service(PlayResult[] results) {
+  static ConfidenceInterval service(ReplayResult[] results) {
     List<Sample> samples = new ArrayList<>();
-    for (PlayResult result : results) {
-      for (PlayResult.Window window : result.windows()) {
+    for (ReplayResult result : results) {
+      for (ReplayResult.Window window : result.windows()) {
         samples.add(new Sample(window.weightRequested(), window.weightInTime()));
       }
     }
@@ -38,12 +38,12 @@
    *
    * @param baseline results with the same load and, at each position, the same seed
    */
-  static Interval serviceDifference(PlayResult[] results, PlayResult[] baseline) {
+  static ConfidenceInterval serviceDifference(ReplayResult[] results, ReplayResult[] baseline) {
     List<Sample> samples = new ArrayList<>();
     for (int seed = 0; seed < results.length; seed++) {
-      List<PlayResult.Window> windows = results[seed].windows();
+      List<ReplayResult.Window> windows = results[seed].windows();
       for (int index = 0; index < windows.size(); index++) {
-        PlayResult.Window window = windows.get(index);
+        ReplayResult.Window window = windows.get(index);
         double baselineInTime = baseline[seed].windows().get(index).weightInTime();
         samples.add(new Sample(window.weightRequested(), window.weightInTime() - baselineInTime));
       }
@@ -51,13 +51,13 @@
     return interval(samples);
   }
 
-  private static Interval interval(List<Sample> samples) {
+  private static ConfidenceInterval interval(List<Sample> samples) {
     double[] means = resampledMeans(samples);
     Arrays.sort(means);
     double requested = samples.stream().mapToDouble(Sample::weightRequested).sum();
     double inTime = samples.stream().mapToDouble(Sample::weightInTime).sum();
-    return new Interval(
-        inTime / Math.max(PlayResult.MIN_WEIGHT, requested),
+    return new ConfidenceInterval(
+        inTime / Math.max(ReplayResult.MIN_WEIGHT, requested),
         means[(int) (TAIL * RESAMPLES)],
         means[(int) ((1 - TAIL) * RESAMPLES) - 1]);
   }
@@ -73,7 +73,7 @@
         requested += sample.weightRequested;
         inTime += sample.weightInTime;
       }
-      means[resample] = inTime / Math.max(PlayResult.MIN_WEIGHT, requested);
+      means[resample] = inTime / Math.max(ReplayResult.MIN_WEIGHT, requested);
     }
     return means;
   }
--- a/src/main/java/stonespring/testbed/virtual/Comparison.java
+++ b/src/main/java/stonespring/testbed/virtual/Comparison.java
@@ -18,10 +18,10 @@
    * @param policies at least one; the first is what the others are compared with
    * @return one row for each load and policy, in the order of the arguments
    */
-  public static List<ComparisonRow> of(List<Recording> loads, List<Policy> policies, int seeds) {
+  public static List<ComparisonRow> run(List<Recording> loads, List<Policy> policies, int seeds) {
     List<ComparisonRow> rows = new ArrayList<>();
     for (Recording load : loads) {
-      PlayResult[][] results = play(load, policies, seeds);
+      ReplayResult[][] results = replay(load, policies, seeds);
       for (int index = 0; index < policies.size(); index++) {
         rows.add(row(load.head().name(), policies.get(index), results[index], results[0]));
       }
@@ -30,26 +30,27 @@
   }
 
   /** Results by position of the policy and by seed less 1. */
-  private static PlayResult[][] play(Recording load, List<Policy> policies, int seeds) {
-    PlayResult[][] results = new PlayResult[policies.size()][seeds];
+  private static ReplayResult[][] replay(Recording load, List<Policy> policies, int seeds) {
+    ReplayResult[][] results = new ReplayResult[policies.size()][seeds];
     IntStream.range(0, policies.size() * seeds)
         .parallel()
         .forEach(
             index -> {
               int policy = index / seeds;
               int seed = index % seeds;
-              results[policy][seed] = new VirtualFleet(load, policies.get(policy), seed + 1).play();
+              results[policy][seed] =
+                  new VirtualFleet(load, policies.get(policy), seed + 1).replay();
             });
     return results;
   }
 
   private static ComparisonRow row(
-      String load, Policy policy, PlayResult[] results, PlayResult[] baseline) {
+      String load, Policy policy, ReplayResult[] results, ReplayResult[] baseline) {
     return new ComparisonRow(
         load,
         policy,
-        Bootstrap.service(results),
-        Bootstrap.serviceDifference(results, baseline),
+        BootstrapResampling.service(results),
+        BootstrapResampling.serviceDifference(results, baseline),
         Arrays.stream(results).mapToDouble(Comparison::worstWindowService).average().orElse(1),
         new ComparisonRow.Averages(
             average(results, result -> result.attempts().connections()),
@@ -62,11 +63,11 @@
             .orElse(0));
   }
 
-  private static double worstWindowService(PlayResult result) {
-    return result.windows().stream().mapToDouble(PlayResult.Window::service).min().orElse(1);
+  private static double worstWindowService(ReplayResult result) {
+    return result.windows().stream().mapToDouble(ReplayResult.Window::service).min().orElse(1);
   }
 
-  private static double average(PlayResult[] results, ToDoubleFunction<PlayResult> figure) {
+  private static double average(ReplayResult[] results, ToDoubleFunction<ReplayResult> figure) {
     return Arrays.stream(results).mapToDouble(figure).average().orElse(0);
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/ComparisonRow.java
+++ b/src/main/java/stonespring/testbed/virtual/ComparisonRow.java
@@ -15,8 +15,8 @@
 public record ComparisonRow(
     String load,
     Policy policy,
-    Interval service,
-    Interval difference,
+    ConfidenceInterval service,
+    ConfidenceInterval difference,
     double worstWindowService,
     Averages averages,
     double peakWarmUpLoad) {
--- a/src/main/java/stonespring/testbed/virtual/Interval.java
+++ b/src/main/java/stonespring/testbed/virtual/ConfidenceInterval.java
@@ -7,4 +7,4 @@
  * @param low lower end
  * @param high upper end
  */
-public record Interval(double mean, double low, double high) {}
+public record ConfidenceInterval(double mean, double low, double high) {}
--- a/src/main/java/stonespring/testbed/virtual/PlayResult.java
+++ b/src/main/java/stonespring/testbed/virtual/ReplayResult.java
@@ -12,7 +12,7 @@
  * @param attempts totals of all attempts at endpoints
  * @param routes totals of the proxies' route tables
  */
-public record PlayResult(
+public record ReplayResult(
     Policy policy, long seed, List<Window> windows, AttemptTotals attempts, RouteTotals routes) {
   /** Length of a window, in {@link stonespring.model.DeciMillis}. */
   public static final long WINDOW = 50_000;
--- a/src/main/java/stonespring/testbed/virtual/PlayStatistics.java
+++ b/src/main/java/stonespring/testbed/virtual/ReplayStatistics.java
@@ -6,7 +6,7 @@
 /**
  * Counts what happens while a load is played. Instants are in {@link stonespring.model.DeciMillis}.
  */
-final class PlayStatistics {
+final class ReplayStatistics {
   private static final class WindowCounts {
     private double weightRequested;
     private double weightInTime;
@@ -26,8 +26,8 @@
    *
    * @param duration of the load, deci-milliseconds
    */
-  PlayStatistics(long duration) {
-    windows = new WindowCounts[(int) (duration / PlayResult.WINDOW) + 1];
+  ReplayStatistics(long duration) {
+    windows = new WindowCounts[(int) (duration / ReplayResult.WINDOW) + 1];
     for (int index = 0; index < windows.length; index++) {
       windows[index] = new WindowCounts();
     }
@@ -69,16 +69,16 @@
   }
 
   private WindowCounts window(long startedAt) {
-    return windows[(int) Math.min(windows.length - 1, startedAt / PlayResult.WINDOW)];
+    return windows[(int) Math.min(windows.length - 1, startedAt / ReplayResult.WINDOW)];
   }
 
   /** The windows in which a request started, in order. */
-  List<PlayResult.Window> windows() {
-    List<PlayResult.Window> used = new ArrayList<>();
+  List<ReplayResult.Window> windows() {
+    List<ReplayResult.Window> used = new ArrayList<>();
     for (WindowCounts window : windows) {
       if (window.requests > 0) {
         used.add(
-            new PlayResult.Window(
+            new ReplayResult.Window(
                 window.weightRequested,
                 window.weightInTime,
                 window.requests,
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -52,7 +52,7 @@
   private final Policy policy;
   private final long seed;
   private final SplittableRandom random;
-  private final PlayStatistics statistics;
+  private final ReplayStatistics statistics;
   private final Map<String, VirtualEndpoint> endpoints = new HashMap<>();
   private final Map<String, VirtualProxy> proxiesByName = new LinkedHashMap<>();
   private final List<VirtualProxy> proxies = new ArrayList<>();
@@ -68,7 +68,7 @@
     this.policy = policy;
     this.seed = seed;
     this.random = new SplittableRandom(seed);
-    this.statistics = new PlayStatistics(recording.head().duration());
+    this.statistics = new ReplayStatistics(recording.head().duration());
     // The order of the steps from here is that of the random draws.
     List<LoadSample> initial =
         recording.samples().stream().takeWhile(sample -> sample.at() == 0).toList();
@@ -263,7 +263,7 @@
     return events;
   }
 
-  PlayStatistics statistics() {
+  ReplayStatistics statistics() {
     return statistics;
   }
 
@@ -285,7 +285,7 @@
   }
 
   /** Plays on until an instant, or until the end of the recording if that is earlier. */
-  public void playTo(long until) {
+  public void replayUntil(long until) {
     events.runUntil(Math.min(until, recording.head().duration()));
   }
 
@@ -298,27 +298,27 @@
   }
 
   /** Plays to the end of the recording, waits for pending requests, and returns the result. */
-  public PlayResult play() {
+  public ReplayResult replay() {
     long duration = recording.head().duration();
-    playTo(duration);
+    replayUntil(duration);
     long longestTimeout =
         recording.head().requestClasses().stream()
             .mapToLong(Recording.RequestClassInfo::timeout)
             .max()
             .orElse(0);
     events.runUntil(duration + longestTimeout);
-    return new PlayResult(
+    return new ReplayResult(
         policy,
         seed,
         statistics.windows(),
-        new PlayResult.AttemptTotals(
+        new ReplayResult.AttemptTotals(
             statistics.connections(),
             statistics.crossZoneFraction(),
             endpoints.values().stream()
                 .mapToDouble(VirtualEndpoint::peakWarmUpLoad)
                 .max()
                 .orElse(0)),
-        new PlayResult.RouteTotals(
+        new ReplayResult.RouteTotals(
             statistics.routeChanges(),
             proxies.stream().mapToDouble(VirtualProxy::secondsWithoutRoutes).sum(),
             plans));
--- a/src/test/java/stonespring/cli/ComparisonJsonTest.java
+++ b/src/test/java/stonespring/cli/ComparisonJsonTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 import stonespring.testbed.virtual.ComparisonRow;
-import stonespring.testbed.virtual.Interval;
+import stonespring.testbed.virtual.ConfidenceInterval;
 import stonespring.testbed.virtual.Policy;
 
 /** Holds the names and their order in the output of {@code compare --json}. */
@@ -16,8 +16,8 @@
         new ComparisonRow(
             "surge-1",
             Policy.EVEN,
-            new Interval(1, 2, 3),
-            new Interval(4, 5, 6),
+            new ConfidenceInterval(1, 2, 3),
+            new ConfidenceInterval(4, 5, 6),
             7,
             new ComparisonRow.Averages(8, 9, 10, 11),
             12);
--- a/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
+++ b/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
@@ -25,7 +25,7 @@
       VirtualFleet fleet =
           new VirtualFleet(LoadGenerator.generate(kind, 1, ENDPOINTS, PROXIES), Policy.SOLVER, 1);
       for (long second : new long[] {12, 35}) {
-        fleet.playTo(second * DeciMillis.SECOND);
+        fleet.replayUntil(second * DeciMillis.SECOND);
         RecordedDigests.Recording recording = new RecordedDigests.Recording();
         record(recording, fleet.plan().orElseThrow());
         digests.put(kind + "/" + second, recording);
--- a/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
+++ b/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
@@ -23,7 +23,7 @@
     Recording load = LoadGenerator.generate(LoadGenerator.Kind.DEPLOY, 2, 12, 9);
     for (Policy policy : Policy.values()) {
       assertEquals(
-          new VirtualFleet(load, policy, 4).play(), new VirtualFleet(load, policy, 4).play());
+          new VirtualFleet(load, policy, 4).replay(), new VirtualFleet(load, policy, 4).replay());
     }
   }
 
@@ -39,7 +39,7 @@
     for (int seed = 1; seed <= 3; seed++) {
       Recording load = LoadGenerator.generate(kind, seed, 24, 24);
       for (Policy policy : List.of(Policy.EVEN, Policy.SOLVER)) {
-        PlayResult result = new VirtualFleet(load, policy, seed).play();
+        ReplayResult result = new VirtualFleet(load, policy, seed).replay();
         int i = policy == Policy.EVEN ? 0 : 1;
         service[i] += result.service() / 3;
         connections[i] += result.attempts().connections();
@@ -63,12 +63,12 @@
   @Test
   void policyComparedWithItselfShowsNoDifference() {
     List<ComparisonRow> rows =
-        Comparison.of(
+        Comparison.run(
             List.of(LoadGenerator.generate(LoadGenerator.Kind.SURGE, 1, 12, 9)),
             List.of(Policy.MODULE, Policy.MODULE),
             2);
     assertEquals(rows.get(0).service(), rows.get(1).service());
-    assertEquals(new Interval(0, 0, 0), rows.get(1).difference());
+    assertEquals(new ConfidenceInterval(0, 0, 0), rows.get(1).difference());
     assertTrue(
         rows.get(0).service().low() < rows.get(0).service().mean()
             && rows.get(0).service().mean() < rows.get(0).service().high());
