--- a/src/main/java/stonespring/testbed/FleetMeasurement.java
+++ b/src/main/java/stonespring/testbed/FleetMeasurement.java
@@ -28,38 +28,41 @@
  */
 public final class FleetMeasurement {
   private static final int EVENT_LOOPS = 4;
-  private static final int WARM_UP_MILLIS = 3000;
-  private static final int MAX_SECONDS_UNTIL_TABLES = 300;
+  private static final int INSTANCE_WARM_UP_MILLIS = 3000;
+  private static final int ROUTE_TABLE_TIMEOUT_SECONDS = 300;
   private static final String LOOPBACK = "127.0.0.1";
 
   private final InstanceSettings settings;
-  private final Path log;
+  private final Path instanceLog;
   private final InstanceProcess instance;
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
-  private final AtomicReference<String> status = new AtomicReference<>("");
+  private final AtomicReference<String> latestStatus = new AtomicReference<>("");
   private final List<Proxy> proxies = new ArrayList<>();
 
   private FleetMeasurement(Path script, Path folder) throws Exception {
     settings = InstanceSettings.read(script);
-    log = folder.resolve("assigner.log");
-    Files.deleteIfExists(log);
-    instance = new InstanceProcess(script, FreePorts.take(3), 0, folder.resolve("saved.json"), log);
+    instanceLog = folder.resolve("assigner.log");
+    Files.deleteIfExists(instanceLog);
+    instance =
+        new InstanceProcess(
+            script, FreePorts.take(3), 0, folder.resolve("saved.json"), instanceLog);
   }
 
   /**
    * Runs the measurement and returns its report.
    *
-   * @param spreadMillis the time within which all proxies dial
-   * @param seconds how long the fleet stands after all proxies hold a table
+   * @param connectSpreadMillis the time within which all proxies dial
+   * @param holdSeconds how long the fleet stands after all proxies hold a table
    */
   public static String run(
-      Path script, int proxyCount, long spreadMillis, long seconds, Path folder) throws Exception {
+      Path script, int proxyCount, long connectSpreadMillis, long holdSeconds, Path folder)
+      throws Exception {
     FleetMeasurement measurement = new FleetMeasurement(script, folder);
     measurement.instance.start();
-    measurement.followStatus();
+    measurement.subscribeToStatus();
     try {
-      return measurement.measure(proxyCount, spreadMillis, seconds);
+      return measurement.measure(proxyCount, connectSpreadMillis, holdSeconds);
     } finally {
       if (measurement.instance.alive()) {
         measurement.instance.kill();
@@ -68,22 +71,23 @@
     }
   }
 
-  private String measure(int proxyCount, long spreadMillis, long seconds) throws Exception {
-    Thread.sleep(WARM_UP_MILLIS);
+  private String measure(int proxyCount, long connectSpreadMillis, long holdSeconds)
+      throws Exception {
+    Thread.sleep(INSTANCE_WARM_UP_MILLIS);
     long bytesBefore = instance.residentBytes();
     long startNanos = System.nanoTime();
-    dial(proxyCount, spreadMillis, startNanos);
-    double dialledSeconds = secondsSince(startNanos);
+    startProxies(proxyCount, connectSpreadMillis, startNanos);
+    double startedSeconds = secondsSince(startNanos);
     while (proxies.stream().anyMatch(proxy -> proxy.appliedUpdates() == 0)) {
-      if (secondsSince(startNanos) > MAX_SECONDS_UNTIL_TABLES) {
-        return "not all proxies hold a table after 300 s; status " + status.get();
+      if (secondsSince(startNanos) > ROUTE_TABLE_TIMEOUT_SECONDS) {
+        return "not all proxies hold a table after 300 s; status " + latestStatus.get();
       }
       Thread.sleep(5);
     }
-    double tablesSeconds = secondsSince(startNanos);
-    Thread.sleep(TimeUnit.SECONDS.toMillis(seconds));
+    double allTablesSeconds = secondsSince(startNanos);
+    Thread.sleep(TimeUnit.SECONDS.toMillis(holdSeconds));
     long bytesAfter = instance.residentBytes();
-    String lastStatus = status.get();
+    String finalStatus = latestStatus.get();
     for (Proxy proxy : proxies) {
       proxy.stop();
     }
@@ -92,24 +96,26 @@
         "%d proxies dialled within %.2f s, all held a table after %.2f s%nstatus after %d s more: %s%n"
             + "resident memory %.1f MB before, %.1f MB after: %.1f KB a proxy%n%s%n",
         proxyCount,
-        dialledSeconds,
-        tablesSeconds,
-        seconds,
-        lastStatus,
+        startedSeconds,
+        allTablesSeconds,
+        holdSeconds,
+        finalStatus,
         bytesBefore / 1e6,
         bytesAfter / 1e6,
         (bytesAfter - bytesBefore) / 1e3 / proxyCount,
-        lastWords());
+        stopStatistics());
   }
 
   private static double secondsSince(long startNanos) {
     return (System.nanoTime() - startNanos) / 1e9;
   }
 
-  private void dial(int proxyCount, long spreadMillis, long startNanos) throws Exception {
+  private void startProxies(int proxyCount, long connectSpreadMillis, long startNanos)
+      throws Exception {
     for (int i = 0; i < proxyCount; i++) {
       proxies.add(new Proxy(proxySettings(i), (EventLoop) loops.next()).start(loops, 0));
-      long dueNanos = startNanos + TimeUnit.MILLISECONDS.toNanos(spreadMillis * i / proxyCount);
+      long dueNanos =
+          startNanos + TimeUnit.MILLISECONDS.toNanos(connectSpreadMillis * i / proxyCount);
       while (System.nanoTime() < dueNanos) {
         Thread.sleep(1);
       }
@@ -117,8 +123,8 @@
   }
 
   /** The statistics that the instance logs when it stops; empty where there are none. */
-  private String lastWords() throws IOException {
-    return Files.readAllLines(log).stream()
+  private String stopStatistics() throws IOException {
+    return Files.readAllLines(instanceLog).stream()
         .filter(line -> line.contains(" stopped: "))
         .findFirst()
         .orElse("")
@@ -152,17 +158,17 @@
             9));
   }
 
-  private void followStatus() {
+  private void subscribeToStatus() {
     ChpClient.Listener listener =
         new ChpClient.Listener() {
           @Override
           public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
-            keys.forEach(key -> status.set(new String(key.value(), StandardCharsets.UTF_8)));
+            keys.forEach(key -> latestStatus.set(new String(key.value(), StandardCharsets.UTF_8)));
           }
 
           @Override
           public void update(ChpMessage.KvPub update) {
-            status.set(new String(update.value(), StandardCharsets.UTF_8));
+            latestStatus.set(new String(update.value(), StandardCharsets.UTF_8));
           }
 
           @Override
--- a/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
+++ b/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
@@ -10,8 +10,8 @@
 
 /** Records what instances publish of themselves, and dials again after each loss. */
 final class InstanceStatusMonitor {
-  private static final int SILENCE_MILLIS = 10_000;
-  private static final int REDIAL_MILLIS = 200;
+  private static final int SILENCE_TIMEOUT_MILLIS = 10_000;
+  private static final int RECONNECT_DELAY_MILLIS = 200;
 
   private final EventLoopGroup loops;
   private final Evidence evidence;
@@ -39,11 +39,11 @@
           @Override
           public void ended(String cause) {
             if (!stopped) {
-              loop.schedule(() -> watch(instance), REDIAL_MILLIS, TimeUnit.MILLISECONDS);
+              loop.schedule(() -> watch(instance), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
           }
         };
-    new ChpClient(loop, "/assigner/", SILENCE_MILLIS, listener)
+    new ChpClient(loop, "/assigner/", SILENCE_TIMEOUT_MILLIS, listener)
         .connect("127.0.0.1", instance.port(), false, ZmtpLimits.DEFAULT);
   }
 
--- a/src/main/java/stonespring/testbed/InvariantChecker.java
+++ b/src/main/java/stonespring/testbed/InvariantChecker.java
@@ -51,13 +51,13 @@
       Map<String, Integer> counts) {}
 
   private static final double WINDOW_MILLIS = 10_000;
-  private static final int MAX_SHOWN_PER_RULE = 5;
+  private static final int MAX_LISTED_VIOLATIONS_PER_RULE = 5;
 
-  private static final int TIME_WITHOUT_ENDPOINT = 1;
-  private static final int NO_DUPLICATE_EFFECTS = 2;
-  private static final int DRAINING = 3;
-  private static final int SLOW_START = 4;
-  private static final int CHANNEL_LIMITS = 5;
+  private static final int TIME_WITHOUT_ENDPOINT_RULE = 1;
+  private static final int NO_DUPLICATE_EFFECTS_RULE = 2;
+  private static final int DRAINING_RULE = 3;
+  private static final int SLOW_START_RULE = 4;
+  private static final int CHANNEL_LIMITS_RULE = 5;
 
   private final Limits limits;
   private final Map<String, RequestClassPolicy> requestClasses;
@@ -81,7 +81,7 @@
   }
 
   /** Judges all up to a time on the evidence's clock. */
-  public Verdict judge(double endMillis) {
+  public Verdict check(double endMillis) {
     checkTimeWithoutEndpoint();
     checkNoDuplicateEffects();
     checkAnswersMatchEffects();
@@ -90,7 +90,7 @@
     checkBacklog();
     checkMessageRate();
     List<Evidence.Outcome> outcomes = evidence.observationsOf(Evidence.Outcome.class);
-    count(outcomes);
+    addCounts(outcomes);
     double worstClass = 1;
     String worstClassName = "";
     for (String requestClass : requestClasses.keySet()) {
@@ -110,11 +110,11 @@
         counts);
   }
 
-  private void violated(int rule, String what) {
+  private void reportViolation(int rule, String description) {
     int before = violationsByRule.merge(rule, 1, Integer::sum);
-    if (before <= MAX_SHOWN_PER_RULE) {
-      violations.add("rule " + rule + ": " + what);
-    } else if (before == MAX_SHOWN_PER_RULE + 1) {
+    if (before <= MAX_LISTED_VIOLATIONS_PER_RULE) {
+      violations.add("rule " + rule + ": " + description);
+    } else if (before == MAX_LISTED_VIOLATIONS_PER_RULE + 1) {
       violations.add("rule " + rule + ": and more");
     }
   }
@@ -125,7 +125,7 @@
     for (Evidence.Outcome outcome : outcomes) {
       RequestClassPolicy policy = requestClasses.get(outcome.requestClass());
       asked += policy.priorityWeight();
-      if (outcome.status() == 200 && outcome.tookMillis() <= policy.latencyObjectiveMillis()) {
+      if (outcome.status() == 200 && outcome.durationMillis() <= policy.latencyObjectiveMillis()) {
         answeredInTime += policy.priorityWeight();
       }
     }
@@ -134,17 +134,24 @@
 
   private double worstWindow(List<Evidence.Outcome> outcomes, double endMillis) {
     double worst = 1;
-    for (double from = 0; from + WINDOW_MILLIS <= endMillis; from += WINDOW_MILLIS / 10) {
-      double start = from;
-      double end = start + WINDOW_MILLIS;
+    for (double startMillis = 0;
+        startMillis + WINDOW_MILLIS <= endMillis;
+        startMillis += WINDOW_MILLIS / 10) {
+      double windowStartMillis = startMillis;
+      double windowEndMillis = windowStartMillis + WINDOW_MILLIS;
       List<Evidence.Outcome> inWindow =
-          outcomes.stream().filter(o -> o.askedAt() >= start && o.askedAt() < end).toList();
+          outcomes.stream()
+              .filter(
+                  o ->
+                      o.startedAtMillis() >= windowStartMillis
+                          && o.startedAtMillis() < windowEndMillis)
+              .toList();
       worst = Math.min(worst, service(inWindow));
     }
     return worst;
   }
 
-  private void count(List<Evidence.Outcome> outcomes) {
+  private void addCounts(List<Evidence.Outcome> outcomes) {
     counts.put("ops", outcomes.size());
     for (Evidence.Outcome outcome : outcomes) {
       if (outcome.status() == 200) {
@@ -172,10 +179,10 @@
   }
 
   /** Whether an endpoint past its slow start was listed as ready at a time. */
-  private boolean warmEndpointListed(double at) {
+  private boolean warmEndpointListed(double atMillis) {
     Map<String, Evidence.Listed> listed = new HashMap<>();
     for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
-      if (entry.at() > at) {
+      if (entry.atMillis() > atMillis) {
         break;
       }
       listed.put(entry.endpoint(), entry);
@@ -184,31 +191,35 @@
         .anyMatch(
             entry ->
                 entry.state().equals("ready")
-                    && at - entry.startedAt() >= limits.slowStartMillis());
+                    && atMillis - entry.startedAtMillis() >= limits.slowStartMillis());
   }
 
   /** Rule 1: no connected proxy lacks an endpoint for long while a warm one is listed. */
   private void checkTimeWithoutEndpoint() {
-    Map<String, Double> withoutSince = new HashMap<>();
+    Map<String, Double> withoutEndpointSinceMillis = new HashMap<>();
     List<Evidence.Outcome> outcomes =
         new ArrayList<>(evidence.observationsOf(Evidence.Outcome.class));
-    outcomes.sort(Comparator.comparingDouble(Evidence.Outcome::endedAt));
+    outcomes.sort(Comparator.comparingDouble(Evidence.Outcome::endedAtMillis));
     for (Evidence.Outcome outcome : outcomes) {
-      String who = outcome.proxy() + " for " + outcome.requestClass();
-      double endedAt = outcome.endedAt();
-      double connected = sessions.connectedSince(outcome.proxy(), endedAt);
+      String proxyAndClass = outcome.proxy() + " for " + outcome.requestClass();
+      double endedAtMillis = outcome.endedAtMillis();
+      double connectedSinceMillis = sessions.connectedSince(outcome.proxy(), endedAtMillis);
       if (!outcome.reason().equals("no-task")
-          || Double.isNaN(connected)
-          || !warmEndpointListed(endedAt)) {
-        withoutSince.remove(who);
+          || Double.isNaN(connectedSinceMillis)
+          || !warmEndpointListed(endedAtMillis)) {
+        withoutEndpointSinceMillis.remove(proxyAndClass);
         continue;
       }
-      double since = Math.max(connected, withoutSince.merge(who, endedAt, Math::min));
-      if (endedAt - since > limits.maxTimeWithoutEndpointMillis()) {
-        violated(
-            TIME_WITHOUT_ENDPOINT,
+      double sinceMillis =
+          Math.max(
+              connectedSinceMillis,
+              withoutEndpointSinceMillis.merge(proxyAndClass, endedAtMillis, Math::min));
+      if (endedAtMillis - sinceMillis > limits.maxTimeWithoutEndpointMillis()) {
+        reportViolation(
+            TIME_WITHOUT_ENDPOINT_RULE,
             String.format(
-                "at %.0f ms proxy %s had no task for %.0f ms", endedAt, who, endedAt - since));
+                "at %.0f ms proxy %s had no task for %.0f ms",
+                endedAtMillis, proxyAndClass, endedAtMillis - sinceMillis));
       }
     }
   }
@@ -230,11 +241,11 @@
             (id, effects) -> {
               if (effects.size() > 1) {
                 Evidence.Effect last = effects.get(effects.size() - 1);
-                violated(
-                    NO_DUPLICATE_EFFECTS,
+                reportViolation(
+                    NO_DUPLICATE_EFFECTS_RULE,
                     String.format(
                         "op %s took effect %d times, last at %.0f ms at %s",
-                        id, effects.size(), last.at(), last.endpoint()));
+                        id, effects.size(), last.atMillis(), last.endpoint()));
               }
             });
   }
@@ -249,8 +260,8 @@
       int effects = effectsById.getOrDefault(outcome.requestId(), List.of()).size();
       boolean succeeded = outcome.status() == 200;
       if ((succeeded && effects != 1) || (outcome.notExecuted() && effects != 0)) {
-        violated(
-            NO_DUPLICATE_EFFECTS,
+        reportViolation(
+            NO_DUPLICATE_EFFECTS_RULE,
             String.format(
                 "op %s was answered %d%s and took effect %d times",
                 outcome.requestId(),
@@ -273,14 +284,14 @@
   }
 
   /** By endpoint, from when on it was listed as leaving (true) or as ready again (false). */
-  private Map<String, TreeMap<Double, Boolean>> leavingTimes() {
+  private Map<String, TreeMap<Double, Boolean>> leavingChanges() {
     Map<String, TreeMap<Double, Boolean>> leaving = new HashMap<>();
     for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
       TreeMap<Double, Boolean> changes =
           leaving.computeIfAbsent(entry.endpoint(), endpoint -> new TreeMap<>());
-      boolean leaves = !entry.state().equals("ready");
-      if (changes.isEmpty() || changes.lastEntry().getValue() != leaves) {
-        changes.put(entry.at(), leaves);
+      boolean isLeaving = !entry.state().equals("ready");
+      if (changes.isEmpty() || changes.lastEntry().getValue() != isLeaving) {
+        changes.put(entry.atMillis(), isLeaving);
       }
     }
     return leaving;
@@ -288,22 +299,23 @@
 
   /** Rule 3: no connected proxy sends to an endpoint long after it was listed as leaving. */
   private void checkDraining() {
-    Map<String, TreeMap<Double, Boolean>> leaving = leavingTimes();
+    Map<String, TreeMap<Double, Boolean>> leaving = leavingChanges();
     Set<String> reported = new HashSet<>();
     for (Evidence.Arrival arrival : evidence.observationsOf(Evidence.Arrival.class)) {
       Map.Entry<Double, Boolean> change =
-          leaving.getOrDefault(arrival.endpoint(), new TreeMap<>()).floorEntry(arrival.at());
-      double connected = sessions.connectedSince(arrival.proxy(), arrival.at());
-      if (change == null || !change.getValue() || Double.isNaN(connected)) {
+          leaving.getOrDefault(arrival.endpoint(), new TreeMap<>()).floorEntry(arrival.atMillis());
+      double connectedSinceMillis = sessions.connectedSince(arrival.proxy(), arrival.atMillis());
+      if (change == null || !change.getValue() || Double.isNaN(connectedSinceMillis)) {
         continue;
       }
-      double late = arrival.at() - Math.max(change.getKey(), connected);
-      if (late > limits.drainGraceMillis() && reported.add(arrival.proxy() + arrival.endpoint())) {
-        violated(
-            DRAINING,
+      double delayMillis = arrival.atMillis() - Math.max(change.getKey(), connectedSinceMillis);
+      if (delayMillis > limits.drainGraceMillis()
+          && reported.add(arrival.proxy() + arrival.endpoint())) {
+        reportViolation(
+            DRAINING_RULE,
             String.format(
                 "at %.0f ms proxy %s sent to %s, %.0f ms after its assigner was told that it leaves",
-                arrival.at(), arrival.proxy(), arrival.endpoint(), late));
+                arrival.atMillis(), arrival.proxy(), arrival.endpoint(), delayMillis));
       }
     }
   }
@@ -311,11 +323,11 @@
   /** Rule 4: no warming-up endpoint is sent so much that it crashes. */
   private void checkSlowStart() {
     for (Evidence.Overloaded overloaded : evidence.observationsOf(Evidence.Overloaded.class)) {
-      violated(
-          SLOW_START,
+      reportViolation(
+          SLOW_START_RULE,
           String.format(
               "at %.0f ms cold task %s was sent %.1f times what it could do, and fell",
-              overloaded.at(), overloaded.endpoint(), overloaded.multiple()));
+              overloaded.atMillis(), overloaded.endpoint(), overloaded.capacityMultiple()));
     }
   }
 
@@ -325,11 +337,11 @@
     for (Evidence.ChannelBacklog channel : evidence.observationsOf(Evidence.ChannelBacklog.class)) {
       highest = Math.max(highest, channel.backlog());
       if (channel.backlog() > channel.limit()) {
-        violated(
-            CHANNEL_LIMITS,
+        reportViolation(
+            CHANNEL_LIMITS_RULE,
             String.format(
                 "at %.0f ms %d lines wait, the limit is %d",
-                channel.at(), channel.backlog(), channel.limit()));
+                channel.atMillis(), channel.backlog(), channel.limit()));
       }
     }
     counts.put("most lines waiting", highest);
@@ -337,22 +349,28 @@
 
   /** Rule 5: a proxy gets few messages in any window, counted from its connecting. */
   private void checkMessageRate() {
-    Map<String, List<Double>> recentCommits = new HashMap<>();
-    int most = 0;
+    Map<String, List<Double>> commitTimesByProxy = new HashMap<>();
+    int highestMessageCount = 0;
     for (Evidence.Commit commit : evidence.observationsOf(Evidence.Commit.class)) {
-      List<Double> times = recentCommits.computeIfAbsent(commit.proxy(), p -> new ArrayList<>());
-      times.add(commit.at());
-      double connected = sessions.connectedSince(commit.proxy(), commit.at());
-      times.removeIf(at -> commit.at() - at > limits.messageWindowMillis() || at < connected);
-      most = Math.max(most, times.size());
-      if (limits.maxMessagesPerProxy() > 0 && times.size() > limits.maxMessagesPerProxy()) {
-        violated(
-            CHANNEL_LIMITS,
+      List<Double> commitTimesMillis =
+          commitTimesByProxy.computeIfAbsent(commit.proxy(), p -> new ArrayList<>());
+      commitTimesMillis.add(commit.atMillis());
+      double connectedSinceMillis = sessions.connectedSince(commit.proxy(), commit.atMillis());
+      commitTimesMillis.removeIf(
+          at -> commit.atMillis() - at > limits.messageWindowMillis() || at < connectedSinceMillis);
+      highestMessageCount = Math.max(highestMessageCount, commitTimesMillis.size());
+      if (limits.maxMessagesPerProxy() > 0
+          && commitTimesMillis.size() > limits.maxMessagesPerProxy()) {
+        reportViolation(
+            CHANNEL_LIMITS_RULE,
             String.format(
                 "at %.0f ms proxy %s had %d messages in %.0f ms",
-                commit.at(), commit.proxy(), times.size(), limits.messageWindowMillis()));
+                commit.atMillis(),
+                commit.proxy(),
+                commitTimesMillis.size(),
+                limits.messageWindowMillis()));
       }
     }
-    counts.put("most messages to one proxy", most);
+    counts.put("most messages to one proxy", highestMessageCount);
   }
 }
--- a/src/main/java/stonespring/testbed/InvariantCheckerSessions.java
+++ b/src/main/java/stonespring/testbed/InvariantCheckerSessions.java
@@ -7,23 +7,23 @@
 
 /** When which proxy was connected to an instance, by the evidence. Immutable. */
 final class InvariantCheckerSessions {
-  private final Map<String, List<Evidence.Session>> byProxy = new HashMap<>();
+  private final Map<String, List<Evidence.Session>> sessionsByProxy = new HashMap<>();
 
   InvariantCheckerSessions(Evidence evidence) {
     for (Evidence.Session session : evidence.observationsOf(Evidence.Session.class)) {
-      byProxy.computeIfAbsent(session.proxy(), proxy -> new ArrayList<>()).add(session);
+      sessionsByProxy.computeIfAbsent(session.proxy(), proxy -> new ArrayList<>()).add(session);
     }
   }
 
   /** Since when a proxy had been connected at a time; NaN where it wasn't. */
-  double connectedSince(String proxy, double at) {
-    double since = Double.NaN;
-    for (Evidence.Session session : byProxy.getOrDefault(proxy, List.of())) {
-      if (session.at() > at) {
+  double connectedSince(String proxy, double atMillis) {
+    double sinceMillis = Double.NaN;
+    for (Evidence.Session session : sessionsByProxy.getOrDefault(proxy, List.of())) {
+      if (session.atMillis() > atMillis) {
         break;
       }
-      since = session.connected() ? session.at() : Double.NaN;
+      sinceMillis = session.connected() ? session.atMillis() : Double.NaN;
     }
-    return since;
+    return sinceMillis;
   }
 }
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -23,26 +23,26 @@
  * draws is part of what a seed means.
  */
 final class ScenarioFleet {
-  private static final int EVENT_LOOPS = 6;
+  private static final int EVENT_LOOP_THREADS = 6;
   private static final int PORTS_PER_INSTANCE = 3;
-  private static final int MIN_ENDPOINTS_IN_ZONE = 3;
+  private static final int MIN_BOOTSTRAP_CANDIDATES_IN_ZONE = 3;
 
   /** Exponent of the drawn proxy sizes: most proxies carry little, some far more. */
   private static final double PROXY_SIZE_EXPONENT = -0.6;
 
   // Settings of the proxies; times in milliseconds where no other unit is named.
-  private static final int ROUTE_APPLY_MICROS = 50;
-  private static final long INSTANCE_SILENCE_MILLIS = 3_000;
-  private static final int MIN_RECONNECT_MILLIS = 300;
-  private static final int MAX_RECONNECT_MILLIS = 1500;
-  private static final int PRESENCE_SECONDS = 3;
+  private static final int ROUTE_APPLY_COST_MICROS = 50;
+  private static final long INSTANCE_SILENCE_TIMEOUT_MILLIS = 3_000;
+  private static final int MIN_RECONNECT_DELAY_MILLIS = 300;
+  private static final int MAX_RECONNECT_DELAY_MILLIS = 1500;
+  private static final int PRESENCE_TTL_SECONDS = 3;
 
   private final Scenario scenario;
   private final Evidence evidence;
   private final SplittableRandom random;
   private final Timeline timeline;
   private final MultiThreadIoEventLoopGroup loops =
-      new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
+      new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory());
   private final RegistryStandIn registry;
   private final InstanceStatusMonitor statusMonitor;
   private final List<EndpointStandIn> endpoints = new ArrayList<>();
@@ -79,7 +79,7 @@
         proxy.linkTo(instance, new FaultyLink(nextLoop(), new WireTap(proxy.name(), evidence)));
       }
       startProxy(proxy);
-      proxy.attach(
+      proxy.attachClient(
           new ClientStandIn(
               nextLoop(), evidence, requestMix, proxy, random.nextLong(), openRequests));
     }
@@ -197,10 +197,11 @@
   private EndpointStandIn.Specification endpointSpecification() {
     Settings settings = scenario.instance().settings();
     Scenario.EndpointModel model = scenario.endpointModel();
-    Map<String, Double> deduplicationWindows = new HashMap<>();
+    Map<String, Double> deduplicationWindowsMillis = new HashMap<>();
     for (int k = 0; k < settings.requestClasses().size(); k++) {
       if (settings.requestClasses().get(k).retrySafety() == RetrySafety.IDEMPOTENCY_KEYED) {
-        deduplicationWindows.put(requestClassNames().get(k), model.deduplicationWindowMillis());
+        deduplicationWindowsMillis.put(
+            requestClassNames().get(k), model.deduplicationWindowMillis());
       }
     }
     return new EndpointStandIn.Specification(
@@ -209,7 +210,7 @@
         model.connectionLimit(),
         model.handshakeMillis(),
         new EndpointStandIn.ServiceTimes(model.serviceTimeMillis(), 0),
-        deduplicationWindows,
+        deduplicationWindowsMillis,
         new EndpointStandIn.SlowStart(
             settings.slowStart().initialFraction(),
             settings.slowStart().window() / 10.0,
@@ -237,11 +238,14 @@
       sizes[i] = Math.pow(1 - random.nextDouble(), PROXY_SIZE_EXPONENT);
       total += sizes[i];
     }
-    double requestsPerSize = scenario.load().requestsPerSecond() / total;
+    double requestsPerSecondPerSize = scenario.load().requestsPerSecond() / total;
     for (int i = 0; i < sizes.length; i++) {
       proxies.add(
           new ScenarioProxy(
-              "p" + (i + 1), i % zones().size(), FreePorts.take(1), sizes[i] * requestsPerSize));
+              "p" + (i + 1),
+              i % zones().size(),
+              FreePorts.take(1),
+              sizes[i] * requestsPerSecondPerSize));
     }
   }
 
@@ -263,24 +267,25 @@
   /** Starts a proxy, also again after it was stopped. */
   void startProxy(ScenarioProxy proxy) throws IOException, InterruptedException {
     Settings settings = scenario.instance().settings();
-    long deduplicationWindow = (long) (scenario.endpointModel().deduplicationWindowMillis() * 10);
+    long deduplicationWindowDeciMillis =
+        (long) (scenario.endpointModel().deduplicationWindowMillis() * 10);
     ProxySettings proxySettings =
         new ProxySettings(
             proxy.name(),
             zones().get(proxy.zone()),
             random.nextLong(),
-            StandIns.routing(scenario.instance(), requestClass -> deduplicationWindow),
+            StandIns.routing(scenario.instance(), requestClass -> deduplicationWindowDeciMillis),
             StandIns.requestTimeoutsMillis(scenario.instance()),
             bootstrapEndpoints(proxy.zone(), settings.routing().bootstrapRouteCount()),
             proxy.requestsPerSecond(),
             new ProxySettings.InstanceLink(
-                proxy.instances(),
-                ROUTE_APPLY_MICROS,
+                proxy.instancePorts(),
+                ROUTE_APPLY_COST_MICROS,
                 settings.reportInterval() / 10,
-                INSTANCE_SILENCE_MILLIS,
-                MIN_RECONNECT_MILLIS,
-                MAX_RECONNECT_MILLIS,
-                PRESENCE_SECONDS));
+                INSTANCE_SILENCE_TIMEOUT_MILLIS,
+                MIN_RECONNECT_DELAY_MILLIS,
+                MAX_RECONNECT_DELAY_MILLIS,
+                PRESENCE_TTL_SECONDS));
     proxy.start(proxySettings, nextLoop(), loops);
   }
 
@@ -288,7 +293,8 @@
   private List<EndpointId> bootstrapEndpoints(int zone, int count) {
     List<EndpointStandIn> inZone = runningEndpoints(zone);
     List<EndpointStandIn> candidates =
-        new ArrayList<>(inZone.size() >= MIN_ENDPOINTS_IN_ZONE ? inZone : runningEndpoints(-1));
+        new ArrayList<>(
+            inZone.size() >= MIN_BOOTSTRAP_CANDIDATES_IN_ZONE ? inZone : runningEndpoints(-1));
     List<EndpointId> drawn = new ArrayList<>();
     while (drawn.size() < count && !candidates.isEmpty()) {
       drawn.add(new EndpointId(candidates.remove(random.nextInt(candidates.size())).id()));
--- a/src/main/java/stonespring/testbed/ScenarioProxy.java
+++ b/src/main/java/stonespring/testbed/ScenarioProxy.java
@@ -20,7 +20,7 @@
   private final int port;
   private final double requestsPerSecond;
   private final List<FaultyLink> links = new ArrayList<>();
-  private final List<ProxySettings.Ports> instances = new ArrayList<>();
+  private final List<ProxySettings.Ports> instancePorts = new ArrayList<>();
   private Proxy proxy;
   private ClientStandIn client;
 
@@ -59,8 +59,8 @@
   }
 
   /** Where the proxy reaches the instances: its own ends of the links. */
-  List<ProxySettings.Ports> instances() {
-    return instances;
+  List<ProxySettings.Ports> instancePorts() {
+    return instancePorts;
   }
 
   ClientStandIn client() {
@@ -75,7 +75,7 @@
   /** Lets the proxy reach an instance's three ports through a link. */
   void linkTo(InstanceProcess instance, FaultyLink link) throws InterruptedException {
     links.add(link);
-    instances.add(
+    instancePorts.add(
         new ProxySettings.Ports(
             LOOPBACK,
             link.listen(instance.port()),
@@ -88,7 +88,7 @@
     proxy = new Proxy(settings, loop).start(loops, port);
   }
 
-  void attach(ClientStandIn newClient) {
+  void attachClient(ClientStandIn newClient) {
     client = newClient;
   }
 
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -16,7 +16,8 @@
  * nothing of what was decided.
  */
 final class ScenarioRecorder {
-  private static final long SPAN = 1_000; // in 0.1 ms; requests in it are counted together
+  private static final long SAMPLE_INTERVAL_DECI_MILLIS =
+      1_000; // in 0.1 ms; requests in it are counted together
 
   private final Scenario scenario;
   private final Evidence evidence;
@@ -33,11 +34,11 @@
     this.startedMillis = startedMillis;
   }
 
-  private long at(double millis) {
+  private long toDeciMillis(double millis) {
     return Math.max(0, Math.round((millis - startedMillis) * 10));
   }
 
-  private int zone(String name) {
+  private int zoneIndex(String name) {
     return scenario.instance().zones().indexOf(name);
   }
 
@@ -57,7 +58,7 @@
             scenario.instance().zones(),
             requestClasses(),
             proxies,
-            SPAN,
+            SAMPLE_INTERVAL_DECI_MILLIS,
             Math.round(scenario.durationSeconds() * 10_000));
     return new Recording(head, samples);
   }
@@ -76,46 +77,51 @@
   }
 
   private void addProcesses(List<LoadSample> samples) {
-    Map<String, Integer> zones = new HashMap<>();
+    Map<String, Integer> zoneByEndpoint = new HashMap<>();
     for (Evidence.ProcessChange change : evidence.observationsOf(Evidence.ProcessChange.class)) {
-      zones.put(change.endpoint(), zone(change.zone()));
+      zoneByEndpoint.put(change.endpoint(), zoneIndex(change.zone()));
       samples.add(
           new LoadSample.ProcessChanged(
-              at(change.at()),
+              toDeciMillis(change.atMillis()),
               change.endpoint(),
-              zone(change.zone()),
+              zoneIndex(change.zone()),
               change.up() ? scenario.endpointModel().cores() : 0,
               1,
               change.warmingUp()));
     }
     for (Evidence.Listed listed : evidence.observationsOf(Evidence.Listed.class)) {
       // An endpoint that ran before the start has warmed up long ago; no start is known of it.
-      long started = listed.startedAt() > startedMillis ? at(listed.startedAt()) : 0;
+      long startedAtDeciMillis =
+          listed.startedAtMillis() > startedMillis ? toDeciMillis(listed.startedAtMillis()) : 0;
       samples.add(
           new LoadSample.EndpointListed(
-              at(listed.at()),
+              toDeciMillis(listed.atMillis()),
               listed.endpoint(),
-              zones.getOrDefault(listed.endpoint(), 0),
+              zoneByEndpoint.getOrDefault(listed.endpoint(), 0),
               1,
               state(listed.state()),
-              started));
+              startedAtDeciMillis));
     }
   }
 
   private void addFalseReports(List<LoadSample> samples) {
     for (Evidence.FalseReport report : evidence.observationsOf(Evidence.FalseReport.class)) {
       samples.add(
-          new LoadSample.CapacityClaimed(at(report.at()), report.endpoint(), report.multiple()));
+          new LoadSample.CapacityClaimed(
+              toDeciMillis(report.atMillis()),
+              report.endpoint(),
+              report.claimedCapacityMultiple()));
     }
   }
 
   private void addLateReports(List<LoadSample> samples) {
     for (Scenario.Fault fault : scenario.faults()) {
       if (fault.kind() == FaultKind.LATE_REPORTS) {
-        long start = Math.round(fault.atMillis() * 10);
-        long end = Math.round((fault.atMillis() + fault.durationMillis()) * 10);
-        samples.add(new LoadSample.ReportsDelayed(start, Math.round(fault.magnitude() * 10)));
-        samples.add(new LoadSample.ReportsDelayed(end, 0));
+        long startDeciMillis = Math.round(fault.atMillis() * 10);
+        long endDeciMillis = Math.round((fault.atMillis() + fault.durationMillis()) * 10);
+        samples.add(
+            new LoadSample.ReportsDelayed(startDeciMillis, Math.round(fault.magnitude() * 10)));
+        samples.add(new LoadSample.ReportsDelayed(endDeciMillis, 0));
       }
     }
   }
@@ -129,8 +135,8 @@
     TreeMap<Long, int[]> counts = new TreeMap<>();
     for (Evidence.Outcome outcome : evidence.observationsOf(Evidence.Outcome.class)) {
       // A sample stands at its span's end: all requests are one span late, evenly.
-      long span = at(outcome.askedAt()) / SPAN + 1;
-      long key = span * proxies.size() + proxyIndex.get(outcome.proxy());
+      long sampleIndex = toDeciMillis(outcome.startedAtMillis()) / SAMPLE_INTERVAL_DECI_MILLIS + 1;
+      long key = sampleIndex * proxies.size() + proxyIndex.get(outcome.proxy());
       int[] byClass = counts.computeIfAbsent(key, k -> new int[classNames.size()]);
       byClass[classNames.indexOf(outcome.requestClass())]++;
     }
@@ -138,7 +144,9 @@
         (key, byClass) ->
             samples.add(
                 new LoadSample.Arrivals(
-                    key / proxies.size() * SPAN, (int) (key % proxies.size()), byClass)));
+                    key / proxies.size() * SAMPLE_INTERVAL_DECI_MILLIS,
+                    (int) (key % proxies.size()),
+                    byClass)));
   }
 
   private static EndpointRecord.State state(String listed) {
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -46,7 +46,7 @@
   /** Runs the scenario to its end and judges it. */
   public InvariantChecker.Verdict run() throws ScenarioFailedException, InterruptedException {
     try {
-      return runAndJudge();
+      return runAndCheck();
     } catch (InterruptedException | ScenarioFailedException e) {
       throw e;
     } catch (Exception e) {
@@ -57,7 +57,7 @@
     }
   }
 
-  private InvariantChecker.Verdict runAndJudge() throws Exception {
+  private InvariantChecker.Verdict runAndCheck() throws Exception {
     double durationMillis = scenario.durationSeconds() * MILLIS_PER_SECOND;
     fleet.start(script, folder);
     timeline.start();
@@ -69,15 +69,15 @@
     timeline.runUntil(durationMillis);
     fleet.stopClients();
     awaitAnswers();
-    return checker().judge(timeline.startedMillis() + durationMillis);
+    return createChecker().check(timeline.startedMillis() + durationMillis);
   }
 
   private void awaitAnswers() throws ScenarioFailedException, InterruptedException {
     double longestTimeoutMillis =
         scenario.instance().requestClasses().timeouts().stream().mapToLong(t -> t).max().orElse(0)
             / 10.0;
-    double until = evidence.now() + longestTimeoutMillis + ANSWER_MARGIN_MILLIS;
-    while (fleet.openRequests() > 0 && evidence.now() < until) {
+    double deadlineMillis = evidence.now() + longestTimeoutMillis + ANSWER_MARGIN_MILLIS;
+    while (fleet.openRequests() > 0 && evidence.now() < deadlineMillis) {
       Thread.sleep(5);
     }
     if (fleet.openRequests() > 0) {
@@ -96,7 +96,7 @@
                 .toList());
   }
 
-  private InvariantChecker checker() {
+  private InvariantChecker createChecker() {
     Settings settings = scenario.instance().settings();
     Map<String, InvariantChecker.RequestClassPolicy> policies = new LinkedHashMap<>();
     for (int k = 0; k < settings.requestClasses().size(); k++) {
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -21,11 +21,11 @@
 public final class SolverTrial {
   private static final int ZONES = 4;
   private static final int REQUEST_CLASSES = 3;
-  private static final int ROUTES = 10;
+  private static final int ROUTES_PER_TABLE = 10;
   private static final double UTILIZATION = 0.65; // of all capacity
   private static final double WARM_UP_FRACTION = 0.3;
   private static final int WARM_UP_ROUNDS = 3; // not measured
-  private static final int CHANGES_PER_ROUND = 8;
+  private static final int INCREMENTAL_SOLVES_PER_ROUND = 8;
   private static final CostModel COST_MODEL = new CostModel(1, 0.06, 0.2);
 
   private final SplittableRandom random;
@@ -43,26 +43,26 @@
     for (int t = 0; t < endpointCount; t++) {
       double capacity = 5 + 20 * random.nextDouble();
       boolean warmingUp = t % 25 == 24;
-      double now = warmingUp ? WARM_UP_FRACTION * capacity : capacity;
+      double currentCapacity = warmingUp ? WARM_UP_FRACTION * capacity : capacity;
       endpoints.add(
           new Problem.Endpoint(
               new EndpointId("t" + t),
               new ZoneId(random.nextInt(ZONES)),
-              now,
-              warmingUp ? now : Double.POSITIVE_INFINITY,
-              warmingUp ? 2 * now : Double.POSITIVE_INFINITY,
+              currentCapacity,
+              warmingUp ? currentCapacity : Double.POSITIVE_INFINITY,
+              warmingUp ? 2 * currentCapacity : Double.POSITIVE_INFINITY,
               new double[REQUEST_CLASSES]));
-      totalCapacity += now;
+      totalCapacity += currentCapacity;
     }
-    double[] size = new double[proxyCount];
-    double all = 0;
+    double[] sizes = new double[proxyCount];
+    double totalSize = 0;
     for (int p = 0; p < proxyCount; p++) {
-      size[p] = Math.pow(1 - random.nextDouble(), -0.6);
-      all += size[p];
+      sizes[p] = Math.pow(1 - random.nextDouble(), -0.6);
+      totalSize += sizes[p];
     }
     for (int p = 0; p < proxyCount; p++) {
       double[] requests = new double[REQUEST_CLASSES];
-      Arrays.fill(requests, size[p] / all * totalCapacity * UTILIZATION / REQUEST_CLASSES);
+      Arrays.fill(requests, sizes[p] / totalSize * totalCapacity * UTILIZATION / REQUEST_CLASSES);
       proxies.add(
           new Problem.Proxy(
               new ProxyId(p), new ZoneId(random.nextInt(ZONES)), requests, List.of()));
@@ -70,16 +70,17 @@
   }
 
   /** The fleet as it is, with the routes of a plan held; null for none. */
-  Problem problem(Plan held) {
-    List<Problem.Proxy> now = new ArrayList<>();
+  Problem problem(Plan currentPlan) {
+    List<Problem.Proxy> currentProxies = new ArrayList<>();
     for (int p = 0; p < proxies.size(); p++) {
       List<Problem.Route> routes =
-          held == null ? List.of() : held.tables().get(p).toCurrentRoutes();
-      now.add(
+          currentPlan == null ? List.of() : currentPlan.tables().get(p).toCurrentRoutes();
+      currentProxies.add(
           new Problem.Proxy(
               proxies.get(p).id(), proxies.get(p).zone(), proxies.get(p).requestRates(), routes));
     }
-    return new Problem(ZONES, REQUEST_CLASSES, ROUTES, COST_MODEL, endpoints, now);
+    return new Problem(
+        ZONES, REQUEST_CLASSES, ROUTES_PER_TABLE, COST_MODEL, endpoints, currentProxies);
   }
 
   /** Changes one in a hundred endpoints and proxies by up to 30 percent. */
@@ -92,11 +93,11 @@
           proxy.id().number(), new Problem.Proxy(proxy.id(), proxy.zone(), requests, List.of()));
     }
     for (int i = 0; i < Math.max(1, endpoints.size() / 100); i++) {
-      int at = random.nextInt(endpoints.size());
-      Problem.Endpoint endpoint = endpoints.get(at);
+      int index = random.nextInt(endpoints.size());
+      Problem.Endpoint endpoint = endpoints.get(index);
       double factor = 0.7 + 0.6 * random.nextDouble();
       endpoints.set(
-          at,
+          index,
           new Problem.Endpoint(
               endpoint.id(),
               endpoint.zone(),
@@ -112,29 +113,30 @@
    * times and the gap to the lower bound.
    */
   public static String run(int endpointCount, int proxyCount, int rounds) {
-    Histogram whole = new Histogram(3);
-    Histogram small = new Histogram(3);
-    double gap = 0;
-    double changed = 0;
+    Histogram fullSolveNanos = new Histogram(3);
+    Histogram incrementalSolveNanos = new Histogram(3);
+    double maxOptimalityGap = 0;
+    double meanChangedRoutes = 0;
     for (int round = -WARM_UP_ROUNDS; round < rounds; round++) {
       SolverTrial trial = new SolverTrial(round + WARM_UP_ROUNDS + 1, endpointCount, proxyCount);
       Solver solver = new Solver();
       long startNanos = System.nanoTime();
       Plan plan = solver.solve(trial.problem(null));
-      long tookNanos = System.nanoTime() - startNanos;
-      for (int i = 0; i < CHANGES_PER_ROUND; i++) {
+      long durationNanos = System.nanoTime() - startNanos;
+      for (int i = 0; i < INCREMENTAL_SOLVES_PER_ROUND; i++) {
         trial.applyRandomChanges();
         Problem problem = trial.problem(plan);
         startNanos = System.nanoTime();
         plan = solver.solve(problem);
         if (round >= 0) {
-          small.recordValue(System.nanoTime() - startNanos);
-          changed += (double) plan.changedRoutes() / rounds / CHANGES_PER_ROUND;
-          gap = Math.max(gap, plan.optimalityGap());
+          incrementalSolveNanos.recordValue(System.nanoTime() - startNanos);
+          meanChangedRoutes +=
+              (double) plan.changedRoutes() / rounds / INCREMENTAL_SOLVES_PER_ROUND;
+          maxOptimalityGap = Math.max(maxOptimalityGap, plan.optimalityGap());
         }
       }
       if (round >= 0) {
-        whole.recordValue(tookNanos);
+        fullSolveNanos.recordValue(durationNanos);
       }
     }
     return String.format(
@@ -146,12 +148,13 @@
         proxyCount,
         REQUEST_CLASSES,
         rounds,
-        whole.getValueAtPercentile(50) / 1e6,
-        whole.getValueAtPercentile(99) / 1e6,
-        small.getValueAtPercentile(50) / 1e6,
-        small.getValueAtPercentile(99) / 1e6,
-        (double) small.getValueAtPercentile(50) / whole.getValueAtPercentile(50),
-        100 * gap,
-        changed);
+        fullSolveNanos.getValueAtPercentile(50) / 1e6,
+        fullSolveNanos.getValueAtPercentile(99) / 1e6,
+        incrementalSolveNanos.getValueAtPercentile(50) / 1e6,
+        incrementalSolveNanos.getValueAtPercentile(99) / 1e6,
+        (double) incrementalSolveNanos.getValueAtPercentile(50)
+            / fullSolveNanos.getValueAtPercentile(50),
+        100 * maxOptimalityGap,
+        meanChangedRoutes);
   }
 }
--- a/src/main/java/stonespring/testbed/ThroughputMeasurement.java
+++ b/src/main/java/stonespring/testbed/ThroughputMeasurement.java
@@ -28,11 +28,11 @@
 
 /** Measures updates through the publisher beside the same bytes written by bare Netty. */
 public final class ThroughputMeasurement {
-  private static final int BATCH = 200; // updates that are published at once
+  private static final int BATCH_SIZE = 200; // updates that are published at once
   private static final int READERS = 8;
   private static final int MAX_QUEUED_BYTES = 1 << 30; // no reader is dropped as too slow
   private static final int GREETING_AND_READY_BYTES = 64 + 27;
-  private static final int MAX_SECONDS = 120;
+  private static final int TIMEOUT_SECONDS = 120;
 
   private ThroughputMeasurement() {}
 
@@ -41,13 +41,16 @@
     StringBuilder out = new StringBuilder();
     List<Double> ratios = new ArrayList<>();
     for (int round = 0; round < rounds; round++) {
-      double published = publishedPerSecond(updates);
-      double bare = writtenBarePerSecond(updates);
-      ratios.add(published / bare);
+      double publishedPerSecond = measurePublisher(updates);
+      double writtenPerSecond = measureBareNetty(updates);
+      ratios.add(publishedPerSecond / writtenPerSecond);
       out.append(
           String.format(
               "round %d: %.0f updates a second published, %.0f written bare, ratio %.2f%n",
-              round + 1, published, bare, published / bare));
+              round + 1,
+              publishedPerSecond,
+              writtenPerSecond,
+              publishedPerSecond / writtenPerSecond));
     }
     ratios.sort(null);
     return out.append(
@@ -66,14 +69,14 @@
         "0.125".getBytes(StandardCharsets.US_ASCII));
   }
 
-  private static double publishedPerSecond(int updates) throws Exception {
+  private static double measurePublisher(int updates) throws Exception {
     MultiThreadIoEventLoopGroup loops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    ChpServer server = new ChpServer(loops, limits(), new EmptyBackend());
+    ChpServer server = new ChpServer(loops, limitsWithLargeQueue(), new EmptyBackend());
     server.start("127.0.0.1", 0);
     long expectedBytes = 0;
     for (int i = 0; i < updates; i++) {
-      expectedBytes += wireBytes(update(i));
+      expectedBytes += encodedBytes(update(i));
     }
     List<CountingReader> readers = new ArrayList<>();
     for (int i = 0; i < READERS; i++) {
@@ -84,9 +87,9 @@
     awaitSubscriptions(server, readers);
     long bytesBefore = CountingReader.totalBytes(readers);
     long startNanos = System.nanoTime();
-    for (int from = 0; from < updates; from += BATCH) {
+    for (int from = 0; from < updates; from += BATCH_SIZE) {
       List<ChpMessage.KvPub> batch = new ArrayList<>();
-      for (int i = from; i < Math.min(updates, from + BATCH); i++) {
+      for (int i = from; i < Math.min(updates, from + BATCH_SIZE); i++) {
         batch.add(update(i));
       }
       server.publish(batch);
@@ -97,16 +100,16 @@
     return updates / seconds;
   }
 
-  private static ZmtpLimits limits() {
-    ZmtpLimits usual = ZmtpLimits.DEFAULT;
+  private static ZmtpLimits limitsWithLargeQueue() {
+    ZmtpLimits defaults = ZmtpLimits.DEFAULT;
     return new ZmtpLimits(
-        usual.maxFrameBytes(),
-        usual.maxMessageBytes(),
-        usual.maxFrames(),
+        defaults.maxFrameBytes(),
+        defaults.maxMessageBytes(),
+        defaults.maxFrames(),
         MAX_QUEUED_BYTES,
-        usual.maxSubscriptions(),
-        usual.handshakeTimeoutMillis(),
-        usual.maxConnections());
+        defaults.maxSubscriptions(),
+        defaults.handshakeTimeoutMillis(),
+        defaults.maxConnections());
   }
 
   /** Publishes until each reader has more than the handshake: its subscription is in force. */
@@ -121,24 +124,24 @@
     Thread.sleep(100);
   }
 
-  private static int wireBytes(ChpMessage.KvPub update) {
+  private static int encodedBytes(ChpMessage.KvPub update) {
     return update.frames().stream()
         .mapToInt(frame -> frame.length + (frame.length > 255 ? 9 : 2))
         .sum();
   }
 
-  private static double writtenBarePerSecond(int updates) throws Exception {
+  private static double measureBareNetty(int updates) throws Exception {
     MultiThreadIoEventLoopGroup loops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     CountDownLatch accepted = new CountDownLatch(READERS);
     List<Channel> channels = new CopyOnWriteArrayList<>();
-    DefaultChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+    DefaultChannelGroup openChannels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     ChannelInitializer<SocketChannel> initializer =
         new ChannelInitializer<>() {
           @Override
           protected void initChannel(SocketChannel child) {
             channels.add(child);
-            open.add(child);
+            openChannels.add(child);
             accepted.countDown();
           }
         };
@@ -163,13 +166,13 @@
       expectedBytes += message.length;
     }
     long startNanos = System.nanoTime();
-    for (int from = 0; from < updates; from += BATCH) {
-      List<byte[]> batch = messages.subList(from, Math.min(updates, from + BATCH));
-      int first = from;
-      loops.next().execute(() -> write(batch, first, channels));
+    for (int from = 0; from < updates; from += BATCH_SIZE) {
+      List<byte[]> batch = messages.subList(from, Math.min(updates, from + BATCH_SIZE));
+      int firstIndex = from;
+      loops.next().execute(() -> write(batch, firstIndex, channels));
     }
     double seconds = awaitBytes(readers, expectedBytes, startNanos);
-    open.close();
+    openChannels.close();
     listener.close();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
     return updates / seconds;
@@ -183,9 +186,9 @@
     return copy;
   }
 
-  private static void write(List<byte[]> batch, int first, List<Channel> channels) {
+  private static void write(List<byte[]> batch, int firstIndex, List<Channel> channels) {
     for (int i = 0; i < batch.size(); i++) {
-      Channel channel = channels.get((first + i) % READERS);
+      Channel channel = channels.get((firstIndex + i) % READERS);
       byte[] message = batch.get(i);
       channel.write(
           channel.alloc().buffer(message.length).writeBytes(message), channel.voidPromise());
@@ -194,12 +197,17 @@
   }
 
   /** Waits until the readers have so many bytes, closes them, and returns the seconds it took. */
-  private static double awaitBytes(List<CountingReader> readers, long bytes, long startNanos)
+  private static double awaitBytes(
+      List<CountingReader> readers, long expectedBytes, long startNanos)
       throws IOException, InterruptedException {
-    while (CountingReader.totalBytes(readers) < bytes) {
-      if (System.nanoTime() - startNanos > TimeUnit.SECONDS.toNanos(MAX_SECONDS)) {
+    while (CountingReader.totalBytes(readers) < expectedBytes) {
+      if (System.nanoTime() - startNanos > TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS)) {
         throw new IOException(
-            "only " + CountingReader.totalBytes(readers) + " of " + bytes + " bytes arrived");
+            "only "
+                + CountingReader.totalBytes(readers)
+                + " of "
+                + expectedBytes
+                + " bytes arrived");
       }
       Thread.sleep(0, 200_000);
     }
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -28,7 +28,7 @@
   private final String proxy;
   private final Evidence evidence;
   private final Map<Long, WireTapFrameParser> parsers = new HashMap<>();
-  private final Set<Long> present = new HashSet<>();
+  private final Set<Long> presentConnections = new HashSet<>();
 
   WireTap(String proxy, Evidence evidence) {
     this.proxy = proxy;
@@ -37,23 +37,23 @@
 
   @Override
   public void passed(int listener, long connection, boolean towardsProxy, byte[] bytes) {
-    boolean updates = listener == UPDATE_LISTENER && towardsProxy;
-    boolean published = listener == COLLECTOR_LISTENER && !towardsProxy;
-    if (!updates && !published) {
+    boolean isUpdate = listener == UPDATE_LISTENER && towardsProxy;
+    boolean isPublished = listener == COLLECTOR_LISTENER && !towardsProxy;
+    if (!isUpdate && !isPublished) {
       return;
     }
     WireTapFrameParser parser =
         parsers.computeIfAbsent(connection, key -> new WireTapFrameParser());
     for (List<byte[]> message : parser.parse(bytes)) {
-      if (updates) {
-        updatePassed(message);
+      if (isUpdate) {
+        recordUpdate(message);
       } else {
-        publishedPassed(connection, message);
+        recordPublished(connection, message);
       }
     }
   }
 
-  private void updatePassed(List<byte[]> message) {
+  private void recordUpdate(List<byte[]> message) {
     if (message.size() == UPDATE_FRAMES
         && key(message).equals("/proxy/" + proxy + "/commit")
         && message.get(UPDATE_FRAMES - 1).length > 0) {
@@ -61,8 +61,8 @@
     }
   }
 
-  private void publishedPassed(long connection, List<byte[]> message) {
-    if (key(message).equals("/presence/" + proxy) && present.add(connection)) {
+  private void recordPublished(long connection, List<byte[]> message) {
+    if (key(message).equals("/presence/" + proxy) && presentConnections.add(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, true));
     }
   }
@@ -74,7 +74,7 @@
   @Override
   public void ended(int listener, long connection) {
     parsers.remove(connection);
-    if (present.remove(connection)) {
+    if (presentConnections.remove(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, false));
     }
   }
@@ -82,8 +82,8 @@
   /** A proxy that can't be reached counts as disconnected until its presence passes again. */
   @Override
   public void frozen() {
-    if (!present.isEmpty()) {
-      present.clear();
+    if (!presentConnections.isEmpty()) {
+      presentConnections.clear();
       evidence.add(new Evidence.Session(evidence.now(), proxy, false));
     }
   }
--- a/src/main/java/stonespring/testbed/WireTapFrameParser.java
+++ b/src/main/java/stonespring/testbed/WireTapFrameParser.java
@@ -17,15 +17,15 @@
 
   private final ByteArrayOutputStream unparsed = new ByteArrayOutputStream();
   private final List<byte[]> frames = new ArrayList<>();
-  private int greetingLeft = GREETING_BYTES;
+  private int greetingBytesLeft = GREETING_BYTES;
 
   /** Takes the next bytes and returns the messages that end in them; commands are skipped. */
   List<List<byte[]>> parse(byte[] bytes) {
     List<List<byte[]>> messages = new ArrayList<>();
     unparsed.writeBytes(bytes);
     byte[] all = unparsed.toByteArray();
-    int position = Math.min(greetingLeft, all.length);
-    greetingLeft -= position;
+    int position = Math.min(greetingBytesLeft, all.length);
+    greetingBytesLeft -= position;
     while (position + SHORT_HEADER_BYTES <= all.length) {
       int flags = all[position];
       boolean longFrame = (flags & LONG_FLAG) != 0;
@@ -36,13 +36,13 @@
           longFrame
               ? ByteBuffer.wrap(all, position + 1, Long.BYTES).getLong()
               : all[position + 1] & 0xFF;
-      int body = position + (longFrame ? LONG_HEADER_BYTES : SHORT_HEADER_BYTES);
-      if (body + size > all.length) {
+      int bodyStart = position + (longFrame ? LONG_HEADER_BYTES : SHORT_HEADER_BYTES);
+      if (bodyStart + size > all.length) {
         break;
       }
-      position = (int) (body + size);
+      position = (int) (bodyStart + size);
       if ((flags & COMMAND_FLAG) == 0) {
-        frames.add(Arrays.copyOfRange(all, body, position));
+        frames.add(Arrays.copyOfRange(all, bodyStart, position));
         if ((flags & MORE_FLAG) == 0) {
           messages.add(List.copyOf(frames));
           frames.clear();
--- a/src/main/java/stonespring/testbed/virtual/BootstrapResampling.java
+++ b/src/main/java/stonespring/testbed/virtual/BootstrapResampling.java
@@ -14,9 +14,9 @@
   private static final int RESAMPLES = 2_000;
 
   /** The fraction of resampled means on each side of the interval. */
-  private static final double TAIL = 0.025;
+  private static final double TAIL_FRACTION = 0.025;
 
-  private static final long SEED = 1;
+  private static final long RESAMPLING_SEED = 1;
 
   private record Sample(double weightRequested, double weightInTime) {}
 
@@ -58,12 +58,12 @@
     double inTime = samples.stream().mapToDouble(Sample::weightInTime).sum();
     return new ConfidenceInterval(
         inTime / Math.max(ReplayResult.MIN_WEIGHT, requested),
-        means[(int) (TAIL * RESAMPLES)],
-        means[(int) ((1 - TAIL) * RESAMPLES) - 1]);
+        means[(int) (TAIL_FRACTION * RESAMPLES)],
+        means[(int) ((1 - TAIL_FRACTION) * RESAMPLES) - 1]);
   }
 
   private static double[] resampledMeans(List<Sample> samples) {
-    SplittableRandom random = new SplittableRandom(SEED);
+    SplittableRandom random = new SplittableRandom(RESAMPLING_SEED);
     double[] means = new double[RESAMPLES];
     for (int resample = 0; resample < RESAMPLES; resample++) {
       double requested = 0;
--- a/src/main/java/stonespring/testbed/virtual/ConnectionTable.java
+++ b/src/main/java/stonespring/testbed/virtual/ConnectionTable.java
@@ -8,20 +8,21 @@
 /** The connections that a proxy keeps open to endpoints. Times are in {@link DeciMillis}. */
 final class ConnectionTable {
   /** Time after which an unused connection is closed, deci-milliseconds. */
-  private static final long IDLE_TIMEOUT = 15 * DeciMillis.SECOND;
+  private static final long IDLE_TIMEOUT_DECI_MILLIS = 15 * DeciMillis.SECOND;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final Map<String, Long> lastUse = new HashMap<>();
+  private final Map<String, Long> lastUsedAt = new HashMap<>();
 
   /** Uses the connection to an endpoint; true if it has to be opened for that. */
   boolean use(EndpointId endpoint, long now) {
-    boolean opens = lastUse.getOrDefault(endpoint.name(), NEVER) < now - IDLE_TIMEOUT;
-    lastUse.put(endpoint.name(), now);
-    return opens;
+    boolean isOpened =
+        lastUsedAt.getOrDefault(endpoint.name(), NEVER) < now - IDLE_TIMEOUT_DECI_MILLIS;
+    lastUsedAt.put(endpoint.name(), now);
+    return isOpened;
   }
 
   void close(EndpointId endpoint) {
-    lastUse.remove(endpoint.name());
+    lastUsedAt.remove(endpoint.name());
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/EqualWeightEngine.java
+++ b/src/main/java/stonespring/testbed/virtual/EqualWeightEngine.java
@@ -20,12 +20,12 @@
  */
 final class EqualWeightEngine implements DecisionEngine {
   /** Acknowledgement numbers in use before they start anew. */
-  private static final int ACK_IDS = 65_000;
+  private static final int ACK_ID_COUNT = 65_000;
 
   private final TreeSet<String> readyEndpoints = new TreeSet<>();
   private final TreeMap<Integer, TreeSet<String>> routesByTable = new TreeMap<>();
   private final List<Command> commands = new ArrayList<>();
-  private int acksRequested;
+  private int requestedAcks;
 
   @Override
   public void handle(long now, Event event) {
@@ -62,7 +62,7 @@
     List<Command> batch = new ArrayList<>(commands);
     commands.clear();
     if (!batch.isEmpty()) {
-      batch.add(new Command.RequestAck(new AckId(acksRequested++ % ACK_IDS), false));
+      batch.add(new Command.RequestAck(new AckId(requestedAcks++ % ACK_ID_COUNT), false));
     }
     return batch;
   }
@@ -73,10 +73,10 @@
         commands.add(new Command.SetRoute(table, new EndpointId(endpoint), 1));
       }
     }
-    for (Iterator<String> present = routes.iterator(); present.hasNext(); ) {
-      String endpoint = present.next();
+    for (Iterator<String> iterator = routes.iterator(); iterator.hasNext(); ) {
+      String endpoint = iterator.next();
       if (!readyEndpoints.contains(endpoint)) {
-        present.remove();
+        iterator.remove();
         commands.add(new Command.SetRoute(table, new EndpointId(endpoint), 0));
       }
     }
--- a/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
+++ b/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
@@ -39,17 +39,17 @@
   private static final int CORES = 2;
 
   /** The span over which requests are counted together, deci-milliseconds. */
-  private static final long SAMPLE_INTERVAL = 1_000;
+  private static final long SAMPLE_INTERVAL_DECI_MILLIS = 1_000;
 
-  private static final long DURATION = 40 * DeciMillis.SECOND;
+  private static final long DURATION_DECI_MILLIS = 40 * DeciMillis.SECOND;
 
   /** When a disturbance starts; route tables have settled by then. */
-  private static final long DISTURBANCE_START = 12 * DeciMillis.SECOND;
+  private static final long DISTURBANCE_START_DECI_MILLIS = 12 * DeciMillis.SECOND;
 
-  private static final long SURGE_END = 2 * DISTURBANCE_START;
+  private static final long SURGE_END_DECI_MILLIS = 2 * DISTURBANCE_START_DECI_MILLIS;
 
   /** Time after which the endpoint list shows a change. */
-  private static final long LIST_DELAY = DeciMillis.SECOND;
+  private static final long LIST_DELAY_DECI_MILLIS = DeciMillis.SECOND;
 
   /** Usual request rate as a fraction of the capacity of all endpoints. */
   private static final double BASE_UTILIZATION = 0.6;
@@ -60,8 +60,8 @@
   /** Multiple of its capacity that every such endpoint claims. */
   private static final double CLAIMED_CAPACITY_MULTIPLE = 3;
 
-  private static final int CLAIMING_ENDPOINT_INTERVAL = 3;
-  private static final long EXTRA_REPORT_DELAY = 2 * DeciMillis.SECOND;
+  private static final int CLAIMING_ENDPOINT_STRIDE = 3;
+  private static final long EXTRA_REPORT_DELAY_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   /** Pareto distributed proxy sizes: this is -1 divided by the distribution's shape. */
   private static final double PROXY_SIZE_EXPONENT = -0.5;
@@ -69,16 +69,16 @@
   private static final double MIN_SPEED = 0.5;
 
   private static final int DEPLOY_BATCHES = 8; // in which all endpoints would be replaced
-  private static final long DEPLOY_BATCH_INTERVAL = 35_000;
-  private static final long DEPLOY_DRAIN_DELAY = 2 * DeciMillis.SECOND;
-  private static final long DEPLOY_STOP_DELAY = 5 * DeciMillis.SECOND;
-  private static final long ZONE_OUTAGE = 10 * DeciMillis.SECOND;
+  private static final long DEPLOY_BATCH_INTERVAL_DECI_MILLIS = 35_000;
+  private static final long DEPLOY_DRAIN_DELAY_DECI_MILLIS = 2 * DeciMillis.SECOND;
+  private static final long DEPLOY_STOP_DELAY_DECI_MILLIS = 5 * DeciMillis.SECOND;
+  private static final long ZONE_OUTAGE_DURATION_DECI_MILLIS = 10 * DeciMillis.SECOND;
 
   /** Mean work of a request on a core of speed 1, by request class. */
-  private static final long[] WORK = {600, 900, 1_200};
+  private static final long[] MEAN_WORK_DECI_MILLIS = {600, 900, 1_200};
 
   /** Fraction of the requests, by request class. */
-  private static final double[] CLASS_FRACTION = {0.6, 0.25, 0.15};
+  private static final double[] CLASS_FRACTIONS = {0.6, 0.25, 0.15};
 
   private final SplittableRandom random;
   private final List<LoadSample> samples = new ArrayList<>();
@@ -120,12 +120,12 @@
             settings(),
             ZONES,
             List.of(
-                new Recording.RequestClassInfo("view", 15_000, WORK[0]),
-                new Recording.RequestClassInfo("sketch", 20_000, WORK[1]),
-                new Recording.RequestClassInfo("extract", 15_000, WORK[2])),
+                new Recording.RequestClassInfo("view", 15_000, MEAN_WORK_DECI_MILLIS[0]),
+                new Recording.RequestClassInfo("sketch", 20_000, MEAN_WORK_DECI_MILLIS[1]),
+                new Recording.RequestClassInfo("extract", 15_000, MEAN_WORK_DECI_MILLIS[2])),
             proxies,
-            SAMPLE_INTERVAL,
-            DURATION);
+            SAMPLE_INTERVAL_DECI_MILLIS,
+            DURATION_DECI_MILLIS);
     return new Recording(head, samples);
   }
 
@@ -158,15 +158,15 @@
   private static double capacity(double[] speeds) {
     double capacity = 0;
     for (double speed : speeds) {
-      capacity += CORES * speed * DeciMillis.SECOND / meanWork();
+      capacity += CORES * speed * DeciMillis.SECOND / meanWorkDeciMillis();
     }
     return capacity;
   }
 
-  private static double meanWork() {
+  private static double meanWorkDeciMillis() {
     double mean = 0;
-    for (int index = 0; index < WORK.length; index++) {
-      mean += CLASS_FRACTION[index] * WORK[index];
+    for (int index = 0; index < MEAN_WORK_DECI_MILLIS.length; index++) {
+      mean += CLASS_FRACTIONS[index] * MEAN_WORK_DECI_MILLIS[index];
     }
     return mean;
   }
@@ -176,7 +176,7 @@
     for (int index = 0; index < endpointCount; index++) {
       String name = originalName(index);
       samples.add(new LoadSample.ProcessChanged(0, name, zone(index), CORES, speeds[index], false));
-      if (kind == Kind.STALE_REPORTS && index % CLAIMING_ENDPOINT_INTERVAL == 0) {
+      if (kind == Kind.STALE_REPORTS && index % CLAIMING_ENDPOINT_STRIDE == 0) {
         samples.add(new LoadSample.CapacityClaimed(0, name, CLAIMED_CAPACITY_MULTIPLE));
       }
       addListed(0, name, zone(index), EndpointRecord.State.READY, 0);
@@ -208,8 +208,11 @@
   }
 
   private void addArrivals(List<Recording.ProxyInfo> proxies) {
-    for (long at = SAMPLE_INTERVAL; at < DURATION; at += SAMPLE_INTERVAL) {
-      boolean surging = kind == Kind.SURGE && at >= DISTURBANCE_START && at < SURGE_END;
+    for (long at = SAMPLE_INTERVAL_DECI_MILLIS;
+        at < DURATION_DECI_MILLIS;
+        at += SAMPLE_INTERVAL_DECI_MILLIS) {
+      boolean surging =
+          kind == Kind.SURGE && at >= DISTURBANCE_START_DECI_MILLIS && at < SURGE_END_DECI_MILLIS;
       for (int index = 0; index < proxies.size(); index++) {
         addArrivals(
             at, index, proxies.get(index).requestsPerSecond() * (surging ? SURGE_MULTIPLE : 1));
@@ -218,14 +221,18 @@
   }
 
   private void addArrivals(long at, int proxy, double requestRate) {
-    int[] counts = new int[CLASS_FRACTION.length];
-    boolean any = false;
+    int[] counts = new int[CLASS_FRACTIONS.length];
+    boolean hasArrivals = false;
     for (int index = 0; index < counts.length; index++) {
       counts[index] =
-          drawPoisson(requestRate * CLASS_FRACTION[index] * SAMPLE_INTERVAL / DeciMillis.SECOND);
-      any |= counts[index] > 0;
+          drawPoisson(
+              requestRate
+                  * CLASS_FRACTIONS[index]
+                  * SAMPLE_INTERVAL_DECI_MILLIS
+                  / DeciMillis.SECOND);
+      hasArrivals |= counts[index] > 0;
     }
-    if (any) {
+    if (hasArrivals) {
       samples.add(new LoadSample.Arrivals(at, proxy, counts));
     }
   }
@@ -242,7 +249,9 @@
 
   private void addDisturbance(double[] speeds) {
     if (kind == Kind.STALE_REPORTS) {
-      samples.add(new LoadSample.ReportsDelayed(DISTURBANCE_START, EXTRA_REPORT_DELAY));
+      samples.add(
+          new LoadSample.ReportsDelayed(
+              DISTURBANCE_START_DECI_MILLIS, EXTRA_REPORT_DELAY_DECI_MILLIS));
     } else if (kind == Kind.DEPLOY) {
       addDeploy(speeds);
     } else if (kind == Kind.LOST_ZONE) {
@@ -254,23 +263,28 @@
   private void addDeploy(double[] speeds) {
     int batchSize = Math.max(1, endpointCount / DEPLOY_BATCHES);
     for (int index = 0; index < endpointCount * 6 / 10; index++) {
-      long at = DISTURBANCE_START + index / batchSize * DEPLOY_BATCH_INTERVAL;
+      long at =
+          DISTURBANCE_START_DECI_MILLIS + index / batchSize * DEPLOY_BATCH_INTERVAL_DECI_MILLIS;
       addColdStart(at, "n" + index, zone(index), speeds[index]);
       addListed(
-          at + DEPLOY_DRAIN_DELAY,
+          at + DEPLOY_DRAIN_DELAY_DECI_MILLIS,
           originalName(index),
           zone(index),
           EndpointRecord.State.DRAINING,
           0);
-      addStop(at + DEPLOY_STOP_DELAY, originalName(index), zone(index));
+      addStop(at + DEPLOY_STOP_DELAY_DECI_MILLIS, originalName(index), zone(index));
     }
   }
 
   /** Stops the endpoints of the first zone, and starts them anew after the outage. */
   private void addZoneOutage(double[] speeds) {
     for (int index = 0; index < endpointCount; index += ZONES.size()) {
-      addStop(DISTURBANCE_START, originalName(index), 0);
-      addColdStart(DISTURBANCE_START + ZONE_OUTAGE, originalName(index), 0, speeds[index]);
+      addStop(DISTURBANCE_START_DECI_MILLIS, originalName(index), 0);
+      addColdStart(
+          DISTURBANCE_START_DECI_MILLIS + ZONE_OUTAGE_DURATION_DECI_MILLIS,
+          originalName(index),
+          0,
+          speeds[index]);
     }
   }
 
@@ -284,12 +298,12 @@
 
   private void addColdStart(long at, String endpoint, int zone, double speed) {
     samples.add(new LoadSample.ProcessChanged(at, endpoint, zone, CORES, speed, true));
-    addListed(at + LIST_DELAY, endpoint, zone, EndpointRecord.State.READY, at);
+    addListed(at + LIST_DELAY_DECI_MILLIS, endpoint, zone, EndpointRecord.State.READY, at);
   }
 
   private void addStop(long at, String endpoint, int zone) {
     samples.add(new LoadSample.ProcessChanged(at, endpoint, zone, 0, 1, false));
-    addListed(at + LIST_DELAY, endpoint, zone, EndpointRecord.State.REMOVED, 0);
+    addListed(at + LIST_DELAY_DECI_MILLIS, endpoint, zone, EndpointRecord.State.REMOVED, 0);
   }
 
   private void addListed(
--- a/src/main/java/stonespring/testbed/virtual/ReplayResult.java
+++ b/src/main/java/stonespring/testbed/virtual/ReplayResult.java
@@ -7,15 +7,15 @@
  *
  * @param policy who decided
  * @param seed of all that was drawn while it was played
- * @param windows spans of {@link #WINDOW} each, in order, by when their requests started; spans
- *     without a request are left out
+ * @param windows spans of {@link #WINDOW_DECI_MILLIS} each, in order, by when their requests
+ *     started; spans without a request are left out
  * @param attempts totals of all attempts at endpoints
  * @param routes totals of the proxies' route tables
  */
 public record ReplayResult(
     Policy policy, long seed, List<Window> windows, AttemptTotals attempts, RouteTotals routes) {
   /** Length of a window, in {@link stonespring.model.DeciMillis}. */
-  public static final long WINDOW = 50_000;
+  public static final long WINDOW_DECI_MILLIS = 50_000;
 
   /** Stands in for a sum of weights that is 0 where one divides by it. */
   static final double MIN_WEIGHT = 1e-9;
--- a/src/main/java/stonespring/testbed/virtual/ReplayStatistics.java
+++ b/src/main/java/stonespring/testbed/virtual/ReplayStatistics.java
@@ -27,17 +27,17 @@
    * @param duration of the load, deci-milliseconds
    */
   ReplayStatistics(long duration) {
-    windows = new WindowCounts[(int) (duration / ReplayResult.WINDOW) + 1];
+    windows = new WindowCounts[(int) (duration / ReplayResult.WINDOW_DECI_MILLIS) + 1];
     for (int index = 0; index < windows.length; index++) {
       windows[index] = new WindowCounts();
     }
   }
 
-  void routesChanged(long count) {
+  void addRouteChanges(long count) {
     routeChanges += count;
   }
 
-  void attemptSent(boolean crossesZones, boolean opensConnection) {
+  void recordAttempt(boolean crossesZones, boolean opensConnection) {
     attempts++;
     if (crossesZones) {
       crossZoneAttempts++;
@@ -47,7 +47,7 @@
     }
   }
 
-  void requestStarted(long startedAt, double priorityWeight) {
+  void recordRequestStart(long startedAt, double priorityWeight) {
     WindowCounts window = window(startedAt);
     window.weightRequested += priorityWeight;
     window.requests++;
@@ -58,7 +58,7 @@
    *
    * @param weightInTime its priority weight if it was answered within its objective, else 0
    */
-  void requestEnded(long startedAt, double weightInTime, RequestResult result) {
+  void recordRequestEnd(long startedAt, double weightInTime, RequestResult result) {
     WindowCounts window = window(startedAt);
     window.weightInTime += weightInTime;
     if (result == RequestResult.REJECTED) {
@@ -69,15 +69,15 @@
   }
 
   private WindowCounts window(long startedAt) {
-    return windows[(int) Math.min(windows.length - 1, startedAt / ReplayResult.WINDOW)];
+    return windows[(int) Math.min(windows.length - 1, startedAt / ReplayResult.WINDOW_DECI_MILLIS)];
   }
 
   /** The windows in which a request started, in order. */
   List<ReplayResult.Window> windows() {
-    List<ReplayResult.Window> used = new ArrayList<>();
+    List<ReplayResult.Window> nonEmptyWindows = new ArrayList<>();
     for (WindowCounts window : windows) {
       if (window.requests > 0) {
-        used.add(
+        nonEmptyWindows.add(
             new ReplayResult.Window(
                 window.weightRequested,
                 window.weightInTime,
@@ -86,7 +86,7 @@
                 window.timedOut));
       }
     }
-    return used;
+    return nonEmptyWindows;
   }
 
   long connections() {
--- a/src/main/java/stonespring/testbed/virtual/VirtualEndpoint.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualEndpoint.java
@@ -19,19 +19,19 @@
   private static final int MAX_QUEUE_LENGTH = 200;
 
   /** Work for a new connection, deci-milliseconds. */
-  private static final long HANDSHAKE_WORK = 50;
+  private static final long HANDSHAKE_WORK_DECI_MILLIS = 50;
 
   /** The span that reported utilization and request rate are taken over, deci-milliseconds. */
-  private static final long REPORT_WINDOW = DeciMillis.SECOND;
+  private static final long REPORT_WINDOW_DECI_MILLIS = DeciMillis.SECOND;
 
   /** The span over which work received while warming up is summed, deci-milliseconds. */
-  private static final long OVERLOAD_WINDOW = 2 * DeciMillis.SECOND;
+  private static final long OVERLOAD_WINDOW_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   /** The part of a request's usual work that does not vary. */
   private static final double CONSTANT_WORK_FRACTION = 0.5;
 
   /** A start so long ago that warm-up is over. */
-  private static final long LONG_AGO = Long.MIN_VALUE / 2;
+  private static final long WARMED_UP_START = Long.MIN_VALUE / 2;
 
   private record QueuedRequest(long work, long deadline, Consumer<AttemptResult> onEnd) {}
 
@@ -44,12 +44,12 @@
   private final SplittableRandom random;
   private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
   private final ArrayDeque<BusyInterval> busyIntervals = new ArrayDeque<>();
-  private final ArrayDeque<ReceivedWork> warmUpWork = new ArrayDeque<>();
+  private final ArrayDeque<ReceivedWork> receivedWarmUpWork = new ArrayDeque<>();
   private final ArrayDeque<Long> completions = new ArrayDeque<>();
   private int zone;
   private int cores;
   private double speed = 1;
-  private long startedAt = LONG_AGO;
+  private long startedAt = WARMED_UP_START;
   private double claimedCapacityMultiple = 1;
   private int busyCores;
   private int processGeneration;
@@ -68,13 +68,13 @@
     busyCores = 0;
     queue.clear();
     busyIntervals.clear();
-    warmUpWork.clear();
+    receivedWarmUpWork.clear();
     completions.clear();
     zone = process.zone();
     cores = process.cores();
     speed = process.speed();
     overloaded = false;
-    startedAt = process.warmingUp() ? events.now() : LONG_AGO;
+    startedAt = process.warmingUp() ? events.now() : WARMED_UP_START;
   }
 
   /** From now on reports utilization as if it had this multiple of its capacity. */
@@ -99,21 +99,20 @@
   /**
    * Receives an attempt.
    *
-   * @param usualWork mean work of its request class, deci-milliseconds
+   * @param meanWork mean work of its request class, deci-milliseconds
    * @param deadline when the request times out
    * @param newConnection whether its proxy opened a connection for it
    * @param onEnd called when the attempt ends; never if the process stops before
    */
-  void receive(
-      long usualWork, long deadline, boolean newConnection, Consumer<AttemptResult> onEnd) {
+  void receive(long meanWork, long deadline, boolean newConnection, Consumer<AttemptResult> onEnd) {
     if (!isRunning()) {
       return;
     }
     if (newConnection) {
-      occupyCore(HANDSHAKE_WORK, () -> {});
+      occupyCore(HANDSHAKE_WORK_DECI_MILLIS, () -> {});
     }
-    long work = drawWork(usualWork);
-    if (overloadsWhileWarmingUp(work)) {
+    long work = drawWork(meanWork);
+    if (recordWarmUpWork(work)) {
       return;
     }
     if (queue.size() >= MAX_QUEUE_LENGTH) {
@@ -121,14 +120,13 @@
       return;
     }
     queue.add(new QueuedRequest(work, deadline, onEnd));
-    startQueued();
+    startQueuedRequests();
   }
 
-  private long drawWork(long usualWork) {
+  private long drawWork(long meanWork) {
     double exponential = -Math.log(1 - random.nextDouble());
     return (long)
-        (usualWork * exponential * (1 - CONSTANT_WORK_FRACTION)
-            + usualWork * CONSTANT_WORK_FRACTION);
+        (meanWork * exponential * (1 - CONSTANT_WORK_FRACTION) + meanWork * CONSTANT_WORK_FRACTION);
   }
 
   /** The fraction of its speed that the process has reached. */
@@ -141,19 +139,23 @@
     return slowStart.initialFraction() + (1 - slowStart.initialFraction()) * progress;
   }
 
-  private boolean overloadsWhileWarmingUp(double work) {
+  private boolean recordWarmUpWork(double work) {
     double fraction = warmUpFraction();
     if (fraction >= 1) {
       return false;
     }
-    warmUpWork.add(new ReceivedWork(events.now(), work));
-    while (events.now() - warmUpWork.peek().at > OVERLOAD_WINDOW) {
-      warmUpWork.poll();
+    receivedWarmUpWork.add(new ReceivedWork(events.now(), work));
+    while (events.now() - receivedWarmUpWork.peek().at > OVERLOAD_WINDOW_DECI_MILLIS) {
+      receivedWarmUpWork.poll();
     }
-    double limit =
-        settings.slowStart().overloadMultiple() * cores * speed * fraction * OVERLOAD_WINDOW;
-    double received = warmUpWork.stream().mapToDouble(ReceivedWork::work).sum();
-    peakWarmUpLoad = Math.max(peakWarmUpLoad, received / limit);
+    double workLimit =
+        settings.slowStart().overloadMultiple()
+            * cores
+            * speed
+            * fraction
+            * OVERLOAD_WINDOW_DECI_MILLIS;
+    double receivedWork = receivedWarmUpWork.stream().mapToDouble(ReceivedWork::work).sum();
+    peakWarmUpLoad = Math.max(peakWarmUpLoad, receivedWork / workLimit);
     overloaded = peakWarmUpLoad > 1;
     if (overloaded) {
       processGeneration++;
@@ -173,13 +175,13 @@
           if (generation == processGeneration) {
             busyCores--;
             onDone.run();
-            startQueued();
+            startQueuedRequests();
           }
         });
   }
 
   /** Gives waiting requests to idle cores; those that timed out while waiting are not executed. */
-  private void startQueued() {
+  private void startQueuedRequests() {
     while (busyCores < cores && !queue.isEmpty()) {
       QueuedRequest request = queue.poll();
       if (events.now() > request.deadline) {
@@ -197,7 +199,7 @@
 
   private LoadReport currentLoad() {
     long now = events.now();
-    long windowStart = now - REPORT_WINDOW;
+    long windowStart = now - REPORT_WINDOW_DECI_MILLIS;
     busyIntervals.removeIf(interval -> interval.end < windowStart);
     completions.removeIf(at -> at < windowStart);
     double busyTime =
@@ -205,7 +207,7 @@
             .mapToDouble(
                 interval -> Math.min(now, interval.end) - Math.max(windowStart, interval.start))
             .sum();
-    double utilization = busyTime / REPORT_WINDOW / Math.max(1, cores);
+    double utilization = busyTime / REPORT_WINDOW_DECI_MILLIS / Math.max(1, cores);
     return new LoadReport(
         Math.min(1, utilization / claimedCapacityMultiple),
         queue.size(),
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -33,19 +33,19 @@
  */
 public final class VirtualFleet {
   /** From the instance to a proxy and back, deci-milliseconds. */
-  static final long CHANNEL_ROUND_TRIP = 200;
+  static final long CHANNEL_ROUND_TRIP_DECI_MILLIS = 200;
 
   /** Time that a report takes to the instance while reports are not delayed, deci-milliseconds. */
-  private static final long REPORT_DELAY = 3_000;
+  private static final long REPORT_DELAY_DECI_MILLIS = 3_000;
 
   /** Proxies connect at instants drawn from the first so many deci-milliseconds. */
-  private static final long CONNECT_SPREAD = 5_000;
+  private static final long CONNECT_SPREAD_DECI_MILLIS = 5_000;
 
   /** How long endpoints recognise a repeated idempotency key, deci-milliseconds. */
-  private static final long DEDUPLICATION_WINDOW = 2 * DeciMillis.SECOND;
+  private static final long DEDUPLICATION_WINDOW_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   private static final String INSTANCE_NAME = "e";
-  private static final String PROXY_KEYS = "proxy";
+  private static final String PROXY_KEY_KIND = "proxy";
 
   private final EventQueue events = new EventQueue();
   private final Recording recording;
@@ -58,9 +58,9 @@
   private final List<VirtualProxy> proxies = new ArrayList<>();
   private final EngineHost host;
   private final Optional<WeightAdvisor> advisor;
-  private long extraReportDelay;
-  private long nextWakeUp = Long.MAX_VALUE;
-  private long plans;
+  private long extraReportDelayDeciMillis;
+  private long nextWakeUpAt = Long.MAX_VALUE;
+  private long planCount;
 
   /** Creates a fleet at the start of a recording. */
   public VirtualFleet(Recording recording, Policy policy, long seed) {
@@ -72,7 +72,7 @@
     // The order of the steps from here is that of the random draws.
     List<LoadSample> initial =
         recording.samples().stream().takeWhile(sample -> sample.at() == 0).toList();
-    List<EndpointRecord> listed = applyInitial(initial);
+    List<EndpointRecord> listed = applyInitialSamples(initial);
     Policy.PolicyEngine engine = policy.createEngine(settings(), random.nextLong(), 0);
     this.advisor = engine.advisor();
     this.host =
@@ -83,7 +83,7 @@
             INSTANCE_NAME,
             1,
             engine.engine(),
-            new Environment(),
+            new SimulatedEnvironment(),
             0);
     host.handleEndpointListUpdate(
         new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
@@ -96,7 +96,7 @@
   }
 
   /** Applies all that holds at the start but the endpoint list, and returns that. */
-  private List<EndpointRecord> applyInitial(List<LoadSample> initial) {
+  private List<EndpointRecord> applyInitialSamples(List<LoadSample> initial) {
     List<EndpointRecord> listed = new ArrayList<>();
     for (LoadSample sample : initial) {
       if (sample instanceof LoadSample.EndpointListed record) {
@@ -110,7 +110,8 @@
 
   private void createProxies(List<EndpointRecord> listed) {
     RouterSettings routing =
-        StandIns.routing(settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW);
+        StandIns.routing(
+            settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW_DECI_MILLIS);
     for (Recording.ProxyInfo recorded : recording.head().proxies()) {
       VirtualProxy proxy =
           new VirtualProxy(
@@ -137,7 +138,7 @@
 
   private void scheduleConnect(VirtualProxy proxy) {
     events.scheduleAt(
-        random.nextLong(CONNECT_SPREAD),
+        random.nextLong(CONNECT_SPREAD_DECI_MILLIS),
         () -> {
           proxy.connect(host);
           runHost();
@@ -146,18 +147,18 @@
   }
 
   /** Delivers published keys to proxies. The endpoint list comes as recorded, asked for or not. */
-  private final class Environment implements HostEnvironment {
+  private final class SimulatedEnvironment implements HostEnvironment {
     @Override
     public void publish(List<KeyUpdate> updates) {
       for (KeyUpdate update : updates) {
         String[] key = update.key().split("/", 4); // instance, kind, proxy, key of the proxy
-        if (key[1].equals(PROXY_KEYS) && proxiesByName.containsKey(key[2])) {
+        if (key[1].equals(PROXY_KEY_KIND) && proxiesByName.containsKey(key[2])) {
           events.scheduleAfter(
-              CHANNEL_ROUND_TRIP / 2,
+              CHANNEL_ROUND_TRIP_DECI_MILLIS / 2,
               () -> proxiesByName.get(key[2]).receive(host, update, key[3]));
         }
       }
-      events.scheduleAfter(CHANNEL_ROUND_TRIP / 2, VirtualFleet.this::runHost);
+      events.scheduleAfter(CHANNEL_ROUND_TRIP_DECI_MILLIS / 2, VirtualFleet.this::runHost);
     }
 
     @Override
@@ -198,7 +199,7 @@
         && endpoints.containsKey(claimed.endpoint())) {
       endpoints.get(claimed.endpoint()).claimCapacity(claimed.multiple());
     } else if (sample instanceof LoadSample.ReportsDelayed delayed) {
-      extraReportDelay = delayed.delay();
+      extraReportDelayDeciMillis = delayed.delay();
     }
   }
 
@@ -220,7 +221,7 @@
   private void sendReport(VirtualProxy proxy) {
     ProxyReport report = proxy.report(settings().reportInterval());
     events.scheduleAfter(
-        REPORT_DELAY + extraReportDelay,
+        REPORT_DELAY_DECI_MILLIS + extraReportDelayDeciMillis,
         () -> {
           host.handleReport(proxy.name(), report, proxy);
           runHost();
@@ -230,18 +231,18 @@
 
   /** Runs what is due at the instance, and schedules the next run. */
   private void runHost() {
-    Optional<Plan> before = plan();
-    long nextDue = host.runDue(events.now());
-    if (isNewPlan(before, plan())) {
-      plans++;
+    Optional<Plan> previousPlan = plan();
+    long nextDueAt = host.runDue(events.now());
+    if (isNewPlan(previousPlan, plan())) {
+      planCount++;
     }
-    if (nextDue < nextWakeUp || nextWakeUp <= events.now()) {
-      nextWakeUp = Math.max(nextDue, events.now() + 1);
-      long wakeUp = nextWakeUp;
+    if (nextDueAt < nextWakeUpAt || nextWakeUpAt <= events.now()) {
+      nextWakeUpAt = Math.max(nextDueAt, events.now() + 1);
+      long wakeUpAt = nextWakeUpAt;
       events.scheduleAt(
-          wakeUp,
+          wakeUpAt,
           () -> {
-            if (wakeUp == nextWakeUp) {
+            if (wakeUpAt == nextWakeUpAt) {
               runHost();
             }
           });
@@ -249,8 +250,8 @@
   }
 
   /** Plans are compared by identity: a round may make an equal one anew. */
-  private static boolean isNewPlan(Optional<Plan> before, Optional<Plan> after) {
-    return after.isPresent() && after.get() != before.orElse(null);
+  private static boolean isNewPlan(Optional<Plan> previous, Optional<Plan> current) {
+    return current.isPresent() && current.get() != previous.orElse(null);
   }
 
   private List<String> requestClassNames() {
@@ -321,6 +322,6 @@
         new ReplayResult.RouteTotals(
             statistics.routeChanges(),
             proxies.stream().mapToDouble(VirtualProxy::secondsWithoutRoutes).sum(),
-            plans));
+            planCount));
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -34,7 +34,7 @@
   private static final RequestClassId FIRST_CLASS = new RequestClassId(0);
 
   /** Longer than any recording, so that the proxy never counts as silent. */
-  private static final long SESSION_TIMEOUT = 24 * 3600 * DeciMillis.SECOND;
+  private static final long SESSION_TIMEOUT_DECI_MILLIS = 24 * 3600 * DeciMillis.SECOND;
 
   private static final long NOT_WITHOUT_ROUTES = -1;
 
@@ -106,7 +106,7 @@
             recorded.requestsPerSecond(),
             true,
             Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList()));
-    host.handleHello(name(), hello, SESSION_TIMEOUT, this, events.now());
+    host.handleHello(name(), hello, SESSION_TIMEOUT_DECI_MILLIS, this, events.now());
   }
 
   /**
@@ -124,9 +124,9 @@
       throw new IllegalStateException(
           name() + " needs a resync on a lossless channel: " + resync.cause());
     }
-    if (step instanceof TableSubscriber.Step.Update whole) {
-      apply(whole);
-      acknowledge(host, whole);
+    if (step instanceof TableSubscriber.Step.Update tableUpdate) {
+      apply(tableUpdate);
+      acknowledge(host, tableUpdate);
     }
   }
 
@@ -134,7 +134,7 @@
     router.apply(update);
     fleet
         .statistics()
-        .routesChanged(
+        .addRouteChanges(
             update.changes().keySet().stream()
                 .filter(key -> key.startsWith(ROUTE_KEY_PREFIX))
                 .count());
@@ -154,7 +154,9 @@
     }
     ProxyAcknowledgement acknowledgement =
         new ProxyAcknowledgement(
-            update.stream(), new AckId(update.ackId()), VirtualFleet.CHANNEL_ROUND_TRIP);
+            update.stream(),
+            new AckId(update.ackId()),
+            VirtualFleet.CHANNEL_ROUND_TRIP_DECI_MILLIS);
     host.handleAcknowledgement(name(), acknowledgement, this, events.now());
   }
 
--- a/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
@@ -13,22 +13,22 @@
  */
 final class VirtualRequest {
   /** One way between a proxy and an endpoint of its zone, deci-milliseconds. */
-  private static final long SAME_ZONE_LATENCY = 3;
+  private static final long SAME_ZONE_LATENCY_DECI_MILLIS = 3;
 
   /** One way between a proxy and an endpoint of another zone, deci-milliseconds. */
-  private static final long CROSS_ZONE_LATENCY = 13;
+  private static final long CROSS_ZONE_LATENCY_DECI_MILLIS = 13;
 
   /** One-way latencies until a request on a new connection arrives. */
-  private static final int LATENCIES_TO_CONNECT = 3;
+  private static final int ONE_WAY_TRIPS_TO_CONNECT = 3;
 
   /** How often a client sends a request again after the proxy gave up. */
   private static final int MAX_CLIENT_RETRIES = 2;
 
   /** Time that a client waits before it sends a request again, deci-milliseconds. */
-  private static final long CLIENT_RETRY_DELAY = 3_000;
+  private static final long CLIENT_RETRY_DELAY_DECI_MILLIS = 3_000;
 
   /** Time that must be left when the client's retry is sent, deci-milliseconds. */
-  private static final long MIN_TIME_FOR_CLIENT_RETRY = 500;
+  private static final long MIN_TIME_LEFT_FOR_CLIENT_RETRY_DECI_MILLIS = 500;
 
   private final VirtualFleet fleet;
   private final VirtualProxy proxy;
@@ -51,7 +51,7 @@
   private EndpointId pendingEndpoint;
 
   private long pendingSince;
-  private boolean ended;
+  private boolean completed;
 
   private VirtualRequest(VirtualFleet fleet, VirtualProxy proxy, RequestClassId requestClass) {
     this.fleet = fleet;
@@ -67,28 +67,30 @@
   /** Sends a request; client retries count as part of it. */
   static void send(VirtualFleet fleet, VirtualProxy proxy, RequestClassId requestClass) {
     VirtualRequest request = new VirtualRequest(fleet, proxy, requestClass);
-    fleet.statistics().requestStarted(request.startedAt, request.classSettings.priorityWeight());
+    fleet
+        .statistics()
+        .recordRequestStart(request.startedAt, request.classSettings.priorityWeight());
     request.events.scheduleAt(request.deadline, request::timeOut);
-    request.arrive();
+    request.arriveAtProxy();
   }
 
-  private void arrive() {
+  private void arriveAtProxy() {
     proxy.statistics().requestReceived(requestClass);
     attempts = 0;
     provenNotExecuted = true;
     if (proxy.router().admit(requestClass, events.now())) {
-      attempt(null);
+      sendAttempt(null);
     } else {
-      proxyGaveUp(true);
+      handleUnsuccessfulAnswer(true);
     }
   }
 
   /** Sends an attempt to an endpoint other than {@code previous}, which is null for the first. */
-  private void attempt(EndpointId previous) {
+  private void sendAttempt(EndpointId previous) {
     long now = events.now();
     EndpointId endpoint = proxy.router().pick(requestClass, previous, now).orElse(null);
     if (endpoint == null) {
-      proxyGaveUp(false);
+      handleUnsuccessfulAnswer(false);
       return;
     }
     generation++;
@@ -105,27 +107,28 @@
     VirtualEndpoint endpoint = fleet.endpoint(id).orElse(null);
     boolean crossesZones = endpoint != null && endpoint.zone() != proxy.zone();
     boolean opensConnection = proxy.connections().use(id, events.now());
-    fleet.statistics().attemptSent(crossesZones, opensConnection);
-    long latency = crossesZones ? CROSS_ZONE_LATENCY : SAME_ZONE_LATENCY;
+    fleet.statistics().recordAttempt(crossesZones, opensConnection);
+    long latency = crossesZones ? CROSS_ZONE_LATENCY_DECI_MILLIS : SAME_ZONE_LATENCY_DECI_MILLIS;
     int attemptGeneration = generation;
     if (endpoint == null || !endpoint.isRunning()) {
       proxy.connections().close(id);
       events.scheduleAfter(
-          2 * latency, () -> attemptEnded(attemptGeneration, AttemptResult.CONNECTION_REFUSED));
+          2 * latency, () -> handleAttemptEnd(attemptGeneration, AttemptResult.CONNECTION_REFUSED));
       return;
     }
     events.scheduleAfter(
-        opensConnection ? LATENCIES_TO_CONNECT * latency : latency,
+        opensConnection ? ONE_WAY_TRIPS_TO_CONNECT * latency : latency,
         () ->
             endpoint.receive(
                 recordedClass.serviceTime(),
                 deadline,
                 opensConnection,
                 result ->
-                    events.scheduleAfter(latency, () -> attemptEnded(attemptGeneration, result))));
+                    events.scheduleAfter(
+                        latency, () -> handleAttemptEnd(attemptGeneration, result))));
   }
 
-  private void attemptEnded(int attemptGeneration, AttemptResult result) {
+  private void handleAttemptEnd(int attemptGeneration, AttemptResult result) {
     if (attemptGeneration != generation) {
       return;
     }
@@ -137,16 +140,16 @@
         .statistics()
         .attemptEnded(endpoint, result.succeeded(), now - pendingSince, result.load());
     if (result.succeeded()) {
-      end(RequestResult.SUCCEEDED);
+      complete(RequestResult.SUCCEEDED);
       return;
     }
     provenNotExecuted &= !result.executed();
     RequestProgress progress =
         new RequestProgress(attempts, provenNotExecuted, firstAttemptAt, deadline);
     if (proxy.router().mayRetry(requestClass, progress, now)) {
-      attempt(endpoint);
+      sendAttempt(endpoint);
     } else {
-      proxyGaveUp(false);
+      handleUnsuccessfulAnswer(false);
     }
   }
 
@@ -155,22 +158,22 @@
    *
    * @param rejected whether admission control rejected the request
    */
-  private void proxyGaveUp(boolean rejected) {
+  private void handleUnsuccessfulAnswer(boolean rejected) {
     if (!rejected) {
       proxy.statistics().requestUnanswered(requestClass);
     }
     if (!clientMayRetry()) {
-      end(rejected ? RequestResult.REJECTED : RequestResult.FAILED);
+      complete(rejected ? RequestResult.REJECTED : RequestResult.FAILED);
       return;
     }
     clientRetries++;
     generation++;
     int retryGeneration = generation;
     events.scheduleAfter(
-        CLIENT_RETRY_DELAY,
+        CLIENT_RETRY_DELAY_DECI_MILLIS,
         () -> {
           if (retryGeneration == generation) {
-            arrive();
+            arriveAtProxy();
           }
         });
   }
@@ -179,19 +182,20 @@
     boolean safe = classSettings.retrySafety() == RetrySafety.IDEMPOTENT || provenNotExecuted;
     return safe
         && clientRetries < MAX_CLIENT_RETRIES
-        && deadline - events.now() > CLIENT_RETRY_DELAY + MIN_TIME_FOR_CLIENT_RETRY;
+        && deadline - events.now()
+            > CLIENT_RETRY_DELAY_DECI_MILLIS + MIN_TIME_LEFT_FOR_CLIENT_RETRY_DECI_MILLIS;
   }
 
   /** The client stops waiting; a pending attempt counts as failed. */
   private void timeOut() {
-    end(RequestResult.TIMED_OUT);
+    complete(RequestResult.TIMED_OUT);
   }
 
-  private void end(RequestResult result) {
-    if (ended) {
+  private void complete(RequestResult result) {
+    if (completed) {
       return;
     }
-    ended = true;
+    completed = true;
     generation++;
     long now = events.now();
     if (pendingEndpoint != null) {
@@ -201,6 +205,8 @@
     }
     boolean inTime =
         result == RequestResult.SUCCEEDED && now - startedAt <= classSettings.latencyObjective();
-    fleet.statistics().requestEnded(startedAt, inTime ? classSettings.priorityWeight() : 0, result);
+    fleet
+        .statistics()
+        .recordRequestEnd(startedAt, inTime ? classSettings.priorityWeight() : 0, result);
   }
 }
--- a/src/test/java/stonespring/testbed/InvariantCheckerTest.java
+++ b/src/test/java/stonespring/testbed/InvariantCheckerTest.java
@@ -10,7 +10,7 @@
 final class InvariantCheckerTest {
   private final Evidence evidence = new Evidence(true);
 
-  private InvariantChecker.Verdict judge() {
+  private InvariantChecker.Verdict check() {
     return new InvariantChecker(
             new InvariantChecker.Limits(5_000, 3_000, 10_000, 3, 10_000),
             Map.of(
@@ -19,17 +19,17 @@
                 "extract",
                 new InvariantChecker.RequestClassPolicy(500, 2, false)),
             evidence)
-        .judge(40_000);
+        .check(40_000);
   }
 
   private void assertOneViolation(String start) {
-    InvariantChecker.Verdict verdict = judge();
+    InvariantChecker.Verdict verdict = check();
     assertEquals(1, verdict.violations().size(), verdict.violations().toString());
     assertTrue(verdict.violations().get(0).startsWith(start), verdict.violations().toString());
   }
 
   private void assertNoViolation() {
-    assertEquals(0, judge().violations().size(), judge().violations().toString());
+    assertEquals(0, check().violations().size(), check().violations().toString());
   }
 
   private void outcome(
@@ -150,7 +150,7 @@
     outcome(0, "p", "a", "view", 200, "", false);
     evidence.add(new Evidence.Outcome(20_000, "p", "b", "view", 200, "", false, 501));
     outcome(30_000, "p", "c", "extract", 429, "level", true);
-    InvariantChecker.Verdict verdict = judge();
+    InvariantChecker.Verdict verdict = check();
     assertEquals(3.0 / 8, verdict.service(), 1e-9);
     assertEquals(0, verdict.worstWindow(), 1e-9);
     assertEquals(0, verdict.worstClass(), 1e-9);
