--- a/src/main/java/stonespring/testbed/Evidence.java
+++ b/src/main/java/stonespring/testbed/Evidence.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * What was observed at the sockets and in the endpoints' ledgers; the {@link InvariantChecker}
- * judges by it alone. Times are milliseconds since this object was made. Safe for several threads.
- * Grows with the scenario, which has a stated end.
+ * The observations of a scenario, made at the sockets and in the effect ledgers of the endpoints.
+ * They are the only input of the {@link InvariantChecker}. Times are in milliseconds since the
+ * creation of this object. Thread-safe. Memory use is bounded only by the scenario's duration.
  */
 public final class Evidence {
   /** A request reached an endpoint. */
@@ -18,34 +18,39 @@
       String requestClass,
       int attempt) {}
 
-  /** A request took effect at an endpoint. */
+  /** An endpoint executed a request and recorded its effect. */
   public record Effect(
       double atMillis, String endpoint, String requestId, String requestClass, int attempt) {}
 
-  /** A warming-up endpoint crashed, as it was sent a multiple of what it could do. */
+  /**
+   * A warming-up endpoint crashed from overload.
+   *
+   * @param capacityMultiple work received, as a multiple of the endpoint's capacity at that time
+   */
   public record Overloaded(double atMillis, String endpoint, double capacityMultiple) {}
 
   /**
-   * An endpoint as the registry listed it to an instance.
+   * An endpoint's entry in a registry answer to an instance.
    *
-   * @param state "ready", "draining", or "gone" where it is no longer listed
-   * @param startedAtMillis when it started to warm up; negative where it didn't
+   * @param state "ready", "draining", or "gone" if the endpoint is no longer listed
+   * @param startedAtMillis when its warm-up started; negative if it started without warm-up
    */
   public record Listed(double atMillis, String endpoint, String state, double startedAtMillis) {}
 
-  /** An endpoint's process started, or died. */
+  /** An endpoint's process started ({@code up}) or died. */
   public record ProcessChange(
       double atMillis, String endpoint, String zone, boolean up, boolean warmingUp) {}
 
-  /** From here on an endpoint's reports claim a multiple of its capacity. */
+  /** From this time on, an endpoint's load reports claim a multiple of its real capacity. */
   public record FalseReport(double atMillis, String endpoint, double claimedCapacityMultiple) {}
 
   /**
-   * How a client's request ended.
+   * The result of a client's request.
    *
-   * @param status the answer's status, 0 where there was no answer
-   * @param reason the proxy's reason or, without an answer, the failure
-   * @param durationMillis from the first attempt to the end
+   * @param status HTTP status of the final answer; 0 if there was none
+   * @param reason the reason given by the proxy, or the failure if there was no answer
+   * @param notExecuted whether the answer states that the request was not executed
+   * @param durationMillis from the client's first attempt to its final answer or timeout
    */
   public record Outcome(
       double startedAtMillis,
@@ -56,19 +61,29 @@
       String reason,
       boolean notExecuted,
       double durationMillis) {
-    /** When the client had its final answer or gave up. */
+    /** Returns when the client received its final answer or gave up. */
     public double endedAtMillis() {
       return startedAtMillis + durationMillis;
     }
   }
 
-  /** A message's commit passed to a proxy. */
+  /** The commit key that ends an update message passed to a proxy. */
   public record Commit(double atMillis, String proxy) {}
 
-  /** A proxy's presence passed to an instance, or its connection broke. */
+  /**
+   * The session of a proxy at an instance began or ended.
+   *
+   * @param connected true if the proxy's presence key passed to the instance, false if the
+   *     connection ended
+   */
   public record Session(double atMillis, String proxy, boolean connected) {}
 
-  /** What an instance published of its channel: entries that wait, at most, and their limit. */
+  /**
+   * The channel backlog that an instance published in its status.
+   *
+   * @param backlog the highest number of entries waiting to be sent
+   * @param limit the configured limit of {@code backlog}
+   */
   public record ChannelBacklog(double atMillis, int backlog, int limit) {}
 
   private final long startNanos = System.nanoTime();
@@ -78,25 +93,26 @@
   /**
    * Starts the clock.
    *
-   * @param enabled false where nobody judges: then nothing is gathered, however long it goes on
+   * @param enabled false to discard all observations, for stand-ins that run without a checker and
+   *     for an unlimited time
    */
   public Evidence(boolean enabled) {
     this.enabled = enabled;
   }
 
-  /** Milliseconds since the start. */
+  /** Returns the milliseconds since this object was created. */
   public double now() {
     return (System.nanoTime() - startNanos) / 1e6;
   }
 
-  /** Adds an observation: one of this class's records. */
+  /** Adds an observation, which is an instance of one of the records of this class. */
   public synchronized void add(Object observation) {
     if (enabled) {
       observations.add(observation);
     }
   }
 
-  /** All observations of a kind, in the order in which they were added. */
+  /** Returns all observations of one type, in the order in which they were added. */
   public synchronized <T> List<T> observationsOf(Class<T> kind) {
     List<T> matches = new ArrayList<>();
     for (Object observation : observations) {
--- a/src/main/java/stonespring/testbed/FleetMeasurement.java
+++ b/src/main/java/stonespring/testbed/FleetMeasurement.java
@@ -23,12 +23,16 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * Measures what a fleet of idle proxies does to an instance in a process of its own: the time until
- * all hold a route table, memory, latency of decisions. One use an object.
+ * Measures what a fleet of idle proxies costs an instance that runs in a separate process: the time
+ * until all proxies have a route table, memory, and the duration of decision batches. An object
+ * serves for one measurement.
  */
 public final class FleetMeasurement {
   private static final int EVENT_LOOPS = 4;
+
+  /** Wait after the instance's start, for its first decision batches and JIT compilation. */
   private static final int INSTANCE_WARM_UP_MILLIS = 3000;
+
   private static final int ROUTE_TABLE_TIMEOUT_SECONDS = 300;
   private static final String LOOPBACK = "127.0.0.1";
 
@@ -52,8 +56,10 @@
   /**
    * Runs the measurement and returns its report.
    *
-   * @param connectSpreadMillis the time within which all proxies dial
-   * @param holdSeconds how long the fleet stands after all proxies hold a table
+   * @param script the settings script of the instance
+   * @param connectSpreadMillis the time over which the proxies' connects are spread evenly
+   * @param holdSeconds how long the fleet stays connected after every proxy has a route table
+   * @param folder receives the instance's log and cached endpoint list
    */
   public static String run(
       Path script, int proxyCount, long connectSpreadMillis, long holdSeconds, Path folder)
@@ -122,7 +128,7 @@
     }
   }
 
-  /** The statistics that the instance logs when it stops; empty where there are none. */
+  /** Returns the statistics that the instance logged when it stopped; empty if it logged none. */
   private String stopStatistics() throws IOException {
     return Files.readAllLines(instanceLog).stream()
         .filter(line -> line.contains(" stopped: "))
@@ -173,7 +179,7 @@
 
           @Override
           public void ended(String cause) {
-            // The instance is stopped at the end.
+            // The connection ends when the measurement stops the instance.
           }
         };
     new ChpClient((EventLoop) loops.next(), "/assigner/", 60_000, listener)
--- a/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
+++ b/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
@@ -8,7 +8,10 @@
 import stonespring.chp.ChpMessage;
 import stonespring.zmtp.ZmtpLimits;
 
-/** Records what instances publish of themselves, and dials again after each loss. */
+/**
+ * Subscribes to the status that instances publish and records it as evidence. Reconnects after a
+ * connection ends.
+ */
 final class InstanceStatusMonitor {
   private static final int SILENCE_TIMEOUT_MILLIS = 10_000;
   private static final int RECONNECT_DELAY_MILLIS = 200;
@@ -22,6 +25,7 @@
     this.evidence = evidence;
   }
 
+  /** Subscribes to an instance's status until {@link #stop}. */
   void watch(InstanceProcess instance) {
     EventLoop loop = loops.next();
     ChpClient.Listener listener =
@@ -47,7 +51,7 @@
         .connect("127.0.0.1", instance.port(), false, ZmtpLimits.DEFAULT);
   }
 
-  /** Dials no more; standing connections end with their instances. */
+  /** Stops reconnecting. Open connections end when their instances stop. */
   void stop() {
     stopped = true;
   }
--- a/src/main/java/stonespring/testbed/InvariantChecker.java
+++ b/src/main/java/stonespring/testbed/InvariantChecker.java
@@ -11,16 +11,21 @@
 import java.util.TreeMap;
 
 /**
- * Judges a scenario by its evidence alone: the five rules, whether every non-idempotent request was
- * executed once or said not to be, and the service that clients had. It shares no code with what it
- * judges. One use an object, on one thread.
+ * Checks the evidence of a scenario against the five invariants of the product ("rules") and
+ * computes the service that clients received. For each non-idempotent request it also checks that
+ * the answer agrees with the number of times the request took effect. The checker shares no code
+ * with the code under test. An object serves for one check, on one thread.
  */
 public final class InvariantChecker {
   /**
-   * The limits of the rules, in milliseconds where they are times.
+   * The limits of the rules.
    *
-   * @param drainGraceMillis how long a draining endpoint may still be sent to
-   * @param maxMessagesPerProxy in a message window; 0 for no limit
+   * @param maxTimeWithoutEndpointMillis how long a connected proxy may lack an endpoint while a
+   *     warm one is listed
+   * @param drainGraceMillis how long proxies may still send requests to a draining endpoint
+   * @param slowStartMillis how long an endpoint warms up after its start
+   * @param maxMessagesPerProxy maximum number of messages in a message window; 0 for no limit
+   * @param messageWindowMillis length of the message window
    */
   public record Limits(
       double maxTimeWithoutEndpointMillis,
@@ -29,18 +34,20 @@
       int maxMessagesPerProxy,
       double messageWindowMillis) {}
 
-  /** A request class as service counts it. */
+  /** The properties of a request class that the service figure depends on. */
   public record RequestClassPolicy(
       double latencyObjectiveMillis, double priorityWeight, boolean idempotent) {}
 
   /**
-   * What was found.
+   * The result of a check.
    *
-   * @param violations a line each; empty where all rules were kept
-   * @param service the priority weight answered in time over that asked for
-   * @param worstWindow the least service of any window
-   * @param worstClass the least service of any request class
-   * @param counts what was counted on the way, by its name in the report
+   * @param violations one line for each reported violation; empty if all rules were kept
+   * @param service the priority weight of requests answered within their latency objective, divided
+   *     by the priority weight of all requests
+   * @param worstWindow the lowest service of any window of 10 s
+   * @param worstClass the lowest service of any request class
+   * @param worstClassName the request class of {@code worstClass}
+   * @param counts event counts by their name in the report
    */
   public record Verdict(
       List<String> violations,
@@ -50,9 +57,13 @@
       String worstClassName,
       Map<String, Integer> counts) {}
 
+  /** Length of the sliding window of {@link Verdict#worstWindow}. */
   private static final double WINDOW_MILLIS = 10_000;
+
+  /** Further violations of the same rule are summarized in one line. */
   private static final int MAX_LISTED_VIOLATIONS_PER_RULE = 5;
 
+  // Rule numbers as printed in reports.
   private static final int TIME_WITHOUT_ENDPOINT_RULE = 1;
   private static final int NO_DUPLICATE_EFFECTS_RULE = 2;
   private static final int DRAINING_RULE = 3;
@@ -68,9 +79,10 @@
   private final Map<Integer, Integer> violationsByRule = new HashMap<>();
 
   /**
-   * Prepares to judge evidence that is complete.
+   * Creates a checker.
    *
    * @param requestClasses by name, in the order of the settings
+   * @param evidence must be complete: observations added later may be ignored
    */
   public InvariantChecker(
       Limits limits, Map<String, RequestClassPolicy> requestClasses, Evidence evidence) {
@@ -80,7 +92,11 @@
     this.sessions = new InvariantCheckerSessions(evidence);
   }
 
-  /** Judges all up to a time on the evidence's clock. */
+  /**
+   * Checks all rules.
+   *
+   * @param endMillis end of the scenario on the evidence's clock; windows end at or before it
+   */
   public Verdict check(double endMillis) {
     checkTimeWithoutEndpoint();
     checkNoDuplicateEffects();
@@ -178,7 +194,7 @@
     counts.merge(name, 1, Integer::sum);
   }
 
-  /** Whether an endpoint past its slow start was listed as ready at a time. */
+  /** Returns whether an endpoint past its slow start was listed as ready at the given time. */
   private boolean warmEndpointListed(double atMillis) {
     Map<String, Evidence.Listed> listed = new HashMap<>();
     for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
@@ -194,7 +210,10 @@
                     && atMillis - entry.startedAtMillis() >= limits.slowStartMillis());
   }
 
-  /** Rule 1: no connected proxy lacks an endpoint for long while a warm one is listed. */
+  /**
+   * Rule 1: a connected proxy is without an endpoint for a limited time only while a warm endpoint
+   * is listed.
+   */
   private void checkTimeWithoutEndpoint() {
     Map<String, Double> withoutEndpointSinceMillis = new HashMap<>();
     List<Evidence.Outcome> outcomes =
@@ -234,7 +253,7 @@
     return effects;
   }
 
-  /** Rule 2: a request that isn't idempotent takes effect once at most. */
+  /** Rule 2: a non-idempotent request takes effect at most once. */
   private void checkNoDuplicateEffects() {
     nonIdempotentEffects()
         .forEach(
@@ -250,7 +269,10 @@
             });
   }
 
-  /** Rule 2: an answer tells the truth on whether a non-idempotent request took effect. */
+  /**
+   * Rule 2: a non-idempotent request took effect exactly once if its answer reports success, and
+   * not at all if its answer states that it was not executed.
+   */
   private void checkAnswersMatchEffects() {
     Map<String, List<Evidence.Effect>> effectsById = nonIdempotentEffects();
     for (Evidence.Outcome outcome : evidence.observationsOf(Evidence.Outcome.class)) {
@@ -283,7 +305,10 @@
     return effects == 0 ? "unknown to the client, not done" : "unknown to the client, done once";
   }
 
-  /** By endpoint, from when on it was listed as leaving (true) or as ready again (false). */
+  /**
+   * Returns for each endpoint the times at which the registry began to list it as draining or gone
+   * (true), or as ready (false).
+   */
   private Map<String, TreeMap<Double, Boolean>> leavingChanges() {
     Map<String, TreeMap<Double, Boolean>> leaving = new HashMap<>();
     for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
@@ -297,7 +322,10 @@
     return leaving;
   }
 
-  /** Rule 3: no connected proxy sends to an endpoint long after it was listed as leaving. */
+  /**
+   * Rule 3: a connected proxy stops sending requests to an endpoint within the grace period after
+   * the endpoint was listed as draining or gone.
+   */
   private void checkDraining() {
     Map<String, TreeMap<Double, Boolean>> leaving = leavingChanges();
     Set<String> reported = new HashSet<>();
@@ -320,7 +348,7 @@
     }
   }
 
-  /** Rule 4: no warming-up endpoint is sent so much that it crashes. */
+  /** Rule 4: no warming-up endpoint receives so much work that it crashes. */
   private void checkSlowStart() {
     for (Evidence.Overloaded overloaded : evidence.observationsOf(Evidence.Overloaded.class)) {
       reportViolation(
@@ -331,7 +359,7 @@
     }
   }
 
-  /** Rule 5: an instance's backlog stays within its limit. */
+  /** Rule 5: the channel backlog of an instance stays within its limit. */
   private void checkBacklog() {
     int highest = 0;
     for (Evidence.ChannelBacklog channel : evidence.observationsOf(Evidence.ChannelBacklog.class)) {
@@ -347,7 +375,10 @@
     counts.put("most lines waiting", highest);
   }
 
-  /** Rule 5: a proxy gets few messages in any window, counted from its connecting. */
+  /**
+   * Rule 5: the number of messages to a proxy in any message window is limited. Messages sent
+   * before the proxy's latest connect are not counted.
+   */
   private void checkMessageRate() {
     Map<String, List<Double>> commitTimesByProxy = new HashMap<>();
     int highestMessageCount = 0;
--- a/src/main/java/stonespring/testbed/InvariantCheckerSessions.java
+++ b/src/main/java/stonespring/testbed/InvariantCheckerSessions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** When which proxy was connected to an instance, by the evidence. Immutable. */
+/** The times at which proxies were connected to an instance, from the evidence. Immutable. */
 final class InvariantCheckerSessions {
   private final Map<String, List<Evidence.Session>> sessionsByProxy = new HashMap<>();
 
@@ -15,7 +15,10 @@
     }
   }
 
-  /** Since when a proxy had been connected at a time; NaN where it wasn't. */
+  /**
+   * Returns when the session began in which the proxy was connected at the given time,
+   * milliseconds; NaN if it was not connected.
+   */
   double connectedSince(String proxy, double atMillis) {
     double sinceMillis = Double.NaN;
     for (Evidence.Session session : sessionsByProxy.getOrDefault(proxy, List.of())) {
--- a/src/main/java/stonespring/testbed/Scenario.java
+++ b/src/main/java/stonespring/testbed/Scenario.java
@@ -12,14 +12,15 @@
 import stonespring.config.script.SettingsError;
 
 /**
- * A scenario as its script states it. The script's keys keep the operators' words and are mapped
- * here.
+ * A scenario as defined by its script. The script uses the operators' vocabulary, for example
+ * {@code tasks} for endpoints and {@code ops} for requests; this class maps its keys.
  *
  * @param instance the settings of the instances
  * @param durationSeconds how long clients send requests
- * @param drainGraceMillis how long after a listing as draining an endpoint may still be sent to
- * @param listDelayMillis how long after a change the registry shows it
- * @param faults in the script's order
+ * @param drainGraceMillis how long proxies may still send requests to an endpoint after the
+ *     registry lists it as draining
+ * @param listDelayMillis the delay before the registry shows a change
+ * @param faults in the order of the script
  */
 public record Scenario(
     InstanceSettings instance,
@@ -31,24 +32,24 @@
     long listDelayMillis,
     List<Fault> faults) {
   /**
-   * What clients send.
+   * The requests of all clients.
    *
-   * @param shares each request class's share of the requests, by name
+   * @param shares fraction of the requests by request class name
    */
   public record Load(double requestsPerSecond, Map<String, Double> shares) {}
 
-  /** How many stand-ins there are at the start. */
+  /** The number of endpoints and proxies at the start. */
   public record FleetSize(int endpointsPerZone, int proxiesPerZone) {}
 
   /**
-   * What every endpoint is like.
+   * The properties that all endpoints share.
    *
-   * @param queueLimit requests that may wait for a core
-   * @param connectionLimit connections that may be open
-   * @param handshakeMillis a core's time that a new connection takes
-   * @param serviceTimeMillis a request's mean service time, by request class
-   * @param deduplicationWindowMillis how long a repeated request's key is remembered
-   * @param overloadWindowMillis the time over which overload while warming up is measured
+   * @param queueLimit maximum number of requests waiting for a core
+   * @param connectionLimit maximum number of open connections
+   * @param handshakeMillis core time spent on opening a connection
+   * @param serviceTimeMillis mean service time by request class name
+   * @param deduplicationWindowMillis how long a repeated idempotency key is recognized
+   * @param overloadWindowMillis the window over which work received during warm-up is summed
    */
   public record EndpointModel(
       int cores,
@@ -60,12 +61,13 @@
       double overloadWindowMillis) {}
 
   /**
-   * One fault.
+   * A fault that is injected during the scenario. Its component names are written to the log.
    *
-   * @param fraction the fraction of endpoints, proxies or instances that it strikes
-   * @param magnitude how strong it is, in its kind's own unit
-   * @param intervalMillis the time between repetitions, where its kind repeats
-   * @param zone the position of the zone that it strikes, or -1 for all
+   * @param atMillis when it begins, since the start of the clients
+   * @param fraction the fraction of endpoints, proxies or instances that it affects, 0 to 1
+   * @param magnitude its strength in a unit that depends on the kind
+   * @param intervalMillis the time between repetitions; ignored by kinds that do not repeat
+   * @param zone index of the affected zone, or -1 for all zones
    */
   public record Fault(
       FaultKind kind,
@@ -79,9 +81,9 @@
   private static final double MILLIS_PER_SECOND = 1000;
 
   /**
-   * Reads a scenario's script.
+   * Reads the script of a scenario.
    *
-   * @throws ScriptException with all errors of the script
+   * @throws ScriptException listing all errors of the script
    */
   public static Scenario read(Path file) throws ScriptException {
     List<SettingsError> errors = new ArrayList<>();
@@ -95,7 +97,7 @@
     return scenario;
   }
 
-  /** Reads the keys one by one in a fixed order, which is the order of the errors. */
+  /** Decodes the keys in a fixed order, which is also the order in which errors are reported. */
   private static Scenario decode(Section day, InstanceSettings instance) {
     double duration = day.number("seconds", 1, 3600, null);
     double requests = day.number("ops_per_s", 0.1, 100_000, null);
--- a/src/main/java/stonespring/testbed/ScenarioFailedException.java
+++ b/src/main/java/stonespring/testbed/ScenarioFailedException.java
@@ -1,6 +1,6 @@
 package stonespring.testbed;
 
-/** A scenario could not be run to its end, so that there is nothing to judge. */
+/** Thrown if a scenario could not be run to its end, so its invariants can't be checked. */
 public final class ScenarioFailedException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -18,23 +18,35 @@
 import stonespring.proxy.ProxySettings;
 
 /**
- * All that runs during a scenario: instances in processes of their own, and in this one proxies,
- * clients, endpoints and the registry. Used from the run's thread alone; the order of its random
- * draws is part of what a seed means.
+ * The participants of a scenario: instances in separate processes, and proxies, clients, endpoints
+ * and the registry in this process. Only the thread of the {@link ScenarioRun} may use it. Changing
+ * the order of its random draws changes the scenario that a seed produces.
  */
 final class ScenarioFleet {
   private static final int EVENT_LOOP_THREADS = 6;
   private static final int PORTS_PER_INSTANCE = 3;
+
+  /** With fewer running endpoints in its zone, a proxy draws bootstrap routes from all zones. */
   private static final int MIN_BOOTSTRAP_CANDIDATES_IN_ZONE = 3;
 
-  /** Exponent of the drawn proxy sizes: most proxies carry little, some far more. */
+  /**
+   * Exponent that turns a uniform draw into a Pareto-distributed proxy size: most proxies have few
+   * requests, some have far more.
+   */
   private static final double PROXY_SIZE_EXPONENT = -0.6;
 
-  // Settings of the proxies; times in milliseconds where no other unit is named.
+  // Settings of the proxies.
+
+  /** Time for which a proxy is halted for each route change that it applies. */
   private static final int ROUTE_APPLY_COST_MICROS = 50;
+
+  /** Three missed heartbeats of an instance. */
   private static final long INSTANCE_SILENCE_TIMEOUT_MILLIS = 3_000;
+
   private static final int MIN_RECONNECT_DELAY_MILLIS = 300;
   private static final int MAX_RECONNECT_DELAY_MILLIS = 1500;
+
+  /** Three missed heartbeats of a proxy. */
   private static final int PRESENCE_TTL_SECONDS = 3;
 
   private final Scenario scenario;
@@ -59,7 +71,7 @@
     this.statusMonitor = new InstanceStatusMonitor(loops, evidence);
   }
 
-  /** Starts everything but the clients. */
+  /** Starts all participants except the clients. */
   void start(Path script, Path folder) throws IOException, InterruptedException {
     registry.start(FreePorts.take(1));
     for (int zone = 0; zone < zones().size(); zone++) {
@@ -67,7 +79,7 @@
         startEndpoint(zone, false);
       }
     }
-    // The registry shows endpoints late: an instance that starts at once would find none.
+    // The registry lists endpoints with a delay; an instance started earlier would find none.
     Thread.sleep(scenario.listDelayMillis() + 50);
     for (int i = 0; i < scenario.instance().settings().fleet().instances(); i++) {
       startInstance(i, script, folder);
@@ -93,7 +105,7 @@
     proxies.forEach(proxy -> proxy.client().stop());
   }
 
-  /** Requests of clients that have no final answer yet. */
+  /** Returns the number of client requests without a final answer. */
   int openRequests() {
     return openRequests.get();
   }
@@ -122,7 +134,7 @@
     return instances;
   }
 
-  /** All endpoints that were ever started. */
+  /** Returns all endpoints ever started, including those that have stopped. */
   List<EndpointStandIn> endpoints() {
     return endpoints;
   }
@@ -131,7 +143,7 @@
     return endpoints.size();
   }
 
-  /** The running endpoints of a zone, or of all for -1. */
+  /** Returns the running endpoints of a zone by its index, or of all zones for -1. */
   List<EndpointStandIn> runningEndpoints(int zone) {
     return endpoints.stream()
         .filter(EndpointStandIn::isUp)
@@ -143,12 +155,12 @@
     return proxies;
   }
 
-  /** The proxies of a zone, or of all for -1. */
+  /** Returns the proxies of a zone by its index, or of all zones for -1. */
   List<ScenarioProxy> proxies(int zone) {
     return proxies.stream().filter(proxy -> zone < 0 || proxy.zone() == zone).toList();
   }
 
-  /** Draws a fraction of a list without repetition, at least one element where there is one. */
+  /** Draws a fraction of a list without replacement; at least one element unless it is empty. */
   <T> List<T> sample(List<T> from, double fraction) {
     List<T> rest = new ArrayList<>(from);
     List<T> drawn = new ArrayList<>();
@@ -159,7 +171,7 @@
     return drawn;
   }
 
-  /** Starts a new endpoint and lists it. */
+  /** Starts a new endpoint and adds it to the registry. */
   void startEndpoint(int zone, boolean warmingUp) throws IOException, InterruptedException {
     EndpointStandIn endpoint =
         new EndpointStandIn(
@@ -175,7 +187,10 @@
     registry.set(endpoint, false);
   }
 
-  /** Kills an endpoint; it comes back warming up, unless overload killed it before. */
+  /**
+   * Kills an endpoint and restarts it with warm-up at the given timeline time. An endpoint that has
+   * ever crashed from overload stays down.
+   */
   void crashAndRestart(EndpointStandIn endpoint, double restartAtMillis) {
     endpoint.crash();
     registry.remove(endpoint);
@@ -264,7 +279,7 @@
     return mix;
   }
 
-  /** Starts a proxy, also again after it was stopped. */
+  /** Starts a proxy, or restarts one that was stopped. */
   void startProxy(ScenarioProxy proxy) throws IOException, InterruptedException {
     Settings settings = scenario.instance().settings();
     long deduplicationWindowDeciMillis =
@@ -289,7 +304,7 @@
     proxy.start(proxySettings, nextLoop(), loops);
   }
 
-  /** Draws from the running endpoints of the proxy's zone, or of all where the zone has few. */
+  /** Draws running endpoints of the proxy's zone, or of all zones if the zone has too few. */
   private List<EndpointId> bootstrapEndpoints(int zone, int count) {
     List<EndpointStandIn> inZone = runningEndpoints(zone);
     List<EndpointStandIn> candidates =
@@ -306,7 +321,7 @@
     return (EventLoop) loops.next();
   }
 
-  /** Ends everything, also after a start that failed half way. */
+  /** Stops all participants; safe to call if {@link #start} failed part way. */
   void close() throws InterruptedException {
     statusMonitor.stop();
     for (ScenarioProxy proxy : proxies) {
--- a/src/main/java/stonespring/testbed/ScenarioProxy.java
+++ b/src/main/java/stonespring/testbed/ScenarioProxy.java
@@ -9,8 +9,8 @@
 import stonespring.proxy.ProxySettings;
 
 /**
- * A real proxy of a scenario with its faulty links to the instances and its clients. Used from the
- * run's thread alone.
+ * A real proxy of a scenario, with the links to the instances that faults act on, and its clients.
+ * Only the thread of the {@link ScenarioRun} may use it.
  */
 final class ScenarioProxy {
   private static final String LOOPBACK = "127.0.0.1";
@@ -25,10 +25,10 @@
   private ClientStandIn client;
 
   /**
-   * Creates a proxy that isn't started.
+   * Creates a proxy without starting it.
    *
-   * @param zone its zone's position
-   * @param requestsPerSecond what its clients usually send
+   * @param zone index of its zone
+   * @param requestsPerSecond request rate of its clients in the absence of faults
    */
   ScenarioProxy(String name, int zone, int port, double requestsPerSecond) {
     this.name = name;
@@ -53,12 +53,12 @@
     return requestsPerSecond;
   }
 
-  /** One link for each instance, in the instances' order. */
+  /** Returns one link for each instance, in the order of the instances. */
   List<FaultyLink> links() {
     return links;
   }
 
-  /** Where the proxy reaches the instances: its own ends of the links. */
+  /** Returns the ports of the links, which the proxy connects to instead of the instances. */
   List<ProxySettings.Ports> instancePorts() {
     return instancePorts;
   }
@@ -67,12 +67,12 @@
     return client;
   }
 
-  /** The process under test; null before the first start. */
+  /** Returns the running or last stopped proxy; null before the first start. */
   Proxy proxy() {
     return proxy;
   }
 
-  /** Lets the proxy reach an instance's three ports through a link. */
+  /** Relays the three ports of an instance through a link. */
   void linkTo(InstanceProcess instance, FaultyLink link) throws InterruptedException {
     links.add(link);
     instancePorts.add(
@@ -92,7 +92,7 @@
     client = newClient;
   }
 
-  /** Ends clients, proxy and links, as far as they were started. */
+  /** Stops the clients, the proxy and the links, as far as they were started. */
   void close() throws InterruptedException {
     if (client != null) {
       client.stop();
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -12,19 +12,19 @@
 import stonespring.recording.Recording;
 
 /**
- * Turns the evidence of a run into a recording of its load: arrivals, processes and endpoint lists,
- * nothing of what was decided.
+ * Converts the evidence of a run into a recording of its load: arrivals, process starts and stops,
+ * endpoint list updates, and report faults. The instances' decisions are not recorded.
  */
 final class ScenarioRecorder {
-  private static final long SAMPLE_INTERVAL_DECI_MILLIS =
-      1_000; // in 0.1 ms; requests in it are counted together
+  /** Interval over which arrivals are counted in one sample. */
+  private static final long SAMPLE_INTERVAL_DECI_MILLIS = 1_000;
 
   private final Scenario scenario;
   private final Evidence evidence;
   private final double startedMillis;
 
   /**
-   * Prepares to write a run that has ended.
+   * Creates a recorder for a run that has ended.
    *
    * @param startedMillis when the first client started, on the evidence's clock
    */
@@ -34,6 +34,7 @@
     this.startedMillis = startedMillis;
   }
 
+  /** Converts a time on the evidence's clock to the recording's clock; earlier times become 0. */
   private long toDeciMillis(double millis) {
     return Math.max(0, Math.round((millis - startedMillis) * 10));
   }
@@ -42,7 +43,7 @@
     return scenario.instance().zones().indexOf(name);
   }
 
-  /** The run as a recording with a name. */
+  /** Returns the load of the run as a recording. */
   Recording recording(String name, List<Recording.ProxyInfo> proxies) {
     List<LoadSample> samples = new ArrayList<>();
     addProcesses(samples);
@@ -90,7 +91,7 @@
               change.warmingUp()));
     }
     for (Evidence.Listed listed : evidence.observationsOf(Evidence.Listed.class)) {
-      // An endpoint that ran before the start has warmed up long ago; no start is known of it.
+      // Endpoints started before the scenario have warmed up: the recording has no start time (0).
       long startedAtDeciMillis =
           listed.startedAtMillis() > startedMillis ? toDeciMillis(listed.startedAtMillis()) : 0;
       samples.add(
@@ -134,7 +135,8 @@
     List<String> classNames = scenario.instance().requestClasses().names();
     TreeMap<Long, int[]> counts = new TreeMap<>();
     for (Evidence.Outcome outcome : evidence.observationsOf(Evidence.Outcome.class)) {
-      // A sample stands at its span's end: all requests are one span late, evenly.
+      // A sample is dated at the end of its interval, so replay shifts all requests by one
+      // interval.
       long sampleIndex = toDeciMillis(outcome.startedAtMillis()) / SAMPLE_INTERVAL_DECI_MILLIS + 1;
       long key = sampleIndex * proxies.size() + proxyIndex.get(outcome.proxy());
       int[] byClass = counts.computeIfAbsent(key, k -> new int[classNames.size()]);
--- a/src/main/java/stonespring/testbed/ScenarioReport.java
+++ b/src/main/java/stonespring/testbed/ScenarioReport.java
@@ -2,11 +2,11 @@
 
 import java.util.TreeMap;
 
-/** The report that a person reads after a run. */
+/** Formats the report of a scenario run. */
 public final class ScenarioReport {
   private ScenarioReport() {}
 
-  /** Writes a verdict as lines of text. */
+  /** Formats a verdict as lines of text. */
   public static String format(InvariantChecker.Verdict verdict) {
     StringBuilder out = new StringBuilder();
     out.append(
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -14,12 +14,14 @@
 import stonespring.recording.Recording;
 
 /**
- * Runs one scenario on loopback and has it judged: starts the fleet, injects the faults in time,
- * waits for the last answers. One run an object; all of it on the caller's thread.
+ * Runs a scenario on loopback: starts the fleet, injects the faults at their times, waits for the
+ * last answers, and checks the invariants. An object serves for one run, on the caller's thread.
  */
 public final class ScenarioRun {
   private static final Logger LOG = LoggerFactory.getLogger(ScenarioRun.class);
   private static final double MILLIS_PER_SECOND = 1000;
+
+  /** Wait beyond the longest request timeout for the last answers. */
   private static final double ANSWER_MARGIN_MILLIS = 1000;
 
   private final Scenario scenario;
@@ -30,11 +32,11 @@
   private final ScenarioFleet fleet;
 
   /**
-   * Prepares a run.
+   * Creates a run without starting it.
    *
-   * @param script the scenario's file, which the instances read as their settings
-   * @param seed of what is drawn: sizes, requests, what faults strike
-   * @param folder where the instances' logs and saved lists go
+   * @param script the scenario's script file, from which the instances also read their settings
+   * @param seed determines all random draws: proxy sizes, requests, and the targets of faults
+   * @param folder receives the instances' logs and cached endpoint lists
    */
   public ScenarioRun(Scenario scenario, Path script, long seed, Path folder) {
     this.scenario = scenario;
@@ -43,7 +45,11 @@
     this.fleet = new ScenarioFleet(scenario, evidence, timeline, new SplittableRandom(seed));
   }
 
-  /** Runs the scenario to its end and judges it. */
+  /**
+   * Runs the scenario to its end and checks its invariants.
+   *
+   * @throws ScenarioFailedException if it can't be run to its end
+   */
   public InvariantChecker.Verdict run() throws ScenarioFailedException, InterruptedException {
     try {
       return runAndCheck();
@@ -86,7 +92,7 @@
     }
   }
 
-  /** The load of the run as a recording; after {@link #run}. */
+  /** Returns the load of the run as a recording; to be called after {@link #run}. */
   public Recording recording(String name) {
     return new ScenarioRecorder(scenario, evidence, timeline.startedMillis())
         .recording(
@@ -118,7 +124,7 @@
     return new InvariantChecker(limits, policies, evidence);
   }
 
-  /** Makes a temporary folder for a run's files. */
+  /** Creates a temporary folder for the files of a run. */
   public static Path createTemporaryFolder() throws IOException {
     return Files.createTempDirectory("stonespring-day");
   }
--- a/src/main/java/stonespring/testbed/SolverTrial.java
+++ b/src/main/java/stonespring/testbed/SolverTrial.java
@@ -15,16 +15,16 @@
 import stonespring.solver.Solver;
 
 /**
- * Fleets drawn from a seed, to measure the solver by itself: unlike endpoints, one in 25 warming
- * up, a few proxies with most requests.
+ * A random fleet for measuring the solver in isolation. Endpoint capacities differ, one endpoint in
+ * 25 is warming up, and a few proxies have most of the requests.
  */
 public final class SolverTrial {
   private static final int ZONES = 4;
   private static final int REQUEST_CLASSES = 3;
   private static final int ROUTES_PER_TABLE = 10;
-  private static final double UTILIZATION = 0.65; // of all capacity
-  private static final double WARM_UP_FRACTION = 0.3;
-  private static final int WARM_UP_ROUNDS = 3; // not measured
+  private static final double UTILIZATION = 0.65; // fraction of the total capacity
+  private static final double WARM_UP_FRACTION = 0.3; // capacity of warming-up endpoints
+  private static final int WARM_UP_ROUNDS = 3; // run before the measured rounds
   private static final int INCREMENTAL_SOLVES_PER_ROUND = 8;
   private static final CostModel COST_MODEL = new CostModel(1, 0.06, 0.2);
 
@@ -33,7 +33,7 @@
   private final List<Problem.Proxy> proxies = new ArrayList<>();
 
   /**
-   * Draws a fleet.
+   * Creates a random fleet; equal arguments give equal fleets.
    *
    * @param endpointCount at least 1
    */
@@ -69,7 +69,11 @@
     }
   }
 
-  /** The fleet as it is, with the routes of a plan held; null for none. */
+  /**
+   * Returns the solver's input for the present state of the fleet.
+   *
+   * @param currentPlan the plan whose routes the proxies have; null if they have none
+   */
   Problem problem(Plan currentPlan) {
     List<Problem.Proxy> currentProxies = new ArrayList<>();
     for (int p = 0; p < proxies.size(); p++) {
@@ -83,7 +87,10 @@
         ZONES, REQUEST_CLASSES, ROUTES_PER_TABLE, COST_MODEL, endpoints, currentProxies);
   }
 
-  /** Changes one in a hundred endpoints and proxies by up to 30 percent. */
+  /**
+   * Changes the request rates of 1% of the proxies and the capacities of 1% of the endpoints, at
+   * least one of each, by up to 30%.
+   */
   void applyRandomChanges() {
     for (int i = 0; i < Math.max(1, proxies.size() / 100); i++) {
       Problem.Proxy proxy = proxies.get(random.nextInt(proxies.size()));
@@ -109,8 +116,8 @@
   }
 
   /**
-   * Measures solves from nothing and after small changes, by turns, and returns the report with
-   * times and the gap to the lower bound.
+   * Measures full solves and solves after small changes alternately, and returns a report of solve
+   * times, of the largest optimality gap, and of the mean number of changed routes.
    */
   public static String run(int endpointCount, int proxyCount, int rounds) {
     Histogram fullSolveNanos = new Histogram(3);
--- a/src/main/java/stonespring/testbed/ThroughputMeasurement.java
+++ b/src/main/java/stonespring/testbed/ThroughputMeasurement.java
@@ -26,17 +26,25 @@
 import stonespring.zmtp.ZmtpEncoder;
 import stonespring.zmtp.ZmtpLimits;
 
-/** Measures updates through the publisher beside the same bytes written by bare Netty. */
+/**
+ * Compares the throughput of the publisher with that of Netty channels to which the same encoded
+ * updates are written directly.
+ */
 public final class ThroughputMeasurement {
-  private static final int BATCH_SIZE = 200; // updates that are published at once
+  private static final int BATCH_SIZE = 200; // updates in one publish call
   private static final int READERS = 8;
-  private static final int MAX_QUEUED_BYTES = 1 << 30; // no reader is dropped as too slow
+
+  /** Large enough that the publisher disconnects no reader for being slow. */
+  private static final int MAX_QUEUED_BYTES = 1 << 30;
+
+  /** Bytes that a reader receives from the server during the ZMTP handshake. */
   private static final int GREETING_AND_READY_BYTES = 64 + 27;
+
   private static final int TIMEOUT_SECONDS = 120;
 
   private ThroughputMeasurement() {}
 
-  /** Measures both by turns, {@code rounds} times, and returns the report with the ratios. */
+  /** Measures both alternately in each round, and returns a report of rates and their ratios. */
   public static String run(int updates, int rounds) throws Exception {
     StringBuilder out = new StringBuilder();
     List<Double> ratios = new ArrayList<>();
@@ -112,7 +120,10 @@
         defaults.maxConnections());
   }
 
-  /** Publishes until each reader has more than the handshake: its subscription is in force. */
+  /**
+   * Publishes probes until each reader has received more than the handshake, which shows that its
+   * subscription is in force.
+   */
   private static void awaitSubscriptions(ChpServer server, List<CountingReader> readers)
       throws InterruptedException {
     for (int i = 0; i < READERS; i++) {
@@ -196,7 +207,10 @@
     channels.forEach(Channel::flush);
   }
 
-  /** Waits until the readers have so many bytes, closes them, and returns the seconds it took. */
+  /**
+   * Waits until the readers have received the expected bytes in total, closes them, and returns the
+   * seconds since {@code startNanos}.
+   */
   private static double awaitBytes(
       List<CountingReader> readers, long expectedBytes, long startNanos)
       throws IOException, InterruptedException {
@@ -218,7 +232,7 @@
     return seconds;
   }
 
-  /** Holds no keys. */
+  /** A backend without keys. */
   private static final class EmptyBackend implements ChpBackend {
     @Override
     public void snapshotRequested(ZmtpConnection peer, String subtree) {}
--- a/src/main/java/stonespring/testbed/Timeline.java
+++ b/src/main/java/stonespring/testbed/Timeline.java
@@ -4,12 +4,12 @@
 import java.util.PriorityQueue;
 
 /**
- * What is due during a scenario, in order of time and, at one time, of entry. Actions run on the
- * thread that calls {@link #runUntil}; only that thread may use a timeline. Times are milliseconds
- * since {@link #start}.
+ * Scheduled actions of a scenario, run in order of time; actions due at the same time run in the
+ * order of scheduling. Actions run on the thread that calls {@link #runUntil}, and only that thread
+ * may use a timeline. Times are in milliseconds since {@link #start}.
  */
 final class Timeline {
-  /** One step of a scenario. */
+  /** A scheduled action; it may throw, which ends {@link #runUntil}. */
   interface Action {
     void run() throws Exception;
   }
@@ -26,22 +26,23 @@
   /**
    * Creates an empty timeline.
    *
-   * @param evidence its clock is the timeline's
+   * @param evidence provides the clock
    */
   Timeline(Evidence evidence) {
     this.evidence = evidence;
   }
 
-  /** Makes the present the timeline's zero. */
+  /** Sets the timeline's zero to the present. */
   void start() {
     startedMillis = evidence.now();
   }
 
-  /** The timeline's zero on the evidence's clock, milliseconds. */
+  /** Returns the timeline's zero on the evidence's clock, in milliseconds. */
   double startedMillis() {
     return startedMillis;
   }
 
+  /** Returns the milliseconds since {@link #start}. */
   double now() {
     return evidence.now() - startedMillis;
   }
@@ -50,15 +51,15 @@
     scheduled.add(new Scheduled(atMillis, sequence++, action));
   }
 
-  /** Runs one action at once and another when the fault ends. */
+  /** Runs the first action immediately and schedules the second for the end of the fault. */
   void runDuring(Scenario.Fault fault, Action begin, Action end) throws Exception {
     begin.run();
     scheduleAt(now() + fault.durationMillis(), end);
   }
 
-  /** Schedules an action at each of the fault's intervals while it lasts. */
+  /** Schedules an action now and after each interval of the fault until the fault ends. */
   void scheduleRepeatedly(Scenario.Fault fault, Action action) {
-    // The clock is read again each time: an action that falls on the fault's end is included.
+    // The clock is read again in each iteration, so an action due exactly at the end is included.
     for (double whenMillis = now();
         whenMillis < now() + fault.durationMillis();
         whenMillis += fault.intervalMillis()) {
@@ -66,7 +67,7 @@
     }
   }
 
-  /** Runs what is due until a time. */
+  /** Runs all due actions until the given time; sleeps between them. */
   void runUntil(double untilMillis) throws Exception {
     while (now() < untilMillis) {
       Scheduled next = scheduled.peek();
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 
 /**
- * Observes commits and presence on a proxy's link, with a decoder of its own: nothing here is
- * shared with the product's decoders. Runs on the link's event loop.
+ * Records commits and presence that pass on the links of one proxy. It has its own decoder and
+ * shares no code with the product's decoders. Runs on the link's event loop.
  */
 final class WireTap implements FaultyLink.Tap {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** The link's listener for updates, towards the proxy. */
+  /** Index of the link's listener that carries updates to the proxy. */
   private static final int UPDATE_LISTENER = 1;
 
-  /** The link's listener for what the proxy publishes. */
+  /** Index of the link's listener that carries the keys that the proxy sets. */
   private static final int COLLECTOR_LISTENER = 2;
 
   private static final int UPDATE_FRAMES = 5;
@@ -79,7 +79,7 @@
     }
   }
 
-  /** A proxy that can't be reached counts as disconnected until its presence passes again. */
+  /** Ends the session: the proxy is unreachable until its presence passes again. */
   @Override
   public void frozen() {
     if (!presentConnections.isEmpty()) {
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Adds what an instance's status says of its channel; an unreadable status counts as over the
-   * limit.
+   * Records the channel backlog from an instance's status. An unreadable status is recorded as a
+   * backlog over the limit.
    */
   static void recordStatus(Evidence evidence, byte[] json) {
     try {
--- a/src/main/java/stonespring/testbed/WireTapFrameParser.java
+++ b/src/main/java/stonespring/testbed/WireTapFrameParser.java
@@ -6,7 +6,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Splits one direction of a ZMTP connection into messages of frames. Not thread-safe. */
+/**
+ * Splits one direction of a ZMTP connection into messages, each a list of frames. Not thread-safe.
+ */
 final class WireTapFrameParser {
   private static final int GREETING_BYTES = 64;
   private static final int SHORT_HEADER_BYTES = 2;
@@ -19,7 +21,7 @@
   private final List<byte[]> frames = new ArrayList<>();
   private int greetingBytesLeft = GREETING_BYTES;
 
-  /** Takes the next bytes and returns the messages that end in them; commands are skipped. */
+  /** Parses the next bytes and returns the messages completed by them; skips command frames. */
   List<List<byte[]>> parse(byte[] bytes) {
     List<List<byte[]>> messages = new ArrayList<>();
     unparsed.writeBytes(bytes);
--- a/src/main/java/stonespring/testbed/virtual/BootstrapResampling.java
+++ b/src/main/java/stonespring/testbed/virtual/BootstrapResampling.java
@@ -6,14 +6,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Confidence intervals by resampling (Efron and Tibshirani, An Introduction to the Bootstrap,
- * chapter 13). The windows of all seeds are resampled and not the requests, since requests of one
- * overload fail together.
+ * Bootstrap confidence intervals by the percentile method (Efron and Tibshirani, An Introduction to
+ * the Bootstrap, chapter 13). Time windows of all seeds are resampled rather than single requests,
+ * because the failures of requests during the same overload are correlated.
  */
 final class BootstrapResampling {
+  /** With this many, interval ends vary by less than a tenth of the interval's width. */
   private static final int RESAMPLES = 2_000;
 
-  /** The fraction of resampled means on each side of the interval. */
+  /** Fraction of the resampled means below the interval, and above it. */
   private static final double TAIL_FRACTION = 0.025;
 
   private static final long RESAMPLING_SEED = 1;
@@ -22,7 +23,7 @@
 
   private BootstrapResampling() {}
 
-  /** The service over the windows of all results. */
+  /** Returns the service over the windows of all results, with its confidence interval. */
   static ConfidenceInterval service(ReplayResult[] results) {
     List<Sample> samples = new ArrayList<>();
     for (ReplayResult result : results) {
@@ -34,9 +35,10 @@
   }
 
   /**
-   * The difference of the service from a baseline, window by window.
+   * Returns the difference between the service of the results and that of a baseline, with its
+   * confidence interval. Windows are compared in pairs.
    *
-   * @param baseline results with the same load and, at each position, the same seed
+   * @param baseline results of the same load; the result at each index has the same seed
    */
   static ConfidenceInterval serviceDifference(ReplayResult[] results, ReplayResult[] baseline) {
     List<Sample> samples = new ArrayList<>();
--- a/src/main/java/stonespring/testbed/virtual/Comparison.java
+++ b/src/main/java/stonespring/testbed/virtual/Comparison.java
@@ -7,15 +7,16 @@
 import java.util.stream.IntStream;
 import stonespring.recording.Recording;
 
-/** Plays recorded loads under several policies, each with several seeds, and compares them. */
+/** Replays recorded loads under several policies with several seeds, and compares the policies. */
 public final class Comparison {
   private Comparison() {}
 
   /**
-   * Plays each load under each policy with the seeds from 1, on all processors. The figures depend
-   * on the arguments only.
+   * Replays each load under each policy with the seeds 1 to {@code seeds}, in parallel on all
+   * processors. The figures depend on the arguments only.
    *
-   * @param policies at least one; the first is what the others are compared with
+   * @param policies at least one; the first is the baseline of the comparison
+   * @param seeds number of seeds, at least 1
    * @return one row for each load and policy, in the order of the arguments
    */
   public static List<ComparisonRow> run(List<Recording> loads, List<Policy> policies, int seeds) {
@@ -29,7 +30,7 @@
     return rows;
   }
 
-  /** Results by position of the policy and by seed less 1. */
+  /** Returns the results indexed by policy and by seed - 1. */
   private static ReplayResult[][] replay(Recording load, List<Policy> policies, int seeds) {
     ReplayResult[][] results = new ReplayResult[policies.size()][seeds];
     IntStream.range(0, policies.size() * seeds)
--- a/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
+++ b/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
@@ -13,14 +13,19 @@
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.style.Styler;
 
-/** Draws a comparison as bar charts. */
+/** Draws the rows of a comparison as bar charts. */
 public final class ComparisonCharts {
   private static final int WIDTH_PIXELS = 1100;
   private static final int HEIGHT_PIXELS = 520;
 
-  /** Fractions lie close together, so their axis starts a step or two below the lowest. */
+  /**
+   * Steps in which the lower end of an axis of fractions is chosen. It lies up to two steps below
+   * the lowest value, because fractions are close together and hard to tell apart on an axis from
+   * 0.
+   */
   private static final int FRACTION_AXIS_STEPS = 20;
 
+  /** Distance kept below the step under the lowest value. */
   private static final double FRACTION_AXIS_MARGIN = 0.05;
 
   private ComparisonCharts() {}
@@ -29,8 +34,8 @@
    * Writes service.png and connections.png.
    *
    * @param folder created if missing
-   * @return the files written
-   * @throws IOException if a file can't be written
+   * @return the paths of the written files
+   * @throws IOException if the folder or a file can't be written
    */
   public static List<Path> write(List<ComparisonRow> rows, Path folder) throws IOException {
     Files.createDirectories(folder);
--- a/src/main/java/stonespring/testbed/virtual/ComparisonRow.java
+++ b/src/main/java/stonespring/testbed/virtual/ComparisonRow.java
@@ -1,16 +1,18 @@
 package stonespring.testbed.virtual;
 
 /**
- * One load under one policy, over all seeds.
+ * The results of one load under one policy, over all seeds.
  *
  * @param load the recording's name
- * @param policy who decided
- * @param service priority weight answered within the objective over the weight requested
- * @param difference of the service from the first policy's, in the same windows of the same seeds
- * @param worstWindowService the service of a seed's worst window, mean over seeds
+ * @param policy the policy under which the load was replayed
+ * @param service priority weight of requests answered within their latency objective, divided by
+ *     the priority weight of all requests
+ * @param difference service minus that of the first policy, compared in the same windows of the
+ *     same seeds
+ * @param worstWindowService the service of the worst window of a seed, averaged over seeds
  * @param averages means over seeds
- * @param peakWarmUpLoad the most work that an endpoint received while it warmed up, as a fraction
- *     of what makes it fail; over all seeds
+ * @param peakWarmUpLoad the peak work that an endpoint received during warm-up, as a fraction of
+ *     the overload limit; maximum over seeds
  */
 public record ComparisonRow(
     String load,
@@ -23,10 +25,10 @@
   /**
    * Means over seeds.
    *
-   * @param connections connections opened
-   * @param routeChanges routes changed at proxies
+   * @param connections number of connections opened
+   * @param routeChanges number of route changes applied by proxies
    * @param crossZoneFraction fraction of the attempts that went to another zone
-   * @param secondsWithoutRoutes seconds, summed over proxies, in which a proxy had no route
+   * @param secondsWithoutRoutes time without any route, summed over proxies, seconds
    */
   public record Averages(
       double connections,
--- a/src/main/java/stonespring/testbed/virtual/ConnectionTable.java
+++ b/src/main/java/stonespring/testbed/virtual/ConnectionTable.java
@@ -5,16 +5,17 @@
 import stonespring.model.DeciMillis;
 import stonespring.model.EndpointId;
 
-/** The connections that a proxy keeps open to endpoints. Times are in {@link DeciMillis}. */
+/** The connections of a proxy to endpoints. Times are in {@link DeciMillis}. */
 final class ConnectionTable {
-  /** Time after which an unused connection is closed, deci-milliseconds. */
+  /** Time after which an unused connection is closed. */
   private static final long IDLE_TIMEOUT_DECI_MILLIS = 15 * DeciMillis.SECOND;
 
+  /** Time of last use of an endpoint that was never used. */
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final Map<String, Long> lastUsedAt = new HashMap<>();
 
-  /** Uses the connection to an endpoint; true if it has to be opened for that. */
+  /** Uses the connection to an endpoint; returns whether it had to be opened. */
   boolean use(EndpointId endpoint, long now) {
     boolean isOpened =
         lastUsedAt.getOrDefault(endpoint.name(), NEVER) < now - IDLE_TIMEOUT_DECI_MILLIS;
--- a/src/main/java/stonespring/testbed/virtual/EqualWeightEngine.java
+++ b/src/main/java/stonespring/testbed/virtual/EqualWeightEngine.java
@@ -15,11 +15,11 @@
 import stonespring.model.RouteTableId;
 
 /**
- * The baseline of comparisons: every proxy has a route of equal weight to every ready endpoint of
- * the list, whatever is reported.
+ * Baseline engine for comparisons. Every proxy has a route of equal weight to every ready endpoint
+ * of the endpoint list; reports are ignored.
  */
 final class EqualWeightEngine implements DecisionEngine {
-  /** Acknowledgement numbers in use before they start anew. */
+  /** Number of acknowledgement IDs before they wrap around; limited by the wire format. */
   private static final int ACK_ID_COUNT = 65_000;
 
   private final TreeSet<String> readyEndpoints = new TreeSet<>();
--- a/src/main/java/stonespring/testbed/virtual/EventQueue.java
+++ b/src/main/java/stonespring/testbed/virtual/EventQueue.java
@@ -4,9 +4,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The virtual clock and the actions scheduled on it, run in the order of their instants and, at one
- * instant, in the order in which they were scheduled. Times are in {@link
- * stonespring.model.DeciMillis}. Not thread-safe.
+ * A virtual clock and the actions scheduled on it. Actions run in order of time; actions at the
+ * same time run in the order of scheduling. Times are in {@link stonespring.model.DeciMillis}. Not
+ * thread-safe.
  */
 final class EventQueue {
   private record ScheduledAction(long at, long sequence, Runnable action) {}
@@ -18,12 +18,12 @@
   private long nextSequence;
   private long now;
 
-  /** The present instant of the virtual clock. */
+  /** Returns the present time of the virtual clock. */
   long now() {
     return now;
   }
 
-  /** Schedules an action at an instant; an instant that has passed counts as the present one. */
+  /** Schedules an action at an instant; an instant in the past is replaced by the present. */
   void scheduleAt(long instant, Runnable action) {
     actions.add(new ScheduledAction(Math.max(now, instant), nextSequence++, action));
   }
@@ -33,7 +33,7 @@
     scheduleAt(now + delay, action);
   }
 
-  /** Runs all actions scheduled up to and including an instant, and moves the clock there. */
+  /** Runs all actions due up to and including an instant, and advances the clock to it. */
   void runUntil(long instant) {
     while (!actions.isEmpty() && actions.peek().at <= instant) {
       ScheduledAction next = actions.poll();
--- a/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
+++ b/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
@@ -15,69 +15,75 @@
 import stonespring.recording.Recording;
 
 /**
- * Generates recorded loads from a seed, each with one kind of disturbance. Endpoints have equal
- * weights in the list and unequal speeds. Times are in {@link DeciMillis}.
+ * Generates random loads from a seed, each with one kind of disturbance. Endpoints have the same
+ * weight in the endpoint list but different speeds. Times are in {@link DeciMillis}.
  */
 public final class LoadGenerator {
-  /** What disturbs a load. The names are those of the command line. */
+  /** The kinds of disturbance. Their lower-case names are used on the command line. */
   public enum Kind {
-    /** Nothing. */
+    /** No disturbance. */
     QUIET,
-    /** More requests for a while. */
+    /** The request rate is higher for a limited time. */
     SURGE,
-    /** Reports are late, and some endpoints claim more capacity than they have. */
+    /** Reports arrive late, and some endpoints claim more capacity than they have. */
     STALE_REPORTS,
-    /** Most endpoints are replaced, a batch at a time. */
+    /** Six tenths of the endpoints are replaced in batches. */
     DEPLOY,
-    /** One proxy has a third of all requests. */
+    /** One proxy receives a third of all requests. */
     HUGE_PROXY,
-    /** All endpoints of a zone fail, and come back later. */
+    /** All endpoints of a zone stop and restart later. */
     LOST_ZONE
   }
 
   private static final List<String> ZONES = List.of("west", "south", "east");
   private static final int CORES = 2;
 
-  /** The span over which requests are counted together, deci-milliseconds. */
+  /** Interval over which arrivals are counted in one sample. */
   private static final long SAMPLE_INTERVAL_DECI_MILLIS = 1_000;
 
   private static final long DURATION_DECI_MILLIS = 40 * DeciMillis.SECOND;
 
-  /** When a disturbance starts; route tables have settled by then. */
+  /** When the disturbance starts; route tables have settled by then. */
   private static final long DISTURBANCE_START_DECI_MILLIS = 12 * DeciMillis.SECOND;
 
   private static final long SURGE_END_DECI_MILLIS = 2 * DISTURBANCE_START_DECI_MILLIS;
 
-  /** Time after which the endpoint list shows a change. */
+  /** Delay before the endpoint list shows a change. */
   private static final long LIST_DELAY_DECI_MILLIS = DeciMillis.SECOND;
 
-  /** Usual request rate as a fraction of the capacity of all endpoints. */
+  /** Undisturbed request rate as a fraction of the total capacity. */
   private static final double BASE_UTILIZATION = 0.6;
 
-  /** The request rate of a surge in multiples of the usual one, just below the capacity. */
+  /** Request rate during a surge as a multiple of the undisturbed rate; just below the capacity. */
   private static final double SURGE_MULTIPLE = 1.6;
 
-  /** Multiple of its capacity that every such endpoint claims. */
+  /** Multiple of its real capacity that a claiming endpoint reports. */
   private static final double CLAIMED_CAPACITY_MULTIPLE = 3;
 
+  /** One endpoint in this many claims too much capacity. */
   private static final int CLAIMING_ENDPOINT_STRIDE = 3;
+
   private static final long EXTRA_REPORT_DELAY_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
-  /** Pareto distributed proxy sizes: this is -1 divided by the distribution's shape. */
+  /**
+   * Exponent that turns a uniform draw into a Pareto-distributed proxy size: -1 divided by the
+   * shape of the distribution.
+   */
   private static final double PROXY_SIZE_EXPONENT = -0.5;
 
+  /** Speeds are uniform between this and 1 more. */
   private static final double MIN_SPEED = 0.5;
 
-  private static final int DEPLOY_BATCHES = 8; // in which all endpoints would be replaced
+  private static final int DEPLOY_BATCHES = 8; // batches that it takes to replace all endpoints
   private static final long DEPLOY_BATCH_INTERVAL_DECI_MILLIS = 35_000;
   private static final long DEPLOY_DRAIN_DELAY_DECI_MILLIS = 2 * DeciMillis.SECOND;
   private static final long DEPLOY_STOP_DELAY_DECI_MILLIS = 5 * DeciMillis.SECOND;
   private static final long ZONE_OUTAGE_DURATION_DECI_MILLIS = 10 * DeciMillis.SECOND;
 
-  /** Mean work of a request on a core of speed 1, by request class. */
+  /** Mean time that a request takes on a core of speed 1, by request class. */
   private static final long[] MEAN_WORK_DECI_MILLIS = {600, 900, 1_200};
 
-  /** Fraction of the requests, by request class. */
+  /** Fractions of the requests, by request class. */
   private static final double[] CLASS_FRACTIONS = {0.6, 0.25, 0.15};
 
   private final SplittableRandom random;
@@ -98,15 +104,15 @@
   /**
    * Generates a load; equal arguments give equal loads.
    *
-   * @param endpoints how many, at least 3
-   * @param proxies how many, at least 1
+   * @param endpoints number of endpoints, at least 3
+   * @param proxies number of proxies, at least 1
    */
   public static Recording generate(Kind kind, long seed, int endpoints, int proxies) {
     return new LoadGenerator(kind, seed, endpoints, proxies).generate();
   }
 
   private Recording generate() {
-    // The order of the steps is that of the random draws.
+    // The order of the following steps determines the random draws: keep it.
     double[] speeds = drawSpeeds();
     startEndpoints(speeds);
     List<Recording.ProxyInfo> proxies = drawProxies(BASE_UTILIZATION * capacity(speeds));
@@ -154,7 +160,7 @@
     return speeds;
   }
 
-  /** Requests per second that all endpoints together can serve. */
+  /** Returns the total capacity of all endpoints in requests per second. */
   private static double capacity(double[] speeds) {
     double capacity = 0;
     for (double speed : speeds) {
@@ -171,7 +177,7 @@
     return mean;
   }
 
-  /** Adds endpoints that run, warmed up and listed, from the start of the load. */
+  /** Adds endpoints that are running, warmed up and listed at the start of the load. */
   private void startEndpoints(double[] speeds) {
     for (int index = 0; index < endpointCount; index++) {
       String name = originalName(index);
@@ -184,9 +190,9 @@
   }
 
   /**
-   * Draws proxies of unequal size.
+   * Draws proxies with different request rates.
    *
-   * @param requestRate of all proxies together, requests per second
+   * @param requestRate total rate of all proxies, requests per second
    */
   private List<Recording.ProxyInfo> drawProxies(double requestRate) {
     double[] sizes = new double[proxyCount];
@@ -237,7 +243,11 @@
     }
   }
 
-  /** Knuth, The Art of Computer Programming, volume 2, section 3.4.1; the means here are small. */
+  /**
+   * Draws from a Poisson distribution by multiplication of uniform draws (Knuth, The Art of
+   * Computer Programming, volume 2, section 3.4.1). Its running time is proportional to the mean,
+   * which is small here.
+   */
   private int drawPoisson(double mean) {
     double limit = Math.exp(-mean);
     int count = 0;
@@ -259,7 +269,7 @@
     }
   }
 
-  /** Replaces six tenths of the endpoints by new ones; the old ones drain before they stop. */
+  /** Replaces six tenths of the endpoints with new ones; the old ones drain before they stop. */
   private void addDeploy(double[] speeds) {
     int batchSize = Math.max(1, endpointCount / DEPLOY_BATCHES);
     for (int index = 0; index < endpointCount * 6 / 10; index++) {
@@ -276,7 +286,7 @@
     }
   }
 
-  /** Stops the endpoints of the first zone, and starts them anew after the outage. */
+  /** Stops the endpoints of the first zone and restarts them after the outage. */
   private void addZoneOutage(double[] speeds) {
     for (int index = 0; index < endpointCount; index += ZONES.size()) {
       addStop(DISTURBANCE_START_DECI_MILLIS, originalName(index), 0);
--- a/src/main/java/stonespring/testbed/virtual/Policy.java
+++ b/src/main/java/stonespring/testbed/virtual/Policy.java
@@ -7,20 +7,22 @@
 import stonespring.solver.AdvisedEngine;
 import stonespring.solver.WeightAdvisor;
 
-/** Who decides while a load is played. The names are those of the command line. */
+/**
+ * The source of routing decisions in a replay. Its lower-case names are used on the command line.
+ */
 public enum Policy {
-  /** Routes of equal weight from every proxy to every endpoint. */
+  /** Routes of equal weight from every proxy to every ready endpoint. */
   EVEN,
   /** The assignment engine without the weight solver. */
   MODULE,
-  /** The assignment engine with the weights that the solver proposes. */
+  /** The assignment engine with weights proposed by the weight solver. */
   SOLVER;
 
   /**
-   * The engine of a policy.
+   * A policy's engine with access to its advisor.
    *
-   * @param engine the engine
-   * @param advisor the weight solver's part of it; empty for policies without one
+   * @param engine makes the decisions
+   * @param advisor runs the weight solver for the engine; empty for policies without a solver
    */
   record PolicyEngine(DecisionEngine engine, Optional<WeightAdvisor> advisor) {}
 
--- a/src/main/java/stonespring/testbed/virtual/ReplayResult.java
+++ b/src/main/java/stonespring/testbed/virtual/ReplayResult.java
@@ -3,60 +3,64 @@
 import java.util.List;
 
 /**
- * What became of a recorded load under one policy and seed.
+ * The result of replaying a recorded load under one policy with one seed.
  *
- * @param policy who decided
- * @param seed of all that was drawn while it was played
- * @param windows spans of {@link #WINDOW_DECI_MILLIS} each, in order, by when their requests
- *     started; spans without a request are left out
- * @param attempts totals of all attempts at endpoints
- * @param routes totals of the proxies' route tables
+ * @param policy the policy under which the load was replayed
+ * @param seed the seed of the random draws during the replay
+ * @param windows the requests grouped by start time into windows of {@link #WINDOW_DECI_MILLIS}, in
+ *     order of time; windows without a request are omitted
+ * @param attempts totals over all attempts
+ * @param routes totals over the route tables of all proxies
  */
 public record ReplayResult(
     Policy policy, long seed, List<Window> windows, AttemptTotals attempts, RouteTotals routes) {
-  /** Length of a window, in {@link stonespring.model.DeciMillis}. */
+  /** Length of a window. */
   public static final long WINDOW_DECI_MILLIS = 50_000;
 
-  /** Stands in for a sum of weights that is 0 where one divides by it. */
+  /** Lower bound of divisors that are sums of weights, to avoid division by 0. */
   static final double MIN_WEIGHT = 1e-9;
 
   /**
-   * Requests that started in one span of time.
+   * The requests that started in one window.
    *
-   * @param weightRequested sum of their priority weights
-   * @param weightInTime sum of the priority weights of those answered within their objective
-   * @param requests how many
-   * @param rejected how many of them admission control rejected
-   * @param timedOut how many of them were not answered before their deadline
+   * @param weightRequested sum of the priority weights of all requests
+   * @param weightInTime sum of the priority weights of requests answered within their latency
+   *     objective
+   * @param requests number of requests
+   * @param rejected number of requests rejected by admission control
+   * @param timedOut number of requests without an answer at their deadline
    */
   public record Window(
       double weightRequested, double weightInTime, long requests, long rejected, long timedOut) {
-    /** The fraction of the requested weight that was answered within the objective. */
+    /** Returns the fraction of the requested weight that was answered within the objective. */
     double service() {
       return weightInTime / Math.max(MIN_WEIGHT, weightRequested);
     }
   }
 
   /**
-   * Attempts of all proxies.
+   * Totals over the attempts of all proxies.
    *
-   * @param connections connections opened for them
+   * @param connections number of connections opened
    * @param crossZoneFraction fraction of the attempts that went to another zone than the proxy's
-   * @param peakWarmUpLoad the most work that an endpoint received while it warmed up, as a fraction
-   *     of what makes it fail
+   * @param peakWarmUpLoad the peak work that an endpoint received during warm-up, as a fraction of
+   *     the overload limit
    */
   public record AttemptTotals(long connections, double crossZoneFraction, double peakWarmUpLoad) {}
 
   /**
-   * Route tables of all proxies.
+   * Totals over the route tables of all proxies.
    *
-   * @param routeChanges routes changed at proxies, those of the first tables too
-   * @param secondsWithoutRoutes seconds, summed over proxies, in which a proxy had no route
-   * @param plans plans made by the weight solver, 0 without one
+   * @param routeChanges number of route changes applied by proxies, including their first tables
+   * @param secondsWithoutRoutes time without any route, summed over proxies, seconds
+   * @param plans number of plans made by the weight solver; 0 for policies without a solver
    */
   public record RouteTotals(long routeChanges, double secondsWithoutRoutes, long plans) {}
 
-  /** The fraction of the requested weight that was answered within the objective; 1 if none was. */
+  /**
+   * Returns the fraction of the requested weight that was answered within the latency objective; 1
+   * if there was no request.
+   */
   public double service() {
     double requested = windows.stream().mapToDouble(Window::weightRequested).sum();
     if (requested == 0) {
--- a/src/main/java/stonespring/testbed/virtual/ReplayStatistics.java
+++ b/src/main/java/stonespring/testbed/virtual/ReplayStatistics.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * Counts what happens while a load is played. Instants are in {@link stonespring.model.DeciMillis}.
+ * Counters for requests, attempts and route changes during a replay. Times are in {@link
+ * stonespring.model.DeciMillis}. Not thread-safe.
  */
 final class ReplayStatistics {
   private static final class WindowCounts {
@@ -24,7 +25,7 @@
   /**
    * Creates empty statistics.
    *
-   * @param duration of the load, deci-milliseconds
+   * @param duration duration of the load, deci-milliseconds
    */
   ReplayStatistics(long duration) {
     windows = new WindowCounts[(int) (duration / ReplayResult.WINDOW_DECI_MILLIS) + 1];
@@ -56,7 +57,9 @@
   /**
    * Counts the end of a request.
    *
-   * @param weightInTime its priority weight if it was answered within its objective, else 0
+   * @param startedAt when the request started, which determines its window
+   * @param weightInTime the request's priority weight if it was answered within its latency
+   *     objective, else 0
    */
   void recordRequestEnd(long startedAt, double weightInTime, RequestResult result) {
     WindowCounts window = window(startedAt);
@@ -72,7 +75,7 @@
     return windows[(int) Math.min(windows.length - 1, startedAt / ReplayResult.WINDOW_DECI_MILLIS)];
   }
 
-  /** The windows in which a request started, in order. */
+  /** Returns the windows in which at least one request started, in order of time. */
   List<ReplayResult.Window> windows() {
     List<ReplayResult.Window> nonEmptyWindows = new ArrayList<>();
     for (WindowCounts window : windows) {
--- a/src/main/java/stonespring/testbed/virtual/RequestResult.java
+++ b/src/main/java/stonespring/testbed/virtual/RequestResult.java
@@ -1,11 +1,12 @@
 package stonespring.testbed.virtual;
 
-/** How a request ended for its client. */
+/** The result of a request as seen by its client, after all retries. */
 enum RequestResult {
+  /** Answered successfully, within the latency objective or not. */
   SUCCEEDED,
-  /** Rejected by admission control. */
+  /** Rejected by the proxy's admission control. */
   REJECTED,
-  /** Answered by the proxy without success. */
+  /** Answered with an error by the proxy. */
   FAILED,
   /** Not answered before its deadline. */
   TIMED_OUT
--- a/src/main/java/stonespring/testbed/virtual/VirtualEndpoint.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualEndpoint.java
@@ -9,28 +9,28 @@
 import stonespring.recording.LoadSample;
 
 /**
- * A simulated endpoint: a queue in front of some cores, slower while it warms up, that reports its
- * load with each answer. It fails for good if it gets too much work while it warms up, until its
- * process starts anew. Times and amounts of work are in {@link DeciMillis}, work as the time that a
- * core of speed 1 takes for it.
+ * A simulated endpoint: a queue served by a number of cores, which are slower during warm-up. It
+ * reports its load with each answer. If it receives too much work during warm-up, it fails and
+ * stays down until its process is restarted. Times are in {@link DeciMillis}, and so are amounts of
+ * work, as the time that a core of speed 1 needs.
  */
 final class VirtualEndpoint {
-  /** Requests that may wait for a core; those above are rejected. */
+  /** Maximum number of requests waiting for a core; further ones are rejected. */
   private static final int MAX_QUEUE_LENGTH = 200;
 
-  /** Work for a new connection, deci-milliseconds. */
+  /** Work of accepting a connection. */
   private static final long HANDSHAKE_WORK_DECI_MILLIS = 50;
 
-  /** The span that reported utilization and request rate are taken over, deci-milliseconds. */
+  /** Window over which the reported utilization and request rate are measured. */
   private static final long REPORT_WINDOW_DECI_MILLIS = DeciMillis.SECOND;
 
-  /** The span over which work received while warming up is summed, deci-milliseconds. */
+  /** Window over which work received during warm-up is summed. */
   private static final long OVERLOAD_WINDOW_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
-  /** The part of a request's usual work that does not vary. */
+  /** Fraction of a request's mean work that is constant; the rest is exponentially distributed. */
   private static final double CONSTANT_WORK_FRACTION = 0.5;
 
-  /** A start so long ago that warm-up is over. */
+  /** Start time of a process without warm-up, long before any recording. */
   private static final long WARMED_UP_START = Long.MIN_VALUE / 2;
 
   private record QueuedRequest(long work, long deadline, Consumer<AttemptResult> onEnd) {}
@@ -62,7 +62,7 @@
     this.random = new SplittableRandom(seed);
   }
 
-  /** Replaces the process; all requests of the old one are lost without an answer. */
+  /** Replaces the process. All requests at the old process are lost without an answer. */
   void restart(LoadSample.ProcessChanged process) {
     processGeneration++;
     busyCores = 0;
@@ -77,12 +77,12 @@
     startedAt = process.warmingUp() ? events.now() : WARMED_UP_START;
   }
 
-  /** From now on reports utilization as if it had this multiple of its capacity. */
+  /** Reports utilization from now on as if the capacity were this multiple of the real one. */
   void claimCapacity(double multiple) {
     claimedCapacityMultiple = multiple;
   }
 
-  /** Position of the endpoint's zone. */
+  /** Returns the index of the endpoint's zone. */
   int zone() {
     return zone;
   }
@@ -91,7 +91,7 @@
     return cores > 0 && !overloaded;
   }
 
-  /** The most work received while warming up, as a fraction of what makes the endpoint fail. */
+  /** Returns the peak work received during warm-up as a fraction of the overload limit. */
   double peakWarmUpLoad() {
     return peakWarmUpLoad;
   }
@@ -101,8 +101,8 @@
    *
    * @param meanWork mean work of its request class, deci-milliseconds
    * @param deadline when the request times out
-   * @param newConnection whether its proxy opened a connection for it
-   * @param onEnd called when the attempt ends; never if the process stops before
+   * @param newConnection whether the proxy opened a connection for the attempt
+   * @param onEnd called when the attempt ends; never called if the process stops or fails before
    */
   void receive(long meanWork, long deadline, boolean newConnection, Consumer<AttemptResult> onEnd) {
     if (!isRunning()) {
@@ -129,7 +129,7 @@
         (meanWork * exponential * (1 - CONSTANT_WORK_FRACTION) + meanWork * CONSTANT_WORK_FRACTION);
   }
 
-  /** The fraction of its speed that the process has reached. */
+  /** Returns the fraction of its full speed that the process has reached, up to 1. */
   private double warmUpFraction() {
     Settings.SlowStart slowStart = settings.slowStart();
     double progress = (double) (events.now() - startedAt) / Math.max(1, slowStart.window());
@@ -139,6 +139,7 @@
     return slowStart.initialFraction() + (1 - slowStart.initialFraction()) * progress;
   }
 
+  /** Records received work during warm-up; returns whether it made the endpoint fail. */
   private boolean recordWarmUpWork(double work) {
     double fraction = warmUpFraction();
     if (fraction >= 1) {
@@ -180,7 +181,7 @@
         });
   }
 
-  /** Gives waiting requests to idle cores; those that timed out while waiting are not executed. */
+  /** Starts waiting requests on idle cores; rejects those that timed out while waiting. */
   private void startQueuedRequests() {
     while (busyCores < cores && !queue.isEmpty()) {
       QueuedRequest request = queue.poll();
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -27,21 +27,22 @@
 import stonespring.testbed.StandIns;
 
 /**
- * A fleet in virtual time that plays a recorded load: one instance with the real engine host,
- * proxies with the real routing, simulated endpoints. The same recording, policy and seed give the
- * same result. Times are in {@link DeciMillis}. Not thread-safe.
+ * A fleet that replays a recorded load in virtual time: one instance that runs the production
+ * engine host, proxies that run the production routing code, and simulated endpoints. The same
+ * recording, policy and seed give the same result. Times are in {@link DeciMillis}. Not
+ * thread-safe.
  */
 public final class VirtualFleet {
-  /** From the instance to a proxy and back, deci-milliseconds. */
+  /** Network round-trip time between the instance and a proxy. */
   static final long CHANNEL_ROUND_TRIP_DECI_MILLIS = 200;
 
-  /** Time that a report takes to the instance while reports are not delayed, deci-milliseconds. */
+  /** Time until a report is processed by the instance, without recorded report delays. */
   private static final long REPORT_DELAY_DECI_MILLIS = 3_000;
 
-  /** Proxies connect at instants drawn from the first so many deci-milliseconds. */
+  /** Proxies connect at random times from 0 up to this time. */
   private static final long CONNECT_SPREAD_DECI_MILLIS = 5_000;
 
-  /** How long endpoints recognise a repeated idempotency key, deci-milliseconds. */
+  /** How long endpoints recognize a repeated idempotency key. */
   private static final long DEDUPLICATION_WINDOW_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   private static final String INSTANCE_NAME = "e";
@@ -62,14 +63,14 @@
   private long nextWakeUpAt = Long.MAX_VALUE;
   private long planCount;
 
-  /** Creates a fleet at the start of a recording. */
+  /** Creates a fleet at the start of the recording. */
   public VirtualFleet(Recording recording, Policy policy, long seed) {
     this.recording = recording;
     this.policy = policy;
     this.seed = seed;
     this.random = new SplittableRandom(seed);
     this.statistics = new ReplayStatistics(recording.head().duration());
-    // The order of the steps from here is that of the random draws.
+    // The order of the following steps determines the random draws: keep it.
     List<LoadSample> initial =
         recording.samples().stream().takeWhile(sample -> sample.at() == 0).toList();
     List<EndpointRecord> listed = applyInitialSamples(initial);
@@ -95,7 +96,7 @@
     runHost();
   }
 
-  /** Applies all that holds at the start but the endpoint list, and returns that. */
+  /** Applies the initial samples, except endpoint list entries, which are returned. */
   private List<EndpointRecord> applyInitialSamples(List<LoadSample> initial) {
     List<EndpointRecord> listed = new ArrayList<>();
     for (LoadSample sample : initial) {
@@ -146,12 +147,16 @@
         });
   }
 
-  /** Delivers published keys to proxies. The endpoint list comes as recorded, asked for or not. */
+  /**
+   * Delivers published keys to the proxies. Endpoint list updates follow the recording, whether the
+   * engine host requests them or not.
+   */
   private final class SimulatedEnvironment implements HostEnvironment {
     @Override
     public void publish(List<KeyUpdate> updates) {
       for (KeyUpdate update : updates) {
-        String[] key = update.key().split("/", 4); // instance, kind, proxy, key of the proxy
+        String[] key =
+            update.key().split("/", 4); // instance, kind, proxy, key relative to the proxy
         if (key[1].equals(PROXY_KEY_KIND) && proxiesByName.containsKey(key[2])) {
           events.scheduleAfter(
               CHANNEL_ROUND_TRIP_DECI_MILLIS / 2,
@@ -204,8 +209,8 @@
   }
 
   /**
-   * Schedules requests that were counted over the span before the sample in the span after it, as
-   * they can't be sent in the past.
+   * Schedules the requests of a sample at random times in the interval after it. They were counted
+   * in the interval before it, which lies in the past.
    */
   private void scheduleRequests(LoadSample.Arrivals arrivals) {
     for (int index = 0; index < arrivals.requests().length; index++) {
@@ -229,7 +234,7 @@
     events.scheduleAfter(settings().reportInterval(), () -> sendReport(proxy));
   }
 
-  /** Runs what is due at the instance, and schedules the next run. */
+  /** Runs the due work of the instance and schedules the next run. */
   private void runHost() {
     Optional<Plan> previousPlan = plan();
     long nextDueAt = host.runDue(events.now());
@@ -249,7 +254,7 @@
     }
   }
 
-  /** Plans are compared by identity: a round may make an equal one anew. */
+  /** Compares plans by identity, because a new plan may equal the previous one. */
   private static boolean isNewPlan(Optional<Plan> previous, Optional<Plan> current) {
     return current.isPresent() && current.get() != previous.orElse(null);
   }
@@ -280,25 +285,32 @@
     return recording.head().requestClasses().get(requestClass.index());
   }
 
-  /** The endpoint of that name; empty if the recording never started one. */
+  /** Returns an endpoint; empty if it has not been started so far in the recording. */
   Optional<VirtualEndpoint> endpoint(EndpointId endpoint) {
     return Optional.ofNullable(endpoints.get(endpoint.name()));
   }
 
-  /** Plays on until an instant, or until the end of the recording if that is earlier. */
+  /**
+   * Replays up to an instant, or to the end of the recording if that is earlier.
+   *
+   * @param until in deci-milliseconds since the start of the recording
+   */
   public void replayUntil(long until) {
     events.runUntil(Math.min(until, recording.head().duration()));
   }
 
   /**
-   * The weight solver's last plan; empty if its last round brought none, or if the policy is
-   * without solver.
+   * Returns the plan of the weight solver's last round; empty if that round made none, or if the
+   * policy has no solver.
    */
   public Optional<Plan> plan() {
     return advisor.flatMap(WeightAdvisor::plan);
   }
 
-  /** Plays to the end of the recording, waits for pending requests, and returns the result. */
+  /**
+   * Replays to the end of the recording, continues for the longest request timeout so that pending
+   * requests end, and returns the result.
+   */
   public ReplayResult replay() {
     long duration = recording.head().duration();
     replayUntil(duration);
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -25,15 +25,15 @@
 import stonespring.state.ProxyReport;
 
 /**
- * A proxy in virtual time: the real routing and the real reader of published keys, connected to an
- * instance without a network. Times are in {@link DeciMillis}.
+ * A proxy in virtual time. It runs the production code for routing and for reading published keys,
+ * and exchanges messages with the instance by method calls. Times are in {@link DeciMillis}.
  */
 final class VirtualProxy implements ProxyConnection {
   private static final String COMMIT_KEY = "commit";
   private static final String ROUTE_KEY_PREFIX = "line/";
   private static final RequestClassId FIRST_CLASS = new RequestClassId(0);
 
-  /** Longer than any recording, so that the proxy never counts as silent. */
+  /** Longer than any recording, so the proxy's session never expires. */
   private static final long SESSION_TIMEOUT_DECI_MILLIS = 24 * 3600 * DeciMillis.SECOND;
 
   private static final long NOT_WITHOUT_ROUTES = -1;
@@ -66,7 +66,7 @@
     return recorded.name();
   }
 
-  /** Position of the proxy's zone. */
+  /** Returns the index of the proxy's zone. */
   int zone() {
     return recorded.zone();
   }
@@ -83,7 +83,7 @@
     return connections;
   }
 
-  /** Seconds so far in which the proxy had no route. */
+  /** Returns the total time so far during which the proxy had no route, in seconds. */
   double secondsWithoutRoutes() {
     if (withoutRoutesSince == NOT_WITHOUT_ROUTES) {
       return secondsWithoutRoutes;
@@ -96,7 +96,7 @@
     throw new IllegalStateException("instance closed the connection of " + name() + ": " + cause);
   }
 
-  /** Connects to an instance. */
+  /** Opens the proxy's session at the instance. */
   void connect(EngineHost host) {
     ProxyHello hello =
         new ProxyHello(
@@ -112,7 +112,7 @@
   /**
    * Receives a published key.
    *
-   * @param key the key's part that is relative to this proxy
+   * @param key the key relative to this proxy
    */
   void receive(EngineHost host, KeyUpdate update, String key) {
     boolean deleted = update.value().length == 0;
@@ -160,7 +160,11 @@
     host.handleAcknowledgement(name(), acknowledgement, this, events.now());
   }
 
-  /** Reports what was observed since the last report, {@code interval} ago, and starts anew. */
+  /**
+   * Creates a report of the observations since the last report and resets the statistics.
+   *
+   * @param interval time since the last report, deci-milliseconds
+   */
   ProxyReport report(long interval) {
     List<ProxyReport.EndpointObservation> observations = new ArrayList<>();
     for (RequestStatistics.EndpointObservation observed : statistics.observations()) {
--- a/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
@@ -8,26 +8,26 @@
 import stonespring.recording.Recording;
 
 /**
- * A client's request on its way through a proxy: admission, attempts, the proxy's retries and the
- * client's own. Times are in {@link stonespring.model.DeciMillis}.
+ * A client's request through a proxy: admission, attempts, retries by the proxy, and retries by the
+ * client. Times are in {@link stonespring.model.DeciMillis}.
  */
 final class VirtualRequest {
-  /** One way between a proxy and an endpoint of its zone, deci-milliseconds. */
+  /** One-way latency between a proxy and an endpoint of the same zone. */
   private static final long SAME_ZONE_LATENCY_DECI_MILLIS = 3;
 
-  /** One way between a proxy and an endpoint of another zone, deci-milliseconds. */
+  /** One-way latency between a proxy and an endpoint of another zone. */
   private static final long CROSS_ZONE_LATENCY_DECI_MILLIS = 13;
 
-  /** One-way latencies until a request on a new connection arrives. */
+  /** One-way trips until a request on a new connection arrives, two of them for the handshake. */
   private static final int ONE_WAY_TRIPS_TO_CONNECT = 3;
 
-  /** How often a client sends a request again after the proxy gave up. */
+  /** Maximum number of retries by the client after unsuccessful answers of the proxy. */
   private static final int MAX_CLIENT_RETRIES = 2;
 
-  /** Time that a client waits before it sends a request again, deci-milliseconds. */
+  /** Delay before a retry by the client. */
   private static final long CLIENT_RETRY_DELAY_DECI_MILLIS = 3_000;
 
-  /** Time that must be left when the client's retry is sent, deci-milliseconds. */
+  /** Minimum time left until the deadline when a client's retry is sent. */
   private static final long MIN_TIME_LEFT_FOR_CLIENT_RETRY_DECI_MILLIS = 500;
 
   private final VirtualFleet fleet;
@@ -40,11 +40,18 @@
   private final long deadline;
   private int clientRetries;
 
-  /** Grows when the request moves on; what was scheduled before then has no effect. */
+  /**
+   * Incremented for each attempt, at each client retry and on completion. Actions scheduled with an
+   * older value have no effect.
+   */
   private int generation;
 
   private int attempts;
+
+  /** Whether all attempts since the request last arrived at the proxy were proven unexecuted. */
   private boolean provenNotExecuted;
+
+  /** When the first attempt was sent that may have been executed. */
   private long firstAttemptAt;
 
   /** The endpoint of the pending attempt; null while none is pending. */
@@ -64,7 +71,7 @@
     this.deadline = startedAt + recordedClass.timeout();
   }
 
-  /** Sends a request; client retries count as part of it. */
+  /** Sends a request; retries by the client count as part of the same request. */
   static void send(VirtualFleet fleet, VirtualProxy proxy, RequestClassId requestClass) {
     VirtualRequest request = new VirtualRequest(fleet, proxy, requestClass);
     fleet
@@ -85,7 +92,12 @@
     }
   }
 
-  /** Sends an attempt to an endpoint other than {@code previous}, which is null for the first. */
+  /**
+   * Picks an endpoint and sends an attempt to it.
+   *
+   * @param previous the endpoint of the previous attempt, which the router avoids; null for the
+   *     first attempt
+   */
   private void sendAttempt(EndpointId previous) {
     long now = events.now();
     EndpointId endpoint = proxy.router().pick(requestClass, previous, now).orElse(null);
@@ -154,7 +166,8 @@
   }
 
   /**
-   * The proxy answered without success, so the client retries where that is safe and in time.
+   * Schedules a retry by the client if that is safe and can be in time; otherwise completes the
+   * request.
    *
    * @param rejected whether admission control rejected the request
    */
@@ -186,7 +199,7 @@
             > CLIENT_RETRY_DELAY_DECI_MILLIS + MIN_TIME_LEFT_FOR_CLIENT_RETRY_DECI_MILLIS;
   }
 
-  /** The client stops waiting; a pending attempt counts as failed. */
+  /** Completes the request at its deadline; a pending attempt counts as failed. */
   private void timeOut() {
     complete(RequestResult.TIMED_OUT);
   }
