--- a/src/main/java/stonespring/testbed/FleetMeasurement.java
+++ b/src/main/java/stonespring/testbed/FleetMeasurement.java
@@ -86,7 +86,8 @@
     double startedSeconds = secondsSince(startNanos);
     while (proxies.stream().anyMatch(proxy -> proxy.appliedUpdates() == 0)) {
       if (secondsSince(startNanos) > ROUTE_TABLE_TIMEOUT_SECONDS) {
-        return "not all proxies hold a table after 300 s; status " + latestStatus.get();
+        return "not all proxies have a route table after 300 s; last status of the instance: "
+            + latestStatus.get();
       }
       Thread.sleep(5);
     }
--- a/src/main/java/stonespring/testbed/InvariantChecker.java
+++ b/src/main/java/stonespring/testbed/InvariantChecker.java
@@ -127,25 +127,25 @@
   }
 
   private void reportViolation(int rule, String description) {
-    int before = violationsByRule.merge(rule, 1, Integer::sum);
-    if (before <= MAX_LISTED_VIOLATIONS_PER_RULE) {
+    int violationCount = violationsByRule.merge(rule, 1, Integer::sum);
+    if (violationCount <= MAX_LISTED_VIOLATIONS_PER_RULE) {
       violations.add("rule " + rule + ": " + description);
-    } else if (before == MAX_LISTED_VIOLATIONS_PER_RULE + 1) {
-      violations.add("rule " + rule + ": and more");
+    } else if (violationCount == MAX_LISTED_VIOLATIONS_PER_RULE + 1) {
+      violations.add("rule " + rule + ": further violations are not listed");
     }
   }
 
   private double service(List<Evidence.Outcome> outcomes) {
-    double asked = 0;
-    double answeredInTime = 0;
+    double requestedWeight = 0;
+    double weightInTime = 0;
     for (Evidence.Outcome outcome : outcomes) {
       RequestClassPolicy policy = requestClasses.get(outcome.requestClass());
-      asked += policy.priorityWeight();
+      requestedWeight += policy.priorityWeight();
       if (outcome.status() == 200 && outcome.durationMillis() <= policy.latencyObjectiveMillis()) {
-        answeredInTime += policy.priorityWeight();
+        weightInTime += policy.priorityWeight();
       }
     }
-    return asked == 0 ? 1 : answeredInTime / asked;
+    return requestedWeight == 0 ? 1 : weightInTime / requestedWeight;
   }
 
   private double worstWindow(List<Evidence.Outcome> outcomes, double endMillis) {
@@ -171,17 +171,17 @@
     counts.put("ops", outcomes.size());
     for (Evidence.Outcome outcome : outcomes) {
       if (outcome.status() == 200) {
-        increment("acked");
+        incrementCount("acked");
       } else {
-        increment(outcome.notExecuted() ? "rejected" : "aborted");
-        increment("because of " + (outcome.reason().isEmpty() ? "?" : outcome.reason()));
+        incrementCount(outcome.notExecuted() ? "rejected" : "aborted");
+        incrementCount("failure reason " + (outcome.reason().isEmpty() ? "?" : outcome.reason()));
       }
     }
     long furtherAttempts =
         evidence.observationsOf(Evidence.Arrival.class).stream()
             .filter(a -> a.attempt() > 1)
             .count();
-    counts.put("further tries", (int) furtherAttempts);
+    counts.put("further attempts", (int) furtherAttempts);
     counts.put("messages", evidence.observationsOf(Evidence.Commit.class).size());
     long connects =
         evidence.observationsOf(Evidence.Session.class).stream()
@@ -190,7 +190,7 @@
     counts.put("joins", (int) connects);
   }
 
-  private void increment(String name) {
+  private void incrementCount(String name) {
     counts.merge(name, 1, Integer::sum);
   }
 
@@ -211,8 +211,8 @@
   }
 
   /**
-   * Rule 1: a connected proxy is without an endpoint for a limited time only while a warm endpoint
-   * is listed.
+   * Rule 1: while a warm endpoint is listed, a connected proxy is without an endpoint only for a
+   * limited time.
    */
   private void checkTimeWithoutEndpoint() {
     Map<String, Double> withoutEndpointSinceMillis = new HashMap<>();
@@ -220,7 +220,7 @@
         new ArrayList<>(evidence.observationsOf(Evidence.Outcome.class));
     outcomes.sort(Comparator.comparingDouble(Evidence.Outcome::endedAtMillis));
     for (Evidence.Outcome outcome : outcomes) {
-      String proxyAndClass = outcome.proxy() + " for " + outcome.requestClass();
+      String proxyAndClass = outcome.proxy() + ", request class " + outcome.requestClass();
       double endedAtMillis = outcome.endedAtMillis();
       double connectedSinceMillis = sessions.connectedSince(outcome.proxy(), endedAtMillis);
       if (!outcome.reason().equals("no-task")
@@ -237,7 +237,7 @@
         reportViolation(
             TIME_WITHOUT_ENDPOINT_RULE,
             String.format(
-                "at %.0f ms proxy %s had no task for %.0f ms",
+                "at %.0f ms proxy %s: no endpoint for %.0f ms while a warm endpoint was listed",
                 endedAtMillis, proxyAndClass, endedAtMillis - sinceMillis));
       }
     }
@@ -263,7 +263,7 @@
                 reportViolation(
                     NO_DUPLICATE_EFFECTS_RULE,
                     String.format(
-                        "op %s took effect %d times, last at %.0f ms at %s",
+                        "non-idempotent request %s took effect %d times, last at %.0f ms at endpoint %s",
                         id, effects.size(), last.atMillis(), last.endpoint()));
               }
             });
@@ -285,24 +285,26 @@
         reportViolation(
             NO_DUPLICATE_EFFECTS_RULE,
             String.format(
-                "op %s was answered %d%s and took effect %d times",
+                "non-idempotent request %s was answered with status %d%s and took effect %d times",
                 outcome.requestId(),
                 outcome.status(),
-                outcome.notExecuted() ? " as not done" : "",
+                outcome.notExecuted() ? " (not executed)" : "",
                 effects));
       }
-      increment("not repeatable, " + nonIdempotentEnding(outcome, effects));
+      incrementCount("non-idempotent, " + nonIdempotentResult(outcome, effects));
     }
   }
 
-  private static String nonIdempotentEnding(Evidence.Outcome outcome, int effects) {
+  private static String nonIdempotentResult(Evidence.Outcome outcome, int effects) {
     if (outcome.status() == 200) {
-      return "done once";
+      return "executed once";
     }
     if (outcome.notExecuted()) {
-      return "said not to be done";
+      return "reported as not executed";
     }
-    return effects == 0 ? "unknown to the client, not done" : "unknown to the client, done once";
+    return effects == 0
+        ? "unknown to the client, not executed"
+        : "unknown to the client, executed once";
   }
 
   /**
@@ -310,16 +312,16 @@
    * (true), or as ready (false).
    */
   private Map<String, TreeMap<Double, Boolean>> leavingChanges() {
-    Map<String, TreeMap<Double, Boolean>> leaving = new HashMap<>();
+    Map<String, TreeMap<Double, Boolean>> leavingByEndpoint = new HashMap<>();
     for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
       TreeMap<Double, Boolean> changes =
-          leaving.computeIfAbsent(entry.endpoint(), endpoint -> new TreeMap<>());
+          leavingByEndpoint.computeIfAbsent(entry.endpoint(), endpoint -> new TreeMap<>());
       boolean isLeaving = !entry.state().equals("ready");
       if (changes.isEmpty() || changes.lastEntry().getValue() != isLeaving) {
         changes.put(entry.atMillis(), isLeaving);
       }
     }
-    return leaving;
+    return leavingByEndpoint;
   }
 
   /**
@@ -327,11 +329,13 @@
    * the endpoint was listed as draining or gone.
    */
   private void checkDraining() {
-    Map<String, TreeMap<Double, Boolean>> leaving = leavingChanges();
+    Map<String, TreeMap<Double, Boolean>> leavingByEndpoint = leavingChanges();
     Set<String> reported = new HashSet<>();
     for (Evidence.Arrival arrival : evidence.observationsOf(Evidence.Arrival.class)) {
       Map.Entry<Double, Boolean> change =
-          leaving.getOrDefault(arrival.endpoint(), new TreeMap<>()).floorEntry(arrival.atMillis());
+          leavingByEndpoint
+              .getOrDefault(arrival.endpoint(), new TreeMap<>())
+              .floorEntry(arrival.atMillis());
       double connectedSinceMillis = sessions.connectedSince(arrival.proxy(), arrival.atMillis());
       if (change == null || !change.getValue() || Double.isNaN(connectedSinceMillis)) {
         continue;
@@ -342,7 +346,8 @@
         reportViolation(
             DRAINING_RULE,
             String.format(
-                "at %.0f ms proxy %s sent to %s, %.0f ms after its assigner was told that it leaves",
+                "at %.0f ms proxy %s sent a request to endpoint %s, %.0f ms after the endpoint was listed"
+                    + " as draining or gone and the proxy had connected",
                 arrival.atMillis(), arrival.proxy(), arrival.endpoint(), delayMillis));
       }
     }
@@ -354,7 +359,7 @@
       reportViolation(
           SLOW_START_RULE,
           String.format(
-              "at %.0f ms cold task %s was sent %.1f times what it could do, and fell",
+              "at %.0f ms warming-up endpoint %s received %.1f times its capacity and crashed",
               overloaded.atMillis(), overloaded.endpoint(), overloaded.capacityMultiple()));
     }
   }
@@ -368,11 +373,11 @@
         reportViolation(
             CHANNEL_LIMITS_RULE,
             String.format(
-                "at %.0f ms %d lines wait, the limit is %d",
+                "at %.0f ms the channel backlog was %d entries, over its limit of %d",
                 channel.atMillis(), channel.backlog(), channel.limit()));
       }
     }
-    counts.put("most lines waiting", highest);
+    counts.put("most entries waiting", highest);
   }
 
   /**
@@ -395,7 +400,7 @@
         reportViolation(
             CHANNEL_LIMITS_RULE,
             String.format(
-                "at %.0f ms proxy %s had %d messages in %.0f ms",
+                "at %.0f ms proxy %s had received %d messages within %.0f ms",
                 commit.atMillis(),
                 commit.proxy(),
                 commitTimesMillis.size(),
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -56,8 +56,8 @@
     } catch (InterruptedException | ScenarioFailedException e) {
       throw e;
     } catch (Exception e) {
-      LOG.error("the scenario broke off", e);
-      throw new ScenarioFailedException("the scenario broke off: " + e, e);
+      LOG.error("the scenario failed before its end: its invariants are not checked", e);
+      throw new ScenarioFailedException("the scenario failed before its end: " + e, e);
     } finally {
       fleet.close();
     }
@@ -88,7 +88,8 @@
     }
     if (fleet.openRequests() > 0) {
       throw new ScenarioFailedException(
-          fleet.openRequests() + " requests had no final answer after their request timeout");
+          fleet.openRequests()
+              + " requests have no final answer although the longest request timeout has passed");
     }
   }
 
--- a/src/main/java/stonespring/testbed/ThroughputMeasurement.java
+++ b/src/main/java/stonespring/testbed/ThroughputMeasurement.java
@@ -217,11 +217,13 @@
     while (CountingReader.totalBytes(readers) < expectedBytes) {
       if (System.nanoTime() - startNanos > TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS)) {
         throw new IOException(
-            "only "
+            "benchmark readers received only "
                 + CountingReader.totalBytes(readers)
                 + " of "
                 + expectedBytes
-                + " bytes arrived");
+                + " bytes within "
+                + TIMEOUT_SECONDS
+                + " s");
       }
       Thread.sleep(0, 200_000);
     }
--- a/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
+++ b/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
@@ -42,14 +42,14 @@
     CategoryChart service =
         chart(
             rows,
-            "Service by load, 95% spans (simulated tasks)",
-            "served in time",
+            "Service by load, with 95% confidence intervals (simulated endpoints)",
+            "fraction answered within the latency objective",
             row -> row.service().mean(),
             row -> (row.service().high() - row.service().low()) / 2);
     CategoryChart connections =
         chart(
             rows,
-            "Connections opened by load (simulated tasks)",
+            "Connections opened by load (simulated endpoints)",
             "connections",
             row -> row.averages().connections(),
             row -> 0);
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -93,7 +93,8 @@
 
   @Override
   public void close(String cause) {
-    throw new IllegalStateException("instance closed the connection of " + name() + ": " + cause);
+    throw new IllegalStateException(
+        "the instance closed the connection of proxy " + name() + ": " + cause);
   }
 
   /** Opens the proxy's session at the instance. */
@@ -122,7 +123,10 @@
         subscriber.keyChanged(key, value, isCommit ? CommitReader.read(update.value()) : null);
     if (step instanceof TableSubscriber.Step.Resync resync) {
       throw new IllegalStateException(
-          name() + " needs a resync on a lossless channel: " + resync.cause());
+          "proxy "
+              + name()
+              + " requested a resync on a channel that loses no messages: "
+              + resync.cause());
     }
     if (step instanceof TableSubscriber.Step.Update tableUpdate) {
       apply(tableUpdate);
--- a/src/test/java/stonespring/testbed/InvariantCheckerTest.java
+++ b/src/test/java/stonespring/testbed/InvariantCheckerTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each rule reports its violation and nothing else. */
+/** Checks that each rule reports its violation, and only that. */
 final class InvariantCheckerTest {
   private final Evidence evidence = new Evidence(true);
 
@@ -22,100 +22,104 @@
         .check(40_000);
   }
 
-  private void assertOneViolation(String start) {
+  private void assertOneViolation(String prefix) {
     InvariantChecker.Verdict verdict = check();
     assertEquals(1, verdict.violations().size(), verdict.violations().toString());
-    assertTrue(verdict.violations().get(0).startsWith(start), verdict.violations().toString());
+    assertTrue(verdict.violations().get(0).startsWith(prefix), verdict.violations().toString());
   }
 
   private void assertNoViolation() {
     assertEquals(0, check().violations().size(), check().violations().toString());
   }
 
-  private void outcome(
-      double at,
+  private void addOutcome(
+      double startedAtMillis,
       String proxy,
-      String op,
-      String type,
+      String requestId,
+      String requestClass,
       int status,
       String reason,
       boolean notExecuted) {
-    evidence.add(new Evidence.Outcome(at, proxy, op, type, status, reason, notExecuted, 100));
+    evidence.add(
+        new Evidence.Outcome(
+            startedAtMillis, proxy, requestId, requestClass, status, reason, notExecuted, 100));
   }
 
-  private void connected(double at, String proxy) {
-    evidence.add(new Evidence.Session(at, proxy, true));
+  private void addConnect(double atMillis, String proxy) {
+    evidence.add(new Evidence.Session(atMillis, proxy, true));
   }
 
-  private void listed(double at, String endpoint, String state) {
-    evidence.add(new Evidence.Listed(at, endpoint, state, -1e9));
+  private void addListing(double atMillis, String endpoint, String state) {
+    evidence.add(new Evidence.Listed(atMillis, endpoint, state, -1e9));
   }
 
   @Test
   void reportsProxyWithoutEndpointForLongerThanTheLimit() {
-    listed(0, "t", "ready");
-    connected(0, "p");
+    addListing(0, "t", "ready");
+    addConnect(0, "p");
     for (int i = 0; i < 5; i++) {
-      outcome(10_000 + 1000 * i, "p", "o" + i, "view", 503, "no-task", true);
+      addOutcome(10_000 + 1000 * i, "p", "o" + i, "view", 503, "no-task", true);
     }
     assertNoViolation();
-    outcome(15_500, "p", "o6", "view", 503, "no-task", true);
-    assertOneViolation("rule 1: at 15600 ms proxy p for view had no task for 5500 ms");
+    addOutcome(15_500, "p", "o6", "view", 503, "no-task", true);
+    assertOneViolation("rule 1: at 15600 ms proxy p, request class view: no endpoint for 5500 ms");
   }
 
   @Test
-  void allowsNoEndpointWhileDisconnectedOrNoWarmEndpointIsListed() {
-    connected(0, "p");
+  void allowsProxyWithoutEndpointWhileDisconnectedOrNoWarmEndpointIsListed() {
+    addConnect(0, "p");
     evidence.add(new Evidence.Listed(0, "t", "ready", 12_000));
-    outcome(10_000, "p", "a", "view", 503, "no-task", true);
-    outcome(17_000, "p", "b", "view", 503, "no-task", true);
+    addOutcome(10_000, "p", "a", "view", 503, "no-task", true);
+    addOutcome(17_000, "p", "b", "view", 503, "no-task", true);
     evidence.add(new Evidence.Session(19_000, "p", false));
-    outcome(23_000, "p", "c", "view", 503, "no-task", true);
-    outcome(39_000, "p", "d", "view", 503, "no-task", true);
+    addOutcome(23_000, "p", "c", "view", 503, "no-task", true);
+    addOutcome(39_000, "p", "d", "view", 503, "no-task", true);
     assertNoViolation();
   }
 
-  private void effect(String op, String type, int attempt) {
-    evidence.add(new Evidence.Effect(1, "t" + attempt, op, type, attempt));
+  private void addEffect(String requestId, String requestClass, int attempt) {
+    evidence.add(new Evidence.Effect(1, "t" + attempt, requestId, requestClass, attempt));
   }
 
   @Test
   void reportsDuplicateEffectOfNonIdempotentRequest() {
-    effect("v", "view", 1);
-    effect("v", "view", 2);
+    addEffect("v", "view", 1);
+    addEffect("v", "view", 2);
     assertNoViolation();
-    effect("x", "extract", 1);
-    effect("x", "extract", 2);
-    assertOneViolation("rule 2: op x took effect 2 times");
+    addEffect("x", "extract", 1);
+    addEffect("x", "extract", 2);
+    assertOneViolation("rule 2: non-idempotent request x took effect 2 times");
   }
 
   @Test
-  void reportsAnswerThatDeniesAnEffect() {
-    effect("x", "extract", 1);
-    outcome(0, "p", "x", "extract", 503, "failed", true);
-    assertOneViolation("rule 2: op x was answered 503 as not done and took effect 1 times");
+  void reportsRequestAnsweredAsNotExecutedThatTookEffect() {
+    addEffect("x", "extract", 1);
+    addOutcome(0, "p", "x", "extract", 503, "failed", true);
+    assertOneViolation(
+        "rule 2: non-idempotent request x was answered with status 503 (not executed)"
+            + " and took effect 1 times");
   }
 
   @Test
-  void reportsRequestToDrainingEndpointAfterTheGrace() {
-    listed(0, "t", "ready");
-    listed(10_000, "t", "draining");
-    connected(0, "p");
-    connected(12_000, "late");
+  void reportsRequestToDrainingEndpointAfterTheGracePeriod() {
+    addListing(0, "t", "ready");
+    addListing(10_000, "t", "draining");
+    addConnect(0, "p");
+    addConnect(12_000, "late");
     evidence.add(new Evidence.Arrival(12_900, "t", "p", "a", "view", 1));
     evidence.add(new Evidence.Arrival(14_900, "t", "late", "b", "view", 1));
-    evidence.add(new Evidence.Arrival(20_000, "t", "never-joined", "c", "view", 1));
+    evidence.add(new Evidence.Arrival(20_000, "t", "never-connected", "c", "view", 1));
     assertNoViolation();
     evidence.add(new Evidence.Arrival(13_100, "t", "p", "d", "view", 1));
-    assertOneViolation("rule 3: at 13100 ms proxy p sent to t, 3100 ms after");
+    assertOneViolation("rule 3: at 13100 ms proxy p sent a request to endpoint t, 3100 ms after");
   }
 
   @Test
   void allowsRequestToRestartedEndpoint() {
-    listed(10_000, "t", "draining");
-    listed(12_000, "t", "gone");
-    listed(13_000, "t", "ready");
-    connected(0, "p");
+    addListing(10_000, "t", "draining");
+    addListing(12_000, "t", "gone");
+    addListing(13_000, "t", "ready");
+    addConnect(0, "p");
     evidence.add(new Evidence.Arrival(30_000, "t", "p", "a", "view", 1));
     assertNoViolation();
   }
@@ -123,7 +127,7 @@
   @Test
   void reportsOverloadOfWarmingUpEndpoint() {
     evidence.add(new Evidence.Overloaded(7, "t", 4.5));
-    assertOneViolation("rule 4: at 7 ms cold task t was sent 4.5 times");
+    assertOneViolation("rule 4: at 7 ms warming-up endpoint t received 4.5 times");
   }
 
   @Test
@@ -131,7 +135,8 @@
     evidence.add(new Evidence.ChannelBacklog(1, 100, 100));
     assertNoViolation();
     evidence.add(new Evidence.ChannelBacklog(2, 101, 100));
-    assertOneViolation("rule 5: at 2 ms 101 lines wait, the limit is 100");
+    assertOneViolation(
+        "rule 5: at 2 ms the channel backlog was 101 entries, over its limit of 100");
   }
 
   @Test
@@ -142,14 +147,14 @@
     }
     assertNoViolation();
     evidence.add(new Evidence.Commit(11_500, "p"));
-    assertOneViolation("rule 5: at 11500 ms proxy p had 4 messages");
+    assertOneViolation("rule 5: at 11500 ms proxy p had received 4 messages");
   }
 
   @Test
-  void serviceIsPriorityWeightInTimeOverPriorityWeightAskedFor() {
-    outcome(0, "p", "a", "view", 200, "", false);
+  void computesServiceAsShareOfPriorityWeightAnsweredInTime() {
+    addOutcome(0, "p", "a", "view", 200, "", false);
     evidence.add(new Evidence.Outcome(20_000, "p", "b", "view", 200, "", false, 501));
-    outcome(30_000, "p", "c", "extract", 429, "level", true);
+    addOutcome(30_000, "p", "c", "extract", 429, "level", true);
     InvariantChecker.Verdict verdict = check();
     assertEquals(3.0 / 8, verdict.service(), 1e-9);
     assertEquals(0, verdict.worstWindow(), 1e-9);
--- a/src/test/java/stonespring/testbed/ScenarioTest.java
+++ b/src/test/java/stonespring/testbed/ScenarioTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The whole path on sockets, with an instance in a process of its own that is killed on the way.
+ * Runs a short scenario end to end on sockets, with faults. The instance runs in a separate
+ * process, which is killed and restarted.
  */
 final class ScenarioTest {
   private static final String SCRIPT =
@@ -46,9 +47,9 @@
     InvariantChecker.Verdict verdict =
         new ScenarioRun(Scenario.read(script), script, 3, folder).run();
     assertTrue(verdict.violations().isEmpty(), verdict.violations().toString());
-    // The scenario must have been one: requests done, messages sent, streams lost and found.
+    // Guards against an empty run: requests took effect, messages were sent, proxies reconnected.
     assertTrue(
-        verdict.counts().get("not repeatable, done once") > 100, verdict.counts().toString());
+        verdict.counts().get("non-idempotent, executed once") > 100, verdict.counts().toString());
     assertTrue(verdict.counts().get("messages") > 6, verdict.counts().toString());
     assertTrue(verdict.counts().get("joins") > 12, verdict.counts().toString());
     assertTrue(verdict.service() > 0.5, ScenarioReport.format(verdict));
--- a/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
+++ b/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
@@ -9,15 +9,16 @@
 import stonespring.solver.Plan;
 
 /**
- * Holds the weight solver's plans as they are: every number of them, with its full bits, at moments
- * of drawn loads that are played through the engine, the solver and the proxies' routing.
+ * Guards against unintended changes of the weight solver's plans. Generated loads are replayed
+ * through the engine, the solver and the proxies' routing; at fixed times every number of the plan,
+ * with all its bits, must match a recorded digest.
  */
 final class RecordedPlansTest {
   private static final int ENDPOINTS = 12;
   private static final int PROXIES = 10;
 
   @Test
-  void everyNumberOfAPlanIsAsRecorded() throws IOException {
+  void plansMatchRecordedDigests() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     for (LoadGenerator.Kind kind :
         List.of(
@@ -42,10 +43,11 @@
         recording.add(bits(route.weightsByClass()));
       }
     }
-    for (Plan.EndpointAllocation share : plan.allocations()) {
-      recording.add(share.endpoint().name() + " " + share.reason().ordinal());
-      recording.add(bits(share.capacity(), share.load(), share.target(), share.price()));
-      recording.add(bits(share.plansBelowTarget()));
+    for (Plan.EndpointAllocation allocation : plan.allocations()) {
+      recording.add(allocation.endpoint().name() + " " + allocation.reason().ordinal());
+      recording.add(
+          bits(allocation.capacity(), allocation.load(), allocation.target(), allocation.price()));
+      recording.add(bits(allocation.plansBelowTarget()));
     }
     recording.add(bits(plan.cost(), plan.lowerBound(), plan.unplacedRate()));
     recording.add(bits(plan.newRoutes(), plan.changedRoutes()));
--- a/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
+++ b/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import stonespring.recording.Recording;
 
-/** Plays generated loads through the real engine host and routing in virtual time. */
+/** Replays generated loads through the production engine host and routing in virtual time. */
 final class VirtualFleetTest {
   @BeforeAll
   static void logWarningsOnly() {
@@ -28,40 +28,48 @@
   }
 
   /**
-   * On every kind of load the solver serves more than equal weights with fewer connections, and no
-   * endpoint fails while it warms up.
+   * On every kind of load the solver gives a higher service than equal weights with fewer
+   * connections, no endpoint fails during warm-up, and no proxy is without a route.
    */
   @ParameterizedTest
   @EnumSource(LoadGenerator.Kind.class)
-  void solverServesMoreThanEqualWeights(LoadGenerator.Kind kind) {
+  void solverGivesHigherServiceThanEqualWeightsWithFewerConnections(LoadGenerator.Kind kind) {
     double[] service = new double[2];
     long[] connections = new long[2];
     for (int seed = 1; seed <= 3; seed++) {
       Recording load = LoadGenerator.generate(kind, seed, 24, 24);
       for (Policy policy : List.of(Policy.EVEN, Policy.SOLVER)) {
         ReplayResult result = new VirtualFleet(load, policy, seed).replay();
-        int i = policy == Policy.EVEN ? 0 : 1;
-        service[i] += result.service() / 3;
-        connections[i] += result.attempts().connections();
+        int index = policy == Policy.EVEN ? 0 : 1;
+        service[index] += result.service() / 3;
+        connections[index] += result.attempts().connections();
         if (policy == Policy.SOLVER) {
           assertTrue(
               result.attempts().peakWarmUpLoad() < 1,
-              "an endpoint warming up reached "
+              "a warming-up endpoint reached "
                   + result.attempts().peakWarmUpLoad()
-                  + " of what makes it fail");
-          assertEquals(0, result.routes().secondsWithoutRoutes(), 1e-9, "seconds without a route");
-          assertTrue(result.routes().plans() > 20, result.routes().plans() + " plans");
+                  + " of its overload limit");
+          assertEquals(
+              0,
+              result.routes().secondsWithoutRoutes(),
+              1e-9,
+              "seconds without a route, summed over proxies");
+          assertTrue(
+              result.routes().plans() > 20,
+              "expected more than 20 plans, found " + result.routes().plans());
         }
       }
     }
     assertTrue(
         service[1] > service[0],
         "service " + service[1] + " with the solver, " + service[0] + " with equal weights");
-    assertTrue(connections[1] < connections[0], connections[1] + " connections, " + connections[0]);
+    assertTrue(
+        connections[1] < connections[0],
+        connections[1] + " connections with the solver, " + connections[0] + " with equal weights");
   }
 
   @Test
-  void policyComparedWithItselfShowsNoDifference() {
+  void comparisonOfPolicyWithItselfShowsNoDifference() {
     List<ComparisonRow> rows =
         Comparison.run(
             List.of(LoadGenerator.generate(LoadGenerator.Kind.SURGE, 1, 12, 9)),
