--- a/src/main/java/stonespring/config/InstanceSettingsDecoder.java
+++ b/src/main/java/stonespring/config/InstanceSettingsDecoder.java
@@ -16,15 +16,15 @@
 import stonespring.model.Settings;
 
 /**
- * Decodes the sections of a settings script. Their keys are {@link SettingsKeys}; errors are
- * recorded by the sections.
+ * Decodes the sections of a settings script into {@link InstanceSettings}. The keys are those of
+ * {@link SettingsKeys}; errors are recorded in the sections.
  */
 final class InstanceSettingsDecoder {
   private static final String RETRYABLE = "retryable";
   private static final String DEDUPLICATED = "deduplicated";
   private static final String ONCE_ONLY = "once_only";
 
-  /** In the order in which errors list them. */
+  /** The accepted words, in the order in which error messages list them. */
   private static final List<String> RETRY_SAFETY_WORDS =
       List.of(RETRYABLE, DEDUPLICATED, ONCE_ONLY);
 
@@ -33,8 +33,8 @@
   private static final String LIMIT_NONE = "none";
   private static final List<String> LIMIT_KIND_WORDS =
       List.of(LIMIT_FRACTION, LIMIT_RATE, LIMIT_NONE);
-  private static final String FROM_FILE = "file";
-  private static final String FROM_REGISTRY = "registry";
+  private static final String SOURCE_FILE = "file";
+  private static final String SOURCE_REGISTRY = "registry";
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
   private static final String LISTEN_HOST_PATTERN = "[0-9a-zA-Z.:-]{1,100}";
   private static final String REGISTRY_HOST_PATTERN = "[0-9a-zA-Z.-]{1,100}";
@@ -52,13 +52,13 @@
     this.file = file;
   }
 
-  /** What the section {@code assigner} holds. */
+  /** The values of the section {@code assigner}. */
   private record Instance(String name, ListenAddress listen, Optional<Path> cacheFile) {}
 
   /**
-   * What the section {@code fleet} holds.
+   * The values of the section {@code fleet}.
    *
-   * @param instances stonespring instances that share the proxies
+   * @param instances the number of stonespring instances that share the proxies
    */
   private record Fleet(
       List<String> zones,
@@ -67,17 +67,17 @@
       int bootstrapRouteCount,
       int ejectAfterConsecutiveFailures) {}
 
-  /** The request classes as the decisions take them, and what else is known of them. */
+  /** The request classes as the decision engine takes them, with their names and timeouts. */
   private record DecodedRequestClasses(
       List<RequestClass> settings, RequestClasses namesAndTimeouts) {}
 
-  /** What the section {@code rules} holds; durations in {@link DeciMillis}. */
+  /** The values of the section {@code rules}; durations are in {@link DeciMillis}. */
   private record Rules(
-      long maxTimeWithoutEndpoint,
+      long maxTimeWithoutEndpointDeciMillis,
       Settings.SlowStart slowStart,
       boolean removedEndpointsKeepServing) {}
 
-  /** What the section {@code prices} holds. */
+  /** The values of the section {@code prices}. */
   private record Prices(double crossZonePenalty, double worstClassWeight) {}
 
   InstanceSettings decode() {
@@ -86,7 +86,8 @@
     DecodedRequestClasses requestClasses = decodeRequestClasses();
     Source source = decodeSource();
     Settings settings =
-        decodeSettings(fleet, requestClasses.settings(), source instanceof Source.FromRegistry);
+        decodeEngineSettings(
+            fleet, requestClasses.settings(), source instanceof Source.FromRegistry);
     Limits limits = decodeLimits();
     return new InstanceSettings(
         instance.name(),
@@ -112,7 +113,7 @@
         cacheFile.isEmpty() ? Optional.empty() : Optional.of(resolve(cacheFile)));
   }
 
-  /** A path of the script; a relative one starts in the script's folder. */
+  /** Resolves a path given in the script against the script's folder. */
   private Path resolve(String path) {
     return file.toAbsolutePath().resolveSibling(path).normalize();
   }
@@ -133,11 +134,13 @@
   private DecodedRequestClasses decodeRequestClasses() {
     List<RequestClass> classes = new ArrayList<>();
     List<String> names = new ArrayList<>();
-    List<Long> timeouts = new ArrayList<>();
+    List<Long> timeoutsDeciMillis = new ArrayList<>();
     for (Section section : globals.sections(SettingsKeys.REQUEST_CLASSES, 1, 16)) {
       String name = section.text(SettingsKeys.NAME, NAME_PATTERN, null);
       if (names.contains(name)) {
-        section.reject(SettingsKeys.NAME, "is '" + name + "' for a second time");
+        section.reject(
+            SettingsKeys.NAME,
+            "must be unique, but '" + name + "' is already the name of an earlier request class");
       }
       names.add(name);
       double objectiveMillis =
@@ -145,17 +148,19 @@
       double timeoutMillis =
           section.number(SettingsKeys.REQUEST_TIMEOUT_MILLIS, 1, 3_600_000, null);
       if (timeoutMillis < objectiveMillis) {
-        section.reject(SettingsKeys.REQUEST_TIMEOUT_MILLIS, "is below the target latency");
+        section.reject(
+            SettingsKeys.REQUEST_TIMEOUT_MILLIS,
+            "must be at least the value of '" + SettingsKeys.LATENCY_OBJECTIVE_MILLIS + "'");
       }
-      timeouts.add(fromMillis(timeoutMillis));
+      timeoutsDeciMillis.add(deciMillisOfMillis(timeoutMillis));
       classes.add(
           new RequestClass(
               retrySafety(section.choice(SettingsKeys.RETRY_SAFETY, RETRY_SAFETY_WORDS, null)),
-              fromMillis(objectiveMillis),
+              deciMillisOfMillis(objectiveMillis),
               section.number(SettingsKeys.PRIORITY_WEIGHT, 0, 1e6, 1.0)));
       section.rejectUnknownKeys();
     }
-    return new DecodedRequestClasses(classes, new RequestClasses(names, timeouts));
+    return new DecodedRequestClasses(classes, new RequestClasses(names, timeoutsDeciMillis));
   }
 
   private static RetrySafety retrySafety(String word) {
@@ -163,7 +168,7 @@
       case RETRYABLE -> RetrySafety.IDEMPOTENT;
       case DEDUPLICATED -> RetrySafety.IDEMPOTENCY_KEYED;
       case ONCE_ONLY -> RetrySafety.NON_IDEMPOTENT;
-      default -> throw new IllegalArgumentException("no retry safety: " + word);
+      default -> throw new IllegalArgumentException("unknown retry safety: " + word);
     };
   }
 
@@ -171,8 +176,8 @@
     Section section = globals.section(SettingsKeys.ENDPOINT_LIST, true);
     Source source;
     if (section
-        .choice(SettingsKeys.SOURCE, List.of(FROM_FILE, FROM_REGISTRY), null)
-        .equals(FROM_REGISTRY)) {
+        .choice(SettingsKeys.SOURCE, List.of(SOURCE_FILE, SOURCE_REGISTRY), null)
+        .equals(SOURCE_REGISTRY)) {
       source =
           new Source.FromRegistry(
               section.text(SettingsKeys.HOST, REGISTRY_HOST_PATTERN, LOCAL_HOST),
@@ -186,11 +191,11 @@
     return source;
   }
 
-  private Settings decodeSettings(
+  private Settings decodeEngineSettings(
       Fleet fleet, List<RequestClass> requestClasses, boolean watchRequired) {
     Settings.ChannelLimits channel = decodeChannel();
     Rules rules = decodeRules();
-    long reportInterval = decodeReportInterval();
+    long reportIntervalDeciMillis = decodeReportInterval();
     Prices prices = decodePrices();
     return new Settings(
         new Settings.Fleet(fleet.instances(), fleet.zones().size(), fleet.proxies(), false),
@@ -200,13 +205,13 @@
             globals.choice(SettingsKeys.ADMISSION_LIMIT_KIND, LIMIT_KIND_WORDS, LIMIT_FRACTION)),
         channel,
         new Settings.RoutingRules(
-            rules.maxTimeWithoutEndpoint(),
+            rules.maxTimeWithoutEndpointDeciMillis(),
             fleet.bootstrapRouteCount(),
             prices.crossZonePenalty(),
             prices.worstClassWeight(),
             fleet.ejectAfterConsecutiveFailures()),
         rules.slowStart(),
-        reportInterval);
+        reportIntervalDeciMillis);
   }
 
   private Settings.ChannelLimits decodeChannel() {
@@ -281,14 +286,14 @@
     return limits;
   }
 
-  /** Reads seconds as {@link DeciMillis}, rounded down. */
+  /** Reads a duration in seconds and returns it in {@link DeciMillis}, rounded down. */
   private static long duration(
       Section section, String key, double minimum, double maximum, Double defaultValue) {
     return DeciMillis.ofSeconds(section.number(key, minimum, maximum, defaultValue));
   }
 
-  /** Converts milliseconds to {@link DeciMillis}, rounded to the nearest. */
-  private static long fromMillis(double millis) {
+  /** Converts milliseconds to {@link DeciMillis}, rounded to the nearest integer. */
+  private static long deciMillisOfMillis(double millis) {
     return Math.round(millis * DeciMillis.SECOND / 1000);
   }
 }
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -9,26 +9,32 @@
 import stonespring.model.Settings;
 
 /**
- * The operators' settings object, which the simulator hands to each instance and the platform's
- * configuration contains. Immutable; no component is null.
+ * The operators' settings object, which the simulator sends to each instance and the platform's
+ * configuration file contains. Immutable; no component is null.
  *
- * @param settings what the decisions are configured with
- * @param zones the zones' names, by position
- * @param requestClassNames the request classes' names, by position
- * @param minBatchInterval the shortest time between two event batches, {@link
+ * @param settings the configuration of the decision engine
+ * @param zones the zone names, indexed by zone
+ * @param requestClassNames the names of the request classes, indexed by request class
+ * @param minBatchIntervalDeciMillis the shortest time between two event batches, in {@link
  *     stonespring.model.DeciMillis}
  */
 public record PlatformSettings(
-    Settings settings, List<String> zones, List<String> requestClassNames, long minBatchInterval) {
-  /** A command names its request classes by the bits of an int. */
+    Settings settings,
+    List<String> zones,
+    List<String> requestClassNames,
+    long minBatchIntervalDeciMillis) {
+  /**
+   * The largest number of request classes: a command encodes a set of them in the bits of an int.
+   */
   private static final int MAX_REQUEST_CLASSES = 31;
 
   /**
    * Reads the settings object.
    *
-   * <p>The order of reading is fixed: of several errors, the same one is always reported.
+   * <p>The fields are read in a fixed order, so that an object with several errors always reports
+   * the same one.
    *
-   * @throws InvalidSettingsException at the first field that can't be used
+   * @throws InvalidSettingsException at the first field that is missing or invalid
    */
   public static PlatformSettings read(JsonNode object) {
     JsonFields fields = new JsonFields(object);
@@ -41,11 +47,11 @@
       classNames.add(category.text("name"));
       classes.add(readRequestClass(category));
     }
-    checkSizes(fields, fleet, zones, classes);
+    requirePositiveFields(fields, fleet, zones, classes);
     Settings settings = readSettings(fields, fleet, rules, zones.size(), classes);
-    long minBatchInterval = fields.duration("roundS", 0);
+    long minBatchIntervalDeciMillis = fields.duration("roundS", 0);
     return new PlatformSettings(
-        settings, List.copyOf(zones), List.copyOf(classNames), minBatchInterval);
+        settings, List.copyOf(zones), List.copyOf(classNames), minBatchIntervalDeciMillis);
   }
 
   private static RequestClass readRequestClass(JsonFields category) {
@@ -60,29 +66,39 @@
       case "free" -> RetrySafety.IDEMPOTENT;
       case "guarded" -> RetrySafety.IDEMPOTENCY_KEYED;
       case "single_shot" -> RetrySafety.NON_IDEMPOTENT;
-      default -> throw new InvalidSettingsException("repeat", "has an unknown word: " + word);
+      default ->
+          throw new InvalidSettingsException(
+              "repeat", "must be one of free, guarded, single_shot, got '" + word + "'");
     };
   }
 
-  private static void checkSizes(
+  private static void requirePositiveFields(
       JsonFields fields, JsonFields fleet, List<String> zones, List<RequestClass> classes) {
-    requireAtLeastOne("zones", zones.size());
-    requireAtLeastOne("categories", classes.size());
+    requireAtLeastOne("zones", "must have at least 1 item", zones.size());
+    requireAtLeastOne("categories", "must have at least 1 item", classes.size());
     if (classes.size() > MAX_REQUEST_CLASSES) {
       throw new InvalidSettingsException(
-          "categories", "has over " + MAX_REQUEST_CLASSES + " request classes");
+          "categories",
+          "must have at most " + MAX_REQUEST_CLASSES + " items, got " + classes.size());
     }
-    requireAtLeastOne("balancers", fields.number("balancers"));
-    requireAtLeastOne("proxyCount", fleet.number("proxyCount"));
-    requireAtLeastOne("backlog", fleet.number("backlog"));
-    requireAtLeastOne("pushRate", fleet.number("pushRate"));
-    requireAtLeastOne("reportEveryS", fleet.duration("reportEveryS"));
+    requireAtLeastOne("balancers", "must be at least 1", fields.number("balancers"));
+    requireAtLeastOne("proxyCount", "must be at least 1", fleet.number("proxyCount"));
+    requireAtLeastOne("backlog", "must be at least 1", fleet.number("backlog"));
+    requireAtLeastOne("pushRate", "must be at least 1", fleet.number("pushRate"));
+    requireAtLeastOne(
+        "reportEveryS", "must be at least 1 deci-millisecond", fleet.duration("reportEveryS"));
   }
 
-  /** Refuses 0 for what is divided by or waited for. */
-  private static void requireAtLeastOne(String field, double value) {
+  /**
+   * Rejects values below 1 for quantities that are divided by or waited for: with 0, an instance
+   * would decide without end or never.
+   *
+   * @param requirement what is required of the field, in the words of the error message
+   */
+  private static void requireAtLeastOne(String field, String requirement, double value) {
     if (value < 1) {
-      throw new InvalidSettingsException(field, "has none, or too few");
+      String found = value == 0 ? "0" : String.valueOf(value);
+      throw new InvalidSettingsException(field, requirement + ", got " + found);
     }
   }
 
@@ -96,16 +112,16 @@
     boolean watchRequired = fields.text("discovery").equals("on_request");
     AdmissionLimitKind limitKind = limitKind(fleet.text("levelKind"));
     Settings.ChannelLimits channel = readChannel(fleet);
-    long maxTimeWithoutEndpoint = fleet.duration("emptyForS");
+    long maxTimeWithoutEndpointDeciMillis = fleet.duration("emptyForS");
     int bootstrapRouteCount = (int) fleet.number("bootstrap");
     int proxies = (int) fleet.number("proxyCount");
-    long reportInterval = fleet.duration("reportEveryS");
+    long reportIntervalDeciMillis = fleet.duration("reportEveryS");
     boolean sharded = fleet.number("partitionsN", 0) > 0;
     double crossZonePenalty = fields.object("prices").number("crossZone", 0);
     Settings.SlowStart slowStart = readSlowStart(rules);
     double worstClassWeight = fields.optionalObject("scoringMix").number("worstClass", 0);
     boolean removedEndpointsKeepServing = rules.isTrue("droppedStayOpen");
-    int ejectAfter = (int) fleet.number("outlierAfter", 0);
+    int ejectAfterConsecutiveFailures = (int) fleet.number("outlierAfter", 0);
     return new Settings(
         new Settings.Fleet(instances, zones, proxies, sharded),
         List.copyOf(classes),
@@ -113,13 +129,13 @@
         limitKind,
         channel,
         new Settings.RoutingRules(
-            maxTimeWithoutEndpoint,
+            maxTimeWithoutEndpointDeciMillis,
             bootstrapRouteCount,
             crossZonePenalty,
             worstClassWeight,
-            ejectAfter),
+            ejectAfterConsecutiveFailures),
         slowStart,
-        reportInterval);
+        reportIntervalDeciMillis);
   }
 
   private static AdmissionLimitKind limitKind(String word) {
@@ -145,9 +161,13 @@
         rules.duration("coldS"), rules.number("coldShare"), rules.number("fallMultiple"));
   }
 
-  /** These settings as they hold on the platform's sockets. */
-  PlatformSettings onPlatform() {
+  /**
+   * Returns a copy of these settings with the constraints of the platform applied. Settings made
+   * for the simulator may say that the endpoint list is pushed, but on the platform it must be
+   * watched: an instance without a watch would keep sending requests to drained endpoints.
+   */
+  PlatformSettings withPlatformConstraints() {
     return new PlatformSettings(
-        settings.withPlatformConstraints(), zones, requestClassNames, minBatchInterval);
+        settings.withPlatformConstraints(), zones, requestClassNames, minBatchIntervalDeciMillis);
   }
 }
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -91,12 +91,12 @@
   private void startEngine() {
     engine.start();
     source.start(this::onEndpointListUpdate, list -> {});
-    onEndpointListUpdate(source.loadCached(config.cachedEndpointList()));
+    onEndpointListUpdate(source.loadCachedList(config.cachedEndpointList()));
     engine.runBatchNow();
   }
 
   private void onEndpointListUpdate(Event.EndpointListUpdate update) {
-    proxyApi.endpointListUpdated(update);
+    proxyApi.updateEndpointList(update);
     if (update.kind() != Event.ListUpdateKind.DELTA) {
       LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
     }
@@ -125,7 +125,7 @@
       LOG.warn(
           "the new configuration changes the settings or the listen address, which take effect only after a restart");
     }
-    source.moveTo(newConfig.discovery());
+    source.changeAddress(newConfig.discovery());
   }
 
   /** Returns the port that the instance listens on. */
@@ -155,8 +155,8 @@
     LOG.info(
         "assigner {} stops: {} proxies connected, {} messages dropped; {}",
         config.name(),
-        proxyApi.connectedProxies(),
-        proxyApi.droppedMessages(),
+        proxyApi.connectedProxyCount(),
+        proxyApi.droppedMessageCount(),
         engine.statistics());
   }
 }
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -14,21 +14,32 @@
 import stonespring.model.Event;
 
 /**
- * The endpoint list of a registry that speaks Consul's health endpoint, watched by blocking
- * queries: a query carries the index of the last response and is held open until something changes.
- * A failed query ends the watch. An index that went back is replaced by 0, as the registry's
- * documentation demands. State lives on the event loop.
+ * Fetches and watches the endpoint list of a registry that offers Consul's health endpoint. A watch
+ * consists of blocking queries: each carries the index of the last response, and the registry holds
+ * it open until something changes or the wait time has passed. A failed query ends the watch. When
+ * the index decreases, the next query starts over without an index, as the registry's documentation
+ * requires. Mutable state is confined to the event loop.
  */
 public final class RegistryEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(RegistryEndpointSource.class);
+
+  /** Short, as the registry is close in the network. */
   private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+
+  /** Far above the size of the longest permitted list. */
   private static final int MAX_BODY_BYTES = 64 << 20;
+
   private static final int MAX_IDLE_CONNECTIONS = 1;
 
-  /** Allowed beyond a query's wait; registries add up to a sixteenth to it. */
+  /**
+   * The time allowed for a response, in addition to the wait time of a blocking query. Registries
+   * extend the wait time by up to a sixteenth.
+   */
   private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
 
+  /** The index of a query that does not block. */
   private static final long NO_INDEX = 0;
+
   private static final String INDEX_HEADER = "x-consul-index";
 
   private final InetSocketAddress address;
@@ -41,17 +52,20 @@
   private SourceListeners listeners;
   private boolean watching;
 
-  /** Counts watches, so that the response to a query of an earlier one is ignored. */
+  /**
+   * The number of the current watch; it increases with each start or stop. The result of a query
+   * with a lower number is ignored.
+   */
   private int watchNumber;
 
   private Runnable cancelQuery = () -> {};
 
   /**
-   * Creates a source; nothing is sent before {@link #watch} or {@link #fetch}.
+   * Creates a source; nothing is sent before {@link #setWatchEnabled} or {@link #fetch}.
    *
    * @param service the service's name in the registry
-   * @param waitSeconds how long the registry may hold a query open
-   * @param codec supplies zones and clock
+   * @param waitSeconds the time for which the registry may hold a query open
+   * @param codec provides the zone names and the clock offset
    */
   public RegistryEndpointSource(
       String host,
@@ -71,25 +85,26 @@
 
   @Override
   public void start(
-      Consumer<Event.EndpointListUpdate> updates, Consumer<List<EndpointRecord>> lists) {
-    listeners = new SourceListeners(updates, lists);
+      Consumer<Event.EndpointListUpdate> updateListener,
+      Consumer<List<EndpointRecord>> listListener) {
+    listeners = new SourceListeners(updateListener, listListener);
   }
 
   @Override
-  public void watch(boolean enabled) {
+  public void setWatchEnabled(boolean enabled) {
     loop.execute(
         () -> {
           watching = enabled;
           watchNumber++;
           cancelQuery.run();
           if (enabled) {
-            diff.reset();
-            query(watchNumber, NO_INDEX);
+            diff.clearList();
+            sendQuery(watchNumber, NO_INDEX);
           }
         });
   }
 
-  private void query(int watch, long index) {
+  private void sendQuery(int queryWatchNumber, long index) {
     String query = index == NO_INDEX ? "" : "?index=" + index + "&wait=" + waitSeconds + "s";
     long waitMillis = index == NO_INDEX ? 0 : waitSeconds * 1000L;
     cancelQuery =
@@ -98,19 +113,19 @@
             HttpRequest.get(address, path + query),
             waitMillis + RESPONSE_TIMEOUT_MILLIS,
             result -> {
-              if (watch == watchNumber && watching) {
-                queryEnded(watch, index, result);
+              if (queryWatchNumber == watchNumber && watching) {
+                handleQueryResult(queryWatchNumber, index, result);
               }
             });
   }
 
-  private void queryEnded(int watch, long index, HttpCallResult result) {
+  private void handleQueryResult(int queryWatchNumber, long index, HttpCallResult result) {
     try {
       HttpResponse response = EndpointListUnavailableException.requireOk(result);
       long nextIndex = readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
-      diff.next(list).ifPresent(update -> listeners.updated(update, list));
-      query(watch, nextIndex < index ? NO_INDEX : nextIndex);
+      diff.replaceList(list).ifPresent(update -> listeners.notifyUpdated(update, list));
+      sendQuery(queryWatchNumber, nextIndex < index ? NO_INDEX : nextIndex);
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
       watching = false;
       reportFailure(e);
@@ -120,7 +135,8 @@
   private static long readIndex(HttpResponse response) throws InvalidEndpointListException {
     String index = response.header(INDEX_HEADER);
     if (!index.matches("[0-9]{1,18}")) {
-      throw new InvalidEndpointListException("header X-Consul-Index is no number");
+      throw new InvalidEndpointListException(
+          "header X-Consul-Index must be a number of 1 to 18 digits, found '" + index + "'");
     }
     return Long.parseLong(index);
   }
@@ -133,23 +149,27 @@
                 address,
                 HttpRequest.get(address, path),
                 RESPONSE_TIMEOUT_MILLIS,
-                this::fetchEnded));
+                this::handleFetchResult));
   }
 
-  private void fetchEnded(HttpCallResult result) {
+  private void handleFetchResult(HttpCallResult result) {
     try {
       HttpResponse response = EndpointListUnavailableException.requireOk(result);
       readIndex(response);
       List<EndpointRecord> list = codec.read(response.body());
-      listeners.updated(new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list), list);
+      listeners.notifyUpdated(
+          new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, list), list);
     } catch (EndpointListUnavailableException | InvalidEndpointListException e) {
       reportFailure(e);
     }
   }
 
   private void reportFailure(Exception cause) {
-    LOG.warn("registry {}: keeping the last endpoint list: {}", address, cause.getMessage());
-    listeners.failed();
+    LOG.warn(
+        "registry {} provided no usable endpoint list, keeping the last list: {}",
+        address,
+        cause.getMessage());
+    listeners.notifyFailed();
   }
 
   @Override
