--- a/src/main/java/stonespring/testbed/FleetMeasurement.java
+++ b/src/main/java/stonespring/testbed/FleetMeasurement.java
@@ -28,7 +28,7 @@
  * serves for one measurement.
  */
 public final class FleetMeasurement {
-  private static final int EVENT_LOOPS = 4;
+  private static final int EVENT_LOOP_THREADS = 4;
 
   /** Wait after the instance's start, for its first decision batches and JIT compilation. */
   private static final int INSTANCE_WARM_UP_MILLIS = 3000;
@@ -40,7 +40,7 @@
   private final Path instanceLog;
   private final InstanceProcess instance;
   private final MultiThreadIoEventLoopGroup loops =
-      new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
+      new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory());
   private final AtomicReference<String> latestStatus = new AtomicReference<>("");
   private final List<Proxy> proxies = new ArrayList<>();
 
--- a/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
+++ b/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
@@ -63,6 +63,7 @@
   /** One endpoint in this many claims too much capacity. */
   private static final int CLAIMING_ENDPOINT_STRIDE = 3;
 
+  /** Additional delay of reports from the disturbance on. */
   private static final long EXTRA_REPORT_DELAY_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   /**
@@ -76,8 +77,13 @@
 
   private static final int DEPLOY_BATCHES = 8; // batches that it takes to replace all endpoints
   private static final long DEPLOY_BATCH_INTERVAL_DECI_MILLIS = 35_000;
+
+  /** Delay from the start of a batch until its old endpoints are listed as draining. */
   private static final long DEPLOY_DRAIN_DELAY_DECI_MILLIS = 2 * DeciMillis.SECOND;
+
+  /** Delay from the start of a batch until its old endpoints stop. */
   private static final long DEPLOY_STOP_DELAY_DECI_MILLIS = 5 * DeciMillis.SECOND;
+
   private static final long ZONE_OUTAGE_DURATION_DECI_MILLIS = 10 * DeciMillis.SECOND;
 
   /** Mean time that a request takes on a core of speed 1, by request class. */
