--- a/src/main/java/stonespring/testbed/EndpointFaults.java
+++ b/src/main/java/stonespring/testbed/EndpointFaults.java
@@ -33,19 +33,19 @@
   }
 
   private void crash(FaultTarget target) {
-    target.endpoints().forEach(endpoint -> fleet.crash(endpoint, target.endMillis()));
+    target.endpoints().forEach(endpoint -> fleet.crashAndRestart(endpoint, target.endMillis()));
   }
 
   private void loseZone(FaultTarget target) {
     fleet
         .runningEndpoints(target.fault().zone())
-        .forEach(endpoint -> fleet.crash(endpoint, target.endMillis()));
+        .forEach(endpoint -> fleet.crashAndRestart(endpoint, target.endMillis()));
   }
 
   /** Leaves requests unanswered for the duration, then kills the endpoints and restarts them. */
   private void silence(FaultTarget target) throws Exception {
     List<EndpointStandIn> endpoints = target.endpoints();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> endpoints.forEach(endpoint -> endpoint.setSilent(true)),
         () -> crashRunning(endpoints));
@@ -54,7 +54,7 @@
   private void crashRunning(List<EndpointStandIn> endpoints) {
     for (EndpointStandIn endpoint : endpoints) {
       if (endpoint.isUp()) {
-        fleet.crash(endpoint, timeline.now());
+        fleet.crashAndRestart(endpoint, timeline.now());
       }
     }
   }
@@ -62,7 +62,7 @@
   /** Makes endpoints fail requests at once; the magnitude is the fraction that fails. */
   private void failFast(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.setErrorFraction(fraction)),
         () -> target.endpoints().forEach(endpoint -> endpoint.setErrorFraction(0)));
@@ -73,7 +73,7 @@
    * decision stays in force after the fault, until the endpoint restarts.
    */
   private void flap(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () ->
             target
@@ -86,7 +86,7 @@
   private void failRequestClass(FaultTarget target) throws Exception {
     List<String> names = fleet.requestClassNames();
     String name = names.get(Math.min(names.size() - 1, (int) target.fault().magnitude()));
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.setFailingRequestClass(name)),
         () ->
@@ -98,7 +98,7 @@
   /** Drops responses of executed requests; the magnitude is the fraction that is dropped. */
   private void loseResponses(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.setLostResponseFraction(fraction)),
         () -> target.endpoints().forEach(endpoint -> endpoint.setLostResponseFraction(0)));
@@ -107,7 +107,7 @@
   /** Pauses endpoints at each interval; the magnitude is the mean pause in milliseconds. */
   private void pause(FaultTarget target) {
     double meanPauseMillis = target.fault().magnitude();
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () ->
             target
@@ -120,7 +120,7 @@
   /** Makes endpoints report a multiple of their utilization; the magnitude is the multiple. */
   private void falsifyReports(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(multiple)),
         () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(1)));
@@ -129,7 +129,7 @@
   /** Makes new connections cost more; the magnitude is the multiple of the usual core time. */
   private void slowDownHandshakes(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> endpoint.setHandshakeMultiple(multiple)),
         () -> target.endpoints().forEach(endpoint -> endpoint.setHandshakeMultiple(1)));
