--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -130,7 +130,7 @@
           commit = CommitReader.read(key.value());
         }
       }
-      handleStep(subscriber.handleSnapshot(values, commit));
+      handleResult(subscriber.handleSnapshot(values, commit));
     }
 
     @Override
@@ -139,7 +139,7 @@
       byte[] value = update.value();
       boolean isDeleted = value.length == 0;
       boolean isCommit = name.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
-      handleStep(
+      handleResult(
           subscriber.handleKeyChange(
               name,
               isDeleted ? null : decodeUtf8(value),
@@ -184,14 +184,14 @@
     loop.schedule(this::connect, waitMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void handleStep(TableSubscriber.Step step) {
-    if (step instanceof TableSubscriber.Step.Resync resync) {
+  private void handleResult(TableSubscriber.Result result) {
+    if (result instanceof TableSubscriber.Result.Resync resync) {
       LOG.warn(
           "proxy {}: received updates are incomplete or invalid, requesting the snapshot: {}",
           settings.name(),
           resync.cause());
       client.resync();
-    } else if (step instanceof TableSubscriber.Step.Update update) {
+    } else if (result instanceof TableSubscriber.Result.Update update) {
       long arrivedAtDeciMillis = now();
       // The delay stands for the pause that a proxy needs for each change; the update is then
       // applied as a whole.
@@ -201,7 +201,7 @@
     }
   }
 
-  private void apply(TableSubscriber.Step.Update update, long arrivedAtDeciMillis) {
+  private void apply(TableSubscriber.Result.Update update, long arrivedAtDeciMillis) {
     try {
       router.apply(update);
     } catch (IllegalArgumentException e) {
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -69,7 +69,7 @@
    *
    * @param durationDeciMillis time from the update's arrival until it was applied
    */
-  ChpMessage.KvSet acknowledgement(TableSubscriber.Step.Update update, long durationDeciMillis) {
+  ChpMessage.KvSet acknowledgement(TableSubscriber.Result.Update update, long durationDeciMillis) {
     ObjectNode value = JSON.createObjectNode();
     value
         .put("origin", update.stream())
--- a/src/main/java/stonespring/proxy/routing/Router.java
+++ b/src/main/java/stonespring/proxy/routing/Router.java
@@ -54,7 +54,7 @@
    * @throws IllegalArgumentException if the value of a known key is malformed; the router is
    *     unchanged then
    */
-  public void apply(TableSubscriber.Step.Update update) {
+  public void apply(TableSubscriber.Result.Update update) {
     List<PublishedChange> changes = new ArrayList<>();
     update.changes().forEach((key, value) -> changes.add(PublishedChange.read(key, value)));
     if (update.fullState()) {
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -20,11 +20,11 @@
   private static final int MAX_KEYS = 100_000;
 
   /** The result of handling a key or a snapshot. */
-  public sealed interface Step {
+  public sealed interface Result {
     /**
      * There is nothing to apply: the update is not complete, or the snapshot contains no change.
      */
-    record Gathered() implements Step {}
+    record NothingToApply() implements Result {}
 
     /**
      * A complete update that must be applied.
@@ -36,13 +36,13 @@
      * @param ackId the number to acknowledge, or {@link Commit#NO_ACK}
      */
     record Update(String stream, boolean fullState, Map<String, String> changes, int ackId)
-        implements Step {}
+        implements Result {}
 
     /** The received changes are incomplete or invalid, and the snapshot must be requested. */
-    record Resync(String cause) implements Step {}
+    record Resync(String cause) implements Result {}
 
     /** The instance ended the stream; the tables received so far stay in force. */
-    record Ended() implements Step {}
+    record StreamEnded() implements Result {}
   }
 
   /**
@@ -58,7 +58,7 @@
     public static final int NO_ACK = -1;
   }
 
-  private static final Step GATHERED = new Step.Gathered();
+  private static final Result NOTHING_TO_APPLY = new Result.NothingToApply();
 
   private final LinkedHashMap<String, String> pendingChanges = new LinkedHashMap<>();
   private String stream = "";
@@ -70,37 +70,37 @@
    * @param value the new value, or null if the key was deleted
    * @param commit the decoded value if the key is {@link #COMMIT_KEY}, else null
    */
-  public Step handleKeyChange(String key, String value, Commit commit) {
+  public Result handleKeyChange(String key, String value, Commit commit) {
     if (!key.equals(COMMIT_KEY)) {
       return collect(key, value);
     }
     if (value == null) {
       pendingChanges.clear();
-      return new Step.Ended();
+      return new Result.StreamEnded();
     }
     return completeUpdate(commit);
   }
 
-  private Step collect(String key, String value) {
+  private Result collect(String key, String value) {
     if (pendingChanges.size() >= MAX_KEYS) {
       pendingChanges.clear();
-      return new Step.Resync("received more than " + MAX_KEYS + " keys without a commit");
+      return new Result.Resync("received more than " + MAX_KEYS + " keys without a commit");
     }
     pendingChanges.remove(key);
     pendingChanges.put(key, value);
-    return GATHERED;
+    return NOTHING_TO_APPLY;
   }
 
-  private Step completeUpdate(Commit commit) {
+  private Result completeUpdate(Commit commit) {
     LinkedHashMap<String, String> changes = new LinkedHashMap<>(pendingChanges);
     pendingChanges.clear();
     int expectedSequence = commit.stream().equals(stream) ? sequence + 1 : 1;
     if (commit.sequence() != expectedSequence || commit.keys() != changes.size()) {
-      return new Step.Resync(describeMismatch(commit, changes.size(), expectedSequence));
+      return new Result.Resync(describeMismatch(commit, changes.size(), expectedSequence));
     }
     stream = commit.stream();
     sequence = commit.sequence();
-    return new Step.Update(stream, sequence == 1, changes, commit.ackId());
+    return new Result.Update(stream, sequence == 1, changes, commit.ackId());
   }
 
   private static String describeMismatch(Commit commit, int receivedKeys, int expectedSequence) {
@@ -114,10 +114,10 @@
    *
    * @param commit null if the stream has sent nothing yet
    */
-  public Step handleSnapshot(Map<String, String> keys, Commit commit) {
+  public Result handleSnapshot(Map<String, String> keys, Commit commit) {
     pendingChanges.clear();
     if (commit == null) {
-      return GATHERED;
+      return NOTHING_TO_APPLY;
     }
     boolean isNewState = !commit.stream().equals(stream) || commit.sequence() != sequence;
     stream = commit.stream();
@@ -126,6 +126,6 @@
     changes.remove(COMMIT_KEY);
     // The snapshot is acknowledged as well, because the update that requested the acknowledgement
     // may never arrive.
-    return isNewState ? new Step.Update(stream, true, changes, commit.ackId()) : GATHERED;
+    return isNewState ? new Result.Update(stream, true, changes, commit.ackId()) : NOTHING_TO_APPLY;
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -119,22 +119,22 @@
     boolean deleted = update.value().length == 0;
     String value = deleted ? null : new String(update.value(), StandardCharsets.UTF_8);
     boolean isCommit = !deleted && key.equals(COMMIT_KEY);
-    TableSubscriber.Step step =
+    TableSubscriber.Result result =
         subscriber.handleKeyChange(key, value, isCommit ? CommitReader.read(update.value()) : null);
-    if (step instanceof TableSubscriber.Step.Resync resync) {
+    if (result instanceof TableSubscriber.Result.Resync resync) {
       throw new IllegalStateException(
           "proxy "
               + name()
               + " requested a resync on a channel that loses no messages: "
               + resync.cause());
     }
-    if (step instanceof TableSubscriber.Step.Update tableUpdate) {
+    if (result instanceof TableSubscriber.Result.Update tableUpdate) {
       apply(tableUpdate);
       acknowledge(host, tableUpdate);
     }
   }
 
-  private void apply(TableSubscriber.Step.Update update) {
+  private void apply(TableSubscriber.Result.Update update) {
     router.apply(update);
     fleet
         .statistics()
@@ -152,7 +152,7 @@
     }
   }
 
-  private void acknowledge(EngineHost host, TableSubscriber.Step.Update update) {
+  private void acknowledge(EngineHost host, TableSubscriber.Result.Update update) {
     if (update.ackId() < 0) {
       return;
     }
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -170,15 +170,15 @@
     apply(subscriber.handleSnapshot(keys, commit), host, now);
   }
 
-  private void apply(TableSubscriber.Step step, EngineHost host, long now) {
-    if (step instanceof TableSubscriber.Step.Update update) {
+  private void apply(TableSubscriber.Result result, EngineHost host, long now) {
+    if (result instanceof TableSubscriber.Result.Update update) {
       router.apply(update);
       stream = update.stream();
       recordUpdate(now);
       if (update.ackId() >= 0) {
         pendingAcks.add(update.ackId());
       }
-    } else if (step instanceof TableSubscriber.Step.Resync) {
+    } else if (result instanceof TableSubscriber.Result.Resync) {
       resyncs++;
       applySnapshot(host, now);
     }
--- a/src/test/java/stonespring/proxy/routing/RouterTest.java
+++ b/src/test/java/stonespring/proxy/routing/RouterTest.java
@@ -50,13 +50,13 @@
     return router(RouterSettings.Picking.WEIGHTED, AdmissionLimitKind.FRACTION);
   }
 
-  private static TableSubscriber.Step.Update update(
+  private static TableSubscriber.Result.Update update(
       String stream, boolean fullState, String... pairs) {
     Map<String, String> changes = new LinkedHashMap<>();
     for (int i = 0; i < pairs.length; i += 2) {
       changes.put(pairs[i], pairs[i + 1]);
     }
-    return new TableSubscriber.Step.Update(stream, fullState, changes, -1);
+    return new TableSubscriber.Result.Update(stream, fullState, changes, -1);
   }
 
   private static Router routerWithTables() {
--- a/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
+++ b/src/test/java/stonespring/proxy/routing/TableSubscriberTest.java
@@ -16,14 +16,16 @@
   @Test
   void appliesUpdateOnlyWhenAllItsKeysArrived() {
     assertInstanceOf(
-        TableSubscriber.Step.Gathered.class, subscriber.handleKeyChange("line/1/x", "1", null));
-    TableSubscriber.Step.Update first =
-        (TableSubscriber.Step.Update) subscriber.handleKeyChange("commit", "{}", commit("a", 1, 1));
+        TableSubscriber.Result.NothingToApply.class,
+        subscriber.handleKeyChange("line/1/x", "1", null));
+    TableSubscriber.Result.Update first =
+        (TableSubscriber.Result.Update)
+            subscriber.handleKeyChange("commit", "{}", commit("a", 1, 1));
     assertEquals(Map.of("line/1/x", "1"), first.changes());
     assertEquals(9, first.ackId());
     subscriber.handleKeyChange("line/1/y", "1", null);
     assertInstanceOf(
-        TableSubscriber.Step.Resync.class,
+        TableSubscriber.Result.Resync.class,
         subscriber.handleKeyChange("commit", "{}", commit("a", 2, 2)),
         "an update with a missing key requires the snapshot");
   }
@@ -32,19 +34,19 @@
   void requestsSnapshotWhenUpdateIsOutOfSequence() {
     subscriber.handleKeyChange("commit", "{}", commit("a", 1, 0));
     assertInstanceOf(
-        TableSubscriber.Step.Resync.class,
+        TableSubscriber.Result.Resync.class,
         subscriber.handleKeyChange("commit", "{}", commit("a", 3, 0)));
     assertInstanceOf(
-        TableSubscriber.Step.Resync.class,
+        TableSubscriber.Result.Resync.class,
         subscriber.handleKeyChange("commit", "{}", commit("b", 2, 0)),
         "another stream must begin with its first update");
-    TableSubscriber.Step.Update snapshot =
-        (TableSubscriber.Step.Update)
+    TableSubscriber.Result.Update snapshot =
+        (TableSubscriber.Result.Update)
             subscriber.handleSnapshot(Map.of("commit", "{}", "out/x", "1"), commit("b", 2, 1));
     assertEquals(Map.of("out/x", "1"), snapshot.changes());
     assertEquals(true, snapshot.fullState());
     assertInstanceOf(
-        TableSubscriber.Step.Update.class,
+        TableSubscriber.Result.Update.class,
         subscriber.handleKeyChange("commit", "{}", commit("b", 3, 0)));
   }
 
@@ -52,14 +54,14 @@
   void ignoresSnapshotWithoutNewUpdates() {
     subscriber.handleKeyChange("commit", "{}", commit("a", 1, 0));
     assertInstanceOf(
-        TableSubscriber.Step.Gathered.class,
+        TableSubscriber.Result.NothingToApply.class,
         subscriber.handleSnapshot(Map.of("commit", "{}"), commit("a", 1, 0)));
     assertInstanceOf(
-        TableSubscriber.Step.Gathered.class, subscriber.handleSnapshot(Map.of(), null));
+        TableSubscriber.Result.NothingToApply.class, subscriber.handleSnapshot(Map.of(), null));
     assertInstanceOf(
-        TableSubscriber.Step.Ended.class, subscriber.handleKeyChange("commit", null, null));
+        TableSubscriber.Result.StreamEnded.class, subscriber.handleKeyChange("commit", null, null));
     assertInstanceOf(
-        TableSubscriber.Step.Update.class,
+        TableSubscriber.Result.Update.class,
         subscriber.handleKeyChange("commit", "{}", commit("c", 1, 0)));
   }
 }
