--- a/src/main/java/stonespring/chp/SubscriptionIndex.java
+++ b/src/main/java/stonespring/chp/SubscriptionIndex.java
@@ -34,25 +34,25 @@
   }
 
   void add(ZmtpConnection connection, String prefix) {
-    Map<ZmtpConnection, Integer> counts = countsByPrefix.get(prefix);
-    if (counts == null) {
-      counts = new LinkedHashMap<>();
-      countsByPrefix.put(prefix, counts);
+    Map<ZmtpConnection, Integer> subscriptionCounts = countsByPrefix.get(prefix);
+    if (subscriptionCounts == null) {
+      subscriptionCounts = new LinkedHashMap<>();
+      countsByPrefix.put(prefix, subscriptionCounts);
       prefixCountsByLength.merge(prefix.length(), 1, Integer::sum);
     }
-    counts.merge(connection, 1, Integer::sum);
+    subscriptionCounts.merge(connection, 1, Integer::sum);
     prefixesByConnection.computeIfAbsent(connection, key -> new LinkedHashSet<>()).add(prefix);
   }
 
   /** Cancels one subscription of a connection to a prefix; no effect if there is none. */
   void remove(ZmtpConnection connection, String prefix) {
-    Map<ZmtpConnection, Integer> counts = countsByPrefix.get(prefix);
-    if (counts == null || !counts.containsKey(connection)) {
+    Map<ZmtpConnection, Integer> subscriptionCounts = countsByPrefix.get(prefix);
+    if (subscriptionCounts == null || !subscriptionCounts.containsKey(connection)) {
       return;
     }
-    int remaining = counts.get(connection) - 1;
+    int remaining = subscriptionCounts.get(connection) - 1;
     if (remaining > 0) {
-      counts.put(connection, remaining);
+      subscriptionCounts.put(connection, remaining);
     } else {
       removePrefix(connection, prefix);
       prefixesByConnection.get(connection).remove(prefix);
@@ -68,8 +68,10 @@
   }
 
   private void removePrefix(ZmtpConnection connection, String prefix) {
-    Map<ZmtpConnection, Integer> counts = countsByPrefix.get(prefix);
-    if (counts == null || counts.remove(connection) == null || !counts.isEmpty()) {
+    Map<ZmtpConnection, Integer> subscriptionCounts = countsByPrefix.get(prefix);
+    if (subscriptionCounts == null
+        || subscriptionCounts.remove(connection) == null
+        || !subscriptionCounts.isEmpty()) {
       return;
     }
     countsByPrefix.remove(prefix);
--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -121,27 +121,27 @@
 
     @Override
     public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
-      Map<String, String> values = new LinkedHashMap<>();
+      Map<String, String> valuesByKey = new LinkedHashMap<>();
       TableSubscriber.Commit commit = null;
       for (ChpMessage.KvSync key : keys) {
-        String name = relativeKey(key.key());
-        values.put(name, decodeUtf8(key.value()));
-        if (name.equals(TableSubscriber.COMMIT_KEY)) {
+        String relativeKey = relativeKey(key.key());
+        valuesByKey.put(relativeKey, decodeUtf8(key.value()));
+        if (relativeKey.equals(TableSubscriber.COMMIT_KEY)) {
           commit = CommitReader.read(key.value());
         }
       }
-      handleResult(subscriber.handleSnapshot(values, commit));
+      handleResult(subscriber.handleSnapshot(valuesByKey, commit));
     }
 
     @Override
     public void updateReceived(ChpMessage.KvPub update) {
-      String name = relativeKey(update.key());
+      String relativeKey = relativeKey(update.key());
       byte[] value = update.value();
       boolean isDeleted = value.length == 0;
-      boolean isCommit = name.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
+      boolean isCommit = relativeKey.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
       handleResult(
           subscriber.handleKeyChange(
-              name,
+              relativeKey,
               isDeleted ? null : decodeUtf8(value),
               isCommit ? CommitReader.read(value) : null));
     }
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -60,8 +60,8 @@
       ArrayNode endpointNames = value.putArray("holds");
       hello.namedEndpoints().forEach(endpointNames::add);
     }
-    String timeToLive = String.valueOf(settings.instanceLink().sessionTtlSeconds());
-    return keyValue("/presence/" + settings.name(), Map.of("ttl", timeToLive), value);
+    String ttlSeconds = String.valueOf(settings.instanceLink().sessionTtlSeconds());
+    return keyValue("/presence/" + settings.name(), Map.of("ttl", ttlSeconds), value);
   }
 
   /**
--- a/src/main/java/stonespring/proxy/RequestExchange.java
+++ b/src/main/java/stonespring/proxy/RequestExchange.java
@@ -76,7 +76,7 @@
     EndpointId endpoint =
         proxy.router().pick(requestClass, avoidedEndpoint, proxy.now()).orElse(null);
     if (endpoint == null) {
-      finish(
+      completeRequest(
           avoidedEndpoint == null
               ? rejectionResponse(503, REASON_NO_ENDPOINT)
               : failureResponse(503, REASON_FAILED));
@@ -114,7 +114,7 @@
                 ? null
                 : LoadReportHeader.read(response.header(LoadReportHeader.NAME)));
     if (succeeded) {
-      finish(HttpResponse.of(200, response.text()));
+      completeRequest(HttpResponse.of(200, response.text()));
       return;
     }
     provenNotExecuted &= outcome.provesNotExecuted();
@@ -127,9 +127,9 @@
     if (proxy.router().mayRetry(requestClass, progress, now)) {
       sendAttempt(endpoint);
     } else if (outcome == RequestOutcome.TIMED_OUT) {
-      finish(failureResponse(504, REASON_TIMEOUT));
+      completeRequest(failureResponse(504, REASON_TIMEOUT));
     } else {
-      finish(failureResponse(503, REASON_FAILED));
+      completeRequest(failureResponse(503, REASON_FAILED));
     }
   }
 
@@ -170,7 +170,7 @@
         .setHeader(ProxyHeaders.REASON, reason);
   }
 
-  private void finish(HttpResponse response) {
+  private void completeRequest(HttpResponse response) {
     proxy.decrementInFlight();
     if (response.status() != 200) {
       proxy.statistics().recordUnansweredRequest(requestClass);
--- a/src/main/java/stonespring/proxy/routing/EndpointPicker.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointPicker.java
@@ -82,11 +82,11 @@
   }
 
   private Route drawByWeight(List<Route> candidates) {
-    double total = 0;
+    double totalWeight = 0;
     for (Route route : candidates) {
-      total += route.weight;
+      totalWeight += route.weight;
     }
-    double remaining = random.nextDouble() * total;
+    double remaining = random.nextDouble() * totalWeight;
     for (Route route : candidates) {
       remaining -= route.weight;
       if (remaining < 0) {
@@ -101,15 +101,15 @@
    * highest credit is picked and loses the sum of all weights.
    */
   private static Route nextInRoundRobin(List<Route> candidates) {
-    double total = 0;
+    double totalWeight = 0;
     Route highestCredit = null;
     for (Route route : candidates) {
       route.credit += route.weight;
-      total += route.weight;
+      totalWeight += route.weight;
       highestCredit =
           highestCredit == null || route.credit > highestCredit.credit ? route : highestCredit;
     }
-    highestCredit.credit -= total;
+    highestCredit.credit -= totalWeight;
     return highestCredit;
   }
 }
--- a/src/main/java/stonespring/proxy/routing/EndpointStates.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointStates.java
@@ -22,9 +22,9 @@
 
   /** The index of an endpoint, assigned when the endpoint is first seen. */
   int indexOf(String name) {
-    Integer known = indexByName.get(name);
-    if (known != null) {
-      return known;
+    Integer knownIndex = indexByName.get(name);
+    if (knownIndex != null) {
+      return knownIndex;
     }
     int index = endpoints.size();
     indexByName.put(name, index);
--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -129,10 +129,10 @@
   }
 
   private RequestMixEntry drawMixEntry() {
-    double draw = random.nextDouble();
+    double remaining = random.nextDouble();
     for (RequestMixEntry mix : requestMix) {
-      draw -= mix.share();
-      if (draw < 0) {
+      remaining -= mix.share();
+      if (remaining < 0) {
         return mix;
       }
     }
--- a/src/main/java/stonespring/testbed/InvariantChecker.java
+++ b/src/main/java/stonespring/testbed/InvariantChecker.java
@@ -195,7 +195,7 @@
   }
 
   /** Returns whether an endpoint past its slow start was listed as ready at the given time. */
-  private boolean warmEndpointListed(double atMillis) {
+  private boolean isWarmEndpointListed(double atMillis) {
     Map<String, Evidence.Listed> listed = new HashMap<>();
     for (Evidence.Listed entry : evidence.observationsOf(Evidence.Listed.class)) {
       if (entry.atMillis() > atMillis) {
@@ -225,7 +225,7 @@
       double connectedSinceMillis = sessions.connectedSince(outcome.proxy(), endedAtMillis);
       if (!outcome.reason().equals("no-task")
           || Double.isNaN(connectedSinceMillis)
-          || !warmEndpointListed(endedAtMillis)) {
+          || !isWarmEndpointListed(endedAtMillis)) {
         withoutEndpointSinceMillis.remove(proxyAndClass);
         continue;
       }
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -128,26 +128,27 @@
   }
 
   private void addArrivals(List<LoadSample> samples, List<Recording.ProxyInfo> proxies) {
-    Map<String, Integer> proxyIndex = new HashMap<>();
+    Map<String, Integer> proxyIndexByName = new HashMap<>();
     for (int p = 0; p < proxies.size(); p++) {
-      proxyIndex.put(proxies.get(p).name(), p);
+      proxyIndexByName.put(proxies.get(p).name(), p);
     }
     List<String> classNames = scenario.instance().requestClasses().names();
-    TreeMap<Long, int[]> counts = new TreeMap<>();
+    TreeMap<Long, int[]> requestCounts = new TreeMap<>();
     for (Evidence.Outcome outcome : evidence.observationsOf(Evidence.Outcome.class)) {
       // A sample is dated at the end of its interval, so replay shifts all requests by one
       // interval.
       long sampleIndex = toDeciMillis(outcome.startedAtMillis()) / SAMPLE_INTERVAL_DECI_MILLIS + 1;
-      long key = sampleIndex * proxies.size() + proxyIndex.get(outcome.proxy());
-      int[] byClass = counts.computeIfAbsent(key, k -> new int[classNames.size()]);
+      long sampleAndProxy = sampleIndex * proxies.size() + proxyIndexByName.get(outcome.proxy());
+      int[] byClass =
+          requestCounts.computeIfAbsent(sampleAndProxy, k -> new int[classNames.size()]);
       byClass[classNames.indexOf(outcome.requestClass())]++;
     }
-    counts.forEach(
-        (key, byClass) ->
+    requestCounts.forEach(
+        (sampleAndProxy, byClass) ->
             samples.add(
                 new LoadSample.Arrivals(
-                    key / proxies.size() * SAMPLE_INTERVAL_DECI_MILLIS,
-                    (int) (key % proxies.size()),
+                    sampleAndProxy / proxies.size() * SAMPLE_INTERVAL_DECI_MILLIS,
+                    (int) (sampleAndProxy % proxies.size()),
                     byClass)));
   }
 
--- a/src/main/java/stonespring/testbed/ScenarioReport.java
+++ b/src/main/java/stonespring/testbed/ScenarioReport.java
@@ -17,7 +17,7 @@
             verdict.worstClass(),
             verdict.worstClassName()));
     new TreeMap<>(verdict.counts())
-        .forEach((what, number) -> out.append(String.format("  %-55s %d%n", what, number)));
+        .forEach((name, count) -> out.append(String.format("  %-55s %d%n", name, count)));
     if (verdict.violations().isEmpty()) {
       out.append(String.format("all five rules kept%n"));
     } else {
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -38,8 +38,8 @@
   @Override
   public void bytesPassed(int listener, long connection, boolean towardsProxy, byte[] bytes) {
     boolean isUpdate = listener == UPDATE_LISTENER && towardsProxy;
-    boolean isPublished = listener == COLLECTOR_LISTENER && !towardsProxy;
-    if (!isUpdate && !isPublished) {
+    boolean isCollectorMessage = listener == COLLECTOR_LISTENER && !towardsProxy;
+    if (!isUpdate && !isCollectorMessage) {
       return;
     }
     WireTapFrameParser parser =
@@ -48,7 +48,7 @@
       if (isUpdate) {
         recordUpdate(message);
       } else {
-        recordPublished(connection, message);
+        recordCollectorMessage(connection, message);
       }
     }
   }
@@ -61,7 +61,7 @@
     }
   }
 
-  private void recordPublished(long connection, List<byte[]> message) {
+  private void recordCollectorMessage(long connection, List<byte[]> message) {
     if (key(message).equals("/presence/" + proxy) && presentConnections.add(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, true));
     }
--- a/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
+++ b/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
@@ -39,14 +39,14 @@
    */
   public static List<Path> write(List<ComparisonRow> rows, Path folder) throws IOException {
     Files.createDirectories(folder);
-    CategoryChart service =
+    CategoryChart serviceChart =
         chart(
             rows,
             "Service by load, with 95% confidence intervals (simulated endpoints)",
             "fraction answered within the latency objective",
             row -> row.service().mean(),
             row -> (row.service().high() - row.service().low()) / 2);
-    CategoryChart connections =
+    CategoryChart connectionsChart =
         chart(
             rows,
             "Connections opened by load (simulated endpoints)",
@@ -54,8 +54,8 @@
             row -> row.averages().connections(),
             row -> 0);
     return List.of(
-        save(service, folder.resolve("service.png")),
-        save(connections, folder.resolve("connections.png")));
+        save(serviceChart, folder.resolve("service.png")),
+        save(connectionsChart, folder.resolve("connections.png")));
   }
 
   private static Path save(CategoryChart chart, Path file) throws IOException {
--- a/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualRequest.java
@@ -44,7 +44,7 @@
    * Incremented for each attempt, at each client retry and on completion. Actions scheduled with an
    * older value have no effect.
    */
-  private int generation;
+  private int stateVersion;
 
   private int attempts;
 
@@ -105,7 +105,7 @@
       handleUnsuccessfulAnswer(false);
       return;
     }
-    generation++;
+    stateVersion++;
     attempts++;
     if (provenNotExecuted) {
       firstAttemptAt = now;
@@ -121,11 +121,11 @@
     boolean opensConnection = proxy.connections().use(id, events.now());
     fleet.statistics().recordAttempt(crossesZones, opensConnection);
     long latency = crossesZones ? CROSS_ZONE_LATENCY_DECI_MILLIS : SAME_ZONE_LATENCY_DECI_MILLIS;
-    int attemptGeneration = generation;
+    int attemptVersion = stateVersion;
     if (endpoint == null || !endpoint.isRunning()) {
       proxy.connections().close(id);
       events.scheduleAfter(
-          2 * latency, () -> handleAttemptEnd(attemptGeneration, AttemptResult.CONNECTION_REFUSED));
+          2 * latency, () -> handleAttemptEnd(attemptVersion, AttemptResult.CONNECTION_REFUSED));
       return;
     }
     events.scheduleAfter(
@@ -136,12 +136,11 @@
                 deadline,
                 opensConnection,
                 result ->
-                    events.scheduleAfter(
-                        latency, () -> handleAttemptEnd(attemptGeneration, result))));
+                    events.scheduleAfter(latency, () -> handleAttemptEnd(attemptVersion, result))));
   }
 
-  private void handleAttemptEnd(int attemptGeneration, AttemptResult result) {
-    if (attemptGeneration != generation) {
+  private void handleAttemptEnd(int attemptVersion, AttemptResult result) {
+    if (attemptVersion != stateVersion) {
       return;
     }
     long now = events.now();
@@ -180,12 +179,12 @@
       return;
     }
     clientRetries++;
-    generation++;
-    int retryGeneration = generation;
+    stateVersion++;
+    int retryVersion = stateVersion;
     events.scheduleAfter(
         CLIENT_RETRY_DELAY_DECI_MILLIS,
         () -> {
-          if (retryGeneration == generation) {
+          if (retryVersion == stateVersion) {
             arriveAtProxy();
           }
         });
@@ -209,7 +208,7 @@
       return;
     }
     completed = true;
-    generation++;
+    stateVersion++;
     long now = events.now();
     if (pendingEndpoint != null) {
       proxy.router().recordAttemptEnd(pendingEndpoint, false, now);
