--- a/src/main/java/stonespring/chp/ChpClient.java
+++ b/src/main/java/stonespring/chp/ChpClient.java
@@ -29,7 +29,7 @@
      */
     void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence);
 
-    /** Called when a key was changed, or deleted (empty value). */
+    /** Called when a key was changed, or deleted, which an empty value indicates. */
     void updateReceived(ChpMessage.KvPub update);
 
     /**
@@ -144,7 +144,11 @@
     }
   }
 
-  /** Requests the snapshot and reports the session as ready, each as soon as it is possible. */
+  /**
+   * Takes the steps of the handshake that have become possible: requests the snapshot once the
+   * subscription is active, and reports the session as ready once the snapshot is complete and, if
+   * the collector connection is open, the server has subscribed on it.
+   */
   private void advanceHandshake() {
     if (subscriptionActive && snapshotConnection != null && !replica.isSnapshotRequested()) {
       replica.startSnapshot();
@@ -230,7 +234,8 @@
     public void connectionOpened(ZmtpConnection connection) {
       updateConnection = connection;
       connection.subscribe(ChpMessage.textFrame(subtree));
-      // Must be the last subscription: its first heartbeat shows that the subtree's is active.
+      // Must follow the subscription to the subtree: the server handles subscriptions in order, so
+      // the first heartbeat shows that the subtree's updates are subscribed to.
       connection.subscribe(ChpMessage.textFrame(ChpMessage.HUGZ));
     }
 
@@ -265,7 +270,8 @@
     @Override
     public void subscriptionChanged(
         ZmtpConnection connection, byte[] prefix, boolean isSubscribed) {
-      // A PUB socket drops messages that are sent before the server has subscribed.
+      // Keys can be set only while this is true: a PUB socket drops messages that are sent before
+      // the server has subscribed.
       serverSubscribedToCollector = isSubscribed;
       advanceHandshake();
     }
--- a/src/main/java/stonespring/chp/ChpServer.java
+++ b/src/main/java/stonespring/chp/ChpServer.java
@@ -29,10 +29,10 @@
   /** RFC 12 specifies a heartbeat about once a second. */
   private static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
 
-  /** Attempts to find three free consecutive ports. */
+  /** Maximum number of attempts to find three free consecutive ports. */
   private static final int MAX_FREE_PORT_ATTEMPTS = 50;
 
-  /** The two ports that follow must be valid too. */
+  /** Highest snapshot port: the two ports that follow must be valid too. */
   private static final int MAX_SNAPSHOT_PORT = 65_533;
 
   private static final long MIN_CLOSE_WAIT_MILLIS = 100;
--- a/src/main/java/stonespring/chp/SubscriptionIndex.java
+++ b/src/main/java/stonespring/chp/SubscriptionIndex.java
@@ -88,7 +88,8 @@
   /** Returns the connections that subscribed to any prefix of the key, without duplicates. */
   List<ZmtpConnection> subscribersOfKey(String key) {
     List<ZmtpConnection> subscribers = new ArrayList<>();
-    // Only needed to remove duplicates once a second prefix matches.
+    // The subscribers found so far; null until a second prefix matches, as one prefix alone gives
+    // no duplicates.
     Set<ZmtpConnection> seen = null;
     for (int length : prefixCountsByLength.keySet()) {
       if (length > key.length()) {
--- a/src/main/java/stonespring/chp/SubtreeReplica.java
+++ b/src/main/java/stonespring/chp/SubtreeReplica.java
@@ -35,7 +35,10 @@
     return inSync;
   }
 
-  /** Prepares to collect a snapshot that the caller requests now. */
+  /**
+   * Discards keys of an earlier snapshot and starts to collect a new one. The caller then requests
+   * the snapshot from the server.
+   */
   void startSnapshot() {
     snapshotRequested = true;
     snapshotKeys = new ArrayList<>();
@@ -74,7 +77,8 @@
     List<ChpMessage.KvSync> keys = snapshotKeys;
     snapshotKeys = new ArrayList<>();
     listener.snapshotReceived(keys, lastSequence);
-    // The listener may call markOutOfSync or stop during any update.
+    // During any update, the listener may resync or close the client, which calls markOutOfSync or
+    // stop.
     while (!bufferedUpdates.isEmpty() && inSync && !stopped) {
       apply(bufferedUpdates.poll());
     }
--- a/src/main/java/stonespring/chp/UpdatePublisher.java
+++ b/src/main/java/stonespring/chp/UpdatePublisher.java
@@ -32,8 +32,8 @@
     }
     subscriptions.add(connection, prefix);
     if (prefix.equals(ChpMessage.HUGZ)) {
-      // Shows the subscriber that its earlier subscriptions are active, so that it can request
-      // its snapshot without missing an update.
+      // This heartbeat shows the subscriber that its earlier subscriptions are active, so that it
+      // can request its snapshot without missing an update.
       connection.writeMessageAndFlush(new ChpMessage.Hugz().frames());
     }
   }
--- a/src/main/java/stonespring/http/HttpClient.java
+++ b/src/main/java/stonespring/http/HttpClient.java
@@ -28,13 +28,19 @@
 
   private long openedConnections;
 
-  /** Creates a client on an event loop. */
+  /** Creates a client on an event loop; see {@link #HttpClient(Connector, int, int, int)}. */
   public HttpClient(
       EventLoop loop, int connectTimeoutMillis, int maxBodyBytes, int maxIdlePerAddress) {
     this(new Connector(loop), connectTimeoutMillis, maxBodyBytes, maxIdlePerAddress);
   }
 
-  /** Creates a client on the connector's event loop. */
+  /**
+   * Creates a client on the connector's event loop.
+   *
+   * @param connectTimeoutMillis the maximum time to establish a connection
+   * @param maxBodyBytes the maximum size of a response body; a larger one fails the call
+   * @param maxIdlePerAddress the maximum number of idle connections kept per server address
+   */
   public HttpClient(
       Connector connector, int connectTimeoutMillis, int maxBodyBytes, int maxIdlePerAddress) {
     this.connector = connector;
--- a/src/main/java/stonespring/http/MalformedHttpException.java
+++ b/src/main/java/stonespring/http/MalformedHttpException.java
@@ -4,7 +4,7 @@
 
 /**
  * Thrown when bytes received from a peer are not HTTP/1.1 or are in a form that is rejected. The
- * message states location and problem; a server sends it to the peer.
+ * message names the location and the problem; a server sends it to the peer.
  */
 public final class MalformedHttpException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -193,7 +193,7 @@
       client.resync();
     } else if (result instanceof TableSubscriber.Result.Update update) {
       long arrivedAtDeciMillis = now();
-      // The delay stands for the pause that a proxy needs for each change; the update is then
+      // The delay simulates the time that a proxy needs to apply each change; the update is then
       // applied as a whole.
       long applyDelayMicros = (long) link.applyDelayMicrosPerChange() * update.changes().size();
       loop.schedule(
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -31,7 +31,7 @@
   /**
    * The state that a proxy announces when it opens or renews its session.
    *
-   * @param processId random id, drawn when the proxy starts
+   * @param processId random id, generated when the proxy starts
    * @param connectionCount number of connections that the proxy has opened so far, this one
    *     included
    * @param withoutTables whether the proxy has applied no update yet and holds at most its
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -29,7 +29,10 @@
  * <p>Confined to one event loop; the public methods may be called from any thread.
  */
 public final class Proxy {
-  /** An endpoint that accepts connections does so within a few milliseconds. */
+  /**
+   * Maximum time to connect to an endpoint. One that accepts connections does so within a few
+   * milliseconds.
+   */
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
   private static final int MAX_BODY_BYTES = 64 << 10;
@@ -103,7 +106,7 @@
   /**
    * Stalls or resumes the proxy. While stalled, it reads nothing from its instance and starts no
    * request. On resuming, it first reads the updates that arrived during the stall and only then
-   * sends requests, because its tables are as old as the stall was long.
+   * sends requests, because its tables date from before the stall.
    */
   public void setStalled(boolean stall) {
     loop.execute(
--- a/src/main/java/stonespring/proxy/ProxySettings.java
+++ b/src/main/java/stonespring/proxy/ProxySettings.java
@@ -9,10 +9,10 @@
  * Settings of a proxy.
  *
  * @param seed seed of the proxy's random number generators
- * @param requestTimeoutsMillis longest time for a request, by request class, in milliseconds
+ * @param requestTimeoutsMillis timeout of a request, by request class, in milliseconds
  * @param bootstrapEndpoints endpoints that the proxy uses, with equal weights, for a request class
  *     until it receives a table for the class
- * @param usualRequestsPerSecond rough rate of requests that the proxy usually receives
+ * @param usualRequestsPerSecond approximate request rate that the proxy usually receives
  */
 public record ProxySettings(
     String name,
@@ -26,7 +26,7 @@
   /**
    * Settings of the connection to an instance.
    *
-   * @param instances ports of the instances, in the order in which they are tried
+   * @param instances host and ports of each instance, in the order in which they are tried
    * @param applyDelayMicrosPerChange delay before an update is applied, for each change in it, in
    *     microseconds
    * @param reportIntervalMillis interval between load reports, in milliseconds
--- a/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
+++ b/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
@@ -18,7 +18,10 @@
 
   private final AdmissionLimitKind kind;
   private final DeterministicRandom random;
+
+  /** Tokens left by request class; NaN before the first use, when the bucket is full. */
   private final double[] tokens;
+
   private final long[] lastRefillAt;
 
   AdmissionLimiter(AdmissionLimitKind kind, int requestClassCount, DeterministicRandom random) {
--- a/src/main/java/stonespring/proxy/routing/EndpointStates.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointStates.java
@@ -7,9 +7,12 @@
 import java.util.Map;
 import stonespring.model.EndpointId;
 
-/** The state of each endpoint as observed from the proxy's own attempts, under a dense index. */
+/**
+ * The state of each endpoint as observed from the proxy's own attempts, stored in arrays. Endpoints
+ * are numbered from 0 in the order in which they are first seen.
+ */
 final class EndpointStates {
-  /** Stands for no endpoint in place of an index. */
+  /** Index that stands for no endpoint. */
   static final int NONE = -1;
 
   private static final int INITIAL_CAPACITY = 16;
@@ -20,7 +23,9 @@
   private int[] consecutiveFailures = new int[INITIAL_CAPACITY];
   private long[] ejectedUntil = new long[INITIAL_CAPACITY];
 
-  /** The index of an endpoint, assigned when the endpoint is first seen. */
+  /**
+   * Returns the index of an endpoint; assigns the next free index to one that was not seen before.
+   */
   int indexOf(String name) {
     Integer knownIndex = indexByName.get(name);
     if (knownIndex != null) {
--- a/src/main/java/stonespring/proxy/routing/ReceivedTables.java
+++ b/src/main/java/stonespring/proxy/routing/ReceivedTables.java
@@ -76,8 +76,9 @@
     for (int k = 0; k < assignedTable.length; k++) {
       previousTables.set(k, routes(k));
     }
-    // An earlier exclusion is dropped once no table from its stream is left, because that
-    // stream can no longer end it.
+    // If the stream that now ends has assigned a table to every class, no table of the streams
+    // before it is left. Their exclusions are dropped, because those streams can no longer end
+    // them.
     if (Arrays.stream(assignedTable).allMatch(Objects::nonNull)) {
       previouslyExcluded.clear();
     }
--- a/src/main/java/stonespring/proxy/routing/RequestOutcome.java
+++ b/src/main/java/stonespring/proxy/routing/RequestOutcome.java
@@ -27,8 +27,8 @@
   /**
    * The connection was reset, closed or half-closed before the answer was complete, at any byte of
    * the request or the answer. The endpoint may still read the bytes in its buffers after the
-   * connection has broken. A reused connection that breaks while the request is being sent can't be
-   * told apart from this.
+   * connection has broken. This includes a reused connection that breaks while the request is being
+   * sent, because the two cases can't be told apart.
    */
   CONNECTION_BROKEN(false),
   /**
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -16,24 +16,25 @@
   /** The key that completes an update. */
   public static final String COMMIT_KEY = "commit";
 
-  /** Maximum number of keys in an update. One with more keys cannot be a route table. */
+  /** Maximum number of keys in an update. A larger update cannot be a route table. */
   private static final int MAX_KEYS = 100_000;
 
   /** The result of handling a key or a snapshot. */
   public sealed interface Result {
     /**
-     * There is nothing to apply: the update is not complete, or the snapshot contains no change.
+     * There is nothing to apply: the update is not complete, or the snapshot contains no state
+     * newer than the last update.
      */
     record NothingToApply() implements Result {}
 
     /**
-     * A complete update that must be applied.
+     * A complete update to apply.
      *
      * @param stream the stream that it belongs to
      * @param fullState whether the update replaces everything that the stream has sent before
      * @param changes values by key, in the order of their last arrival; the value is null for a
      *     deleted key
-     * @param ackId the number to acknowledge, or {@link Commit#NO_ACK}
+     * @param ackId the number to send in the acknowledgement, or {@link Commit#NO_ACK}
      */
     record Update(String stream, boolean fullState, Map<String, String> changes, int ackId)
         implements Result {}
@@ -51,10 +52,10 @@
    * @param stream the stream of updates that it belongs to
    * @param sequence number of the update within the stream, from 1
    * @param keys number of keys that the update changed
-   * @param ackId the number to acknowledge, or {@link #NO_ACK}
+   * @param ackId the number to send in the acknowledgement, or {@link #NO_ACK}
    */
   public record Commit(String stream, int sequence, int keys, int ackId) {
-    /** Used in place of a number if no acknowledgement is requested. */
+    /** Value of {@code ackId} if no acknowledgement is requested. */
     public static final int NO_ACK = -1;
   }
 
--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -90,12 +90,14 @@
     requestsPerSecond = newRequestsPerSecond;
   }
 
-  /** Sets the fraction of the request timeout after which a request is given up; 1 is usual. */
+  /**
+   * Sets the fraction of the request timeout after which a request is given up; 1 without a fault.
+   */
   void setTimeoutFraction(double fraction) {
     timeoutFraction = fraction;
   }
 
-  /** Stops sending new requests; requests under way still run to their end. */
+  /** Stops sending new requests; requests in progress run to their end. */
   void stop() {
     loop.execute(() -> stopped = true);
   }
--- a/src/main/java/stonespring/testbed/DeploymentFaults.java
+++ b/src/main/java/stonespring/testbed/DeploymentFaults.java
@@ -29,7 +29,7 @@
   /**
    * Drains and restarts the drawn endpoints in batches that are spread evenly over the fault's
    * duration. The magnitude is the batch size as a fraction of all endpoints; the interval is the
-   * time for which an endpoint drains after instances can see it.
+   * time from when the registry lists an endpoint as draining until its process is killed.
    */
   private void deploy(FaultTarget target) {
     Scenario.Fault fault = target.fault();
--- a/src/main/java/stonespring/testbed/EndpointStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -26,7 +26,7 @@
  * {@link Evidence}.
  */
 final class EndpointStandIn {
-  /** Mean service times of requests by request class, and the one of all classes not listed. */
+  /** Mean service times by request class, and the default for classes that are not listed. */
   record ServiceTimes(Map<String, Double> millisByClass, double defaultMillis) {}
 
   /**
@@ -45,8 +45,10 @@
   /**
    * The properties of an endpoint.
    *
-   * @param queueLimit the number of requests that may wait for a core; more are rejected
-   * @param connectionLimit the number of open connections; more are closed on accept
+   * @param queueLimit the maximum number of requests that wait for a core; further requests are
+   *     rejected
+   * @param connectionLimit the maximum number of open connections; further connections are closed
+   *     on accept
    * @param handshakeMillis the core time that a new connection takes
    * @param deduplicationWindowMillis the deduplication window by request class, for the classes
    *     that have one
@@ -70,7 +72,10 @@
 
   private static final int MAX_REQUEST_BYTES = 64 << 10;
 
-  /** Start of an endpoint without a slow start: so long ago that any warm-up is over. */
+  /**
+   * Warm-up start of an endpoint that starts without a slow start: a time so long ago that any
+   * warm-up is over.
+   */
   private static final double LONG_AGO_MILLIS = -1e9;
 
   private final String name;
@@ -182,7 +187,7 @@
     up = true;
   }
 
-  /** Ends the endpoint at once: closes every connection and drops queued requests. */
+  /** Crashes the endpoint: closes every connection and drops queued requests. */
   void crash() {
     if (up) {
       up = false;
--- a/src/main/java/stonespring/testbed/Evidence.java
+++ b/src/main/java/stonespring/testbed/Evidence.java
@@ -67,14 +67,16 @@
     }
   }
 
-  /** The commit key that ends an update message passed to a proxy. */
+  /**
+   * An update message to a proxy was complete: its last key, the commit, was observed on the link.
+   */
   public record Commit(double atMillis, String proxy) {}
 
   /**
    * The session of a proxy at an instance began or ended.
    *
-   * @param connected true if the proxy's presence key passed to the instance, false if the
-   *     connection ended
+   * @param connected true if the link forwarded the proxy's presence key to the instance, false if
+   *     the connection ended or its link froze
    */
   public record Session(double atMillis, String proxy, boolean connected) {}
 
--- a/src/main/java/stonespring/testbed/RegistryStandIn.java
+++ b/src/main/java/stonespring/testbed/RegistryStandIn.java
@@ -223,8 +223,9 @@
   }
 
   /**
-   * Records a response as evidence: entries whose state differs from the previous response, and
-   * every time the entries with a known start of their slow start.
+   * Records the content of a response as evidence: each entry whose state differs from the previous
+   * response, each entry that is no longer listed, and, in every response, each entry with a known
+   * start of its slow start.
    */
   private void recordListed(List<Entry> listed) {
     TreeMap<String, String> states = new TreeMap<>();
--- a/src/main/java/stonespring/testbed/ScenarioFleet.java
+++ b/src/main/java/stonespring/testbed/ScenarioFleet.java
@@ -37,16 +37,16 @@
 
   // Settings of the proxies.
 
-  /** Time for which a proxy is halted for each route change that it applies. */
+  /** Delay before a proxy applies an update, for each route change in it. */
   private static final int ROUTE_APPLY_COST_MICROS = 50;
 
-  /** Three missed heartbeats of an instance. */
+  /** How long an instance may send nothing: three missed heartbeats. */
   private static final long INSTANCE_SILENCE_TIMEOUT_MILLIS = 3_000;
 
   private static final int MIN_RECONNECT_DELAY_MILLIS = 300;
   private static final int MAX_RECONNECT_DELAY_MILLIS = 1500;
 
-  /** Three missed heartbeats of a proxy. */
+  /** How long an instance keeps a proxy's session without a renewal: three missed renewals. */
   private static final int PRESENCE_TTL_SECONDS = 3;
 
   private final Scenario scenario;
@@ -160,7 +160,10 @@
     return proxies.stream().filter(proxy -> zone < 0 || proxy.zone() == zone).toList();
   }
 
-  /** Draws a fraction of a list without replacement; at least one element unless it is empty. */
+  /**
+   * Draws a fraction of a list without replacement: at least one element, or none from an empty
+   * list.
+   */
   <T> List<T> sample(List<T> from, double fraction) {
     List<T> rest = new ArrayList<>(from);
     List<T> drawn = new ArrayList<>();
@@ -322,7 +325,7 @@
     return (EventLoop) loops.next();
   }
 
-  /** Stops all participants; safe to call if {@link #start} failed part way. */
+  /** Stops all participants that were started, also if {@link #start} has failed. */
   void close() throws InterruptedException {
     statusMonitor.stop();
     for (ScenarioProxy proxy : proxies) {
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -138,6 +138,7 @@
       // A sample is dated at the end of its interval, so replay shifts all requests by one
       // interval.
       long sampleIndex = toDeciMillis(outcome.startedAtMillis()) / SAMPLE_INTERVAL_DECI_MILLIS + 1;
+      // Orders the arrivals by sample, then by proxy.
       long sampleAndProxy = sampleIndex * proxies.size() + proxyIndexByName.get(outcome.proxy());
       int[] byClass =
           requestCounts.computeIfAbsent(sampleAndProxy, k -> new int[classNames.size()]);
--- a/src/main/java/stonespring/testbed/StandIns.java
+++ b/src/main/java/stonespring/testbed/StandIns.java
@@ -25,7 +25,7 @@
   private static final long MIN_EJECTION_DECI_MILLIS = 26_000;
   private static final long MAX_EJECTION_DECI_MILLIS = 64_000;
 
-  /** With less time left before the deadline, there is no time for a further attempt. */
+  /** Minimum time that must be left before the deadline for a further attempt. */
   private static final long MIN_TIME_FOR_RETRY_DECI_MILLIS = 500;
 
   // The properties of endpoints that are started from the command line.
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * Records commits and presence that pass on the links of one proxy. It has its own decoder and
- * shares no code with the product's decoders. Runs on the link's event loop.
+ * Records the commit keys and presence keys that pass through the links of one proxy. It has its
+ * own decoder and shares no code with the product's decoders. Runs on the link's event loop.
  */
 final class WireTap implements FaultyLink.Tap {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -79,7 +79,10 @@
     }
   }
 
-  /** Ends the session: the proxy is unreachable until its presence passes again. */
+  /**
+   * Records the end of the session: the instance can't reach the proxy until the link forwards its
+   * presence key again.
+   */
   @Override
   public void linkFrozen() {
     if (!presentConnections.isEmpty()) {
--- a/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
+++ b/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
@@ -19,13 +19,13 @@
   private static final int HEIGHT_PIXELS = 520;
 
   /**
-   * Steps in which the lower end of an axis of fractions is chosen. It lies up to two steps below
-   * the lowest value, because fractions are close together and hard to tell apart on an axis from
-   * 0.
+   * Number of steps into which an axis of fractions from 0 to 1 is divided. The axis starts between
+   * one and two steps below the lowest value instead of at 0, because fractions that are close
+   * together are hard to tell apart on an axis from 0.
    */
   private static final int FRACTION_AXIS_STEPS = 20;
 
-  /** Distance kept below the step under the lowest value. */
+  /** Distance from the start of the axis to the step at or below the lowest value. */
   private static final double FRACTION_AXIS_MARGIN = 0.05;
 
   private ComparisonCharts() {}
--- a/src/main/java/stonespring/testbed/virtual/ConnectionTable.java
+++ b/src/main/java/stonespring/testbed/virtual/ConnectionTable.java
@@ -10,7 +10,7 @@
   /** Time after which an unused connection is closed. */
   private static final long IDLE_TIMEOUT_DECI_MILLIS = 15 * DeciMillis.SECOND;
 
-  /** Time of last use of an endpoint that was never used. */
+  /** Last use of an endpoint that was never used; long enough ago to be over the idle timeout. */
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final Map<String, Long> lastUsedAt = new HashMap<>();
--- a/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
+++ b/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
@@ -27,7 +27,7 @@
     SURGE,
     /** Reports arrive late, and some endpoints claim more capacity than they have. */
     STALE_REPORTS,
-    /** Six tenths of the endpoints are replaced in batches. */
+    /** 60% of the endpoints are replaced in batches. */
     DEPLOY,
     /** One proxy receives a third of all requests. */
     HUGE_PROXY,
@@ -60,7 +60,7 @@
   /** Multiple of its real capacity that a claiming endpoint reports. */
   private static final double CLAIMED_CAPACITY_MULTIPLE = 3;
 
-  /** One endpoint in this many claims too much capacity. */
+  /** Every endpoint whose index is a multiple of this number claims too much capacity. */
   private static final int CLAIMING_ENDPOINT_STRIDE = 3;
 
   /** Additional delay of reports from the disturbance on. */
@@ -72,7 +72,9 @@
    */
   private static final double PROXY_SIZE_EXPONENT = -0.5;
 
-  /** Speeds are uniform between this and 1 more. */
+  /**
+   * Lowest speed of an endpoint; speeds are uniformly distributed from this value to 1 above it.
+   */
   private static final double MIN_SPEED = 0.5;
 
   private static final int DEPLOY_BATCHES = 8; // batches that it takes to replace all endpoints
@@ -118,7 +120,7 @@
   }
 
   private Recording generate() {
-    // The order of the following steps determines the random draws: keep it.
+    // Do not reorder the following steps: their order determines the random draws.
     double[] speeds = drawSpeeds();
     startEndpoints(speeds);
     List<Recording.ProxyInfo> proxies = drawProxies(BASE_UTILIZATION * capacity(speeds));
@@ -275,7 +277,7 @@
     }
   }
 
-  /** Replaces six tenths of the endpoints with new ones; the old ones drain before they stop. */
+  /** Replaces 60% of the endpoints with new ones; the old ones drain before they stop. */
   private void addDeploy(double[] speeds) {
     int batchSize = Math.max(1, endpointCount / DEPLOY_BATCHES);
     for (int index = 0; index < endpointCount * 6 / 10; index++) {
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -36,7 +36,10 @@
   /** Network round-trip time between the instance and a proxy. */
   static final long CHANNEL_ROUND_TRIP_DECI_MILLIS = 200;
 
-  /** Time until a report is processed by the instance, without recorded report delays. */
+  /**
+   * Time from the creation of a report until the instance processes it; recorded report delays are
+   * added to it.
+   */
   private static final long REPORT_DELAY_DECI_MILLIS = 3_000;
 
   /** Proxies connect at random times from 0 up to this time. */
@@ -70,7 +73,7 @@
     this.seed = seed;
     this.random = new SplittableRandom(seed);
     this.statistics = new ReplayStatistics(recording.head().duration());
-    // The order of the following steps determines the random draws: keep it.
+    // Do not reorder the following steps: their order determines the random draws.
     List<LoadSample> initial =
         recording.samples().stream().takeWhile(sample -> sample.at() == 0).toList();
     List<EndpointRecord> listed = applyInitialSamples(initial);
@@ -168,12 +171,12 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-      // Recorded list updates come anyway.
+      // No request is needed: list updates follow the recording.
     }
 
     @Override
     public void fetchEndpoints() {
-      // Recorded list updates come anyway.
+      // No request is needed: list updates follow the recording.
     }
   }
 
--- a/src/main/java/stonespring/zmtp/ErrorCommand.java
+++ b/src/main/java/stonespring/zmtp/ErrorCommand.java
@@ -10,7 +10,7 @@
 
   private ErrorCommand() {}
 
-  /** Encodes an ASCII reason of at most 255 characters. */
+  /** Encodes the command with an ASCII reason of at most 255 characters. */
   static ByteBuf encode(String reason) {
     byte[] text = reason.getBytes(StandardCharsets.US_ASCII);
     byte[] data = new byte[text.length + 1];
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -82,7 +82,8 @@
     var buffer = channel.unsafe().outboundBuffer();
     if (buffer != null && buffer.totalPendingWriteBytes() > limits.maxPendingBytes()) {
       messages.release();
-      // Messages can't be skipped in mid-stream; the peer reconnects and requests a new snapshot.
+      // Skipping messages would leave a gap in the stream; after the close, the peer reconnects and
+      // requests a new snapshot.
       close("peer reads too slowly: more than " + limits.maxPendingBytes() + " bytes are pending");
       return;
     }
@@ -247,7 +248,10 @@
     listener.subscriptionChanged(this, prefix, subscribed);
   }
 
-  /** Truncates text from a peer and replaces everything but printable ASCII for logging. */
+  /**
+   * Prepares text from a peer for a log line: truncates it and replaces every character except
+   * printable ASCII.
+   */
   private static String sanitizeForLog(String text) {
     String shortened = text.substring(0, Math.min(MAX_LOGGED_CHARS, text.length()));
     return shortened.replaceAll("[^\\x20-\\x7e]", "?");
--- a/src/main/java/stonespring/zmtp/ZmtpProtocolException.java
+++ b/src/main/java/stonespring/zmtp/ZmtpProtocolException.java
@@ -3,7 +3,7 @@
 import stonespring.netty.ProtocolViolationException;
 
 /**
- * Thrown when a peer violates ZMTP. The message states where in the protocol and what was wrong.
+ * Thrown when a peer violates ZMTP. The message names the element of the protocol and the problem.
  */
 public final class ZmtpProtocolException extends ProtocolViolationException {
   private static final long serialVersionUID = 1;
--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -20,10 +20,16 @@
 public final class ZmtpSockets {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpSockets.class);
 
-  /** Large enough for a whole fleet that reconnects within a second. */
+  /**
+   * Maximum length of the accept queue; large enough for a whole fleet that reconnects within a
+   * second.
+   */
   private static final int ACCEPT_BACKLOG = 2048;
 
-  /** Loopback and neighbouring data centres answer within a few milliseconds. */
+  /**
+   * Maximum time to establish a TCP connection. Peers on loopback or in neighbouring data centres
+   * answer within a few milliseconds.
+   */
   private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
   private ZmtpSockets() {}
