--- a/src/main/java/stonespring/chp/ChpDecoder.java
+++ b/src/main/java/stonespring/chp/ChpDecoder.java
@@ -28,7 +28,7 @@
   static ChpMessage.IcanHaz decodeRequest(List<byte[]> frames) {
     checkFrameCount(ICANHAZ_NAME, frames, REQUEST_FRAMES);
     if (!decodeText(ICANHAZ_NAME, "command", frames.get(0)).equals(ChpMessage.ICANHAZ)) {
-      throw new InvalidChpMessageException("snapshot port", "expected the command ICANHAZ?");
+      throw new InvalidChpMessageException("snapshot port", "expected the command 'ICANHAZ?'");
     }
     return new ChpMessage.IcanHaz(checkSubtree(decodeText(ICANHAZ_NAME, "subtree", frames.get(1))));
   }
--- a/src/main/java/stonespring/http/HttpServerConnection.java
+++ b/src/main/java/stonespring/http/HttpServerConnection.java
@@ -96,7 +96,7 @@
     }
     if (!(rootCause instanceof IOException)) {
       LOG.error(
-          "http peer {}: connection closed: unexpected exception in its handler",
+          "http peer {}: connection closed: unexpected exception in the connection's handler",
           ctx.channel().remoteAddress(),
           rootCause);
     }
--- a/src/main/java/stonespring/proxy/routing/PublishedChange.java
+++ b/src/main/java/stonespring/proxy/routing/PublishedChange.java
@@ -79,7 +79,12 @@
       // Reported below, together with the key.
     }
     throw new IllegalArgumentException(
-        key + ": expected a number from 0 to below " + MAX_NUMBER + ", found '" + value + "'");
+        key
+            + ": expected a number of at least 0 and below "
+            + MAX_NUMBER
+            + ", found '"
+            + value
+            + "'");
   }
 
   private static AdmissionLimit limit(String key, String value) {
@@ -87,7 +92,10 @@
     RetryPolicy policy = words.length == 2 ? retryPolicy(words[1]) : null;
     if (policy == null) {
       throw new IllegalArgumentException(
-          key + ": expected an admission limit and a retry policy, found '" + value + "'");
+          key
+              + ": expected an admission limit and a retry policy, separated by a space, found '"
+              + value
+              + "'");
     }
     return new AdmissionLimit(number(key, words[0]), policy);
   }
--- a/src/main/java/stonespring/testbed/FaultInjector.java
+++ b/src/main/java/stonespring/testbed/FaultInjector.java
@@ -35,7 +35,7 @@
   /** Starts a fault now; the timeline ends it. */
   void inject(Scenario.Fault fault) throws Exception {
     LOG.info(
-        "injecting fault {} s after the start of the scenario: {}",
+        "{} s after the start of the scenario: injecting fault {}",
         Math.round(timeline.now() / 100) / 10.0,
         fault);
     double end = timeline.now() + fault.durationMillis();
--- a/src/main/java/stonespring/zmtp/FrameDecoder.java
+++ b/src/main/java/stonespring/zmtp/FrameDecoder.java
@@ -56,7 +56,11 @@
   private void checkFlags(int flags) {
     if (!FrameFlags.areValid(flags)) {
       throw new ZmtpProtocolException(
-          LOCATION, "flags 0x" + Integer.toHexString(flags) + " are not valid");
+          LOCATION,
+          "flags 0x"
+              + Integer.toHexString(flags)
+              + " are not valid: expected any of MORE (1), LONG (2) and COMMAND (4), but not MORE"
+              + " together with COMMAND");
     }
     if (FrameFlags.has(flags, FrameFlags.COMMAND) && !pendingFrames.isEmpty()) {
       throw new ZmtpProtocolException(
--- a/src/main/java/stonespring/zmtp/ZmtpConnection.java
+++ b/src/main/java/stonespring/zmtp/ZmtpConnection.java
@@ -243,7 +243,8 @@
     subscriptionCount += subscribed ? 1 : -1;
     if (subscriptionCount > limits.maxSubscriptions()) {
       throw new ZmtpProtocolException(
-          "subscription", "over the limit of " + limits.maxSubscriptions() + " subscriptions");
+          "subscription",
+          "the peer exceeds the limit of " + limits.maxSubscriptions() + " subscriptions");
     }
     listener.subscriptionChanged(this, prefix, subscribed);
   }
@@ -272,7 +273,7 @@
       close(String.valueOf(rootCause.getMessage()));
     } else {
       LOG.error(
-          "zmtp {} peer {}: connection closed: unexpected exception in its handler",
+          "zmtp {} peer {}: connection closed: unexpected exception in the connection's handler",
           type,
           peerAddress,
           rootCause);
