--- a/src/main/java/stonespring/recording/Recording.java
+++ b/src/main/java/stonespring/recording/Recording.java
@@ -43,7 +43,7 @@
    * A proxy.
    *
    * @param zone by position
-   * @param requestsPerSecond what it usually receives
+   * @param usualRequestsPerSecond what it usually receives
    */
-  public record ProxyInfo(String name, int zone, double requestsPerSecond) {}
+  public record ProxyInfo(String name, int zone, double usualRequestsPerSecond) {}
 }
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -118,7 +118,7 @@
       position.check(
           proxy.zone() >= 0 && proxy.zone() < head.zones().size(),
           problem + " is in zone " + proxy.zone());
-      double rate = proxy.requestsPerSecond();
+      double rate = proxy.usualRequestsPerSecond();
       position.check(rate >= 0 && rate < MAX_REQUESTS_PER_SECOND, problem + " gets " + rate);
     }
   }
--- a/src/main/java/stonespring/recording/StoredHead.java
+++ b/src/main/java/stonespring/recording/StoredHead.java
@@ -30,7 +30,7 @@
   /** A proxy. */
   record StoredProxy(String name, int zone, double usualOps) {
     static StoredProxy of(Recording.ProxyInfo info) {
-      return new StoredProxy(info.name(), info.zone(), info.requestsPerSecond());
+      return new StoredProxy(info.name(), info.zone(), info.usualRequestsPerSecond());
     }
 
     Recording.ProxyInfo toInfo() {
--- a/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
+++ b/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
@@ -212,7 +212,9 @@
       boolean surging = kind == Kind.SURGE && at >= DISTURBANCE_START && at < SURGE_END;
       for (int index = 0; index < proxies.size(); index++) {
         addArrivals(
-            at, index, proxies.get(index).requestsPerSecond() * (surging ? SURGE_MULTIPLE : 1));
+            at,
+            index,
+            proxies.get(index).usualRequestsPerSecond() * (surging ? SURGE_MULTIPLE : 1));
       }
     }
   }
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -103,7 +103,7 @@
             "life",
             1,
             new ZoneId(recorded.zone()),
-            recorded.requestsPerSecond(),
+            recorded.usualRequestsPerSecond(),
             true,
             Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList()));
     host.handleHello(name(), hello, SESSION_TIMEOUT, this, events.now());
