--- a/src/main/java/stonespring/cli/Commands.java
+++ b/src/main/java/stonespring/cli/Commands.java
@@ -40,13 +40,13 @@
 
   /** Runs the command that the arguments name; returns its exit code. */
   public static int run(String... args) {
-    return commandLine().execute(args);
+    return createCommandLine().execute(args);
   }
 
-  private static CommandLine commandLine() {
+  private static CommandLine createCommandLine() {
     CommandLine commandLine = new CommandLine(new Commands());
     commandLine.setCaseInsensitiveEnumValuesAllowed(true);
-    commandLine.setExecutionExceptionHandler((e, command, result) -> report(e, command));
+    commandLine.setExecutionExceptionHandler((e, command, result) -> handleException(e, command));
     for (CommandLine subcommand : commandLine.getSubcommands().values()) {
       subcommand.getCommandSpec().versionProvider(new Version());
     }
@@ -54,14 +54,14 @@
   }
 
   /** Prints what a command threw, with a stack trace if it hints at a defect. */
-  private static int report(Exception e, CommandLine command) {
+  private static int handleException(Exception e, CommandLine command) {
     if (e instanceof CommandFailedException failure) {
-      return ExitCode.fail(failure.exitCode(), failure.getMessage());
+      return ExitCode.printError(failure.exitCode(), failure.getMessage());
     }
     if (e instanceof RuntimeException && !(e.getCause() instanceof IOException)) {
       e.printStackTrace();
     }
     String message = e.getMessage() == null ? e.toString() : e.getMessage();
-    return ExitCode.fail(ExitCode.FAILED, command.getCommandName() + ": " + message);
+    return ExitCode.printError(ExitCode.FAILED, command.getCommandName() + ": " + message);
   }
 }
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -42,14 +42,14 @@
       names = "--plots",
       paramLabel = "FOLDER",
       description = "Writes service.png and connections.png there.")
-  private Path plots;
+  private Path chartFolder;
 
   @Option(names = "--json", description = "JSON instead of a table.")
   private boolean json;
 
   @Override
   public Integer call() throws Exception {
-    LoggingOptions.warningsOnly();
+    LoggingOptions.logWarningsOnly();
     if (seeds < 1 || seeds > MAX_SEEDS) {
       throw CommandFailedException.usage("compare: --seeds is from 1 to " + MAX_SEEDS);
     }
@@ -64,15 +64,16 @@
               .writerWithDefaultPrettyPrinter()
               .writeValueAsString(rows.stream().map(ComparisonJson::of).toList()));
     } else {
-      System.out.print(table(rows));
+      System.out.print(formatTable(rows));
     }
-    if (plots != null) {
-      ComparisonCharts.write(rows, plots).forEach(file -> System.err.println("written: " + file));
+    if (chartFolder != null) {
+      ComparisonCharts.write(rows, chartFolder)
+          .forEach(file -> System.err.println("written: " + file));
     }
     return ExitCode.OK;
   }
 
-  private String table(List<ComparisonRow> rows) {
+  private String formatTable(List<ComparisonRow> rows) {
     StringBuilder out = new StringBuilder();
     out.append(
         String.format(
--- a/src/main/java/stonespring/cli/ExitCode.java
+++ b/src/main/java/stonespring/cli/ExitCode.java
@@ -14,7 +14,7 @@
   private ExitCode() {}
 
   /** Prints an error message and returns the code. */
-  static int fail(int code, String message) {
+  static int printError(int code, String message) {
     System.err.println("stonespring: " + message);
     return code;
   }
--- a/src/main/java/stonespring/cli/ForegroundProcess.java
+++ b/src/main/java/stonespring/cli/ForegroundProcess.java
@@ -22,19 +22,20 @@
    */
   static int runUntilStopped(String command, Instance instance) throws InterruptedException {
     AtomicBoolean signalled = new AtomicBoolean();
-    CountDownLatch ended = new CountDownLatch(1);
-    Thread hook = new Thread(() -> stopOnShutdown(instance, signalled, ended), "stop");
-    Runtime.getRuntime().addShutdownHook(hook);
+    CountDownLatch instanceEnded = new CountDownLatch(1);
+    Thread shutdownHook =
+        new Thread(() -> stopOnShutdown(instance, signalled, instanceEnded), "stop");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     Optional<Throwable> failure = instance.awaitEnd();
     if (signalled.get()) {
-      ended.countDown();
-      hook.join();
+      instanceEnded.countDown();
+      shutdownHook.join();
       return ExitCode.OK;
     }
-    Runtime.getRuntime().removeShutdownHook(hook);
+    Runtime.getRuntime().removeShutdownHook(shutdownHook);
     instance.stop();
     String cause = failure.map(Throwable::toString).orElse("stopped");
-    return ExitCode.fail(ExitCode.FAILED, command + ": " + cause);
+    return ExitCode.printError(ExitCode.FAILED, command + ": " + cause);
   }
 
   /** Waits for a signal that ends the process; never returns otherwise. */
@@ -44,11 +45,11 @@
   }
 
   private static void stopOnShutdown(
-      Instance instance, AtomicBoolean signalled, CountDownLatch ended) {
+      Instance instance, AtomicBoolean signalled, CountDownLatch instanceEnded) {
     signalled.set(true);
     try {
       instance.stop();
-      ended.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      instanceEnded.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/stonespring/cli/LoggingOptions.java
+++ b/src/main/java/stonespring/cli/LoggingOptions.java
@@ -23,7 +23,7 @@
   private boolean quiet;
 
   /** Logs warnings and errors only; for commands that run instances in virtual time. */
-  static void warningsOnly() {
+  static void logWarningsOnly() {
     rootLogger().setLevel(Level.WARN);
   }
 
--- a/src/main/java/stonespring/cli/PlanJson.java
+++ b/src/main/java/stonespring/cli/PlanJson.java
@@ -42,7 +42,7 @@
   }
 
   /** The printed word for a reason. */
-  static String word(Plan.Reason reason) {
+  static String reasonWord(Plan.Reason reason) {
     return switch (reason) {
       case BALANCED -> "BALANCED";
       case WARM_UP_CAP -> "COLD_CAP";
@@ -66,7 +66,7 @@
         share.load(),
         share.target(),
         share.price(),
-        word(share.reason()),
+        reasonWord(share.reason()),
         share.plansBelowTarget());
   }
 }
--- a/src/main/java/stonespring/cli/PlanReport.java
+++ b/src/main/java/stonespring/cli/PlanReport.java
@@ -43,21 +43,21 @@
         String.format(
             "%-24s %9s %8s %8s %6s %9s  %s%n",
             "task", "trusted", "gets", "target", "fill", "price", "why"));
-    for (Plan.EndpointAllocation share : plan.allocations()) {
-      out.append(row(share));
+    for (Plan.EndpointAllocation allocation : plan.allocations()) {
+      out.append(formatRow(allocation));
     }
     return out.toString();
   }
 
-  private static String row(Plan.EndpointAllocation share) {
+  private static String formatRow(Plan.EndpointAllocation allocation) {
     return String.format(
         "%-24s %9.1f %8.1f %8.1f %5.0f%% %9.4f  %s%n",
-        share.endpoint().name(),
-        share.capacity(),
-        share.load(),
-        share.target(),
-        100 * share.load() / share.capacity(),
-        share.price(),
-        PlanJson.word(share.reason()).toLowerCase(Locale.ROOT).replace('_', ' '));
+        allocation.endpoint().name(),
+        allocation.capacity(),
+        allocation.load(),
+        allocation.target(),
+        100 * allocation.load() / allocation.capacity(),
+        allocation.price(),
+        PlanJson.reasonWord(allocation.reason()).toLowerCase(Locale.ROOT).replace('_', ' '));
   }
 }
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -29,7 +29,7 @@
   private static final String ADDRESS_PATTERN = "[A-Za-z0-9.-]+:[0-9]{1,5}";
   private static final long DECI_MILLIS_PER_MILLI = 10;
   private static final double USUAL_REQUESTS_PER_SECOND = 1;
-  private static final int ROUTE_UPDATE_MICROS = 0;
+  private static final int ROUTE_CHANGE_DELAY_MICROS = 0;
   private static final long SILENCE_TIMEOUT_MILLIS = 3_000;
   private static final int MIN_RECONNECT_MILLIS = 300;
   private static final int MAX_RECONNECT_MILLIS = 1_500;
@@ -64,12 +64,14 @@
   @Override
   public Integer call() throws Exception {
     logging.apply();
-    InstanceSettings script = InputFiles.readSettings(file);
-    if (!script.zones().contains(zone) || !name.matches(NAME_PATTERN)) {
+    InstanceSettings instanceSettings = InputFiles.readSettings(file);
+    if (!instanceSettings.zones().contains(zone) || !name.matches(NAME_PATTERN)) {
       throw CommandFailedException.usage(
-          "--zone is one of " + script.zones() + ", --name letters, digits, dots and dashes");
+          "--zone is one of "
+              + instanceSettings.zones()
+              + ", --name letters, digits, dots and dashes");
     }
-    ProxySettings settings = proxySettings(script);
+    ProxySettings settings = proxySettings(instanceSettings);
     MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     Proxy proxy = new Proxy(settings, (EventLoop) eventLoops.next()).start(eventLoops, port);
@@ -77,45 +79,48 @@
     return ForegroundProcess.runUntilKilled();
   }
 
-  private ProxySettings proxySettings(InstanceSettings script) throws CommandFailedException {
-    RouterSettings routing = StandIns.routing(script, RequestClass::latencyObjective);
+  private ProxySettings proxySettings(InstanceSettings instanceSettings)
+      throws CommandFailedException {
+    RouterSettings routing = StandIns.routing(instanceSettings, RequestClass::latencyObjective);
     return new ProxySettings(
         name,
         zone,
         System.nanoTime(),
         routing,
-        StandIns.requestTimeoutsMillis(script),
+        StandIns.requestTimeoutsMillis(instanceSettings),
         List.of(),
         USUAL_REQUESTS_PER_SECOND,
         new ProxySettings.InstanceLink(
-            instancePorts(script),
-            ROUTE_UPDATE_MICROS,
-            script.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
+            instancePorts(instanceSettings),
+            ROUTE_CHANGE_DELAY_MICROS,
+            instanceSettings.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
             SILENCE_TIMEOUT_MILLIS,
             MIN_RECONNECT_MILLIS,
             MAX_RECONNECT_MILLIS,
             SESSION_TIMEOUT_SECONDS));
   }
 
-  private List<ProxySettings.Ports> instancePorts(InstanceSettings script)
+  private List<ProxySettings.Ports> instancePorts(InstanceSettings instanceSettings)
       throws CommandFailedException {
     if (instances.isEmpty()) {
-      return List.of(ports(script.listen().host() + ":" + script.listen().port()));
+      return List.of(
+          parsePorts(instanceSettings.listen().host() + ":" + instanceSettings.listen().port()));
     }
     List<ProxySettings.Ports> ports = new ArrayList<>();
     for (String instance : instances) {
-      ports.add(ports(instance));
+      ports.add(parsePorts(instance));
     }
     return ports;
   }
 
   /** Parses an instance's address; its ports follow each other. */
-  private static ProxySettings.Ports ports(String address) throws CommandFailedException {
+  private static ProxySettings.Ports parsePorts(String address) throws CommandFailedException {
     if (!address.matches(ADDRESS_PATTERN)) {
       throw CommandFailedException.usage("--assigner is HOST:PORT, not " + address);
     }
     int colon = address.indexOf(':');
-    int first = Integer.parseInt(address.substring(colon + 1));
-    return new ProxySettings.Ports(address.substring(0, colon), first, first + 1, first + 2);
+    int firstPort = Integer.parseInt(address.substring(colon + 1));
+    return new ProxySettings.Ports(
+        address.substring(0, colon), firstPort, firstPort + 1, firstPort + 2);
   }
 }
--- a/src/main/java/stonespring/cli/ScenarioCommand.java
+++ b/src/main/java/stonespring/cli/ScenarioCommand.java
@@ -42,7 +42,7 @@
       names = "--record",
       paramLabel = "FILE",
       description = "Writes the load as it came, for solve and compare.")
-  private Path record;
+  private Path recordingFile;
 
   @Mixin private LoggingOptions logging;
 
@@ -54,8 +54,8 @@
     try {
       ScenarioRun run = new ScenarioRun(scenario, file, seed, folder);
       InvariantChecker.Verdict verdict = run.run();
-      if (record != null) {
-        RecordingFile.write(run.recording(recordingName()), record);
+      if (recordingFile != null) {
+        RecordingFile.write(run.recording(recordingName()), recordingFile);
       }
       System.out.printf("seed %d: ", seed);
       System.out.print(ScenarioReport.format(verdict));
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -22,7 +22,7 @@
   private Path file;
 
   @Option(names = "--at", paramLabel = "SECONDS", description = "The moment (the load's end).")
-  private Double at; // null for the end
+  private Double requestedSeconds; // null for the end
 
   @Option(
       names = "--seed",
@@ -35,13 +35,13 @@
 
   @Override
   public Integer call() throws Exception {
-    LoggingOptions.warningsOnly();
+    LoggingOptions.logWarningsOnly();
     Recording recording = InputFiles.readRecording("solve", file);
     double endSeconds = DeciMillis.toSeconds(recording.head().duration());
-    if (at != null && !(at >= 0 && at <= endSeconds)) {
+    if (requestedSeconds != null && !(requestedSeconds >= 0 && requestedSeconds <= endSeconds)) {
       throw CommandFailedException.usage("solve: --at is outside 0 to " + endSeconds);
     }
-    double atSeconds = at == null ? endSeconds : at;
+    double atSeconds = requestedSeconds == null ? endSeconds : requestedSeconds;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
     fleet.playTo((long) (atSeconds * DeciMillis.SECOND));
     Plan plan = fleet.plan().orElse(null);
--- a/src/main/java/stonespring/recording/ReadPosition.java
+++ b/src/main/java/stonespring/recording/ReadPosition.java
@@ -11,7 +11,7 @@
     this.file = file;
   }
 
-  void nextLine() {
+  void advanceLine() {
     line++;
   }
 
@@ -19,8 +19,8 @@
     return new InvalidRecordingException(file, line, problem);
   }
 
-  void check(boolean holds, String problem) throws InvalidRecordingException {
-    if (!holds) {
+  void check(boolean condition, String problem) throws InvalidRecordingException {
+    if (!condition) {
       throw error(problem);
     }
   }
--- a/src/main/java/stonespring/recording/RecordingFile.java
+++ b/src/main/java/stonespring/recording/RecordingFile.java
@@ -38,7 +38,7 @@
       out.write(MAPPER.writeValueAsString(StoredHead.of(recording.head())));
       out.write('\n');
       for (LoadSample sample : recording.samples()) {
-        out.write(MAPPER.writeValueAsString(SampleWriter.write(sample)));
+        out.write(MAPPER.writeValueAsString(SampleWriter.encode(sample)));
         out.write('\n');
       }
     }
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -38,13 +38,13 @@
     Recording.Head head = readHead(firstLine == null ? "" : firstLine);
     SampleReader sampleReader = new SampleReader(head, position);
     List<LoadSample> samples = new ArrayList<>();
-    long last = 0;
+    long lastTime = 0;
     for (String line = readLine(in); line != null; line = readLine(in)) {
-      position.nextLine();
+      position.advanceLine();
       position.check(samples.size() < MAX_SAMPLES, "more than " + MAX_SAMPLES + " moments");
       LoadSample sample = sampleReader.read(parseSample(line));
-      position.check(sample.at() >= last, "at: goes back to " + sample.at());
-      last = sample.at();
+      position.check(sample.at() >= lastTime, "at: goes back to " + sample.at());
+      lastTime = sample.at();
       samples.add(sample);
     }
     return new Recording(head, samples);
@@ -113,13 +113,13 @@
   private void checkProxies(Recording.Head head) throws InvalidRecordingException {
     Set<String> names = new HashSet<>();
     for (Recording.ProxyInfo proxy : head.proxies()) {
-      String problem = "proxies: " + proxy.name();
-      position.check(names.add(proxy.name()), problem + " comes twice");
+      String proxyField = "proxies: " + proxy.name();
+      position.check(names.add(proxy.name()), proxyField + " comes twice");
       position.check(
           proxy.zone() >= 0 && proxy.zone() < head.zones().size(),
-          problem + " is in zone " + proxy.zone());
+          proxyField + " is in zone " + proxy.zone());
       double rate = proxy.usualRequestsPerSecond();
-      position.check(rate >= 0 && rate < MAX_REQUESTS_PER_SECOND, problem + " gets " + rate);
+      position.check(rate >= 0 && rate < MAX_REQUESTS_PER_SECOND, proxyField + " gets " + rate);
     }
   }
 
--- a/src/main/java/stonespring/recording/SampleReader.java
+++ b/src/main/java/stonespring/recording/SampleReader.java
@@ -28,7 +28,7 @@
   LoadSample read(JsonNode sample) throws InvalidRecordingException {
     row = sample;
     position.check(row.isArray() && row.size() > AT, "no row");
-    long at = wholeNumber(AT, "at", 0, RecordingReader.MAX_DURATION);
+    long at = readInteger(AT, "at", 0, RecordingReader.MAX_DURATION);
     return switch (row.get(KIND).asText()) {
       case SampleWords.ARRIVALS -> readArrivals(at);
       case SampleWords.ENDPOINT_LISTED -> readEndpointListed(at);
@@ -36,12 +36,12 @@
       case SampleWords.CAPACITY_CLAIMED -> {
         checkSize(4);
         yield new LoadSample.CapacityClaimed(
-            at, endpoint(), number(3, "times", MIN_FACTOR, MAX_FACTOR));
+            at, readEndpoint(), readNumber(3, "times", MIN_FACTOR, MAX_FACTOR));
       }
       case SampleWords.REPORTS_DELAYED -> {
         checkSize(3);
         yield new LoadSample.ReportsDelayed(
-            at, wholeNumber(2, "by", 0, RecordingReader.MAX_DURATION));
+            at, readInteger(2, "by", 0, RecordingReader.MAX_DURATION));
       }
       default -> throw position.error("kind: " + row.get(KIND));
     };
@@ -52,9 +52,9 @@
     int firstCount = FIRST_FIELD + 1;
     checkSize(firstCount + requests.length);
     for (int i = 0; i < requests.length; i++) {
-      requests[i] = (int) wholeNumber(firstCount + i, "ops", 0, MAX_REQUESTS);
+      requests[i] = (int) readInteger(firstCount + i, "ops", 0, MAX_REQUESTS);
     }
-    int proxy = (int) wholeNumber(FIRST_FIELD, "proxy", 0, head.proxies().size() - 1);
+    int proxy = (int) readInteger(FIRST_FIELD, "proxy", 0, head.proxies().size() - 1);
     return new LoadSample.Arrivals(at, proxy, requests);
   }
 
@@ -64,21 +64,21 @@
     position.check(SampleWords.isState(state), "state: " + row.get(5));
     return new LoadSample.EndpointListed(
         at,
-        endpoint(),
-        zone(),
-        number(4, "weight", 0, MAX_WEIGHT),
+        readEndpoint(),
+        readZone(),
+        readNumber(4, "weight", 0, MAX_WEIGHT),
         SampleWords.stateOf(state),
-        wholeNumber(6, "startedAt", -RecordingReader.MAX_DURATION, RecordingReader.MAX_DURATION));
+        readInteger(6, "startedAt", -RecordingReader.MAX_DURATION, RecordingReader.MAX_DURATION));
   }
 
   private LoadSample readProcessChanged(long at) throws InvalidRecordingException {
     checkSize(7);
     return new LoadSample.ProcessChanged(
         at,
-        endpoint(),
-        zone(),
-        (int) wholeNumber(4, "cores", 0, MAX_CORES),
-        number(5, "speed", MIN_FACTOR, MAX_FACTOR),
+        readEndpoint(),
+        readZone(),
+        (int) readInteger(4, "cores", 0, MAX_CORES),
+        readNumber(5, "speed", MIN_FACTOR, MAX_FACTOR),
         row.get(6).asBoolean());
   }
 
@@ -88,17 +88,17 @@
         row.get(KIND).asText() + ": " + row.size() + " fields, not " + expected);
   }
 
-  private String endpoint() throws InvalidRecordingException {
+  private String readEndpoint() throws InvalidRecordingException {
     JsonNode name = row.get(FIRST_FIELD);
     position.check(name.isTextual() && !name.asText().isEmpty(), "task: " + name);
     return name.asText();
   }
 
-  private int zone() throws InvalidRecordingException {
-    return (int) wholeNumber(FIRST_FIELD + 1, "zone", 0, head.zones().size() - 1);
+  private int readZone() throws InvalidRecordingException {
+    return (int) readInteger(FIRST_FIELD + 1, "zone", 0, head.zones().size() - 1);
   }
 
-  private long wholeNumber(int index, String field, long minimum, long maximum)
+  private long readInteger(int index, String field, long minimum, long maximum)
       throws InvalidRecordingException {
     JsonNode value = row.get(index);
     position.check(
@@ -107,7 +107,7 @@
     return value.asLong();
   }
 
-  private double number(int index, String field, double minimum, double maximum)
+  private double readNumber(int index, String field, double minimum, double maximum)
       throws InvalidRecordingException {
     JsonNode value = row.get(index);
     position.check(
--- a/src/main/java/stonespring/recording/SampleWriter.java
+++ b/src/main/java/stonespring/recording/SampleWriter.java
@@ -7,7 +7,7 @@
 final class SampleWriter {
   private SampleWriter() {}
 
-  static ArrayNode write(LoadSample sample) {
+  static ArrayNode encode(LoadSample sample) {
     ArrayNode row = JsonNodeFactory.instance.arrayNode();
     if (sample instanceof LoadSample.Arrivals arrivals) {
       row.add(SampleWords.ARRIVALS).add(arrivals.at()).add(arrivals.proxy());
--- a/src/main/java/stonespring/simulator/BatchReader.java
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -54,7 +54,7 @@
     now = UNSET;
     sequence = UNSET;
     try (JsonParser json = mapper.createParser(line)) {
-      expect(json.nextToken(), JsonToken.START_OBJECT, "the batch");
+      checkToken(json.nextToken(), JsonToken.START_OBJECT, "the batch");
       boolean hasParts = readFields(json);
       if (now < 0 || sequence < 0 || !hasParts) {
         throw new SimulatorProtocolException(
@@ -66,7 +66,7 @@
                 + Batch.PARTS
                 + "'");
       }
-      expect(json.currentToken(), JsonToken.END_OBJECT, "the batch");
+      checkToken(json.currentToken(), JsonToken.END_OBJECT, "the batch");
       if (json.nextToken() != null) {
         throw new SimulatorProtocolException("a line holds more than one value");
       }
@@ -80,8 +80,8 @@
       String field = json.currentName();
       json.nextToken();
       switch (field) {
-        case Batch.TIME_SECONDS -> now = DeciMillis.ofSeconds(number(json, field).asDouble());
-        case Batch.SEQUENCE -> sequence = number(json, field).asLong();
+        case Batch.TIME_SECONDS -> now = DeciMillis.ofSeconds(readNumber(json, field).asDouble());
+        case Batch.SEQUENCE -> sequence = readNumber(json, field).asLong();
         case Batch.PARTS -> {
           hasParts = true;
           readParts(json);
@@ -101,9 +101,10 @@
               + Batch.PARTS
               + "'");
     }
-    expect(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.PARTS + "'");
+    checkToken(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.PARTS + "'");
     while (json.nextToken() != JsonToken.END_ARRAY) {
-      expect(json.currentToken(), JsonToken.START_OBJECT, "an element of '" + Batch.PARTS + "'");
+      checkToken(
+          json.currentToken(), JsonToken.START_OBJECT, "an element of '" + Batch.PARTS + "'");
       readPart(json);
     }
   }
@@ -114,7 +115,7 @@
       String field = json.currentName();
       json.nextToken();
       switch (field) {
-        case Batch.INSTANCE -> instance = number(json, field).asInt();
+        case Batch.INSTANCE -> instance = readNumber(json, field).asInt();
         case Batch.MESSAGES -> readMessages(json, instance);
         default -> json.skipChildren();
       }
@@ -126,14 +127,14 @@
       throw new SimulatorProtocolException(
           "field '" + Batch.INSTANCE + "' is missing or stands after '" + Batch.MESSAGES + "'");
     }
-    expect(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.MESSAGES + "'");
+    checkToken(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.MESSAGES + "'");
     while (json.nextToken() != JsonToken.END_ARRAY) {
       JsonNode array = json.readValueAsTree();
       handler.handle(now, instance, SimulatorMessage.of(array));
     }
   }
 
-  private static JsonNode number(JsonParser json, String field) throws IOException {
+  private static JsonNode readNumber(JsonParser json, String field) throws IOException {
     JsonNode value = json.readValueAsTree();
     if (!value.isNumber()) {
       throw new SimulatorProtocolException("field '" + field + "' is not a number: " + value);
@@ -141,7 +142,7 @@
     return value;
   }
 
-  private static void expect(JsonToken found, JsonToken expected, String element) {
+  private static void checkToken(JsonToken found, JsonToken expected, String element) {
     if (found != expected) {
       throw new SimulatorProtocolException(element + " is not well-formed: " + found);
     }
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -51,7 +51,7 @@
       case Message.SHARD_OWNERSHIP ->
           new Event.ShardOwnership(readRouteTable(message), message.bool(1, Field.OWNED));
       case Message.TIMER_FIRED ->
-          new Event.TimerFired(new TimerToken(message.wholeNumber(0, Field.TIMER_TOKEN)));
+          new Event.TimerFired(new TimerToken(message.nonNegativeInteger(0, Field.TIMER_TOKEN)));
       case Message.UPDATE_ACKNOWLEDGED -> readAcknowledgement(message);
       case Message.HEALTH_CHECK_RESULT -> readHealthCheckResult(message);
       case Message.PROXY_DISCONNECTED -> new Event.ProxyDisconnected(readProxy(message));
@@ -74,13 +74,13 @@
   }
 
   private static Event.ListUpdateKind readUpdateKind(SimulatorMessage message) {
-    String word = message.text(1, Field.UPDATE_KIND);
-    return switch (word) {
+    String value = message.text(1, Field.UPDATE_KIND);
+    return switch (value) {
       case UpdateKind.DELTA -> Event.ListUpdateKind.DELTA;
       case UpdateKind.SNAPSHOT -> Event.ListUpdateKind.SNAPSHOT;
       case UpdateKind.CACHED -> Event.ListUpdateKind.CACHED;
       case UpdateKind.FETCH_FAILED -> Event.ListUpdateKind.FETCH_FAILED;
-      default -> throw unknownWord(message, Field.UPDATE_KIND, word);
+      default -> throw unknownValue(message, Field.UPDATE_KIND, value);
     };
   }
 
@@ -93,16 +93,16 @@
         readZone(entry, 0),
         weight.isNumber() ? weight.asDouble() : DEFAULT_WEIGHT,
         state,
-        startedAt.isNull() ? 0 : entry.duration(4, Field.STARTED_AT_SECONDS));
+        startedAt.isNull() ? 0 : entry.secondsAsDeciMillis(4, Field.STARTED_AT_SECONDS));
   }
 
   private static EndpointRecord.State readState(SimulatorMessage entry) {
-    String word = entry.text(3, Field.STATE);
-    return switch (word) {
+    String value = entry.text(3, Field.STATE);
+    return switch (value) {
       case EndpointState.READY -> EndpointRecord.State.READY;
       case EndpointState.DRAINING -> EndpointRecord.State.DRAINING;
       case EndpointState.REMOVED -> EndpointRecord.State.REMOVED;
-      default -> throw unknownWord(entry, Field.STATE, word);
+      default -> throw unknownValue(entry, Field.STATE, value);
     };
   }
 
@@ -122,18 +122,18 @@
     return new Event.ProxyRequestRate(
         readProxy(message),
         readRequestClass(message),
-        message.wholeNumber(2, Field.REQUESTS),
-        message.wholeNumber(3, Field.FAILURES),
-        message.duration(4, Field.INTERVAL_SECONDS));
+        message.nonNegativeInteger(2, Field.REQUESTS),
+        message.nonNegativeInteger(3, Field.FAILURES),
+        message.secondsAsDeciMillis(4, Field.INTERVAL_SECONDS));
   }
 
   private Event readShardRequestRate(SimulatorMessage message) {
     return new Event.ShardRequestRate(
         readRouteTable(message),
         readRequestClass(message),
-        message.wholeNumber(2, Field.REQUESTS),
-        message.wholeNumber(3, Field.FAILURES),
-        message.duration(4, Field.INTERVAL_SECONDS));
+        message.nonNegativeInteger(2, Field.REQUESTS),
+        message.nonNegativeInteger(3, Field.FAILURES),
+        message.secondsAsDeciMillis(4, Field.INTERVAL_SECONDS));
   }
 
   private static Event readShardRoute(SimulatorMessage message) {
@@ -145,14 +145,14 @@
     return new Event.UpdateAcknowledged(
         readProxy(message),
         new AckId(message.id(1, Field.ACK)),
-        message.duration(2, Field.DURATION_SECONDS));
+        message.secondsAsDeciMillis(2, Field.DURATION_SECONDS));
   }
 
   private static Event readHealthCheckResult(SimulatorMessage message) {
     return new Event.HealthCheckResult(
         readEndpointId(message, 0),
-        message.wholeNumber(1, Field.STATUS) == STATUS_OK,
-        message.duration(2, Field.DURATION_SECONDS),
+        message.nonNegativeInteger(1, Field.STATUS) == STATUS_OK,
+        message.secondsAsDeciMillis(2, Field.DURATION_SECONDS),
         readLoadReport(message, 3));
   }
 
@@ -168,10 +168,10 @@
     return new Event.EndpointOutcomes(
         readEndpointId(message, 5),
         readZone(message, 3),
-        message.wholeNumber(1, Field.REQUESTS),
-        message.wholeNumber(0, Field.FAILURES),
-        message.duration(2, Field.INTERVAL_SECONDS),
-        message.duration(4, Field.DURATION_SECONDS),
+        message.nonNegativeInteger(1, Field.REQUESTS),
+        message.nonNegativeInteger(0, Field.FAILURES),
+        message.secondsAsDeciMillis(2, Field.INTERVAL_SECONDS),
+        message.secondsAsDeciMillis(4, Field.DURATION_SECONDS),
         readLoadReport(message, 6));
   }
 
@@ -218,8 +218,8 @@
     return new RequestClassId(index);
   }
 
-  private static SimulatorProtocolException unknownWord(
-      SimulatorMessage message, String field, String word) {
-    return message.invalid(field, "has an unknown word: " + word);
+  private static SimulatorProtocolException unknownValue(
+      SimulatorMessage message, String field, String value) {
+    return message.invalid(field, "has an unknown word: " + value);
   }
 }
--- a/src/main/java/stonespring/simulator/HostedInstance.java
+++ b/src/main/java/stonespring/simulator/HostedInstance.java
@@ -49,7 +49,7 @@
     eventReader = new EventReader(settings);
     failure = null;
     knownIds.clear();
-    guard(() -> engine = new AssignmentEngine(settings.settings(), seed, now));
+    runEngine(() -> engine = new AssignmentEngine(settings.settings(), seed, now));
   }
 
   private static PlatformSettings readSettings(JsonNode settings) {
@@ -68,7 +68,7 @@
     Event event = eventReader.read(message, lists);
     if (engine != null && failure == null) {
       knownIds.add(event);
-      guard(() -> engine.handle(now, event));
+      runEngine(() -> engine.handle(now, event));
     }
   }
 
@@ -76,7 +76,7 @@
   List<Command> endBatch(long now) {
     List<Command> commands = new ArrayList<>();
     if (engine != null && failure == null) {
-      guard(() -> commands.addAll(engine.endBatch(now)));
+      runEngine(() -> commands.addAll(engine.endBatch(now)));
     }
     if (failure != null) {
       return List.of();
@@ -90,7 +90,7 @@
     return Optional.ofNullable(failure);
   }
 
-  private void guard(Runnable engineCall) {
+  private void runEngine(Runnable engineCall) {
     try {
       engineCall.run();
     } catch (RuntimeException | StackOverflowError e) {
--- a/src/main/java/stonespring/simulator/SimulatorHost.java
+++ b/src/main/java/stonespring/simulator/SimulatorHost.java
@@ -36,7 +36,7 @@
   private final Map<Integer, HostedInstance> instances = new TreeMap<>();
 
   /** The instances that the present batch has messages for, in the order of the reply. */
-  private final TreeSet<Integer> addressed = new TreeSet<>();
+  private final TreeSet<Integer> addressedInstances = new TreeSet<>();
 
   /**
    * Answers batches until the input ends.
@@ -48,7 +48,7 @@
         new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), BUFFER_BYTES);
     OutputStream out = new BufferedOutputStream(output, BUFFER_BYTES);
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-      addressed.clear();
+      addressedInstances.clear();
       try {
         batchReader.read(line);
         writeReply(out);
@@ -66,7 +66,7 @@
       endpointLists.put(message);
       return;
     }
-    addressed.add(instance);
+    addressedInstances.add(instance);
     instances
         .computeIfAbsent(instance, number -> new HostedInstance())
         .handle(now, message, endpointLists);
@@ -79,7 +79,7 @@
       json.writeStartObject();
       json.writeNumberField(Batch.SEQUENCE, batchReader.sequence());
       json.writeArrayFieldStart(Batch.PARTS);
-      for (int number : addressed) {
+      for (int number : addressedInstances) {
         writePart(json, number, instances.get(number));
       }
       json.writeEndArray();
--- a/src/main/java/stonespring/simulator/SimulatorMessage.java
+++ b/src/main/java/stonespring/simulator/SimulatorMessage.java
@@ -51,7 +51,7 @@
   }
 
   /** A whole number that is not negative. */
-  long wholeNumber(int position, String field) {
+  long nonNegativeInteger(int position, String field) {
     JsonNode value = value(position, field);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
       throw invalid(field, "is not a whole number: " + value);
@@ -61,7 +61,7 @@
 
   /** A whole number from 0 to {@link #MAX_ID}. */
   int id(int position, String field) {
-    long value = wholeNumber(position, field);
+    long value = nonNegativeInteger(position, field);
     if (value > MAX_ID) {
       throw invalid(field, "is above " + MAX_ID + ": " + value);
     }
@@ -77,7 +77,7 @@
   }
 
   /** Seconds as {@link DeciMillis}, rounded down. */
-  long duration(int position, String field) {
+  long secondsAsDeciMillis(int position, String field) {
     return DeciMillis.ofSeconds(number(position, field));
   }
 
--- a/src/test/java/stonespring/cli/CommandsTest.java
+++ b/src/test/java/stonespring/cli/CommandsTest.java
@@ -42,20 +42,20 @@
     System.setErr(systemErr);
   }
 
-  private String printed() {
+  private String standardOutput() {
     return out.toString(StandardCharsets.UTF_8);
   }
 
-  private String error() {
+  private String standardError() {
     return err.toString(StandardCharsets.UTF_8);
   }
 
-  private String unusableFile() throws Exception {
-    return Files.writeString(folder.resolve("unusable"), "no script {").toString();
+  private String writeInvalidFile() throws Exception {
+    return Files.writeString(folder.resolve("invalid"), "no script {").toString();
   }
 
   @Test
-  void listsEverySubcommand() {
+  void helpListsEverySubcommand() {
     assertEquals(0, Commands.run("--help"));
     for (String name :
         List.of(
@@ -73,77 +73,81 @@
             "solve",
             "compare",
             "simhost")) {
-      assertTrue(printed().matches("(?s).*\\b" + name + "\\b.*"), name);
+      assertTrue(standardOutput().matches("(?s).*\\b" + name + "\\b.*"), name);
     }
   }
 
   @Test
-  void rejectsUnusableSettingsWithTheUsageCode() throws Exception {
-    String file = unusableFile();
+  void exitsWithUsageCodeWhenSettingsAreInvalid() throws Exception {
+    String file = writeInvalidFile();
     assertEquals(2, Commands.run("serve", file));
-    assertTrue(error().startsWith("stonespring: settings:\n" + file + ":1"), error());
+    assertTrue(
+        standardError().startsWith("stonespring: settings:\n" + file + ":1"), standardError());
     err.reset();
     assertEquals(2, Commands.run("proxy", "--name", "p", "--zone", "west", file));
-    assertTrue(error().startsWith("stonespring: settings:\n" + file + ":1"), error());
+    assertTrue(
+        standardError().startsWith("stonespring: settings:\n" + file + ":1"), standardError());
     err.reset();
     assertEquals(2, Commands.run("check", file));
-    assertTrue(error().startsWith(file + ":1"), error());
+    assertTrue(standardError().startsWith(file + ":1"), standardError());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"day", "scenario"})
-  void rejectsAnUnusableScenarioWithTheUsageCodeUnderBothNames(String name) throws Exception {
-    String file = unusableFile();
+  void exitsWithUsageCodeWhenAScenarioIsInvalidUnderBothCommandNames(String name) throws Exception {
+    String file = writeInvalidFile();
     assertEquals(2, Commands.run(name, file));
-    assertTrue(error().startsWith("stonespring: day:\n" + file + ":1"), error());
+    assertTrue(standardError().startsWith("stonespring: day:\n" + file + ":1"), standardError());
   }
 
   @Test
-  void rejectsAnUnusablePlatformConfigurationWithOneLine() throws Exception {
-    String file = unusableFile();
+  void printsOneLineWhenThePlatformConfigurationIsInvalid() throws Exception {
+    String file = writeInvalidFile();
     assertEquals(2, Commands.run("assigner", file));
-    assertTrue(error().startsWith("stonespring: " + file + ": line 1: "), error());
-    assertEquals(1, error().lines().count(), error());
+    assertTrue(standardError().startsWith("stonespring: " + file + ": line 1: "), standardError());
+    assertEquals(1, standardError().lines().count(), standardError());
   }
 
   @Test
-  void rejectsArgumentsOutOfRangeWithTheUsageCode() throws Exception {
+  void exitsWithUsageCodeWhenAnArgumentIsOutOfRange() throws Exception {
     String file = folder.resolve("load.rec.gz").toString();
     assertEquals(2, Commands.run("load", "quiet", file, "--tasks", "2"));
-    assertEquals("stonespring: load: --tasks from 3 to 2000, --proxies from 1 to 2000\n", error());
+    assertEquals(
+        "stonespring: load: --tasks from 3 to 2000, --proxies from 1 to 2000\n", standardError());
     err.reset();
     assertEquals(2, Commands.run("task", "--port", "65535", "--count", "2"));
-    assertEquals("stonespring: --port and --count do not fit 1 to 65535\n", error());
+    assertEquals("stonespring: --port and --count do not fit 1 to 65535\n", standardError());
     err.reset();
     assertEquals(2, Commands.run("snapshot", "7000", "--subtree", "proxy"));
-    assertEquals("stonespring: --subtree begins and ends with a slash\n", error());
+    assertEquals("stonespring: --subtree begins and ends with a slash\n", standardError());
     err.reset();
     assertEquals(2, Commands.run("measure", "solver", "--rounds", "0"));
-    assertEquals("stonespring: --tasks, --proxies and --rounds are at least 1\n", error());
+    assertEquals("stonespring: --tasks, --proxies and --rounds are at least 1\n", standardError());
   }
 
   @Test
-  void rejectsAnUnreadableRecordingWithTheUsageCodeAndAMissingOneAsFailed() throws Exception {
+  void exitsWithFailedCodeWhenARecordingIsMissingAndWithUsageCodeWhenSeedsAreOutOfRange()
+      throws Exception {
     String file = folder.resolve("missing.rec.gz").toString();
     assertEquals(1, Commands.run("solve", file));
-    assertEquals("stonespring: solve: " + file + "\n", error());
+    assertEquals("stonespring: solve: " + file + "\n", standardError());
     err.reset();
     assertEquals(2, Commands.run("compare", "--seeds", "0", file));
-    assertEquals("stonespring: compare: --seeds is from 1 to 1000\n", error());
+    assertEquals("stonespring: compare: --seeds is from 1 to 1000\n", standardError());
   }
 
   @Test
-  void generatesALoadAndExplainsThePlanForIt() throws Exception {
+  void explainsThePlanForAGeneratedLoad() throws Exception {
     String file = folder.resolve("load.rec.gz").toString();
     assertEquals(0, Commands.run("load", "quiet", file, "--tasks", "4", "--proxies", "3"));
-    assertEquals(0, Commands.run("solve", file), error());
-    assertTrue(printed().contains(" simulated tasks"), printed());
+    assertEquals(0, Commands.run("solve", file), standardError());
+    assertTrue(standardOutput().contains(" simulated tasks"), standardOutput());
     out.reset();
     assertEquals(2, Commands.run("solve", file, "--at", "-1"));
-    assertTrue(error().contains("solve: --at is outside 0 to "), error());
+    assertTrue(standardError().contains("solve: --at is outside 0 to "), standardError());
   }
 
-  private static List<String> fields(JsonNode node) {
+  private static List<String> fieldNames(JsonNode node) {
     List<String> names = new ArrayList<>();
     node.fieldNames().forEachRemaining(names::add);
     return names;
@@ -151,26 +155,28 @@
 
   /** Field names of the plan are stable, whatever its classes are called. */
   @Test
-  void printsThePlanAsJsonWithStableFields() throws Exception {
+  void printsThePlanAsJsonWithFieldNamesOfTheOutputFormat() throws Exception {
     String file = folder.resolve("load.rec.gz").toString();
     assertEquals(0, Commands.run("load", "quiet", file, "--tasks", "4", "--proxies", "3"));
-    assertEquals(0, Commands.run("solve", file, "--json"), error());
-    assertTrue(printed().startsWith("{") && printed().endsWith("}" + System.lineSeparator()));
-    JsonNode report = new ObjectMapper().readTree(printed());
-    assertEquals(Set.of("recording", "at_s", "plan", "gap"), Set.copyOf(fields(report)));
+    assertEquals(0, Commands.run("solve", file, "--json"), standardError());
+    assertTrue(
+        standardOutput().startsWith("{")
+            && standardOutput().endsWith("}" + System.lineSeparator()));
+    JsonNode report = new ObjectMapper().readTree(standardOutput());
+    assertEquals(Set.of("recording", "at_s", "plan", "gap"), Set.copyOf(fieldNames(report)));
     JsonNode plan = report.path("plan");
     assertEquals(
         List.of("tables", "shares", "cost", "lowerBound", "unplaced", "newLines", "changed"),
-        fields(plan));
+        fieldNames(plan));
     JsonNode table = plan.path("tables").path(0);
-    assertEquals(List.of("proxy", "lines"), fields(table));
-    assertEquals(List.of("number"), fields(table.path("proxy")));
+    assertEquals(List.of("proxy", "lines"), fieldNames(table));
+    assertEquals(List.of("number"), fieldNames(table.path("proxy")));
     JsonNode line = table.path("lines").path(0);
-    assertEquals(List.of("task", "weight", "byOpType"), fields(line));
-    assertEquals(List.of("name"), fields(line.path("task")));
+    assertEquals(List.of("task", "weight", "byOpType"), fieldNames(line));
+    assertEquals(List.of("name"), fieldNames(line.path("task")));
     JsonNode share = plan.path("shares").path(0);
     assertEquals(
-        List.of("task", "capacity", "load", "target", "price", "why", "unmet"), fields(share));
+        List.of("task", "capacity", "load", "target", "price", "why", "unmet"), fieldNames(share));
     assertTrue(
         Set.of("BALANCED", "COLD_CAP", "UNFIT", "FEW_LINES").contains(share.path("why").asText()));
   }
--- a/src/test/java/stonespring/cli/ComparisonJsonTest.java
+++ b/src/test/java/stonespring/cli/ComparisonJsonTest.java
@@ -11,7 +11,7 @@
 /** Holds the names and their order in the output of {@code compare --json}. */
 final class ComparisonJsonTest {
   @Test
-  void printsEveryFigureUnderItsName() throws Exception {
+  void printsEachValueUnderItsFieldName() throws Exception {
     ComparisonRow row =
         new ComparisonRow(
             "surge-1",
--- a/src/test/java/stonespring/cli/LoggingOptionsTest.java
+++ b/src/test/java/stonespring/cli/LoggingOptionsTest.java
@@ -16,8 +16,8 @@
 final class LoggingOptionsTest {
   private final Logger root = logger(Logger.ROOT_LOGGER_NAME);
   private final Level rootLevel = root.getLevel();
-  private final Logger host = logger(EngineHost.class.getName());
-  private final Logger platform = logger(PlatformProxyApi.class.getName());
+  private final Logger engineHost = logger(EngineHost.class.getName());
+  private final Logger platformApi = logger(PlatformProxyApi.class.getName());
 
   private static Logger logger(String name) {
     return (Logger) LoggerFactory.getLogger(name);
@@ -26,8 +26,8 @@
   @AfterEach
   void restoreLevels() {
     root.setLevel(rootLevel);
-    host.setLevel(null);
-    platform.setLevel(null);
+    engineHost.setLevel(null);
+    platformApi.setLevel(null);
   }
 
   private static void apply(String... arguments) {
@@ -37,19 +37,19 @@
   }
 
   @Test
-  void logsCommandsOfBothProtocolsOnRequestOnly() {
+  void logsRouteTableUpdatesOfBothProtocolsOnlyWithLogOrders() {
     apply();
-    assertFalse(host.isDebugEnabled());
-    assertFalse(platform.isDebugEnabled());
+    assertFalse(engineHost.isDebugEnabled());
+    assertFalse(platformApi.isDebugEnabled());
     apply("--log-orders");
-    assertTrue(host.isDebugEnabled());
-    assertTrue(platform.isDebugEnabled());
+    assertTrue(engineHost.isDebugEnabled());
+    assertTrue(platformApi.isDebugEnabled());
   }
 
   @Test
   void logsWarningsOnlyWhenQuiet() {
     apply("--quiet");
-    assertTrue(host.isWarnEnabled());
-    assertFalse(host.isInfoEnabled());
+    assertTrue(engineHost.isWarnEnabled());
+    assertFalse(engineHost.isInfoEnabled());
   }
 }
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -20,7 +20,7 @@
 final class RecordingFileTest {
   @TempDir private Path folder;
 
-  private String[] lines() throws IOException {
+  private String[] writeAndReadLines() throws IOException {
     Path file = folder.resolve("a.rec.gz");
     RecordingFile.write(LoadGenerator.generate(LoadGenerator.Kind.DEPLOY, 3, 6, 3), file);
     try (GZIPInputStream in = new GZIPInputStream(Files.newInputStream(file))) {
@@ -28,7 +28,7 @@
     }
   }
 
-  private Path compressed(List<String> lines) throws IOException {
+  private Path writeCompressed(List<String> lines) throws IOException {
     Path file = folder.resolve("b.rec.gz");
     try (GZIPOutputStream out = new GZIPOutputStream(Files.newOutputStream(file))) {
       out.write((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
@@ -36,10 +36,10 @@
     return file;
   }
 
-  private String errorAt(int line, String replacement) throws IOException {
-    String[] lines = lines();
+  private String errorWithLineReplaced(int line, String replacement) throws IOException {
+    String[] lines = writeAndReadLines();
     lines[line - 1] = replacement;
-    Path file = compressed(List.of(lines));
+    Path file = writeCompressed(List.of(lines));
     String message =
         assertThrows(InvalidRecordingException.class, () -> RecordingFile.read(file)).getMessage();
     assertTrue(message.startsWith(file + ", line " + line + ": "), message);
@@ -47,18 +47,18 @@
   }
 
   @Test
-  void readsWhatItWrote() throws IOException {
+  void readsBackTheRecordingThatWasWritten() throws IOException {
     for (LoadGenerator.Kind kind : LoadGenerator.Kind.values()) {
-      Recording drawn = LoadGenerator.generate(kind, 5, 9, 4);
+      Recording generated = LoadGenerator.generate(kind, 5, 9, 4);
       Path file = folder.resolve(kind + ".rec.gz");
-      RecordingFile.write(drawn, file);
+      RecordingFile.write(generated, file);
       Recording read = RecordingFile.read(file);
-      assertEquals(drawn.head(), read.head());
+      assertEquals(generated.head(), read.head());
       assertEquals(
-          drawn.samples().toString().replaceAll("\\[I@[0-9a-f]+", "ops"),
+          generated.samples().toString().replaceAll("\\[I@[0-9a-f]+", "ops"),
           read.samples().toString().replaceAll("\\[I@[0-9a-f]+", "ops"));
-      for (int i = 0; i < drawn.samples().size(); i++) {
-        if (drawn.samples().get(i) instanceof LoadSample.Arrivals arrivals) {
+      for (int i = 0; i < generated.samples().size(); i++) {
+        if (generated.samples().get(i) instanceof LoadSample.Arrivals arrivals) {
           assertEquals(
               List.of(arrivals.requests()[0], arrivals.requests()[1]),
               List.of(
@@ -70,27 +70,29 @@
   }
 
   @Test
-  void errorsNameLineAndField() throws IOException {
-    assertEquals("version: missing", errorAt(1, "{}"));
-    assertEquals("version: 2, this program reads 1", errorAt(1, "{\"version\":2}"));
-    assertEquals("no JSON", errorAt(2, "[\"ran\",0"));
-    assertEquals("kind: \"walked\"", errorAt(2, "[\"walked\",0]"));
-    assertEquals("zone: 3", errorAt(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
-    assertEquals("ran: 6 fields, not 7", errorAt(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
-    assertEquals("ops: -1", errorAt(2, "[\"came\",0,0,-1,0,0]"));
-    assertEquals("state: \"UP\"", errorAt(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
-    assertEquals("at: goes back to 5", errorAt(lines().length, "[\"late\",5,0]"));
+  void errorNamesLineAndInvalidField() throws IOException {
+    assertEquals("version: missing", errorWithLineReplaced(1, "{}"));
+    assertEquals("version: 2, this program reads 1", errorWithLineReplaced(1, "{\"version\":2}"));
+    assertEquals("no JSON", errorWithLineReplaced(2, "[\"ran\",0"));
+    assertEquals("kind: \"walked\"", errorWithLineReplaced(2, "[\"walked\",0]"));
+    assertEquals("zone: 3", errorWithLineReplaced(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
+    assertEquals("ran: 6 fields, not 7", errorWithLineReplaced(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
+    assertEquals("ops: -1", errorWithLineReplaced(2, "[\"came\",0,0,-1,0,0]"));
+    assertEquals("state: \"UP\"", errorWithLineReplaced(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
+    assertEquals(
+        "at: goes back to 5", errorWithLineReplaced(writeAndReadLines().length, "[\"late\",5,0]"));
   }
 
   /** Whatever bytes come: a recording, or one typed error. */
   @Test
-  void rejectsDamagedFilesWithAnErrorAtMost() throws IOException {
-    lines();
-    byte[] whole = Files.readAllBytes(folder.resolve("a.rec.gz"));
+  void throwsNothingButInvalidRecordingExceptionForDamagedFiles() throws IOException {
+    writeAndReadLines();
+    byte[] intact = Files.readAllBytes(folder.resolve("a.rec.gz"));
     SplittableRandom random = new SplittableRandom(4);
     Path file = folder.resolve("c.rec.gz");
     for (int i = 0; i < 300; i++) {
-      byte[] bytes = Arrays.copyOf(whole, i % 2 == 0 ? random.nextInt(whole.length) : whole.length);
+      byte[] bytes =
+          Arrays.copyOf(intact, i % 2 == 0 ? random.nextInt(intact.length) : intact.length);
       for (int j = 0; j < 2 && bytes.length > 0; j++) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
--- a/src/test/java/stonespring/simulator/SimulatorHostTest.java
+++ b/src/test/java/stonespring/simulator/SimulatorHostTest.java
@@ -38,12 +38,12 @@
   }
 
   @Test
-  void answersABatchWithoutMessagesWithoutCommands() throws IOException {
+  void repliesWithoutCommandsToABatchWithoutMessages() throws IOException {
     assertEquals("{\"seq\":4,\"parts\":[]}\n", reply("{'tS':1,'seq':4,'parts':[]}\n"));
   }
 
   @Test
-  void answersNothingForAStoppedInstance() throws IOException {
+  void repliesWithoutCommandsForAStoppedInstance() throws IOException {
     assertEquals("{\"seq\":4,\"parts\":[]}\n", reply(batch(START + ",['down']")));
   }
 
@@ -83,17 +83,17 @@
         "['endpoints',0,'new']|message 'endpoints': field 'mode' has an unknown word: new",
         "['ledger',16,[]]|message 'ledger': field 'membersList' is no list, or its number is above 15",
       })
-  void namesMessageAndFieldOfAnInvalidMessage(String message, String expectedMessage) {
+  void errorNamesMessageAndFieldWhenAMessageIsInvalid(String message, String expectedMessage) {
     assertRejected(batch(START + "," + message), expectedMessage);
   }
 
   @Test
-  void rejectsAnEventBeforeTheStart() {
+  void rejectsAnEventForAnInstanceThatHasNotStarted() {
     assertRejected(batch("['alarm',1]"), "message 'alarm' came before the instance's 'boot'");
   }
 
   @Test
-  void namesTheInvalidFieldOfTheSettings() {
+  void errorNamesTheFieldWhenSettingsAreInvalid() {
     assertRejected(
         batch(START.replace("'balancers':1", "'balancers':0")),
         "message 'boot': field 'balancers' has none, or too few");
