--- a/src/main/java/stonespring/Main.java
+++ b/src/main/java/stonespring/Main.java
@@ -2,11 +2,11 @@
 
 import stonespring.cli.Commands;
 
-/** The program's entry. */
+/** The entry point of the program. */
 public final class Main {
   private Main() {}
 
-  /** Runs the sub-command that the arguments name and exits with its code. */
+  /** Runs the sub-command that the arguments select; exits with its exit code unless that is 0. */
   public static void main(String[] args) {
     int code = Commands.run(args);
     if (code != 0) {
--- a/src/main/java/stonespring/cli/CheckCommand.java
+++ b/src/main/java/stonespring/cli/CheckCommand.java
@@ -7,7 +7,7 @@
 import stonespring.config.InstanceSettings;
 import stonespring.config.script.ScriptException;
 
-/** Checks a settings script and prints its errors. */
+/** Validates a settings script and prints all its errors. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/CommandFailedException.java
+++ b/src/main/java/stonespring/cli/CommandFailedException.java
@@ -1,6 +1,9 @@
 package stonespring.cli;
 
-/** A command can't go on; its message, never null, is printed and its exit code returned. */
+/**
+ * Thrown when a command cannot continue. The program prints the message, which is never null, and
+ * exits with the exit code.
+ */
 final class CommandFailedException extends Exception {
   private static final long serialVersionUID = 1;
 
@@ -11,22 +14,22 @@
     this.exitCode = exitCode;
   }
 
-  /** Arguments or a file that they name can't be used. */
+  /** Returns an exception for invalid arguments, or for an invalid file that they name. */
   static CommandFailedException usage(String message) {
     return new CommandFailedException(ExitCode.USAGE, message, null);
   }
 
-  /** As {@link #usage(String)}, where an exception says why. */
+  /** Returns an exception like {@link #usage(String)} that has a cause. */
   static CommandFailedException usage(String message, Throwable cause) {
     return new CommandFailedException(ExitCode.USAGE, message, cause);
   }
 
-  /** The command was started and did not succeed. */
+  /** Returns an exception for a command that failed in spite of valid arguments. */
   static CommandFailedException failed(String message) {
     return new CommandFailedException(ExitCode.FAILED, message, null);
   }
 
-  /** As {@link #failed(String)}, where an exception says why. */
+  /** Returns an exception like {@link #failed(String)} that has a cause. */
   static CommandFailedException failed(String message, Throwable cause) {
     return new CommandFailedException(ExitCode.FAILED, message, cause);
   }
--- a/src/main/java/stonespring/cli/Commands.java
+++ b/src/main/java/stonespring/cli/Commands.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program with its sub-commands. */
+/** The top-level command with its sub-commands. */
 @Command(
     name = "stonespring",
     mixinStandardHelpOptions = true,
@@ -29,7 +29,7 @@
 public final class Commands {
   private Commands() {}
 
-  /** The version in the jar's manifest. */
+  /** Provides the version from the manifest of the jar file. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Runs the command that the arguments name; returns its exit code. */
+  /** Runs the command that the arguments select and returns its exit code. */
   public static int run(String... args) {
     return createCommandLine().execute(args);
   }
@@ -53,7 +53,10 @@
     return commandLine;
   }
 
-  /** Prints what a command threw, with a stack trace if it hints at a defect. */
+  /**
+   * Prints the exception of a command and returns the exit code. Prints a stack trace only if the
+   * exception indicates a defect of the program.
+   */
   private static int handleException(Exception e, CommandLine command) {
     if (e instanceof CommandFailedException failure) {
       return ExitCode.printError(failure.exitCode(), failure.getMessage());
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -15,7 +15,7 @@
 import stonespring.testbed.virtual.ComparisonRow;
 import stonespring.testbed.virtual.Policy;
 
-/** Runs recorded loads in virtual time under several policies and compares them. */
+/** Replays recorded loads in virtual time under several policies and compares the results. */
 @Command(
     name = "compare",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/ComparisonJson.java
+++ b/src/main/java/stonespring/cli/ComparisonJson.java
@@ -6,8 +6,8 @@
 import stonespring.testbed.virtual.Policy;
 
 /**
- * A row of a comparison in the form that {@code compare --json} prints: its names and their order
- * are that output's.
+ * A row of a comparison in the form that {@code compare --json} prints. The names of the components
+ * and their order are part of the output format.
  */
 record ComparisonJson(
     String load,
--- a/src/main/java/stonespring/cli/EndpointCommand.java
+++ b/src/main/java/stonespring/cli/EndpointCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import stonespring.testbed.StandIns;
 
-/** Runs stand-in endpoints. */
+/** Runs simulated endpoints for trials by hand. */
 @Command(
     name = "task",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/ExitCode.java
+++ b/src/main/java/stonespring/cli/ExitCode.java
@@ -1,19 +1,19 @@
 package stonespring.cli;
 
-/** Exit codes of commands. */
+/** The exit codes of commands. */
 final class ExitCode {
-  /** The command did what it was asked. */
+  /** The command succeeded. */
   static final int OK = 0;
 
-  /** It failed, or found a broken rule. */
+  /** The command failed, or a scenario violated an invariant. */
   static final int FAILED = 1;
 
-  /** Its arguments or settings can't be used. */
+  /** The arguments of the command, or a file that they name, are invalid. */
   static final int USAGE = 2;
 
   private ExitCode() {}
 
-  /** Prints an error message and returns the code. */
+  /** Prints an error message to standard error and returns the exit code. */
   static int printError(int code, String message) {
     System.err.println("stonespring: " + message);
     return code;
--- a/src/main/java/stonespring/cli/ForegroundProcess.java
+++ b/src/main/java/stonespring/cli/ForegroundProcess.java
@@ -6,19 +6,23 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import stonespring.daemon.Instance;
 
-/** Keeps the process running for a command that serves until it is stopped. */
+/** Keeps the process running for commands that run until they are stopped. */
 final class ForegroundProcess {
-  /** For an instance to stop and this process to exit after a signal. */
+  /**
+   * Maximum time to wait, after a signal, for a stopped instance to end before the process exits.
+   */
   private static final long STOP_TIMEOUT_SECONDS = 10;
 
   private ForegroundProcess() {}
 
   /**
-   * Runs an instance until it ends or the process gets a signal; either way it is stopped in order.
+   * Waits until an instance ends or the process receives a signal, and stops the instance cleanly
+   * in both cases.
    *
-   * @param command names the command in an error message
-   * @param instance has started
-   * @return the exit code; after a signal the process's is the signal's
+   * @param command name of the command for error messages
+   * @param instance an instance that has started
+   * @return the exit code of the command; after a signal, the process exits with the signal's code
+   *     instead
    */
   static int runUntilStopped(String command, Instance instance) throws InterruptedException {
     AtomicBoolean signalled = new AtomicBoolean();
@@ -38,7 +42,7 @@
     return ExitCode.printError(ExitCode.FAILED, command + ": " + cause);
   }
 
-  /** Waits for a signal that ends the process; never returns otherwise. */
+  /** Blocks until a signal ends the process; never returns normally. */
   static int runUntilKilled() throws InterruptedException {
     Thread.currentThread().join();
     return ExitCode.OK;
--- a/src/main/java/stonespring/cli/InputFiles.java
+++ b/src/main/java/stonespring/cli/InputFiles.java
@@ -8,11 +8,11 @@
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
 
-/** Reads files that several commands take; one that can't be used is a usage error. */
+/** Reads input files of several commands; an invalid file is a usage error. */
 final class InputFiles {
   private InputFiles() {}
 
-  /** Reads a settings script. */
+  /** Reads a settings script; error messages list all its errors. */
   static InstanceSettings readSettings(Path file) throws CommandFailedException {
     try {
       return InstanceSettings.read(file);
@@ -24,7 +24,7 @@
   /**
    * Reads a recorded load.
    *
-   * @param command names the command in an error message
+   * @param command name of the command for error messages
    */
   static Recording readRecording(String command, Path file)
       throws CommandFailedException, IOException {
--- a/src/main/java/stonespring/cli/LoadCommand.java
+++ b/src/main/java/stonespring/cli/LoadCommand.java
@@ -8,13 +8,15 @@
 import stonespring.recording.RecordingFile;
 import stonespring.testbed.virtual.LoadGenerator;
 
-/** Generates a recorded load. */
+/** Generates a load and writes it as a recording. */
 @Command(
     name = "load",
     mixinStandardHelpOptions = true,
     description = "Draws a load with one kind of trouble and writes it.")
 final class LoadCommand implements Callable<Integer> {
   private static final int MIN_ENDPOINTS = 3;
+
+  /** Maximum number of endpoints and of proxies. */
   private static final int MAX_COUNT = 2_000;
 
   @Parameters(paramLabel = "KIND", description = "One of ${COMPLETION-CANDIDATES}.")
--- a/src/main/java/stonespring/cli/LoggingOptions.java
+++ b/src/main/java/stonespring/cli/LoggingOptions.java
@@ -11,7 +11,7 @@
 import stonespring.daemon.EngineHost;
 import stonespring.proxyapi.platform.PlatformProxyApi;
 
-/** Options of commands that log. */
+/** The logging options that several commands share. */
 final class LoggingOptions {
   @Option(names = "--log-json", description = "Log JSON lines instead of plain ones.")
   private boolean json;
@@ -22,12 +22,12 @@
   @Option(names = "--quiet", description = "Log warnings and errors only.")
   private boolean quiet;
 
-  /** Logs warnings and errors only; for commands that run instances in virtual time. */
+  /** Makes the process log warnings and errors only; for commands that replay in virtual time. */
   static void logWarningsOnly() {
     rootLogger().setLevel(Level.WARN);
   }
 
-  /** Sets the process's logging to these options. */
+  /** Configures the logging of the process by these options. */
   void apply() {
     Logger root = rootLogger();
     if (json) {
@@ -38,7 +38,7 @@
       root.setLevel(Level.WARN);
     }
     if (logCommands) {
-      // The classes that log each update of a proxy's route table, one per protocol.
+      // These classes log each update of a proxy's route tables, one class for each protocol.
       root.getLoggerContext().getLogger(EngineHost.class).setLevel(Level.DEBUG);
       root.getLoggerContext().getLogger(PlatformProxyApi.class).setLevel(Level.DEBUG);
     }
--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -9,7 +9,7 @@
 import stonespring.testbed.SolverTrial;
 import stonespring.testbed.ThroughputMeasurement;
 
-/** Measures parts of the program; a method for each. */
+/** Measures the performance of parts of the program; each method is a sub-command. */
 @Command(
     name = "measure",
     mixinStandardHelpOptions = true,
@@ -40,7 +40,7 @@
       throws Exception {
     System.out.print(
         FleetMeasurement.run(file, proxies, withinMillis, seconds, ScenarioRun.folder()));
-    System.exit(ExitCode.OK); // the idle proxies reconnect and would keep the process running
+    System.exit(ExitCode.OK); // proxies that reconnect would keep the process running
     return ExitCode.OK;
   }
 
--- a/src/main/java/stonespring/cli/PlanJson.java
+++ b/src/main/java/stonespring/cli/PlanJson.java
@@ -6,7 +6,8 @@
 import stonespring.solver.Plan;
 
 /**
- * A plan in the form that {@code solve --json} prints: its names and their order are that output's.
+ * A plan of the weight solver in the form that {@code solve --json} prints. The names of the
+ * components and their order are part of the output format.
  */
 record PlanJson(
     List<Table> tables,
@@ -41,7 +42,7 @@
         plan.changedRoutes());
   }
 
-  /** The printed word for a reason. */
+  /** Returns the word for a reason in the output. */
   static String reasonWord(Plan.Reason reason) {
     return switch (reason) {
       case BALANCED -> "BALANCED";
--- a/src/main/java/stonespring/cli/PlanReport.java
+++ b/src/main/java/stonespring/cli/PlanReport.java
@@ -7,10 +7,10 @@
 import stonespring.solver.Plan;
 
 /**
- * Prints a plan of the weight solver as a table or as JSON.
+ * Formats a plan of the weight solver as a table or as JSON.
  *
- * @param recording the name of the load that the plan is for
- * @param atSeconds the time within the load
+ * @param recording name of the recorded load
+ * @param atSeconds instant of the plan, in seconds since the start of the recording
  */
 record PlanReport(String recording, double atSeconds, Plan plan) {
   String toJson() throws JsonProcessingException {
--- a/src/main/java/stonespring/cli/PlatformCommand.java
+++ b/src/main/java/stonespring/cli/PlatformCommand.java
@@ -14,7 +14,7 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Runs an instance on the operators' platform; a SIGHUP reloads its configuration. */
+/** Runs an instance on the operators' platform; SIGHUP reloads its configuration. */
 @Command(
     name = "assigner",
     mixinStandardHelpOptions = true,
@@ -32,12 +32,13 @@
 
   @Override
   public Integer call() throws Exception {
-    // First of all: without a handler SIGHUP ends the process.
+    // Installed before anything else: without a handler, SIGHUP would end the process.
     ConfigReloader reloader = new ConfigReloader(path);
     SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
     logging.apply();
     if (previous == SignalHandler.SIG_IGN) {
-      // Ignored by the parent process, as under nohup; the virtual machine then calls no handler.
+      // The parent process made SIGHUP ignored, as nohup does; the JVM then never calls the
+      // handler.
       LOG.warn(
           "SIGHUP is ignored, as the parent process set it: a new configuration is seen when the"
               + " endpoint list can't be had");
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -18,7 +18,7 @@
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.testbed.StandIns;
 
-/** Runs a proxy of this project that follows an instance. */
+/** Runs a plain proxy that connects to an instance and applies its route tables. */
 @Command(
     name = "proxy",
     mixinStandardHelpOptions = true,
@@ -28,8 +28,13 @@
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
   private static final String ADDRESS_PATTERN = "[A-Za-z0-9.-]+:[0-9]{1,5}";
   private static final long DECI_MILLIS_PER_MILLI = 10;
+
+  /** The rough estimate of its request rate that the proxy sends when it connects. */
   private static final double USUAL_REQUESTS_PER_SECOND = 1;
+
+  /** Time to apply one changed route; a proxy that is run by hand simulates none. */
   private static final int ROUTE_CHANGE_DELAY_MICROS = 0;
+
   private static final long SILENCE_TIMEOUT_MILLIS = 3_000;
   private static final int MIN_RECONNECT_MILLIS = 300;
   private static final int MAX_RECONNECT_MILLIS = 1_500;
@@ -113,7 +118,7 @@
     return ports;
   }
 
-  /** Parses an instance's address; its ports follow each other. */
+  /** Parses the address of an instance, which uses the given port and the two above it. */
   private static ProxySettings.Ports parsePorts(String address) throws CommandFailedException {
     if (!address.matches(ADDRESS_PATTERN)) {
       throw CommandFailedException.usage("--assigner is HOST:PORT, not " + address);
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import stonespring.testbed.StandIns;
 
-/** Runs a stand-in registry of endpoints. */
+/** Runs a simulated endpoint registry for trials by hand. */
 @Command(
     name = "registry",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/ScenarioCommand.java
+++ b/src/main/java/stonespring/cli/ScenarioCommand.java
@@ -15,7 +15,7 @@
 import stonespring.testbed.ScenarioReport;
 import stonespring.testbed.ScenarioRun;
 
-/** Runs a scenario with stand-ins on loopback and checks its invariants. */
+/** Runs a scenario with simulated peers on the loopback interface and checks its invariants. */
 @Command(
     name = "day",
     aliases = "scenario",
--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -9,7 +9,7 @@
 import stonespring.config.InstanceSettings;
 import stonespring.daemon.ChpDaemon;
 
-/** Runs an instance that serves proxies by CHP. */
+/** Runs an instance that serves proxies over CHP. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/SimHostCommand.java
+++ b/src/main/java/stonespring/cli/SimHostCommand.java
@@ -6,7 +6,7 @@
 import stonespring.simulator.SimulatorHost;
 import stonespring.simulator.SimulatorProtocolException;
 
-/** Hosts decision engines for the operators' simulator. */
+/** Hosts instances for the operators' simulator. */
 @Command(
     name = "simhost",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -24,7 +24,7 @@
     description =
         "Prints what a running assigner publishes: a key and its value a line, as any CHP client sees it.")
 final class SnapshotCommand implements Callable<Integer> {
-  private static final long SILENCE_TIMEOUT_MILLIS = 5_000; // a heartbeat comes every second
+  private static final long SILENCE_TIMEOUT_MILLIS = 5_000; // heartbeats arrive every second
   private static final long SNAPSHOT_TIMEOUT_MILLIS = 2 * SILENCE_TIMEOUT_MILLIS;
 
   @Parameters(paramLabel = "PORT", description = "The assigner's snapshot port.")
@@ -72,9 +72,12 @@
     }
   }
 
-  /** Prints keys as they arrive, on the client's event loop. */
+  /** Prints keys as they arrive; called on the client's event loop. */
   private final class Printer implements ChpClient.Listener {
-    /** Completed with the cause of the end; empty after a snapshot that is not followed. */
+    /**
+     * Completed when the command is done: with the reason why the session ended, or with an empty
+     * string once a snapshot is printed and updates are not requested.
+     */
     private final CompletableFuture<String> ended = new CompletableFuture<>();
 
     @Override
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -11,7 +11,7 @@
 import stonespring.testbed.virtual.Policy;
 import stonespring.testbed.virtual.VirtualFleet;
 
-/** Runs a recorded load in virtual time and explains the weight solver's plan. */
+/** Replays a recorded load in virtual time and prints the weight solver's plan with reasons. */
 @Command(
     name = "solve",
     mixinStandardHelpOptions = true,
@@ -22,7 +22,7 @@
   private Path file;
 
   @Option(names = "--at", paramLabel = "SECONDS", description = "The moment (the load's end).")
-  private Double requestedSeconds; // null for the end
+  private Double requestedSeconds; // null for the end of the load
 
   @Option(
       names = "--seed",
--- a/src/main/java/stonespring/recording/InvalidRecordingException.java
+++ b/src/main/java/stonespring/recording/InvalidRecordingException.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A file is no recording of this version; the message names file, line and field. */
+/**
+ * Thrown when a file is not a valid recording of the supported version; the message names file,
+ * line and field.
+ */
 public final class InvalidRecordingException extends IOException {
   private static final long serialVersionUID = 1;
   private final transient Path file;
@@ -19,7 +22,7 @@
     return file;
   }
 
-  /** The line, counted from 1; 0 where the file can't be unpacked. */
+  /** Returns the line, counted from 1; 0 if the file cannot be decompressed. */
   public long line() {
     return line;
   }
--- a/src/main/java/stonespring/recording/LoadSample.java
+++ b/src/main/java/stonespring/recording/LoadSample.java
@@ -3,47 +3,55 @@
 import stonespring.model.EndpointRecord;
 
 /**
- * Something that happened on a recorded day. Times are in {@link stonespring.model.DeciMillis}
- * since the day's start; zones and proxies are positions in the recording's head.
+ * A recorded observation of load or of a change of the fleet. Instants are in {@link
+ * stonespring.model.DeciMillis} since the start of the recording, durations in {@link
+ * stonespring.model.DeciMillis}. Zones and proxies are positions in the lists of the recording's
+ * head. Endpoints are names; no component is null.
  */
 public sealed interface LoadSample {
-  /** When it happened. */
+  /** Returns the instant of the observation. */
   long at();
 
   /**
-   * Requests that arrived at a proxy within the recording's sample interval before.
+   * The requests that arrived at a proxy during the sample interval that ended at this instant.
    *
-   * @param requests by request class
+   * @param requests number of requests by request class, in the order of the settings
    */
   record Arrivals(long at, int proxy, int[] requests) implements LoadSample {}
 
   /**
-   * An update of the endpoint list.
+   * The endpoint list changed its entry for an endpoint.
    *
-   * @param startedAt as {@link EndpointRecord} has it, on the recording's clock
+   * @param weight capacity relative to other endpoints, as in {@link EndpointRecord}
+   * @param startedAt when the endpoint's process last started, on the clock of the recording; 0 if
+   *     it started long ago, as in {@link EndpointRecord}
    */
   record EndpointListed(
       long at, String endpoint, int zone, double weight, EndpointRecord.State state, long startedAt)
       implements LoadSample {}
 
   /**
-   * An endpoint's process started or died.
+   * An endpoint's process started or ended.
    *
-   * @param cores 0 if it died
-   * @param speed relative to a usual core
-   * @param warmingUp whether it has its whole capacity only after a while
+   * @param cores number of cores; 0 if the process ended
+   * @param speed speed of a core relative to a usual core
+   * @param warmingUp whether the process reaches its full capacity only after a warm-up
    */
   record ProcessChanged(
       long at, String endpoint, int zone, int cores, double speed, boolean warmingUp)
       implements LoadSample {}
 
   /**
-   * From here an endpoint reports a multiple of the capacity that it has.
+   * From this instant on, the load reports of an endpoint claim a multiple of its actual capacity.
    *
-   * @param multiple 1 for a true report
+   * @param multiple claimed capacity divided by actual capacity; 1 ends the false claim
    */
   record CapacityClaimed(long at, String endpoint, double multiple) implements LoadSample {}
 
-  /** From here proxies' reports arrive so much later than usual. */
+  /**
+   * From this instant on, the proxies' reports arrive later than usual.
+   *
+   * @param delay additional delay; 0 ends it
+   */
   record ReportsDelayed(long at, long delay) implements LoadSample {}
 }
--- a/src/main/java/stonespring/recording/Recording.java
+++ b/src/main/java/stonespring/recording/Recording.java
@@ -4,21 +4,27 @@
 import stonespring.model.Settings;
 
 /**
- * The recorded load of a day. What was decided on that day is no part of it.
+ * The recorded load of a fleet over some time. It contains no decisions of instances, so that the
+ * same load can be replayed under other decisions.
  *
- * @param samples in the order of their times
+ * @param samples the observations, in ascending order of their instants
  */
 public record Recording(Head head, List<LoadSample> samples) {
-  /** The version of the file format that is written and read. */
+  /** The only version of the file format that is written and read. */
   public static final int VERSION = 1;
 
   /**
-   * What holds all day. Times are in {@link stonespring.model.DeciMillis}.
+   * The properties that hold for the whole recording. Durations are in {@link
+   * stonespring.model.DeciMillis}.
    *
-   * @param version of the file format
-   * @param zones the zones' names, by position
-   * @param sampleInterval the time over which arrivals are counted together
-   * @param duration length of the day
+   * @param version version of the file format
+   * @param name name of the recorded load in reports
+   * @param settings settings of the instances
+   * @param zones names of the zones; a zone is a position in this list
+   * @param requestClasses the request classes, in the order of the settings
+   * @param proxies the proxies; a proxy is a position in this list
+   * @param sampleInterval interval over which arrivals are counted
+   * @param duration duration of the recording
    */
   public record Head(
       int version,
@@ -31,19 +37,19 @@
       long duration) {}
 
   /**
-   * What the settings do not say of a request class. Times are in {@link
+   * The properties of a request class that the settings do not contain. Durations are in {@link
    * stonespring.model.DeciMillis}.
    *
-   * @param timeout when clients give up
-   * @param serviceTime of a request on a usual core
+   * @param timeout time after which clients give up a request
+   * @param serviceTime processing time of a request on a usual core
    */
   public record RequestClassInfo(String name, long timeout, long serviceTime) {}
 
   /**
-   * A proxy.
+   * A proxy of the recorded fleet.
    *
-   * @param zone by position
-   * @param usualRequestsPerSecond what it usually receives
+   * @param zone position in the list of zones
+   * @param usualRequestsPerSecond request rate that the proxy usually receives
    */
   public record ProxyInfo(String name, int zone, double usualRequestsPerSecond) {}
 }
--- a/src/main/java/stonespring/recording/RecordingFile.java
+++ b/src/main/java/stonespring/recording/RecordingFile.java
@@ -17,8 +17,8 @@
 import java.util.zip.ZipException;
 
 /**
- * Recordings as files: gzip over lines of JSON, the head first as an object, then each sample as an
- * array.
+ * Reads and writes recordings as gzip-compressed files of JSON lines: first the head as an object,
+ * then each sample as an array.
  */
 public final class RecordingFile {
   private static final ObjectMapper MAPPER =
@@ -28,7 +28,10 @@
 
   private RecordingFile() {}
 
-  /** Writes a recording to a temporary file and renames it, so that no part of it is ever found. */
+  /**
+   * Writes a recording to a temporary file in the same folder and renames it atomically, so that
+   * readers never find an incomplete recording.
+   */
   public static void write(Recording recording, Path file) throws IOException {
     Path temporary = file.resolveSibling(file.getFileName() + ".part");
     try (BufferedWriter out =
@@ -47,9 +50,9 @@
   }
 
   /**
-   * Reads a whole recording.
+   * Reads and validates a whole recording.
    *
-   * @throws InvalidRecordingException if the file is no recording of this version
+   * @throws InvalidRecordingException if the file is not a valid recording of the supported version
    */
   public static Recording read(Path file) throws IOException {
     try (BufferedReader in =
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -12,15 +12,15 @@
 import java.util.Set;
 import stonespring.model.DeciMillis;
 
-/** Reads the lines of one recording: the head, then the samples. */
+/** Reads the lines of one recording, the head and then the samples, and validates them. */
 final class RecordingReader {
-  /** The longest day and the latest time of a sample, {@link DeciMillis}. */
+  /** Maximum duration of a recording and instant of a sample, {@link DeciMillis}: 24 hours. */
   static final long MAX_DURATION = 24 * 3600 * DeciMillis.SECOND;
 
-  /** A bound on memory; about 1.7 hours of 800 proxies that are sampled every second. */
+  /** Bounds memory; corresponds to about 1.7 hours of 800 proxies sampled every second. */
   private static final int MAX_SAMPLES = 5_000_000;
 
-  /** In characters; the head names every proxy. */
+  /** Maximum number of characters in a line; the head is long because it lists every proxy. */
   private static final int MAX_LINE_LENGTH = 4 << 20;
 
   private static final double MAX_REQUESTS_PER_SECOND = 1e9;
@@ -50,7 +50,7 @@
     return new Recording(head, samples);
   }
 
-  /** A line without its end, of bounded length; null at the end of the file. */
+  /** Reads a line and returns it without its line feed; returns null at the end of the file. */
   private String readLine(BufferedReader in) throws IOException {
     StringBuilder line = new StringBuilder();
     int next = in.read();
--- a/src/main/java/stonespring/recording/SampleReader.java
+++ b/src/main/java/stonespring/recording/SampleReader.java
@@ -2,16 +2,18 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Decodes the samples that {@link SampleWriter} encodes, and checks their ranges. */
+/** Decodes the samples that {@link SampleWriter} encodes, and checks the range of each value. */
 final class SampleReader {
+  // Positions in the array of a sample.
   private static final int KIND = 0;
   private static final int AT = 1;
   private static final int FIRST_FIELD = 2;
+
   private static final int MAX_REQUESTS = 10_000_000;
   private static final int MAX_CORES = 4096;
   private static final double MAX_WEIGHT = 1e9;
 
-  /** Bounds on a speed or a multiple of a capacity. */
+  /** Bounds on the speed of a core and on the multiple of a claimed capacity. */
   private static final double MIN_FACTOR = 1e-6;
 
   private static final double MAX_FACTOR = 1e6;
--- a/src/main/java/stonespring/recording/SampleWords.java
+++ b/src/main/java/stonespring/recording/SampleWords.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import stonespring.model.EndpointRecord;
 
-/** The words that stand for samples and states in files; they do not follow renames of the code. */
+/**
+ * The words for kinds of samples and states of endpoints in files. They are part of the file format
+ * and do not follow renames of the code.
+ */
 final class SampleWords {
   static final String ARRIVALS = "came";
   static final String ENDPOINT_LISTED = "listed";
@@ -11,7 +14,7 @@
   static final String CAPACITY_CLAIMED = "claimed";
   static final String REPORTS_DELAYED = "late";
 
-  /** In the order of {@link EndpointRecord.State}. */
+  /** The words for states, in the order of {@link EndpointRecord.State}. */
   private static final List<String> STATES = List.of("READY", "DRAINING", "GONE");
 
   private SampleWords() {}
@@ -24,7 +27,7 @@
     return STATES.contains(word);
   }
 
-  /** The state of a word for which {@link #isState} holds. */
+  /** Returns the state that a word denotes; the word must satisfy {@link #isState}. */
   static EndpointRecord.State stateOf(String word) {
     return EndpointRecord.State.values()[STATES.indexOf(word)];
   }
--- a/src/main/java/stonespring/recording/SampleWriter.java
+++ b/src/main/java/stonespring/recording/SampleWriter.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
-/** Encodes samples as arrays of their kind, their time and their fields. */
+/** Encodes each sample as a JSON array of its kind, its instant and its other values. */
 final class SampleWriter {
   private SampleWriter() {}
 
--- a/src/main/java/stonespring/recording/StoredHead.java
+++ b/src/main/java/stonespring/recording/StoredHead.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A recording's head as files have it: the names and their order are the file format and do not
- * follow renames of the code.
+ * A recording's head in the form that files contain. The names of the components and their order
+ * are part of the file format and do not follow renames of the code.
  */
 record StoredHead(
     int version,
@@ -16,7 +16,7 @@
     long every,
     long length) {
 
-  /** A request class besides its settings. */
+  /** A request class without the properties that the settings contain. */
   record StoredType(String name, long opTimeout, long work) {
     static StoredType of(Recording.RequestClassInfo info) {
       return new StoredType(info.name(), info.timeout(), info.serviceTime());
@@ -27,7 +27,7 @@
     }
   }
 
-  /** A proxy. */
+  /** A proxy of the recorded fleet. */
   record StoredProxy(String name, int zone, double usualOps) {
     static StoredProxy of(Recording.ProxyInfo info) {
       return new StoredProxy(info.name(), info.zone(), info.usualRequestsPerSecond());
--- a/src/main/java/stonespring/recording/StoredSettings.java
+++ b/src/main/java/stonespring/recording/StoredSettings.java
@@ -7,8 +7,8 @@
 import stonespring.model.Settings;
 
 /**
- * The settings in a recording's head as files have them: the names and their order are the file
- * format and do not follow renames of the code.
+ * The settings in a recording's head in the form that files contain. The names of the components
+ * and their order are part of the file format and do not follow renames of the code.
  */
 record StoredSettings(
     int assigners,
@@ -35,21 +35,23 @@
     int shunAfter,
     boolean holdingsUnknown) {
 
-  /** A request class's word for the safety of a retry. */
+  /** The word for a class's retry safety; constants are in the order of {@link RetrySafety}. */
   enum StoredRepeat {
     RETRYABLE,
     DEDUPLICATED,
     ONCE_ONLY
   }
 
-  /** The word for the kind of admission limits. */
+  /**
+   * The word for the admission limits; constants are in the order of {@link AdmissionLimitKind}.
+   */
   enum StoredLevelKind {
     NONE,
     SHARE,
     RATE
   }
 
-  /** A request class. */
+  /** A request class as the settings define it. */
   record StoredClass(StoredRepeat repeat, long targetLatency, double benefit) {}
 
   static StoredSettings of(Settings settings) {
--- a/src/main/java/stonespring/recording/package-info.java
+++ b/src/main/java/stonespring/recording/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The recorded load of a day, to be played again with any decisions: requests that arrived, what
- * the endpoints could serve, and what the endpoint list and the load reports said of them.
+ * Recorded load of a fleet, which can be replayed under any decisions: the requests that arrived,
+ * the actual capacity of the endpoints, and what the endpoint list and the load reports stated
+ * about them.
  */
 package stonespring.recording;
--- a/src/main/java/stonespring/simulator/BatchReader.java
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -9,18 +9,20 @@
 import stonespring.simulator.WireNames.Batch;
 
 /**
- * Reads one line of input. It is parsed as a stream, so that one message at a time is in memory.
+ * Reads batches of messages, each one line of JSON. A batch is parsed as a stream, so that only one
+ * message at a time is held as a tree.
  */
 final class BatchReader {
+  /** Stands for a number that the line has not provided yet; valid numbers start at 0. */
   private static final long UNSET = -1;
 
-  /** Takes the messages of a batch, in their order. */
+  /** Receives the messages of a batch in the order of the line. */
   interface MessageHandler {
     /**
-     * Takes a message.
+     * Handles a message.
      *
      * @param now the batch's time, {@link DeciMillis}
-     * @param instance the number of the instance that the message is for
+     * @param instance the number of the instance that the message addresses
      */
     void handle(long now, int instance, SimulatorMessage message);
   }
@@ -35,20 +37,22 @@
     this.handler = handler;
   }
 
-  /** The time of the batch read last, {@link DeciMillis}. */
+  /** Returns the time of the batch read last, {@link DeciMillis}; negative before the first. */
   long now() {
     return now;
   }
 
-  /** The sequence number of the batch read last. */
+  /** Returns the sequence number of the batch read last; negative before the first. */
   long sequence() {
     return sequence;
   }
 
   /**
-   * Reads a batch.
+   * Reads a batch and passes its messages to the handler. Messages that precede an error in the
+   * line have been passed on by then.
    *
-   * @throws SimulatorProtocolException if the line breaks the wire's form
+   * @throws com.fasterxml.jackson.core.JsonProcessingException if the line is not valid JSON
+   * @throws SimulatorProtocolException if the line violates the protocol
    */
   void read(String line) throws IOException {
     now = UNSET;
@@ -73,7 +77,7 @@
     }
   }
 
-  /** Reads the fields of the batch; whether its parts are among them. */
+  /** Reads the fields of the batch and returns whether its parts are among them. */
   private boolean readFields(JsonParser json) throws IOException {
     boolean hasParts = false;
     while (json.nextToken() == JsonToken.FIELD_NAME) {
--- a/src/main/java/stonespring/simulator/CommandWriter.java
+++ b/src/main/java/stonespring/simulator/CommandWriter.java
@@ -8,7 +8,7 @@
 import stonespring.model.RetryPolicy;
 import stonespring.simulator.WireNames.CommandName;
 
-/** Writes commands as arrays of a name and of values by position. */
+/** Writes each command as a JSON array: its name, followed by its values in a fixed order. */
 final class CommandWriter {
   private static final HexFormat HEX = HexFormat.of();
   private final JsonGenerator json;
@@ -42,7 +42,7 @@
     json.writeEndArray();
   }
 
-  /** Writes the commands that change nothing at the proxies. */
+  /** Writes the name and the values of a command that does not change the state of proxies. */
   private void writeLocalCommand(Command command) throws IOException {
     if (command instanceof Command.StartTimer timer) {
       json.writeString(CommandName.START_TIMER);
@@ -97,7 +97,7 @@
     };
   }
 
-  /** Writes that the instance's engine failed. */
+  /** Writes the notification that the instance's engine failed. */
   void writeFailure(String text) throws IOException {
     json.writeStartArray();
     json.writeString(CommandName.FAILURE);
--- a/src/main/java/stonespring/simulator/EndpointLists.java
+++ b/src/main/java/stonespring/simulator/EndpointLists.java
@@ -3,15 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The endpoint lists that the simulator sends once and then names by number in the updates to its
- * instances; a list stays until another one takes its number.
+ * The endpoint lists that the simulator has sent. It sends each list once and refers to it by
+ * number in updates to instances. A list stays valid until another one is sent under its number.
  */
 final class EndpointLists {
+  /** List numbers run from 0 to one below this value. */
   private static final int MAX_LISTS = 16;
 
   private final JsonNode[] entriesByNumber = new JsonNode[MAX_LISTS];
 
-  /** Takes a list from the message that carries it. */
+  /** Stores the list that a message contains. */
   void put(SimulatorMessage message) {
     int number = message.id(0, WireNames.Field.LIST_NUMBER);
     if (number >= MAX_LISTS || !message.value(1, WireNames.Field.LIST_ENTRIES).isArray()) {
@@ -21,7 +22,7 @@
     entriesByNumber[number] = message.value(1, WireNames.Field.LIST_ENTRIES);
   }
 
-  /** The entries of the list that an update names. */
+  /** Returns the entries of the list to which an update refers. */
   JsonNode get(SimulatorMessage update) {
     int number = update.id(0, WireNames.Field.LIST_NUMBER);
     JsonNode entries = number < MAX_LISTS ? entriesByNumber[number] : null;
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -22,11 +22,15 @@
 import stonespring.simulator.WireNames.Message;
 import stonespring.simulator.WireNames.UpdateKind;
 
-/** Decodes an instance's messages into events; its settings name the zones and request classes. */
+/**
+ * Decodes an instance's messages into events. Names of zones and request classes are resolved by
+ * the instance's settings.
+ */
 final class EventReader {
+  /** The status code of a successful health check; it is that of HTTP. */
   private static final int STATUS_OK = 200;
 
-  /** The weight of an endpoint whose entry gives none. */
+  /** Weight of an endpoint whose entry contains none. */
   private static final double DEFAULT_WEIGHT = 1;
 
   private final PlatformSettings settings;
@@ -38,8 +42,8 @@
   /**
    * Decodes a message.
    *
-   * @param lists the endpoint lists sent up to this message
-   * @throws SimulatorProtocolException if the message is not known or a field can't be used
+   * @param lists the endpoint lists received before this message
+   * @throws SimulatorProtocolException if the message is unknown or one of its fields is invalid
    */
   Event read(SimulatorMessage message, EndpointLists lists) {
     return switch (message.name()) {
--- a/src/main/java/stonespring/simulator/HostedInstance.java
+++ b/src/main/java/stonespring/simulator/HostedInstance.java
@@ -14,26 +14,27 @@
 import stonespring.simulator.WireNames.Message;
 
 /**
- * One hosted instance. Messages start it, stop it and start it again; it shares nothing with the
- * other instances. An exception of its engine makes it fail until it is started again.
+ * One hosted instance, which messages start, stop and start again. It shares no state with other
+ * instances. If its engine throws an exception, the instance has failed until it is started again.
  */
 final class HostedInstance {
   private final KnownIds knownIds = new KnownIds();
 
-  /** Null until the first start. */
+  /** Decodes messages by the settings of the last start; null before the first start. */
   private EventReader eventReader;
 
   /** Null while the instance is stopped. */
   private DecisionEngine engine;
 
-  /** Null while the engine works. */
+  /** Describes the exception of the engine; null unless the instance has failed. */
   private String failure;
 
   /**
-   * Takes one message.
+   * Handles one message. A stopped or failed instance ignores events.
    *
-   * @param now {@link stonespring.model.DeciMillis}
-   * @param lists the endpoint lists sent up to this message
+   * @param now the batch's time, {@link stonespring.model.DeciMillis}
+   * @param lists the endpoint lists received before this message
+   * @throws SimulatorProtocolException if the message is invalid or precedes the first start
    */
   void handle(long now, SimulatorMessage message, EndpointLists lists) {
     switch (message.name()) {
@@ -72,7 +73,13 @@
     }
   }
 
-  /** Ends the batch; no commands where the instance is stopped or has failed. */
+  /**
+   * Ends the batch and returns the engine's commands; none if the instance is stopped or has
+   * failed.
+   *
+   * @param now the batch's time, {@link stonespring.model.DeciMillis}
+   * @throws SimulatorProtocolException if a command refers to an unknown endpoint or proxy
+   */
   List<Command> endBatch(long now) {
     List<Command> commands = new ArrayList<>();
     if (engine != null && failure == null) {
@@ -85,11 +92,12 @@
     return commands;
   }
 
-  /** What made the engine fail. */
+  /** Returns the description of the engine's exception; empty unless the instance has failed. */
   Optional<String> failure() {
     return Optional.ofNullable(failure);
   }
 
+  /** Runs a call to the engine; an exception makes the instance fail. */
   private void runEngine(Runnable engineCall) {
     try {
       engineCall.run();
--- a/src/main/java/stonespring/simulator/KnownIds.java
+++ b/src/main/java/stonespring/simulator/KnownIds.java
@@ -9,8 +9,9 @@
 import stonespring.simulator.WireNames.CommandName;
 
 /**
- * The endpoints and proxies that an instance was notified of. The simulator ends its run at a
- * command for any other; it is refused here, where its text can say which one.
+ * The endpoints and proxies that events have introduced to an instance. The simulator aborts its
+ * run at a command for any other id. Such a command is rejected here instead, with an error that
+ * names the id.
  */
 final class KnownIds {
   private final Set<EndpointId> endpoints = new HashSet<>();
@@ -21,7 +22,7 @@
     proxies.clear();
   }
 
-  /** Takes the ids that an event introduces. */
+  /** Adds the ids that an event introduces. */
   void add(Event event) {
     if (event instanceof Event.EndpointListUpdate update) {
       update.endpoints().forEach(entry -> endpoints.add(entry.endpoint()));
@@ -37,7 +38,7 @@
   /**
    * Checks the ids of a command.
    *
-   * @throws SimulatorProtocolException if the instance was never notified of one
+   * @throws SimulatorProtocolException if no event introduced one of them
    */
   void check(Command command) {
     if (command instanceof Command.SetRoute route) {
--- a/src/main/java/stonespring/simulator/SimulatorHost.java
+++ b/src/main/java/stonespring/simulator/SimulatorHost.java
@@ -21,7 +21,10 @@
 import stonespring.simulator.WireNames.Batch;
 import stonespring.simulator.WireNames.Message;
 
-/** Hosts instances behind the simulator's wire: one line of events in, one line of commands out. */
+/**
+ * Hosts instances for the simulator: reads batches of events, one per line, and replies to each
+ * with one line of commands. To be used by one thread.
+ */
 public final class SimulatorHost {
   private static final int BUFFER_BYTES = 1 << 16;
 
@@ -35,13 +38,14 @@
   private final EndpointLists endpointLists = new EndpointLists();
   private final Map<Integer, HostedInstance> instances = new TreeMap<>();
 
-  /** The instances that the present batch has messages for, in the order of the reply. */
+  /** Numbers of the instances that the current batch addresses, in the order of the reply. */
   private final TreeSet<Integer> addressedInstances = new TreeSet<>();
 
   /**
-   * Answers batches until the input ends.
+   * Replies to batches until the end of the input.
    *
-   * @throws SimulatorProtocolException if the input breaks the wire's form
+   * @throws SimulatorProtocolException if the input violates the protocol, or a command refers to
+   *     an unknown endpoint or proxy
    */
   public void run(InputStream input, OutputStream output) throws IOException {
     BufferedReader lines =
@@ -87,7 +91,7 @@
     }
   }
 
-  /** Writes the commands of an instance; nothing where it has none. */
+  /** Writes the commands and the failure of an instance; writes nothing if it has neither. */
   private void writePart(JsonGenerator json, int number, HostedInstance instance)
       throws IOException {
     List<Command> commands = instance.endBatch(batchReader.now());
--- a/src/main/java/stonespring/simulator/SimulatorMessage.java
+++ b/src/main/java/stonespring/simulator/SimulatorMessage.java
@@ -4,11 +4,13 @@
 import stonespring.model.DeciMillis;
 
 /**
- * One message of the simulator: an array of a name and of values by position. What can't be read is
- * a {@link SimulatorProtocolException} that names message and field.
+ * One message of the simulator: a JSON array of its name and its values, which have fixed
+ * positions. The accessors count positions from 0, the first value after the name, and throw a
+ * {@link SimulatorProtocolException} that names message and field if the value is missing or
+ * invalid.
  */
 final class SimulatorMessage {
-  /** The greatest number of a proxy, instance, table or acknowledgement. */
+  /** The greatest number that identifies a proxy, instance, table, list or acknowledgement. */
   private static final int MAX_ID = 65_535;
 
   private final String name;
@@ -21,7 +23,7 @@
     this.firstValue = firstValue;
   }
 
-  /** A message as it stands on the wire, with its name first. */
+  /** Returns a message as the simulator sends it, with its name as the first element. */
   static SimulatorMessage of(JsonNode array) {
     if (!array.isArray() || array.isEmpty() || !array.get(0).isTextual()) {
       throw new SimulatorProtocolException(
@@ -33,7 +35,10 @@
     return new SimulatorMessage(array.get(0).asText(), array, 1);
   }
 
-  /** An entry of an endpoint list, which has no name of its own. */
+  /**
+   * Returns an entry of an endpoint list, whose elements are all values; errors name the message
+   * that contains the list.
+   */
   static SimulatorMessage ofListEntry(JsonNode array) {
     return new SimulatorMessage(WireNames.Message.ENDPOINT_LIST, array, 0);
   }
@@ -50,7 +55,7 @@
     return value;
   }
 
-  /** A whole number that is not negative. */
+  /** Returns an integer that is 0 or greater. */
   long nonNegativeInteger(int position, String field) {
     JsonNode value = value(position, field);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
@@ -59,7 +64,7 @@
     return value.asLong();
   }
 
-  /** A whole number from 0 to {@link #MAX_ID}. */
+  /** Returns an integer from 0 to {@link #MAX_ID}. */
   int id(int position, String field) {
     long value = nonNegativeInteger(position, field);
     if (value > MAX_ID) {
@@ -76,7 +81,7 @@
     return value.asDouble();
   }
 
-  /** Seconds as {@link DeciMillis}, rounded down. */
+  /** Returns a number of seconds, converted to {@link DeciMillis} and rounded down. */
   long secondsAsDeciMillis(int position, String field) {
     return DeciMillis.ofSeconds(number(position, field));
   }
@@ -97,6 +102,7 @@
     return value.asBoolean();
   }
 
+  /** Returns an exception to throw for an invalid field; does not throw it. */
   SimulatorProtocolException invalid(String field, String problem) {
     return new SimulatorProtocolException(
         "message '" + name + "': field '" + field + "' " + problem);
--- a/src/main/java/stonespring/simulator/SimulatorProtocolException.java
+++ b/src/main/java/stonespring/simulator/SimulatorProtocolException.java
@@ -1,6 +1,9 @@
 package stonespring.simulator;
 
-/** Input or a command that breaks the wire's form; the text names the message and the field. */
+/**
+ * Thrown when input of the simulator violates its protocol, or a command would; the message text
+ * names the message or command and the field.
+ */
 public final class SimulatorProtocolException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/stonespring/simulator/WireNames.java
+++ b/src/main/java/stonespring/simulator/WireNames.java
@@ -1,6 +1,9 @@
 package stonespring.simulator;
 
-/** The words of the simulator's wire. */
+/**
+ * The names in the simulator's protocol. The simulator defines them, so they do not follow renames
+ * of the code.
+ */
 final class WireNames {
   /** Fields of a batch and of a reply. */
   static final class Batch {
@@ -14,7 +17,7 @@
     private Batch() {}
   }
 
-  /** Names of the messages to an instance. */
+  /** Names of the messages that the simulator sends. */
   static final class Message {
     static final String START = "boot";
     static final String STOP = "down";
@@ -35,7 +38,7 @@
     private Message() {}
   }
 
-  /** Names of the messages' fields. */
+  /** Names of the messages' fields, for error messages; values are read by position. */
   static final class Field {
     static final String SEED = "salt";
     static final String SETTINGS = "facts";
@@ -67,7 +70,7 @@
     private Field() {}
   }
 
-  /** Fields of an endpoint's load report. */
+  /** Fields of an endpoint's load report, which is a JSON object. */
   static final class LoadField {
     static final String UTILIZATION = "utilization";
     static final String QUEUE_LENGTH = "backlog";
@@ -78,7 +81,7 @@
     private LoadField() {}
   }
 
-  /** How an update of the endpoint list relates to the list held. */
+  /** Kinds of updates of the endpoint list. */
   static final class UpdateKind {
     static final String DELTA = "patch";
     static final String SNAPSHOT = "whole";
--- a/src/main/java/stonespring/simulator/package-info.java
+++ b/src/main/java/stonespring/simulator/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The simulator's wire: one line of JSON with a batch of events on standard input, one line with
- * the commands on standard output. It hosts many instances that share nothing. The words of the
- * wire stand in {@link stonespring.simulator.WireNames} alone. One thread runs it all.
+ * Hosts instances for the operators' simulator. The simulator writes a batch of events as one line
+ * of JSON to standard input and reads one line with the commands from standard output. All
+ * instances run on one thread and share no state. {@link stonespring.simulator.WireNames} defines
+ * all names of the protocol.
  */
 package stonespring.simulator;
--- a/src/test/java/stonespring/cli/CommandsTest.java
+++ b/src/test/java/stonespring/cli/CommandsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Exit codes and texts of commands that end by themselves. */
+/** Tests exit codes and output of commands that end without a signal. */
 final class CommandsTest {
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -153,7 +153,7 @@
     return names;
   }
 
-  /** Field names of the plan are stable, whatever its classes are called. */
+  /** Field names of the JSON output must not follow renames of the classes behind them. */
   @Test
   void printsThePlanAsJsonWithFieldNamesOfTheOutputFormat() throws Exception {
     String file = folder.resolve("load.rec.gz").toString();
--- a/src/test/java/stonespring/cli/ComparisonJsonTest.java
+++ b/src/test/java/stonespring/cli/ComparisonJsonTest.java
@@ -8,7 +8,7 @@
 import stonespring.testbed.virtual.Interval;
 import stonespring.testbed.virtual.Policy;
 
-/** Holds the names and their order in the output of {@code compare --json}. */
+/** Tests names and order of the fields in the output of {@code compare --json}. */
 final class ComparisonJsonTest {
   @Test
   void printsEachValueUnderItsFieldName() throws Exception {
--- a/src/test/java/stonespring/cli/LoggingOptionsTest.java
+++ b/src/test/java/stonespring/cli/LoggingOptionsTest.java
@@ -12,7 +12,7 @@
 import stonespring.daemon.EngineHost;
 import stonespring.proxyapi.platform.PlatformProxyApi;
 
-/** What the options of logging set. */
+/** Tests the log levels that the logging options set. */
 final class LoggingOptionsTest {
   private final Logger root = logger(Logger.ROOT_LOGGER_NAME);
   private final Level rootLevel = root.getLevel();
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -17,9 +17,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import stonespring.testbed.virtual.LoadGenerator;
 
+/** Tests that recordings survive a round trip and that errors name file, line and field. */
 final class RecordingFileTest {
   @TempDir private Path folder;
 
+  /** Writes a generated recording to a.rec.gz and returns the decompressed lines. */
   private String[] writeAndReadLines() throws IOException {
     Path file = folder.resolve("a.rec.gz");
     RecordingFile.write(LoadGenerator.generate(LoadGenerator.Kind.DEPLOY, 3, 6, 3), file);
@@ -36,6 +38,11 @@
     return file;
   }
 
+  /**
+   * Returns the error for a recording with one replaced line, without its prefix of file and line.
+   *
+   * @param line counted from 1
+   */
   private String errorWithLineReplaced(int line, String replacement) throws IOException {
     String[] lines = writeAndReadLines();
     lines[line - 1] = replacement;
@@ -83,7 +90,7 @@
         "at: goes back to 5", errorWithLineReplaced(writeAndReadLines().length, "[\"late\",5,0]"));
   }
 
-  /** Whatever bytes come: a recording, or one typed error. */
+  /** Damaged files either still yield a recording or one typed error, never another exception. */
   @Test
   void throwsNothingButInvalidRecordingExceptionForDamagedFiles() throws IOException {
     writeAndReadLines();
--- a/src/test/java/stonespring/simulator/SimulatorHostTest.java
+++ b/src/test/java/stonespring/simulator/SimulatorHostTest.java
@@ -11,6 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Tests replies and errors of the simulator protocol; inputs have single quotes for double ones.
+ */
 final class SimulatorHostTest {
   private static final String SETTINGS =
       "{'zones':['west'],'categories':[{'name':'look','repeat':'free','goalTimeS':0.4,'gain':1}],"
