--- a/src/main/java/stonespring/cli/CheckCommand.java
+++ b/src/main/java/stonespring/cli/CheckCommand.java
@@ -11,7 +11,7 @@
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Says every fault of a settings script.")
+    description = "Validates a settings script and prints all its errors.")
 final class CheckCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "The settings script.")
   private Path file;
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -20,11 +20,12 @@
     name = "compare",
     mixinStandardHelpOptions = true,
     description =
-        "Plays recorded loads in virtual time under several policies: service with error bars, churn, crossings.")
+        "Replays recorded loads in virtual time under several policies and compares them: service with"
+            + " confidence intervals, route changes, requests to other zones.")
 final class CompareCommand implements Callable<Integer> {
   private static final int MAX_SEEDS = 1_000;
 
-  @Parameters(paramLabel = "RECORDING", arity = "1..*", description = "Recorded loads.")
+  @Parameters(paramLabel = "RECORDING", arity = "1..*", description = "The recorded loads.")
   private List<Path> files;
 
   @Option(
@@ -32,26 +33,30 @@
       split = ",",
       defaultValue = "even,module,solver",
       description =
-          "Policies: even, module, solver (${DEFAULT-VALUE}); the first is what the others are held against.")
+          "Policies: even, module, solver (default: ${DEFAULT-VALUE}); the others are compared with the first.")
   private List<Policy> policies;
 
-  @Option(names = "--seeds", defaultValue = "5", description = "How many each (${DEFAULT-VALUE}).")
+  @Option(
+      names = "--seeds",
+      defaultValue = "5",
+      description = "Seeds for each load and policy (default: ${DEFAULT-VALUE}).")
   private int seeds;
 
   @Option(
       names = "--plots",
       paramLabel = "FOLDER",
-      description = "Writes service.png and connections.png there.")
+      description = "Folder to write the charts service.png and connections.png to.")
   private Path chartFolder;
 
-  @Option(names = "--json", description = "JSON instead of a table.")
+  @Option(names = "--json", description = "Print JSON instead of a table.")
   private boolean json;
 
   @Override
   public Integer call() throws Exception {
     LoggingOptions.logWarningsOnly();
     if (seeds < 1 || seeds > MAX_SEEDS) {
-      throw CommandFailedException.usage("compare: --seeds is from 1 to " + MAX_SEEDS);
+      throw CommandFailedException.usage(
+          "compare: --seeds: expected 1 to " + MAX_SEEDS + ", found " + seeds);
     }
     List<Recording> loads = new ArrayList<>();
     for (Path file : files) {
--- a/src/main/java/stonespring/cli/EndpointCommand.java
+++ b/src/main/java/stonespring/cli/EndpointCommand.java
@@ -12,37 +12,43 @@
     name = "task",
     mixinStandardHelpOptions = true,
     description =
-        "Runs stand-in tasks: POST /op/TYPE with headers x-op and x-try, a load report in each answer.")
+        "Runs simulated endpoints, which serve POST /op/TYPE with the headers x-op and x-try and send a load"
+            + " report with each response.")
 final class EndpointCommand implements Callable<Integer> {
   @Option(
       names = "--port",
       defaultValue = "9101",
-      description = "The first one's port, the others follow (${DEFAULT-VALUE}).")
+      description =
+          "Port of the first endpoint; the others use the ports above it (default: ${DEFAULT-VALUE}).")
   private int port;
 
   @Option(
       names = "--count",
       defaultValue = "1",
-      description = "How many, named m1, m2 and so on (${DEFAULT-VALUE}).")
+      description =
+          "Number of endpoints, which are named m1, m2 and so on (default: ${DEFAULT-VALUE}).")
   private int count;
 
   @Option(
       names = "--zone",
       split = ",",
       defaultValue = "west",
-      description = "Their zones, by turns (${DEFAULT-VALUE}).")
+      description = "Zones of the endpoints, assigned in turn (default: ${DEFAULT-VALUE}).")
   private List<String> zones;
 
-  @Option(names = "--cores", defaultValue = "2", description = "Cores (${DEFAULT-VALUE}).")
+  @Option(
+      names = "--cores",
+      defaultValue = "2",
+      description = "Cores of each endpoint (default: ${DEFAULT-VALUE}).")
   private int cores;
 
   @Option(
       names = "--work-ms",
       defaultValue = "20",
-      description = "Mean work of an op (${DEFAULT-VALUE}).")
+      description = "Mean service time of a request, in milliseconds (default: ${DEFAULT-VALUE}).")
   private double workMillis;
 
-  @Option(names = "--cold", description = "It starts cold, and warms within 10 s.")
+  @Option(names = "--cold", description = "The endpoints start cold and warm up within 10 s.")
   private boolean warmingUp;
 
   @Mixin private LoggingOptions logging;
@@ -51,7 +57,11 @@
   public Integer call() throws Exception {
     logging.apply();
     if (count < 1 || port < 1 || port + count > 65536) {
-      throw CommandFailedException.usage("--port and --count do not fit 1 to 65535");
+      throw CommandFailedException.usage(
+          "task: expected --count of at least 1 and all ports from 1 to 65535, found --port "
+              + port
+              + " and --count "
+              + count);
     }
     for (int i = 0; i < count; i++) {
       System.out.println(
--- a/src/main/java/stonespring/cli/LoggingOptions.java
+++ b/src/main/java/stonespring/cli/LoggingOptions.java
@@ -13,10 +13,12 @@
 
 /** The logging options that several commands share. */
 final class LoggingOptions {
-  @Option(names = "--log-json", description = "Log JSON lines instead of plain ones.")
+  @Option(names = "--log-json", description = "Log lines of JSON instead of plain text.")
   private boolean json;
 
-  @Option(names = "--log-orders", description = "Log every order of the decisions with its cause.")
+  @Option(
+      names = "--log-orders",
+      description = "Log each update that is sent to a proxy, with its cause where known.")
   private boolean logCommands;
 
   @Option(names = "--quiet", description = "Log warnings and errors only.")
--- a/src/main/java/stonespring/cli/MeasureCommand.java
+++ b/src/main/java/stonespring/cli/MeasureCommand.java
@@ -13,29 +13,32 @@
 @Command(
     name = "measure",
     mixinStandardHelpOptions = true,
-    description = "Measures the program on this machine.")
+    description = "Measures the performance of the program on this machine.")
 final class MeasureCommand {
   @Command(
       name = "fleet",
       mixinStandardHelpOptions = true,
       description =
-          "Decision latency, orders to answers, joining and memory with a fleet of idle proxies.")
+          "Measures an instance with a fleet of idle proxies: time until all hold a route table, decision"
+              + " latency, time from commands to acknowledgements, memory.")
   int fleet(
-      @Parameters(paramLabel = "FILE", description = "The assigner's settings script.") Path file,
+      @Parameters(paramLabel = "FILE", description = "Settings script of the instance.") Path file,
       @Option(
               names = "--proxies",
               defaultValue = "24",
-              description = "How many (${DEFAULT-VALUE}).")
+              description = "Number of proxies (default: ${DEFAULT-VALUE}).")
           int proxies,
       @Option(
               names = "--within-ms",
               defaultValue = "1000",
-              description = "All dial within (${DEFAULT-VALUE}).")
+              description =
+                  "Time in milliseconds within which all proxies connect (default: ${DEFAULT-VALUE}).")
           long withinMillis,
       @Option(
               names = "--seconds",
               defaultValue = "20",
-              description = "Go on for (${DEFAULT-VALUE}).")
+              description =
+                  "Seconds to continue once all proxies hold a route table (default: ${DEFAULT-VALUE}).")
           long seconds)
       throws Exception {
     System.out.print(
@@ -48,14 +51,18 @@
       name = "throughput",
       mixinStandardHelpOptions = true,
       description =
-          "Updates published a second, beside bare Netty writing the same bytes, by turns in one run.")
+          "Measures the updates published per second, alternating with plain Netty that writes the same"
+              + " bytes.")
   int throughput(
       @Option(
               names = "--updates",
               defaultValue = "500000",
-              description = "A round (${DEFAULT-VALUE}).")
+              description = "Updates per round (default: ${DEFAULT-VALUE}).")
           int updates,
-      @Option(names = "--rounds", defaultValue = "7", description = "Rounds (${DEFAULT-VALUE}).")
+      @Option(
+              names = "--rounds",
+              defaultValue = "7",
+              description = "Number of rounds (default: ${DEFAULT-VALUE}).")
           int rounds)
       throws Exception {
     System.out.print(ThroughputMeasurement.run(updates, rounds));
@@ -66,20 +73,33 @@
       name = "solver",
       mixinStandardHelpOptions = true,
       description =
-          "The weight solver by itself: whole solves and small changes by turns, and the distance from the bound.")
+          "Measures the weight solver alone: alternating solves from scratch and after small changes, and the"
+              + " distance from the lower bound.")
   int solver(
-      @Option(names = "--tasks", defaultValue = "800", description = "How many (${DEFAULT-VALUE}).")
+      @Option(
+              names = "--tasks",
+              defaultValue = "800",
+              description = "Number of endpoints (default: ${DEFAULT-VALUE}).")
           int endpoints,
       @Option(
               names = "--proxies",
               defaultValue = "800",
-              description = "How many (${DEFAULT-VALUE}).")
+              description = "Number of proxies (default: ${DEFAULT-VALUE}).")
           int proxies,
-      @Option(names = "--rounds", defaultValue = "20", description = "Rounds (${DEFAULT-VALUE}).")
+      @Option(
+              names = "--rounds",
+              defaultValue = "20",
+              description = "Number of rounds (default: ${DEFAULT-VALUE}).")
           int rounds)
       throws CommandFailedException {
     if (endpoints < 1 || proxies < 1 || rounds < 1) {
-      throw CommandFailedException.usage("--tasks, --proxies and --rounds are at least 1");
+      throw CommandFailedException.usage(
+          "measure solver: expected --tasks, --proxies and --rounds of at least 1, found "
+              + endpoints
+              + ", "
+              + proxies
+              + " and "
+              + rounds);
     }
     System.out.print(SolverTrial.run(endpoints, proxies, rounds));
     return ExitCode.OK;
--- a/src/main/java/stonespring/cli/PlatformCommand.java
+++ b/src/main/java/stonespring/cli/PlatformCommand.java
@@ -18,14 +18,15 @@
 @Command(
     name = "assigner",
     mixinStandardHelpOptions = true,
-    description = "Runs an assigner on the operators' platform until it is told to stop.")
+    description = "Runs an instance on the operators' platform until it is stopped.")
 final class PlatformCommand implements Callable<Integer> {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformCommand.class);
 
   @Parameters(
       paramLabel = "FILE",
       defaultValue = "${env:NODE_CONFIG}",
-      description = "The platform's configuration; NODE_CONFIG names it where this is left out.")
+      description =
+          "Configuration file of the platform (default: the file that NODE_CONFIG names).")
   private Path path;
 
   @Mixin private LoggingOptions logging;
@@ -40,11 +41,12 @@
       // The parent process made SIGHUP ignored, as nohup does; the JVM then never calls the
       // handler.
       LOG.warn(
-          "SIGHUP is ignored, as the parent process set it: a new configuration is seen when the"
-              + " endpoint list can't be had");
+          "SIGHUP is ignored, because the parent process ignores it: a changed configuration is not"
+              + " read until a fetch of the endpoint list fails");
     }
     if (path == null || path.toString().isEmpty()) {
-      throw CommandFailedException.usage("NODE_CONFIG: it is not set, and no file is named");
+      throw CommandFailedException.usage(
+          "assigner: expected a configuration file as argument FILE or in NODE_CONFIG, found neither");
     }
     PlatformDaemon daemon = new PlatformDaemon(readConfig());
     daemon.start();
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -23,7 +23,8 @@
     name = "proxy",
     mixinStandardHelpOptions = true,
     description =
-        "Runs a plain proxy that follows the assigner of a settings script: POST /op/TYPE with header x-op.")
+        "Runs a plain proxy that connects to the instance of a settings script and serves POST /op/TYPE with"
+            + " the header x-op.")
 final class ProxyCommand implements Callable<Integer> {
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
   private static final String ADDRESS_PATTERN = "[A-Za-z0-9.-]+:[0-9]{1,5}";
@@ -42,26 +43,29 @@
 
   @Parameters(
       paramLabel = "FILE",
-      description = "The assigner's settings script; op types, shunning and ports come from it.")
+      description = "Settings script of the instance; defines request classes, ejection and ports.")
   private Path file;
 
-  @Option(names = "--name", required = true, description = "Its name; no other proxy may have it.")
+  @Option(
+      names = "--name",
+      required = true,
+      description = "Name of the proxy, unique in the fleet.")
   private String name;
 
-  @Option(names = "--zone", required = true, description = "Its zone.")
+  @Option(names = "--zone", required = true, description = "Zone of the proxy.")
   private String zone;
 
   @Option(
       names = "--port",
       defaultValue = "0",
-      description = "Where it takes ops; 0 takes a free port.")
+      description = "Port for requests; 0 selects a free port (default: ${DEFAULT-VALUE}).")
   private int port;
 
   @Option(
       names = "--assigner",
       split = ",",
       paramLabel = "<assigners>",
-      description = "Assigners as HOST:PORT, in order (the script's).")
+      description = "Instances as HOST:PORT, tried in turn (default: the instance of the script).")
   private List<String> instances = new ArrayList<>();
 
   @Mixin private LoggingOptions logging;
@@ -72,9 +76,14 @@
     InstanceSettings instanceSettings = InputFiles.readSettings(file);
     if (!instanceSettings.zones().contains(zone) || !name.matches(NAME_PATTERN)) {
       throw CommandFailedException.usage(
-          "--zone is one of "
+          "proxy: expected --zone to be one of "
               + instanceSettings.zones()
-              + ", --name letters, digits, dots and dashes");
+              + " and --name to match "
+              + NAME_PATTERN
+              + ", found --zone "
+              + zone
+              + " and --name "
+              + name);
     }
     ProxySettings settings = proxySettings(instanceSettings);
     MultiThreadIoEventLoopGroup eventLoops =
@@ -121,7 +130,7 @@
   /** Parses the address of an instance, which uses the given port and the two above it. */
   private static ProxySettings.Ports parsePorts(String address) throws CommandFailedException {
     if (!address.matches(ADDRESS_PATTERN)) {
-      throw CommandFailedException.usage("--assigner is HOST:PORT, not " + address);
+      throw CommandFailedException.usage("proxy: --assigner: expected HOST:PORT, found " + address);
     }
     int colon = address.indexOf(':');
     int firstPort = Integer.parseInt(address.substring(colon + 1));
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -14,20 +14,25 @@
     name = "registry",
     mixinStandardHelpOptions = true,
     description =
-        "Runs a stand-in registry with blocking queries at"
-            + " /v1/health/service/tasks; its tasks come from a file that is looked at again and again.")
+        "Runs a simulated registry with blocking queries at"
+            + " /v1/health/service/tasks; its endpoints come from a file that is polled for changes.")
 final class RegistryCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "The list of tasks, as an assigner would read it.")
+  @Parameters(
+      paramLabel = "FILE",
+      description = "Endpoint list, in the format that instances read.")
   private Path file;
 
-  @Option(names = "--port", defaultValue = "7480", description = "Its port (${DEFAULT-VALUE}).")
+  @Option(
+      names = "--port",
+      defaultValue = "7480",
+      description = "Port of the registry (default: ${DEFAULT-VALUE}).")
   private int port;
 
   @Option(
       names = "--zones",
       split = ",",
       required = true,
-      description = "The zones that the list may name.")
+      description = "Zones that may occur in the endpoint list.")
   private List<String> zones;
 
   @Mixin private LoggingOptions logging;
--- a/src/main/java/stonespring/cli/ScenarioCommand.java
+++ b/src/main/java/stonespring/cli/ScenarioCommand.java
@@ -21,27 +21,29 @@
     aliases = "scenario",
     mixinStandardHelpOptions = true,
     description =
-        "Plays a scripted day on loopback with stand-ins and judges the five rules by what crossed the sockets.")
+        "Runs a scripted scenario with simulated peers on the loopback interface and checks the five"
+            + " invariants by the traffic on its sockets.")
 final class ScenarioCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "The day's script.")
+  @Parameters(paramLabel = "FILE", description = "The scenario script.")
   private Path file;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "Who is struck, what is drawn (${DEFAULT-VALUE}).")
+      description =
+          "Seed of the random numbers; also selects the targets of faults (default: ${DEFAULT-VALUE}).")
   private long seed;
 
   @Option(
       names = "--keep",
       paramLabel = "FOLDER",
-      description = "Where logs of the assigners are kept (a temporary folder).")
+      description = "Folder for the logs of the instances (default: a temporary folder).")
   private Path logFolder;
 
   @Option(
       names = "--record",
       paramLabel = "FILE",
-      description = "Writes the load as it came, for solve and compare.")
+      description = "Recording to write the load to, for solve and compare.")
   private Path recordingFile;
 
   @Mixin private LoggingOptions logging;
@@ -61,7 +63,8 @@
       System.out.print(ScenarioReport.format(verdict));
       return verdict.violations().isEmpty() ? ExitCode.OK : ExitCode.FAILED;
     } catch (ScenarioFailedException e) {
-      throw CommandFailedException.failed(e.getMessage() + "; logs are in " + folder, e);
+      throw CommandFailedException.failed(
+          e.getMessage() + "; the logs of the instances are in " + folder, e);
     }
   }
 
--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -13,23 +13,26 @@
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
-    description = "Runs an assigner until it is told to stop.")
+    description = "Runs an instance that serves proxies over CHP until it is stopped.")
 final class ServeCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "The settings script.")
   private Path file;
 
   @Option(
       names = "--port",
-      description = "Snapshot port, instead of the script's; 0 takes three free ones.")
+      description =
+          "Port for snapshots, overrides that of the script; 0 selects three free ports in a row.")
   private Integer port;
 
-  @Option(names = "--registry-port", description = "The registry's port, instead of the script's.")
+  @Option(
+      names = "--registry-port",
+      description = "Port of the registry, overrides that of the script.")
   private Integer registryPort;
 
   @Option(
       names = "--saved-list",
       paramLabel = "PATH",
-      description = "Where the last list is kept, instead of the script's.")
+      description = "File for the last known endpoint list, overrides that of the script.")
   private Path savedList;
 
   @Mixin private LoggingOptions logging;
--- a/src/main/java/stonespring/cli/SimHostCommand.java
+++ b/src/main/java/stonespring/cli/SimHostCommand.java
@@ -11,7 +11,8 @@
     name = "simhost",
     mixinStandardHelpOptions = true,
     description =
-        "Hosts assigners behind the simulator's wire: events on standard input, orders on standard output.")
+        "Hosts instances for the simulator: reads events from standard input and writes commands to standard"
+            + " output.")
 final class SimHostCommand implements Callable<Integer> {
   @Override
   public Integer call() throws CommandFailedException {
@@ -21,7 +22,8 @@
     } catch (SimulatorProtocolException e) {
       throw CommandFailedException.failed(e.getMessage(), e);
     } catch (IOException e) {
-      throw CommandFailedException.failed("input or output failed: " + e.getMessage(), e);
+      throw CommandFailedException.failed(
+          "simhost: reading events or writing commands failed: " + e.getMessage(), e);
     }
   }
 }
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -22,33 +22,36 @@
     name = "snapshot",
     mixinStandardHelpOptions = true,
     description =
-        "Prints what a running assigner publishes: a key and its value a line, as any CHP client sees it.")
+        "Prints the keys that a running instance publishes, each with its value on one line, as CHP clients"
+            + " receive them.")
 final class SnapshotCommand implements Callable<Integer> {
   private static final long SILENCE_TIMEOUT_MILLIS = 5_000; // heartbeats arrive every second
   private static final long SNAPSHOT_TIMEOUT_MILLIS = 2 * SILENCE_TIMEOUT_MILLIS;
 
-  @Parameters(paramLabel = "PORT", description = "The assigner's snapshot port.")
+  @Parameters(paramLabel = "PORT", description = "Port of the instance for snapshots.")
   private int port;
 
   @Option(
       names = "--host",
       defaultValue = "127.0.0.1",
-      description = "Its host (${DEFAULT-VALUE}).")
+      description = "Host of the instance (default: ${DEFAULT-VALUE}).")
   private String host;
 
   @Option(
       names = "--subtree",
       defaultValue = "",
-      description = "A subtree, such as /proxy/p1/ (all of it).")
+      description = "Subtree of keys to print, such as /proxy/p1/ (default: all keys).")
   private String subtree;
 
-  @Option(names = "--follow", description = "Go on with the updates until stopped.")
+  @Option(names = "--follow", description = "Continue with updates until stopped.")
   private boolean follow;
 
   @Override
   public Integer call() throws InterruptedException, CommandFailedException {
     if (!subtree.isEmpty() && !(subtree.startsWith("/") && subtree.endsWith("/"))) {
-      throw CommandFailedException.usage("--subtree begins and ends with a slash");
+      throw CommandFailedException.usage(
+          "snapshot: --subtree: expected a path that starts and ends with a slash, found "
+              + subtree);
     }
     MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -66,7 +69,8 @@
       }
       return ExitCode.OK;
     } catch (ExecutionException | TimeoutException e) {
-      throw CommandFailedException.failed("snapshot: no snapshot came", e);
+      throw CommandFailedException.failed(
+          "snapshot: no snapshot received within " + SNAPSHOT_TIMEOUT_MILLIS + " ms", e);
     } finally {
       eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -16,21 +16,26 @@
     name = "solve",
     mixinStandardHelpOptions = true,
     description =
-        "Plays a recorded load in virtual time and explains the weight solver's plan at a moment of it.")
+        "Replays a recorded load in virtual time and prints the weight solver's plan at one instant, with"
+            + " reasons.")
 final class SolveCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "RECORDING", description = "A recorded load.")
+  @Parameters(paramLabel = "RECORDING", description = "The recorded load.")
   private Path file;
 
-  @Option(names = "--at", paramLabel = "SECONDS", description = "The moment (the load's end).")
+  @Option(
+      names = "--at",
+      paramLabel = "SECONDS",
+      description =
+          "Instant of the plan, in seconds since the start of the load (default: the end of the load).")
   private Double requestedSeconds; // null for the end of the load
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "What chance does (${DEFAULT-VALUE}).")
+      description = "Seed of the random numbers (default: ${DEFAULT-VALUE}).")
   private long seed;
 
-  @Option(names = "--json", description = "The whole plan, with every table, as JSON.")
+  @Option(names = "--json", description = "Print the whole plan with all route tables as JSON.")
   private boolean json;
 
   @Override
@@ -39,7 +44,8 @@
     Recording recording = InputFiles.readRecording("solve", file);
     double endSeconds = DeciMillis.toSeconds(recording.head().duration());
     if (requestedSeconds != null && !(requestedSeconds >= 0 && requestedSeconds <= endSeconds)) {
-      throw CommandFailedException.usage("solve: --at is outside 0 to " + endSeconds);
+      throw CommandFailedException.usage(
+          "solve: --at: expected 0 to " + endSeconds + " seconds, found " + requestedSeconds);
     }
     double atSeconds = requestedSeconds == null ? endSeconds : requestedSeconds;
     VirtualFleet fleet = new VirtualFleet(recording, Policy.SOLVER, seed);
@@ -47,7 +53,9 @@
     Plan plan = fleet.plan().orElse(null);
     if (plan == null) {
       throw CommandFailedException.failed(
-          "solve: no plan yet at " + atSeconds + " s: the first comes after five rounds of sums");
+          "solve: no plan at "
+              + atSeconds
+              + " s: the solver makes its first plan after five rounds of reports");
     }
     PlanReport report = new PlanReport(recording.head().name(), atSeconds, plan);
     System.out.print(json ? report.toJson() : report.toTable());
--- a/src/main/java/stonespring/recording/RecordingFile.java
+++ b/src/main/java/stonespring/recording/RecordingFile.java
@@ -61,7 +61,8 @@
                 new GZIPInputStream(Files.newInputStream(file)), StandardCharsets.UTF_8))) {
       return new RecordingReader(MAPPER, file).read(in);
     } catch (ZipException | EOFException e) {
-      throw new InvalidRecordingException(file, 0, "is cut short, or not packed by gzip");
+      throw new InvalidRecordingException(
+          file, 0, "expected a complete gzip file, found a truncated, damaged or uncompressed one");
     }
   }
 }
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -41,9 +41,11 @@
     long lastTime = 0;
     for (String line = readLine(in); line != null; line = readLine(in)) {
       position.advanceLine();
-      position.check(samples.size() < MAX_SAMPLES, "more than " + MAX_SAMPLES + " moments");
+      position.check(
+          samples.size() < MAX_SAMPLES, "expected at most " + MAX_SAMPLES + " samples, found more");
       LoadSample sample = sampleReader.read(parseSample(line));
-      position.check(sample.at() >= lastTime, "at: goes back to " + sample.at());
+      position.check(
+          sample.at() >= lastTime, "at: expected " + lastTime + " or later, found " + sample.at());
       lastTime = sample.at();
       samples.add(sample);
     }
@@ -59,7 +61,7 @@
     }
     while (next >= 0 && next != '\n') {
       if (line.length() == MAX_LINE_LENGTH) {
-        throw position.error("is longer than " + MAX_LINE_LENGTH + " characters");
+        throw position.error("expected at most " + MAX_LINE_LENGTH + " characters, found more");
       }
       line.append((char) next);
       next = in.read();
@@ -71,7 +73,7 @@
     try {
       return mapper.readTree(line);
     } catch (JsonProcessingException e) {
-      throw position.error("no JSON");
+      throw position.error("expected a JSON array, found invalid JSON");
     }
   }
 
@@ -81,7 +83,11 @@
       checkVersion(mapper.readTree(line).path("version").asInt(-1));
       head = mapper.readValue(line, StoredHead.class).toHead();
     } catch (JsonProcessingException e) {
-      throw position.error(e.getOriginalMessage().lines().findFirst().orElse("no head"));
+      throw position.error(
+          e.getOriginalMessage()
+              .lines()
+              .findFirst()
+              .orElse("expected the recording's head as a JSON object"));
     }
     checkSizes(head);
     checkProxies(head);
@@ -90,36 +96,56 @@
   }
 
   private void checkVersion(int version) throws InvalidRecordingException {
-    position.check(version >= 0, "version: missing");
+    position.check(
+        version >= 0, "version: expected " + Recording.VERSION + ", found no version number");
     position.check(
         version == Recording.VERSION,
-        "version: " + version + ", this program reads " + Recording.VERSION);
+        "version: expected " + Recording.VERSION + ", found " + version);
   }
 
   private void checkSizes(Recording.Head head) throws InvalidRecordingException {
     int zones = head.settings().fleet().zones();
     position.check(
         head.zones().size() == zones,
-        "zones: " + head.zones().size() + ", the settings have " + zones);
+        "zones: expected " + zones + " as in the settings, found " + head.zones().size());
     int requestClasses = head.settings().requestClasses().size();
     position.check(
         head.requestClasses().size() == requestClasses && !head.requestClasses().isEmpty(),
-        "types: " + head.requestClasses().size() + ", the settings have " + requestClasses);
+        "types: expected as many as in the settings, "
+            + requestClasses
+            + ", and at least 1, found "
+            + head.requestClasses().size());
     position.check(
         head.sampleInterval() > 0 && head.duration() > 0 && head.duration() <= MAX_DURATION,
-        "every, length: " + head.sampleInterval() + ", " + head.duration());
+        "every, length: expected values above 0 and a length of at most "
+            + MAX_DURATION
+            + ", found "
+            + head.sampleInterval()
+            + ", "
+            + head.duration());
   }
 
   private void checkProxies(Recording.Head head) throws InvalidRecordingException {
     Set<String> names = new HashSet<>();
     for (Recording.ProxyInfo proxy : head.proxies()) {
       String proxyField = "proxies: " + proxy.name();
-      position.check(names.add(proxy.name()), proxyField + " comes twice");
+      position.check(
+          names.add(proxy.name()), proxyField + ": expected a unique name, found a duplicate");
       position.check(
           proxy.zone() >= 0 && proxy.zone() < head.zones().size(),
-          proxyField + " is in zone " + proxy.zone());
+          proxyField
+              + ": zone: expected 0 to "
+              + (head.zones().size() - 1)
+              + ", found "
+              + proxy.zone());
       double rate = proxy.usualRequestsPerSecond();
-      position.check(rate >= 0 && rate < MAX_REQUESTS_PER_SECOND, proxyField + " gets " + rate);
+      position.check(
+          rate >= 0 && rate < MAX_REQUESTS_PER_SECOND,
+          proxyField
+              + ": usualOps: expected at least 0 and less than "
+              + MAX_REQUESTS_PER_SECOND
+              + ", found "
+              + rate);
     }
   }
 
@@ -129,9 +155,9 @@
           requestClass.serviceTime() > 0 && requestClass.timeout() > 0,
           "types: "
               + requestClass.name()
-              + ": work "
+              + ": work, opTimeout: expected values above 0, found "
               + requestClass.serviceTime()
-              + ", op timeout "
+              + ", "
               + requestClass.timeout());
     }
   }
--- a/src/main/java/stonespring/recording/SampleReader.java
+++ b/src/main/java/stonespring/recording/SampleReader.java
@@ -29,7 +29,9 @@
 
   LoadSample read(JsonNode sample) throws InvalidRecordingException {
     row = sample;
-    position.check(row.isArray() && row.size() > AT, "no row");
+    position.check(
+        row.isArray() && row.size() > AT,
+        "expected an array of at least " + (AT + 1) + " elements");
     long at = readInteger(AT, "at", 0, RecordingReader.MAX_DURATION);
     return switch (row.get(KIND).asText()) {
       case SampleWords.ARRIVALS -> readArrivals(at);
@@ -45,7 +47,7 @@
         yield new LoadSample.ReportsDelayed(
             at, readInteger(2, "by", 0, RecordingReader.MAX_DURATION));
       }
-      default -> throw position.error("kind: " + row.get(KIND));
+      default -> throw position.error("kind: unknown value " + row.get(KIND));
     };
   }
 
@@ -63,7 +65,7 @@
   private LoadSample readEndpointListed(long at) throws InvalidRecordingException {
     checkSize(7);
     String state = row.get(5).asText();
-    position.check(SampleWords.isState(state), "state: " + row.get(5));
+    position.check(SampleWords.isState(state), "state: unknown value " + row.get(5));
     return new LoadSample.EndpointListed(
         at,
         readEndpoint(),
@@ -87,12 +89,14 @@
   private void checkSize(int expected) throws InvalidRecordingException {
     position.check(
         row.size() == expected,
-        row.get(KIND).asText() + ": " + row.size() + " fields, not " + expected);
+        row.get(KIND).asText() + ": expected " + expected + " elements, found " + row.size());
   }
 
   private String readEndpoint() throws InvalidRecordingException {
     JsonNode name = row.get(FIRST_FIELD);
-    position.check(name.isTextual() && !name.asText().isEmpty(), "task: " + name);
+    position.check(
+        name.isTextual() && !name.asText().isEmpty(),
+        "task: expected a non-empty string, found " + name);
     return name.asText();
   }
 
@@ -105,7 +109,7 @@
     JsonNode value = row.get(index);
     position.check(
         value.isIntegralNumber() && value.asLong() >= minimum && value.asLong() <= maximum,
-        field + ": " + value);
+        field + ": expected an integer from " + minimum + " to " + maximum + ", found " + value);
     return value.asLong();
   }
 
@@ -114,7 +118,7 @@
     JsonNode value = row.get(index);
     position.check(
         value.isNumber() && value.asDouble() >= minimum && value.asDouble() <= maximum,
-        field + ": " + value);
+        field + ": expected a number from " + minimum + " to " + maximum + ", found " + value);
     return value.asDouble();
   }
 }
--- a/src/main/java/stonespring/simulator/BatchReader.java
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -58,21 +58,22 @@
     now = UNSET;
     sequence = UNSET;
     try (JsonParser json = mapper.createParser(line)) {
-      checkToken(json.nextToken(), JsonToken.START_OBJECT, "the batch");
+      checkToken(json.nextToken(), JsonToken.START_OBJECT, "batch");
       boolean hasParts = readFields(json);
       if (now < 0 || sequence < 0 || !hasParts) {
         throw new SimulatorProtocolException(
-            "the batch lacks one of its fields '"
+            "batch: expected the fields '"
                 + Batch.TIME_SECONDS
                 + "', '"
                 + Batch.SEQUENCE
                 + "' and '"
                 + Batch.PARTS
-                + "'");
+                + "' and no negative number; at least one field is missing or negative");
       }
-      checkToken(json.currentToken(), JsonToken.END_OBJECT, "the batch");
+      checkToken(json.currentToken(), JsonToken.END_OBJECT, "batch");
       if (json.nextToken() != null) {
-        throw new SimulatorProtocolException("a line holds more than one value");
+        throw new SimulatorProtocolException(
+            "batch: expected the end of the line after it, found another JSON value");
       }
     }
   }
@@ -99,16 +100,15 @@
   private void readParts(JsonParser json) throws IOException {
     if (now < 0) {
       throw new SimulatorProtocolException(
-          "the batch's field '"
+          "batch: expected field '"
               + Batch.TIME_SECONDS
-              + "' is missing or stands after '"
+              + "' before '"
               + Batch.PARTS
-              + "'");
+              + "'; it is missing, negative or comes later");
     }
     checkToken(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.PARTS + "'");
     while (json.nextToken() != JsonToken.END_ARRAY) {
-      checkToken(
-          json.currentToken(), JsonToken.START_OBJECT, "an element of '" + Batch.PARTS + "'");
+      checkToken(json.currentToken(), JsonToken.START_OBJECT, "element of '" + Batch.PARTS + "'");
       readPart(json);
     }
   }
@@ -129,7 +129,13 @@
   private void readMessages(JsonParser json, int instance) throws IOException {
     if (instance < 0) {
       throw new SimulatorProtocolException(
-          "field '" + Batch.INSTANCE + "' is missing or stands after '" + Batch.MESSAGES + "'");
+          "element of '"
+              + Batch.PARTS
+              + "': expected field '"
+              + Batch.INSTANCE
+              + "' before '"
+              + Batch.MESSAGES
+              + "'; it is missing, negative or comes later");
     }
     checkToken(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.MESSAGES + "'");
     while (json.nextToken() != JsonToken.END_ARRAY) {
@@ -141,14 +147,15 @@
   private static JsonNode readNumber(JsonParser json, String field) throws IOException {
     JsonNode value = json.readValueAsTree();
     if (!value.isNumber()) {
-      throw new SimulatorProtocolException("field '" + field + "' is not a number: " + value);
+      throw new SimulatorProtocolException(
+          "field '" + field + "': expected a number, found " + value);
     }
     return value;
   }
 
   private static void checkToken(JsonToken found, JsonToken expected, String element) {
     if (found != expected) {
-      throw new SimulatorProtocolException(element + " is not well-formed: " + found);
+      throw new SimulatorProtocolException(element + ": expected " + expected + ", found " + found);
     }
   }
 }
--- a/src/main/java/stonespring/simulator/EndpointLists.java
+++ b/src/main/java/stonespring/simulator/EndpointLists.java
@@ -17,7 +17,8 @@
     int number = message.id(0, WireNames.Field.LIST_NUMBER);
     if (number >= MAX_LISTS || !message.value(1, WireNames.Field.LIST_ENTRIES).isArray()) {
       throw message.invalid(
-          WireNames.Field.LIST_ENTRIES, "is no list, or its number is above " + (MAX_LISTS - 1));
+          WireNames.Field.LIST_ENTRIES,
+          "expected an array under a list number of at most " + (MAX_LISTS - 1));
     }
     entriesByNumber[number] = message.value(1, WireNames.Field.LIST_ENTRIES);
   }
@@ -28,7 +29,8 @@
     JsonNode entries = number < MAX_LISTS ? entriesByNumber[number] : null;
     if (entries == null) {
       throw update.invalid(
-          WireNames.Field.LIST_NUMBER, "names a list that was not sent: " + number);
+          WireNames.Field.LIST_NUMBER,
+          "expected the number of a list sent earlier, found " + number);
     }
     return entries;
   }
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -61,8 +61,7 @@
       case Message.PROXY_DISCONNECTED -> new Event.ProxyDisconnected(readProxy(message));
       case Message.PROXY_CONNECTED -> readProxyConnected(message);
       case Message.ENDPOINT_OUTCOMES -> readOutcomes(message);
-      default ->
-          throw new SimulatorProtocolException("message '" + message.name() + "' is not known");
+      default -> throw new SimulatorProtocolException("unknown message '" + message.name() + "'");
     };
   }
 
@@ -118,7 +117,7 @@
     try {
       return HexFormat.of().parseHex(message.text(1, Field.BYTES));
     } catch (IllegalArgumentException e) {
-      throw message.invalid(Field.BYTES, "is not made of hex digits");
+      throw message.invalid(Field.BYTES, "expected pairs of hexadecimal digits, found other text");
     }
   }
 
@@ -208,7 +207,7 @@
     String name = message.text(position, Field.ZONE);
     int index = settings.zones().indexOf(name);
     if (index < 0) {
-      throw message.invalid(Field.ZONE, "names no zone of the settings: " + name);
+      throw message.invalid(Field.ZONE, "expected a zone of the settings, found '" + name + "'");
     }
     return new ZoneId(index);
   }
@@ -217,13 +216,14 @@
     String name = message.text(1, Field.REQUEST_CLASS);
     int index = settings.requestClassNames().indexOf(name);
     if (index < 0) {
-      throw message.invalid(Field.REQUEST_CLASS, "names no request class of the settings: " + name);
+      throw message.invalid(
+          Field.REQUEST_CLASS, "expected a request class of the settings, found '" + name + "'");
     }
     return new RequestClassId(index);
   }
 
   private static SimulatorProtocolException unknownValue(
       SimulatorMessage message, String field, String value) {
-    return message.invalid(field, "has an unknown word: " + value);
+    return message.invalid(field, "unknown value '" + value + "'");
   }
 }
--- a/src/main/java/stonespring/simulator/HostedInstance.java
+++ b/src/main/java/stonespring/simulator/HostedInstance.java
@@ -64,7 +64,11 @@
   private void handleEvent(long now, SimulatorMessage message, EndpointLists lists) {
     if (eventReader == null) {
       throw new SimulatorProtocolException(
-          "message '" + message.name() + "' came before the instance's '" + Message.START + "'");
+          "message '"
+              + message.name()
+              + "': the instance has not received '"
+              + Message.START
+              + "' yet");
     }
     Event event = eventReader.read(message, lists);
     if (engine != null && failure == null) {
--- a/src/main/java/stonespring/simulator/KnownIds.java
+++ b/src/main/java/stonespring/simulator/KnownIds.java
@@ -59,7 +59,7 @@
               + commandName
               + "': field '"
               + WireNames.Field.ENDPOINT
-              + "' names an endpoint that was never listed: "
+              + "': expected an endpoint known from an event, found "
               + endpoint.name());
     }
   }
@@ -71,7 +71,7 @@
               + CommandName.ASSIGN_ROUTE_TABLE
               + "': field '"
               + WireNames.Field.PROXY
-              + "' names a proxy that never connected: "
+              + "': expected a proxy that has connected, found "
               + proxy.number());
     }
   }
--- a/src/main/java/stonespring/simulator/SimulatorHost.java
+++ b/src/main/java/stonespring/simulator/SimulatorHost.java
@@ -58,7 +58,7 @@
         writeReply(out);
       } catch (JsonProcessingException e) {
         throw new SimulatorProtocolException(
-            "a line is not well-formed JSON: " + e.getOriginalMessage());
+            "batch: the line is not valid JSON: " + e.getOriginalMessage());
       }
       out.write('\n');
       out.flush();
--- a/src/main/java/stonespring/simulator/SimulatorMessage.java
+++ b/src/main/java/stonespring/simulator/SimulatorMessage.java
@@ -29,7 +29,7 @@
       throw new SimulatorProtocolException(
           "field '"
               + WireNames.Batch.MESSAGES
-              + "' holds a message that does not start with a name: "
+              + "': expected a message that starts with its name, found "
               + array);
     }
     return new SimulatorMessage(array.get(0).asText(), array, 1);
@@ -50,7 +50,7 @@
   JsonNode value(int position, String field) {
     JsonNode value = array.get(firstValue + position);
     if (value == null) {
-      throw invalid(field, "is missing");
+      throw invalid(field, "the value is missing");
     }
     return value;
   }
@@ -59,7 +59,7 @@
   long nonNegativeInteger(int position, String field) {
     JsonNode value = value(position, field);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
-      throw invalid(field, "is not a whole number: " + value);
+      throw invalid(field, "expected an integer from 0, found " + value);
     }
     return value.asLong();
   }
@@ -68,7 +68,7 @@
   int id(int position, String field) {
     long value = nonNegativeInteger(position, field);
     if (value > MAX_ID) {
-      throw invalid(field, "is above " + MAX_ID + ": " + value);
+      throw invalid(field, "expected at most " + MAX_ID + ", found " + value);
     }
     return (int) value;
   }
@@ -76,7 +76,7 @@
   double number(int position, String field) {
     JsonNode value = value(position, field);
     if (!value.isNumber()) {
-      throw invalid(field, "is not a number: " + value);
+      throw invalid(field, "expected a number, found " + value);
     }
     return value.asDouble();
   }
@@ -89,7 +89,7 @@
   String text(int position, String field) {
     JsonNode value = value(position, field);
     if (!value.isTextual()) {
-      throw invalid(field, "is not a text: " + value);
+      throw invalid(field, "expected a string, found " + value);
     }
     return value.asText();
   }
@@ -97,7 +97,7 @@
   boolean bool(int position, String field) {
     JsonNode value = value(position, field);
     if (!value.isBoolean()) {
-      throw invalid(field, "is neither true nor false: " + value);
+      throw invalid(field, "expected true or false, found " + value);
     }
     return value.asBoolean();
   }
@@ -105,6 +105,6 @@
   /** Returns an exception to throw for an invalid field; does not throw it. */
   SimulatorProtocolException invalid(String field, String problem) {
     return new SimulatorProtocolException(
-        "message '" + name + "': field '" + field + "' " + problem);
+        "message '" + name + "': field '" + field + "': " + problem);
   }
 }
--- a/src/test/java/stonespring/cli/CommandsTest.java
+++ b/src/test/java/stonespring/cli/CommandsTest.java
@@ -113,16 +113,23 @@
     String file = folder.resolve("load.rec.gz").toString();
     assertEquals(2, Commands.run("load", "quiet", file, "--tasks", "2"));
     assertEquals(
-        "stonespring: load: --tasks from 3 to 2000, --proxies from 1 to 2000\n", standardError());
+        "stonespring: load: expected --tasks from 3 to 2000 and --proxies from 1 to 2000, found --tasks 2 and --proxies 24\n",
+        standardError());
     err.reset();
     assertEquals(2, Commands.run("task", "--port", "65535", "--count", "2"));
-    assertEquals("stonespring: --port and --count do not fit 1 to 65535\n", standardError());
+    assertEquals(
+        "stonespring: task: expected --count of at least 1 and all ports from 1 to 65535, found --port 65535 and --count 2\n",
+        standardError());
     err.reset();
     assertEquals(2, Commands.run("snapshot", "7000", "--subtree", "proxy"));
-    assertEquals("stonespring: --subtree begins and ends with a slash\n", standardError());
+    assertEquals(
+        "stonespring: snapshot: --subtree: expected a path that starts and ends with a slash, found proxy\n",
+        standardError());
     err.reset();
     assertEquals(2, Commands.run("measure", "solver", "--rounds", "0"));
-    assertEquals("stonespring: --tasks, --proxies and --rounds are at least 1\n", standardError());
+    assertEquals(
+        "stonespring: measure solver: expected --tasks, --proxies and --rounds of at least 1, found 800, 800 and 0\n",
+        standardError());
   }
 
   @Test
@@ -133,7 +140,7 @@
     assertEquals("stonespring: solve: " + file + "\n", standardError());
     err.reset();
     assertEquals(2, Commands.run("compare", "--seeds", "0", file));
-    assertEquals("stonespring: compare: --seeds is from 1 to 1000\n", standardError());
+    assertEquals("stonespring: compare: --seeds: expected 1 to 1000, found 0\n", standardError());
   }
 
   @Test
@@ -144,7 +151,7 @@
     assertTrue(standardOutput().contains(" simulated tasks"), standardOutput());
     out.reset();
     assertEquals(2, Commands.run("solve", file, "--at", "-1"));
-    assertTrue(standardError().contains("solve: --at is outside 0 to "), standardError());
+    assertTrue(standardError().contains("solve: --at: expected 0 to "), standardError());
   }
 
   private static List<String> fieldNames(JsonNode node) {
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -78,16 +78,28 @@
 
   @Test
   void errorNamesLineAndInvalidField() throws IOException {
-    assertEquals("version: missing", errorWithLineReplaced(1, "{}"));
-    assertEquals("version: 2, this program reads 1", errorWithLineReplaced(1, "{\"version\":2}"));
-    assertEquals("no JSON", errorWithLineReplaced(2, "[\"ran\",0"));
-    assertEquals("kind: \"walked\"", errorWithLineReplaced(2, "[\"walked\",0]"));
-    assertEquals("zone: 3", errorWithLineReplaced(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
-    assertEquals("ran: 6 fields, not 7", errorWithLineReplaced(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
-    assertEquals("ops: -1", errorWithLineReplaced(2, "[\"came\",0,0,-1,0,0]"));
-    assertEquals("state: \"UP\"", errorWithLineReplaced(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
+    assertEquals("version: expected 1, found no version number", errorWithLineReplaced(1, "{}"));
+    assertEquals("version: expected 1, found 2", errorWithLineReplaced(1, "{\"version\":2}"));
     assertEquals(
-        "at: goes back to 5", errorWithLineReplaced(writeAndReadLines().length, "[\"late\",5,0]"));
+        "expected a JSON array, found invalid JSON", errorWithLineReplaced(2, "[\"ran\",0"));
+    assertEquals("kind: unknown value \"walked\"", errorWithLineReplaced(2, "[\"walked\",0]"));
+    assertEquals(
+        "zone: expected an integer from 0 to 2, found 3",
+        errorWithLineReplaced(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
+    assertEquals(
+        "ran: expected 7 elements, found 6",
+        errorWithLineReplaced(2, "[\"ran\",0,\"t0\",1,2,1.0]"));
+    assertEquals(
+        "ops: expected an integer from 0 to 10000000, found -1",
+        errorWithLineReplaced(2, "[\"came\",0,0,-1,0,0]"));
+    assertEquals(
+        "state: unknown value \"UP\"",
+        errorWithLineReplaced(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
+    String[] lines = writeAndReadLines();
+    String previousAt = lines[lines.length - 2].split(",")[1];
+    assertEquals(
+        "at: expected " + previousAt + " or later, found 5",
+        errorWithLineReplaced(lines.length, "[\"late\",5,0]"));
   }
 
   /** Damaged files either still yield a recording or one typed error, never another exception. */
--- a/src/test/java/stonespring/simulator/SimulatorHostTest.java
+++ b/src/test/java/stonespring/simulator/SimulatorHostTest.java
@@ -55,13 +55,13 @@
       delimiter = '|',
       quoteCharacter = '~',
       value = {
-        "[]|the batch is not well-formed: START_ARRAY",
-        "{'tS':1,'seq':4}|the batch lacks one of its fields 'tS', 'seq' and 'parts'",
-        "{'tS':'x','seq':4}|field 'tS' is not a number: \"x\"",
-        "{'seq':4,'parts':[]}|the batch's field 'tS' is missing or stands after 'parts'",
-        "{'tS':1,'seq':4,'parts':3}|field 'parts' is not well-formed: VALUE_NUMBER_INT",
-        "{'tS':1,'seq':4,'parts':[{'msgs':[]}]}|field 'i' is missing or stands after 'msgs'",
-        "{'tS':1,'seq':4,'parts':[]} 5|a line holds more than one value",
+        "[]|batch: expected START_OBJECT, found START_ARRAY",
+        "{'tS':1,'seq':4}|batch: expected the fields 'tS', 'seq' and 'parts' and no negative number; at least one field is missing or negative",
+        "{'tS':'x','seq':4}|field 'tS': expected a number, found \"x\"",
+        "{'seq':4,'parts':[]}|batch: expected field 'tS' before 'parts'; it is missing, negative or comes later",
+        "{'tS':1,'seq':4,'parts':3}|field 'parts': expected START_ARRAY, found VALUE_NUMBER_INT",
+        "{'tS':1,'seq':4,'parts':[{'msgs':[]}]}|element of 'parts': expected field 'i' before 'msgs'; it is missing, negative or comes later",
+        "{'tS':1,'seq':4,'parts':[]} 5|batch: expected the end of the line after it, found another JSON value",
       })
   void rejectsAMalformedBatch(String line, String expectedMessage) {
     assertRejected(line + "\n", expectedMessage);
@@ -72,19 +72,19 @@
       delimiter = '|',
       quoteCharacter = '~',
       value = {
-        "[5]|field 'msgs' holds a message that does not start with a name: [5]",
-        "['guess']|message 'guess' is not known",
-        "['disconnected']|message 'disconnected': field 'clientLb' is missing",
-        "['disconnected',-1]|message 'disconnected': field 'clientLb' is not a whole number: -1",
-        "['disconnected',65536]|message 'disconnected': field 'clientLb' is above 65535: 65536",
-        "['joined',1,'east',2,true]|message 'joined': field 'regionPart' names no zone of the settings: east",
-        "['joined',1,'west',2,1]|message 'joined': field 'yes' is neither true nor false: 1",
-        "['traffic',1,'buy',1,0,1]|message 'traffic': field 'class' names no request class of the settings: buy",
-        "['ledgerLine',1,'a','b']|message 'ledgerLine': field 'w' is not a number: \"b\"",
-        "['heard',1,'0x']|message 'heard': field 'data' is not made of hex digits",
-        "['endpoints',0,'whole']|message 'endpoints': field 'setId' names a list that was not sent: 0",
-        "['endpoints',0,'new']|message 'endpoints': field 'mode' has an unknown word: new",
-        "['ledger',16,[]]|message 'ledger': field 'membersList' is no list, or its number is above 15",
+        "[5]|field 'msgs': expected a message that starts with its name, found [5]",
+        "['guess']|unknown message 'guess'",
+        "['disconnected']|message 'disconnected': field 'clientLb': the value is missing",
+        "['disconnected',-1]|message 'disconnected': field 'clientLb': expected an integer from 0, found -1",
+        "['disconnected',65536]|message 'disconnected': field 'clientLb': expected at most 65535, found 65536",
+        "['joined',1,'east',2,true]|message 'joined': field 'regionPart': expected a zone of the settings, found 'east'",
+        "['joined',1,'west',2,1]|message 'joined': field 'yes': expected true or false, found 1",
+        "['traffic',1,'buy',1,0,1]|message 'traffic': field 'class': expected a request class of the settings, found 'buy'",
+        "['ledgerLine',1,'a','b']|message 'ledgerLine': field 'w': expected a number, found \"b\"",
+        "['heard',1,'0x']|message 'heard': field 'data': expected pairs of hexadecimal digits, found other text",
+        "['endpoints',0,'whole']|message 'endpoints': field 'setId': expected the number of a list sent earlier, found 0",
+        "['endpoints',0,'new']|message 'endpoints': field 'mode': unknown value 'new'",
+        "['ledger',16,[]]|message 'ledger': field 'membersList': expected an array under a list number of at most 15",
       })
   void errorNamesMessageAndFieldWhenAMessageIsInvalid(String message, String expectedMessage) {
     assertRejected(batch(START + "," + message), expectedMessage);
@@ -92,7 +92,8 @@
 
   @Test
   void rejectsAnEventForAnInstanceThatHasNotStarted() {
-    assertRejected(batch("['alarm',1]"), "message 'alarm' came before the instance's 'boot'");
+    assertRejected(
+        batch("['alarm',1]"), "message 'alarm': the instance has not received 'boot' yet");
   }
 
   @Test
