--- a/src/main/java/stonespring/config/script/ScriptLoader.java
+++ b/src/main/java/stonespring/config/script/ScriptLoader.java
@@ -12,39 +12,39 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads, parses and runs files, each of them once. */
+/** Reads, parses and executes files, each of them once. */
 final class ScriptLoader {
   private static final int MAX_FILE_BYTES = 1 << 20;
 
-  /** The most files of which each loads the next. */
-  private static final int MAX_FILES_LOADING = 16;
+  /** The largest number of files in a chain in which each file loads the next. */
+  private static final int MAX_LOAD_DEPTH = 16;
 
   private final List<SettingsError> errors = new ArrayList<>();
-  private final Map<Path, Map<String, Object>> globalsOfLoaded = new HashMap<>();
+  private final Map<Path, Map<String, Object>> globalsByPath = new HashMap<>();
   private final Set<Path> loading = new HashSet<>();
   private final StatementExecutor executor = new StatementExecutor(this);
 
   /**
-   * The globals of a file, in order of assignment.
+   * Loads a file and returns its globals, in order of assignment.
    *
-   * @param from where the file is asked for
-   * @throws EvaluationException if the file can't be read or its run fails; syntax errors go to
-   *     {@link #errors}, and the globals are then empty
+   * @param from the location at which errors in reading the file are reported
+   * @throws EvaluationException if the file cannot be read or its execution fails; syntax errors
+   *     are added to {@link #errors} instead, and the returned globals are then empty
    */
   Map<String, Object> load(Path file, SourceLocation from) {
     Path path = file.toAbsolutePath().normalize();
-    Map<String, Object> known = globalsOfLoaded.get(path);
-    if (known != null) {
-      return known;
+    Map<String, Object> loaded = globalsByPath.get(path);
+    if (loaded != null) {
+      return loaded;
     }
-    if (!loading.add(path) || loading.size() > MAX_FILES_LOADING) {
+    if (!loading.add(path) || loading.size() > MAX_LOAD_DEPTH) {
       throw new EvaluationException(
           from,
           "load: "
               + file
-              + " loads itself, or over "
-              + MAX_FILES_LOADING
-              + " files load each other");
+              + " loads itself, or loads are nested more than "
+              + MAX_LOAD_DEPTH
+              + " files deep");
     }
     List<Statement> statements = parse(file, read(file, path, from));
     Map<String, Object> globals = new LinkedHashMap<>();
@@ -52,20 +52,21 @@
       executor.run(statements, Scope.ofFile(path, globals));
     }
     loading.remove(path);
-    globalsOfLoaded.put(path, globals);
+    globalsByPath.put(path, globals);
     return globals;
   }
 
   private static String read(Path file, Path path, SourceLocation from) {
     try {
       if (Files.size(path) > MAX_FILE_BYTES) {
-        throw new EvaluationException(from, file + " is over " + MAX_FILE_BYTES + " bytes");
+        throw new EvaluationException(
+            from, "cannot read " + file + ": it is larger than " + MAX_FILE_BYTES + " bytes");
       }
       return Files.readString(path);
     } catch (NoSuchFileException e) {
-      throw new EvaluationException(from, "can't read " + file + ": there is no such file");
+      throw new EvaluationException(from, "cannot read " + file + ": the file does not exist");
     } catch (IOException e) {
-      throw new EvaluationException(from, "can't read " + file + ": " + e.getMessage());
+      throw new EvaluationException(from, "cannot read " + file + ": " + e.getMessage());
     }
   }
 
@@ -79,7 +80,10 @@
     return errors;
   }
 
-  /** Where a name was last assigned at the top level of a file, or the given location. */
+  /**
+   * The location at which a name was last assigned at the top level of a file, or the given
+   * location if it was not.
+   */
   SourceLocation locationOf(String name, SourceLocation defaultLocation) {
     return executor.locationOf(name, defaultLocation);
   }
--- a/src/main/java/stonespring/config/script/Values.java
+++ b/src/main/java/stonespring/config/script/Values.java
@@ -6,12 +6,15 @@
 import java.util.Objects;
 
 /**
- * What the values of scripts have in common. A value is null for {@code None}, a {@link Boolean},
+ * Operations common to the values of scripts. A value is null for {@code None}, a {@link Boolean},
  * {@link Long}, {@link Double}, {@link String}, {@link ScriptList}, {@link ScriptDict} or a
  * function.
  */
 public final class Values {
-  /** Doubles above have no exact whole part to print. */
+  /**
+   * The magnitude from which on doubles are not printed as whole numbers, since large doubles do
+   * not represent whole numbers exactly.
+   */
   private static final double MAX_PRINTED_AS_WHOLE = 1e15;
 
   private Values() {}
@@ -27,7 +30,7 @@
         || value instanceof Map<?, ?> map && map.isEmpty());
   }
 
-  /** A value's type as error messages name it. */
+  /** The type of a value as error messages name it. */
   public static String typeName(Object value) {
     if (value == null) {
       return "None";
@@ -36,9 +39,9 @@
     } else if (value instanceof Long) {
       return "a whole number";
     } else if (value instanceof Double) {
-      return "a number";
+      return "a floating-point number";
     } else if (value instanceof Boolean) {
-      return "a truth value";
+      return "a boolean";
     } else if (value instanceof ScriptList) {
       return "a list";
     } else if (value instanceof ScriptDict) {
@@ -47,14 +50,14 @@
     return "a function";
   }
 
-  /** A number as people write it: without a fraction where it is whole. */
-  public static String plainNumber(double value) {
+  /** Formats a number, without a fraction if it is whole. */
+  public static String formatNumber(double value) {
     return value == Math.rint(value) && Math.abs(value) < MAX_PRINTED_AS_WHOLE
         ? String.valueOf((long) value)
         : String.valueOf(value);
   }
 
-  /** A copy of a list's items or of a dict's keys. */
+  /** Returns a copy of the items of a list or of the keys of a dict; fails for other types. */
   static List<Object> items(SourceLocation location, Object value) {
     if (value instanceof ScriptList list) {
       return new ArrayList<>(list);
@@ -63,28 +66,33 @@
       return new ArrayList<>(dict.keySet());
     }
     throw new EvaluationException(
-        location, "'for' goes over a list or a dict, not " + typeName(value));
+        location, "expected a list or a dict to iterate over, got " + typeName(value));
   }
 
-  /** Returns the value if it can be the key of a dict. */
+  /** Returns the value if it can be the key of a dict; fails otherwise. */
   static Object requireKey(SourceLocation location, Object value) {
     if (!(value instanceof String || value instanceof Long || value instanceof Boolean)) {
       throw new EvaluationException(
-          location, "a dict's key is a string or a whole number, not " + typeName(value));
+          location,
+          "a dict key must be a string, a whole number or a boolean, got " + typeName(value));
     }
     return value;
   }
 
-  /** The position that an index names; a negative one counts from the end. */
+  /**
+   * Returns the position that an index denotes; a negative index counts from the end. Fails if the
+   * index is out of range.
+   */
   static int requirePosition(SourceLocation location, Object index, int size) {
     if (!(index instanceof Long position) || position < -size || position >= size) {
       throw new EvaluationException(
-          location, "the index " + index + " is outside a list of " + size);
+          location,
+          "the index must be a whole number within the length of " + size + ", got " + index);
     }
     return (int) (position < 0 ? position + size : position);
   }
 
-  /** The entry of a dict, list or string. */
+  /** Returns an entry of a dict, an item of a list or a character of a string. */
   static Object entry(SourceLocation location, Object container, Object index) {
     if (container instanceof ScriptDict dict) {
       if (!dict.containsKey(index)) {
@@ -98,17 +106,18 @@
     if (container instanceof String text) {
       return String.valueOf(text.charAt(requirePosition(location, index, text.length())));
     }
-    throw new EvaluationException(location, typeName(container) + " has no entries");
+    throw new EvaluationException(
+        location, "only a dict, list or string can be indexed, not " + typeName(container));
   }
 
-  /** Whether two values are equal; numbers are compared as floating-point ones. */
+  /** Whether two values are equal; numbers are compared as doubles. */
   static boolean areEqual(Object left, Object right) {
     return left instanceof Number leftNumber && right instanceof Number rightNumber
         ? leftNumber.doubleValue() == rightNumber.doubleValue()
         : Objects.equals(left, right);
   }
 
-  /** Compares two numbers or two strings, as {@link Comparable} does. */
+  /** Compares two numbers or two strings as {@link Comparable} does; fails for other types. */
   static int compare(SourceLocation location, Object left, Object right) {
     if (left instanceof Number leftNumber && right instanceof Number rightNumber) {
       return Double.compare(leftNumber.doubleValue(), rightNumber.doubleValue());
@@ -117,6 +126,6 @@
       return leftText.compareTo(rightText);
     }
     throw new EvaluationException(
-        location, typeName(left) + " and " + typeName(right) + " have no order");
+        location, "cannot compare " + typeName(left) + " with " + typeName(right));
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -23,68 +23,81 @@
 import stonespring.state.RouteTables;
 
 /**
- * Serves proxies and zones' collectors on the operators' platform: their messages become events,
- * commands become messages on the proxies' sessions. The platform paces the channel, so messages
- * are written at once. All calls come from one event loop.
+ * Serves proxies and collectors of zones on the operators' platform. It converts their messages to
+ * events, and commands to messages that it sends to proxies. Messages are written immediately,
+ * because the platform limits the rate of the channel. All methods must be called on one event
+ * loop.
  */
 public final class PlatformProxyApi implements LineHandler {
-  /** Connections that a zone's collector may have, those that died unnoticed included. */
+  /**
+   * Maximum number of connections of a zone's collector. It includes dead connections whose end has
+   * not been detected.
+   */
   public static final int MAX_COLLECTORS_PER_ZONE = 4;
 
   private static final Logger LOG = LoggerFactory.getLogger(PlatformProxyApi.class);
 
-  /** More than a list may hold: the listed endpoints, and of the removed ones the latest. */
+  /**
+   * Maximum number of known endpoints. It exceeds the maximum size of the endpoint list, so that
+   * recently removed endpoints stay known.
+   */
   private static final int MAX_KNOWN_ENDPOINTS = 60_000;
 
-  /** Dropped messages that are logged one by one. */
+  /** Number of dropped messages that are logged; later ones are only counted. */
   private static final int MAX_LOGGED_DROPS = 50;
 
   private final PlatformMessageCodec codec;
-  private final int requestClasses;
-  private final Consumer<Event> events;
+  private final int requestClassCount;
+  private final Consumer<Event> eventConsumer;
+
+  /** Sessions of connected proxies, by proxy number. */
   private final TreeMap<Integer, ProxySession> sessions = new TreeMap<>();
-  private final Map<ProxyId, Set<EndpointId>> excludedAtProxy = new HashMap<>();
+
+  /** Endpoints that this instance has excluded at each proxy, in all of its sessions. */
+  private final Map<ProxyId, Set<EndpointId>> excludedEndpointsByProxy = new HashMap<>();
+
   private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
   private final KnownEndpoints knownEndpoints = new KnownEndpoints(MAX_KNOWN_ENDPOINTS);
   private RouteTables tables;
   private long droppedMessages;
 
   /**
-   * Creates the API without connections.
+   * Creates an API that has no connections.
    *
-   * @param proxies how many proxies the settings have
-   * @param events takes events, on the event loop
+   * @param proxyCount the number of proxies in the settings; proxies are numbered from 0
+   * @param eventConsumer receives the events, on the event loop
    */
-  public PlatformProxyApi(NameTable names, int proxies, Consumer<Event> events) {
-    this.codec = new PlatformMessageCodec(names, proxies);
-    this.requestClasses = names.requestClasses().size();
-    this.events = events;
-    this.tables = new RouteTables(requestClasses);
+  public PlatformProxyApi(NameTable names, int proxyCount, Consumer<Event> eventConsumer) {
+    this.codec = new PlatformMessageCodec(names, proxyCount);
+    this.requestClassCount = names.requestClasses().size();
+    this.eventConsumer = eventConsumer;
+    this.tables = new RouteTables(requestClassCount);
   }
 
   @Override
-  public void message(LineConnection connection, LineMessage message) {
+  public void handleMessage(LineConnection connection, LineMessage message) {
     if (!(connection.session() instanceof PlatformPeer peer)) {
-      handleFirst(connection, message);
+      handleFirstMessage(connection, message);
     } else if (!PlatformMessageCodec.isKnownKind(message.kind())) {
-      connection.close("it sent what can't be read: " + LineMessage.printable(message.kind()));
+      connection.close(
+          "it sent a message of unknown kind: " + LineMessage.printable(message.kind()));
     } else {
       try {
-        handle(peer, message);
+        handlePeerMessage(peer, message);
       } catch (InvalidMessageException e) {
-        drop(peer, message, e.getMessage());
+        dropMessage(peer, message, e.getMessage());
       }
     }
   }
 
-  /** Handles the first message of a connection, which completes its handshake or ends it. */
-  private void handleFirst(LineConnection connection, LineMessage message) {
+  /** Handles the first message: completes the handshake, or closes the connection. */
+  private void handleFirstMessage(LineConnection connection, LineMessage message) {
     try {
       switch (message.kind()) {
         case PlatformMessageCodec.SUBSCRIBE ->
-            proxyConnected(connection, codec.readSubscribe(message));
+            acceptProxy(connection, codec.readSubscribe(message));
         case PlatformMessageCodec.SOURCE ->
-            collectorConnected(connection, new Collector(codec.readSource(message)));
+            acceptCollector(connection, new Collector(codec.readSource(message)));
         default -> connection.close("no joining before " + LineMessage.printable(message.kind()));
       }
     } catch (InvalidMessageException e) {
@@ -92,56 +105,57 @@
     }
   }
 
-  private void proxyConnected(LineConnection connection, Event.ProxyConnected hello) {
-    ProxySession earlier = sessions.get(hello.proxy().number());
-    if (earlier != null) {
-      // Ends in closed(), which reports that it disconnected.
-      earlier.connection().close("the proxy connected again in a newer session");
+  private void acceptProxy(LineConnection connection, Event.ProxyConnected hello) {
+    ProxySession earlierSession = sessions.get(hello.proxy().number());
+    if (earlierSession != null) {
+      // Calls handleClosed(), which emits the event that the proxy disconnected.
+      earlierSession.connection().close("replaced by a newer session of the proxy");
     }
     startSession(connection, hello);
   }
 
   private void startSession(LineConnection connection, Event.ProxyConnected hello) {
     Set<EndpointId> excluded =
-        excludedAtProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
+        excludedEndpointsByProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
     ProxyExclusions exclusions = new ProxyExclusions(excluded, !hello.withoutTables());
-    ProxyRouteState routeState = new ProxyRouteState(requestClasses, tables, exclusions);
+    ProxyRouteState routeState = new ProxyRouteState(requestClassCount, tables, exclusions);
     ProxySession session = new ProxySession(hello, connection, routeState);
     sessions.put(hello.proxy().number(), session);
     connection.setSession(session);
     tables.addProxy(hello.proxy(), Optional.empty());
-    events.accept(hello);
+    eventConsumer.accept(hello);
   }
 
-  private void collectorConnected(LineConnection connection, Collector collector) {
+  private void acceptCollector(LineConnection connection, Collector collector) {
     connection.setSession(collector);
     collectors
         .add(collector.zone(), connection)
-        .ifPresent(oldest -> oldest.close("newer collectors of its zone connected"));
+        .ifPresent(oldest -> oldest.close("replaced by newer connections of the zone's collector"));
   }
 
-  private void handle(PlatformPeer sender, LineMessage message) {
+  private void handlePeerMessage(PlatformPeer sender, LineMessage message) {
     switch (message.kind()) {
       case PlatformMessageCodec.LOAD -> handleLoad(sender, message);
       case PlatformMessageCodec.RATE -> handleRate(sender, message);
       case PlatformMessageCodec.ACK -> handleAck(sender, message);
       case PlatformMessageCodec.PONG -> {
-        // A sign of life, no more.
+        // The response to a keep-alive needs no action.
       }
-      default -> throw new InvalidMessageException(message.kind(), "it is not to be sent here");
+      default ->
+          throw new InvalidMessageException(message.kind(), "not allowed after the handshake");
     }
   }
 
   private void handleLoad(PlatformPeer sender, LineMessage message) {
     if (!(sender instanceof Collector)) {
-      throw new InvalidMessageException(message.kind(), "only collectors send it");
+      throw new InvalidMessageException(message.kind(), "allowed from collectors only");
     }
     Event.EndpointOutcomes outcomes = codec.readLoad(message);
-    // A command for an endpoint that never existed would make proxies close their sessions.
+    // Proxies close their session when they receive a command for an endpoint that never existed.
     if (!knownEndpoints.contains(outcomes.endpoint())) {
       throw PlatformMessageCodec.unlistedEndpoint();
     }
-    events.accept(outcomes);
+    eventConsumer.accept(outcomes);
   }
 
   private void handleRate(PlatformPeer sender, LineMessage message) {
@@ -150,7 +164,7 @@
     if (session == null || sender instanceof ProxySession && sender != session) {
       throw PlatformMessageCodec.wrongProxy(message);
     }
-    events.accept(rate);
+    eventConsumer.accept(rate);
   }
 
   private void handleAck(PlatformPeer sender, LineMessage message) {
@@ -159,16 +173,16 @@
         || !session.proxy().equals(acknowledged.proxy())) {
       throw PlatformMessageCodec.wrongProxy(message);
     }
-    if (!session.acknowledge(acknowledged.ack())) {
+    if (!session.removePendingAck(acknowledged.ack())) {
       throw PlatformMessageCodec.unrequestedAck();
     }
-    events.accept(acknowledged);
+    eventConsumer.accept(acknowledged);
   }
 
-  private void drop(PlatformPeer sender, LineMessage message, String cause) {
+  private void dropMessage(PlatformPeer sender, LineMessage message, String cause) {
     if (droppedMessages++ < MAX_LOGGED_DROPS) {
       LOG.warn(
-          "a message of {} is dropped: {} in: {}",
+          "message from {} dropped: {} in: {}",
           sender,
           cause,
           PlatformMessageCodec.describe(message));
@@ -176,42 +190,48 @@
   }
 
   @Override
-  public void closed(LineConnection connection) {
+  public void handleClosed(LineConnection connection) {
     if (connection.session() instanceof Collector collector) {
       collectors.remove(collector.zone(), connection);
     } else if (connection.session() instanceof ProxySession session
         && sessions.remove(session.proxy().number(), session)) {
       tables.removeProxy(session.proxy());
-      events.accept(new Event.ProxyDisconnected(session.proxy()));
+      eventConsumer.accept(new Event.ProxyDisconnected(session.proxy()));
     }
   }
 
-  /** The endpoint list changed: reports about its endpoints are accepted from now on. */
-  public void endpointListUpdated(Event.EndpointListUpdate update) {
-    for (EndpointId forgotten : knownEndpoints.add(update.endpoints())) {
-      excludedAtProxy.values().forEach(excluded -> excluded.remove(forgotten));
-      tables.discardExclusion(forgotten);
+  /**
+   * Applies a change of the endpoint list; reports about its endpoints are accepted from now on.
+   */
+  public void updateEndpointList(Event.EndpointListUpdate update) {
+    for (EndpointId evicted : knownEndpoints.add(update.endpoints())) {
+      excludedEndpointsByProxy.values().forEach(excluded -> excluded.remove(evicted));
+      tables.discardExclusion(evicted);
     }
   }
 
   /**
-   * The decisions restarted: no table, limit or exclusion of theirs stands, and each connected
-   * proxy connects anew, with tables that are unknown.
+   * Resets the state after the decision engine restarted. The tables, limits and exclusions of the
+   * earlier engine are discarded, and a new session starts on the connection of each connected
+   * proxy. The event of each session says that the proxy may have tables, which are unknown.
    */
-  public void engineRestarted() {
-    tables = new RouteTables(requestClasses);
+  public void handleEngineRestart() {
+    tables = new RouteTables(requestClassCount);
     for (ProxySession session : List.copyOf(sessions.values())) {
-      Event.ProxyConnected earlier = session.hello();
+      Event.ProxyConnected hello = session.hello();
       startSession(
           session.connection(),
-          new Event.ProxyConnected(
-              earlier.proxy(), earlier.zone(), earlier.requestsPerSecond(), false));
+          new Event.ProxyConnected(hello.proxy(), hello.zone(), hello.requestsPerSecond(), false));
     }
   }
 
-  /** Carries out the commands of an event batch: one message for each proxy that they concern. */
-  public void execute(List<Command> commands, long now) {
-    for (ProxyUpdate update : tables.apply(commands, now)) {
+  /**
+   * Executes the commands of an event batch: sends one message to each proxy that they affect.
+   *
+   * @param nowDeciMillis the current time, in {@link stonespring.model.DeciMillis}
+   */
+  public void execute(List<Command> commands, long nowDeciMillis) {
+    for (ProxyUpdate update : tables.apply(commands, nowDeciMillis)) {
       send(update);
     }
   }
@@ -222,21 +242,22 @@
     if (message.isEmpty()) {
       return;
     }
-    message.ack().ifPresent(session::request);
+    message.ack().ifPresent(session::addPendingAck);
     List<String> lines = codec.write(message);
     if (LOG.isDebugEnabled()) {
-      LOG.debug("{}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
+      LOG.debug(
+          "sending to {}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
     }
     session.connection().write(String.join("\r\n", lines) + "\r\n");
   }
 
-  /** How many proxies are connected. */
-  public int connectedProxies() {
+  /** Returns the number of connected proxies. */
+  public int connectedProxyCount() {
     return sessions.size();
   }
 
-  /** How many messages of known peers were dropped as invalid, ever. */
-  public long droppedMessages() {
+  /** Returns the number of invalid messages of known peers that were dropped since the start. */
+  public long droppedMessageCount() {
     return droppedMessages;
   }
 
--- a/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformApiFixture.java
@@ -32,36 +32,38 @@
 import stonespring.proxyapi.NameTable;
 
 /**
- * A {@link PlatformProxyApi} on a loopback listener, with zones west and east, request classes look
- * and buy, ten proxies, and the listed endpoints s-1 and s-2.
+ * Runs a {@link PlatformProxyApi} on a loopback listener, with the zones west and east, the request
+ * classes look and buy, ten proxies, and the listed endpoints s-1 and s-2.
  */
 final class PlatformApiFixture implements BeforeEachCallback, AfterEachCallback {
-  /** How many connections may be open that have not said who is there. */
-  static final int MAX_UNJOINED = 4;
+  /** Limit of connections with an incomplete handshake. */
+  static final int MAX_PENDING_HANDSHAKES = 4;
 
-  private static final int WAIT_MILLIS = 10_000; // an upper bound: every wait ends with its event
-  private static final int UNJOINED_MILLIS = 60_000;
-  private static final int LINE_BYTES = 400;
-  private static final int PENDING_BYTES = 4096;
+  /** Maximum duration of a wait; in a passing test, every wait ends earlier with its event. */
+  private static final int MAX_WAIT_MILLIS = 10_000;
+
+  private static final int HANDSHAKE_TIMEOUT_MILLIS = 60_000;
+  private static final int MAX_LINE_BYTES = 400;
+  private static final int MAX_PENDING_WRITE_BYTES = 4096;
   private static final String SUBSCRIBE = "SUBSCRIBE id=3 site=east rps=2.5 new=1";
 
-  private final MultiThreadIoEventLoopGroup loops =
+  private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = (EventLoop) loops.next();
+  private final EventLoop eventLoop = (EventLoop) eventLoops.next();
   private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final List<Client> clients = new ArrayList<>();
   private PlatformProxyApi api;
   private LineServer listener;
 
-  /** A peer by a plain socket: shares nothing with what it talks to. */
+  /** A peer on a plain socket, which shares no code with the tested server. */
   final class Client {
     private final Socket socket = new Socket();
     private final BufferedReader in;
 
     Client() throws IOException {
       socket.setReceiveBufferSize(4096);
-      socket.connect(new InetSocketAddress("127.0.0.1", listener.port()), WAIT_MILLIS);
-      socket.setSoTimeout(WAIT_MILLIS);
+      socket.connect(new InetSocketAddress("127.0.0.1", listener.port()), MAX_WAIT_MILLIS);
+      socket.setSoTimeout(MAX_WAIT_MILLIS);
       in =
           new BufferedReader(
               new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
@@ -77,7 +79,7 @@
       return socket.getOutputStream();
     }
 
-    /** The next line; null at the end, however it came. */
+    /** Returns the next line; null if the connection was closed or reset. */
     String receive() throws IOException {
       try {
         return in.readLine();
@@ -86,7 +88,7 @@
       }
     }
 
-    void assertAlive() throws IOException {
+    void assertAnswersKeepAlive() throws IOException {
       send("PING");
       assertEquals("PONG", receive());
     }
@@ -98,11 +100,11 @@
 
   @Override
   public void beforeEach(ExtensionContext context) throws Exception {
-    listen(UNJOINED_MILLIS);
+    startListener(HANDSHAKE_TIMEOUT_MILLIS);
   }
 
-  /** Starts anew, with so much time for connections to say who is there. */
-  void listen(int unjoinedMillis) throws Exception {
+  /** Starts an API and a listener with the given handshake timeout, in place of earlier ones. */
+  void startListener(int handshakeTimeoutMillis) throws Exception {
     if (listener != null) {
       listener.stop();
     }
@@ -110,8 +112,14 @@
         new PlatformProxyApi(
             new NameTable(List.of("west", "east"), List.of("look", "buy")), 10, events::add);
     listener =
-        new LineServer(new LineLimits(LINE_BYTES, MAX_UNJOINED, unjoinedMillis, PENDING_BYTES), api)
-            .start(loops, new InetSocketAddress("127.0.0.1", 0));
+        new LineServer(
+                new LineLimits(
+                    MAX_LINE_BYTES,
+                    MAX_PENDING_HANDSHAKES,
+                    handshakeTimeoutMillis,
+                    MAX_PENDING_WRITE_BYTES),
+                api)
+            .start(eventLoops, new InetSocketAddress("127.0.0.1", 0));
     updateEndpointList(Event.ListUpdateKind.CACHED, List.of(endpoint("s-1"), endpoint("s-2")));
   }
 
@@ -120,39 +128,39 @@
     for (Client client : clients) {
       client.close();
     }
-    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
   PlatformProxyApi api() {
     return api;
   }
 
-  /** Runs on the event loop, and waits until it has run. */
-  void onLoop(Runnable work) throws InterruptedException {
-    loop.submit(work).sync();
+  /** Runs a task on the event loop, and waits until it is complete. */
+  void runOnEventLoop(Runnable work) throws InterruptedException {
+    eventLoop.submit(work).sync();
   }
 
-  /** Has the event loop wait for something, and does not wait itself. */
-  void blockLoop(Runnable work) {
-    loop.execute(work);
+  /** Runs a task on the event loop, and returns without waiting for it. */
+  void executeOnEventLoop(Runnable work) {
+    eventLoop.execute(work);
   }
 
   void updateEndpointList(Event.ListUpdateKind kind, List<EndpointRecord> endpoints)
       throws InterruptedException {
-    onLoop(() -> api.endpointListUpdated(new Event.EndpointListUpdate(kind, endpoints)));
+    runOnEventLoop(() -> api.updateEndpointList(new Event.EndpointListUpdate(kind, endpoints)));
   }
 
   void execute(Command... commands) throws InterruptedException {
-    onLoop(() -> api.execute(List.of(commands), 5));
+    runOnEventLoop(() -> api.execute(List.of(commands), 5));
   }
 
-  /** The next event; null if none comes. */
+  /** Waits for the next event; returns null if none occurs within the maximum wait. */
   Event nextEvent() throws InterruptedException {
-    return events.poll(WAIT_MILLIS, TimeUnit.MILLISECONDS);
+    return events.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** The next event if it is there already, or null. */
-  Event eventNow() {
+  /** Returns the next event if one has occurred, or null. */
+  Event pollEvent() {
     return events.poll();
   }
 
@@ -164,7 +172,7 @@
     return new Client();
   }
 
-  /** Connects proxy 3 of zone east, which holds no tables. */
+  /** Connects proxy 3 of zone east, which has no tables, and awaits the event. */
   Client connectProxy() throws Exception {
     Client client = connect().send(SUBSCRIBE);
     assertEquals(new Event.ProxyConnected(new ProxyId(3), new ZoneId(1), 2.5, true), nextEvent());
