--- a/src/main/java/stonespring/cli/PlatformCommand.java
+++ b/src/main/java/stonespring/cli/PlatformCommand.java
@@ -38,11 +38,10 @@
     SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
     logging.apply();
     if (previous == SignalHandler.SIG_IGN) {
-      // The parent process made SIGHUP ignored, as nohup does; the JVM then never calls the
-      // handler.
+      // The parent process, for example nohup, ignores SIGHUP; the JVM then calls no handler.
       LOG.warn(
-          "SIGHUP is ignored, because the parent process ignores it: a changed configuration is not"
-              + " read until a fetch of the endpoint list fails");
+          "SIGHUP is ignored, as inherited from the parent process: a changed configuration is read only"
+              + " after a fetch of the endpoint list fails");
     }
     if (path == null || path.toString().isEmpty()) {
       throw CommandFailedException.usage(
