--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -95,7 +95,8 @@
 
   private ProxySettings proxySettings(InstanceSettings instanceSettings)
       throws CommandFailedException {
-    RouterSettings routing = StandIns.routing(instanceSettings, RequestClass::latencyObjective);
+    RouterSettings routing =
+        StandIns.routerSettings(instanceSettings, RequestClass::latencyObjective);
     return new ProxySettings(
         name,
         zone,
--- a/src/main/java/stonespring/testbed/EndpointFaults.java
+++ b/src/main/java/stonespring/testbed/EndpointFaults.java
@@ -3,8 +3,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Faults of the endpoints themselves: deaths, errors, pauses, lost answers, wrong reports. */
+/**
+ * Faults of the endpoints themselves: crashes, errors, pauses, lost responses, false load reports.
+ * Used from the scenario's thread only.
+ */
 final class EndpointFaults {
+  /** Ends the failure of a request class; see {@link EndpointStandIn#setFailingRequestClass}. */
   private static final String NO_REQUEST_CLASS = "";
 
   private final ScenarioFleet fleet;
@@ -22,10 +26,10 @@
     injections.put(FaultKind.FAST_ERRORS, this::failFast);
     injections.put(FaultKind.FLAPPING, this::flap);
     injections.put(FaultKind.OP_TYPE_FAILS, this::failRequestClass);
-    injections.put(FaultKind.LOST_ANSWERS, this::loseAnswers);
+    injections.put(FaultKind.LOST_ANSWERS, this::loseResponses);
     injections.put(FaultKind.PAUSES, this::pause);
-    injections.put(FaultKind.FALSE_REPORTS, this::reportFalsely);
-    injections.put(FaultKind.SLOW_HANDSHAKES, this::slowHandshakes);
+    injections.put(FaultKind.FALSE_REPORTS, this::falsifyReports);
+    injections.put(FaultKind.SLOW_HANDSHAKES, this::slowDownHandshakes);
   }
 
   private void crash(FaultTarget target) {
@@ -38,11 +42,12 @@
         .forEach(endpoint -> fleet.crash(endpoint, target.endMillis()));
   }
 
+  /** Leaves requests unanswered for the duration, then kills the endpoints and restarts them. */
   private void silence(FaultTarget target) throws Exception {
     List<EndpointStandIn> endpoints = target.endpoints();
     timeline.during(
         target.fault(),
-        () -> endpoints.forEach(endpoint -> endpoint.silent(true)),
+        () -> endpoints.forEach(endpoint -> endpoint.setSilent(true)),
         () -> crashRunning(endpoints));
   }
 
@@ -54,63 +59,79 @@
     }
   }
 
+  /** Makes endpoints fail requests at once; the magnitude is the fraction that fails. */
   private void failFast(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.fail(fraction)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.fail(0)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setErrorFraction(fraction)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setErrorFraction(0)));
   }
 
+  /**
+   * Decides at each interval, at random for each endpoint, whether it fails all requests. The last
+   * decision stays in force after the fault, until the endpoint restarts.
+   */
   private void flap(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
         () ->
             target
                 .endpoints()
-                .forEach(endpoint -> endpoint.fail(fleet.random().nextBoolean() ? 1 : 0)));
+                .forEach(
+                    endpoint -> endpoint.setErrorFraction(fleet.random().nextBoolean() ? 1 : 0)));
   }
 
+  /** Fails one request class; the magnitude is its position in the settings. */
   private void failRequestClass(FaultTarget target) throws Exception {
     List<String> names = fleet.requestClassNames();
     String name = names.get(Math.min(names.size() - 1, (int) target.fault().magnitude()));
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.failRequestClass(name)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.failRequestClass(NO_REQUEST_CLASS)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setFailingRequestClass(name)),
+        () ->
+            target
+                .endpoints()
+                .forEach(endpoint -> endpoint.setFailingRequestClass(NO_REQUEST_CLASS)));
   }
 
-  private void loseAnswers(FaultTarget target) throws Exception {
+  /** Drops responses of executed requests; the magnitude is the fraction that is dropped. */
+  private void loseResponses(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.loseAnswers(fraction)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.loseAnswers(0)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setLostResponseFraction(fraction)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setLostResponseFraction(0)));
   }
 
+  /** Pauses endpoints at each interval; the magnitude is the mean pause in milliseconds. */
   private void pause(FaultTarget target) {
-    double millis = target.fault().magnitude();
+    double meanPauseMillis = target.fault().magnitude();
     timeline.repeatedly(
         target.fault(),
         () ->
             target
                 .endpoints()
-                .forEach(endpoint -> endpoint.pause(millis * (0.5 + fleet.random().nextDouble()))));
+                .forEach(
+                    endpoint ->
+                        endpoint.pause(meanPauseMillis * (0.5 + fleet.random().nextDouble()))));
   }
 
-  private void reportFalsely(FaultTarget target) throws Exception {
+  /** Makes endpoints report a multiple of their utilization; the magnitude is the multiple. */
+  private void falsifyReports(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.falseReports(multiple)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.falseReports(1)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(multiple)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setReportMultiple(1)));
   }
 
-  private void slowHandshakes(FaultTarget target) throws Exception {
+  /** Makes new connections cost more; the magnitude is the multiple of the usual core time. */
+  private void slowDownHandshakes(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> endpoint.slowHandshakes(multiple)),
-        () -> target.endpoints().forEach(endpoint -> endpoint.slowHandshakes(1)));
+        () -> target.endpoints().forEach(endpoint -> endpoint.setHandshakeMultiple(multiple)),
+        () -> target.endpoints().forEach(endpoint -> endpoint.setHandshakeMultiple(1)));
   }
 }
--- a/src/main/java/stonespring/testbed/ProxyFaults.java
+++ b/src/main/java/stonespring/testbed/ProxyFaults.java
@@ -5,11 +5,15 @@
 import java.util.function.Consumer;
 import stonespring.proxy.Proxy;
 
-/** Faults of proxies, of their clients and of their links to the instances. */
+/**
+ * Faults of proxies, of their clients and of their links to the instances. Used from the scenario's
+ * thread only.
+ */
 final class ProxyFaults {
-  /** The link's listener that carries the snapshot; see {@link WireTap}. */
+  /** The index of a link's listener for snapshots; the order is that of an instance's ports. */
   private static final int SNAPSHOT_LISTENER = 0;
 
+  /** The index of a link's listener for updates. */
   private static final int UPDATE_LISTENER = 1;
 
   private final ScenarioFleet fleet;
@@ -22,55 +26,61 @@
 
   void register(Map<FaultKind, FaultInjection> injections) {
     injections.put(FaultKind.LATE_REPORTS, this::delayReports);
-    injections.put(FaultKind.SLOW_CHANNEL, this::slowChannel);
+    injections.put(FaultKind.SLOW_CHANNEL, this::slowLinks);
     injections.put(FaultKind.BYTE_BY_BYTE, this::passByteByByte);
     injections.put(
-        FaultKind.RECONNECT, target -> forEachLink(target.proxies(), link -> link.cut(false)));
+        FaultKind.RECONNECT,
+        target -> forEachLink(target.proxies(), link -> link.closeConnections(false)));
     injections.put(
         FaultKind.HALF_CLOSE,
         target -> forEachLink(target.proxies(), link -> link.halfClose(UPDATE_LISTENER)));
-    injections.put(FaultKind.CUT_IN_SNAPSHOT, this::cutInSnapshot);
+    injections.put(FaultKind.CUT_IN_SNAPSHOT, this::closeDuringSnapshot);
     injections.put(FaultKind.PROXY_CRASH, this::crash);
     injections.put(FaultKind.PROXY_STALL, this::stall);
     injections.put(FaultKind.SURGE, this::surge);
-    injections.put(FaultKind.IMPATIENCE, this::shortenPatience);
+    injections.put(FaultKind.IMPATIENCE, this::shortenClientTimeouts);
   }
 
-  /** Does something to every link of some proxies. */
+  /** Applies an action to every link of the given proxies. */
   static void forEachLink(List<ScenarioProxy> proxies, Consumer<FaultyLink> action) {
     proxies.forEach(proxy -> proxy.links().forEach(action));
   }
 
+  /** Delays all that proxies send to instances; the magnitude is the delay in milliseconds. */
   private void delayReports(FaultTarget target) throws Exception {
     long millis = (long) target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> forEachLink(target.proxies(), link -> link.delay(millis, 0)),
-        () -> forEachLink(target.proxies(), link -> link.delay(0, 0)));
+        () -> forEachLink(target.proxies(), link -> link.setDelays(millis, 0)),
+        () -> forEachLink(target.proxies(), link -> link.setDelays(0, 0)));
   }
 
-  private void slowChannel(FaultTarget target) throws Exception {
+  private void slowLinks(FaultTarget target) throws Exception {
     double bytesPerMillisecond = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> forEachLink(target.proxies(), link -> link.slow(bytesPerMillisecond)),
-        () -> forEachLink(target.proxies(), link -> link.slow(Double.MAX_VALUE)));
+        () -> forEachLink(target.proxies(), link -> link.setDownstreamRate(bytesPerMillisecond)),
+        () -> forEachLink(target.proxies(), link -> link.setDownstreamRate(Double.MAX_VALUE)));
   }
 
   private void passByteByByte(FaultTarget target) throws Exception {
     timeline.during(
         target.fault(),
-        () -> forEachLink(target.proxies(), link -> link.byteByByte(true)),
-        () -> forEachLink(target.proxies(), link -> link.byteByByte(false)));
+        () -> forEachLink(target.proxies(), link -> link.setByteByByte(true)),
+        () -> forEachLink(target.proxies(), link -> link.setByteByByte(false)));
   }
 
-  private void cutInSnapshot(FaultTarget target) {
+  /**
+   * Makes proxies reconnect and closes a snapshot connection on each link early; the magnitude is
+   * the number of bytes that reach the proxy before.
+   */
+  private void closeDuringSnapshot(FaultTarget target) {
     long bytes = (long) target.fault().magnitude();
     forEachLink(
         target.proxies(),
         link -> {
-          link.cutAfter(SNAPSHOT_LISTENER, bytes);
-          link.cut(false);
+          link.closeConnectionAfter(SNAPSHOT_LISTENER, bytes);
+          link.closeConnections(false);
         });
   }
 
@@ -81,6 +91,7 @@
     }
   }
 
+  /** Stalls proxies at each interval; the magnitude is the length of a stall in milliseconds. */
   private void stall(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
@@ -92,19 +103,24 @@
     timeline.at(timeline.now() + millis, () -> proxy.setStalled(false));
   }
 
+  /** Raises the request rate of all clients, whatever the zone; the magnitude is the multiple. */
   private void surge(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> fleet.proxies().forEach(p -> p.client().rate(p.requestsPerSecond() * multiple)),
-        () -> fleet.proxies().forEach(p -> p.client().rate(p.requestsPerSecond())));
+        () ->
+            fleet
+                .proxies()
+                .forEach(p -> p.client().setRequestsPerSecond(p.requestsPerSecond() * multiple)),
+        () -> fleet.proxies().forEach(p -> p.client().setRequestsPerSecond(p.requestsPerSecond())));
   }
 
-  private void shortenPatience(FaultTarget target) throws Exception {
+  /** Shortens the timeouts of all clients, whatever the zone; the magnitude is the fraction. */
+  private void shortenClientTimeouts(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
     timeline.during(
         target.fault(),
-        () -> fleet.proxies().forEach(proxy -> proxy.client().patience(fraction)),
-        () -> fleet.proxies().forEach(proxy -> proxy.client().patience(1)));
+        () -> fleet.proxies().forEach(proxy -> proxy.client().setTimeoutFraction(fraction)),
+        () -> fleet.proxies().forEach(proxy -> proxy.client().setTimeoutFraction(1)));
   }
 }
