--- a/src/main/java/stonespring/proxy/routing/PublishedChange.java
+++ b/src/main/java/stonespring/proxy/routing/PublishedChange.java
@@ -3,39 +3,42 @@
 import java.util.Locale;
 import stonespring.model.RetryPolicy;
 
-/** One change of what an instance published for this proxy, read from a key and its value. */
+/** One change to a proxy's published state, decoded from a key and its value. */
 sealed interface PublishedChange {
-  /** The word in place of a table's number in a limit that holds for every table. */
+  /** Key segment that replaces the table's number in a limit that applies to all tables. */
   String ALL_TABLES = "every";
 
-  /** A route was set, or removed if the weight is null. */
+  /** Sets a route, or removes it if the weight is null. */
   record RouteChange(String table, String endpoint, Double weight) implements PublishedChange {}
 
-  /** A request class uses a table from now on. */
+  /** Assigns a table to a request class. */
   record TableAssignment(String requestClass, String table) implements PublishedChange {}
 
-  /** An endpoint is excluded, or allowed again. */
+  /** Excludes an endpoint or ends its exclusion. */
   record Exclusion(String endpoint, boolean excluded) implements PublishedChange {}
 
-  /** A limit was set, or removed if it is null. */
+  /** Sets a limit, or removes it if it is null. */
   record LimitChange(String table, String requestClass, AdmissionLimit limit)
       implements PublishedChange {}
 
-  /** A key that this version does not know: a later one may publish more. */
+  /** A key that this version does not know and ignores: later versions may publish further keys. */
   record Unknown() implements PublishedChange {}
 
-  /** The highest weight or limit that is read. */
+  /** Exclusive upper bound of weights and limits; larger values are rejected. */
   double MAX_NUMBER = 1e12;
 
-  /** The published word for {@link RetryPolicy#IF_NOT_EXECUTED}; the others have their names. */
+  /**
+   * The published word for {@link RetryPolicy#IF_NOT_EXECUTED}. Every other policy is published
+   * under its constant's name in lower case.
+   */
   String IF_NOT_EXECUTED_WORD = "on_proof";
 
   /**
-   * Reads a change.
+   * Decodes a change.
    *
    * @param key relative to the proxy's subtree
    * @param value null if the key was deleted
-   * @throws IllegalArgumentException if the key is known and its value can't be read
+   * @throws IllegalArgumentException if the key is known and its value is malformed
    */
   static PublishedChange read(String key, String value) {
     String[] segments = key.split("/", 3);
@@ -60,7 +63,8 @@
   private static double weight(String key, String value) {
     double weight = number(key, value);
     if (weight <= 0) {
-      throw new IllegalArgumentException(key + ": a weight of " + value);
+      throw new IllegalArgumentException(
+          key + ": expected a weight above 0, found '" + value + "'");
     }
     return weight;
   }
@@ -72,9 +76,10 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      // reported below, with the key
+      // Reported below, together with the key.
     }
-    throw new IllegalArgumentException(key + ": '" + value + "' is no number from 0");
+    throw new IllegalArgumentException(
+        key + ": expected a number from 0 to below " + MAX_NUMBER + ", found '" + value + "'");
   }
 
   private static AdmissionLimit limit(String key, String value) {
@@ -82,7 +87,7 @@
     RetryPolicy policy = words.length == 2 ? retryPolicy(words[1]) : null;
     if (policy == null) {
       throw new IllegalArgumentException(
-          key + ": '" + value + "' is no admission limit and retry policy");
+          key + ": expected an admission limit and a retry policy, found '" + value + "'");
     }
     return new AdmissionLimit(number(key, words[0]), policy);
   }
--- a/src/main/java/stonespring/proxy/routing/RequestStatistics.java
+++ b/src/main/java/stonespring/proxy/routing/RequestStatistics.java
@@ -9,59 +9,65 @@
 import stonespring.model.RequestClassId;
 
 /**
- * What a proxy observed since its last report: one figure for each endpoint and request class,
- * however many requests there are. Times are in {@link stonespring.model.DeciMillis}.
+ * What a proxy observed since its last report: counters for each endpoint and request class, so
+ * that the size does not depend on the number of requests. Times are in {@link
+ * stonespring.model.DeciMillis}.
  */
 public final class RequestStatistics {
   /**
-   * What was observed at one endpoint.
+   * The observations of one endpoint.
    *
-   * @param successTime the successful attempts' durations added up
-   * @param load the latest load report, or null
+   * @param totalSuccessDeciMillis sum of the durations of the successful attempts
+   * @param load the latest load report of the endpoint, or null if there is none
    */
   public record EndpointObservation(
-      String endpoint, long attempts, long failures, long successTime, LoadReport load) {}
+      String endpoint,
+      long attempts,
+      long failures,
+      long totalSuccessDeciMillis,
+      LoadReport load) {}
 
   private static final class EndpointCounters {
     private long attempts;
     private long failures;
-    private long successTime;
+    private long totalSuccessDeciMillis;
     private LoadReport load;
   }
 
   private final TreeMap<String, EndpointCounters> countersByEndpoint = new TreeMap<>();
   private final long[] requests;
   private final long[] unanswered;
-  private long since;
+  private long intervalStart;
 
   /** Starts an interval at {@code now}. */
-  public RequestStatistics(int requestClasses, long now) {
-    this.requests = new long[requestClasses];
-    this.unanswered = new long[requestClasses];
-    this.since = now;
+  public RequestStatistics(int requestClassCount, long now) {
+    this.requests = new long[requestClassCount];
+    this.unanswered = new long[requestClassCount];
+    this.intervalStart = now;
   }
 
-  /** A request was received. */
-  public void requestReceived(RequestClassId requestClass) {
+  /** Counts a received request. */
+  public void recordRequest(RequestClassId requestClass) {
     requests[requestClass.index()]++;
   }
 
-  /** An admitted request ended without a successful answer. */
-  public void requestUnanswered(RequestClassId requestClass) {
+  /** Counts an admitted request that ended without a successful answer. */
+  public void recordUnansweredRequest(RequestClassId requestClass) {
     unanswered[requestClass.index()]++;
   }
 
   /**
-   * An attempt ended.
+   * Records an attempt that has ended.
    *
-   * @param load null if the answer brought none
+   * @param load load report of the answer, or null if there is none
    */
-  public void attemptEnded(EndpointId endpoint, boolean succeeded, long duration, LoadReport load) {
+  public void recordAttempt(
+      EndpointId endpoint, boolean succeeded, long durationDeciMillis, LoadReport load) {
     EndpointCounters counters =
         countersByEndpoint.computeIfAbsent(endpoint.name(), name -> new EndpointCounters());
     counters.attempts++;
     if (succeeded) {
-      counters.successTime += duration;
+      counters.totalSuccessDeciMillis += durationDeciMillis;
     } else {
       counters.failures++;
     }
@@ -70,36 +76,37 @@
     }
   }
 
-  /** What was observed at each endpoint, by name. */
+  /** The observations of each endpoint, ordered by its name. */
   public List<EndpointObservation> observations() {
     List<EndpointObservation> observations = new ArrayList<>();
     countersByEndpoint.forEach(
         (endpoint, c) ->
             observations.add(
-                new EndpointObservation(endpoint, c.attempts, c.failures, c.successTime, c.load)));
+                new EndpointObservation(
+                    endpoint, c.attempts, c.failures, c.totalSuccessDeciMillis, c.load)));
     return observations;
   }
 
-  /** Requests of a class that were received. */
+  /** Number of requests of a class that were received. */
   public long requests(RequestClassId requestClass) {
     return requests[requestClass.index()];
   }
 
-  /** Requests of a class that were admitted and ended without a successful answer. */
-  public long unanswered(RequestClassId requestClass) {
+  /** Number of requests of a class that were admitted and ended without a successful answer. */
+  public long unansweredRequests(RequestClassId requestClass) {
     return unanswered[requestClass.index()];
   }
 
-  /** The time that the figures stand for; at least 1. */
-  public long interval(long now) {
-    return Math.max(1, now - since);
+  /** Length of the current interval; at least 1. */
+  public long intervalDeciMillis(long now) {
+    return Math.max(1, now - intervalStart);
   }
 
-  /** Starts the next interval: what was gathered is reported. */
+  /** Clears all counters and starts the next interval. */
   public void reset(long now) {
     countersByEndpoint.clear();
     Arrays.fill(requests, 0);
     Arrays.fill(unanswered, 0);
-    since = now;
+    intervalStart = now;
   }
 }
