--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -89,7 +89,7 @@
   }
 
   @Override
-  public void received(byte[] bytes) {
+  public void bytesReceived(byte[] bytes) {
     listener.watchResponded(this);
     int start = 0;
     while (start < bytes.length && !finished) {
@@ -155,11 +155,11 @@
 
   private void fail(String cause) {
     httpWatch.cancel();
-    ended(cause);
+    watchEnded(cause);
   }
 
   @Override
-  public void ended(String cause) {
+  public void watchEnded(String cause) {
     finished = true;
     cancelMessageTimeout();
     listener.watchFailed(this, cause);
--- a/src/main/java/stonespring/http/HeaderParser.java
+++ b/src/main/java/stonespring/http/HeaderParser.java
@@ -4,55 +4,57 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Collects the headers of one message, and checks its trailers. */
+/** Collects the headers of one message and checks its trailers. */
 final class HeaderParser {
+  /** Applies to the headers and trailers of a message together. */
   private static final int MAX_HEADERS = 100;
+
   private static final String NAME_PATTERN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
 
-  /** Two of these could make two readers see different messages. */
+  /** Headers whose repetition different HTTP implementations could interpret differently. */
   private static final Set<String> UNIQUE_HEADERS =
       Set.of("content-length", "transfer-encoding", "host");
 
   private final Map<String, String> headers = new LinkedHashMap<>();
-  private int lines;
+  private int lineCount;
 
-  /** Takes a header's line; values of a repeated header are joined. */
+  /** Adds a header line; the values of a repeated header are joined with a comma. */
   void addHeader(String line) {
-    int colon = nextLine(line);
+    int colon = checkLine(line);
     String name = HttpMessage.headerKey(line.substring(0, colon));
     String value = line.substring(colon + 1).strip();
     String previous = headers.put(name, value);
     if (previous != null) {
       if (UNIQUE_HEADERS.contains(name)) {
-        throw new MalformedHttpException(place(lines), "'" + name + "' comes twice");
+        throw new MalformedHttpException(location(lineCount), "'" + name + "' comes twice");
       }
       headers.put(name, previous + ", " + value);
     }
   }
 
-  /** Takes a trailer's line, which may be left out (RFC 9110, 6.5). */
-  void skipTrailer(String line) {
-    nextLine(line);
+  /** Checks a trailer line and discards it, which RFC 9110, 6.5 permits. */
+  void checkTrailer(String line) {
+    checkLine(line);
   }
 
-  /** Counts a line and returns the place of its colon. */
-  private int nextLine(String line) {
-    if (++lines > MAX_HEADERS) {
-      throw new MalformedHttpException(place(lines), "over " + MAX_HEADERS + " of them");
+  /** Counts and checks a header or trailer line; returns the index of its colon. */
+  private int checkLine(String line) {
+    if (++lineCount > MAX_HEADERS) {
+      throw new MalformedHttpException(location(lineCount), "over " + MAX_HEADERS + " of them");
     }
     int colon = line.indexOf(':');
     if (colon < 1 || !line.substring(0, colon).matches(NAME_PATTERN)) {
-      throw new MalformedHttpException(place(lines), "it has no proper name");
+      throw new MalformedHttpException(location(lineCount), "it has no proper name");
     }
     return colon;
   }
 
-  /** Where errors of the next line are reported. */
-  String nextPlace() {
-    return place(lines + 1);
+  /** Returns the location to report in an error of the next line. */
+  String nextLocation() {
+    return location(lineCount + 1);
   }
 
-  private static String place(int line) {
+  private static String location(int line) {
     return "header " + line;
   }
 
