--- a/src/main/java/stonespring/simulator/BatchReader.java
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -9,18 +9,20 @@
 import stonespring.simulator.WireNames.Batch;
 
 /**
- * Reads one line of input. It is parsed as a stream, so that one message at a time is in memory.
+ * Reads batches of messages, each one line of JSON. A batch is parsed as a stream, so that only one
+ * message at a time is held as a tree.
  */
 final class BatchReader {
+  /** Stands for a number that the line has not provided yet; valid numbers start at 0. */
   private static final long UNSET = -1;
 
-  /** Takes the messages of a batch, in their order. */
+  /** Receives the messages of a batch in the order of the line. */
   interface MessageHandler {
     /**
-     * Takes a message.
+     * Handles a message.
      *
      * @param now the batch's time, {@link DeciMillis}
-     * @param instance the number of the instance that the message is for
+     * @param instance the number of the instance that the message addresses
      */
     void handle(long now, int instance, SimulatorMessage message);
   }
@@ -35,53 +37,56 @@
     this.handler = handler;
   }
 
-  /** The time of the batch read last, {@link DeciMillis}. */
+  /** Returns the time of the batch read last, {@link DeciMillis}; negative before the first. */
   long now() {
     return now;
   }
 
-  /** The sequence number of the batch read last. */
+  /** Returns the sequence number of the batch read last; negative before the first. */
   long sequence() {
     return sequence;
   }
 
   /**
-   * Reads a batch.
+   * Reads a batch and passes its messages to the handler. Messages that precede an error in the
+   * line have been passed on by then.
    *
-   * @throws SimulatorProtocolException if the line breaks the wire's form
+   * @throws com.fasterxml.jackson.core.JsonProcessingException if the line is not valid JSON
+   * @throws SimulatorProtocolException if the line violates the protocol
    */
   void read(String line) throws IOException {
     now = UNSET;
     sequence = UNSET;
     try (JsonParser json = mapper.createParser(line)) {
-      expect(json.nextToken(), JsonToken.START_OBJECT, "the batch");
+      checkToken(json.nextToken(), JsonToken.START_OBJECT, "batch");
       boolean hasParts = readFields(json);
       if (now < 0 || sequence < 0 || !hasParts) {
         throw new SimulatorProtocolException(
-            "the batch lacks one of its fields '"
+            "batch: expected the fields '"
                 + Batch.TIME_SECONDS
                 + "', '"
                 + Batch.SEQUENCE
                 + "' and '"
                 + Batch.PARTS
-                + "'");
+                + "' and no negative number; at least one field is missing or negative");
       }
-      expect(json.currentToken(), JsonToken.END_OBJECT, "the batch");
+      checkToken(json.currentToken(), JsonToken.END_OBJECT, "batch");
       if (json.nextToken() != null) {
-        throw new SimulatorProtocolException("a line holds more than one value");
+        throw new SimulatorProtocolException(
+            "batch: expected the end of the line after it, found another JSON value");
       }
     }
   }
 
-  /** Reads the fields of the batch; whether its parts are among them. */
+  /** Reads the fields of the batch and returns whether its parts are among them. */
   private boolean readFields(JsonParser json) throws IOException {
     boolean hasParts = false;
     while (json.nextToken() == JsonToken.FIELD_NAME) {
       String field = json.currentName();
       json.nextToken();
       switch (field) {
-        case Batch.TIME_SECONDS -> now = DeciMillis.ofSeconds(number(json, field).asDouble());
-        case Batch.SEQUENCE -> sequence = number(json, field).asLong();
+        case Batch.TIME_SECONDS -> now = DeciMillis.ofSeconds(readNumber(json, field).asDouble());
+        case Batch.SEQUENCE -> sequence = readNumber(json, field).asLong();
         case Batch.PARTS -> {
           hasParts = true;
           readParts(json);
@@ -95,15 +100,15 @@
   private void readParts(JsonParser json) throws IOException {
     if (now < 0) {
       throw new SimulatorProtocolException(
-          "the batch's field '"
+          "batch: expected field '"
               + Batch.TIME_SECONDS
-              + "' is missing or stands after '"
+              + "' before '"
               + Batch.PARTS
-              + "'");
+              + "'; it is missing, negative or comes later");
     }
-    expect(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.PARTS + "'");
+    checkToken(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.PARTS + "'");
     while (json.nextToken() != JsonToken.END_ARRAY) {
-      expect(json.currentToken(), JsonToken.START_OBJECT, "an element of '" + Batch.PARTS + "'");
+      checkToken(json.currentToken(), JsonToken.START_OBJECT, "element of '" + Batch.PARTS + "'");
       readPart(json);
     }
   }
@@ -114,7 +119,7 @@
       String field = json.currentName();
       json.nextToken();
       switch (field) {
-        case Batch.INSTANCE -> instance = number(json, field).asInt();
+        case Batch.INSTANCE -> instance = readNumber(json, field).asInt();
         case Batch.MESSAGES -> readMessages(json, instance);
         default -> json.skipChildren();
       }
@@ -124,26 +129,33 @@
   private void readMessages(JsonParser json, int instance) throws IOException {
     if (instance < 0) {
       throw new SimulatorProtocolException(
-          "field '" + Batch.INSTANCE + "' is missing or stands after '" + Batch.MESSAGES + "'");
+          "element of '"
+              + Batch.PARTS
+              + "': expected field '"
+              + Batch.INSTANCE
+              + "' before '"
+              + Batch.MESSAGES
+              + "'; it is missing, negative or comes later");
     }
-    expect(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.MESSAGES + "'");
+    checkToken(json.currentToken(), JsonToken.START_ARRAY, "field '" + Batch.MESSAGES + "'");
     while (json.nextToken() != JsonToken.END_ARRAY) {
       JsonNode array = json.readValueAsTree();
       handler.handle(now, instance, SimulatorMessage.of(array));
     }
   }
 
-  private static JsonNode number(JsonParser json, String field) throws IOException {
+  private static JsonNode readNumber(JsonParser json, String field) throws IOException {
     JsonNode value = json.readValueAsTree();
     if (!value.isNumber()) {
-      throw new SimulatorProtocolException("field '" + field + "' is not a number: " + value);
+      throw new SimulatorProtocolException(
+          "field '" + field + "': expected a number, found " + value);
     }
     return value;
   }
 
-  private static void expect(JsonToken found, JsonToken expected, String element) {
+  private static void checkToken(JsonToken found, JsonToken expected, String element) {
     if (found != expected) {
-      throw new SimulatorProtocolException(element + " is not well-formed: " + found);
+      throw new SimulatorProtocolException(element + ": expected " + expected + ", found " + found);
     }
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
+++ b/src/main/java/stonespring/testbed/virtual/LoadGenerator.java
@@ -227,7 +227,9 @@
           kind == Kind.SURGE && at >= DISTURBANCE_START_DECI_MILLIS && at < SURGE_END_DECI_MILLIS;
       for (int index = 0; index < proxies.size(); index++) {
         addArrivals(
-            at, index, proxies.get(index).requestsPerSecond() * (surging ? SURGE_MULTIPLE : 1));
+            at,
+            index,
+            proxies.get(index).usualRequestsPerSecond() * (surging ? SURGE_MULTIPLE : 1));
       }
     }
   }
