--- a/benchmarks/stonespring/testbed/SolverBenchmark.java
+++ b/benchmarks/stonespring/testbed/SolverBenchmark.java
@@ -29,33 +29,33 @@
   public int size;
 
   private SolverTrial trial;
-  private Problem whole;
+  private Problem initialProblem;
   private Solver solver;
   private Plan plan;
-  private Problem changed;
+  private Problem changedProblem;
 
   @Setup(Level.Trial)
-  public void draw() {
+  public void drawFleet() {
     trial = new SolverTrial(1, size, size);
-    whole = trial.problem(null);
+    initialProblem = trial.problem(null);
     solver = new Solver();
-    plan = solver.solve(whole);
+    plan = solver.solve(initialProblem);
   }
 
   @Setup(Level.Invocation)
-  public void change() {
+  public void changeFleet() {
     trial.change();
-    changed = trial.problem(plan);
+    changedProblem = trial.problem(plan);
   }
 
   @Benchmark
-  public Plan whole() {
-    return new Solver().solve(whole);
+  public Plan solveFromScratch() {
+    return new Solver().solve(initialProblem);
   }
 
   @Benchmark
-  public Plan afterASmallChange() {
-    plan = solver.solve(changed);
+  public Plan solveAfterSmallChange() {
+    plan = solver.solve(changedProblem);
     return plan;
   }
 }
--- a/src/test/java/stonespring/recorded/RecordedDigests.java
+++ b/src/test/java/stonespring/recorded/RecordedDigests.java
@@ -18,12 +18,12 @@
  * in {@code target/} under the resource's name.
  */
 public final class RecordedDigests {
-  private final StringBuilder found = new StringBuilder();
+  private final StringBuilder actual = new StringBuilder();
 
   /** One recording's running digest. */
   public static final class Recording {
     private final MessageDigest digest;
-    private int pieces;
+    private int chunkCount;
 
     /** Starts with nothing recorded. */
     public Recording() {
@@ -36,7 +36,7 @@
 
     public void add(byte[] bytes) {
       digest.update(bytes);
-      pieces++;
+      chunkCount++;
     }
 
     public void add(String text) {
@@ -46,10 +46,10 @@
 
   /** Ends a recording. */
   public void put(String name, Recording recording) {
-    found
+    actual
         .append(name)
         .append(' ')
-        .append(recording.pieces)
+        .append(recording.chunkCount)
         .append(' ')
         .append(HexFormat.of().formatHex(recording.digest.digest()))
         .append('\n');
@@ -57,14 +57,14 @@
 
   /** Compares all recordings with those that the resource holds. */
   public void check(String resource) throws IOException {
-    Path left = Path.of("target", resource);
-    Files.createDirectories(left.getParent());
-    Files.writeString(left, found.toString());
+    Path actualFile = Path.of("target", resource);
+    Files.createDirectories(actualFile.getParent());
+    Files.writeString(actualFile, actual.toString());
     try (InputStream in = RecordedDigests.class.getResourceAsStream("/recorded/" + resource)) {
       assertNotNull(in, "no resource /recorded/" + resource);
       assertEquals(
           new String(in.readAllBytes(), StandardCharsets.UTF_8),
-          found.toString(),
+          actual.toString(),
           "what is recorded has changed");
     }
   }
