--- a/benchmarks/stonespring/testbed/SolverBenchmark.java
+++ b/benchmarks/stonespring/testbed/SolverBenchmark.java
@@ -17,7 +17,10 @@
 import stonespring.solver.Problem;
 import stonespring.solver.Solver;
 
-/** Whole solves, and solves after one in a hundred tasks and proxies changed; three op types. */
+/**
+ * Measures the weight solver from scratch and after 1 % of the endpoints and proxies have changed,
+ * with three request classes.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -26,7 +29,7 @@
 @Fork(1)
 public class SolverBenchmark {
   @Param({"200", "800"})
-  public int size;
+  public int size; // number of endpoints and number of proxies
 
   private SolverTrial trial;
   private Problem initialProblem;
--- a/examples/bad-day.star
+++ b/examples/bad-day.star
@@ -1,4 +1,5 @@
-# A bad day on loopback: three zones, 24 tasks, 24 proxies, one assigner that is killed on the way.
+# A scenario with many kinds of fault, on loopback: three zones, 24 endpoints ("tasks"), 24 proxies and one instance
+# ("assigner") that is killed and restarted during the run.
 # ./stonespring day examples/bad-day.star --seed 1
 assigner = {"name": "bad-day", "port": 0}
 fleet = {"zones": ["west", "south", "east"], "proxies": 24, "assigners": 1, "standing_lines": 5, "shun_after": 3}
--- a/examples/every-trouble.star
+++ b/examples/every-trouble.star
@@ -1,4 +1,4 @@
-# Every kind of trouble once, each for a short while, one after the other, on the fleet of the bad day.
+# Every kind of fault ("trouble") once, one after the other and each for a short time, on the fleet of bad-day.star.
 # ./stonespring day examples/every-trouble.star --seed 1
 load("bad-day.star", "assigner", "fleet", "op_types", "channel", "rules", "prices", "reports", "levels", "tasks", _bad = "day")
 
--- a/examples/growth-day.star
+++ b/examples/growth-day.star
@@ -1,5 +1,6 @@
-# A fleet that nearly doubles during a surge, with late sums and proxies that shun: from the first seconds more comes than the
-# tasks can do, and what comes to help is cold. ./stonespring day examples/growth-day.star --seed 1
+# A fleet that nearly doubles during a surge, with delayed reports and proxies that eject failing endpoints. Demand exceeds
+# capacity from the first seconds, and the endpoints that join are still warming up.
+# ./stonespring day examples/growth-day.star --seed 1
 load("bad-day.star", "assigner", "fleet", "op_types", "prices", "levels", "tasks", _bad = "day")
 
 channel = {"lines_per_s": 2900, "message_head_lines": 10, "backlog_lines": 5800, "messages_most": 30, "messages_over_s": 10}
--- a/examples/large.star
+++ b/examples/large.star
@@ -1,17 +1,17 @@
-# The same fleet at a larger size: 500 proxies and a channel of 29,000 lines a second.
+# The settings of assigner.star for a larger fleet: 500 proxies and a channel of 29,000 entries per second.
 assigner = {
     "name": "assigner-1",
     "host": "127.0.0.1",
-    "port": 7400,                   # snapshots; updates at 7401, the collector at 7402
+    "port": 7400,                   # CHP snapshots; 7401 publishes updates, 7402 collects messages from proxies
     "saved_list": "saved-list.json",
 }
 
 fleet = {
     "zones": ["west", "south", "east"],
-    "proxies": 500,                  # about how many proxies there are, over all assigners
+    "proxies": 500,                 # approximate number of proxies, across all instances ("assigners")
     "assigners": 1,
-    "standing_lines": 5,            # the most tasks in the table that a proxy starts with
-    "shun_after": 3,                # a proxy keeps away from a task after so many of its own tries in a row failed
+    "standing_lines": 5,            # maximum number of endpoints ("tasks") in the table that a proxy starts with
+    "shun_after": 3,                # a proxy ejects an endpoint after this many consecutive failures of its own attempts
 }
 
 op_types = [
--- a/examples/lost-zone-day.star
+++ b/examples/lost-zone-day.star
@@ -1,4 +1,4 @@
-# A zone lost and back, cold, with the weight solver beside the decisions.
+# A zone fails and returns with its endpoints warming up; the weight solver's proposals are enabled.
 # ./stonespring day examples/lost-zone-day.star --seed 1
 assigner = {"name": "lost-zone-day", "port": 0}
 fleet = {"zones": ["west", "south", "east"], "proxies": 24, "assigners": 1, "standing_lines": 5, "shun_after": 3}
--- a/examples/proposals-day.star
+++ b/examples/proposals-day.star
@@ -1,4 +1,4 @@
-# The bad day with the weight solver beside the decisions.
+# The scenario of bad-day.star with the weight solver's proposals enabled.
 # ./stonespring day examples/proposals-day.star --seed 1
 assigner = {"name": "bad-day", "port": 0}
 fleet = {"zones": ["west", "south", "east"], "proxies": 24, "assigners": 1, "standing_lines": 5, "shun_after": 3}
--- a/examples/surge-day.star
+++ b/examples/surge-day.star
@@ -1,4 +1,4 @@
-# A surge with late sums, the weight solver beside the decisions.
+# A surge with delayed reports; the weight solver's proposals are enabled.
 # ./stonespring day examples/surge-day.star --seed 1
 assigner = {"name": "surge-day", "port": 0}
 fleet = {"zones": ["west", "south", "east"], "proxies": 24, "assigners": 1, "standing_lines": 5, "shun_after": 3}
--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -9,7 +9,12 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/** Packages have one job each and make no circles; what decides has no I/O, clock or thread. */
+/**
+ * Checks the dependencies between packages of the main code: they are free of cycles, and the
+ * packages that make routing decisions perform no I/O, read no clock and start no thread. Layers
+ * below do not depend on layers above, and the invariant checker shares no code with what it
+ * checks.
+ */
 final class ArchitectureTest {
   private static final JavaClasses MAIN_CLASSES =
       new ClassFileImporter()
--- a/src/test/java/stonespring/recorded/CommandEncoder.java
+++ b/src/test/java/stonespring/recorded/CommandEncoder.java
@@ -8,14 +8,14 @@
 import stonespring.model.Command;
 
 /**
- * Writes commands as bytes that name no type or field: a tag for the kind, then the values by
- * position with their full bits. A rename therefore leaves the bytes as they are; a changed
- * decision does not.
+ * Encodes commands as bytes for {@link RecordedDigests}: a tag for the type of command, then its
+ * components by position at full precision. The bytes contain no type or component names, so a
+ * rename leaves them unchanged while a changed decision changes them.
  */
 public final class CommandEncoder {
   private CommandEncoder() {}
 
-  /** The bytes of one batch of commands, in order. */
+  /** Encodes one batch of commands, in order, preceded by their number. */
   public static byte[] encode(List<Command> commands) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -75,9 +75,9 @@
       out.writeInt(c.bytes().length);
       out.write(c.bytes());
     } else if (command instanceof Command.Log) {
-      out.writeByte(
-          11); // its text is for people: words may be put better, that a line is logged may not
-      // change
+      // The text is left out, so that log lines can be reworded; that a line is logged still
+      // counts.
+      out.writeByte(11);
     } else {
       throw new AssertionError("no encoding for " + command);
     }
--- a/src/test/java/stonespring/recorded/RecordedDigests.java
+++ b/src/test/java/stonespring/recorded/RecordedDigests.java
@@ -13,19 +13,19 @@
 import java.util.HexFormat;
 
 /**
- * Digests of recorded output, held against a resource: one line for each recording, its name, how
- * many pieces it had, and the SHA-256 of all their bytes. Where they differ, what was found is left
- * in {@code target/} under the resource's name.
+ * Digests of recorded output, compared with a resource that has one line per recording: its name,
+ * its number of chunks and the SHA-256 of their concatenated bytes. The actual lines are written to
+ * {@code target/} under the resource's name. Not thread-safe.
  */
 public final class RecordedDigests {
   private final StringBuilder actual = new StringBuilder();
 
-  /** One recording's running digest. */
+  /** The number of chunks of one recording and the digest of their bytes so far. */
   public static final class Recording {
     private final MessageDigest digest;
     private int chunkCount;
 
-    /** Starts with nothing recorded. */
+    /** Creates an empty recording. */
     public Recording() {
       try {
         this.digest = MessageDigest.getInstance("SHA-256");
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Ends a recording. */
+  /** Adds the line of a completed recording; its digest must not be updated afterwards. */
   public void put(String name, Recording recording) {
     actual
         .append(name)
@@ -55,7 +55,7 @@
         .append('\n');
   }
 
-  /** Compares all recordings with those that the resource holds. */
+  /** Asserts that the lines added are those of the resource, in the same order. */
   public void check(String resource) throws IOException {
     Path actualFile = Path.of("target", resource);
     Files.createDirectories(actualFile.getParent());
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -22,15 +22,15 @@
 import stonespring.recording.RecordingFile;
 
 /**
- * What version 0.2.0 stored or was given is read as it was then, and is written in the same form
- * again.
+ * Guards compatibility with version 0.2.0: the files that it wrote or read are still read with the
+ * same values, and those that it wrote are still written with the same content.
  */
 final class StoredDataTest {
   private static final Path STORED_DATA = Path.of("src/test/resources/stored");
   private static final List<String> ZONES = List.of("west", "east");
   @TempDir private Path temporaryFolder;
 
-  /** Every value of the settings, by position: no name of a field is part of it. */
+  /** Returns every value of the settings by position, without field names. */
   private static String describeValues(Settings settings) {
     StringBuilder classes = new StringBuilder();
     for (RequestClass requestClass : settings.requestClasses()) {
