--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -11,9 +11,9 @@
 
 /**
  * Checks the dependencies between packages of the main code: they are free of cycles, and the
- * packages that make routing decisions perform no I/O, read no clock and start no thread. Layers
- * below do not depend on layers above, and the invariant checker shares no code with what it
- * checks.
+ * packages that make routing decisions perform no I/O, read no clock and start no thread. The
+ * transport packages do not depend on the application packages, {@code state} depends neither on
+ * the proxy API nor on sockets, and the invariant checker shares no code with what it checks.
  */
 final class ArchitectureTest {
   private static final JavaClasses MAIN_CLASSES =
--- a/src/test/java/stonespring/recorded/RecordedDigests.java
+++ b/src/test/java/stonespring/recorded/RecordedDigests.java
@@ -61,11 +61,11 @@
     Files.createDirectories(actualFile.getParent());
     Files.writeString(actualFile, actual.toString());
     try (InputStream in = RecordedDigests.class.getResourceAsStream("/recorded/" + resource)) {
-      assertNotNull(in, "no resource /recorded/" + resource);
+      assertNotNull(in, "test resource /recorded/" + resource + " not found");
       assertEquals(
           new String(in.readAllBytes(), StandardCharsets.UTF_8),
           actual.toString(),
-          "what is recorded has changed");
+          "recorded output differs from /recorded/" + resource + "; actual digests: " + actualFile);
     }
   }
 }
