--- a/src/main/java/stonespring/testbed/ClientStandIn.java
+++ b/src/main/java/stonespring/testbed/ClientStandIn.java
@@ -14,50 +14,60 @@
 import stonespring.proxy.ProxyHeaders;
 
 /**
- * The clients of one proxy. Requests arrive at random and do not wait for earlier answers. A client
- * retries after a failure where the request is idempotent or certainly wasn't executed; all its
- * attempts count as one request. It gives up at the request timeout. Runs on one event loop.
+ * The clients of one proxy. Requests start as a Poisson process, independently of the responses to
+ * earlier ones. A failed request is retried if it is idempotent or was certainly not executed; all
+ * its attempts count as one request. A request is given up at its timeout. All requests run on one
+ * event loop; {@link #start}, {@link #stop} and the setters may be called from any thread.
  */
 final class ClientStandIn {
   /**
-   * One request class as clients send it.
+   * One request class of the mix that clients send.
    *
-   * @param share of all requests
+   * @param share the class's fraction of all requests, 0 to 1
+   * @param idempotent whether clients retry a request that may have been executed
+   * @param timeoutMillis the time from the first attempt after which a request is given up
    */
-  record RequestMix(String requestClass, double share, boolean idempotent, double timeoutMillis) {}
+  record RequestMixEntry(
+      String requestClass, double share, boolean idempotent, double timeoutMillis) {}
 
-  private record ClientRequest(RequestMix mix, String id, double askedAt) {}
+  private record ClientRequest(RequestMixEntry mix, String id, double startedAtMillis) {}
 
+  /** The longest time between two checks for due requests. */
   private static final double MAX_TICK_MILLIS = 5;
+
   private static final int MAX_RETRIES = 2;
   private static final long RETRY_DELAY_MILLIS = 300;
-  private static final long MIN_TIME_AFTER_DELAY_MILLIS = 50;
+
+  /** The time that must be left before the timeout when a retry is sent. */
+  private static final long MIN_TIME_FOR_RETRY_MILLIS = 50;
+
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
-  private static final int MAX_ANSWER_BYTES = 64 << 10;
+  private static final int MAX_RESPONSE_BYTES = 64 << 10;
   private static final int MAX_CONNECTIONS = 64;
 
   private final EventLoop loop;
   private final Evidence evidence;
-  private final List<RequestMix> requestMix;
+  private final List<RequestMixEntry> requestMix;
   private final String proxyName;
   private final InetSocketAddress proxyAddress;
   private final SplittableRandom random;
   private final HttpClient client;
   private final AtomicInteger openRequests;
   private volatile double requestsPerSecond;
-  private volatile double patience = 1;
+  private volatile double timeoutFraction = 1;
   private boolean stopped;
   private long requestCount;
 
   /**
-   * Creates clients that aren't started.
+   * Creates clients that send nothing until {@link #start}.
    *
-   * @param openRequests counts the requests of all clients that have no final answer yet
+   * @param seed seed of the random numbers that arrivals and request classes are drawn from
+   * @param openRequests shared by all clients; counts the requests that have not ended yet
    */
   ClientStandIn(
       EventLoop loop,
       Evidence evidence,
-      List<RequestMix> requestMix,
+      List<RequestMixEntry> requestMix,
       ScenarioProxy proxy,
       long seed,
       AtomicInteger openRequests) {
@@ -68,56 +78,59 @@
     this.proxyAddress = new InetSocketAddress("127.0.0.1", proxy.port());
     this.requestsPerSecond = proxy.requestsPerSecond();
     this.random = new SplittableRandom(seed);
-    this.client = new HttpClient(loop, CONNECT_TIMEOUT_MILLIS, MAX_ANSWER_BYTES, MAX_CONNECTIONS);
+    this.client = new HttpClient(loop, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, MAX_CONNECTIONS);
     this.openRequests = openRequests;
   }
 
   void start() {
-    loop.execute(() -> sendDue(evidence.now() + drawGapMillis()));
+    loop.execute(() -> sendDueRequests(evidence.now() + drawInterarrivalMillis()));
   }
 
-  void rate(double newRequestsPerSecond) {
+  void setRequestsPerSecond(double newRequestsPerSecond) {
     requestsPerSecond = newRequestsPerSecond;
   }
 
-  /** Sets the fraction of the request timeout after which clients give up. */
-  void patience(double fraction) {
-    patience = fraction;
+  /** Sets the fraction of the request timeout after which a request is given up; 1 is usual. */
+  void setTimeoutFraction(double fraction) {
+    timeoutFraction = fraction;
   }
 
-  /** Sends no new requests; those on their way are finished. */
+  /** Stops sending new requests; requests under way still run to their end. */
   void stop() {
     loop.execute(() -> stopped = true);
   }
 
-  private double drawGapMillis() {
+  /** Draws the time to the next request from an exponential distribution. */
+  private double drawInterarrivalMillis() {
     return -Math.log(1 - random.nextDouble()) * 1000 / Math.max(0.001, requestsPerSecond);
   }
 
-  private void sendDue(double firstDueAt) {
+  /** Sends the requests that are due and schedules the next check. */
+  private void sendDueRequests(double firstDueAtMillis) {
     if (stopped) {
       return;
     }
-    double dueAt = firstDueAt;
-    while (dueAt <= evidence.now()) {
-      send();
-      dueAt += drawGapMillis();
+    double dueAtMillis = firstDueAtMillis;
+    while (dueAtMillis <= evidence.now()) {
+      sendRequest();
+      dueAtMillis += drawInterarrivalMillis();
     }
-    double nextDueAt = dueAt;
-    long delay = (long) Math.max(1, Math.min(MAX_TICK_MILLIS, nextDueAt - evidence.now()));
-    loop.schedule(() -> sendDue(nextDueAt), delay, TimeUnit.MILLISECONDS);
+    double nextDueAtMillis = dueAtMillis;
+    long delayMillis =
+        (long) Math.max(1, Math.min(MAX_TICK_MILLIS, nextDueAtMillis - evidence.now()));
+    loop.schedule(() -> sendDueRequests(nextDueAtMillis), delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void send() {
-    RequestMix mix = drawRequestClass();
+  private void sendRequest() {
+    RequestMixEntry mix = drawMixEntry();
     openRequests.incrementAndGet();
     String id = proxyName + "-" + ++requestCount;
-    attempt(new ClientRequest(mix, id, evidence.now()), 0);
+    sendAttempt(new ClientRequest(mix, id, evidence.now()), 0);
   }
 
-  private RequestMix drawRequestClass() {
+  private RequestMixEntry drawMixEntry() {
     double draw = random.nextDouble();
-    for (RequestMix mix : requestMix) {
+    for (RequestMixEntry mix : requestMix) {
       draw -= mix.share();
       if (draw < 0) {
         return mix;
@@ -127,20 +140,27 @@
   }
 
   private double timeLeftMillis(ClientRequest request) {
-    return request.askedAt() + request.mix().timeoutMillis() * patience - evidence.now();
+    return request.startedAtMillis()
+        + request.mix().timeoutMillis() * timeoutFraction
+        - evidence.now();
   }
 
-  private void attempt(ClientRequest request, int retries) {
-    long timeout = (long) Math.max(1, timeLeftMillis(request));
-    HttpRequest message =
+  private void sendAttempt(ClientRequest request, int retries) {
+    long timeoutMillis = (long) Math.max(1, timeLeftMillis(request));
+    HttpRequest httpRequest =
         HttpRequest.post(proxyAddress, "/op/" + request.mix().requestClass(), new byte[0])
             .setHeader("x-op", request.id())
-            .setHeader("x-op-timeout-ms", String.valueOf(timeout))
+            .setHeader("x-op-timeout-ms", String.valueOf(timeoutMillis))
             .setHeader("content-length", "0");
-    client.call(proxyAddress, message, timeout, result -> attemptEnded(request, retries, result));
+    client.call(
+        proxyAddress,
+        httpRequest,
+        timeoutMillis,
+        result -> completeAttempt(request, retries, result));
   }
 
-  private void attemptEnded(ClientRequest request, int retries, HttpCallResult result) {
+  /** Schedules a retry, or ends the request and records its outcome. */
+  private void completeAttempt(ClientRequest request, int retries, HttpCallResult result) {
     int status = 0;
     String reason = "";
     boolean notExecuted = false;
@@ -156,21 +176,22 @@
     boolean succeeded = status == 200;
     if (!succeeded
         && retries < MAX_RETRIES
-        && timeLeftMillis(request) > RETRY_DELAY_MILLIS + MIN_TIME_AFTER_DELAY_MILLIS
+        && timeLeftMillis(request) > RETRY_DELAY_MILLIS + MIN_TIME_FOR_RETRY_MILLIS
         && (request.mix().idempotent() || notExecuted)) {
-      loop.schedule(() -> attempt(request, retries + 1), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(
+          () -> sendAttempt(request, retries + 1), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
       return;
     }
     openRequests.decrementAndGet();
     evidence.add(
         new Evidence.Outcome(
-            request.askedAt(),
+            request.startedAtMillis(),
             proxyName,
             request.id(),
             request.mix().requestClass(),
             status,
             reason,
             notExecuted,
-            evidence.now() - request.askedAt()));
+            evidence.now() - request.startedAtMillis()));
   }
 }
--- a/src/main/java/stonespring/testbed/EndpointStandIn.java
+++ b/src/main/java/stonespring/testbed/EndpointStandIn.java
@@ -19,20 +19,22 @@
 import stonespring.proxy.ProxyHeaders;
 
 /**
- * An endpoint on loopback with cores, a queue, a warm-up after a start, a cost of new connections,
- * load reports in its answers and a ledger of effects. Work takes its time by the clock and no
- * processor. Requests are handled on one event loop; faults may be set from any thread. Times are
- * milliseconds on the evidence's clock.
+ * A simulated endpoint on a loopback port. It has a number of cores, a bounded queue and a slow
+ * start; new connections take core time, responses carry load reports, and repeated requests are
+ * deduplicated. Work is simulated by timers and uses no processor time. Requests are handled on one
+ * event loop; faults may be set from any thread. Points in time are milliseconds on the clock of
+ * {@link Evidence}.
  */
 final class EndpointStandIn {
-  /** A request's mean service time by request class, and that of all other classes. */
-  record ServiceTimes(Map<String, Double> millisByClass, double otherMillis) {}
+  /** Mean service times of requests by request class, and the one of all classes not listed. */
+  record ServiceTimes(Map<String, Double> millisByClass, double defaultMillis) {}
 
   /**
-   * The warm-up after a start.
+   * The slow start: the capacity grows linearly from a fraction to the whole.
    *
-   * @param initialFraction of the capacity, at the start
-   * @param overloadMultiple of its capacity over the window, above which the endpoint crashes
+   * @param initialFraction the warm-up fraction at the start, 0 to 1
+   * @param overloadMultiple a warming endpoint crashes when the work that arrives within the
+   *     overload window exceeds this multiple of the work that it can do in that time
    */
   record SlowStart(
       double initialFraction,
@@ -41,10 +43,13 @@
       double overloadWindowMillis) {}
 
   /**
-   * What an endpoint is like.
+   * The properties of an endpoint.
    *
-   * @param handshakeMillis a core's time that a new connection takes
-   * @param deduplicationWindowMillis by request class, for those that have one
+   * @param queueLimit the number of requests that may wait for a core; more are rejected
+   * @param connectionLimit the number of open connections; more are closed on accept
+   * @param handshakeMillis the core time that a new connection takes
+   * @param deduplicationWindowMillis the deduplication window by request class, for the classes
+   *     that have one
    */
   record Specification(
       int cores,
@@ -60,11 +65,13 @@
       String requestClass,
       int attempt,
       double workMillis,
-      double deadline,
+      double deadlineMillis,
       HttpServer.Exchange exchange) {}
 
   private static final int MAX_REQUEST_BYTES = 64 << 10;
-  private static final double LONG_AGO = -1e9;
+
+  /** Start of an endpoint without a slow start: so long ago that any warm-up is over. */
+  private static final double LONG_AGO_MILLIS = -1e9;
 
   private final String name;
   private final String zone;
@@ -75,22 +82,25 @@
   private final SplittableRandom random;
   private final AtomicInteger openConnections = new AtomicInteger();
   private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
-  private final OverloadDetector overload;
-  private final EffectLedger ledger;
-  private final UtilizationMeter utilization;
+  private final OverloadDetector overloadDetector;
+  private final RequestDeduplicator deduplicator;
+  private final UtilizationMeter utilizationMeter;
   private HttpServer server;
   private int port;
   private int busyCores;
-  private int incarnation; // work of an earlier one is not finished by a later one
-  private double startedAt = LONG_AGO;
-  private double pausedUntil;
+
+  /** Counts starts and crashes, so that timers of an earlier process don't complete its work. */
+  private int incarnation;
+
+  private double warmUpStartedAtMillis = LONG_AGO_MILLIS;
+  private double pausedUntilMillis;
   private volatile boolean up;
   private volatile ChannelFuture listenerClosed;
 
-  // Faults.
+  // Faults. A start ends silence and random errors; the others stay until they are set again.
   private volatile boolean silent;
   private volatile double errorFraction;
-  private volatile double lostAnswerFraction;
+  private volatile double lostResponseFraction;
   private volatile String failingRequestClass = "";
   private volatile double reportMultiple = 1;
   private volatile double handshakeMultiple = 1;
@@ -110,16 +120,16 @@
     this.loop = loops.next();
     this.evidence = evidence;
     this.random = new SplittableRandom(seed);
-    this.overload = new OverloadDetector(specification.slowStart().overloadWindowMillis());
-    this.ledger = new EffectLedger(specification.deduplicationWindowMillis());
-    this.utilization = new UtilizationMeter(specification.cores());
+    this.overloadDetector = new OverloadDetector(specification.slowStart().overloadWindowMillis());
+    this.deduplicator = new RequestDeduplicator(specification.deduplicationWindowMillis());
+    this.utilizationMeter = new UtilizationMeter(specification.cores());
   }
 
   String zone() {
     return zone;
   }
 
-  /** Its id in endpoint lists and route tables. */
+  /** The endpoint's id in endpoint lists and route tables; valid once a port is set. */
   String id() {
     return name + "@127.0.0.1:" + port;
   }
@@ -132,43 +142,47 @@
     return port;
   }
 
-  /** When its last start with a warm-up was; long ago where there was none. */
-  double startedAt() {
-    return startedAt;
+  /** The time of the last start if it was a slow start, otherwise {@link #LONG_AGO_MILLIS}. */
+  double warmUpStartedAtMillis() {
+    return warmUpStartedAtMillis;
   }
 
   boolean isUp() {
     return up;
   }
 
-  /** Sets the port of its first start; without it, any free one is taken. */
-  void listenAt(int wanted) {
-    port = wanted;
+  /** Sets the port to listen at; without a call, the first start takes any free port. */
+  void setPort(int newPort) {
+    port = newPort;
   }
 
-  /** Starts, warming up or warm; a second start takes the same port. */
+  /**
+   * Starts the endpoint; a restart listens at the same port.
+   *
+   * @param warmingUp whether the endpoint goes through its slow start
+   */
   void start(boolean warmingUp) throws IOException, InterruptedException {
     if (listenerClosed != null) {
-      listenerClosed.await(); // the port is taken until then
+      listenerClosed.await(); // the previous listener holds the port until it is closed
     }
     server = new HttpServer(new ServerHandler(), MAX_REQUEST_BYTES).start(loops, "127.0.0.1", port);
     port = server.port();
-    loop.submit(() -> reset(warmingUp)).sync();
+    loop.submit(() -> resetState(warmingUp)).sync();
     evidence.add(new Evidence.ProcessChange(evidence.now(), id(), zone, true, warmingUp));
   }
 
-  private void reset(boolean warmingUp) {
+  private void resetState(boolean warmingUp) {
     incarnation++;
     busyCores = 0;
     queue.clear();
-    overload.clear();
-    startedAt = warmingUp ? evidence.now() : LONG_AGO;
+    overloadDetector.clear();
+    warmUpStartedAtMillis = warmingUp ? evidence.now() : LONG_AGO_MILLIS;
     silent = false;
     errorFraction = 0;
     up = true;
   }
 
-  /** Dies at once: every connection breaks, queued requests are lost. */
+  /** Ends the endpoint at once: closes every connection and drops queued requests. */
   void crash() {
     if (up) {
       up = false;
@@ -178,42 +192,46 @@
     }
   }
 
-  /** Leaves all requests without an answer, or ends that. */
-  void silent(boolean on) {
+  /** Switches the silence fault: while on, requests are read but neither executed nor answered. */
+  void setSilent(boolean on) {
     silent = on;
   }
 
-  /** Starts and finishes no work for a time. */
+  /** Pauses the endpoint: for this time, it neither starts nor finishes work. */
   void pause(double millis) {
-    loop.execute(() -> pausedUntil = evidence.now() + millis);
+    loop.execute(() -> pausedUntilMillis = evidence.now() + millis);
   }
 
-  /** Fails a fraction of the requests at once. */
-  void fail(double fraction) {
+  /** Sets the fraction of requests, 0 to 1, that fail at once with status 500. */
+  void setErrorFraction(double fraction) {
     errorFraction = fraction;
   }
 
-  /** Executes requests and breaks the connection in place of a fraction of the answers. */
-  void loseAnswers(double fraction) {
-    lostAnswerFraction = fraction;
+  /**
+   * Sets the fraction of successful responses, 0 to 1, that are lost: the request is executed, but
+   * the connection is closed instead of sending the response.
+   */
+  void setLostResponseFraction(double fraction) {
+    lostResponseFraction = fraction;
   }
 
-  /** Fails all requests of a class; an empty name ends that. */
-  void failRequestClass(String requestClass) {
+  /** Sets the one request class whose requests all fail; an empty name stands for none. */
+  void setFailingRequestClass(String requestClass) {
     failingRequestClass = requestClass;
   }
 
-  /** Reports a multiple of its utilization. */
-  void falseReports(double multiple) {
+  /** Sets the multiple of the actual utilization that load reports claim; 1 for true reports. */
+  void setReportMultiple(double multiple) {
     reportMultiple = multiple;
     evidence.add(new Evidence.FalseReport(evidence.now(), id(), 1 / Math.max(0.01, multiple)));
   }
 
-  void slowHandshakes(double multiple) {
+  /** Sets the multiple of the usual core time that new connections take. */
+  void setHandshakeMultiple(double multiple) {
     handshakeMultiple = multiple;
   }
 
-  /** Leaves requests from some zones without an answer. */
+  /** Sets the zones whose requests are neither executed nor answered. */
   void setUnreachableZones(Set<String> zones) {
     unreachableZones = zones;
   }
@@ -221,7 +239,7 @@
   private final class ServerHandler implements HttpServer.Handler {
     @Override
     public void handle(HttpRequest request, HttpServer.Exchange exchange) {
-      loop.execute(() -> receive(request, exchange));
+      loop.execute(() -> handleRequest(request, exchange));
     }
 
     @Override
@@ -236,10 +254,10 @@
     }
   }
 
-  /** The fraction of its capacity that it has now. */
+  /** The fraction of the full capacity that is available now, up to 1. */
   private double warmUpFraction() {
     SlowStart slowStart = specification.slowStart();
-    double progress = (evidence.now() - startedAt) / slowStart.durationMillis();
+    double progress = (evidence.now() - warmUpStartedAtMillis) / slowStart.durationMillis();
     if (progress >= 1) {
       return 1;
     }
@@ -247,132 +265,145 @@
     return initial + (1 - initial) * Math.max(0, progress);
   }
 
-  private void receive(HttpRequest request, HttpServer.Exchange exchange) {
+  private void handleRequest(HttpRequest request, HttpServer.Exchange exchange) {
     if (!up || silent || unreachableZones.contains(request.header("x-zone"))) {
       return;
     }
-    double now = evidence.now();
+    double nowMillis = evidence.now();
     String path = request.target();
     String requestClass = path.substring(path.lastIndexOf('/') + 1);
     int attempt = numericHeader(request, "x-try", 1);
     String requestId = request.header("x-op");
     evidence.add(
         new Evidence.Arrival(
-            now, id(), request.header("x-proxy"), requestId, requestClass, attempt));
-    double work = meanServiceMillis(requestClass) * (0.5 + random.nextDouble());
-    if (crashesFromOverload(now, work)) {
+            nowMillis, id(), request.header("x-proxy"), requestId, requestClass, attempt));
+    double workMillis = meanServiceMillis(requestClass) * (0.5 + random.nextDouble());
+    if (crashIfOverloaded(nowMillis, workMillis)) {
       return;
     }
     if (random.nextDouble() < errorFraction || requestClass.equals(failingRequestClass)) {
-      answer(exchange, HttpResponse.of(500, "failed\n"));
+      respond(exchange, HttpResponse.of(500, "failed\n"));
     } else if (queue.size() >= specification.queueLimit()) {
-      answer(exchange, HttpResponse.of(503, "full\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
+      respond(exchange, HttpResponse.of(503, "full\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
     } else {
-      double deadline = now + numericHeader(request, "x-op-timeout-ms", Integer.MAX_VALUE);
-      queue.add(new QueuedRequest(requestId, requestClass, attempt, work, deadline, exchange));
-      startQueued();
+      double deadlineMillis =
+          nowMillis + numericHeader(request, "x-op-timeout-ms", Integer.MAX_VALUE);
+      queue.add(
+          new QueuedRequest(
+              requestId, requestClass, attempt, workMillis, deadlineMillis, exchange));
+      startQueuedRequests();
     }
   }
 
   private double meanServiceMillis(String requestClass) {
     ServiceTimes times = specification.serviceTimes();
-    return times.millisByClass().getOrDefault(requestClass, times.otherMillis());
+    return times.millisByClass().getOrDefault(requestClass, times.defaultMillis());
   }
 
-  /** A header's number; requests that were sent by hand may lack the header. */
-  private static int numericHeader(HttpRequest request, String header, int otherwise) {
+  /** Parses a numeric header; returns the default where it is missing, as in manual requests. */
+  private static int numericHeader(HttpRequest request, String header, int defaultValue) {
     String value = request.header(header);
-    return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : otherwise;
+    return value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : defaultValue;
   }
 
-  /** Crashes a warming-up endpoint that is sent more than a multiple of what it can do. */
-  private boolean crashesFromOverload(double now, double work) {
+  /**
+   * Counts the work of an arriving request while the endpoint warms up and crashes it on overload;
+   * returns whether it crashed.
+   */
+  private boolean crashIfOverloaded(double nowMillis, double workMillis) {
     if (warmUpFraction() >= 1) {
       return false;
     }
-    double multiple = overload.add(now, work, specification.cores() * warmUpFraction());
+    double multiple =
+        overloadDetector.addArrival(
+            nowMillis, workMillis, specification.cores() * warmUpFraction());
     if (multiple <= specification.slowStart().overloadMultiple()) {
       return false;
     }
-    evidence.add(new Evidence.Overloaded(now, id(), multiple));
+    evidence.add(new Evidence.Overloaded(nowMillis, id(), multiple));
     crash();
     return true;
   }
 
+  /** Keeps a core busy with work that no request waits for. */
   private void occupyCore(double workMillis) {
     busyCores++;
-    whenWorked(workMillis / warmUpFraction(), () -> {});
+    finishWorkAfter(workMillis / warmUpFraction(), () -> {});
   }
 
-  /** Frees the core after a time, unless the process has died since. */
-  private void whenWorked(double millis, Runnable then) {
-    int startedIn = incarnation;
-    afterPauses(
-        millis,
+  /** Frees a core and runs an action after a time, unless the endpoint has crashed since. */
+  private void finishWorkAfter(double delayMillis, Runnable action) {
+    int incarnationAtStart = incarnation;
+    runOutsidePauses(
+        delayMillis,
         () -> {
-          if (startedIn == incarnation) {
+          if (incarnationAtStart == incarnation) {
             busyCores--;
-            then.run();
-            startQueued();
+            action.run();
+            startQueuedRequests();
           }
         });
   }
 
-  private void afterPauses(double millis, Runnable then) {
+  /** Runs an action after a time, or at the end of the pause into which that time falls. */
+  private void runOutsidePauses(double delayMillis, Runnable action) {
     loop.schedule(
         () -> {
-          double pauseLeft = pausedUntil - evidence.now();
-          if (pauseLeft > 0) {
-            afterPauses(pauseLeft, then);
+          double pauseLeftMillis = pausedUntilMillis - evidence.now();
+          if (pauseLeftMillis > 0) {
+            runOutsidePauses(pauseLeftMillis, action);
           } else {
-            then.run();
+            action.run();
           }
         },
-        (long) (millis * 1000),
+        (long) (delayMillis * 1000),
         TimeUnit.MICROSECONDS);
   }
 
-  private void startQueued() {
-    while (busyCores < specification.cores() && !queue.isEmpty() && evidence.now() >= pausedUntil) {
+  private void startQueuedRequests() {
+    while (busyCores < specification.cores()
+        && !queue.isEmpty()
+        && evidence.now() >= pausedUntilMillis) {
       execute(queue.poll());
     }
-    if (!queue.isEmpty() && evidence.now() < pausedUntil) {
-      long pauseLeft = (long) (pausedUntil - evidence.now()) + 1;
-      loop.schedule(this::startQueued, pauseLeft, TimeUnit.MILLISECONDS);
+    if (!queue.isEmpty() && evidence.now() < pausedUntilMillis) {
+      long pauseLeftMillis = (long) (pausedUntilMillis - evidence.now()) + 1;
+      loop.schedule(this::startQueuedRequests, pauseLeftMillis, TimeUnit.MILLISECONDS);
     }
   }
 
   private void execute(QueuedRequest request) {
-    double now = evidence.now();
-    if (now > request.deadline()) {
-      answer(
+    double nowMillis = evidence.now();
+    if (nowMillis > request.deadlineMillis()) {
+      respond(
           request.exchange(),
           HttpResponse.of(504, "too late\n").setHeader(ProxyHeaders.NOT_EXECUTED, "1"));
       return;
     }
     busyCores++;
-    if (ledger.takesEffect(request.id(), request.requestClass(), now)) {
+    if (deduplicator.recordExecution(request.id(), request.requestClass(), nowMillis)) {
       evidence.add(
-          new Evidence.Effect(now, id(), request.id(), request.requestClass(), request.attempt()));
+          new Evidence.Effect(
+              nowMillis, id(), request.id(), request.requestClass(), request.attempt()));
     }
-    double duration = request.workMillis() / warmUpFraction();
-    utilization.busy(now, duration);
-    whenWorked(
-        duration,
-        () -> answer(request.exchange(), HttpResponse.of(200, "done " + request.id() + "\n")));
+    double durationMillis = request.workMillis() / warmUpFraction();
+    utilizationMeter.addBusyTime(nowMillis, durationMillis);
+    finishWorkAfter(
+        durationMillis,
+        () -> respond(request.exchange(), HttpResponse.of(200, "done " + request.id() + "\n")));
   }
 
-  private void answer(HttpServer.Exchange exchange, HttpResponse answer) {
-    if (answer.status() == 200 && random.nextDouble() < lostAnswerFraction) {
+  private void respond(HttpServer.Exchange exchange, HttpResponse response) {
+    if (response.status() == 200 && random.nextDouble() < lostResponseFraction) {
       exchange.channel().close();
       return;
     }
-    String load =
+    String loadReport =
         String.format(
             Locale.ROOT,
             "TEXT cpu_utilization=%.3f,named_metrics.waiting=%d",
-            Math.min(1, reportMultiple * utilization.utilization(evidence.now())),
+            Math.min(1, reportMultiple * utilizationMeter.utilization(evidence.now())),
             queue.size());
-    exchange.respond(answer.setHeader(LoadReportHeader.NAME, load));
+    exchange.respond(response.setHeader(LoadReportHeader.NAME, loadReport));
   }
 }
--- a/src/main/java/stonespring/testbed/FaultInjector.java
+++ b/src/main/java/stonespring/testbed/FaultInjector.java
@@ -7,7 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Draws what each fault of a scenario strikes, and injects it. Used from the run's thread alone.
+ * Draws the endpoints and proxies that each fault of a scenario affects, and injects the fault.
+ * Used from the scenario's thread only.
  */
 final class FaultInjector {
   private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
@@ -25,15 +26,20 @@
     new InfrastructureFaults(fleet, timeline).register(injections);
     for (FaultKind kind : FaultKind.values()) {
       if (!injections.containsKey(kind)) {
-        throw new IllegalStateException("no injection for " + kind.scriptName());
+        throw new IllegalStateException(
+            "no injection is registered for fault kind " + kind.scriptName());
       }
     }
   }
 
+  /** Starts a fault now; the timeline ends it. */
   void inject(Scenario.Fault fault) throws Exception {
-    LOG.info("fault at {} s: {}", Math.round(timeline.now() / 100) / 10.0, fault);
+    LOG.info(
+        "injecting fault {} s after the start of the scenario: {}",
+        Math.round(timeline.now() / 100) / 10.0,
+        fault);
     double end = timeline.now() + fault.durationMillis();
-    // Both are drawn for every kind, so that a script's draws don't depend on the kinds before.
+    // Both are drawn whatever the kind: later draws must not depend on the kinds of earlier faults.
     List<EndpointStandIn> endpoints =
         fleet.sample(fleet.runningEndpoints(fault.zone()), fault.fraction());
     List<ScenarioProxy> proxies = fleet.sample(fleet.proxies(fault.zone()), fault.fraction());
--- a/src/main/java/stonespring/testbed/InfrastructureFaults.java
+++ b/src/main/java/stonespring/testbed/InfrastructureFaults.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Faults of the instances, of the registry and of the network between zones. */
+/**
+ * Faults of the instances, of the registry and of the network between zones. Used from the
+ * scenario's thread only.
+ */
 final class InfrastructureFaults {
   private final ScenarioFleet fleet;
   private final Timeline timeline;
@@ -19,7 +22,7 @@
     injections.put(FaultKind.ASSIGNER_CRASH, this::crashInstances);
     injections.put(FaultKind.ASSIGNER_STALL, this::stallInstances);
     injections.put(FaultKind.WRONG_LIST, this::hideEndpoints);
-    injections.put(FaultKind.REGISTRY_DEAD, this::stopRegistry);
+    injections.put(FaultKind.REGISTRY_DEAD, this::makeRegistryUnavailable);
     injections.put(FaultKind.ZONE_CUT, this::isolateZone);
   }
 
@@ -31,14 +34,18 @@
     }
   }
 
+  /**
+   * Makes all instances appear stalled at each interval by freezing their links; the magnitude is
+   * the length of a stall in milliseconds.
+   */
   private void stallInstances(FaultTarget target) {
     timeline.repeatedly(
         target.fault(),
         () -> {
-          ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(true));
+          ProxyFaults.forEachLink(fleet.proxies(), link -> link.setFrozen(true));
           timeline.at(
               timeline.now() + target.fault().magnitude(),
-              () -> ProxyFaults.forEachLink(fleet.proxies(), link -> link.freeze(false)));
+              () -> ProxyFaults.forEachLink(fleet.proxies(), link -> link.setFrozen(false)));
         });
   }
 
@@ -46,13 +53,15 @@
     RegistryStandIn registry = fleet.registry();
     timeline.during(
         target.fault(),
-        () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), true)),
-        () -> target.endpoints().forEach(endpoint -> registry.hide(endpoint.name(), false)));
+        () -> target.endpoints().forEach(endpoint -> registry.setHidden(endpoint.name(), true)),
+        () -> target.endpoints().forEach(endpoint -> registry.setHidden(endpoint.name(), false)));
   }
 
-  private void stopRegistry(FaultTarget target) throws Exception {
+  private void makeRegistryUnavailable(FaultTarget target) throws Exception {
     timeline.during(
-        target.fault(), () -> fleet.registry().dead(true), () -> fleet.registry().dead(false));
+        target.fault(),
+        () -> fleet.registry().setUnavailable(true),
+        () -> fleet.registry().setUnavailable(false));
   }
 
   private void isolateZone(FaultTarget target) throws Exception {
@@ -60,6 +69,10 @@
     timeline.during(target.fault(), () -> setIsolated(zone, true), () -> setIsolated(zone, false));
   }
 
+  /**
+   * Isolates a zone or ends its isolation: endpoints leave requests from the other side unanswered,
+   * and links between a proxy and an instance on different sides freeze.
+   */
   private void setIsolated(String zone, boolean isolated) {
     Set<String> otherZones = new LinkedHashSet<>(fleet.zones());
     otherZones.remove(zone);
@@ -70,10 +83,10 @@
     for (ScenarioProxy proxy : fleet.proxies()) {
       boolean proxyInside = fleet.zones().get(proxy.zone()).equals(zone);
       for (int i = 0; i < proxy.links().size(); i++) {
-        // Instance i is taken to be in zone i.
+        // Instances belong to no zone; instance i is treated as part of zone i.
         boolean instanceInside = fleet.zones().get(i % fleet.zones().size()).equals(zone);
         if (proxyInside != instanceInside) {
-          proxy.links().get(i).freeze(isolated);
+          proxy.links().get(i).setFrozen(isolated);
         }
       }
     }
