--- a/src/main/java/stonespring/proxy/RequestExchange.java
+++ b/src/main/java/stonespring/proxy/RequestExchange.java
@@ -11,8 +11,9 @@
 import stonespring.proxy.routing.RequestProgress;
 
 /**
- * One request on its way: it is admitted, sent to an endpoint, repeated where the routing allows
- * it, and answered once. Confined to the proxy's event loop.
+ * The handling of one request: it is admitted or rejected, sent to an endpoint, retried where the
+ * retry policy allows it, and answered exactly once. Instants are in deci-milliseconds since the
+ * proxy was created. Confined to the proxy's event loop.
  */
 final class RequestExchange {
   private static final int DECI_MILLIS_PER_MILLI = 10;
@@ -41,64 +42,71 @@
     this.deadline = proxy.now() + timeoutMillis() * DECI_MILLIS_PER_MILLI;
   }
 
-  /** The class's timeout, or the client's if that is shorter. */
+  /** The request class's timeout, or the client's if that is shorter. */
   private long timeoutMillis() {
-    long max = proxy.settings().requestTimeoutsMillis().get(requestClass.index());
-    String wanted = request.header(ProxyHeaders.TIMEOUT_MILLIS);
-    return wanted.matches("[0-9]{1,7}") ? Math.min(max, Long.parseLong(wanted)) : max;
+    long classTimeoutMillis = proxy.settings().requestTimeoutsMillis().get(requestClass.index());
+    String requestedTimeout = request.header(ProxyHeaders.TIMEOUT_MILLIS);
+    return requestedTimeout.matches("[0-9]{1,7}")
+        ? Math.min(classTimeoutMillis, Long.parseLong(requestedTimeout))
+        : classTimeoutMillis;
   }
 
   /** Admits the request and sends it, or rejects it. */
   void start() {
-    proxy.statistics().requestReceived(requestClass);
+    proxy.statistics().recordRequest(requestClass);
     if (proxy.now() >= deadline) {
-      // It waited here for longer than its client does.
-      exchange.respond(rejection(504, REASON_TIMEOUT));
+      // The request waited in the proxy for longer than its timeout.
+      exchange.respond(rejectionResponse(504, REASON_TIMEOUT));
     } else if (proxy.isFull()) {
-      exchange.respond(rejection(503, REASON_FULL));
+      exchange.respond(rejectionResponse(503, REASON_FULL));
     } else if (!proxy.router().admit(requestClass, proxy.now())) {
-      exchange.respond(rejection(429, REASON_LIMIT));
+      exchange.respond(rejectionResponse(429, REASON_LIMIT));
     } else {
-      proxy.requestStarted();
-      send(null);
+      proxy.incrementInFlight();
+      sendAttempt(null);
     }
   }
 
-  /** Rejects the request, which has not been sent to any endpoint. */
+  /** Rejects the request because too many are waiting. It has not been sent to any endpoint. */
   void rejectAsFull() {
-    exchange.respond(rejection(503, REASON_FULL));
+    exchange.respond(rejectionResponse(503, REASON_FULL));
   }
 
-  private void send(EndpointId avoided) {
-    EndpointId endpoint = proxy.router().pick(requestClass, avoided, proxy.now()).orElse(null);
+  private void sendAttempt(EndpointId avoidedEndpoint) {
+    EndpointId endpoint =
+        proxy.router().pick(requestClass, avoidedEndpoint, proxy.now()).orElse(null);
     if (endpoint == null) {
-      finish(avoided == null ? rejection(503, REASON_NO_ENDPOINT) : failure(503, REASON_FAILED));
+      finish(
+          avoidedEndpoint == null
+              ? rejectionResponse(503, REASON_NO_ENDPOINT)
+              : failureResponse(503, REASON_FAILED));
       return;
     }
     long sentAt = proxy.now();
     attempts++;
     firstAttemptAt = provenNotExecuted ? sentAt : firstAttemptAt;
-    long leftMillis = Math.max(1, (deadline - sentAt) / DECI_MILLIS_PER_MILLI);
+    long remainingMillis = Math.max(1, (deadline - sentAt) / DECI_MILLIS_PER_MILLI);
     HttpRequest attempt =
         HttpRequest.post(ProxySettings.address(endpoint), request.target(), request.body())
             .setHeader(ProxyHeaders.REQUEST_ID, request.header(ProxyHeaders.REQUEST_ID))
             .setHeader(ProxyHeaders.PROXY, proxy.settings().name())
             .setHeader(ProxyHeaders.ZONE, proxy.settings().zone())
             .setHeader(ProxyHeaders.ATTEMPT, String.valueOf(attempts))
-            .setHeader(ProxyHeaders.TIMEOUT_MILLIS, String.valueOf(leftMillis));
-    proxy.call(endpoint, attempt, leftMillis, result -> ended(endpoint, sentAt, result));
+            .setHeader(ProxyHeaders.TIMEOUT_MILLIS, String.valueOf(remainingMillis));
+    proxy.call(
+        endpoint, attempt, remainingMillis, result -> handleResult(endpoint, sentAt, result));
   }
 
-  private void ended(EndpointId endpoint, long sentAt, HttpCallResult result) {
+  private void handleResult(EndpointId endpoint, long sentAt, HttpCallResult result) {
     long now = proxy.now();
     HttpResponse response =
         result instanceof HttpCallResult.Completed completed ? completed.response() : null;
     RequestOutcome outcome = outcome(result);
     boolean succeeded = outcome == RequestOutcome.SUCCEEDED;
-    proxy.router().attemptEnded(endpoint, succeeded, now);
+    proxy.router().recordAttemptEnd(endpoint, succeeded, now);
     proxy
         .statistics()
-        .attemptEnded(
+        .recordAttempt(
             endpoint,
             succeeded,
             now - sentAt,
@@ -117,24 +125,25 @@
     RequestProgress progress =
         new RequestProgress(attempts, provenNotExecuted, firstAttemptAt, deadline);
     if (proxy.router().mayRetry(requestClass, progress, now)) {
-      send(endpoint);
+      sendAttempt(endpoint);
     } else if (outcome == RequestOutcome.TIMED_OUT) {
-      finish(failure(504, REASON_TIMEOUT));
+      finish(failureResponse(504, REASON_TIMEOUT));
     } else {
-      finish(failure(503, REASON_FAILED));
+      finish(failureResponse(503, REASON_FAILED));
     }
   }
 
   private static RequestOutcome outcome(HttpCallResult result) {
     if (result instanceof HttpCallResult.Completed completed) {
       HttpResponse response = completed.response();
-      boolean saysNotExecuted = response.header(ProxyHeaders.NOT_EXECUTED).equals(ProxyHeaders.YES);
+      boolean saysNotExecuted =
+          response.header(ProxyHeaders.NOT_EXECUTED).equals(ProxyHeaders.FLAG_SET);
       return RequestOutcome.ofAnswer(response.status(), saysNotExecuted);
     }
     return outcome(((HttpCallResult.Failed) result).failure());
   }
 
-  /** The outcome of a call that brought no answer. */
+  /** Maps the failure of a call without an answer to its outcome. */
   static RequestOutcome outcome(HttpCallFailure failure) {
     return switch (failure) {
       case CONNECT_FAILED -> RequestOutcome.NOT_CONNECTED;
@@ -144,17 +153,17 @@
     };
   }
 
-  /** An answer that promises that the request was not executed. */
-  private static HttpResponse rejection(int status, String reason) {
+  /** An error answer that guarantees that the request was not executed. */
+  private static HttpResponse rejectionResponse(int status, String reason) {
     return HttpResponse.of(status, reason + "\n")
         .setHeader(ProxyHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS)
-        .setHeader(ProxyHeaders.NOT_EXECUTED, ProxyHeaders.YES)
+        .setHeader(ProxyHeaders.NOT_EXECUTED, ProxyHeaders.FLAG_SET)
         .setHeader(ProxyHeaders.REASON, reason);
   }
 
-  private HttpResponse failure(int status, String reason) {
+  private HttpResponse failureResponse(int status, String reason) {
     if (provenNotExecuted) {
-      return rejection(status, reason);
+      return rejectionResponse(status, reason);
     }
     return HttpResponse.of(status, reason + "\n")
         .setHeader(ProxyHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS)
@@ -162,9 +171,9 @@
   }
 
   private void finish(HttpResponse response) {
-    proxy.requestEnded();
+    proxy.decrementInFlight();
     if (response.status() != 200) {
-      proxy.statistics().requestUnanswered(requestClass);
+      proxy.statistics().recordUnansweredRequest(requestClass);
     }
     exchange.respond(response);
   }
--- a/src/main/java/stonespring/proxy/routing/RouterSettings.java
+++ b/src/main/java/stonespring/proxy/routing/RouterSettings.java
@@ -5,42 +5,46 @@
 import stonespring.model.RetrySafety;
 
 /**
- * What a proxy's routing is configured with. Durations are in {@link stonespring.model.DeciMillis}.
+ * Settings of a proxy's routing. Durations are in {@link stonespring.model.DeciMillis}.
  *
- * @param requestClasses the request classes; a {@link stonespring.model.RequestClassId} is a
- *     position among them
- * @param ejectAfterConsecutiveFailures failures in a row of the proxy's own attempts after which it
- *     ejects an endpoint; 0 for never
- * @param minEjectionTime the shortest ejection; its time is drawn between this and {@code
- *     maxEjectionTime}
- * @param minRetryTime the time that must be left before the deadline for another attempt
+ * @param requestClasses the request classes; a {@link stonespring.model.RequestClassId} is an index
+ *     into this list
+ * @param ejectAfterConsecutiveFailures number of consecutive failures of the proxy's own attempts
+ *     after which it ejects an endpoint; 0 disables ejection
+ * @param minEjectionDeciMillis shortest ejection; the duration is random between this and {@code
+ *     maxEjectionDeciMillis}
+ * @param maxEjectionDeciMillis longest ejection
+ * @param minTimeForRetryDeciMillis time that must be left before the deadline for a retry
  * @param picking how an endpoint is picked from a table
- * @param limitKind what the number of an admission limit means
+ * @param limitKind whether the value of an admission limit is a fraction or a rate, or is ignored
  */
 public record RouterSettings(
     List<ClassSettings> requestClasses,
     int ejectAfterConsecutiveFailures,
-    long minEjectionTime,
-    long maxEjectionTime,
-    long minRetryTime,
+    long minEjectionDeciMillis,
+    long maxEjectionDeciMillis,
+    long minTimeForRetryDeciMillis,
     Picking picking,
     AdmissionLimitKind limitKind) {
   /**
    * One request class.
    *
    * @param name its name in published keys
-   * @param deduplicationWindow how long endpoints recognise a repeat by its key, from the first
-   *     attempt that might have been executed
+   * @param deduplicationWindowDeciMillis how long endpoints recognise a repeat by its key, from the
+   *     first attempt that might have been executed
    */
-  public record ClassSettings(String name, RetrySafety retrySafety, long deduplicationWindow) {}
+  public record ClassSettings(
+      String name, RetrySafety retrySafety, long deduplicationWindowDeciMillis) {}
 
   /** How an endpoint is picked from the routes of a table. */
   public enum Picking {
-    /** At random, by weight. */
+    /** At random, with probabilities proportional to the weights. */
     WEIGHTED,
-    /** In turn, by weight. */
+    /** Smooth weighted round robin. */
     ROUND_ROBIN,
-    /** Of two drawn by weight, the one with fewer of the proxy's own requests in flight. */
+    /**
+     * Of two endpoints drawn by weight, the one with fewer of the proxy's own attempts in flight.
+     */
     TWO_CHOICES
   }
 }
