--- a/src/main/java/stonespring/chp/SubscriptionIndex.java
+++ b/src/main/java/stonespring/chp/SubscriptionIndex.java
@@ -12,20 +12,24 @@
 import stonespring.zmtp.ZmtpConnection;
 
 /**
- * Who subscribed to which prefixes. A key is looked up by its own prefixes, so that the cost
- * depends on the key's length and not on the number of subscribers. Not thread-safe.
+ * Maps key prefixes to the connections that subscribed to them. The subscribers of a key are found
+ * by looking up each prefix of the key, so that the cost depends on the key's length and the number
+ * of matching subscribers, not on the number of all subscribers. Not thread-safe.
  */
 final class SubscriptionIndex {
-  /** How often each connection subscribed to a prefix, in order of the first subscription. */
+  /**
+   * For each prefix, how many times each connection subscribed to it; connections in the order of
+   * their first subscription.
+   */
   private final Map<String, Map<ZmtpConnection, Integer>> countsByPrefix = new HashMap<>();
 
-  /** How many prefixes of each length there are. */
-  private final TreeMap<Integer, Integer> prefixesByLength = new TreeMap<>();
+  /** The number of distinct prefixes of each length, in bytes. */
+  private final TreeMap<Integer, Integer> prefixCountsByLength = new TreeMap<>();
 
   private final Map<ZmtpConnection, Set<String>> prefixesByConnection = new HashMap<>();
 
-  /** The form of bytes in which keys and prefixes are compared: a character for each byte. */
-  static String text(byte[] bytes) {
+  /** Converts bytes to a string of one character per byte, so that prefixes match bytewise. */
+  static String toByteString(byte[] bytes) {
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
@@ -34,13 +38,13 @@
     if (counts == null) {
       counts = new LinkedHashMap<>();
       countsByPrefix.put(prefix, counts);
-      prefixesByLength.merge(prefix.length(), 1, Integer::sum);
+      prefixCountsByLength.merge(prefix.length(), 1, Integer::sum);
     }
     counts.merge(connection, 1, Integer::sum);
     prefixesByConnection.computeIfAbsent(connection, key -> new LinkedHashSet<>()).add(prefix);
   }
 
-  /** Cancels one of the connection's subscriptions to a prefix, if there is one. */
+  /** Cancels one subscription of a connection to a prefix; no effect if there is none. */
   void remove(ZmtpConnection connection, String prefix) {
     Map<ZmtpConnection, Integer> counts = countsByPrefix.get(prefix);
     if (counts == null || !counts.containsKey(connection)) {
@@ -50,45 +54,45 @@
     if (remaining > 0) {
       counts.put(connection, remaining);
     } else {
-      removeAll(connection, prefix);
+      removePrefix(connection, prefix);
       prefixesByConnection.get(connection).remove(prefix);
     }
   }
 
-  /** Cancels all of a connection's subscriptions. */
-  void remove(ZmtpConnection connection) {
+  /** Cancels all subscriptions of a connection. */
+  void removeConnection(ZmtpConnection connection) {
     Set<String> prefixes = prefixesByConnection.remove(connection);
     if (prefixes != null) {
-      prefixes.forEach(prefix -> removeAll(connection, prefix));
+      prefixes.forEach(prefix -> removePrefix(connection, prefix));
     }
   }
 
-  private void removeAll(ZmtpConnection connection, String prefix) {
+  private void removePrefix(ZmtpConnection connection, String prefix) {
     Map<ZmtpConnection, Integer> counts = countsByPrefix.get(prefix);
     if (counts == null || counts.remove(connection) == null || !counts.isEmpty()) {
       return;
     }
     countsByPrefix.remove(prefix);
-    if (prefixesByLength.merge(prefix.length(), -1, Integer::sum) == 0) {
-      prefixesByLength.remove(prefix.length());
+    if (prefixCountsByLength.merge(prefix.length(), -1, Integer::sum) == 0) {
+      prefixCountsByLength.remove(prefix.length());
     }
   }
 
-  /** The connections that subscribed to exactly this prefix. */
-  Set<ZmtpConnection> subscribersOfPrefix(String prefix) {
+  /** Returns the connections that subscribed to exactly this prefix. */
+  Set<ZmtpConnection> subscribersOfExactPrefix(String prefix) {
     return countsByPrefix.getOrDefault(prefix, Map.of()).keySet();
   }
 
-  /** The connections that subscribed to any prefix of the key, each once. */
-  List<ZmtpConnection> subscribers(String key) {
+  /** Returns the connections that subscribed to any prefix of the key, without duplicates. */
+  List<ZmtpConnection> subscribersOfKey(String key) {
     List<ZmtpConnection> subscribers = new ArrayList<>();
-    // Needed from the second matching prefix on only.
+    // Only needed to remove duplicates once a second prefix matches.
     Set<ZmtpConnection> seen = null;
-    for (int length : prefixesByLength.keySet()) {
+    for (int length : prefixCountsByLength.keySet()) {
       if (length > key.length()) {
         break;
       }
-      Set<ZmtpConnection> matching = subscribersOfPrefix(key.substring(0, length));
+      Set<ZmtpConnection> matching = subscribersOfExactPrefix(key.substring(0, length));
       if (seen == null && !subscribers.isEmpty() && !matching.isEmpty()) {
         seen = new LinkedHashSet<>(subscribers);
       }
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -128,7 +128,8 @@
   private static ChpMessage.KvSet keyValue(
       String key, Map<String, String> properties, ObjectNode value) {
     try {
-      return new ChpMessage.KvSet(key, ChpMessage.NONE, properties, JSON.writeValueAsBytes(value));
+      return new ChpMessage.KvSet(
+          key, ChpMessage.EMPTY_FRAME, properties, JSON.writeValueAsBytes(value));
     } catch (JsonProcessingException e) {
       throw new IllegalStateException("cannot serialize the JSON value of key " + key, e);
     }
