--- a/benchmarks/stonespring/testbed/SolverBenchmark.java
+++ b/benchmarks/stonespring/testbed/SolverBenchmark.java
@@ -17,7 +17,10 @@
 import stonespring.solver.Problem;
 import stonespring.solver.Solver;
 
-/** Whole solves, and solves after one in a hundred tasks and proxies changed; three op types. */
+/**
+ * Measures the weight solver from scratch and after 1 % of the endpoints and proxies have changed,
+ * with three request classes.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -26,36 +29,36 @@
 @Fork(1)
 public class SolverBenchmark {
   @Param({"200", "800"})
-  public int size;
+  public int size; // number of endpoints and number of proxies
 
   private SolverTrial trial;
-  private Problem whole;
+  private Problem initialProblem;
   private Solver solver;
   private Plan plan;
-  private Problem changed;
+  private Problem changedProblem;
 
   @Setup(Level.Trial)
-  public void draw() {
+  public void drawFleet() {
     trial = new SolverTrial(1, size, size);
-    whole = trial.problem(null);
+    initialProblem = trial.problem(null);
     solver = new Solver();
-    plan = solver.solve(whole);
+    plan = solver.solve(initialProblem);
   }
 
   @Setup(Level.Invocation)
-  public void change() {
+  public void changeFleet() {
     trial.applyRandomChanges();
-    changed = trial.problem(plan);
+    changedProblem = trial.problem(plan);
   }
 
   @Benchmark
-  public Plan whole() {
-    return new Solver().solve(whole);
+  public Plan solveFromScratch() {
+    return new Solver().solve(initialProblem);
   }
 
   @Benchmark
-  public Plan afterASmallChange() {
-    plan = solver.solve(changed);
+  public Plan solveAfterSmallChange() {
+    plan = solver.solve(changedProblem);
     return plan;
   }
 }
