--- a/src/main/java/stonespring/cli/PlatformCommand.java
+++ b/src/main/java/stonespring/cli/PlatformCommand.java
@@ -14,36 +14,38 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Runs an instance on the operators' platform; a SIGHUP reloads its configuration. */
+/** Runs an instance on the operators' platform; SIGHUP reloads its configuration. */
 @Command(
     name = "assigner",
     mixinStandardHelpOptions = true,
-    description = "Runs an assigner on the operators' platform until it is told to stop.")
+    description = "Runs an instance on the operators' platform until it is stopped.")
 final class PlatformCommand implements Callable<Integer> {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformCommand.class);
 
   @Parameters(
       paramLabel = "FILE",
       defaultValue = "${env:NODE_CONFIG}",
-      description = "The platform's configuration; NODE_CONFIG names it where this is left out.")
+      description =
+          "Configuration file of the platform (default: the file that NODE_CONFIG names).")
   private Path path;
 
   @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
-    // First of all: without a handler SIGHUP ends the process.
+    // Installed before anything else: without a handler, SIGHUP would end the process.
     ConfigReloader reloader = new ConfigReloader(path);
     SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
     logging.apply();
     if (previous == SignalHandler.SIG_IGN) {
-      // Ignored by the parent process, as under nohup; the virtual machine then calls no handler.
+      // The parent process, for example nohup, ignores SIGHUP; the JVM then calls no handler.
       LOG.warn(
-          "SIGHUP is ignored, as the parent process set it: a new configuration is seen when the"
-              + " endpoint list can't be had");
+          "SIGHUP is ignored, as inherited from the parent process: a changed configuration is read only"
+              + " after a fetch of the endpoint list fails");
     }
     if (path == null || path.toString().isEmpty()) {
-      throw CommandFailedException.usage("NODE_CONFIG: it is not set, and no file is named");
+      throw CommandFailedException.usage(
+          "assigner: expected a configuration file as argument FILE or in NODE_CONFIG, found neither");
     }
     PlatformDaemon daemon = new PlatformDaemon(readConfig());
     daemon.start();
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -18,18 +18,24 @@
 import stonespring.proxy.routing.RouterSettings;
 import stonespring.testbed.StandIns;
 
-/** Runs a proxy of this project that follows an instance. */
+/** Runs a plain proxy that connects to an instance and applies its route tables. */
 @Command(
     name = "proxy",
     mixinStandardHelpOptions = true,
     description =
-        "Runs a plain proxy that follows the assigner of a settings script: POST /op/TYPE with header x-op.")
+        "Runs a plain proxy that connects to the instance of a settings script and serves POST /op/TYPE with"
+            + " the header x-op.")
 final class ProxyCommand implements Callable<Integer> {
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
   private static final String ADDRESS_PATTERN = "[A-Za-z0-9.-]+:[0-9]{1,5}";
   private static final long DECI_MILLIS_PER_MILLI = 10;
+
+  /** The rough estimate of its request rate that the proxy sends when it connects. */
   private static final double USUAL_REQUESTS_PER_SECOND = 1;
-  private static final int ROUTE_UPDATE_MICROS = 0;
+
+  /** Time to apply one changed route; a proxy that is run by hand simulates none. */
+  private static final int ROUTE_CHANGE_DELAY_MICROS = 0;
+
   private static final long SILENCE_TIMEOUT_MILLIS = 3_000;
   private static final int MIN_RECONNECT_MILLIS = 300;
   private static final int MAX_RECONNECT_MILLIS = 1_500;
@@ -37,26 +43,29 @@
 
   @Parameters(
       paramLabel = "FILE",
-      description = "The assigner's settings script; op types, shunning and ports come from it.")
+      description = "Settings script of the instance; defines request classes, ejection and ports.")
   private Path file;
 
-  @Option(names = "--name", required = true, description = "Its name; no other proxy may have it.")
+  @Option(
+      names = "--name",
+      required = true,
+      description = "Name of the proxy, unique in the fleet.")
   private String name;
 
-  @Option(names = "--zone", required = true, description = "Its zone.")
+  @Option(names = "--zone", required = true, description = "Zone of the proxy.")
   private String zone;
 
   @Option(
       names = "--port",
       defaultValue = "0",
-      description = "Where it takes ops; 0 takes a free port.")
+      description = "Port for requests; 0 selects a free port (default: ${DEFAULT-VALUE}).")
   private int port;
 
   @Option(
       names = "--assigner",
       split = ",",
       paramLabel = "<assigners>",
-      description = "Assigners as HOST:PORT, in order (the script's).")
+      description = "Instances as HOST:PORT, tried in turn (default: the instance of the script).")
   private List<String> instances = new ArrayList<>();
 
   @Mixin private LoggingOptions logging;
@@ -64,12 +73,19 @@
   @Override
   public Integer call() throws Exception {
     logging.apply();
-    InstanceSettings script = InputFiles.readSettings(file);
-    if (!script.zones().contains(zone) || !name.matches(NAME_PATTERN)) {
+    InstanceSettings instanceSettings = InputFiles.readSettings(file);
+    if (!instanceSettings.zones().contains(zone) || !name.matches(NAME_PATTERN)) {
       throw CommandFailedException.usage(
-          "--zone is one of " + script.zones() + ", --name letters, digits, dots and dashes");
+          "proxy: expected --zone to be one of "
+              + instanceSettings.zones()
+              + " and --name to match "
+              + NAME_PATTERN
+              + ", found --zone "
+              + zone
+              + " and --name "
+              + name);
     }
-    ProxySettings settings = proxySettings(script);
+    ProxySettings settings = proxySettings(instanceSettings);
     MultiThreadIoEventLoopGroup eventLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     Proxy proxy = new Proxy(settings, (EventLoop) eventLoops.next()).start(eventLoops, port);
@@ -77,45 +93,49 @@
     return ForegroundProcess.runUntilKilled();
   }
 
-  private ProxySettings proxySettings(InstanceSettings script) throws CommandFailedException {
-    RouterSettings routing = StandIns.routerSettings(script, RequestClass::latencyObjective);
+  private ProxySettings proxySettings(InstanceSettings instanceSettings)
+      throws CommandFailedException {
+    RouterSettings routing =
+        StandIns.routerSettings(instanceSettings, RequestClass::latencyObjective);
     return new ProxySettings(
         name,
         zone,
         System.nanoTime(),
         routing,
-        StandIns.requestTimeoutsMillis(script),
+        StandIns.requestTimeoutsMillis(instanceSettings),
         List.of(),
         USUAL_REQUESTS_PER_SECOND,
         new ProxySettings.InstanceLink(
-            instancePorts(script),
-            ROUTE_UPDATE_MICROS,
-            script.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
+            instancePorts(instanceSettings),
+            ROUTE_CHANGE_DELAY_MICROS,
+            instanceSettings.settings().reportInterval() / DECI_MILLIS_PER_MILLI,
             SILENCE_TIMEOUT_MILLIS,
             MIN_RECONNECT_MILLIS,
             MAX_RECONNECT_MILLIS,
             SESSION_TIMEOUT_SECONDS));
   }
 
-  private List<ProxySettings.Ports> instancePorts(InstanceSettings script)
+  private List<ProxySettings.Ports> instancePorts(InstanceSettings instanceSettings)
       throws CommandFailedException {
     if (instances.isEmpty()) {
-      return List.of(ports(script.listen().host() + ":" + script.listen().port()));
+      return List.of(
+          parsePorts(instanceSettings.listen().host() + ":" + instanceSettings.listen().port()));
     }
     List<ProxySettings.Ports> ports = new ArrayList<>();
     for (String instance : instances) {
-      ports.add(ports(instance));
+      ports.add(parsePorts(instance));
     }
     return ports;
   }
 
-  /** Parses an instance's address; its ports follow each other. */
-  private static ProxySettings.Ports ports(String address) throws CommandFailedException {
+  /** Parses the address of an instance, which uses the given port and the two above it. */
+  private static ProxySettings.Ports parsePorts(String address) throws CommandFailedException {
     if (!address.matches(ADDRESS_PATTERN)) {
-      throw CommandFailedException.usage("--assigner is HOST:PORT, not " + address);
+      throw CommandFailedException.usage("proxy: --assigner: expected HOST:PORT, found " + address);
     }
     int colon = address.indexOf(':');
-    int first = Integer.parseInt(address.substring(colon + 1));
-    return new ProxySettings.Ports(address.substring(0, colon), first, first + 1, first + 2);
+    int firstPort = Integer.parseInt(address.substring(colon + 1));
+    return new ProxySettings.Ports(
+        address.substring(0, colon), firstPort, firstPort + 1, firstPort + 2);
   }
 }
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -22,11 +22,15 @@
 import stonespring.simulator.WireNames.Message;
 import stonespring.simulator.WireNames.UpdateKind;
 
-/** Decodes an instance's messages into events; its settings name the zones and request classes. */
+/**
+ * Decodes an instance's messages into events. Names of zones and request classes are resolved by
+ * the instance's settings.
+ */
 final class EventReader {
+  /** The status code of a successful health check; it is that of HTTP. */
   private static final int STATUS_OK = 200;
 
-  /** The weight of an endpoint whose entry gives none. */
+  /** Weight of an endpoint whose entry contains none. */
   private static final double DEFAULT_WEIGHT = 1;
 
   private final PlatformSettings settings;
@@ -38,8 +42,8 @@
   /**
    * Decodes a message.
    *
-   * @param lists the endpoint lists sent up to this message
-   * @throws SimulatorProtocolException if the message is not known or a field can't be used
+   * @param lists the endpoint lists received before this message
+   * @throws SimulatorProtocolException if the message is unknown or one of its fields is invalid
    */
   Event read(SimulatorMessage message, EndpointLists lists) {
     return switch (message.name()) {
@@ -51,14 +55,13 @@
       case Message.SHARD_OWNERSHIP ->
           new Event.ShardOwnership(readRouteTable(message), message.bool(1, Field.OWNED));
       case Message.TIMER_FIRED ->
-          new Event.TimerFired(new TimerToken(message.wholeNumber(0, Field.TIMER_TOKEN)));
+          new Event.TimerFired(new TimerToken(message.nonNegativeInteger(0, Field.TIMER_TOKEN)));
       case Message.UPDATE_ACKNOWLEDGED -> readAcknowledgement(message);
       case Message.HEALTH_CHECK_RESULT -> readHealthCheckResult(message);
       case Message.PROXY_DISCONNECTED -> new Event.ProxyDisconnected(readProxy(message));
       case Message.PROXY_CONNECTED -> readProxyConnected(message);
       case Message.ENDPOINT_OUTCOMES -> readOutcomes(message);
-      default ->
-          throw new SimulatorProtocolException("message '" + message.name() + "' is not known");
+      default -> throw new SimulatorProtocolException("unknown message '" + message.name() + "'");
     };
   }
 
@@ -74,13 +77,13 @@
   }
 
   private static Event.ListUpdateKind readUpdateKind(SimulatorMessage message) {
-    String word = message.text(1, Field.UPDATE_KIND);
-    return switch (word) {
+    String value = message.text(1, Field.UPDATE_KIND);
+    return switch (value) {
       case UpdateKind.DELTA -> Event.ListUpdateKind.DELTA;
       case UpdateKind.SNAPSHOT -> Event.ListUpdateKind.SNAPSHOT;
       case UpdateKind.CACHED -> Event.ListUpdateKind.CACHED;
       case UpdateKind.FETCH_FAILED -> Event.ListUpdateKind.FETCH_FAILED;
-      default -> throw unknownWord(message, Field.UPDATE_KIND, word);
+      default -> throw unknownValue(message, Field.UPDATE_KIND, value);
     };
   }
 
@@ -93,16 +96,16 @@
         readZone(entry, 0),
         weight.isNumber() ? weight.asDouble() : DEFAULT_WEIGHT,
         state,
-        startedAt.isNull() ? 0 : entry.duration(4, Field.STARTED_AT_SECONDS));
+        startedAt.isNull() ? 0 : entry.secondsAsDeciMillis(4, Field.STARTED_AT_SECONDS));
   }
 
   private static EndpointRecord.State readState(SimulatorMessage entry) {
-    String word = entry.text(3, Field.STATE);
-    return switch (word) {
+    String value = entry.text(3, Field.STATE);
+    return switch (value) {
       case EndpointState.READY -> EndpointRecord.State.READY;
       case EndpointState.DRAINING -> EndpointRecord.State.DRAINING;
       case EndpointState.REMOVED -> EndpointRecord.State.REMOVED;
-      default -> throw unknownWord(entry, Field.STATE, word);
+      default -> throw unknownValue(entry, Field.STATE, value);
     };
   }
 
@@ -114,7 +117,7 @@
     try {
       return HexFormat.of().parseHex(message.text(1, Field.BYTES));
     } catch (IllegalArgumentException e) {
-      throw message.invalid(Field.BYTES, "is not made of hex digits");
+      throw message.invalid(Field.BYTES, "expected pairs of hexadecimal digits, found other text");
     }
   }
 
@@ -122,18 +125,18 @@
     return new Event.ProxyRequestRate(
         readProxy(message),
         readRequestClass(message),
-        message.wholeNumber(2, Field.REQUESTS),
-        message.wholeNumber(3, Field.FAILURES),
-        message.duration(4, Field.INTERVAL_SECONDS));
+        message.nonNegativeInteger(2, Field.REQUESTS),
+        message.nonNegativeInteger(3, Field.FAILURES),
+        message.secondsAsDeciMillis(4, Field.INTERVAL_SECONDS));
   }
 
   private Event readShardRequestRate(SimulatorMessage message) {
     return new Event.ShardRequestRate(
         readRouteTable(message),
         readRequestClass(message),
-        message.wholeNumber(2, Field.REQUESTS),
-        message.wholeNumber(3, Field.FAILURES),
-        message.duration(4, Field.INTERVAL_SECONDS));
+        message.nonNegativeInteger(2, Field.REQUESTS),
+        message.nonNegativeInteger(3, Field.FAILURES),
+        message.secondsAsDeciMillis(4, Field.INTERVAL_SECONDS));
   }
 
   private static Event readShardRoute(SimulatorMessage message) {
@@ -145,14 +148,14 @@
     return new Event.UpdateAcknowledged(
         readProxy(message),
         new AckId(message.id(1, Field.ACK)),
-        message.duration(2, Field.DURATION_SECONDS));
+        message.secondsAsDeciMillis(2, Field.DURATION_SECONDS));
   }
 
   private static Event readHealthCheckResult(SimulatorMessage message) {
     return new Event.HealthCheckResult(
         readEndpointId(message, 0),
-        message.wholeNumber(1, Field.STATUS) == STATUS_OK,
-        message.duration(2, Field.DURATION_SECONDS),
+        message.nonNegativeInteger(1, Field.STATUS) == STATUS_OK,
+        message.secondsAsDeciMillis(2, Field.DURATION_SECONDS),
         readLoadReport(message, 3));
   }
 
@@ -168,10 +171,10 @@
     return new Event.EndpointOutcomes(
         readEndpointId(message, 5),
         readZone(message, 3),
-        message.wholeNumber(1, Field.REQUESTS),
-        message.wholeNumber(0, Field.FAILURES),
-        message.duration(2, Field.INTERVAL_SECONDS),
-        message.duration(4, Field.DURATION_SECONDS),
+        message.nonNegativeInteger(1, Field.REQUESTS),
+        message.nonNegativeInteger(0, Field.FAILURES),
+        message.secondsAsDeciMillis(2, Field.INTERVAL_SECONDS),
+        message.secondsAsDeciMillis(4, Field.DURATION_SECONDS),
         readLoadReport(message, 6));
   }
 
@@ -204,7 +207,7 @@
     String name = message.text(position, Field.ZONE);
     int index = settings.zones().indexOf(name);
     if (index < 0) {
-      throw message.invalid(Field.ZONE, "names no zone of the settings: " + name);
+      throw message.invalid(Field.ZONE, "expected a zone of the settings, found '" + name + "'");
     }
     return new ZoneId(index);
   }
@@ -213,13 +216,14 @@
     String name = message.text(1, Field.REQUEST_CLASS);
     int index = settings.requestClassNames().indexOf(name);
     if (index < 0) {
-      throw message.invalid(Field.REQUEST_CLASS, "names no request class of the settings: " + name);
+      throw message.invalid(
+          Field.REQUEST_CLASS, "expected a request class of the settings, found '" + name + "'");
     }
     return new RequestClassId(index);
   }
 
-  private static SimulatorProtocolException unknownWord(
-      SimulatorMessage message, String field, String word) {
-    return message.invalid(field, "has an unknown word: " + word);
+  private static SimulatorProtocolException unknownValue(
+      SimulatorMessage message, String field, String value) {
+    return message.invalid(field, "unknown value '" + value + "'");
   }
 }
