--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -121,27 +121,27 @@
 
     @Override
     public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
-      Map<String, String> values = new LinkedHashMap<>();
+      Map<String, String> valuesByKey = new LinkedHashMap<>();
       TableSubscriber.Commit commit = null;
       for (ChpMessage.KvSync key : keys) {
-        String name = relativeKey(key.key());
-        values.put(name, decodeUtf8(key.value()));
-        if (name.equals(TableSubscriber.COMMIT_KEY)) {
+        String relativeKey = relativeKey(key.key());
+        valuesByKey.put(relativeKey, decodeUtf8(key.value()));
+        if (relativeKey.equals(TableSubscriber.COMMIT_KEY)) {
           commit = CommitReader.read(key.value());
         }
       }
-      handleStep(subscriber.handleSnapshot(values, commit));
+      handleResult(subscriber.handleSnapshot(valuesByKey, commit));
     }
 
     @Override
     public void updateReceived(ChpMessage.KvPub update) {
-      String name = relativeKey(update.key());
+      String relativeKey = relativeKey(update.key());
       byte[] value = update.value();
       boolean isDeleted = value.length == 0;
-      boolean isCommit = name.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
-      handleStep(
+      boolean isCommit = relativeKey.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
+      handleResult(
           subscriber.handleKeyChange(
-              name,
+              relativeKey,
               isDeleted ? null : decodeUtf8(value),
               isCommit ? CommitReader.read(value) : null));
     }
@@ -184,16 +184,16 @@
     loop.schedule(this::connect, waitMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void handleStep(TableSubscriber.Step step) {
-    if (step instanceof TableSubscriber.Step.Resync resync) {
+  private void handleResult(TableSubscriber.Result result) {
+    if (result instanceof TableSubscriber.Result.Resync resync) {
       LOG.warn(
           "proxy {}: received updates are incomplete or invalid, requesting the snapshot: {}",
           settings.name(),
           resync.cause());
       client.resync();
-    } else if (step instanceof TableSubscriber.Step.Update update) {
+    } else if (result instanceof TableSubscriber.Result.Update update) {
       long arrivedAtDeciMillis = now();
-      // The delay stands for the pause that a proxy needs for each change; the update is then
+      // The delay simulates the time that a proxy needs to apply each change; the update is then
       // applied as a whole.
       long applyDelayMicros = (long) link.applyDelayMicrosPerChange() * update.changes().size();
       loop.schedule(
@@ -201,7 +201,7 @@
     }
   }
 
-  private void apply(TableSubscriber.Step.Update update, long arrivedAtDeciMillis) {
+  private void apply(TableSubscriber.Result.Update update, long arrivedAtDeciMillis) {
     try {
       router.apply(update);
     } catch (IllegalArgumentException e) {
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -31,7 +31,7 @@
   /**
    * The state that a proxy announces when it opens or renews its session.
    *
-   * @param processId random id, drawn when the proxy starts
+   * @param processId random id, generated when the proxy starts
    * @param connectionCount number of connections that the proxy has opened so far, this one
    *     included
    * @param withoutTables whether the proxy has applied no update yet and holds at most its
@@ -60,8 +60,8 @@
       ArrayNode endpointNames = value.putArray("holds");
       hello.namedEndpoints().forEach(endpointNames::add);
     }
-    String timeToLive = String.valueOf(settings.instanceLink().sessionTtlSeconds());
-    return keyValue("/presence/" + settings.name(), Map.of("ttl", timeToLive), value);
+    String ttlSeconds = String.valueOf(settings.instanceLink().sessionTtlSeconds());
+    return keyValue("/presence/" + settings.name(), Map.of("ttl", ttlSeconds), value);
   }
 
   /**
@@ -69,7 +69,7 @@
    *
    * @param durationDeciMillis time from the update's arrival until it was applied
    */
-  ChpMessage.KvSet acknowledgement(TableSubscriber.Step.Update update, long durationDeciMillis) {
+  ChpMessage.KvSet acknowledgement(TableSubscriber.Result.Update update, long durationDeciMillis) {
     ObjectNode value = JSON.createObjectNode();
     value
         .put("origin", update.stream())
