--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -119,20 +119,20 @@
    *     although the endpoint list comes from a file
    */
   public InstanceSettings withOverrides(
-      Integer otherPort, Integer registryPort, Path otherCacheFile) {
-    if (otherPort != null && (otherPort < 0 || otherPort > MAX_SNAPSHOT_PORT)) {
+      Integer portOverride, Integer registryPortOverride, Path cacheFileOverride) {
+    if (portOverride != null && (portOverride < 0 || portOverride > MAX_SNAPSHOT_PORT)) {
       throw new IllegalArgumentException(
-          "the port must be from 0 to " + MAX_SNAPSHOT_PORT + ", got " + otherPort);
+          "the port must be from 0 to " + MAX_SNAPSHOT_PORT + ", got " + portOverride);
     }
     Source source = endpointList.source();
-    if (registryPort != null) {
-      source = withRegistryPort(source, registryPort);
+    if (registryPortOverride != null) {
+      source = withRegistryPort(source, registryPortOverride);
     }
     Optional<Path> cacheFile =
-        otherCacheFile == null ? endpointList.cacheFile() : Optional.of(otherCacheFile);
+        cacheFileOverride == null ? endpointList.cacheFile() : Optional.of(cacheFileOverride);
     return new InstanceSettings(
         name,
-        otherPort == null ? listen : new ListenAddress(listen.host(), otherPort),
+        portOverride == null ? listen : new ListenAddress(listen.host(), portOverride),
         settings,
         zones,
         requestClasses,
--- a/src/main/java/stonespring/config/InstanceSettingsDecoder.java
+++ b/src/main/java/stonespring/config/InstanceSettingsDecoder.java
@@ -53,14 +53,14 @@
   }
 
   /** The values of the section {@code assigner}. */
-  private record Instance(String name, ListenAddress listen, Optional<Path> cacheFile) {}
+  private record InstanceSection(String name, ListenAddress listen, Optional<Path> cacheFile) {}
 
   /**
    * The values of the section {@code fleet}.
    *
    * @param instances the number of stonespring instances that share the proxies
    */
-  private record Fleet(
+  private record FleetSection(
       List<String> zones,
       int proxies,
       int instances,
@@ -72,17 +72,17 @@
       List<RequestClass> settings, RequestClasses namesAndTimeouts) {}
 
   /** The values of the section {@code rules}; durations are in {@link DeciMillis}. */
-  private record Rules(
+  private record RulesSection(
       long maxTimeWithoutEndpointDeciMillis,
       Settings.SlowStart slowStart,
       boolean removedEndpointsKeepServing) {}
 
   /** The values of the section {@code prices}. */
-  private record Prices(double crossZonePenalty, double worstClassWeight) {}
+  private record PricesSection(double crossZonePenalty, double worstClassWeight) {}
 
   InstanceSettings decode() {
-    Instance instance = decodeInstance();
-    Fleet fleet = decodeFleet();
+    InstanceSection instance = decodeInstance();
+    FleetSection fleet = decodeFleet();
     DecodedRequestClasses requestClasses = decodeRequestClasses();
     Source source = decodeSource();
     Settings settings =
@@ -100,14 +100,14 @@
         limits);
   }
 
-  private Instance decodeInstance() {
+  private InstanceSection decodeInstance() {
     Section section = globals.section(SettingsKeys.INSTANCE, false);
     String name = section.text(SettingsKeys.NAME, NAME_PATTERN, DEFAULT_NAME);
     String host = section.text(SettingsKeys.HOST, LISTEN_HOST_PATTERN, LOCAL_HOST);
     int port = section.integer(SettingsKeys.PORT, 0, InstanceSettings.MAX_SNAPSHOT_PORT, 7400);
     String cacheFile = section.text(SettingsKeys.CACHE_FILE, PATH_PATTERN, "");
     section.rejectUnknownKeys();
-    return new Instance(
+    return new InstanceSection(
         name,
         new ListenAddress(host, port),
         cacheFile.isEmpty() ? Optional.empty() : Optional.of(resolve(cacheFile)));
@@ -118,10 +118,10 @@
     return file.toAbsolutePath().resolveSibling(path).normalize();
   }
 
-  private Fleet decodeFleet() {
+  private FleetSection decodeFleet() {
     Section section = globals.section(SettingsKeys.FLEET, true);
-    Fleet fleet =
-        new Fleet(
+    FleetSection fleet =
+        new FleetSection(
             section.texts(SettingsKeys.ZONES, NAME_PATTERN, 1, 64),
             section.integer(SettingsKeys.PROXIES, 1, MAX_PROXIES, null),
             section.integer(SettingsKeys.INSTANCES, 1, 1000, 1),
@@ -192,11 +192,11 @@
   }
 
   private Settings decodeEngineSettings(
-      Fleet fleet, List<RequestClass> requestClasses, boolean watchRequired) {
+      FleetSection fleet, List<RequestClass> requestClasses, boolean watchRequired) {
     Settings.ChannelLimits channel = decodeChannel();
-    Rules rules = decodeRules();
+    RulesSection rules = decodeRules();
     long reportIntervalDeciMillis = decodeReportInterval();
-    Prices prices = decodePrices();
+    PricesSection prices = decodePrices();
     return new Settings(
         new Settings.Fleet(fleet.instances(), fleet.zones().size(), fleet.proxies(), false),
         List.copyOf(requestClasses),
@@ -221,25 +221,26 @@
             section.integer(SettingsKeys.MAX_BACKLOG_ENTRIES, 10, 100_000_000, null),
             section.integer(SettingsKeys.MESSAGE_OVERHEAD_ENTRIES, 0, 10_000, 10),
             section.integer(SettingsKeys.MAX_MESSAGES_PER_PROXY, 0, 1_000_000, 0),
-            duration(section, SettingsKeys.MESSAGE_WINDOW_SECONDS, 0.1, MAX_DURATION_SECONDS, 10.0),
+            durationDeciMillis(
+                section, SettingsKeys.MESSAGE_WINDOW_SECONDS, 0.1, MAX_DURATION_SECONDS, 10.0),
             section.number(SettingsKeys.ENTRIES_PER_SECOND, 1, 1e9, null),
             false);
     section.rejectUnknownKeys();
     return channel;
   }
 
-  private Rules decodeRules() {
+  private RulesSection decodeRules() {
     Section section = globals.section(SettingsKeys.RULES, true);
-    Rules rules =
-        new Rules(
-            duration(
+    RulesSection rules =
+        new RulesSection(
+            durationDeciMillis(
                 section,
                 SettingsKeys.MAX_SECONDS_WITHOUT_ENDPOINT,
                 0.1,
                 MAX_DURATION_SECONDS,
                 null),
             new Settings.SlowStart(
-                duration(
+                durationDeciMillis(
                     section, SettingsKeys.SLOW_START_WINDOW_SECONDS, 0, MAX_DURATION_SECONDS, null),
                 section.number(SettingsKeys.SLOW_START_INITIAL_FRACTION, 0.001, 1, null),
                 section.number(SettingsKeys.OVERLOAD_MULTIPLE, 1, 1000, null)),
@@ -250,15 +251,16 @@
 
   private long decodeReportInterval() {
     Section section = globals.section(SettingsKeys.REPORTS, false);
-    long interval = duration(section, SettingsKeys.REPORT_INTERVAL_SECONDS, 0.05, 60, 1.0);
+    long intervalDeciMillis =
+        durationDeciMillis(section, SettingsKeys.REPORT_INTERVAL_SECONDS, 0.05, 60, 1.0);
     section.rejectUnknownKeys();
-    return interval;
+    return intervalDeciMillis;
   }
 
-  private Prices decodePrices() {
+  private PricesSection decodePrices() {
     Section section = globals.section(SettingsKeys.PRICES, false);
-    Prices prices =
-        new Prices(
+    PricesSection prices =
+        new PricesSection(
             section.number(SettingsKeys.CROSS_ZONE_PENALTY, 0, 1, 0.0),
             section.number(SettingsKeys.WORST_CLASS_WEIGHT, 0, 1, 0.0));
     section.rejectUnknownKeys();
@@ -278,8 +280,8 @@
     Limits limits =
         new Limits(
             section.integer(SettingsKeys.PROXIES, 1, MAX_PROXIES, 20_000),
-            section.integer(SettingsKeys.CONNECTIONS, 1, 65_000, 10_000),
-            section.integer(SettingsKeys.PENDING_BYTES, 65_536, 1 << 30, 8 << 20),
+            section.integer(SettingsKeys.MAX_CONNECTIONS, 1, 65_000, 10_000),
+            section.integer(SettingsKeys.MAX_PENDING_BYTES, 65_536, 1 << 30, 8 << 20),
             section.integer(SettingsKeys.MAX_INBOX_MESSAGES, 100, 10_000_000, 100_000),
             section.integer(SettingsKeys.BATCH_MILLIS, 0, 1000, 5));
     section.rejectUnknownKeys();
@@ -287,7 +289,7 @@
   }
 
   /** Reads a duration in seconds and returns it in {@link DeciMillis}, rounded down. */
-  private static long duration(
+  private static long durationDeciMillis(
       Section section, String key, double minimum, double maximum, Double defaultValue) {
     return DeciMillis.ofSeconds(section.number(key, minimum, maximum, defaultValue));
   }
--- a/src/main/java/stonespring/config/JsonFields.java
+++ b/src/main/java/stonespring/config/JsonFields.java
@@ -78,7 +78,7 @@
   }
 
   /** Reads a required duration in seconds and returns it in {@link DeciMillis}, rounded down. */
-  long duration(String field) {
+  long durationDeciMillis(String field) {
     return DeciMillis.ofSeconds(number(field));
   }
 
@@ -87,7 +87,7 @@
    *
    * @param defaultSeconds the duration used if the field is missing
    */
-  long duration(String field, double defaultSeconds) {
+  long durationDeciMillis(String field, double defaultSeconds) {
     return DeciMillis.ofSeconds(number(field, defaultSeconds));
   }
 
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -49,7 +49,7 @@
     }
     requirePositiveFields(fields, fleet, zones, classes);
     Settings settings = readSettings(fields, fleet, rules, zones.size(), classes);
-    long minBatchIntervalDeciMillis = fields.duration("roundS", 0);
+    long minBatchIntervalDeciMillis = fields.durationDeciMillis("roundS", 0);
     return new PlatformSettings(
         settings, List.copyOf(zones), List.copyOf(classNames), minBatchIntervalDeciMillis);
   }
@@ -57,7 +57,7 @@
   private static RequestClass readRequestClass(JsonFields category) {
     return new RequestClass(
         retrySafety(category.text("repeat")),
-        category.duration("goalTimeS"),
+        category.durationDeciMillis("goalTimeS"),
         category.number("gain"));
   }
 
@@ -86,7 +86,9 @@
     requireAtLeastOne("backlog", "must be at least 1", fleet.number("backlog"));
     requireAtLeastOne("pushRate", "must be at least 1", fleet.number("pushRate"));
     requireAtLeastOne(
-        "reportEveryS", "must be at least 1 deci-millisecond", fleet.duration("reportEveryS"));
+        "reportEveryS",
+        "must be at least 1 deci-millisecond",
+        fleet.durationDeciMillis("reportEveryS"));
   }
 
   /**
@@ -112,10 +114,10 @@
     boolean watchRequired = fields.text("discovery").equals("on_request");
     AdmissionLimitKind limitKind = limitKind(fleet.text("levelKind"));
     Settings.ChannelLimits channel = readChannel(fleet);
-    long maxTimeWithoutEndpointDeciMillis = fleet.duration("emptyForS");
+    long maxTimeWithoutEndpointDeciMillis = fleet.durationDeciMillis("emptyForS");
     int bootstrapRouteCount = (int) fleet.number("bootstrap");
     int proxies = (int) fleet.number("proxyCount");
-    long reportIntervalDeciMillis = fleet.duration("reportEveryS");
+    long reportIntervalDeciMillis = fleet.durationDeciMillis("reportEveryS");
     boolean sharded = fleet.number("partitionsN", 0) > 0;
     double crossZonePenalty = fields.object("prices").number("crossZone", 0);
     Settings.SlowStart slowStart = readSlowStart(rules);
@@ -151,14 +153,14 @@
         (int) fleet.number("backlog"),
         (int) fleet.number("perMessage"),
         (int) fleet.number("reloadsMax", 0),
-        fleet.duration("messagesOverS", 10),
+        fleet.durationDeciMillis("messagesOverS", 10),
         fleet.number("pushRate"),
         false);
   }
 
   private static Settings.SlowStart readSlowStart(JsonFields rules) {
     return new Settings.SlowStart(
-        rules.duration("coldS"), rules.number("coldShare"), rules.number("fallMultiple"));
+        rules.durationDeciMillis("coldS"), rules.number("coldShare"), rules.number("fallMultiple"));
   }
 
   /**
--- a/src/main/java/stonespring/config/SettingsKeys.java
+++ b/src/main/java/stonespring/config/SettingsKeys.java
@@ -45,8 +45,8 @@
   static final String REMOVED_ENDPOINTS_KEEP_SERVING = "dropped_stay_open";
   static final String CROSS_ZONE_PENALTY = "cross_zone";
   static final String WORST_CLASS_WEIGHT = "worst_op_type";
-  static final String CONNECTIONS = "connections";
-  static final String PENDING_BYTES = "pending_bytes";
+  static final String MAX_CONNECTIONS = "connections";
+  static final String MAX_PENDING_BYTES = "pending_bytes";
   static final String MAX_INBOX_MESSAGES = "inbox_words";
   static final String BATCH_MILLIS = "moment_ms";
   static final String MESSAGE_WINDOW_SECONDS = "messages_over_s";
--- a/src/main/java/stonespring/config/script/BuiltinFunctions.java
+++ b/src/main/java/stonespring/config/script/BuiltinFunctions.java
@@ -139,21 +139,21 @@
 
   private static ScriptList enumerate(SourceLocation location, Object value) {
     List<Object> items = Values.items(location, value);
-    ScriptList rows = new ScriptList();
+    ScriptList pairs = new ScriptList();
     for (int i = 0; i < items.size(); i++) {
-      rows.add(pair((long) i, items.get(i)));
+      pairs.add(pair((long) i, items.get(i)));
     }
-    return rows;
+    return pairs;
   }
 
   private static ScriptList zip(SourceLocation location, List<Object> arguments) {
     List<Object> first = Values.items(location, arguments.get(0));
     List<Object> second = Values.items(location, arguments.get(1));
-    ScriptList rows = new ScriptList();
+    ScriptList pairs = new ScriptList();
     for (int i = 0; i < Math.min(first.size(), second.size()); i++) {
-      rows.add(pair(first.get(i), second.get(i)));
+      pairs.add(pair(first.get(i), second.get(i)));
     }
-    return rows;
+    return pairs;
   }
 
   private static ScriptList pair(Object first, Object second) {
--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -46,7 +46,7 @@
     }
     if (expression instanceof Expression.Index index) {
       Object container = evaluate(index.container(), scope);
-      return Values.entry(index.location(), container, evaluate(index.index(), scope));
+      return Values.elementAt(index.location(), container, evaluate(index.index(), scope));
     }
     if (expression instanceof Expression.Comprehension comprehension) {
       return evaluateComprehension(comprehension, scope);
--- a/src/main/java/stonespring/config/script/FunctionCaller.java
+++ b/src/main/java/stonespring/config/script/FunctionCaller.java
@@ -51,13 +51,13 @@
       List<Object> positional,
       Map<String, Object> named) {
     Statement.FunctionDefinition definition = function.definition();
-    String name = definition.name();
-    String callKey = name + definition.location();
+    String functionName = definition.name();
+    String callKey = functionName + definition.location();
     if (activeCalls.contains(callKey) || activeCalls.size() >= MAX_CALL_DEPTH) {
       throw new EvaluationException(
           location,
           "'"
-              + name
+              + functionName
               + "' calls itself, or calls are nested more than "
               + MAX_CALL_DEPTH
               + " levels deep");
@@ -65,7 +65,7 @@
     Map<String, Object> arguments = bind(location, function, positional, named);
     if (!named.isEmpty()) {
       String unknown = named.keySet().iterator().next();
-      throw new EvaluationException(location, name + " has no parameter '" + unknown + "'");
+      throw new EvaluationException(location, functionName + " has no parameter '" + unknown + "'");
     }
     activeCalls.add(callKey);
     Object result =
@@ -82,12 +82,16 @@
       UserFunction function,
       List<Object> positional,
       Map<String, Object> named) {
-    String name = function.definition().name();
+    String functionName = function.definition().name();
     List<Statement.Parameter> parameters = function.definition().parameters();
     if (positional.size() > parameters.size()) {
       throw new EvaluationException(
           location,
-          name + " takes at most " + parameters.size() + " arguments, got " + positional.size());
+          functionName
+              + " takes at most "
+              + parameters.size()
+              + " arguments, got "
+              + positional.size());
     }
     Map<String, Object> arguments = new HashMap<>();
     for (int i = 0; i < parameters.size(); i++) {
@@ -102,7 +106,7 @@
         value = executor.evaluator().evaluate(parameter.defaultValue(), scope);
       } else {
         throw new EvaluationException(
-            location, name + ": required argument '" + parameter.name() + "' is missing");
+            location, functionName + ": required argument '" + parameter.name() + "' is missing");
       }
       arguments.put(parameter.name(), value);
     }
--- a/src/main/java/stonespring/config/script/Lexer.java
+++ b/src/main/java/stonespring/config/script/Lexer.java
@@ -85,7 +85,7 @@
   }
 
   /** Reads the whole file and returns its tokens; the last one is of kind END. */
-  List<Token> tokens() {
+  List<Token> tokenize() {
     boolean atLineStart = true;
     while (!source.atEnd()) {
       if (atLineStart && openBrackets == 0) {
@@ -109,11 +109,11 @@
         readToken(next);
       }
     }
-    closeFile(atLineStart);
+    addFinalTokens(atLineStart);
     return tokens;
   }
 
-  private void closeFile(boolean atLineStart) {
+  private void addFinalTokens(boolean atLineStart) {
     if (!atLineStart) {
       add(Token.Kind.NEWLINE);
     }
@@ -131,7 +131,7 @@
     tokens.add(new Token(kind, text, value, location));
   }
 
-  private void error(SourceLocation location, String message) {
+  private void addError(SourceLocation location, String message) {
     errors.add(new SettingsError(location, message));
   }
 
@@ -168,7 +168,7 @@
       indents.pop();
       add(Token.Kind.DEDENT);
       if (indent > indents.peek()) {
-        error(
+        addError(
             source.location(),
             "the indentation of this line does not match that of any enclosing block");
         indents.push(indent);
@@ -198,7 +198,7 @@
     }
     String word = source.textFrom(start);
     if (UNSUPPORTED_KEYWORDS.contains(word)) {
-      error(location, "'" + word + "' is not supported in settings scripts");
+      addError(location, "'" + word + "' is not supported in settings scripts");
     }
     add(KEYWORDS.contains(word) ? Token.Kind.KEYWORD : Token.Kind.NAME, word, null, location);
   }
@@ -213,7 +213,7 @@
         return;
       }
     }
-    error(
+    addError(
         location,
         first == '\t'
             ? "unexpected tab character: indent with spaces"
@@ -244,7 +244,7 @@
     try {
       value = isFloat ? (Object) parseFloat(digits) : (Object) Long.valueOf(digits);
     } catch (NumberFormatException e) {
-      error(location, "'" + digits + "' is not a valid number, or is too large");
+      addError(location, "'" + digits + "' is not a valid number, or is too large");
     }
     add(Token.Kind.NUMBER, digits, value, location);
   }
@@ -288,7 +288,7 @@
     if (source.nextIs(quote)) {
       source.advance();
     } else {
-      error(location, "missing closing quote: a string must end on its line");
+      addError(location, "missing closing quote: a string must end on its line");
     }
     add(Token.Kind.STRING, contents.toString(), contents.toString(), location);
   }
@@ -296,7 +296,7 @@
   private void readEscape(StringBuilder contents) {
     int escape = ESCAPE_LETTERS.indexOf(source.peek());
     if (escape < 0) {
-      error(source.location(), "unknown escape sequence '\\" + source.peek() + "'");
+      addError(source.location(), "unknown escape sequence '\\" + source.peek() + "'");
     } else {
       contents.append(ESCAPED_CHARACTERS.charAt(escape));
     }
--- a/src/main/java/stonespring/config/script/Script.java
+++ b/src/main/java/stonespring/config/script/Script.java
@@ -19,14 +19,14 @@
    */
   public static ScriptDict run(Path file) throws ScriptException {
     ScriptLoader loader = new ScriptLoader();
-    SourceLocation start = new SourceLocation(file.toString(), 1, 1);
+    SourceLocation startOfFile = new SourceLocation(file.toString(), 1, 1);
     ScriptDict exported = new ScriptDict();
     List<SettingsError> errors = new ArrayList<>();
     try {
-      for (Map.Entry<String, Object> global : loader.load(file, start).entrySet()) {
+      for (Map.Entry<String, Object> global : loader.load(file, startOfFile).entrySet()) {
         String name = global.getKey();
         if (!name.startsWith("_") && !(global.getValue() instanceof UserFunction)) {
-          exported.put(name, global.getValue(), loader.locationOf(name, start));
+          exported.put(name, global.getValue(), loader.locationOf(name, startOfFile));
         }
       }
     } catch (EvaluationException e) {
--- a/src/main/java/stonespring/config/script/ScriptLoader.java
+++ b/src/main/java/stonespring/config/script/ScriptLoader.java
@@ -71,7 +71,7 @@
   }
 
   private List<Statement> parse(Path file, String text) {
-    List<Token> tokens = new Lexer(file.toString(), text, errors).tokens();
+    List<Token> tokens = new Lexer(file.toString(), text, errors).tokenize();
     return new StatementParser(tokens, errors).parse();
   }
 
--- a/src/main/java/stonespring/config/script/StatementParser.java
+++ b/src/main/java/stonespring/config/script/StatementParser.java
@@ -185,17 +185,17 @@
   private Statement parseAssignmentOrExpression() {
     Expression left = expressions.parse();
     if (tokens.take("=")) {
-      return parseAssignedValue(left, null);
+      return parseAssignment(left, null);
     }
     for (BinaryOperator operator : AUGMENTING_OPERATORS) {
       if (tokens.take(operator.symbol() + "=")) {
-        return parseAssignedValue(left, operator);
+        return parseAssignment(left, operator);
       }
     }
     return new Statement.ExpressionStatement(left);
   }
 
-  private Statement parseAssignedValue(Expression target, BinaryOperator operator) {
+  private Statement parseAssignment(Expression target, BinaryOperator operator) {
     if (!(target instanceof Expression.Name || target instanceof Expression.Index)) {
       throw tokens.error(
           target.location(),
--- a/src/main/java/stonespring/config/script/Values.java
+++ b/src/main/java/stonespring/config/script/Values.java
@@ -93,7 +93,7 @@
   }
 
   /** Returns an entry of a dict, an item of a list or a character of a string. */
-  static Object entry(SourceLocation location, Object container, Object index) {
+  static Object elementAt(SourceLocation location, Object container, Object index) {
     if (container instanceof ScriptDict dict) {
       if (!dict.containsKey(index)) {
         throw new EvaluationException(location, "the dict has no key " + index);
--- a/src/main/java/stonespring/discovery/PlatformEndpointList.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointList.java
@@ -46,7 +46,7 @@
   }
 
   /** Reads a message without changing the held list. */
-  PlatformListMessage read(byte[] message) throws InvalidEndpointListException {
+  PlatformListMessage parseMessage(byte[] message) throws InvalidEndpointListException {
     return codec.read(message, endpointsById);
   }
 
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -247,7 +247,7 @@
       }
       byte[] body = EndpointListUnavailableException.requireOk(result).body();
       Event.EndpointListUpdate update =
-          list.apply(list.read(body), versionAtRequest, PlatformEndpointList.Origin.FETCH);
+          list.apply(list.parseMessage(body), versionAtRequest, PlatformEndpointList.Origin.FETCH);
       listeners.notifyUpdated(
           new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, update.endpoints()),
           list.endpoints());
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -122,7 +122,7 @@
       return;
     }
     try {
-      PlatformListMessage parsedMessage = list.read(messageBytes);
+      PlatformListMessage parsedMessage = list.parseMessage(messageBytes);
       Event.EndpointListUpdate update =
           list.apply(parsedMessage, lastVersion, PlatformEndpointList.Origin.WATCH);
       lastVersion = parsedMessage.version();
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -24,7 +24,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
   private static final String KEEP_ALIVE = "PING";
   private static final String KEEP_ALIVE_RESPONSE = "PONG\r\n";
-  private static final String REFUSAL = "NACK reason=";
+  private static final String REFUSAL_PREFIX = "NACK reason=";
 
   /** Maximum length of the reason in a refusal, in characters. */
   private static final int MAX_REASON_CHARS = 80;
@@ -113,7 +113,7 @@
   private void sendRefusalAndClose(String reason) {
     String hyphenated = reason.replaceAll("[^A-Za-z0-9]+", "-");
     String shortened = hyphenated.substring(0, Math.min(MAX_REASON_CHARS, hyphenated.length()));
-    ChannelFuture written = channel.writeAndFlush(encode(REFUSAL + shortened + "\r\n"));
+    ChannelFuture written = channel.writeAndFlush(encode(REFUSAL_PREFIX + shortened + "\r\n"));
     if (written.isDone()) {
       written.addListener(ChannelFutureListener.CLOSE);
     } else {
--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -46,7 +46,7 @@
   private static final double MAX_DURATION_SECONDS = 3600;
 
   /** Upper bound of a request rate, a number of requests or attempts, or a load figure. */
-  private static final double MAX_FIGURE = 1e9;
+  private static final double MAX_NUMBER = 1e9;
 
   private static final int MAX_ACK_ID = 65_535;
 
@@ -73,7 +73,7 @@
         message.name(PROCESS_ID),
         message.wholeNumber(SESSION_COUNT, Long.MAX_VALUE),
         zone,
-        message.number(REQUESTS_PER_SECOND, MAX_FIGURE),
+        message.number(REQUESTS_PER_SECOND, MAX_NUMBER),
         withoutTables,
         tableEndpoints);
   }
@@ -115,8 +115,8 @@
           ENDPOINTS,
           "has a row that is not a list of endpoint, attempts, failures, mean seconds, load");
     }
-    long attempts = message.wholeNumber(ENDPOINTS, row.get(1), MAX_FIGURE);
-    long failures = message.wholeNumber(ENDPOINTS, row.get(2), MAX_FIGURE);
+    long attempts = message.wholeNumber(ENDPOINTS, row.get(1), MAX_NUMBER);
+    long failures = message.wholeNumber(ENDPOINTS, row.get(2), MAX_NUMBER);
     if (failures > attempts) {
       throw message.invalid(ENDPOINTS, "has a row with more failures than attempts");
     }
@@ -145,8 +145,8 @@
                         "names a request class that is not in the settings: " + className));
     return new ProxyReport.RequestCount(
         requestClass,
-        message.wholeNumber(REQUESTS, row.get(1), MAX_FIGURE),
-        message.wholeNumber(REQUESTS, row.get(2), MAX_FIGURE));
+        message.wholeNumber(REQUESTS, row.get(1), MAX_NUMBER),
+        message.wholeNumber(REQUESTS, row.get(2), MAX_NUMBER));
   }
 
   private static LoadReport readLoadReport(JsonMessage message, JsonNode load) {
@@ -154,19 +154,19 @@
       return LoadReport.NONE;
     }
     return new LoadReport(
-        readLoadFigure(message, load, UTILIZATION),
-        readLoadFigure(message, load, QUEUE_LENGTH),
-        readLoadFigure(message, load, IN_FLIGHT),
-        readLoadFigure(message, load, SERVICE_TIME_MILLIS),
-        readLoadFigure(message, load, LOAD_REQUESTS_PER_SECOND));
+        readLoadMetric(message, load, UTILIZATION),
+        readLoadMetric(message, load, QUEUE_LENGTH),
+        readLoadMetric(message, load, IN_FLIGHT),
+        readLoadMetric(message, load, SERVICE_TIME_MILLIS),
+        readLoadMetric(message, load, LOAD_REQUESTS_PER_SECOND));
   }
 
   /** Returns a load figure; NaN if it is missing. */
-  private static double readLoadFigure(JsonMessage message, JsonNode load, String field) {
+  private static double readLoadMetric(JsonMessage message, JsonNode load, String field) {
     JsonNode value = load.path(field);
     return value.isMissingNode() || value.isNull()
         ? Double.NaN
-        : message.number(ENDPOINTS + "." + field, value, MAX_FIGURE);
+        : message.number(ENDPOINTS + "." + field, value, MAX_NUMBER);
   }
 
   /** Reads the message by which a proxy acknowledges an update. */
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -76,8 +76,8 @@
 
   @Override
   public void snapshotRequested(ZmtpConnection peer, String subtree) {
-    AtomicInteger pending = pendingSnapshots(peer);
-    if (pending.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
+    AtomicInteger pendingCount = pendingSnapshots(peer);
+    if (pendingCount.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
       throw new InvalidChpMessageException(
           "ICANHAZ: more than " + MAX_PENDING_SNAPSHOTS + " snapshots are pending for this peer");
     }
@@ -86,7 +86,7 @@
             subtree,
             snapshot -> {
               sendSnapshot(peer, subtree, snapshot);
-              pending.decrementAndGet();
+              pendingCount.decrementAndGet();
             });
     if (!accepted) {
       throw new InvalidChpMessageException(OVERLOADED);
@@ -94,12 +94,12 @@
   }
 
   private static AtomicInteger pendingSnapshots(ZmtpConnection peer) {
-    AtomicInteger pending = peer.channel().attr(PENDING_SNAPSHOTS).get();
-    if (pending == null) {
-      pending = new AtomicInteger();
-      peer.channel().attr(PENDING_SNAPSHOTS).set(pending);
+    AtomicInteger pendingCount = peer.channel().attr(PENDING_SNAPSHOTS).get();
+    if (pendingCount == null) {
+      pendingCount = new AtomicInteger();
+      peer.channel().attr(PENDING_SNAPSHOTS).set(pendingCount);
     }
-    return pending;
+    return pendingCount;
   }
 
   private static void sendSnapshot(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -68,7 +68,7 @@
   private static final String FAILURES = "fail";
   private static final String MEAN_LATENCY = "mean";
   private static final String INTERVAL = "over";
-  private static final String LOAD_FIGURES = "util";
+  private static final String LOAD_METRICS = "util";
 
   /** Maximum number of requests or attempts in one report, far above what an endpoint serves. */
   private static final double MAX_COUNT = 1e7;
@@ -79,7 +79,7 @@
   /** The utilization is a fraction, but a noisy measurement may exceed 1. */
   private static final double MAX_UTILIZATION = 2;
 
-  private static final double MAX_LOAD_FIGURE = 1e7;
+  private static final double MAX_LOAD_METRIC = 1e7;
   private static final int MAX_ACK_ID = 65_535;
   private static final int MAX_DESCRIPTION_CHARS = 200;
 
@@ -199,7 +199,7 @@
 
   /** Reads {@code name:value} pairs; each figure has two accepted names. */
   private static LoadReport readLoadReport(MessageFields fields) {
-    String pairs = fields.optionalText(LOAD_FIGURES);
+    String pairs = fields.optionalText(LOAD_METRICS);
     if (pairs.isEmpty()) {
       return LoadReport.NONE;
     }
@@ -211,16 +211,16 @@
     for (String pair : pairs.split(",", -1)) {
       int colon = pair.indexOf(':');
       if (colon < 1) {
-        throw fields.invalidValue(LOAD_FIGURES, "has an element that is not name:value", pair);
+        throw fields.invalidValue(LOAD_METRICS, "has an element that is not name:value", pair);
       }
       String value = pair.substring(colon + 1);
       switch (pair.substring(0, colon)) {
         case "util", "utilization" ->
-            utilization = fields.number(LOAD_FIGURES, value, MAX_UTILIZATION);
-        case "queue", "backlog" -> queueLength = readLoadFigure(fields, value);
-        case "inflight", "outstanding" -> inFlight = readLoadFigure(fields, value);
-        case "latency_ms", "recent_ms" -> serviceTimeMillis = readLoadFigure(fields, value);
-        case "qps", "throughput" -> requestsPerSecond = readLoadFigure(fields, value);
+            utilization = fields.number(LOAD_METRICS, value, MAX_UTILIZATION);
+        case "queue", "backlog" -> queueLength = readLoadMetric(fields, value);
+        case "inflight", "outstanding" -> inFlight = readLoadMetric(fields, value);
+        case "latency_ms", "recent_ms" -> serviceTimeMillis = readLoadMetric(fields, value);
+        case "qps", "throughput" -> requestsPerSecond = readLoadMetric(fields, value);
         default -> {
           // The decision engine does not use other figures.
         }
@@ -229,8 +229,8 @@
     return new LoadReport(utilization, queueLength, inFlight, serviceTimeMillis, requestsPerSecond);
   }
 
-  private static double readLoadFigure(MessageFields fields, String value) {
-    return fields.number(LOAD_FIGURES, value, MAX_LOAD_FIGURE);
+  private static double readLoadMetric(MessageFields fields, String value) {
+    return fields.number(LOAD_METRICS, value, MAX_LOAD_METRIC);
   }
 
   /** Encodes an update as CONFIG lines, one for each part, without CR LF. */
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -59,7 +59,7 @@
   private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
   private final KnownEndpoints knownEndpoints = new KnownEndpoints(MAX_KNOWN_ENDPOINTS);
   private RouteTables tables;
-  private long droppedMessages;
+  private long droppedMessageCount;
 
   /**
    * Creates an API that has no connections.
@@ -105,25 +105,25 @@
     }
   }
 
-  private void acceptProxy(LineConnection connection, Event.ProxyConnected hello) {
-    ProxySession earlierSession = sessions.get(hello.proxy().number());
+  private void acceptProxy(LineConnection connection, Event.ProxyConnected connectedEvent) {
+    ProxySession earlierSession = sessions.get(connectedEvent.proxy().number());
     if (earlierSession != null) {
       // Calls handleClosed(), which emits the event that the proxy disconnected.
       earlierSession.connection().close("replaced by a newer session of the proxy");
     }
-    startSession(connection, hello);
+    startSession(connection, connectedEvent);
   }
 
-  private void startSession(LineConnection connection, Event.ProxyConnected hello) {
+  private void startSession(LineConnection connection, Event.ProxyConnected connectedEvent) {
     Set<EndpointId> excluded =
-        excludedEndpointsByProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
-    ProxyExclusions exclusions = new ProxyExclusions(excluded, !hello.withoutTables());
+        excludedEndpointsByProxy.computeIfAbsent(connectedEvent.proxy(), proxy -> new HashSet<>());
+    ProxyExclusions exclusions = new ProxyExclusions(excluded, !connectedEvent.withoutTables());
     ProxyRouteState routeState = new ProxyRouteState(requestClassCount, tables, exclusions);
-    ProxySession session = new ProxySession(hello, connection, routeState);
-    sessions.put(hello.proxy().number(), session);
+    ProxySession session = new ProxySession(connectedEvent, connection, routeState);
+    sessions.put(connectedEvent.proxy().number(), session);
     connection.setSession(session);
-    tables.addProxy(hello.proxy(), Optional.empty());
-    eventConsumer.accept(hello);
+    tables.addProxy(connectedEvent.proxy(), Optional.empty());
+    eventConsumer.accept(connectedEvent);
   }
 
   private void acceptCollector(LineConnection connection, Collector collector) {
@@ -180,7 +180,7 @@
   }
 
   private void dropMessage(PlatformPeer sender, LineMessage message, String cause) {
-    if (droppedMessages++ < MAX_LOGGED_DROPS) {
+    if (droppedMessageCount++ < MAX_LOGGED_DROPS) {
       LOG.warn(
           "message from {} dropped: {} in: {}",
           sender,
@@ -218,10 +218,14 @@
   public void handleEngineRestart() {
     tables = new RouteTables(requestClassCount);
     for (ProxySession session : List.copyOf(sessions.values())) {
-      Event.ProxyConnected hello = session.hello();
+      Event.ProxyConnected connectedEvent = session.connectedEvent();
       startSession(
           session.connection(),
-          new Event.ProxyConnected(hello.proxy(), hello.zone(), hello.requestsPerSecond(), false));
+          new Event.ProxyConnected(
+              connectedEvent.proxy(),
+              connectedEvent.zone(),
+              connectedEvent.requestsPerSecond(),
+              false));
     }
   }
 
@@ -258,7 +262,7 @@
 
   /** Returns the number of invalid messages of known peers that were dropped since the start. */
   public long droppedMessageCount() {
-    return droppedMessages;
+    return droppedMessageCount;
   }
 
   boolean isConnected(ProxyId proxy) {
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -42,7 +42,7 @@
   private final AdmissionLimit[] sentLimits;
 
   /** The tables that one update changes, in the order of its changes. */
-  private static final class TouchedTables {
+  private static final class ChangedTables {
     private final Set<RouteTableId> replaced = new LinkedHashSet<>();
     private final Map<RouteTableId, List<ProxyChange.RouteChange>> changedRoutes =
         new LinkedHashMap<>();
@@ -64,20 +64,20 @@
   /** Applies an update, and returns the message to send; empty if nothing is to be sent. */
   ConfigMessage apply(ProxyUpdate update) {
     ExclusionChanges exclusionChanges = new ExclusionChanges();
-    TouchedTables touched = new TouchedTables();
-    update.changes().forEach(change -> applyChange(change, touched, exclusionChanges));
+    ChangedTables changedTables = new ChangedTables();
+    update.changes().forEach(change -> applyChange(change, changedTables, exclusionChanges));
 
     List<ConfigMessage.Part> parts = new ArrayList<>();
-    touched.changedRoutes.forEach(
+    changedTables.changedRoutes.forEach(
         (table, changes) -> {
-          if (touched.replaced.contains(table)) {
+          if (changedTables.replaced.contains(table)) {
             addReplacement(table, parts, exclusionChanges);
           } else {
             addRoutes(table, changes, parts, exclusionChanges);
           }
         });
-    for (RouteTableId table : touched.replaced) {
-      if (!touched.changedRoutes.containsKey(table)) {
+    for (RouteTableId table : changedTables.replaced) {
+      if (!changedTables.changedRoutes.containsKey(table)) {
         addReplacement(table, parts, exclusionChanges);
       }
     }
@@ -88,20 +88,23 @@
   }
 
   private void applyChange(
-      ProxyChange change, TouchedTables touched, ExclusionChanges exclusionChanges) {
+      ProxyChange change, ChangedTables changedTables, ExclusionChanges exclusionChanges) {
     if (change instanceof ProxyChange.TableAssignment assignment) {
       assignedTables[assignment.requestClass().index()] = assignment.table();
-      touched.replaced.add(assignment.table());
+      changedTables.replaced.add(assignment.table());
     } else if (change instanceof ProxyChange.RouteChange route) {
       applyRoute(route);
-      touched.changedRoutes.computeIfAbsent(route.table(), id -> new ArrayList<>()).add(route);
+      changedTables
+          .changedRoutes
+          .computeIfAbsent(route.table(), id -> new ArrayList<>())
+          .add(route);
     } else if (change instanceof ProxyChange.AdmissionLimitChange limit) {
-      AdmissionLimit[] ofTable =
+      AdmissionLimit[] limitsOfTable =
           limitsByTable.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClassCount]);
-      ofTable[limit.requestClass().index()] = limit.limit().orElse(null);
+      limitsOfTable[limit.requestClass().index()] = limit.limit().orElse(null);
       if (limit.limit().isEmpty()) {
         // The protocol removes a limit only by replacing the table.
-        touched.replaced.add(limit.table());
+        changedTables.replaced.add(limit.table());
       }
     } else if (change instanceof ProxyChange.ExclusionChange exclusion) {
       exclusionChanges.add(exclusion.endpoint(), exclusion.excluded());
@@ -109,13 +112,13 @@
   }
 
   private void applyRoute(ProxyChange.RouteChange route) {
-    TreeMap<EndpointId, ProxyChange.RouteChange> ofTable =
+    TreeMap<EndpointId, ProxyChange.RouteChange> routesOfTable =
         routesByTable.computeIfAbsent(
             route.table(), id -> new TreeMap<>(Comparator.comparing(EndpointId::name)));
     if (route.weight() > 0) {
-      ofTable.put(route.endpoint(), route);
+      routesOfTable.put(route.endpoint(), route);
     } else {
-      ofTable.remove(route.endpoint());
+      routesOfTable.remove(route.endpoint());
     }
   }
 
@@ -218,16 +221,17 @@
    * the table's limit.
    */
   private AdmissionLimit effectiveLimit(int requestClass) {
-    AdmissionLimit own = limitOf(assignedTables[requestClass], requestClass);
-    AdmissionLimit common = limitOf(Command.ALL_TABLES, requestClass);
-    if (own == null || common == null) {
-      return own == null ? common : own;
+    AdmissionLimit tableLimit = limitOf(assignedTables[requestClass], requestClass);
+    AdmissionLimit commonLimit = limitOf(Command.ALL_TABLES, requestClass);
+    if (tableLimit == null || commonLimit == null) {
+      return tableLimit == null ? commonLimit : tableLimit;
     }
-    return new AdmissionLimit(Math.min(own.limit(), common.limit()), own.retryPolicy());
+    return new AdmissionLimit(
+        Math.min(tableLimit.limit(), commonLimit.limit()), tableLimit.retryPolicy());
   }
 
   private AdmissionLimit limitOf(RouteTableId table, int requestClass) {
-    AdmissionLimit[] ofTable = limitsByTable.get(table);
-    return ofTable == null ? null : ofTable[requestClass];
+    AdmissionLimit[] limitsOfTable = limitsByTable.get(table);
+    return limitsOfTable == null ? null : limitsOfTable[requestClass];
   }
 }
--- a/src/main/java/stonespring/proxyapi/platform/ProxySession.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxySession.java
@@ -14,24 +14,25 @@
    */
   private static final int MAX_PENDING_ACKS = 64;
 
-  private final Event.ProxyConnected hello;
+  private final Event.ProxyConnected connectedEvent;
   private final LineConnection connection;
   private final ProxyRouteState routeState;
   private final LinkedHashSet<AckId> pendingAcks = new LinkedHashSet<>();
 
-  ProxySession(Event.ProxyConnected hello, LineConnection connection, ProxyRouteState routeState) {
-    this.hello = hello;
+  ProxySession(
+      Event.ProxyConnected connectedEvent, LineConnection connection, ProxyRouteState routeState) {
+    this.connectedEvent = connectedEvent;
     this.connection = connection;
     this.routeState = routeState;
   }
 
   ProxyId proxy() {
-    return hello.proxy();
+    return connectedEvent.proxy();
   }
 
   /** Returns the event that started the session. */
-  Event.ProxyConnected hello() {
-    return hello;
+  Event.ProxyConnected connectedEvent() {
+    return connectedEvent;
   }
 
   LineConnection connection() {
--- a/src/test/java/stonespring/config/script/ScriptTest.java
+++ b/src/test/java/stonespring/config/script/ScriptTest.java
@@ -116,7 +116,7 @@
 
   /** A script of random tokens ends soon, with values or a {@link ScriptException}. */
   @Property(tries = 300, seed = "1")
-  void endsWithValuesOrErrorsOnAnyText(@ForAll long seed) throws IOException {
+  void endsWithValuesOrScriptExceptionWhenTextIsArbitrary(@ForAll long seed) throws IOException {
     SplittableRandom random = new SplittableRandom(seed);
     String[] words = {
       "x", "=", "1", "(", ")", "[", "]", "{", "}", ":", ",", "if", "else", "for", "in", "def",
--- a/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointListTest.java
@@ -12,7 +12,7 @@
 
   private void apply(String message) throws InvalidEndpointListException {
     list.apply(
-        list.read(message.getBytes(StandardCharsets.UTF_8)),
+        list.parseMessage(message.getBytes(StandardCharsets.UTF_8)),
         list.version(),
         PlatformEndpointList.Origin.WATCH);
   }
--- a/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
+++ b/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void reportsSnapshotWhenWatchRestartsAndFailureWhenItBreaks() throws Exception {
+  void reportsSnapshotWhenWatchRestartsAndFailureWhenConnectionCloses() throws Exception {
     source.setWatchEnabled(true);
     registry.respond(7, PASSING_A, WARNING_B);
     assertEquals(Event.ListUpdateKind.SNAPSHOT, updates.next().kind());
