--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -51,7 +51,7 @@
   public record RequestClasses(List<String> names, List<Long> timeoutsDeciMillis) {}
 
   /**
-   * The source of the endpoint list, and its cache.
+   * The source of the endpoint list, and the file in which the instance caches the list.
    *
    * @param cacheFile the file that keeps the last endpoint list across restarts, if there is one
    */
@@ -113,7 +113,7 @@
 
   /**
    * Returns a copy of these settings with values given on the command line; a null argument keeps
-   * the present value.
+   * the current value.
    *
    * @throws IllegalArgumentException if a port is out of range, or if a registry port is given
    *     although the endpoint list comes from a file
--- a/src/main/java/stonespring/config/InstanceSettingsDecoder.java
+++ b/src/main/java/stonespring/config/InstanceSettingsDecoder.java
@@ -67,7 +67,10 @@
       int bootstrapRouteCount,
       int ejectAfterConsecutiveFailures) {}
 
-  /** The request classes as the decision engine takes them, with their names and timeouts. */
+  /**
+   * The request classes: the settings of the decision engine, and the names and timeouts, which
+   * only other components use.
+   */
   private record DecodedRequestClasses(
       List<RequestClass> settings, RequestClasses namesAndTimeouts) {}
 
--- a/src/main/java/stonespring/config/JsonFields.java
+++ b/src/main/java/stonespring/config/JsonFields.java
@@ -10,9 +10,7 @@
  * missing or invalid field is reported by an {@link InvalidSettingsException} that names it.
  */
 final class JsonFields {
-  /**
-   * The largest accepted number; in every unit that the settings use, a larger one is a mistake.
-   */
+  /** The largest accepted number. A larger one is an error in every unit that the settings use. */
   private static final double MAX_NUMBER = 1e9;
 
   private final JsonNode object;
--- a/src/main/java/stonespring/config/PlatformSettings.java
+++ b/src/main/java/stonespring/config/PlatformSettings.java
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Rejects values below 1 for quantities that are divided by or waited for: with 0, an instance
-   * would decide without end or never.
+   * Rejects values below 1 for quantities that an instance divides by or waits for. With 0, an
+   * instance would make decisions in an endless loop, or never make one.
    *
    * @param requirement what is required of the field, in the words of the error message
    */
@@ -166,7 +166,7 @@
   /**
    * Returns a copy of these settings with the constraints of the platform applied. Settings made
    * for the simulator may say that the endpoint list is pushed, but on the platform it must be
-   * watched: an instance without a watch would keep sending requests to drained endpoints.
+   * watched: an instance without a watch would keep routing requests to drained endpoints.
    */
   PlatformSettings withPlatformConstraints() {
     return new PlatformSettings(
--- a/src/main/java/stonespring/config/Section.java
+++ b/src/main/java/stonespring/config/Section.java
@@ -44,7 +44,8 @@
   /**
    * Records an error for a key, for example that its value contradicts another one.
    *
-   * @param message what is wrong; follows the quoted name of the key
+   * @param message the predicate of the error message, whose subject is the quoted key, such as
+   *     {@code must be unique}
    */
   public void reject(String key, String message) {
     addError(locationOf(key), key, message);
@@ -129,7 +130,10 @@
     return text;
   }
 
-  /** Reads one of several words; an invalid one is replaced by the first of them. */
+  /**
+   * Reads a string that must be one of the given words; an invalid value is replaced by the first
+   * of these words.
+   */
   public String choice(String key, List<String> words, String defaultValue) {
     Object value = read(key, defaultValue == null);
     if (value == null) {
@@ -230,7 +234,10 @@
     return dict.get(key);
   }
 
-  /** Reads a list; an empty one replaces a missing or invalid value. */
+  /**
+   * Reads a list. A missing value, or a value of another type, is replaced by an empty list. A list
+   * of a wrong size is recorded as an error and returned as it is.
+   */
   private ScriptList list(String key, int minimumSize, int maximumSize) {
     Object value = read(key, minimumSize > 0);
     if (value == null) {
--- a/src/main/java/stonespring/config/script/Builtin.java
+++ b/src/main/java/stonespring/config/script/Builtin.java
@@ -1,4 +1,7 @@
 package stonespring.config.script;
 
-/** A built-in function as a value; {@link BuiltinFunctions} implements it. */
+/**
+ * The value of a name that refers to a built-in function, which {@link BuiltinFunctions}
+ * implements.
+ */
 record Builtin(String name) {}
--- a/src/main/java/stonespring/config/script/ExpressionEvaluator.java
+++ b/src/main/java/stonespring/config/script/ExpressionEvaluator.java
@@ -20,7 +20,7 @@
   /**
    * Evaluates an expression; the result is null for {@code None}.
    *
-   * <p>Operator chains and nested expressions recurse through this method. It is kept to few local
+   * <p>Operator chains and nested expressions recurse through this method. It has few local
    * variables, so that each call needs little stack.
    */
   Object evaluate(Expression expression, Scope scope) {
@@ -60,7 +60,10 @@
     return evaluateCall((Expression.Call) expression, scope);
   }
 
-  /** Assigns an item to a single name, or the items of a list to as many names. */
+  /**
+   * Assigns an item to a single name. With several names, the item must be a list of the same
+   * length, whose items are assigned to the names in order.
+   */
   void unpack(SourceLocation location, List<String> names, Object item, Scope scope) {
     if (names.size() == 1) {
       scope.set(names.get(0), item);
--- a/src/main/java/stonespring/config/script/FunctionCaller.java
+++ b/src/main/java/stonespring/config/script/FunctionCaller.java
@@ -25,7 +25,7 @@
   /**
    * Calls a function with evaluated arguments.
    *
-   * @param named the arguments by name; the call removes those that it binds
+   * @param named the named arguments; the call removes those that it binds to a parameter
    */
   Object call(
       SourceLocation location,
--- a/src/main/java/stonespring/config/script/Lexer.java
+++ b/src/main/java/stonespring/config/script/Lexer.java
@@ -66,7 +66,7 @@
   /** The characters that may follow a backslash in a string. */
   private static final String ESCAPE_LETTERS = "nt\\\"'";
 
-  /** What the escapes stand for, in the order of {@link #ESCAPE_LETTERS}. */
+  /** The characters that the escape sequences denote, in the order of {@link #ESCAPE_LETTERS}. */
   private static final String ESCAPED_CHARACTERS = "\n\t\\\"'";
 
   private final SourceText source;
--- a/src/main/java/stonespring/config/script/ScriptDict.java
+++ b/src/main/java/stonespring/config/script/ScriptDict.java
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Returns a new dict with the entries of both; where both have a key, the entry of the second is
-   * taken.
+   * Returns a new dict with the entries of both. The entry of the second dict is used for a key
+   * that is in both.
    */
   static ScriptDict union(ScriptDict first, ScriptDict second) {
     ScriptDict union = new ScriptDict();
--- a/src/main/java/stonespring/config/script/ScriptList.java
+++ b/src/main/java/stonespring/config/script/ScriptList.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A list of a script, with the source locations of the items that are written out in it; a computed
- * item has the location of the list.
+ * A list of a script, with the source locations of the items of list expressions and
+ * comprehensions. No location is recorded for other items, such as those of a range.
  */
 public final class ScriptList extends ArrayList<Object> {
   private static final long serialVersionUID = 1;
@@ -22,7 +22,10 @@
     locations.add(location);
   }
 
-  /** Returns a new list with the items of both; items without a location get the given one. */
+  /**
+   * Returns a new list with the items of both; the given location is recorded for items that have
+   * none.
+   */
   static ScriptList concatenation(
       ScriptList first, ScriptList second, SourceLocation defaultLocation) {
     ScriptList all = new ScriptList();
--- a/src/main/java/stonespring/config/script/Values.java
+++ b/src/main/java/stonespring/config/script/Values.java
@@ -12,7 +12,7 @@
  */
 public final class Values {
   /**
-   * The magnitude from which on doubles are not printed as whole numbers, since large doubles do
+   * Doubles of this magnitude or above are not printed as whole numbers, because large doubles do
    * not represent whole numbers exactly.
    */
   private static final double MAX_PRINTED_AS_WHOLE = 1e15;
--- a/src/main/java/stonespring/discovery/EndpointListCodec.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -17,17 +17,20 @@
  * Reads and writes the endpoint list as a JSON array of objects with the fields {@code id}, {@code
  * address}, {@code zone}, {@code weight}, {@code state} and {@code started_ms}. This is the format
  * of list files and of the cached list. An {@link EndpointId} contains the address, {@code
- * NAME@HOST:PORT}: an endpoint whose address changes becomes another endpoint, and proxies need no
- * further look-up to reach it. Immutable.
+ * NAME@HOST:PORT}, so that proxies reach an endpoint without a further look-up. An endpoint whose
+ * address changes counts as a different endpoint. Immutable.
  */
 public final class EndpointListCodec {
   /**
-   * The maximum number of endpoints in a list of any format. A longer list is a mistake of its
-   * producer.
+   * The maximum number of endpoints in a list of any format. A longer list indicates an error in
+   * its source.
    */
   static final int MAX_ENDPOINTS = 50_000;
 
-  /** Upper bound of a weight, exclusive; no unit. A greater weight is a mistake of its producer. */
+  /**
+   * Upper bound of a weight, exclusive; no unit. A greater weight indicates an error in the source
+   * of the list.
+   */
   private static final double MAX_WEIGHT = 1e6;
 
   private static final char ADDRESS_SEPARATOR = '@';
--- a/src/main/java/stonespring/discovery/EndpointListDiff.java
+++ b/src/main/java/stonespring/discovery/EndpointListDiff.java
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Discards the last list, so that the next one becomes a snapshot. Needed whenever changes may
-   * have been missed.
+   * Discards the last list, so that the next one becomes a snapshot. To be called whenever changes
+   * may have been missed.
    */
   void clearList() {
     lastList = Optional.empty();
--- a/src/main/java/stonespring/discovery/FileEndpointSource.java
+++ b/src/main/java/stonespring/discovery/FileEndpointSource.java
@@ -25,7 +25,7 @@
 public final class FileEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(FileEndpointSource.class);
 
-  /** Well below any grace period for requests to a draining endpoint. */
+  /** The interval is well below any grace period for requests to a draining endpoint. */
   private static final long POLL_INTERVAL_MILLIS = 200;
 
   private static final long MAX_FILE_BYTES = 64L << 20;
--- a/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointCodec.java
@@ -31,7 +31,10 @@
                       .build())
               .build());
 
-  /** Upper bound of a weight, exclusive; no unit. A greater weight is a mistake of its producer. */
+  /**
+   * Upper bound of a weight, exclusive; no unit. A greater weight indicates an error in the source
+   * of the list.
+   */
   private static final double MAX_WEIGHT = 1e6;
 
   /**
@@ -71,8 +74,8 @@
   }
 
   /**
-   * Reads one message. An invalid entry does not make the message invalid: the record held for that
-   * endpoint is used in its place, and without such a record the entry is skipped.
+   * Reads one message. An invalid entry does not make the message invalid: it is replaced by the
+   * record held for the same endpoint, or skipped if there is none.
    *
    * @param message the parsed message; null is invalid
    * @param heldEndpoints the endpoints held before this message, by id
@@ -167,8 +170,8 @@
   }
 
   /**
-   * Reads the zone; returns empty if it is invalid. The entry of a removed endpoint may omit its
-   * zone, in which case that of the held record is used.
+   * Reads the zone; returns empty if it is invalid. The entry of a removed endpoint may omit the
+   * zone; the zone of the held record is then used.
    */
   private Optional<ZoneId> readZone(
       JsonNode site, Optional<EndpointRecord.State> state, EndpointRecord heldRecord) {
--- a/src/main/java/stonespring/discovery/PlatformEndpointList.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointList.java
@@ -19,7 +19,7 @@
   private final Map<EndpointId, EndpointRecord> endpointsById = new HashMap<>();
   private long version;
 
-  /** The number of times that versions were seen to start over. */
+  /** The number of times that the server's versions have started over. */
   private long epoch;
 
   private long invalidEntryCount;
@@ -45,7 +45,7 @@
     return apply(codec.read(message, endpointsById), version, Origin.WATCH).endpoints();
   }
 
-  /** Reads a message without changing the held list. */
+  /** Parses a message without changing the held list, whose records replace invalid entries. */
   PlatformListMessage parseMessage(byte[] message) throws InvalidEndpointListException {
     return codec.read(message, endpointsById);
   }
--- a/src/main/java/stonespring/discovery/PlatformEndpointSource.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointSource.java
@@ -25,10 +25,12 @@
   private static final Logger LOG = LoggerFactory.getLogger(PlatformEndpointSource.class);
   private static final String PATH = "/registry/instances";
 
-  /** Short, as the discovery server is close in the network. */
+  /** The timeout is short, because the discovery server is nearby in the network. */
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /** The discovery server itself abandons waiting requests well before this timeout. */
+  /**
+   * Timeout of a fetch. The discovery server itself gives up on a pending request well before it.
+   */
   private static final int FETCH_TIMEOUT_MILLIS = 2_500;
 
   private static final int MAX_IDLE_CONNECTIONS = 0;
@@ -182,7 +184,7 @@
     listeners.notifyFailed();
   }
 
-  /** Passes on updates of both watches and replaces the current watch by its successor. */
+  /** Reports the updates of both watches, and replaces the current watch by its successor. */
   private final class WatchListener implements PlatformEndpointWatch.Listener {
     @Override
     public void watchResponded(PlatformEndpointWatch watch) {
@@ -211,7 +213,7 @@
         }
       } else if (watch == currentWatch) {
         currentWatch = null;
-        // With a successor pending nothing is reported: it will report an update or a failure.
+        // A pending successor watch will itself report an update or a failure.
         if (successorWatch == null && watching) {
           reportFailure(cause);
         }
--- a/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
+++ b/src/main/java/stonespring/discovery/PlatformEndpointWatch.java
@@ -12,8 +12,8 @@
 import stonespring.model.Event;
 
 /**
- * One watch of the platform's endpoint list: an HTTP response that stays open and carries one
- * message per line; blank lines are keep-alives. The watch applies its messages to the held list
+ * One watch of the platform's endpoint list: an HTTP response that stays open and contains one
+ * message per line. Blank lines are keep-alives. The watch applies its messages to the held list
  * until it fails or is cancelled. All methods must be called on the connector's event loop.
  */
 final class PlatformEndpointWatch implements HttpWatch.Listener {
@@ -32,17 +32,22 @@
   /** Far above the size of the longest permitted list. */
   static final int MAX_MESSAGE_BYTES = 16 << 20;
 
-  /** The discovery server itself abandons waiting requests well before this timeout. */
+  /**
+   * Timeout for connecting and for the head of the response together. The discovery server itself
+   * gives up on a pending request well before it.
+   */
   private static final int RESPONSE_TIMEOUT_MILLIS = 2_500;
 
-  /** Exceeds the interval of 2 s at which the platform sends keep-alives. */
+  /**
+   * Maximum time without received bytes. It exceeds the interval of 2 s at which the platform sends
+   * keep-alives.
+   */
   private static final long SILENCE_TIMEOUT_MILLIS = 3_200;
 
   /**
-   * The longest time in which a message must be complete; without it, a message that arrives in
-   * pieces and never ends would keep the watch alive. The platform treats a change as delivered 6 s
-   * after it occurred, even if its message is incomplete, so the list must be requested again
-   * before that.
+   * Maximum time for receiving a message. Without it, a message that arrives in pieces and never
+   * ends would keep the watch alive. The platform treats a change as delivered 6 s after it
+   * occurred, even if its message is incomplete, so the list must be requested again before that.
    */
   private static final long MESSAGE_TIMEOUT_MILLIS = 5_000;
 
--- a/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointCodec.java
@@ -92,7 +92,10 @@
             fields.toInstanceClock(meta.path("started_ms").asLong(0))));
   }
 
-  /** Returns the service's address and port; without an address of its own, that of its node. */
+  /**
+   * Returns {@code HOST:PORT} of the service. The host is the address of its node if the service
+   * has none of its own.
+   */
   private static String readAddress(JsonNode entry, JsonNode service) {
     String host = service.path("Address").asText("");
     if (host.isEmpty()) {
@@ -101,7 +104,10 @@
     return host + ":" + service.path("Port").asInt();
   }
 
-  /** Returns the weight for the entry's health; 1 if it is missing or not above 0. */
+  /**
+   * Returns the weight that applies to the entry's health; 1 if that weight is missing or not above
+   * 0.
+   */
   private static double readWeight(JsonNode weights, Health health) {
     double weight = weights.path(health.warning() ? "Warning" : "Passing").asDouble(1);
     return weight > 0 ? weight : 1;
--- a/src/main/java/stonespring/discovery/RegistryEndpointSource.java
+++ b/src/main/java/stonespring/discovery/RegistryEndpointSource.java
@@ -23,7 +23,7 @@
 public final class RegistryEndpointSource implements EndpointSource {
   private static final Logger LOG = LoggerFactory.getLogger(RegistryEndpointSource.class);
 
-  /** Short, as the registry is close in the network. */
+  /** The timeout is short, because the registry is nearby in the network. */
   private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
 
   /** Far above the size of the longest permitted list. */
@@ -37,7 +37,7 @@
    */
   private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
 
-  /** The index of a query that does not block. */
+  /** Denotes a query without an index, which the registry answers at once. */
   private static final long NO_INDEX = 0;
 
   private static final String INDEX_HEADER = "x-consul-index";
--- a/src/main/java/stonespring/line/ConnectionCloseLog.java
+++ b/src/main/java/stonespring/line/ConnectionCloseLog.java
@@ -6,8 +6,8 @@
 
 /**
  * Logs the reasons for which connections were closed. The number of lines per second is limited;
- * further closed connections are counted, and the first one of a later second logs their number.
- * State is confined to the listener's event loop.
+ * connections beyond the limit are counted, and their number is logged when a connection closes in
+ * a later second. State is confined to the listener's event loop.
  */
 final class ConnectionCloseLog {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectionCloseLog.class);
@@ -22,7 +22,8 @@
   /**
    * Logs that a connection was closed.
    *
-   * @param session the session, whose text names the peer; null before the handshake is complete
+   * @param session the session, whose string form names the peer; null before the handshake is
+   *     complete
    */
   void logClosed(Object session, String reason) {
     long now = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -15,10 +15,10 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * A connection of a {@link LineServer}. Its handshake is complete once it has a session. An error
- * before that is answered with a refusal, if it can be written immediately, and then the connection
- * is closed. The connection answers keep-alives itself. State is confined to the connection's event
- * loop, and all methods must be called on it.
+ * A connection of a {@link LineServer}. Its handshake is complete once it has a session. If an
+ * error occurs before the handshake is complete, the connection sends a refusal, provided that it
+ * can be written immediately, and closes. The connection answers keep-alives itself. State is
+ * confined to the connection's event loop, and all methods must be called on it.
  */
 public final class LineConnection extends SimpleChannelInboundHandler<LineMessage> {
   private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
@@ -58,7 +58,7 @@
   /**
    * Sets or replaces the session, which completes the handshake.
    *
-   * @param session the session, whose text names the peer in log lines; not null
+   * @param session the session, whose string form names the peer in log lines; not null
    */
   public void setSession(Object session) {
     this.session = session;
--- a/src/main/java/stonespring/line/LineDecoder.java
+++ b/src/main/java/stonespring/line/LineDecoder.java
@@ -18,7 +18,8 @@
   private final int maxLineBytes;
 
   /**
-   * Number of bytes of an incomplete line that contain no line feed; they are not searched again.
+   * Number of bytes of an incomplete line that were already searched for a line feed without
+   * success. The next search starts after them.
    */
   private int searchedBytes;
 
--- a/src/main/java/stonespring/line/LineHandler.java
+++ b/src/main/java/stonespring/line/LineHandler.java
@@ -1,6 +1,9 @@
 package stonespring.line;
 
-/** Handles the messages and the end of a listener's connections, on the listener's event loop. */
+/**
+ * Handles the messages that a listener's connections receive, and the end of these connections.
+ * Called on the listener's event loop.
+ */
 public interface LineHandler {
   /** Handles a message. Keep-alives are not passed on: the connection answers them. */
   void handleMessage(LineConnection connection, LineMessage message);
--- a/src/main/java/stonespring/line/LineMessage.java
+++ b/src/main/java/stonespring/line/LineMessage.java
@@ -13,7 +13,7 @@
  *     that knows the kind may drop this message and keep the connection
  */
 public record LineMessage(String kind, Map<String, String> fields, Optional<String> error) {
-  /** No kind of message has a tenth of this number of fields. */
+  /** Maximum number of fields, far above that of any kind of message. */
   private static final int MAX_FIELDS = 64;
 
   private static final int MAX_PRINTED_CHARS = 60;
--- a/src/main/java/stonespring/line/LineServer.java
+++ b/src/main/java/stonespring/line/LineServer.java
@@ -17,8 +17,8 @@
   private static final int ACCEPT_BACKLOG = 1024;
 
   /**
-   * Connections that are accepted per read of the listening socket; the limit of pending handshakes
-   * may be exceeded by this number.
+   * Maximum number of connections that are accepted per read of the listening socket. The limit of
+   * pending handshakes may be exceeded by this number.
    */
   private static final int MAX_ACCEPTS_PER_READ = 4;
 
--- a/src/main/java/stonespring/line/PendingHandshakes.java
+++ b/src/main/java/stonespring/line/PendingHandshakes.java
@@ -9,8 +9,9 @@
 
 /**
  * The connections of a listener whose handshake is incomplete. When their number reaches the limit,
- * the listener stops accepting connections and the oldest of these are closed; accepting resumes
- * when their number is below the limit. State is confined to the listener's event loop.
+ * the listener stops accepting connections, and the oldest pending ones are closed. The listener
+ * accepts connections again when the number is below the limit. State is confined to the listener's
+ * event loop.
  */
 final class PendingHandshakes {
   /**
@@ -56,7 +57,10 @@
     return timeout;
   }
 
-  /** Returns the reason of a timeout, which is also sent to the peer. */
+  /**
+   * Returns the reason for closing a connection whose handshake timed out; it is also sent to the
+   * peer.
+   */
   private String timeoutReason() {
     return "not joined within " + limits.handshakeTimeoutMillis() + " ms";
   }
@@ -71,7 +75,10 @@
         .schedule(() -> closeOldest(server), MIN_HANDSHAKE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Closes the oldest connections of the minimum age, until half of the limit is free. */
+  /**
+   * Closes the oldest connections that have reached the minimum age, until half of the limit is
+   * free.
+   */
   private void closeOldest(Channel server) {
     long latestEvictableConnectNanos =
         System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(MIN_HANDSHAKE_MILLIS);
--- a/src/main/java/stonespring/netty/FailStopDecoder.java
+++ b/src/main/java/stonespring/netty/FailStopDecoder.java
@@ -28,14 +28,19 @@
   }
 
   /**
-   * Decodes the next part from the bytes that have arrived. It is called again as long as it
-   * consumes bytes or adds output.
+   * Decodes the next message or part of a message from the received bytes, and adds it to the
+   * output. Called repeatedly while it consumes bytes and bytes remain.
    *
+   * @param in the received bytes; bytes that are not consumed are passed again with those that
+   *     follow
    * @throws ProtocolViolationException if the bytes are invalid
    */
   protected abstract void decode(ByteBuf in, List<Object> out);
 
-  /** Returns the exception that a decoder threw if Netty has wrapped it; otherwise the cause. */
+  /**
+   * Returns the exception that a decoder threw, if the given one is Netty's {@link
+   * DecoderException} around it. Returns any other exception unchanged.
+   */
   public static Throwable unwrap(Throwable cause) {
     boolean wrapped = cause instanceof DecoderException && cause.getCause() != null;
     return wrapped ? cause.getCause() : cause;
--- a/src/main/java/stonespring/netty/package-info.java
+++ b/src/main/java/stonespring/netty/package-info.java
@@ -1,2 +1,5 @@
-/** Types shared by the project's protocols on Netty: decoders that stop at the first violation. */
+/**
+ * Types that the protocol implementations on Netty share: a decoder that stops at the first
+ * protocol violation, and the exception that signals the violation.
+ */
 package stonespring.netty;
--- a/src/main/java/stonespring/proxyapi/JsonMessage.java
+++ b/src/main/java/stonespring/proxyapi/JsonMessage.java
@@ -101,7 +101,9 @@
   }
 
   /**
-   * Reads a value, which is the field or an element of it, as the name of an endpoint or a proxy.
+   * Returns a value as the name of an endpoint or a proxy.
+   *
+   * @param field the field that contains the value, for error messages
    */
   String name(String field, JsonNode value) {
     String text = value.isTextual() ? value.asText() : "";
@@ -114,7 +116,11 @@
     return text;
   }
 
-  /** Reads a value, which is the field or an element of it, as a number from 0 to {@code max}. */
+  /**
+   * Returns a value as a number from 0 to {@code max}.
+   *
+   * @param field the field that contains the value, for error messages
+   */
   double number(String field, JsonNode value, double max) {
     if (!value.isNumber() || !(value.asDouble() >= 0) || value.asDouble() > max) {
       throw invalid(field, "is not a number from 0 to " + max);
@@ -122,7 +128,11 @@
     return value.asDouble();
   }
 
-  /** Reads a value, which is the field or an element of it, as a whole number up to {@code max}. */
+  /**
+   * Returns a value as a whole number from 0 to {@code max}.
+   *
+   * @param field the field that contains the value, for error messages
+   */
   long wholeNumber(String field, JsonNode value, double max) {
     if (!value.isIntegralNumber()) {
       throw invalid(field, "is not a whole number");
--- a/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/ProxyMessageCodec.java
@@ -45,7 +45,7 @@
   /** A longer duration indicates that the clock of the proxy is wrong. */
   private static final double MAX_DURATION_SECONDS = 3600;
 
-  /** Upper bound of a request rate, a number of requests or attempts, or a load figure. */
+  /** Upper bound of a request rate, a number of requests or attempts, or a load metric. */
   private static final double MAX_NUMBER = 1e9;
 
   private static final int MAX_ACK_ID = 65_535;
@@ -161,7 +161,7 @@
         readLoadMetric(message, load, LOAD_REQUESTS_PER_SECOND));
   }
 
-  /** Returns a load figure; NaN if it is missing. */
+  /** Returns a load metric; NaN if it is missing. */
   private static double readLoadMetric(JsonMessage message, JsonNode load, String field) {
     JsonNode value = load.path(field);
     return value.isMissingNode() || value.isNull()
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -31,12 +31,12 @@
   private static final String ACKNOWLEDGEMENT = "answer";
   private static final String LEASE_SECONDS = "ttl";
 
-  /** With a longer lease, the name of a proxy that has died would stay in use for hours. */
+  /** With a longer lease, the name of a crashed proxy would stay occupied for hours. */
   private static final int MAX_LEASE_SECONDS = 3600;
 
   private static final Pattern LEASE_PATTERN = Pattern.compile("[0-9]{1,6}");
 
-  /** Number of snapshots that one peer may wait for; a client waits for one at a time. */
+  /** Maximum number of pending snapshots of one peer; a client requests one at a time. */
   private static final int MAX_PENDING_SNAPSHOTS = 4;
 
   private static final String OVERLOADED =
--- a/src/main/java/stonespring/proxyapi/platform/ExclusionChanges.java
+++ b/src/main/java/stonespring/proxyapi/platform/ExclusionChanges.java
@@ -8,7 +8,7 @@
 record ExclusionChanges(TreeSet<EndpointId> excluded, TreeSet<EndpointId> allowed) {
   private static final Comparator<EndpointId> BY_NAME = Comparator.comparing(EndpointId::name);
 
-  /** Creates an instance without changes, to which {@link #add} adds them. */
+  /** Creates an empty set of changes, to be filled by {@link #add}. */
   ExclusionChanges() {
     this(new TreeSet<>(BY_NAME), new TreeSet<>(BY_NAME));
   }
--- a/src/main/java/stonespring/proxyapi/platform/KnownEndpoints.java
+++ b/src/main/java/stonespring/proxyapi/platform/KnownEndpoints.java
@@ -8,7 +8,7 @@
 
 /**
  * The endpoints that have been in the endpoint list, the most recently updated last. When the limit
- * is exceeded, those that were updated the longest ago are evicted.
+ * is exceeded, the least recently updated endpoints are evicted.
  */
 final class KnownEndpoints {
   private final int maxEndpoints;
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -197,7 +197,7 @@
     return new ProxyId((int) number);
   }
 
-  /** Reads {@code name:value} pairs; each figure has two accepted names. */
+  /** Reads {@code name:value} pairs; each load metric has two accepted names. */
   private static LoadReport readLoadReport(MessageFields fields) {
     String pairs = fields.optionalText(LOAD_METRICS);
     if (pairs.isEmpty()) {
@@ -222,7 +222,7 @@
         case "latency_ms", "recent_ms" -> serviceTimeMillis = readLoadMetric(fields, value);
         case "qps", "throughput" -> requestsPerSecond = readLoadMetric(fields, value);
         default -> {
-          // The decision engine does not use other figures.
+          // The decision engine does not use other load metrics.
         }
       }
     }
--- a/src/main/java/stonespring/proxyapi/platform/PlatformPeer.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformPeer.java
@@ -1,4 +1,4 @@
 package stonespring.proxyapi.platform;
 
-/** The peer of a connection whose handshake is complete. Its text names it in log lines. */
+/** The peer of a connection whose handshake is complete. Its string form names it in log lines. */
 sealed interface PlatformPeer permits ProxySession, Collector {}
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -43,7 +43,7 @@
    */
   private static final int MAX_KNOWN_ENDPOINTS = 60_000;
 
-  /** Number of dropped messages that are logged; later ones are only counted. */
+  /** Maximum number of dropped messages that are logged; later ones are only counted. */
   private static final int MAX_LOGGED_DROPS = 50;
 
   private final PlatformMessageCodec codec;
@@ -213,7 +213,7 @@
   /**
    * Resets the state after the decision engine restarted. The tables, limits and exclusions of the
    * earlier engine are discarded, and a new session starts on the connection of each connected
-   * proxy. The event of each session says that the proxy may have tables, which are unknown.
+   * proxy. The event of each session says that the proxy may have tables of unknown content.
    */
   public void handleEngineRestart() {
     tables = new RouteTables(requestClassCount);
--- a/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyExclusions.java
@@ -27,8 +27,9 @@
   }
 
   /**
-   * Applies changes, and removes from them those that have no effect at the proxy. For an endpoint
-   * that is both excluded and allowed, the exclusion takes precedence.
+   * Applies changes to this state. Changes that would have no effect at the proxy are removed from
+   * the argument, so that they are not sent. If the changes both exclude and allow an endpoint, it
+   * is excluded.
    */
   void apply(ExclusionChanges changes) {
     changes.allowed().removeAll(changes.excluded());
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -22,14 +22,18 @@
 import stonespring.state.RouteTables;
 
 /**
- * The route state of one proxy, as the updates of its session set it. It converts updates to
- * messages of the platform's protocol, which differs from the update model: each request class has
- * its own route table and tables have no numbers; a request class has a single admission limit,
- * which combines the limit of its table with the limit for all tables; and exclusions remain when
- * the session ends. The message of a typical update has as many entries as the update.
+ * Holds the routes and admission limits of one proxy that result from the updates of its session.
+ * Converts updates to messages of the platform's protocol, which differs from the update model:
+ * each request class has its own route table and tables have no numbers; a request class has a
+ * single admission limit, which combines the limit of its table with the limit for all tables; and
+ * exclusions remain when the session ends. The message of a typical update has as many entries as
+ * the update.
  */
 final class ProxyRouteState {
-  /** Keeps a line much shorter than the maximum line length of a proxy. */
+  /**
+   * Maximum number of routes in a line, so that the line is much shorter than the longest one that
+   * a proxy accepts.
+   */
   private static final int MAX_ROUTES_PER_PART = 512;
 
   private final int requestClassCount;
@@ -41,7 +45,7 @@
   private final Map<RouteTableId, AdmissionLimit[]> limitsByTable = new HashMap<>();
   private final AdmissionLimit[] sentLimits;
 
-  /** The tables that one update changes, in the order of its changes. */
+  /** The tables that one update changes, in the order in which the update changes them. */
   private static final class ChangedTables {
     private final Set<RouteTableId> replaced = new LinkedHashSet<>();
     private final Map<RouteTableId, List<ProxyChange.RouteChange>> changedRoutes =
@@ -51,7 +55,7 @@
   /**
    * Creates the state of a new session.
    *
-   * @param tables the state of all proxies, which knows the excluded endpoints
+   * @param tables the state of all proxies, which includes the excluded endpoints
    */
   ProxyRouteState(int requestClassCount, RouteTables tables, ProxyExclusions exclusions) {
     this.requestClassCount = requestClassCount;
@@ -122,7 +126,10 @@
     }
   }
 
-  /** Adds parts that replace the routes of a table; the proxy also removes the limit. */
+  /**
+   * Adds parts that replace the routes of a table; the proxy then also removes the limits of the
+   * request classes that use the table.
+   */
   private void addReplacement(
       RouteTableId table, List<ConfigMessage.Part> parts, ExclusionChanges exclusionChanges) {
     BitSet usingClasses = classesUsing(table);
@@ -140,7 +147,10 @@
     addExclusions(allRoutes, exclusionChanges);
   }
 
-  /** Adds parts with the changed routes of a table; an unused table is sent when assigned. */
+  /**
+   * Adds parts with the changed routes of a table. A table that no request class uses is not sent
+   * before it is assigned.
+   */
   private void addRoutes(
       RouteTableId table,
       List<ProxyChange.RouteChange> changes,
@@ -177,7 +187,9 @@
     } while (from < changes.size());
   }
 
-  /** Adds the exclusion state of the routed endpoints, because the proxy may have another one. */
+  /**
+   * Adds the exclusion state of the routed endpoints, because the state at the proxy may differ.
+   */
   private void addExclusions(
       List<ProxyChange.RouteChange> changes, ExclusionChanges exclusionChanges) {
     for (ProxyChange.RouteChange route : changes) {
@@ -187,7 +199,10 @@
     }
   }
 
-  /** Removes the state of unused tables: such a table is sent whole when assigned again. */
+  /**
+   * Removes the state of tables that no request class uses. Such a table is sent completely when it
+   * is assigned again.
+   */
   private void removeUnusedTables() {
     Set<RouteTableId> used = new HashSet<>(Arrays.asList(assignedTables));
     routesByTable.keySet().retainAll(used);
@@ -216,9 +231,9 @@
   }
 
   /**
-   * Returns the limit that applies to a request class, or null if there is none. If there is both a
-   * limit of its table and a limit for all tables, the lower value applies with the retry policy of
-   * the table's limit.
+   * Returns the limit that applies to a request class, or null if there is none. If the class has
+   * both a limit of its table and a limit for all tables, the lower value applies, with the retry
+   * policy of the table's limit.
    */
   private AdmissionLimit effectiveLimit(int requestClass) {
     AdmissionLimit tableLimit = limitOf(assignedTables[requestClass], requestClass);
--- a/src/main/java/stonespring/proxyapi/platform/ProxySession.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxySession.java
@@ -9,8 +9,8 @@
 /** The session of a proxy: its connection, and the state that was sent on the connection. */
 final class ProxySession implements PlatformPeer {
   /**
-   * Maximum number of pending acknowledgements, beyond which the oldest is removed. A proxy that
-   * leaves more unanswered is expected never to answer them.
+   * Maximum number of pending acknowledgements, beyond which the oldest is removed. A proxy with
+   * more of them is not expected to answer the oldest any more.
    */
   private static final int MAX_PENDING_ACKS = 64;
 
