--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -144,11 +144,11 @@
   private static Source withRegistryPort(Source source, int port) {
     if (!(source instanceof Source.FromRegistry registry) || port < 1 || port > MAX_PORT) {
       throw new IllegalArgumentException(
-          "the registry port must be from 1 to "
-              + MAX_PORT
-              + ", got "
+          "cannot set the registry port to "
               + port
-              + ", and the endpoint list must come from a registry, not from a file");
+              + ": expected a port from 1 to "
+              + MAX_PORT
+              + ", and an endpoint list that comes from a registry, not from a file");
     }
     return new Source.FromRegistry(
         registry.host(), port, registry.service(), registry.waitSeconds());
--- a/src/main/java/stonespring/config/script/ExecutionLimits.java
+++ b/src/main/java/stonespring/config/script/ExecutionLimits.java
@@ -33,7 +33,14 @@
     if (step == 0 || Math.abs((to - from) / step) > MAX_ITEMS) {
       throw new EvaluationException(
           location,
-          "range: the step must not be 0, and the range must have at most " + MAX_ITEMS + " items");
+          "range: expected a step other than 0 and at most "
+              + MAX_ITEMS
+              + " items, got a range from "
+              + from
+              + " to "
+              + to
+              + " with step "
+              + step);
     }
   }
 }
--- a/src/main/java/stonespring/config/script/FunctionCaller.java
+++ b/src/main/java/stonespring/config/script/FunctionCaller.java
@@ -58,7 +58,7 @@
           location,
           "'"
               + functionName
-              + "' calls itself, or calls are nested more than "
+              + "' calls itself, directly or through other functions, or calls are nested more than "
               + MAX_CALL_DEPTH
               + " levels deep");
     }
--- a/src/main/java/stonespring/config/script/ScriptLoader.java
+++ b/src/main/java/stonespring/config/script/ScriptLoader.java
@@ -42,7 +42,7 @@
           from,
           "load: "
               + file
-              + " loads itself, or loads are nested more than "
+              + " loads itself, directly or through other files, or loads are nested more than "
               + MAX_LOAD_DEPTH
               + " files deep");
     }
--- a/src/main/java/stonespring/discovery/EndpointListCodec.java
+++ b/src/main/java/stonespring/discovery/EndpointListCodec.java
@@ -119,7 +119,7 @@
       case "draining" -> EndpointRecord.State.DRAINING;
       default ->
           throw new InvalidEndpointListException(
-              location, "state", "must be 'ready' or 'draining'");
+              location, "state", "must be 'ready' or 'draining', found " + node);
     };
   }
 
@@ -128,7 +128,9 @@
     if (!node.isMissingNode()
         && !(node.isNumber() && node.asDouble() > 0 && node.asDouble() < MAX_WEIGHT)) {
       throw new InvalidEndpointListException(
-          location, "weight", "must be a number above 0 and below " + MAX_WEIGHT);
+          location,
+          "weight",
+          "must be a number above 0 and below " + MAX_WEIGHT + ", found " + node);
     }
     return node.asDouble(1);
   }
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -154,7 +154,8 @@
       throw new InvalidChpMessageException(
           "KVSET "
               + set.key()
-              + ": the value is empty; presence ends with its ttl or its connection");
+              + ": the value is empty; to end its presence,"
+              + " a proxy lets the ttl expire or closes the connection");
     }
     return handler.handleHello(
         proxy,
--- a/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformMessageCodec.java
@@ -165,7 +165,7 @@
   /** Returns an exception for a message about a proxy that is not connected, or not the sender. */
   static InvalidMessageException wrongProxy(LineMessage message) {
     return new InvalidMessageException(
-        message.kind(), PROXY, "names a proxy that is not connected, or not the sender");
+        message.kind(), PROXY, "names a proxy that is not connected or is not the sender");
   }
 
   /** Returns an exception for an acknowledgement that is not pending. */
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -80,7 +80,7 @@
       handleFirstMessage(connection, message);
     } else if (!PlatformMessageCodec.isKnownKind(message.kind())) {
       connection.close(
-          "it sent a message of unknown kind: " + LineMessage.printable(message.kind()));
+          "the peer sent a message of unknown kind: " + LineMessage.printable(message.kind()));
     } else {
       try {
         handlePeerMessage(peer, message);
@@ -182,7 +182,7 @@
   private void dropMessage(PlatformPeer sender, LineMessage message, String cause) {
     if (droppedMessageCount++ < MAX_LOGGED_DROPS) {
       LOG.warn(
-          "message from {} dropped: {} in: {}",
+          "message from {} dropped: {}; message: {}",
           sender,
           cause,
           PlatformMessageCodec.describe(message));
@@ -250,7 +250,10 @@
     List<String> lines = codec.write(message);
     if (LOG.isDebugEnabled()) {
       LOG.debug(
-          "sending to {}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
+          "sending to {} a message with {} entries: {}",
+          session,
+          message.entries(),
+          String.join(" | ", lines));
     }
     session.connection().write(String.join("\r\n", lines) + "\r\n");
   }
