--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -24,6 +24,11 @@
   private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
   private static final String KEEP_ALIVE = "PING";
   private static final String KEEP_ALIVE_RESPONSE = "PONG\r\n";
+
+  /**
+   * Start of the line that refuses a peer whose handshake is incomplete. The reason of the refusal
+   * follows, with hyphens in place of spaces and punctuation.
+   */
   private static final String REFUSAL_PREFIX = "NACK reason=";
 
   /** Maximum length of the reason in a refusal, in characters. */
--- a/src/main/java/stonespring/line/LineDecoder.java
+++ b/src/main/java/stonespring/line/LineDecoder.java
@@ -67,6 +67,7 @@
           .decode(ByteBuffer.wrap(bytes))
           .toString();
     } catch (CharacterCodingException e) {
+      // The bytes are not valid UTF-8.
       throw new MalformedLineException("a line is no text");
     }
   }
--- a/src/main/java/stonespring/line/PendingHandshakes.java
+++ b/src/main/java/stonespring/line/PendingHandshakes.java
@@ -87,6 +87,7 @@
           || oldest.connectedAtNanos() - latestEvictableConnectNanos > 0) {
         break;
       }
+      // Refusals call a peer joined when its handshake is complete.
       oldest.close("too many that have not joined");
     }
     if (eviction != null) {
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -98,6 +98,7 @@
             acceptProxy(connection, codec.readSubscribe(message));
         case PlatformMessageCodec.SOURCE ->
             acceptCollector(connection, new Collector(codec.readSource(message)));
+        // The refusal calls SUBSCRIBE and SOURCE the joining of a peer.
         default -> connection.close("no joining before " + LineMessage.printable(message.kind()));
       }
     } catch (InvalidMessageException e) {
