--- a/src/main/java/stonespring/chp/UpdatePublisher.java
+++ b/src/main/java/stonespring/chp/UpdatePublisher.java
@@ -12,70 +12,77 @@
 import stonespring.zmtp.ZmtpEncoder;
 import stonespring.zmtp.ZmtpListener;
 
-/** Sends updates and heartbeats to subscribers. State lives on one event loop. */
+/** Sends updates and heartbeats to subscribers. State is confined to one event loop. */
 final class UpdatePublisher implements ZmtpListener {
   private final EventLoop loop;
   private final SubscriptionIndex subscriptions = new SubscriptionIndex();
-  private final Set<ZmtpConnection> writtenSinceHeartbeat = new HashSet<>();
+  private final Set<ZmtpConnection> writtenSinceLastHeartbeat = new HashSet<>();
 
   UpdatePublisher(EventLoop loop) {
     this.loop = loop;
   }
 
   @Override
-  public void subscription(ZmtpConnection connection, byte[] prefixBytes, boolean subscribed) {
-    String prefix = SubscriptionIndex.text(prefixBytes);
+  public void subscriptionChanged(
+      ZmtpConnection connection, byte[] prefixBytes, boolean subscribed) {
+    String prefix = SubscriptionIndex.toByteString(prefixBytes);
     if (!subscribed) {
       subscriptions.remove(connection, prefix);
       return;
     }
     subscriptions.add(connection, prefix);
     if (prefix.equals(ChpMessage.HUGZ)) {
-      // Tells the subscriber that its earlier subscriptions are in force, so that it can request
-      // its snapshot.
-      connection.sendNow(new ChpMessage.Hugz().frames());
+      // Shows the subscriber that its earlier subscriptions are active, so that it can request
+      // its snapshot without missing an update.
+      connection.writeMessageAndFlush(new ChpMessage.Hugz().frames());
     }
   }
 
   @Override
-  public void closed(ZmtpConnection connection) {
-    writtenSinceHeartbeat.remove(connection);
-    subscriptions.remove(connection);
+  public void connectionClosed(ZmtpConnection connection) {
+    writtenSinceLastHeartbeat.remove(connection);
+    subscriptions.removeConnection(connection);
   }
 
-  /** Sends updates to their subscribers, in order; from any thread. */
+  /** Sends updates to their subscribers, in order. May be called from any thread. */
   void publish(List<? extends ChpMessage> updates) {
-    loop.execute(() -> send(updates));
+    loop.execute(() -> sendBatched(updates));
   }
 
-  /** Sends a heartbeat to each of its subscribers that was sent nothing else since the last one. */
+  /**
+   * Sends a heartbeat to each heartbeat subscriber to which no update was sent since the previous
+   * call.
+   */
   void sendHeartbeats() {
     List<byte[]> heartbeat = new ChpMessage.Hugz().frames();
-    for (ZmtpConnection connection : subscriptions.subscribersOfPrefix(ChpMessage.HUGZ)) {
-      if (!writtenSinceHeartbeat.contains(connection)) {
-        connection.sendNow(heartbeat);
+    for (ZmtpConnection connection : subscriptions.subscribersOfExactPrefix(ChpMessage.HUGZ)) {
+      if (!writtenSinceLastHeartbeat.contains(connection)) {
+        connection.writeMessageAndFlush(heartbeat);
       }
     }
-    writtenSinceHeartbeat.clear();
+    writtenSinceLastHeartbeat.clear();
   }
 
-  /** Sends all updates for one connection by one write, as a write costs more than an update. */
-  private void send(List<? extends ChpMessage> updates) {
+  /**
+   * Sends the updates with one write per connection, since a write costs more than encoding an
+   * update.
+   */
+  private void sendBatched(List<? extends ChpMessage> updates) {
     Map<ZmtpConnection, ByteBuf> buffers = new LinkedHashMap<>();
     for (ChpMessage update : updates) {
       List<byte[]> frames = update.frames();
-      String key = SubscriptionIndex.text(frames.get(0));
-      for (ZmtpConnection connection : subscriptions.subscribers(key)) {
+      String key = SubscriptionIndex.toByteString(frames.get(0));
+      for (ZmtpConnection connection : subscriptions.subscribersOfKey(key)) {
         ByteBuf buffer =
             buffers.computeIfAbsent(connection, unused -> PooledByteBufAllocator.DEFAULT.buffer());
-        ZmtpEncoder.append(buffer, frames);
+        ZmtpEncoder.appendMessage(buffer, frames);
       }
     }
     buffers.forEach(
         (connection, buffer) -> {
-          connection.write(buffer);
+          connection.writeEncoded(buffer);
           connection.flush();
-          writtenSinceHeartbeat.add(connection);
+          writtenSinceLastHeartbeat.add(connection);
         });
   }
 }
--- a/src/main/java/stonespring/http/HttpDecoder.java
+++ b/src/main/java/stonespring/http/HttpDecoder.java
@@ -8,15 +8,18 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * Decodes bytes to whole {@link HttpMessage}s (RFC 9112). A response in chunks may instead be
- * passed on as it arrives: its head with an empty body, then {@link StreamPart}s. Forms that two
- * readers could understand differently are refused: two lengths, a length beside chunks, folded
- * lines, a space before a colon, bare line ends.
+ * Decodes bytes into complete {@link HttpMessage}s (RFC 9112). In streaming mode a chunked response
+ * is emitted as it arrives: its head as a response with an empty body, then {@link StreamPart}s.
+ * Forms that different HTTP implementations could interpret differently are rejected, since they
+ * allow request smuggling: repeated lengths, a length together with chunked encoding, folded header
+ * lines, a space before a colon, line ends without CR.
  */
 final class HttpDecoder extends FailStopDecoder {
+  /** Applies to the first line, header and trailer lines and chunk size lines. */
   private static final int MAX_LINE_BYTES = 8192;
+
   private static final int DELETE_CHARACTER = 127;
-  private static final String BODY_PLACE = "body";
+  private static final String BODY_LOCATION = "body";
   private static final String LENGTH_HEADER = "content-length";
   private static final String ENCODING_HEADER = "transfer-encoding";
 
@@ -30,20 +33,20 @@
     TRAILERS
   }
 
-  private final boolean requests;
-  private final boolean streamed;
+  private final boolean decodesRequests;
+  private final boolean streaming;
   private final int maxBodyBytes;
   private State state = State.START_LINE;
   private StartLine startLine;
-  private HeaderParser headers = new HeaderParser();
+  private HeaderParser headerParser = new HeaderParser();
   private ByteArrayOutputStream body;
 
-  /** Bytes of the body or the chunk that are yet to come. */
+  /** Bytes of the current body or chunk that have not arrived yet. */
   private int remainingBytes;
 
-  private HttpDecoder(boolean requests, boolean streamed, int maxBodyBytes) {
-    this.requests = requests;
-    this.streamed = streamed;
+  private HttpDecoder(boolean decodesRequests, boolean streaming, int maxBodyBytes) {
+    this.decodesRequests = decodesRequests;
+    this.streaming = streaming;
     this.maxBodyBytes = maxBodyBytes;
   }
 
@@ -55,7 +58,10 @@
     return new HttpDecoder(false, false, maxBodyBytes);
   }
 
-  /** A decoder that passes on chunks; each is bounded alone, as the response may never end. */
+  /**
+   * Creates a decoder that emits chunks as they arrive. The limit applies to each chunk alone, as
+   * the response may never end.
+   */
   static HttpDecoder forStreamedResponses(int maxChunkBytes) {
     return new HttpDecoder(false, true, maxChunkBytes);
   }
@@ -83,29 +89,29 @@
     }
   }
 
-  /** Reads a line without its end; null if it is incomplete. */
+  /** Reads a line and returns it without CR LF; returns null while the line is incomplete. */
   private String readLine(ByteBuf in) {
     int lineFeed = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
     if (lineFeed < 0) {
       if (in.readableBytes() > MAX_LINE_BYTES) {
-        throw new MalformedHttpException(place(), "a line is over " + MAX_LINE_BYTES + " bytes");
+        throw new MalformedHttpException(location(), "a line is over " + MAX_LINE_BYTES + " bytes");
       }
       return null;
     }
     int length = lineFeed - in.readerIndex();
     if (length > MAX_LINE_BYTES || length == 0 || in.getByte(lineFeed - 1) != '\r') {
       throw new MalformedHttpException(
-          place(), "a line is over " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
+          location(), "a line is over " + MAX_LINE_BYTES + " bytes or does not end in CR LF");
     }
     String line = in.toString(in.readerIndex(), length - 1, StandardCharsets.ISO_8859_1);
     in.skipBytes(length + 1);
-    if (holdsControlCharacter(line)) {
-      throw new MalformedHttpException(place(), "a line holds a control character");
+    if (containsControlCharacter(line)) {
+      throw new MalformedHttpException(location(), "a line holds a control character");
     }
     return line;
   }
 
-  private static boolean holdsControlCharacter(String line) {
+  private static boolean containsControlCharacter(String line) {
     for (int i = 0; i < line.length(); i++) {
       char character = line.charAt(i);
       if (character < ' ' && character != '\t' || character == DELETE_CHARACTER) {
@@ -115,21 +121,21 @@
     return false;
   }
 
-  /** Where an error of the next line is reported. */
-  private String place() {
+  /** Returns the location to report in an error of the next line. */
+  private String location() {
     return switch (state) {
-      case START_LINE -> StartLine.PLACE;
-      case HEADERS -> headers.nextPlace();
-      default -> BODY_PLACE;
+      case START_LINE -> StartLine.LOCATION;
+      case HEADERS -> headerParser.nextLocation();
+      default -> BODY_LOCATION;
     };
   }
 
   private void acceptStartLine(String line) {
-    if (line.isEmpty() && requests) {
+    if (line.isEmpty() && decodesRequests) {
       return; // RFC 9112, 2.2: empty lines before a request are ignored
     }
-    startLine = requests ? StartLine.Request.parse(line) : StartLine.Response.parse(line);
-    headers = new HeaderParser();
+    startLine = decodesRequests ? StartLine.Request.parse(line) : StartLine.Response.parse(line);
+    headerParser = new HeaderParser();
     body = new ByteArrayOutputStream();
     state = State.HEADERS;
   }
@@ -138,12 +144,12 @@
     if (line.isEmpty()) {
       startBody(out);
     } else {
-      headers.addHeader(line);
+      headerParser.addHeader(line);
     }
   }
 
   private void startBody(List<Object> out) {
-    Map<String, String> values = headers.headers();
+    Map<String, String> values = headerParser.headers();
     String length = values.get(LENGTH_HEADER);
     String encoding = values.get(ENCODING_HEADER);
     if (encoding == null) {
@@ -152,37 +158,37 @@
     }
     if (length != null || !encoding.equalsIgnoreCase("chunked")) {
       throw new MalformedHttpException(
-          headerPlace(ENCODING_HEADER), "it is not 'chunked', or a length stands beside it");
+          headerLocation(ENCODING_HEADER), "it is not 'chunked', or a length stands beside it");
     }
     state = State.CHUNK_SIZE;
-    if (streamed) {
-      out.add(message());
+    if (streaming) {
+      out.add(toMessage());
     }
   }
 
   private void startBodyOfLength(String length, List<Object> out) {
     if (length != null && !length.matches("[0-9]{1,9}")) {
-      throw new MalformedHttpException(headerPlace(LENGTH_HEADER), "it is no length");
+      throw new MalformedHttpException(headerLocation(LENGTH_HEADER), "it is no length");
     }
     if (length == null && startLine.requiresLength()) {
       throw new MalformedHttpException(
-          headerPlace(LENGTH_HEADER), "it is missing, and no chunks are announced");
+          headerLocation(LENGTH_HEADER), "it is missing, and no chunks are announced");
     }
     boolean empty = length == null || startLine.excludesBody();
-    remainingBytes = empty ? 0 : checkSize(Integer.parseInt(length));
+    remainingBytes = empty ? 0 : checkBodySize(Integer.parseInt(length));
     state = State.BODY;
     if (remainingBytes == 0) {
       completeMessage(out);
     }
   }
 
-  private static String headerPlace(String name) {
+  private static String headerLocation(String name) {
     return "header '" + name + "'";
   }
 
-  private int checkSize(int bytes) {
+  private int checkBodySize(int bytes) {
     if (bytes > maxBodyBytes - body.size()) {
-      throw new MalformedHttpException(BODY_PLACE, "over " + maxBodyBytes + " bytes");
+      throw new MalformedHttpException(BODY_LOCATION, "over " + maxBodyBytes + " bytes");
     }
     return bytes;
   }
@@ -191,23 +197,23 @@
     int extension = line.indexOf(';');
     String size = (extension < 0 ? line : line.substring(0, extension)).strip();
     if (!size.matches("[0-9A-Fa-f]{1,7}")) {
-      throw new MalformedHttpException(BODY_PLACE, "a chunk's size is no number");
+      throw new MalformedHttpException(BODY_LOCATION, "a chunk's size is no number");
     }
-    remainingBytes = checkSize(Integer.parseInt(size, 16));
+    remainingBytes = checkBodySize(Integer.parseInt(size, 16));
     state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
   }
 
   private void acceptChunkEnd(String line) {
     if (!line.isEmpty()) {
-      throw new MalformedHttpException(BODY_PLACE, "a chunk is longer than its size");
+      throw new MalformedHttpException(BODY_LOCATION, "a chunk is longer than its size");
     }
     state = State.CHUNK_SIZE;
   }
 
   private void acceptTrailer(String line, List<Object> out) {
     if (!line.isEmpty()) {
-      headers.skipTrailer(line);
-    } else if (streamed) {
+      headerParser.checkTrailer(line);
+    } else if (streaming) {
       out.add(new StreamPart.End());
       state = State.START_LINE;
     } else {
@@ -219,7 +225,7 @@
     byte[] bytes = new byte[Math.min(remainingBytes, in.readableBytes())];
     in.readBytes(bytes);
     remainingBytes -= bytes.length;
-    if (!streamed || state == State.BODY) {
+    if (!streaming || state == State.BODY) {
       body.write(bytes, 0, bytes.length);
     } else if (bytes.length > 0) {
       out.add(new StreamPart.Bytes(bytes));
@@ -235,11 +241,11 @@
   }
 
   private void completeMessage(List<Object> out) {
-    out.add(message());
+    out.add(toMessage());
     state = State.START_LINE;
   }
 
-  private HttpMessage message() {
-    return startLine.message(headers.headers(), body.toByteArray());
+  private HttpMessage toMessage() {
+    return startLine.toMessage(headerParser.headers(), body.toByteArray());
   }
 }
--- a/src/main/java/stonespring/proxy/InstanceConnection.java
+++ b/src/main/java/stonespring/proxy/InstanceConnection.java
@@ -17,16 +17,19 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * A proxy's connection to an instance: it connects, takes the snapshot, opens a session, follows
- * updates, acknowledges them and reports. When the connection ends the proxy keeps its tables and
- * connects again after a random wait, to the next instance if there are several. Confined to the
- * proxy's event loop, but for {@link #appliedUpdates}.
+ * A proxy's connection to an instance: it connects, receives the snapshot, opens a session, applies
+ * and acknowledges updates, and sends load reports. When the connection ends, the proxy keeps its
+ * tables and reconnects after a random delay, to the next configured instance if there are several.
+ * Confined to the proxy's event loop, except {@link #appliedUpdates}, which any thread may call.
  */
 final class InstanceConnection {
   private static final Logger LOG = LoggerFactory.getLogger(InstanceConnection.class);
 
-  /** Renewals of the session within its time; two may be late. */
-  private static final long RENEWALS_PER_SESSION = 3;
+  /**
+   * Session renewals sent per time-to-live: two renewals in a row may be late without the session
+   * expiring.
+   */
+  private static final long RENEWALS_PER_SESSION_TTL = 3;
 
   private static final int RANDOM_ID_RADIX = 36;
   private static final long NANOS_PER_DECI_MILLI = 100_000;
@@ -44,8 +47,8 @@
   private final TableSubscriber subscriber = new TableSubscriber();
   private ChpClient client;
   private long connectionCount;
-  private int nextInstance;
-  private boolean ready;
+  private int nextInstanceIndex;
+  private boolean channelReady;
   private boolean stopped;
   private volatile long appliedUpdates;
 
@@ -62,22 +65,27 @@
     this.processId = Long.toUnsignedString(random.nextLong() ^ System.nanoTime(), RANDOM_ID_RADIX);
   }
 
-  /** Time since the proxy's start, DeciMillis. */
+  /** Time since the proxy was created, in deci-milliseconds. */
   long now() {
     return (System.nanoTime() - startNanos) / NANOS_PER_DECI_MILLI;
   }
 
-  /** Updates applied so far; from any thread. */
+  /** Number of updates applied so far. Safe to call from any thread. */
   long appliedUpdates() {
     return appliedUpdates;
   }
 
   void start() {
     connect();
-    long renewMillis = TimeUnit.SECONDS.toMillis(link.sessionSeconds()) / RENEWALS_PER_SESSION;
-    loop.scheduleAtFixedRate(this::sendHello, renewMillis, renewMillis, TimeUnit.MILLISECONDS);
+    long renewIntervalMillis =
+        TimeUnit.SECONDS.toMillis(link.sessionTtlSeconds()) / RENEWALS_PER_SESSION_TTL;
     loop.scheduleAtFixedRate(
-        this::sendReport, link.reportMillis(), link.reportMillis(), TimeUnit.MILLISECONDS);
+        this::sendHello, renewIntervalMillis, renewIntervalMillis, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        this::sendReport,
+        link.reportIntervalMillis(),
+        link.reportIntervalMillis(),
+        TimeUnit.MILLISECONDS);
   }
 
   void stop() {
@@ -87,7 +95,7 @@
     }
   }
 
-  /** Reads from the instance, or does not for the time being. */
+  /** Resumes or pauses reading from the instance. */
   void setReading(boolean reading) {
     if (client != null) {
       client.setReading(reading);
@@ -98,110 +106,118 @@
     if (stopped || link.instances().isEmpty()) {
       return;
     }
-    ProxySettings.Ports ports = link.instances().get(nextInstance++ % link.instances().size());
+    ProxySettings.Ports ports = link.instances().get(nextInstanceIndex++ % link.instances().size());
     connectionCount++;
     Listener listener = new Listener();
-    listener.owner = new ChpClient(loop, subtree, link.silenceMillis(), listener);
+    listener.owner = new ChpClient(loop, subtree, link.silenceTimeoutMillis(), listener);
     client = listener.owner;
     client.connect(
         ports.host(), ports.snapshots(), ports.updates(), ports.collector(), ZmtpLimits.DEFAULT);
   }
 
-  /** Hears of one connection; what ends after a newer one began changes nothing. */
+  /** Observes one connection. The end of a connection that a newer one has replaced is ignored. */
   private final class Listener implements ChpClient.Listener {
     private ChpClient owner;
 
     @Override
-    public void snapshot(List<ChpMessage.KvSync> keys, long sequence) {
+    public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
       Map<String, String> values = new LinkedHashMap<>();
       TableSubscriber.Commit commit = null;
       for (ChpMessage.KvSync key : keys) {
-        String name = relative(key.key());
-        values.put(name, text(key.value()));
+        String name = relativeKey(key.key());
+        values.put(name, decodeUtf8(key.value()));
         if (name.equals(TableSubscriber.COMMIT_KEY)) {
           commit = CommitReader.read(key.value());
         }
       }
-      handle(subscriber.snapshot(values, commit));
+      handleStep(subscriber.handleSnapshot(values, commit));
     }
 
     @Override
-    public void update(ChpMessage.KvPub update) {
-      String name = relative(update.key());
+    public void updateReceived(ChpMessage.KvPub update) {
+      String name = relativeKey(update.key());
       byte[] value = update.value();
       boolean isDeleted = value.length == 0;
       boolean isCommit = name.equals(TableSubscriber.COMMIT_KEY) && !isDeleted;
-      handle(
-          subscriber.keyChanged(
-              name, isDeleted ? null : text(value), isCommit ? CommitReader.read(value) : null));
+      handleStep(
+          subscriber.handleKeyChange(
+              name,
+              isDeleted ? null : decodeUtf8(value),
+              isCommit ? CommitReader.read(value) : null));
     }
 
     @Override
-    public void ready() {
-      ready = true;
+    public void sessionReady() {
+      channelReady = true;
       sendHello();
     }
 
     @Override
-    public void ended(String cause) {
+    public void sessionEnded(String cause) {
       if (client == owner) {
-        connectionLost(cause);
+        handleConnectionLoss(cause);
       }
     }
   }
 
-  private String relative(String key) {
+  private String relativeKey(String key) {
     return key.substring(subtree.length());
   }
 
-  private static String text(byte[] value) {
+  private static String decodeUtf8(byte[] value) {
     return new String(value, StandardCharsets.UTF_8);
   }
 
-  private void connectionLost(String cause) {
-    ready = false;
+  private void handleConnectionLoss(String cause) {
+    channelReady = false;
     client = null;
     if (stopped) {
       return;
     }
     LOG.info(
-        "proxy {}: connection {} ended, tables are kept: {}",
+        "proxy {}: connection {} to the instance ended, keeping the tables and reconnecting: {}",
         settings.name(),
         connectionCount,
         cause);
-    int range = Math.max(1, link.maxReconnectMillis() - link.minReconnectMillis());
-    int waitMillis = link.minReconnectMillis() + random.nextInt(range);
+    int reconnectRangeMillis = Math.max(1, link.maxReconnectMillis() - link.minReconnectMillis());
+    int waitMillis = link.minReconnectMillis() + random.nextInt(reconnectRangeMillis);
     loop.schedule(this::connect, waitMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void handle(TableSubscriber.Step step) {
+  private void handleStep(TableSubscriber.Step step) {
     if (step instanceof TableSubscriber.Step.Resync resync) {
-      LOG.warn("proxy {}: the snapshot is requested: {}", settings.name(), resync.cause());
+      LOG.warn(
+          "proxy {}: received updates are incomplete or invalid, requesting the snapshot: {}",
+          settings.name(),
+          resync.cause());
       client.resync();
     } else if (step instanceof TableSubscriber.Step.Update update) {
-      long arrivedAt = now();
-      // The proxy halts for each change that it takes in; an update is applied whole after that.
-      long haltMicros = (long) link.changeMicros() * update.changes().size();
-      loop.schedule(() -> apply(update, arrivedAt), haltMicros, TimeUnit.MICROSECONDS);
+      long arrivedAtDeciMillis = now();
+      // The delay stands for the pause that a proxy needs for each change; the update is then
+      // applied as a whole.
+      long applyDelayMicros = (long) link.applyDelayMicrosPerChange() * update.changes().size();
+      loop.schedule(
+          () -> apply(update, arrivedAtDeciMillis), applyDelayMicros, TimeUnit.MICROSECONDS);
     }
   }
 
-  private void apply(TableSubscriber.Step.Update update, long arrivedAt) {
+  private void apply(TableSubscriber.Step.Update update, long arrivedAtDeciMillis) {
     try {
       router.apply(update);
     } catch (IllegalArgumentException e) {
-      LOG.warn("proxy {}: an update is not applied: {}", settings.name(), e.getMessage());
+      LOG.warn(
+          "proxy {}: update rejected, routing is unchanged: {}", settings.name(), e.getMessage());
       return;
     }
     appliedUpdates++;
     if (update.ackId() >= 0 && client != null) {
-      client.set(messages.acknowledgement(update, now() - arrivedAt));
+      client.set(messages.acknowledgement(update, now() - arrivedAtDeciMillis));
     }
   }
 
-  /** Opens the session, or renews it. */
+  /** Opens the session or renews it. */
   private void sendHello() {
-    if (ready && client != null) {
+    if (channelReady && client != null) {
       client.set(
           messages.hello(
               new InstanceMessages.Hello(
@@ -209,9 +225,12 @@
     }
   }
 
-  /** Reports what was observed; without a connection it is reported with the next. */
+  /**
+   * Sends a load report. While there is no connection, the statistics accumulate and are sent with
+   * the first report after reconnecting.
+   */
   private void sendReport() {
-    if (ready && client != null && client.set(messages.report(statistics, now()))) {
+    if (channelReady && client != null && client.set(messages.report(statistics, now()))) {
       statistics.reset(now());
     }
   }
--- a/src/main/java/stonespring/proxy/Proxy.java
+++ b/src/main/java/stonespring/proxy/Proxy.java
@@ -21,27 +21,30 @@
 import stonespring.proxy.routing.RouterSettings;
 
 /**
- * A plain proxy: takes requests by HTTP ({@code POST /op/TYPE} with the request's id in {@code
- * x-op}), sends them to endpoints as its tables say, and answers. What it gives up on is answered
- * at once, with {@code retry-after} and, where the request was certainly not executed, {@code
- * x-not-run: 1}.
+ * A plain proxy: receives requests over HTTP ({@code POST /op/TYPE} with the request's id in {@code
+ * x-op}), forwards them to endpoints according to its route tables, and answers them. A request
+ * that is rejected or has failed is answered at once, with {@code retry-after} and, if it is
+ * certain that no endpoint executed it, {@code x-not-run: 1}.
  *
  * <p>Confined to one event loop; the public methods may be called from any thread.
  */
 public final class Proxy {
-  /** An endpoint that accepts connections does so in a few milliseconds. */
+  /** An endpoint that accepts connections does so within a few milliseconds. */
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
   private static final int MAX_BODY_BYTES = 64 << 10;
   private static final int MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 8;
 
-  /** Most requests in flight, and most that wait while the proxy is stalled. */
+  /** Maximum number of requests in flight, and of requests that wait while the proxy is stalled. */
   private static final int MAX_IN_FLIGHT = 5_000;
 
-  /** What waits in the socket is read and applied by then. */
-  private static final long CATCH_UP_MILLIS = 100;
+  /**
+   * Time between the end of a stall and the first request that is sent: updates buffered in the
+   * socket are read and applied in the meantime.
+   */
+  private static final long RESUME_DELAY_MILLIS = 100;
 
-  private static final String METHOD = "POST";
+  private static final String REQUEST_METHOD = "POST";
   private static final String USAGE = "POST /op/TYPE with header x-op\n";
 
   private final ProxySettings settings;
@@ -52,11 +55,14 @@
   private final HttpClient client;
   private final HttpServer server;
   private final TreeSet<String> usedEndpoints = new TreeSet<>();
-  private final ArrayDeque<RequestExchange> waiting = new ArrayDeque<>();
+  private final ArrayDeque<RequestExchange> waitingRequests = new ArrayDeque<>();
   private int inFlight;
   private boolean stalled;
 
-  /** Creates a proxy that holds its bootstrap routes; it does nothing until {@link #start}. */
+  /**
+   * Creates a proxy with its bootstrap routes. It neither listens nor connects until {@link
+   * #start}.
+   */
   public Proxy(ProxySettings settings, EventLoop loop) {
     this.settings = settings;
     this.loop = loop;
@@ -72,7 +78,11 @@
             (request, exchange) -> loop.execute(() -> handle(request, exchange)), MAX_BODY_BYTES);
   }
 
-  /** Listens and connects to its instance; port 0 takes a free one. */
+  /**
+   * Starts listening on the loopback interface and connects to an instance.
+   *
+   * @param port the port to listen on; 0 selects a free port
+   */
   public Proxy start(EventLoopGroup loops, int port) throws IOException, InterruptedException {
     server.start(loops, "127.0.0.1", port);
     loop.execute(connection::start);
@@ -80,20 +90,20 @@
     return this;
   }
 
-  /** The port that it listens at. */
+  /** The port on which the proxy listens. */
   public int port() {
     return server.port();
   }
 
-  /** Updates of its instance that were applied so far; may lag a little. */
+  /** Number of updates from the instance that were applied so far; may be slightly out of date. */
   public long appliedUpdates() {
     return connection.appliedUpdates();
   }
 
   /**
-   * Stalls, or goes on: nothing is read from its instance, no request is taken up. When it goes on
-   * it reads the updates of the meantime before it sends the first request, as its tables are as
-   * old as its halt was long.
+   * Stalls or resumes the proxy. While stalled, it reads nothing from its instance and starts no
+   * request. On resuming, it first reads the updates that arrived during the stall and only then
+   * sends requests, because its tables are as old as the stall was long.
    */
   public void setStalled(boolean stall) {
     loop.execute(
@@ -102,19 +112,19 @@
           if (stall) {
             stalled = true;
           } else {
-            loop.schedule(this::goOn, CATCH_UP_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::resume, RESUME_DELAY_MILLIS, TimeUnit.MILLISECONDS);
           }
         });
   }
 
-  private void goOn() {
+  private void resume() {
     stalled = false;
-    while (!stalled && !waiting.isEmpty()) {
-      waiting.poll().start();
+    while (!stalled && !waitingRequests.isEmpty()) {
+      waitingRequests.poll().start();
     }
   }
 
-  /** Ends it at once; requests in flight get no answer. Waits until its port is free. */
+  /** Stops the proxy at once and waits until its port is free. Requests in flight get no answer. */
   public void stop() throws InterruptedException {
     server.stop().await();
     loop.execute(
@@ -125,9 +135,9 @@
   }
 
   private void closeUnusedConnections() {
-    TreeSet<String> named = router.namedEndpoints();
+    TreeSet<String> namedEndpoints = router.namedEndpoints();
     for (String endpoint : new TreeSet<>(usedEndpoints)) {
-      if (!named.contains(endpoint)) {
+      if (!namedEndpoints.contains(endpoint)) {
         usedEndpoints.remove(endpoint);
         client.closeIdle(ProxySettings.address(new EndpointId(endpoint)));
       }
@@ -137,24 +147,25 @@
   private void handle(HttpRequest request, HttpServer.Exchange exchange) {
     Optional<RequestClassId> requestClass = requestClass(request.target());
     boolean hasId = !request.header(ProxyHeaders.REQUEST_ID).isEmpty();
-    if (requestClass.isEmpty() || !request.method().equals(METHOD) || !hasId) {
+    if (requestClass.isEmpty() || !request.method().equals(REQUEST_METHOD) || !hasId) {
       exchange.respond(HttpResponse.of(404, USAGE));
       return;
     }
-    RequestExchange started = new RequestExchange(this, requestClass.get(), request, exchange);
+    RequestExchange requestExchange =
+        new RequestExchange(this, requestClass.get(), request, exchange);
     if (!stalled) {
-      started.start();
-    } else if (waiting.size() < MAX_IN_FLIGHT) {
-      waiting.add(started);
+      requestExchange.start();
+    } else if (waitingRequests.size() < MAX_IN_FLIGHT) {
+      waitingRequests.add(requestExchange);
     } else {
-      started.rejectAsFull();
+      requestExchange.rejectAsFull();
     }
   }
 
   private Optional<RequestClassId> requestClass(String target) {
     List<RouterSettings.ClassSettings> classes = settings.router().requestClasses();
     for (int k = classes.size() - 1; k >= 0; k--) {
-      if (target.equals(ProxyHeaders.PATH + classes.get(k).name())) {
+      if (target.equals(ProxyHeaders.REQUEST_PATH_PREFIX + classes.get(k).name())) {
         return Optional.of(new RequestClassId(k));
       }
     }
@@ -173,7 +184,7 @@
     return statistics;
   }
 
-  /** Time since the start, DeciMillis. */
+  /** Time since the proxy was created, in deci-milliseconds. */
   long now() {
     return connection.now();
   }
@@ -182,17 +193,20 @@
     return inFlight >= MAX_IN_FLIGHT;
   }
 
-  void requestStarted() {
+  void incrementInFlight() {
     inFlight++;
   }
 
-  void requestEnded() {
+  void decrementInFlight() {
     inFlight--;
   }
 
   void call(
-      EndpointId endpoint, HttpRequest attempt, long timeoutMillis, Consumer<HttpCallResult> then) {
+      EndpointId endpoint,
+      HttpRequest attempt,
+      long timeoutMillis,
+      Consumer<HttpCallResult> resultHandler) {
     usedEndpoints.add(endpoint.name());
-    client.call(ProxySettings.address(endpoint), attempt, timeoutMillis, then);
+    client.call(ProxySettings.address(endpoint), attempt, timeoutMillis, resultHandler);
   }
 }
--- a/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
+++ b/src/main/java/stonespring/proxy/routing/AdmissionLimiter.java
@@ -5,28 +5,34 @@
 import stonespring.model.DeciMillis;
 import stonespring.model.DeterministicRandom;
 
-/** Admits requests as limits say: a fraction at random, or a rate by a token bucket. */
+/**
+ * Enforces admission limits: a fraction by random choice, a rate with a token bucket for each
+ * request class.
+ */
 final class AdmissionLimiter {
-  /** How much of a rate may be saved up while few requests arrive, seconds. */
+  /**
+   * Capacity of a token bucket, in seconds at its rate; it bounds the burst that is admitted after
+   * a period with few requests.
+   */
   private static final double BURST_SECONDS = 1;
 
   private final AdmissionLimitKind kind;
   private final DeterministicRandom random;
   private final double[] tokens;
-  private final long[] filledAt;
+  private final long[] lastRefillAt;
 
-  AdmissionLimiter(AdmissionLimitKind kind, int requestClasses, DeterministicRandom random) {
+  AdmissionLimiter(AdmissionLimitKind kind, int requestClassCount, DeterministicRandom random) {
     this.kind = kind;
     this.random = random;
-    this.tokens = new double[requestClasses];
-    this.filledAt = new long[requestClasses];
+    this.tokens = new double[requestClassCount];
+    this.lastRefillAt = new long[requestClassCount];
     Arrays.fill(tokens, Double.NaN);
   }
 
   /**
-   * Whether one request is admitted.
+   * Decides whether one request is admitted; with a rate limit, an admitted request takes a token.
    *
-   * @param limit the limit that holds, or null for none
+   * @param limit the limit that applies, or null if there is none
    */
   boolean admit(int requestClass, AdmissionLimit limit, long now) {
     if (limit == null || kind == AdmissionLimitKind.NONE) {
@@ -40,13 +46,13 @@
 
   private boolean takeToken(int requestClass, double requestsPerSecond, long now) {
     double capacity = Math.max(1, requestsPerSecond * BURST_SECONDS);
-    double sinceSeconds = (now - filledAt[requestClass]) / (double) DeciMillis.SECOND;
-    double filled =
+    double elapsedSeconds = (now - lastRefillAt[requestClass]) / (double) DeciMillis.SECOND;
+    double refilled =
         Double.isNaN(tokens[requestClass])
             ? capacity
-            : tokens[requestClass] + sinceSeconds * requestsPerSecond;
-    tokens[requestClass] = Math.min(capacity, filled);
-    filledAt[requestClass] = now;
+            : tokens[requestClass] + elapsedSeconds * requestsPerSecond;
+    tokens[requestClass] = Math.min(capacity, refilled);
+    lastRefillAt[requestClass] = now;
     if (tokens[requestClass] < 1 || requestsPerSecond == 0) {
       return false;
     }
--- a/src/main/java/stonespring/proxy/routing/EndpointStates.java
+++ b/src/main/java/stonespring/proxy/routing/EndpointStates.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import stonespring.model.EndpointId;
 
-/** What a proxy knows of each endpoint by its own attempts, under a dense index. */
+/** The state of each endpoint as observed from the proxy's own attempts, under a dense index. */
 final class EndpointStates {
-  /** The index of no endpoint. */
+  /** Stands for no endpoint in place of an index. */
   static final int NONE = -1;
 
   private static final int INITIAL_CAPACITY = 16;
@@ -20,8 +20,8 @@
   private int[] consecutiveFailures = new int[INITIAL_CAPACITY];
   private long[] ejectedUntil = new long[INITIAL_CAPACITY];
 
-  /** The index of an endpoint, given out at its first use. */
-  int index(String name) {
+  /** The index of an endpoint, assigned when the endpoint is first seen. */
+  int indexOf(String name) {
     Integer known = indexByName.get(name);
     if (known != null) {
       return known;
@@ -37,7 +37,7 @@
     return index;
   }
 
-  /** The index of an endpoint, {@link #NONE} if it has none yet. */
+  /** The index of an endpoint, or {@link #NONE} if none has been assigned. */
   int indexIfKnown(String name) {
     return indexByName.getOrDefault(name, NONE);
   }
@@ -50,16 +50,19 @@
     return inFlight[index];
   }
 
-  void attemptStarted(int index) {
+  void incrementInFlight(int index) {
     inFlight[index]++;
   }
 
-  void attemptEnded(int index) {
+  void decrementInFlight(int index) {
     inFlight[index] = Math.max(0, inFlight[index] - 1);
   }
 
-  /** Counts an attempt's outcome; returns the failures in a row that it makes. */
-  int countOutcome(int index, boolean succeeded) {
+  /**
+   * Records an attempt's outcome and returns the number of consecutive failures, this attempt
+   * included.
+   */
+  int recordOutcome(int index, boolean succeeded) {
     consecutiveFailures[index] = succeeded ? 0 : consecutiveFailures[index] + 1;
     return consecutiveFailures[index];
   }
--- a/src/main/java/stonespring/zmtp/FrameDecoder.java
+++ b/src/main/java/stonespring/zmtp/FrameDecoder.java
@@ -5,24 +5,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decodes frames to commands and whole messages (RFC 37, "Formal Grammar"). */
+/** Decodes frames into commands and complete messages (RFC 37, "Formal Grammar"). */
 final class FrameDecoder {
-  private static final String PLACE = "frame";
+  private static final String LOCATION = "frame";
   private static final int SHORT_HEADER_BYTES = 2;
   private static final int LONG_HEADER_BYTES = 9;
 
   private final ZmtpLimits limits;
 
-  /** The frames of an incomplete message. */
-  private List<byte[]> frames = new ArrayList<>();
+  /** Frames received so far of a message whose last frame has not arrived. */
+  private List<byte[]> pendingFrames = new ArrayList<>();
 
-  private long messageBytes;
+  private long pendingMessageBytes;
 
   FrameDecoder(ZmtpLimits limits) {
     this.limits = limits;
   }
 
-  /** Decodes the next frame, if it is complete. */
+  /** Decodes the next frame; consumes nothing while the frame is incomplete. */
   void decode(ByteBuf in, List<Object> out) {
     if (!in.isReadable()) {
       return;
@@ -44,11 +44,11 @@
     byte[] body = new byte[(int) size];
     in.readBytes(body);
     if (FrameFlags.has(flags, FrameFlags.COMMAND)) {
-      out.add(command(body));
+      out.add(decodeCommand(body));
     } else {
       addFrame(body);
       if (!FrameFlags.has(flags, FrameFlags.MORE)) {
-        out.add(completeMessage());
+        out.add(takeCompleteMessage());
       }
     }
   }
@@ -56,17 +56,18 @@
   private void checkFlags(int flags) {
     if (!FrameFlags.areValid(flags)) {
       throw new ZmtpProtocolException(
-          PLACE, "flags 0x" + Integer.toHexString(flags) + " are not allowed");
+          LOCATION, "flags 0x" + Integer.toHexString(flags) + " are not valid");
     }
-    if (FrameFlags.has(flags, FrameFlags.COMMAND) && !frames.isEmpty()) {
-      throw new ZmtpProtocolException(PLACE, "a command stands inside a message");
+    if (FrameFlags.has(flags, FrameFlags.COMMAND) && !pendingFrames.isEmpty()) {
+      throw new ZmtpProtocolException(
+          LOCATION, "a command arrived between the frames of a message");
     }
   }
 
   private void checkSize(long size) {
     if (size < 0 || size > limits.maxFrameBytes()) {
       throw new ZmtpProtocolException(
-          PLACE,
+          LOCATION,
           "size "
               + Long.toUnsignedString(size)
               + " is over the limit of "
@@ -76,12 +77,16 @@
   }
 
   private void addFrame(byte[] body) {
-    frames.add(body);
-    messageBytes += body.length;
-    if (frames.size() > limits.maxFrames() || messageBytes > limits.maxMessageBytes()) {
+    pendingFrames.add(body);
+    pendingMessageBytes += body.length;
+    if (pendingFrames.size() > limits.maxFrames()
+        || pendingMessageBytes > limits.maxMessageBytes()) {
       throw new ZmtpProtocolException(
           "message",
-          "over the limit of "
+          pendingFrames.size()
+              + " frames with "
+              + pendingMessageBytes
+              + " bytes are over the limit of "
               + limits.maxFrames()
               + " frames or "
               + limits.maxMessageBytes()
@@ -89,20 +94,20 @@
     }
   }
 
-  private ZmtpPart.Message completeMessage() {
-    ZmtpPart.Message message = new ZmtpPart.Message(frames);
-    frames = new ArrayList<>();
-    messageBytes = 0;
+  private ZmtpPart.Message takeCompleteMessage() {
+    ZmtpPart.Message message = new ZmtpPart.Message(pendingFrames);
+    pendingFrames = new ArrayList<>();
+    pendingMessageBytes = 0;
     return message;
   }
 
-  private static ZmtpPart.Command command(byte[] body) {
+  private static ZmtpPart.Command decodeCommand(byte[] body) {
     int nameLength = body.length == 0 ? 0 : Byte.toUnsignedInt(body[0]);
     int dataIndex = 1 + nameLength;
     if (nameLength == 0 || dataIndex > body.length) {
       throw new ZmtpProtocolException(
           "command",
-          "its name's length " + nameLength + " does not fit its " + body.length + " bytes");
+          "name length " + nameLength + " does not fit into a body of " + body.length + " bytes");
     }
     String name = new String(body, 1, nameLength, StandardCharsets.US_ASCII);
     byte[] data = new byte[body.length - dataIndex];
--- a/src/main/java/stonespring/zmtp/ReadyCommand.java
+++ b/src/main/java/stonespring/zmtp/ReadyCommand.java
@@ -7,25 +7,26 @@
 import java.util.Optional;
 
 /**
- * The command that completes a handshake; its data are properties (RFC 37, "The NULL Mechanism").
+ * The READY command: completes a handshake. Its data are a list of named properties (RFC 37, "The
+ * NULL Mechanism").
  */
 final class ReadyCommand {
-  /** The command's name. */
+  /** The command name on the wire. */
   static final String NAME = "READY";
 
-  private static final String SOCKET_TYPE = "Socket-Type";
-  private static final String IDENTITY = "Identity";
+  private static final String SOCKET_TYPE_PROPERTY = "Socket-Type";
+  private static final String IDENTITY_PROPERTY = "Identity";
   private static final int VALUE_LENGTH_BYTES = 4;
 
   private ReadyCommand() {}
 
   static ByteBuf encode(SocketType type) {
     ByteBuf data = Unpooled.buffer();
-    appendProperty(data, SOCKET_TYPE, type.name());
+    appendProperty(data, SOCKET_TYPE_PROPERTY, type.name());
     if (type == SocketType.DEALER) {
-      appendProperty(data, IDENTITY, "");
+      appendProperty(data, IDENTITY_PROPERTY, "");
     }
-    return ZmtpEncoder.command(NAME, ByteBufUtil.getBytes(data));
+    return ZmtpEncoder.encodeCommand(NAME, ByteBufUtil.getBytes(data));
   }
 
   private static void appendProperty(ByteBuf out, String name, String value) {
@@ -33,14 +34,14 @@
     out.writeInt(value.length()).writeBytes(value.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** The name of the peer's socket type; empty if there is none. */
+  /** Returns the peer's socket type as sent; empty if the property is missing. */
   static Optional<String> decodeSocketType(byte[] data) {
     Optional<String> socketType = Optional.empty();
     ByteBuf in = Unpooled.wrappedBuffer(data);
     while (in.isReadable()) {
       String name = readName(in);
       String value = readValue(in, name);
-      if (name.equalsIgnoreCase(SOCKET_TYPE)) {
+      if (name.equalsIgnoreCase(SOCKET_TYPE_PROPERTY)) {
         socketType = Optional.of(value);
       }
     }
@@ -50,7 +51,8 @@
   private static String readName(ByteBuf in) {
     int length = in.readUnsignedByte();
     if (length == 0 || in.readableBytes() < length + VALUE_LENGTH_BYTES) {
-      throw new ZmtpProtocolException(NAME, "a property's name does not fit");
+      throw new ZmtpProtocolException(
+          NAME, "the name of a property is empty or exceeds the remaining data");
     }
     return in.readCharSequence(length, StandardCharsets.US_ASCII).toString();
   }
@@ -58,7 +60,8 @@
   private static String readValue(ByteBuf in, String name) {
     int length = in.readInt();
     if (length < 0 || length > in.readableBytes()) {
-      throw new ZmtpProtocolException(NAME, "property " + name + "'s value does not fit");
+      throw new ZmtpProtocolException(
+          NAME, "the value of property " + name + " exceeds the remaining data");
     }
     return in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
   }
--- a/src/main/java/stonespring/zmtp/ZmtpSockets.java
+++ b/src/main/java/stonespring/zmtp/ZmtpSockets.java
@@ -16,18 +16,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Opens listening and connecting sockets. Thread-safe. */
+/** Opens listening sockets and outbound connections. Thread-safe. */
 public final class ZmtpSockets {
   private static final Logger LOG = LoggerFactory.getLogger(ZmtpSockets.class);
 
-  /** A whole fleet may connect again within a second. */
+  /** Large enough for a whole fleet that reconnects within a second. */
   private static final int ACCEPT_BACKLOG = 2048;
 
+  /** Loopback and neighbouring data centres answer within a few milliseconds. */
   private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
   private ZmtpSockets() {}
 
-  /** Begins to listen; the future is done once it does, or can't. */
+  /** Starts to listen; the future completes when the socket is bound or binding has failed. */
   public static ChannelFuture listen(
       EventLoopGroup loops,
       SocketType type,
@@ -40,11 +41,14 @@
         .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(new AcceptedInitializer(type, limits, listener))
+        .childHandler(new AcceptedConnectionInitializer(type, limits, listener))
         .bind(address);
   }
 
-  /** Begins to connect; the future is done once the TCP connection is established, or can't be. */
+  /**
+   * Starts to connect; the future completes when the TCP connection is established or has failed,
+   * before the ZMTP handshake.
+   */
   public static ChannelFuture connect(
       EventLoopGroup loops,
       SocketType type,
@@ -60,13 +64,13 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel channel) {
-                init(channel, new ZmtpConnection(type, false, limits, listener), limits);
+                initPipeline(channel, new ZmtpConnection(type, false, limits, listener), limits);
               }
             })
         .connect(address);
   }
 
-  private static void init(Channel channel, ZmtpConnection connection, ZmtpLimits limits) {
+  private static void initPipeline(Channel channel, ZmtpConnection connection, ZmtpLimits limits) {
     int maxPendingBytes = limits.maxPendingBytes();
     channel
         .config()
@@ -74,14 +78,15 @@
     channel.pipeline().addLast(new ZmtpDecoder(limits), connection);
   }
 
-  /** Counts the connections of one listener, and closes those over its limit. */
-  private static final class AcceptedInitializer extends ChannelInitializer<SocketChannel> {
+  /** Counts the open connections of a listening socket and closes new ones over the limit. */
+  private static final class AcceptedConnectionInitializer
+      extends ChannelInitializer<SocketChannel> {
     private final SocketType type;
     private final ZmtpLimits limits;
     private final ZmtpListener listener;
-    private final AtomicInteger connections = new AtomicInteger();
+    private final AtomicInteger openConnections = new AtomicInteger();
 
-    AcceptedInitializer(SocketType type, ZmtpLimits limits, ZmtpListener listener) {
+    AcceptedConnectionInitializer(SocketType type, ZmtpLimits limits, ZmtpListener listener) {
       this.type = type;
       this.limits = limits;
       this.listener = listener;
@@ -89,18 +94,18 @@
 
     @Override
     protected void initChannel(SocketChannel accepted) {
-      if (connections.incrementAndGet() > limits.maxConnections()) {
+      if (openConnections.incrementAndGet() > limits.maxConnections()) {
         LOG.warn(
-            "zmtp {} peer {}: refused: over {} connections",
+            "zmtp {} peer {}: connection refused: limit of {} connections reached",
             type,
             accepted.remoteAddress(),
             limits.maxConnections());
-        connections.decrementAndGet();
+        openConnections.decrementAndGet();
         accepted.close();
         return;
       }
-      accepted.closeFuture().addListener(future -> connections.decrementAndGet());
-      init(accepted, new ZmtpConnection(type, true, limits, listener), limits);
+      accepted.closeFuture().addListener(future -> openConnections.decrementAndGet());
+      initPipeline(accepted, new ZmtpConnection(type, true, limits, listener), limits);
     }
   }
 }
--- a/src/test/java/stonespring/chp/StockClientTest.java
+++ b/src/test/java/stonespring/chp/StockClientTest.java
@@ -19,7 +19,7 @@
 import stonespring.config.InstanceSettings;
 import stonespring.daemon.ChpDaemon;
 
-/** A client on an independent ZeroMQ library against a whole instance. */
+/** Tests a complete instance against a client built on an independent ZeroMQ library. */
 final class StockClientTest {
   private static final String SCRIPT =
       """
@@ -37,7 +37,7 @@
              {"id": "c", "address": "127.0.0.1:3", "zone": "west"}]
             """;
 
-  private static ChpDaemon started(Path folder) throws Exception {
+  private static ChpDaemon startDaemon(Path folder) throws Exception {
     Files.writeString(folder.resolve("tasks.json"), TASKS);
     Files.writeString(folder.resolve("settings.star"), SCRIPT);
     ChpDaemon daemon = new ChpDaemon(InstanceSettings.read(folder.resolve("settings.star")));
@@ -47,7 +47,7 @@
 
   @Test
   void aStockClientSnapshotsFollowsSetsAndExpiresAKey(@TempDir Path folder) throws Exception {
-    ChpDaemon daemon = started(folder);
+    ChpDaemon daemon = startDaemon(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket updates = context.createSocket(SocketType.SUB);
       updates.setReceiveTimeOut(TIMEOUT_MILLIS);
@@ -55,18 +55,21 @@
       updates.subscribe("/presence/");
       updates.subscribe("HUGZ");
       updates.connect("tcp://127.0.0.1:" + (daemon.port() + 1));
-      assertEquals("HUGZ", text(ZMsg.recvMsg(updates), 0), "the subscription's first heartbeat");
+      assertEquals(
+          "HUGZ",
+          text(ZMsg.recvMsg(updates), 0),
+          "the first message is the heartbeat that confirms the subscription");
       ZMQ.Socket collector = context.createSocket(SocketType.PUB);
       collector.connect("tcp://127.0.0.1:" + (daemon.port() + 2));
       ZMsg presence = setPresenceUntilPublished(collector, updates);
       assertEquals("/presence/p1", text(presence, 0));
       long sequence = assertTableOfThreeRoutes(updates, sequence(presence));
       assertSnapshotOfThreeRoutes(context, daemon.port(), sequence);
-      // The client is silent from now on: the key expires, and its deletion is published.
+      // The client no longer renews the key: it expires, and its deletion is published.
       ZMsg message;
       do {
         message = ZMsg.recvMsg(updates);
-        assertNotNull(message, "the expiry is published");
+        assertNotNull(message, "no message announced the expiry of the key");
       } while (!text(message, 0).equals("/presence/p1") || !text(message, 4).isEmpty());
     } finally {
       daemon.stop();
@@ -74,15 +77,16 @@
   }
 
   /**
-   * A publisher drops what nobody has subscribed to yet, so the key is set until it is published.
+   * Sets the key repeatedly until it is published: a PUB socket drops messages that are sent before
+   * the server has subscribed.
    */
   private static ZMsg setPresenceUntilPublished(ZMQ.Socket collector, ZMQ.Socket updates) {
-    String hello =
+    String presenceJson =
         "{\"life\":\"l1\",\"stream\":1,\"zone\":\"west\",\"ops\":3,\"fresh\":true,\"holds\":[]}";
     ZMsg message = null;
     updates.setReceiveTimeOut(50);
     for (int i = 0; i < 200 && message == null; i++) {
-      set(collector, "/presence/p1", "ttl=1\n", hello);
+      set(collector, "/presence/p1", "ttl=1\n", presenceJson);
       message = ZMsg.recvMsg(updates);
       message = message != null && text(message, 0).equals("HUGZ") ? null : message;
     }
@@ -91,9 +95,9 @@
   }
 
   /**
-   * Receives the table up to its commit.
+   * Receives updates up to the commit of the table and checks its three routes.
    *
-   * @return the last sequence
+   * @return the highest sequence received before the commit
    */
   private static long assertTableOfThreeRoutes(ZMQ.Socket updates, long firstSequence) {
     long sequence = firstSequence;
@@ -102,12 +106,13 @@
         !text(message, 0).equals("/proxy/p1/commit");
         message = ZMsg.recvMsg(updates)) {
       if (!text(message, 0).equals("HUGZ")) {
-        assertTrue(sequence(message) > sequence, "sequences rise strictly");
+        assertTrue(sequence(message) > sequence, "sequences must increase strictly");
         sequence = sequence(message);
         routes += text(message, 0).startsWith("/proxy/p1/line/") ? 1 : 0;
       }
     }
-    assertEquals(3, routes, "a proxy without tables gets one of the three endpoints there are");
+    assertEquals(
+        3, routes, "a proxy without route tables gets routes to the three available endpoints");
     return sequence;
   }
 
@@ -127,19 +132,20 @@
       committed |= text(message, 0).equals("/proxy/p1/commit");
       message = ZMsg.recvMsg(snapshots);
     }
-    assertTrue(sequence(message) >= sequence, "the snapshot is as new as the updates");
+    assertTrue(sequence(message) >= sequence, "the snapshot must not be older than the updates");
     assertEquals("/proxy/p1/", text(message, 4));
     assertTrue(committed);
     assertEquals(3, routes);
   }
 
   /**
-   * The server publishes its own status each second; a follower of something else needs heartbeats
-   * all the same.
+   * The server publishes its own status every second. Guards against heartbeats being left out for
+   * followers of other subtrees, which do not receive the status.
    */
   @Test
-  void followerOfAQuietSubtreeGetsHeartbeatsOfABusyServer(@TempDir Path folder) throws Exception {
-    ChpDaemon daemon = started(folder);
+  void sendsHeartbeatsToFollowerOfQuietSubtreeWhileServerIsBusy(@TempDir Path folder)
+      throws Exception {
+    ChpDaemon daemon = startDaemon(folder);
     try (ZContext context = new ZContext()) {
       ZMQ.Socket quiet = context.createSocket(SocketType.SUB);
       quiet.setReceiveTimeOut(TIMEOUT_MILLIS);
