--- a/src/test/java/stonespring/config/script/ScriptTest.java
+++ b/src/test/java/stonespring/config/script/ScriptTest.java
@@ -91,7 +91,8 @@
         "x = 'a' + 1|1:9: '+' cannot be applied to a string and a whole number",
         "x = len(1)|1:5: expected a list or a dict to iterate over",
         "x = fail('stop here')|1:5: fail: stop here",
-        "x = range(1000000000)|1:5: range:",
+        "x = range(1000000000)|1:5: range: expected a step other than 0 and at most 100000 items,"
+            + " got a range from 0 to 1000000000 with step 1",
       })
   void reportsTheLocationOfEvaluationErrors(String text, String expected) throws Exception {
     List<String> errors = errors(text);
--- a/src/test/java/stonespring/discovery/EndpointListCodecTest.java
+++ b/src/test/java/stonespring/discovery/EndpointListCodecTest.java
@@ -21,9 +21,12 @@
           },
           {
             "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"state\":\"up\"}]",
-            "field 'state'"
+            "field 'state' must be 'ready' or 'draining', found \"up\""
+          },
+          {
+            "[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"weight\":0}]",
+            "field 'weight' must be a number above 0 and below 1000000.0, found 0"
           },
-          {"[{\"id\":\"a\",\"address\":\"h:1\",\"zone\":\"east\",\"weight\":0}]", "field 'weight'"},
           {"[", "line 1"}
         }) {
       InvalidEndpointListException e =
--- a/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
@@ -173,7 +173,7 @@
    * is discarded too.
    */
   @Test
-  void rejectsReportsAboutEndpointsListedLongAgo() throws Exception {
+  void dropsReportsAboutEvictedEndpoints() throws Exception {
     Client proxy = fixture.connectProxy();
     fixture.execute(
         new Command.ExcludeEndpoint(new EndpointId("s-1"), true),
--- a/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
@@ -52,7 +52,7 @@
             "rules":{"coldS":12.0,"coldShare":0.3,"fallMultiple":2.5},"prices":{"crossZone":0.1},"scoringMix":{"worstClass":0.2}}"""
           .replace("\n", "");
 
-  private static Command command(SplittableRandom random) {
+  private static Command randomCommand(SplittableRandom random) {
     RouteTableId table = new RouteTableId(random.nextInt(PROXIES));
     EndpointId endpoint =
         new EndpointId("s-" + random.nextInt(9) + (random.nextInt(5) == 0 ? "/a" : ""));
@@ -76,10 +76,10 @@
     };
   }
 
-  private static List<Command> commands(SplittableRandom random, int step) {
+  private static List<Command> randomCommands(SplittableRandom random, int step) {
     List<Command> commands = new ArrayList<>();
     for (int i = random.nextInt(6); i >= 0; i--) {
-      commands.add(command(random));
+      commands.add(randomCommand(random));
     }
     if (random.nextBoolean()) {
       commands.add(new Command.RequestAck(new AckId(step), random.nextBoolean()));
@@ -111,7 +111,7 @@
                       excluded.computeIfAbsent(proxy, p -> new HashSet<>()),
                       random.nextBoolean())));
         }
-        for (ProxyUpdate update : tables.apply(commands(random, step), step)) {
+        for (ProxyUpdate update : tables.apply(randomCommands(random, step), step)) {
           ConfigMessage message = routeStates.get(update.proxy().number()).apply(update);
           recording.add(
               update.proxy().number()
@@ -170,7 +170,7 @@
           tables.addProxy(proxy, endpoints);
           publish(recording, published.publishSessionStart(proxy));
         }
-        for (ProxyUpdate update : tables.apply(commands(random, step), step)) {
+        for (ProxyUpdate update : tables.apply(randomCommands(random, step), step)) {
           recording.add(update.proxy().number() + " " + update.entries());
           publish(recording, published.publish(update));
         }
--- a/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
@@ -80,14 +80,14 @@
           excluded.remove(exclusion.endpoint().name());
         }
       } else if (command instanceof Command.LimitAdmission limit) {
-        Limit[] ofTable =
+        Limit[] limitsOfTable =
             limit.table().equals(Command.ALL_TABLES)
                 ? limitsForAllTables
                 : limits.computeIfAbsent(
                     limit.table().number(), t -> new Limit[REQUEST_CLASSES.size()]);
-        for (int k = 0; k < ofTable.length; k++) {
+        for (int k = 0; k < limitsOfTable.length; k++) {
           if (includesClass(limit.requestClassMask(), k)) {
-            ofTable[k] = new Limit(limit.limit(), limit.retryPolicy().ordinal());
+            limitsOfTable[k] = new Limit(limit.limit(), limit.retryPolicy().ordinal());
           }
         }
       }
@@ -110,13 +110,15 @@
         TreeMap<String, Double> usable = new TreeMap<>(tables.getOrDefault(table, new TreeMap<>()));
         usable.keySet().removeAll(excluded);
         weightsByClass.add(usable);
-        Limit own = limits.containsKey(table) ? limits.get(table)[k] : null;
+        Limit tableLimit = limits.containsKey(table) ? limits.get(table)[k] : null;
         limitsByClass.add(
-            own == null
+            tableLimit == null
                 ? limitsForAllTables[k]
                 : limitsForAllTables[k] == null
-                    ? own
-                    : new Limit(Math.min(own.share, limitsForAllTables[k].share), own.retryCode));
+                    ? tableLimit
+                    : new Limit(
+                        Math.min(tableLimit.share, limitsForAllTables[k].share),
+                        tableLimit.retryCode));
       }
       return new RoutingView(weightsByClass, limitsByClass);
     }
@@ -217,8 +219,8 @@
 
     RoutingView view() {
       List<TreeMap<String, Double>> usableByClass = new ArrayList<>();
-      for (TreeMap<String, Double> ofClass : weights) {
-        TreeMap<String, Double> usable = new TreeMap<>(ofClass);
+      for (TreeMap<String, Double> classWeights : weights) {
+        TreeMap<String, Double> usable = new TreeMap<>(classWeights);
         usable.keySet().removeAll(excluded);
         usableByClass.add(usable);
       }
@@ -226,17 +228,17 @@
     }
   }
 
-  private static double weight(SplittableRandom random) {
+  private static double randomWeight(SplittableRandom random) {
     return random.nextInt(1, 2000) / 1000.0;
   }
 
-  private static Command command(SplittableRandom random) {
+  private static Command randomCommand(SplittableRandom random) {
     RouteTableId table = new RouteTableId(random.nextInt(PROXIES));
     EndpointId endpoint = new EndpointId("s-" + random.nextInt(ENDPOINTS));
     int mask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
     return switch (random.nextInt(9)) {
       case 0, 1, 2 ->
-          new Command.SetRoute(table, endpoint, random.nextInt(4) == 0 ? 0 : weight(random));
+          new Command.SetRoute(table, endpoint, random.nextInt(4) == 0 ? 0 : randomWeight(random));
       case 3 ->
           random.nextInt(6) == 0
               ? new Command.ClearRouteTable(table)
@@ -274,7 +276,7 @@
       }
       List<Command> commands = new ArrayList<>();
       for (int i = random.nextInt(6); i >= 0; i--) {
-        commands.add(command(random));
+        commands.add(randomCommand(random));
       }
       boolean ackRequested = random.nextBoolean();
       if (ackRequested) {
