--- a/src/main/java/stonespring/testbed/DeploymentFaults.java
+++ b/src/main/java/stonespring/testbed/DeploymentFaults.java
@@ -40,10 +40,10 @@
       EndpointStandIn endpoint = endpoints.get(i);
       double drainAtMillis =
           timeline.now() + fault.durationMillis() * (i / batchSize) / Math.max(1, batchCount);
-      timeline.at(drainAtMillis, () -> fleet.registry().register(endpoint, true));
-      timeline.at(
+      timeline.scheduleAt(drainAtMillis, () -> fleet.registry().register(endpoint, true));
+      timeline.scheduleAt(
           drainAtMillis + fault.intervalMillis() + fleet.listDelayMillis(),
-          () -> fleet.crash(endpoint, timeline.now() + RESTART_DELAY_MILLIS));
+          () -> fleet.crashAndRestart(endpoint, timeline.now() + RESTART_DELAY_MILLIS));
     }
   }
 
@@ -53,7 +53,7 @@
    */
   private void restartInWaves(FaultTarget target) {
     Scenario.Fault fault = target.fault();
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         fault,
         () ->
             fleet
@@ -63,16 +63,16 @@
 
   private void drainThenRestart(EndpointStandIn endpoint, Scenario.Fault fault) {
     fleet.registry().register(endpoint, true);
-    timeline.at(
+    timeline.scheduleAt(
         timeline.now() + fault.magnitude(),
-        () -> fleet.crash(endpoint, timeline.now() + fault.intervalMillis()));
+        () -> fleet.crashAndRestart(endpoint, timeline.now() + fault.intervalMillis()));
   }
 
   /** Drains the drawn endpoints and stops them for good at the end of the fault. */
   private void shrink(FaultTarget target) {
     for (EndpointStandIn endpoint : target.endpoints()) {
       fleet.registry().register(endpoint, true);
-      timeline.at(
+      timeline.scheduleAt(
           target.endMillis(),
           () -> {
             fleet.registry().deregister(endpoint);
@@ -83,7 +83,7 @@
 
   /** Starts new endpoints in random zones at each interval; the magnitude is their number. */
   private void grow(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () -> {
           for (int i = 0; i < target.fault().magnitude(); i++) {
--- a/src/main/java/stonespring/testbed/InfrastructureFaults.java
+++ b/src/main/java/stonespring/testbed/InfrastructureFaults.java
@@ -30,7 +30,7 @@
     List<InstanceProcess> killed = fleet.sample(fleet.instances(), target.fault().fraction());
     for (InstanceProcess instance : killed) {
       instance.kill();
-      timeline.at(target.endMillis(), instance::start);
+      timeline.scheduleAt(target.endMillis(), instance::start);
     }
   }
 
@@ -39,11 +39,11 @@
    * the length of a stall in milliseconds.
    */
   private void stallInstances(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () -> {
           ProxyFaults.forEachLink(fleet.proxies(), link -> link.setFrozen(true));
-          timeline.at(
+          timeline.scheduleAt(
               timeline.now() + target.fault().magnitude(),
               () -> ProxyFaults.forEachLink(fleet.proxies(), link -> link.setFrozen(false)));
         });
@@ -51,14 +51,14 @@
 
   private void hideEndpoints(FaultTarget target) throws Exception {
     RegistryStandIn registry = fleet.registry();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> target.endpoints().forEach(endpoint -> registry.setHidden(endpoint.name(), true)),
         () -> target.endpoints().forEach(endpoint -> registry.setHidden(endpoint.name(), false)));
   }
 
   private void makeRegistryUnavailable(FaultTarget target) throws Exception {
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> fleet.registry().setUnavailable(true),
         () -> fleet.registry().setUnavailable(false));
@@ -66,7 +66,8 @@
 
   private void isolateZone(FaultTarget target) throws Exception {
     String zone = fleet.zones().get(Math.max(0, target.fault().zone()));
-    timeline.during(target.fault(), () -> setIsolated(zone, true), () -> setIsolated(zone, false));
+    timeline.runDuring(
+        target.fault(), () -> setIsolated(zone, true), () -> setIsolated(zone, false));
   }
 
   /**
--- a/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
+++ b/src/main/java/stonespring/testbed/InstanceStatusMonitor.java
@@ -8,10 +8,13 @@
 import stonespring.chp.ChpMessage;
 import stonespring.zmtp.ZmtpLimits;
 
-/** Records what instances publish of themselves, and dials again after each loss. */
+/**
+ * Subscribes to the status that instances publish and records it as evidence. Reconnects after a
+ * connection ends.
+ */
 final class InstanceStatusMonitor {
-  private static final int SILENCE_MILLIS = 10_000;
-  private static final int REDIAL_MILLIS = 200;
+  private static final int SILENCE_TIMEOUT_MILLIS = 10_000;
+  private static final int RECONNECT_DELAY_MILLIS = 200;
 
   private final EventLoopGroup loops;
   private final Evidence evidence;
@@ -22,32 +25,33 @@
     this.evidence = evidence;
   }
 
+  /** Subscribes to an instance's status until {@link #stop}. */
   void watch(InstanceProcess instance) {
     EventLoop loop = loops.next();
     ChpClient.Listener listener =
         new ChpClient.Listener() {
           @Override
           public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
-            keys.forEach(key -> WireTap.status(evidence, key.value()));
+            keys.forEach(key -> WireTap.recordStatus(evidence, key.value()));
           }
 
           @Override
           public void updateReceived(ChpMessage.KvPub update) {
-            WireTap.status(evidence, update.value());
+            WireTap.recordStatus(evidence, update.value());
           }
 
           @Override
           public void sessionEnded(String cause) {
             if (!stopped) {
-              loop.schedule(() -> watch(instance), REDIAL_MILLIS, TimeUnit.MILLISECONDS);
+              loop.schedule(() -> watch(instance), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
           }
         };
-    new ChpClient(loop, "/assigner/", SILENCE_MILLIS, listener)
+    new ChpClient(loop, "/assigner/", SILENCE_TIMEOUT_MILLIS, listener)
         .connect("127.0.0.1", instance.port(), false, ZmtpLimits.DEFAULT);
   }
 
-  /** Dials no more; standing connections end with their instances. */
+  /** Stops reconnecting. Open connections end when their instances stop. */
   void stop() {
     stopped = true;
   }
--- a/src/main/java/stonespring/testbed/ProxyFaults.java
+++ b/src/main/java/stonespring/testbed/ProxyFaults.java
@@ -49,7 +49,7 @@
   /** Delays all that proxies send to instances; the magnitude is the delay in milliseconds. */
   private void delayReports(FaultTarget target) throws Exception {
     long millis = (long) target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> forEachLink(target.proxies(), link -> link.setDelays(millis, 0)),
         () -> forEachLink(target.proxies(), link -> link.setDelays(0, 0)));
@@ -57,14 +57,14 @@
 
   private void slowLinks(FaultTarget target) throws Exception {
     double bytesPerMillisecond = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> forEachLink(target.proxies(), link -> link.setDownstreamRate(bytesPerMillisecond)),
         () -> forEachLink(target.proxies(), link -> link.setDownstreamRate(Double.MAX_VALUE)));
   }
 
   private void passByteByByte(FaultTarget target) throws Exception {
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> forEachLink(target.proxies(), link -> link.setByteByByte(true)),
         () -> forEachLink(target.proxies(), link -> link.setByteByByte(false)));
@@ -87,26 +87,26 @@
   private void crash(FaultTarget target) throws InterruptedException {
     for (ScenarioProxy proxy : target.proxies()) {
       proxy.proxy().stop();
-      timeline.at(target.endMillis(), () -> fleet.startProxy(proxy));
+      timeline.scheduleAt(target.endMillis(), () -> fleet.startProxy(proxy));
     }
   }
 
   /** Stalls proxies at each interval; the magnitude is the length of a stall in milliseconds. */
   private void stall(FaultTarget target) {
-    timeline.repeatedly(
+    timeline.scheduleRepeatedly(
         target.fault(),
         () -> target.proxies().forEach(proxy -> stall(proxy.proxy(), target.fault().magnitude())));
   }
 
   private void stall(Proxy proxy, double millis) {
     proxy.setStalled(true);
-    timeline.at(timeline.now() + millis, () -> proxy.setStalled(false));
+    timeline.scheduleAt(timeline.now() + millis, () -> proxy.setStalled(false));
   }
 
   /** Raises the request rate of all clients, whatever the zone; the magnitude is the multiple. */
   private void surge(FaultTarget target) throws Exception {
     double multiple = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () ->
             fleet
@@ -118,7 +118,7 @@
   /** Shortens the timeouts of all clients, whatever the zone; the magnitude is the fraction. */
   private void shortenClientTimeouts(FaultTarget target) throws Exception {
     double fraction = target.fault().magnitude();
-    timeline.during(
+    timeline.runDuring(
         target.fault(),
         () -> fleet.proxies().forEach(proxy -> proxy.client().setTimeoutFraction(fraction)),
         () -> fleet.proxies().forEach(proxy -> proxy.client().setTimeoutFraction(1)));
--- a/src/main/java/stonespring/testbed/virtual/PlayStatistics.java
+++ b/src/main/java/stonespring/testbed/virtual/ReplayStatistics.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /**
- * Counts what happens while a load is played. Instants are in {@link stonespring.model.DeciMillis}.
+ * Counters for requests, attempts and route changes during a replay. Times are in {@link
+ * stonespring.model.DeciMillis}. Not thread-safe.
  */
-final class PlayStatistics {
+final class ReplayStatistics {
   private static final class WindowCounts {
     private double weightRequested;
     private double weightInTime;
@@ -24,20 +25,20 @@
   /**
    * Creates empty statistics.
    *
-   * @param duration of the load, deci-milliseconds
+   * @param duration duration of the load, deci-milliseconds
    */
-  PlayStatistics(long duration) {
-    windows = new WindowCounts[(int) (duration / PlayResult.WINDOW) + 1];
+  ReplayStatistics(long duration) {
+    windows = new WindowCounts[(int) (duration / ReplayResult.WINDOW_DECI_MILLIS) + 1];
     for (int index = 0; index < windows.length; index++) {
       windows[index] = new WindowCounts();
     }
   }
 
-  void routesChanged(long count) {
+  void addRouteChanges(long count) {
     routeChanges += count;
   }
 
-  void attemptSent(boolean crossesZones, boolean opensConnection) {
+  void recordAttempt(boolean crossesZones, boolean opensConnection) {
     attempts++;
     if (crossesZones) {
       crossZoneAttempts++;
@@ -47,7 +48,7 @@
     }
   }
 
-  void requestStarted(long startedAt, double priorityWeight) {
+  void recordRequestStart(long startedAt, double priorityWeight) {
     WindowCounts window = window(startedAt);
     window.weightRequested += priorityWeight;
     window.requests++;
@@ -56,9 +57,11 @@
   /**
    * Counts the end of a request.
    *
-   * @param weightInTime its priority weight if it was answered within its objective, else 0
+   * @param startedAt when the request started, which determines its window
+   * @param weightInTime the request's priority weight if it was answered within its latency
+   *     objective, else 0
    */
-  void requestEnded(long startedAt, double weightInTime, RequestResult result) {
+  void recordRequestEnd(long startedAt, double weightInTime, RequestResult result) {
     WindowCounts window = window(startedAt);
     window.weightInTime += weightInTime;
     if (result == RequestResult.REJECTED) {
@@ -69,16 +72,16 @@
   }
 
   private WindowCounts window(long startedAt) {
-    return windows[(int) Math.min(windows.length - 1, startedAt / PlayResult.WINDOW)];
+    return windows[(int) Math.min(windows.length - 1, startedAt / ReplayResult.WINDOW_DECI_MILLIS)];
   }
 
-  /** The windows in which a request started, in order. */
-  List<PlayResult.Window> windows() {
-    List<PlayResult.Window> used = new ArrayList<>();
+  /** Returns the windows in which at least one request started, in order of time. */
+  List<ReplayResult.Window> windows() {
+    List<ReplayResult.Window> nonEmptyWindows = new ArrayList<>();
     for (WindowCounts window : windows) {
       if (window.requests > 0) {
-        used.add(
-            new PlayResult.Window(
+        nonEmptyWindows.add(
+            new ReplayResult.Window(
                 window.weightRequested,
                 window.weightInTime,
                 window.requests,
@@ -86,7 +89,7 @@
                 window.timedOut));
       }
     }
-    return used;
+    return nonEmptyWindows;
   }
 
   long connections() {
