--- a/src/main/java/stonespring/recording/SampleWriter.java
+++ b/src/main/java/stonespring/recording/SampleWriter.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
-/** Encodes samples as arrays of their kind, their time and their fields. */
+/** Encodes each sample as a JSON array of its kind, its instant and its other values. */
 final class SampleWriter {
   private SampleWriter() {}
 
-  static ArrayNode write(LoadSample sample) {
+  static ArrayNode encode(LoadSample sample) {
     ArrayNode row = JsonNodeFactory.instance.arrayNode();
     if (sample instanceof LoadSample.Arrivals arrivals) {
       row.add(SampleWords.ARRIVALS).add(arrivals.at()).add(arrivals.proxy());
--- a/src/test/java/stonespring/cli/ComparisonJsonTest.java
+++ b/src/test/java/stonespring/cli/ComparisonJsonTest.java
@@ -8,10 +8,10 @@
 import stonespring.testbed.virtual.ConfidenceInterval;
 import stonespring.testbed.virtual.Policy;
 
-/** Holds the names and their order in the output of {@code compare --json}. */
+/** Tests names and order of the fields in the output of {@code compare --json}. */
 final class ComparisonJsonTest {
   @Test
-  void printsEveryFigureUnderItsName() throws Exception {
+  void printsEachValueUnderItsFieldName() throws Exception {
     ComparisonRow row =
         new ComparisonRow(
             "surge-1",
