--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -31,7 +31,7 @@
   private static final String ACKNOWLEDGEMENT = "answer";
   private static final String LEASE_SECONDS = "ttl";
 
-  /** With a longer lease, the name of a crashed proxy would stay occupied for hours. */
+  /** With a longer lease, a proxy that crashed could not reconnect under its name for hours. */
   private static final int MAX_LEASE_SECONDS = 3600;
 
   private static final Pattern LEASE_PATTERN = Pattern.compile("[0-9]{1,6}");
