--- a/src/main/java/stonespring/config/JsonFields.java
+++ b/src/main/java/stonespring/config/JsonFields.java
@@ -10,9 +10,7 @@
  * missing or invalid field is reported by an {@link InvalidSettingsException} that names it.
  */
 final class JsonFields {
-  /**
-   * The largest accepted number; in every unit that the settings use, a larger one is a mistake.
-   */
+  /** The largest accepted number. A larger one is an error in every unit that the settings use. */
   private static final double MAX_NUMBER = 1e9;
 
   private final JsonNode object;
@@ -78,7 +76,7 @@
   }
 
   /** Reads a required duration in seconds and returns it in {@link DeciMillis}, rounded down. */
-  long duration(String field) {
+  long durationDeciMillis(String field) {
     return DeciMillis.ofSeconds(number(field));
   }
 
@@ -87,7 +85,7 @@
    *
    * @param defaultSeconds the duration used if the field is missing
    */
-  long duration(String field, double defaultSeconds) {
+  long durationDeciMillis(String field, double defaultSeconds) {
     return DeciMillis.ofSeconds(number(field, defaultSeconds));
   }
 
--- a/src/main/java/stonespring/line/LineConnection.java
+++ b/src/main/java/stonespring/line/LineConnection.java
@@ -15,16 +15,21 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * A connection of a {@link LineServer}. Its handshake is complete once it has a session. An error
- * before that is answered with a refusal, if it can be written immediately, and then the connection
- * is closed. The connection answers keep-alives itself. State is confined to the connection's event
- * loop, and all methods must be called on it.
+ * A connection of a {@link LineServer}. Its handshake is complete once it has a session. If an
+ * error occurs before the handshake is complete, the connection sends a refusal, provided that it
+ * can be written immediately, and closes. The connection answers keep-alives itself. State is
+ * confined to the connection's event loop, and all methods must be called on it.
  */
 public final class LineConnection extends SimpleChannelInboundHandler<LineMessage> {
   private static final Logger LOG = LoggerFactory.getLogger(LineConnection.class);
   private static final String KEEP_ALIVE = "PING";
   private static final String KEEP_ALIVE_RESPONSE = "PONG\r\n";
-  private static final String REFUSAL = "NACK reason=";
+
+  /**
+   * Start of the line that refuses a peer whose handshake is incomplete. The reason of the refusal
+   * follows, with hyphens in place of spaces and punctuation.
+   */
+  private static final String REFUSAL_PREFIX = "NACK reason=";
 
   /** Maximum length of the reason in a refusal, in characters. */
   private static final int MAX_REASON_CHARS = 80;
@@ -58,7 +63,7 @@
   /**
    * Sets or replaces the session, which completes the handshake.
    *
-   * @param session the session, whose text names the peer in log lines; not null
+   * @param session the session, whose string form names the peer in log lines; not null
    */
   public void setSession(Object session) {
     this.session = session;
@@ -113,7 +118,7 @@
   private void sendRefusalAndClose(String reason) {
     String hyphenated = reason.replaceAll("[^A-Za-z0-9]+", "-");
     String shortened = hyphenated.substring(0, Math.min(MAX_REASON_CHARS, hyphenated.length()));
-    ChannelFuture written = channel.writeAndFlush(encode(REFUSAL + shortened + "\r\n"));
+    ChannelFuture written = channel.writeAndFlush(encode(REFUSAL_PREFIX + shortened + "\r\n"));
     if (written.isDone()) {
       written.addListener(ChannelFutureListener.CLOSE);
     } else {
