--- a/src/main/java/stonespring/daemon/ChpDaemon.java
+++ b/src/main/java/stonespring/daemon/ChpDaemon.java
@@ -206,7 +206,7 @@
         batchDurations.atPercentile(50) / NANOS_PER_MICRO,
         batchDurations.atPercentile(99) / NANOS_PER_MICRO,
         batchDurations.max() / NANOS_PER_MICRO,
-        engineThread.refusedJobs());
+        engineThread.refusedJobCount());
     eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 }
--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -42,10 +42,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(EngineHost.class);
 
   /** Operators and monitoring probes do not read the status more often. */
-  private static final long STATUS_INTERVAL = DeciMillis.SECOND;
+  private static final long STATUS_INTERVAL_DECI_MILLIS = DeciMillis.SECOND;
 
   /** Upper limit of the histogram; longer durations are recorded as this one. */
-  private static final long MAX_ACKNOWLEDGEMENT_DURATION = 600 * DeciMillis.SECOND;
+  private static final long MAX_ACKNOWLEDGEMENT_DECI_MILLIS = 600 * DeciMillis.SECOND;
 
   private static final int ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS = 2;
 
@@ -61,11 +61,11 @@
   private final PublishedState publishedState;
   private final ListedEndpoints endpoints = new ListedEndpoints();
   private final DurationHistogram acknowledgementDurations =
-      new DurationHistogram(MAX_ACKNOWLEDGEMENT_DURATION, ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS);
+      new DurationHistogram(MAX_ACKNOWLEDGEMENT_DECI_MILLIS, ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS);
   private final CommandCauses causes = new CommandCauses();
   private long nextReportsAt;
   private long nextStatusAt;
-  private long observationsOfUnknownEndpoints;
+  private long unknownEndpointObservationCount;
 
   /**
    * Creates a host without proxies and endpoints.
@@ -172,7 +172,7 @@
     }
     ProxyHello hello = sessions.hello(id.get());
     List<ProxyReport.EndpointObservation> known = selectKnownEndpoints(report.endpoints(), hello);
-    observationsOfUnknownEndpoints += report.endpoints().size() - known.size();
+    unknownEndpointObservationCount += report.endpoints().size() - known.size();
     reports.add(
         id.get(), hello.zone(), new ProxyReport(report.interval(), known, report.requests()));
   }
@@ -262,7 +262,7 @@
       environment.publish(publishedState.publish(update));
     }
     if (now >= nextStatusAt) {
-      nextStatusAt = now + STATUS_INTERVAL;
+      nextStatusAt = now + STATUS_INTERVAL_DECI_MILLIS;
       environment.publish(publishedState.publishStatus(statusJson()));
     }
     long nextAt = Math.min(Math.min(nextReportsAt, nextStatusAt), channel.nextDepartureAt());
@@ -310,18 +310,18 @@
         endpoints,
         channel,
         settings.channel(),
-        reports.droppedObservations() + observationsOfUnknownEndpoints,
-        engineRunner.endedBatches(),
+        reports.droppedObservationCount() + unknownEndpointObservationCount,
+        engineRunner.endedBatchCount(),
         acknowledgementDurations);
   }
 
   /** Returns the number of connected proxies. */
-  public int connectedProxies() {
+  public int connectedProxyCount() {
     return sessions.connectedCount();
   }
 
   /** Returns the number of batches that the engine has ended. */
-  public long endedBatches() {
-    return engineRunner.endedBatches();
+  public long endedBatchCount() {
+    return engineRunner.endedBatchCount();
   }
 }
--- a/src/main/java/stonespring/daemon/EngineRunner.java
+++ b/src/main/java/stonespring/daemon/EngineRunner.java
@@ -32,8 +32,8 @@
   private final EndpointListRequests endpointListRequests;
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(Comparator.comparingLong(Timer::dueAt).thenComparing(Timer::sequence));
-  private long startedTimers;
-  private long endedBatches;
+  private long startedTimerCount;
+  private long endedBatchCount;
   private boolean eventsPending;
 
   EngineRunner(DecisionEngine engine, EndpointListRequests endpointListRequests) {
@@ -88,7 +88,7 @@
    */
   List<Command> endBatch(long now) {
     eventsPending = false;
-    endedBatches++;
+    endedBatchCount++;
     List<Command> commands;
     try {
       commands = engine.endBatch(now);
@@ -109,7 +109,7 @@
     if (command instanceof Command.StartTimer start) {
       // Never due in the batch that starts it, or the engine could keep the thread busy forever.
       long delay = Math.max(1, start.delay());
-      timers.add(new Timer(now + delay, startedTimers++, start.token()));
+      timers.add(new Timer(now + delay, startedTimerCount++, start.token()));
     } else if (command instanceof Command.FetchEndpoints) {
       endpointListRequests.fetchEndpoints();
     } else if (command instanceof Command.WatchEndpoints watch) {
@@ -126,7 +126,7 @@
   }
 
   /** Returns the number of batches that have ended. */
-  long endedBatches() {
-    return endedBatches;
+  long endedBatchCount() {
+    return endedBatchCount;
   }
 }
--- a/src/main/java/stonespring/daemon/EngineThread.java
+++ b/src/main/java/stonespring/daemon/EngineThread.java
@@ -44,8 +44,8 @@
   private final int maxOfferedJobs;
   private final int batchDelayMillis;
   private final LinkedBlockingQueue<Job> queue = new LinkedBlockingQueue<>();
-  private final AtomicInteger offeredJobs = new AtomicInteger();
-  private final AtomicLong refusedJobs = new AtomicLong();
+  private final AtomicInteger waitingOfferedJobCount = new AtomicInteger();
+  private final AtomicLong refusedJobCount = new AtomicLong();
   private final CountDownLatch ended = new CountDownLatch(1);
   private volatile boolean stopping;
   private volatile Optional<Throwable> failure = Optional.empty();
@@ -108,9 +108,9 @@
       runJob(job, host, now);
       job = queue.poll();
     }
-    long batchesBefore = host.endedBatches();
+    long batchesBefore = host.endedBatchCount();
     long nextAt = host.runDue(now);
-    if (host.endedBatches() > batchesBefore) {
+    if (host.endedBatchCount() > batchesBefore) {
       batchDurations.record(System.nanoTime() - startedNanos);
     }
     return nextAt;
@@ -128,14 +128,14 @@
 
   /** Queues a job; returns false if too many offered jobs wait or the thread is stopping. */
   boolean offer(Job job) {
-    if (offeredJobs.incrementAndGet() > maxOfferedJobs || stopping) {
-      offeredJobs.decrementAndGet();
-      refusedJobs.incrementAndGet();
+    if (waitingOfferedJobCount.incrementAndGet() > maxOfferedJobs || stopping) {
+      waitingOfferedJobCount.decrementAndGet();
+      refusedJobCount.incrementAndGet();
       return false;
     }
     queue.add(
         (host, now) -> {
-          offeredJobs.decrementAndGet();
+          waitingOfferedJobCount.decrementAndGet();
           job.run(host, now);
         });
     return true;
@@ -175,7 +175,7 @@
   }
 
   /** Returns the number of offered jobs that were refused. */
-  long refusedJobs() {
-    return refusedJobs.get();
+  long refusedJobCount() {
+    return refusedJobCount.get();
   }
 }
--- a/src/main/java/stonespring/daemon/EngineTimer.java
+++ b/src/main/java/stonespring/daemon/EngineTimer.java
@@ -45,7 +45,7 @@
    * Clears the recorded due time, so that the next {@link #schedule} takes effect even for the same
    * time.
    */
-  void reset() {
+  void clearDueTime() {
     scheduledDueAt = EngineRunner.NO_TIMER;
   }
 }
--- a/src/main/java/stonespring/daemon/HostStatus.java
+++ b/src/main/java/stonespring/daemon/HostStatus.java
@@ -51,7 +51,7 @@
         + ",\"messages_limit\":"
         + limits.maxMessagesPerProxy()
         + ",\"merged\":"
-        + channel.mergedUpdates()
+        + channel.mergedUpdateCount()
         + ",\"reports_left_out\":"
         + droppedReportItems
         + ",\"decisions\":"
--- a/src/main/java/stonespring/daemon/InstanceClock.java
+++ b/src/main/java/stonespring/daemon/InstanceClock.java
@@ -12,17 +12,19 @@
    * The clock's time at its creation: one day, so that an endpoint that started up to a day earlier
    * has a positive start time. Its warm-up is computed from that time.
    */
-  private static final long INITIAL_TIME = TimeUnit.DAYS.toSeconds(1) * DeciMillis.SECOND;
+  private static final long INITIAL_TIME_DECI_MILLIS =
+      TimeUnit.DAYS.toSeconds(1) * DeciMillis.SECOND;
 
   private static final long NANOS_PER_DECI_MILLI = 100_000;
   private static final long MICROS_PER_DECI_MILLI = 100;
   private static final long DECI_MILLIS_PER_MILLI = 10;
 
   private final long createdAtNanos = System.nanoTime();
-  private final long unixOffset = System.currentTimeMillis() * DECI_MILLIS_PER_MILLI - INITIAL_TIME;
+  private final long unixOffset =
+      System.currentTimeMillis() * DECI_MILLIS_PER_MILLI - INITIAL_TIME_DECI_MILLIS;
 
   public long now() {
-    return INITIAL_TIME + (System.nanoTime() - createdAtNanos) / NANOS_PER_DECI_MILLI;
+    return INITIAL_TIME_DECI_MILLIS + (System.nanoTime() - createdAtNanos) / NANOS_PER_DECI_MILLI;
   }
 
   /** Converts milliseconds to deci-milliseconds. */
--- a/src/main/java/stonespring/daemon/PlatformEngine.java
+++ b/src/main/java/stonespring/daemon/PlatformEngine.java
@@ -127,7 +127,7 @@
     eventBatcher.clear();
     reportBatcher.clear();
     engineRunner = createRunner(config.seed() + engineFailures);
-    timer.reset();
+    timer.clearDueTime();
     handle(new Event.EndpointListUpdate(Event.ListUpdateKind.CACHED, source.endpoints()));
     proxyApi.handleEngineRestart();
   }
--- a/src/main/java/stonespring/daemon/PlatformStatistics.java
+++ b/src/main/java/stonespring/daemon/PlatformStatistics.java
@@ -8,15 +8,15 @@
  */
 final class PlatformStatistics {
   /** Upper limit of the histograms; longer durations are recorded as this one. */
-  private static final long MAX_DURATION = 60 * DeciMillis.SECOND;
+  private static final long MAX_DURATION_DECI_MILLIS = 60 * DeciMillis.SECOND;
 
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final long NO_REPORTS = -1;
 
   private final DurationHistogram batchDurations =
-      new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
+      new DurationHistogram(MAX_DURATION_DECI_MILLIS, SIGNIFICANT_DIGITS);
   private final DurationHistogram reportToCommandDurations =
-      new DurationHistogram(MAX_DURATION, SIGNIFICANT_DIGITS);
+      new DurationHistogram(MAX_DURATION_DECI_MILLIS, SIGNIFICANT_DIGITS);
   private long firstReportArrivedAt = NO_REPORTS;
 
   /** Records that the next batch contains reports, and when the first of them arrived. */
--- a/src/main/java/stonespring/daemon/RestartBudget.java
+++ b/src/main/java/stonespring/daemon/RestartBudget.java
@@ -12,13 +12,13 @@
   /** More failures within the window are not taken for a temporary fault. */
   private static final int MAX_RESTARTS = 10;
 
-  private static final long WINDOW = 3_600 * DeciMillis.SECOND;
+  private static final long WINDOW_DECI_MILLIS = 3_600 * DeciMillis.SECOND;
 
   private final ArrayDeque<Long> restartTimes = new ArrayDeque<>();
 
   /** Counts a restart; returns false if it exceeds the limit. */
   boolean tryRestart(long now) {
-    while (!restartTimes.isEmpty() && now - restartTimes.peek() > WINDOW) {
+    while (!restartTimes.isEmpty() && now - restartTimes.peek() > WINDOW_DECI_MILLIS) {
       restartTimes.poll();
     }
     restartTimes.add(now);
--- a/src/main/java/stonespring/state/ConnectedProxy.java
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -57,7 +57,7 @@
   }
 
   /** Whether the proxy may use the endpoint through a table that it held when it connected. */
-  boolean mayUseByInitialTable(EndpointId endpoint) {
+  boolean mayUseThroughInitialTable(EndpointId endpoint) {
     for (RouteTableId used : assignedTables) {
       if (used == null) {
         return initialEndpoints.map(endpoints -> endpoints.contains(endpoint)).orElse(true);
--- a/src/main/java/stonespring/state/RateLimitedChannel.java
+++ b/src/main/java/stonespring/state/RateLimitedChannel.java
@@ -38,7 +38,7 @@
   private long backlogEntries;
   private long peakBacklogEntries;
   private int peakMessagesPerProxy;
-  private long mergedUpdates;
+  private long mergedUpdateCount;
 
   /** When all earlier transmissions have ended and that of the head of the queue starts. */
   private double availableAtDeciMillis;
@@ -99,7 +99,7 @@
             entries,
             later.ack().or(earlier.update::ack),
             earlier.update.commandedAt());
-    mergedUpdates++;
+    mergedUpdateCount++;
   }
 
   /** Removes and returns the updates whose transmission has ended by now, in order. */
@@ -165,8 +165,8 @@
   }
 
   /** Returns the number of updates merged into earlier ones since creation. */
-  public long mergedUpdates() {
-    return mergedUpdates;
+  public long mergedUpdateCount() {
+    return mergedUpdateCount;
   }
 
   /** Whether no update is queued. */
--- a/src/main/java/stonespring/state/ReportAggregator.java
+++ b/src/main/java/stonespring/state/ReportAggregator.java
@@ -96,7 +96,7 @@
   // The order of the keys determines the order of the events, on which decisions depend.
   private final TreeMap<String, EndpointTotals> endpointTotals = new TreeMap<>();
   private final TreeMap<Long, RequestTotals> requestTotals = new TreeMap<>();
-  private long droppedObservations;
+  private long droppedObservationCount;
 
   /**
    * Creates an aggregator without totals.
@@ -126,7 +126,7 @@
     EndpointTotals totals = endpointTotals.get(key);
     if (totals == null) {
       if (endpointTotals.size() >= maxPairs) {
-        droppedObservations++;
+        droppedObservationCount++;
         return;
       }
       totals = new EndpointTotals(observation.endpoint(), zone);
@@ -141,7 +141,7 @@
     RequestTotals totals = requestTotals.get(key);
     if (totals == null) {
       if (requestTotals.size() >= maxPairs) {
-        droppedObservations++;
+        droppedObservationCount++;
         return;
       }
       totals = new RequestTotals(proxy, count.requestClass());
@@ -184,7 +184,7 @@
    * Returns the number of observations and request counts dropped since creation because of the
    * limit on pairs.
    */
-  public long droppedObservations() {
-    return droppedObservations;
+  public long droppedObservationCount() {
+    return droppedObservationCount;
   }
 }
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -27,7 +27,7 @@
   private final int requestClassCount;
   private final TreeMap<Integer, ConnectedProxy> proxies = new TreeMap<>();
   private final Map<Integer, StoredTable> tables = new TreeMap<>();
-  private final Set<EndpointId> excluded = new HashSet<>();
+  private final Set<EndpointId> excludedEndpoints = new HashSet<>();
   private final AdmissionLimit[] limitsForAllTables;
 
   /**
@@ -66,12 +66,12 @@
 
   /** Whether an endpoint is excluded. */
   public boolean isExcluded(EndpointId endpoint) {
-    return excluded.contains(endpoint);
+    return excludedEndpoints.contains(endpoint);
   }
 
   /** Ends the exclusion of an endpoint without an update, once no proxy can use the endpoint. */
   public void discardExclusion(EndpointId endpoint) {
-    excluded.remove(endpoint);
+    excludedEndpoints.remove(endpoint);
   }
 
   /**
@@ -178,7 +178,7 @@
     for (Map.Entry<EndpointId, Double> route : table.weights().entrySet()) {
       EndpointId endpoint = route.getKey();
       update.addCounted(routeChange(table, endpoint, route.getValue()));
-      if (excluded.contains(endpoint)) {
+      if (excludedEndpoints.contains(endpoint)) {
         update.addCounted(new ProxyChange.ExclusionChange(endpoint, true));
       }
     }
@@ -188,12 +188,12 @@
   private void excludeEndpoint(Command.ExcludeEndpoint command, BatchUpdates updates) {
     EndpointId endpoint = command.endpoint();
     if (command.excluded()) {
-      excluded.add(endpoint);
+      excludedEndpoints.add(endpoint);
     } else {
-      excluded.remove(endpoint);
+      excludedEndpoints.remove(endpoint);
     }
     for (ConnectedProxy proxy : proxies.values()) {
-      if (proxy.mayUseByInitialTable(endpoint) || hasRouteTo(proxy, endpoint)) {
+      if (proxy.mayUseThroughInitialTable(endpoint) || hasRouteTo(proxy, endpoint)) {
         updates
             .forProxy(proxy)
             .addCounted(new ProxyChange.ExclusionChange(endpoint, command.excluded()));
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -112,7 +112,7 @@
     simulation.connect(proxy);
     simulation.advance(SECOND);
     assertTrue(oldConnection.closeReason().contains("connected again in a newer session"));
-    assertEquals(1, host.connectedProxies());
+    assertEquals(1, host.connectedProxyCount());
 
     for (int i = 0; i < 100 && proxy.stream().equals(oldStream); i++) {
       simulation.advanceClock(STEP);
@@ -122,6 +122,6 @@
     }
     assertNotEquals(oldStream, proxy.stream(), "the new stream gets updates of its own");
     simulation.advance(4 * SECOND);
-    assertEquals(0, host.connectedProxies(), "a session that is not renewed expires");
+    assertEquals(0, host.connectedProxyCount(), "a session that is not renewed expires");
   }
 }
--- a/src/test/java/stonespring/state/RateLimitedChannelTest.java
+++ b/src/test/java/stonespring/state/RateLimitedChannelTest.java
@@ -48,7 +48,7 @@
     }
     assertTrue(
         channel.backlogEntries() <= 60, "backlog over 60 entries: " + channel.backlogEntries());
-    assertTrue(channel.mergedUpdates() > 900);
+    assertTrue(channel.mergedUpdateCount() > 900);
     Map<String, String> latestValues = new LinkedHashMap<>();
     channel.takeDue(1_000_000).forEach(update -> latestValues.putAll(keys(update)));
     for (int k = 0; k < 5; k++) {
--- a/src/test/java/stonespring/state/ReportAggregatorTest.java
+++ b/src/test/java/stonespring/state/ReportAggregatorTest.java
@@ -31,7 +31,7 @@
     for (int i = 0; i < 100; i++) {
       reports.add(PROXY, new ZoneId(1), report);
     }
-    assertEquals(100, reports.droppedObservations());
+    assertEquals(100, reports.droppedObservationCount());
     List<Event> events = reports.drain();
     assertEquals(
         new Event.EndpointOutcomes(ENDPOINT_A, new ZoneId(1), 400, 100, 10_000, 200, load),
