--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -30,7 +30,7 @@
    * Load over capacity that admitted requests may reach; above it queues grow beyond the latency
    * objectives.
    */
-  private static final double TARGET_FILL = 0.9;
+  private static final double TARGET_LOAD_RATIO = 0.9;
 
   /** Mean utilization above which the fraction is limited whatever the capacity estimates say. */
   private static final double HIGH_UTILIZATION = 0.8;
@@ -207,7 +207,8 @@
       roundFailedOrLateAttempts = 0;
     }
     boolean limited = admittedFraction < 1 || load.needsLimit();
-    double admissible = limited ? TARGET_FILL * load.capacityPerOfferedRate() * confidence : 1;
+    double admissible =
+        limited ? TARGET_LOAD_RATIO * load.capacityPerOfferedRate() * confidence : 1;
     double newFraction = Math.max(MIN_ADMITTED_FRACTION, Math.min(1, admissible));
     boolean changed =
         newFraction == 1
@@ -280,9 +281,9 @@
     if (load.isOverloaded()
         && clock.since(lastReductionAt) > REDUCTION_INTERVAL_DECI_MILLIS + delay) {
       reduceConfidence(load, delay > settings.reportInterval());
-    } else if (load.isNormal() && load.utilization() < TARGET_FILL) {
+    } else if (load.isNormal() && load.utilization() < TARGET_LOAD_RATIO) {
       restoreConfidence(step);
-    } else if (load.utilization() > TARGET_FILL) {
+    } else if (load.utilization() > TARGET_LOAD_RATIO) {
       lowerConfidenceToOne(step);
     }
   }
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -29,12 +29,12 @@
   private final ChannelBudget budget;
   private final EngineTimers timers;
   private final EndpointListWatcher listWatcher;
-  private final UrgentUpdates urgent;
+  private final UrgentUpdates urgentUpdates;
   private final AdmissionController admission;
   private final EndpointIntroducer introducer;
   private final ProposalBlender proposals;
-  private final RouteSelector routes;
-  private final WeightOptimizer weights;
+  private final RouteSelector routeSelector;
+  private final WeightOptimizer weightOptimizer;
   private final SlowStartGuard slowStart;
   private final InFlightMoves inFlight;
   private final TableUpdater updater;
@@ -65,13 +65,14 @@
     listWatcher = new EndpointListWatcher(settings, clock, random, batch);
     ExclusionNotifier exclusions =
         new ExclusionNotifier(settings, clock, endpoints, proxies, batch, budget);
-    urgent = new UrgentUpdates(settings, clock, endpoints, proxies, cadence, budget, exclusions);
+    urgentUpdates =
+        new UrgentUpdates(settings, clock, endpoints, proxies, cadence, budget, exclusions);
     admission =
         new AdmissionController(settings, clock, endpoints, proxies, estimates, batch, budget);
     introducer = new EndpointIntroducer(clock, random, endpoints, proxies, capacity, exclusions);
     proposals = new ProposalBlender(clock, endpoints);
-    routes = new RouteSelector(settings, random, endpoints, estimates);
-    weights = new WeightOptimizer(settings, endpoints, capacity);
+    routeSelector = new RouteSelector(settings, random, endpoints, estimates);
+    weightOptimizer = new WeightOptimizer(settings, endpoints, capacity);
     OutlierEjectionModel ejection = new OutlierEjectionModel(settings.routing(), endpoints);
     slowStart = new SlowStartGuard(settings, endpoints, proxies, traffic, ejection, admission);
     inFlight = new InFlightMoves(clock);
@@ -176,11 +177,11 @@
     if (inRound) {
       startRound();
     }
-    boolean postponed = urgent.selectDueUpdates();
+    boolean postponed = urgentUpdates.selectDueUpdates();
     if (postponed) {
       timers.ensureRetryTimer();
     }
-    if (settings.fleet().sharded() || urgent.isEmpty() && !inRound) {
+    if (settings.fleet().sharded() || urgentUpdates.isEmpty() && !inRound) {
       return;
     }
     estimates.traffic().refresh();
@@ -191,9 +192,10 @@
       proxies.all().forEach(proposals::scheduleReplacement);
     }
     List<ProxyState> plannedProxies = setTargets(inRound);
-    urgent.sendSelected(updater);
+    urgentUpdates.sendSelected(updater);
     if (inRound) {
-      scheduler.runRound(plannedProxies.stream().filter(proxy -> !urgent.contains(proxy)).toList());
+      scheduler.runRound(
+          plannedProxies.stream().filter(proxy -> !urgentUpdates.contains(proxy)).toList());
     }
   }
 
@@ -222,21 +224,21 @@
     List<ProxyState> plannedProxies = new ArrayList<>();
     List<ProxyState> adjustable = new ArrayList<>();
     for (ProxyState proxy : proxies.all()) {
-      if (!proxy.isTableAssigned() && !(proxy.isConnected() && urgent.contains(proxy))) {
+      if (!proxy.isTableAssigned() && !(proxy.isConnected() && urgentUpdates.contains(proxy))) {
         continue;
       }
       plannedProxies.add(proxy);
       if (inRound || !proxy.isTableAssigned()) {
         adjustable.add(proxy);
       }
-      routes.selectRoutes(proxy);
+      routeSelector.selectRoutes(proxy);
       for (Route route : proxy.table().routes()) {
         route.endpoint().addPlannedLoad(proxy.averageRate() * route.target());
       }
     }
-    weights.optimize(plannedProxies, adjustable);
+    weightOptimizer.optimize(plannedProxies, adjustable);
     adjustable.forEach(proposals::blendTargets);
-    slowStart.limitTargets(plannedProxies, urgent);
+    slowStart.limitTargets(plannedProxies, urgentUpdates);
     return plannedProxies;
   }
 }
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -117,7 +117,7 @@
     if (succeeded <= 0) {
       return offered;
     }
-    if (!traffic.hasVisibleProxies()) {
+    if (!traffic.hasProxyInReports()) {
       return offered
           * succeeded
           / endpoints.sumOverReady(endpoint -> endpoint.statistics().attemptRate());
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -12,7 +12,7 @@
   /**
    * Time until reports show a move: message delivery, a report interval and the delay of reports.
    */
-  static final long VISIBLE_AFTER_DECI_MILLIS = 3 * DeciMillis.SECOND;
+  static final long REPORTING_DELAY_DECI_MILLIS = 3 * DeciMillis.SECOND;
 
   /**
    * Time after which the headroom that a move frees is credited without an acknowledgement, which
@@ -75,8 +75,8 @@
   }
 
   /** Removes the moves that reports show by now. */
-  void removeVisible() {
-    moves.removeIf(move -> clock.since(move.sentAt) > VISIBLE_AFTER_DECI_MILLIS);
+  void removeReported() {
+    moves.removeIf(move -> clock.since(move.sentAt) > REPORTING_DELAY_DECI_MILLIS);
   }
 
   /** Returns whether the headroom that any move frees is not credited yet. */
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -38,7 +38,7 @@
    * The factor for failures is this number minus the share of attempts that fail, so that it is
    * above 0 even if all fail.
    */
-  private static final double FAILURE_FACTOR_BASE = 1.02;
+  private static final double MAX_FAILURE_FACTOR = 1.02;
 
   private final Settings settings;
   private final DeterministicRandom random;
@@ -225,6 +225,6 @@
         * endpoints.warmUpFraction(endpoint)
         * freeCapacityFactor
         * zoneFactor
-        * (FAILURE_FACTOR_BASE - failureShare);
+        * (MAX_FAILURE_FACTOR - failureShare);
   }
 }
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -24,7 +24,7 @@
   private final Settings settings;
   private final EngineClock clock;
   private final ProxyRegistry proxies;
-  private boolean anyProxyVisible;
+  private boolean anyProxyInReports;
   private double reportedShare = Double.NaN;
   private double share = 1;
   private double connectedRate;
@@ -46,8 +46,8 @@
     Predicate<ProxyState> isInReports =
         proxy ->
             proxy.isConnected() && clock.since(proxy.connectedAt()) > CONNECT_TO_REPORT_DECI_MILLIS;
-    anyProxyVisible |= proxies.all().stream().anyMatch(isInReports);
-    if (anyProxyVisible) {
+    anyProxyInReports |= proxies.all().stream().anyMatch(isInReports);
+    if (anyProxyInReports) {
       double retention = ExponentialAverage.retentionOver(settings.reportInterval());
       reportedShare = ExponentialAverage.update(reportedShare, shareOf(isInReports), retention);
     }
@@ -70,8 +70,8 @@
   }
 
   /** Whether any proxy has been connected for long enough to show in reports. */
-  boolean hasVisibleProxies() {
-    return anyProxyVisible;
+  boolean hasProxyInReports() {
+    return anyProxyInReports;
   }
 
   /** Requests per second that the connected proxies receive. */
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -31,7 +31,7 @@
    * Mean fill of all endpoints, divided by the fill that a move may bring an endpoint to. An
    * endpoint may take 1 / 0.8 = 1.25 times the load that its capacity would get at the mean fill.
    */
-  private static final double MEAN_TO_MAX_FILL_RATIO = 0.8;
+  private static final double MEAN_TO_MAX_LOAD_RATIO = 0.8;
 
   /** Potential update time of a move in a cycle of waiting moves; above that of any chain. */
   private static final double CYCLE_TIME_DECI_MILLIS = 1e9;
@@ -72,7 +72,7 @@
 
   /** Runs a scheduling round over the tables of the given proxies. */
   void runRound(List<ProxyState> candidates) {
-    inFlight.removeVisible();
+    inFlight.removeReported();
     double[] headroom = computeHeadroom();
     List<PendingMove> moves = new ArrayList<>();
     Map<EndpointState, List<PendingMove>> waitingByEndpoint = new HashMap<>();
@@ -85,7 +85,7 @@
       }
     }
     for (PendingMove move : moves) {
-      potentialUpdateTime(move, waitingByEndpoint);
+      computePotentialUpdateTime(move, waitingByEndpoint);
     }
     moves.sort(
         Comparator.<PendingMove>comparingDouble(move -> -move.potentialUpdateTime())
@@ -107,7 +107,7 @@
     }
     for (ProxyState proxy : proxies.all()) {
       if (proxy.isTableAssigned()) {
-        reserveUnreported(proxy, headroom);
+        subtractUnreportedLoad(proxy, headroom);
       }
     }
     inFlight.applyTo(headroom);
@@ -116,12 +116,12 @@
 
   private double headroomOf(EndpointState endpoint) {
     CapacityEstimator capacity = estimates.capacity();
-    double maxLoad = endpoint.capacity() * capacity.meanLoadRatio() / MEAN_TO_MAX_FILL_RATIO;
+    double maxLoad = endpoint.capacity() * capacity.meanLoadRatio() / MEAN_TO_MAX_LOAD_RATIO;
     return (maxLoad - capacity.load(endpoint)) * estimates.traffic().share();
   }
 
   /** Subtracts the load that a table may bring to endpoints whose load no report shows. */
-  private void reserveUnreported(ProxyState proxy, double[] headroom) {
+  private void subtractUnreportedLoad(ProxyState proxy, double[] headroom) {
     double share = estimates.traffic().share();
     for (Route route : proxy.table().routes()) {
       EndpointState endpoint = route.endpoint();
@@ -194,7 +194,7 @@
    * Computes the potential update time (IV-B) of a move and of all moves that wait for it,
    * DeciMillis.
    */
-  private double potentialUpdateTime(
+  private double computePotentialUpdateTime(
       PendingMove move, Map<EndpointState, List<PendingMove>> waitingByEndpoint) {
     if (move.isOnSearchPath()) {
       return CYCLE_TIME_DECI_MILLIS;
@@ -207,7 +207,8 @@
     for (Route route : move.proxy().table().routes()) {
       if (move.removesLoadFrom(route)) {
         for (PendingMove waiter : waitingByEndpoint.getOrDefault(route.endpoint(), List.of())) {
-          longestWait = Math.max(longestWait, potentialUpdateTime(waiter, waitingByEndpoint));
+          longestWait =
+              Math.max(longestWait, computePotentialUpdateTime(waiter, waitingByEndpoint));
         }
       }
     }
@@ -250,7 +251,7 @@
     ProxyState proxy = move.proxy();
     long waitedDeciMillis = proxy.roundsWaited() * settings.reportInterval();
     return yieldRatio < 1
-        && waitedDeciMillis >= InFlightMoves.VISIBLE_AFTER_DECI_MILLIS
+        && waitedDeciMillis >= InFlightMoves.REPORTING_DELAY_DECI_MILLIS
         && proxy.table().routes().stream()
             .anyMatch(
                 route -> proxy.rateChange(route) < 0 && headroom[route.endpoint().index()] < 0);
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -20,7 +20,7 @@
   private static final double LOSS_EXPONENT = 6;
 
   /** Fill above which the loss no longer grows; keeps prices bounded. */
-  private static final double MAX_FILL = 1.2;
+  private static final double MAX_LOAD_RATIO = 1.2;
 
   /**
    * Price of a failed attempt, in requests: the request itself, and the time that the attempt took.
@@ -31,7 +31,7 @@
    * Least slope of the loss, which limits the steps: reports are old, and other instances shift
    * load between the same endpoints.
    */
-  private static final double MIN_SLOPE = 30;
+  private static final double DEFAULT_MIN_SLOPE = 30;
 
   /** Exponent by which the least slope falls with the mean fill, relative to a typical one. */
   private static final double SPARE_CAPACITY_EXPONENT = 4;
@@ -40,7 +40,7 @@
    * Number of capacity readings before the estimate is trusted; the first ones show less load than
    * there is.
    */
-  private static final int SETTLING_READINGS = 20;
+  private static final int MIN_CAPACITY_SAMPLES = 20;
 
   private final Settings settings;
   private final EndpointRegistry endpoints;
@@ -99,11 +99,11 @@
    * same free capacity.
    */
   private double minSlope() {
-    if (capacity.sampleCount() < SETTLING_READINGS) {
-      return MIN_SLOPE;
+    if (capacity.sampleCount() < MIN_CAPACITY_SAMPLES) {
+      return DEFAULT_MIN_SLOPE;
     }
-    double relativeFill = capacity.meanLoadRatio() / CapacityEstimator.TYPICAL_LOAD_RATIO;
-    return MIN_SLOPE * Math.min(1, Math.pow(relativeFill, SPARE_CAPACITY_EXPONENT));
+    double relativeLoadRatio = capacity.meanLoadRatio() / CapacityEstimator.TYPICAL_LOAD_RATIO;
+    return DEFAULT_MIN_SLOPE * Math.min(1, Math.pow(relativeLoadRatio, SPARE_CAPACITY_EXPONENT));
   }
 
   /** Moves the targets of one table by a step, and updates the planned load accordingly. */
@@ -150,7 +150,8 @@
 
   /** Returns how many requests are lost for each additional one at an endpoint. */
   private static double marginalLoss(EndpointState endpoint, double load) {
-    double fill = endpoint.capacity() > 0 ? Math.min(MAX_FILL, load / endpoint.capacity()) : 0;
-    return (LOSS_EXPONENT + 1) * Math.pow(fill, LOSS_EXPONENT) / 2;
+    double loadRatio =
+        endpoint.capacity() > 0 ? Math.min(MAX_LOAD_RATIO, load / endpoint.capacity()) : 0;
+    return (LOSS_EXPONENT + 1) * Math.pow(loadRatio, LOSS_EXPONENT) / 2;
   }
 }
--- a/src/main/java/stonespring/solver/CapacityClaim.java
+++ b/src/main/java/stonespring/solver/CapacityClaim.java
@@ -9,16 +9,16 @@
  */
 final class CapacityClaim {
   /** Half-life of the confidence in a claim, deci-milliseconds; a few report intervals. */
-  private static final double CONFIDENCE_HALF_LIFE = 5 * DeciMillis.SECOND;
+  private static final double CONFIDENCE_HALF_LIFE_DECI_MILLIS = 5 * DeciMillis.SECOND;
 
   /** Age, in deci-milliseconds, from which a claim is ignored. */
-  private static final long MAX_AGE = 30 * DeciMillis.SECOND;
+  private static final long MAX_AGE_DECI_MILLIS = 30 * DeciMillis.SECOND;
 
   /**
    * Time, in deci-milliseconds, after which half of the credit lost by a contradiction is regained;
    * a source is trusted again within about a minute.
    */
-  private static final double CREDIT_HALF_LIFE = 20 * DeciMillis.SECOND;
+  private static final double CREDIT_HALF_LIFE_DECI_MILLIS = 20 * DeciMillis.SECOND;
 
   /** Factor applied to the credit at each contradiction. */
   private static final double CONTRADICTION_FACTOR = 0.5;
@@ -47,10 +47,10 @@
   /** Returns the weight of the claim, 0 (ignored) to 1. */
   double confidence(long now) {
     long age = Math.max(0, now - claimTime);
-    if (Double.isNaN(capacity) || age >= MAX_AGE) {
+    if (Double.isNaN(capacity) || age >= MAX_AGE_DECI_MILLIS) {
       return 0;
     }
-    return credit(now) * Math.pow(0.5, age / CONFIDENCE_HALF_LIFE);
+    return credit(now) * Math.pow(0.5, age / CONFIDENCE_HALF_LIFE_DECI_MILLIS);
   }
 
   /** Records that observations contradict the claim. */
@@ -61,6 +61,6 @@
 
   private double credit(long now) {
     double sinceContradiction = Math.max(0, now - creditUpdatedAt);
-    return 1 - (1 - credit) * Math.pow(0.5, sinceContradiction / CREDIT_HALF_LIFE);
+    return 1 - (1 - credit) * Math.pow(0.5, sinceContradiction / CREDIT_HALF_LIFE_DECI_MILLIS);
   }
 }
--- a/src/main/java/stonespring/solver/ChangeDamper.java
+++ b/src/main/java/stonespring/solver/ChangeDamper.java
@@ -41,23 +41,23 @@
    */
   private boolean keepAllIfNearlyAsGood() {
     double plannedCost = tables.cost(flow);
-    double[][] planned = new double[tables.proxyCount()][];
-    for (int p = 0; p < planned.length; p++) {
-      planned[p] = tables.rates(p);
-      double[] current = currentWeights(p);
-      for (int i = 0; current != null && i < current.length; i++) {
-        current[i] *= tables.demand(p);
+    double[][] plannedRates = new double[tables.proxyCount()][];
+    for (int p = 0; p < plannedRates.length; p++) {
+      plannedRates[p] = tables.rates(p);
+      double[] currentRates = currentWeights(p);
+      for (int i = 0; currentRates != null && i < currentRates.length; i++) {
+        currentRates[i] *= tables.demand(p); // converts the weight to a rate
       }
-      if (current != null) {
-        tables.setRates(p, current);
+      if (currentRates != null) {
+        tables.setRates(p, currentRates);
       }
     }
     tables.recomputeLoads();
     if (tables.cost(flow) * (1 - MIN_GAIN) <= plannedCost) {
       return true;
     }
-    for (int p = 0; p < planned.length; p++) {
-      tables.setRates(p, planned[p]);
+    for (int p = 0; p < plannedRates.length; p++) {
+      tables.setRates(p, plannedRates[p]);
     }
     tables.recomputeLoads();
     return false;
@@ -69,9 +69,9 @@
    */
   private void keepSlightlyChangedTables() {
     for (int p = 0; p < tables.proxyCount(); p++) {
-      double[] current = currentWeights(p);
-      if (current != null && tables.demand(p) > 0 && canKeep(p, current)) {
-        keepTable(p, current);
+      double[] weights = currentWeights(p);
+      if (weights != null && tables.demand(p) > 0 && canKeep(p, weights)) {
+        keepTable(p, weights);
       }
     }
     tables.recomputeLoads();
@@ -114,7 +114,7 @@
     if (routes.size() != tables.routeCount(proxy)) {
       return null;
     }
-    double[] current = new double[routes.size()];
+    double[] weights = new double[routes.size()];
     double sum = 0;
     for (Problem.Route route : routes) {
       sum += route.weight();
@@ -122,14 +122,14 @@
     for (Problem.Route route : routes) {
       int endpoint = problem.indexOf(route.endpoint());
       int position = Problem.NOT_FOUND;
-      for (int i = 0; endpoint != Problem.NOT_FOUND && i < current.length; i++) {
+      for (int i = 0; endpoint != Problem.NOT_FOUND && i < weights.length; i++) {
         position = tables.endpoint(proxy, i) == endpoint ? i : position;
       }
       if (position == Problem.NOT_FOUND || sum <= 0) {
         return null;
       }
-      current[position] = route.weight() / sum;
+      weights[position] = route.weight() / sum;
     }
-    return current;
+    return weights;
   }
 }
--- a/src/main/java/stonespring/solver/EndpointCredibility.java
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -11,7 +11,7 @@
    * Half-life of the proven rate, deci-milliseconds; a machine's capacity changes over minutes, not
    * seconds.
    */
-  private static final double PROVEN_HALF_LIFE = 60 * DeciMillis.SECOND;
+  private static final double PROVEN_RATE_HALF_LIFE_DECI_MILLIS = 60 * DeciMillis.SECOND;
 
   /**
    * Share of failed or late attempts below which an endpoint is healthy; some attempts always fail
@@ -102,7 +102,7 @@
             + otherInstancesRate;
     double succeededRate = arrivedRate * (1 - Math.min(1, failedOrLate / Math.max(1, attempts)));
     double elapsedDeciMillis = Math.max(0, now - observedAt);
-    provenRate *= Math.pow(0.5, elapsedDeciMillis / PROVEN_HALF_LIFE);
+    provenRate *= Math.pow(0.5, elapsedDeciMillis / PROVEN_RATE_HALF_LIFE_DECI_MILLIS);
     observedAt = now;
     if (failedOrLateShare < HEALTHY_FAILURE_SHARE) {
       provenRate = Math.max(provenRate, succeededRate);
--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -14,13 +14,13 @@
    * Half-life of observed attempts and rates, deci-milliseconds; a compromise between stability and
    * reaction time.
    */
-  static final double SMOOTHING_HALF_LIFE = 2 * DeciMillis.SECOND;
+  static final double SMOOTHING_HALF_LIFE_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   /**
    * Half-life of the smoothed capacity, deci-milliseconds; an endpoint's speed changes over
    * minutes, its reports vary from second to second.
    */
-  private static final double CAPACITY_HALF_LIFE = 2 * DeciMillis.SECOND;
+  private static final double CAPACITY_HALF_LIFE_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   /** Ratio of the mean latency to the latency objective above which most answers are late. */
   private static final double LATE_LATENCY_MULTIPLE = 1;
@@ -32,7 +32,7 @@
   private double failures;
   private long roundAttempts;
   private long roundFailedOrLate;
-  private long roundInterval;
+  private long roundIntervalDeciMillis;
   private double utilization;
   private double reportedRate;
 
@@ -61,13 +61,13 @@
    * are added up.
    */
   void recordOutcomes(Event.EndpointOutcomes outcomes, long latencyObjective) {
-    double retainedShare = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE);
+    double retainedShare = Math.pow(0.5, outcomes.interval() / SMOOTHING_HALF_LIFE_DECI_MILLIS);
     attempts = attempts * retainedShare + outcomes.attempts();
     failures = failures * retainedShare + outcomes.failures();
     boolean mostAreLate = outcomes.successLatency() > LATE_LATENCY_MULTIPLE * latencyObjective;
     roundAttempts += outcomes.attempts();
     roundFailedOrLate += mostAreLate ? outcomes.attempts() : outcomes.failures();
-    roundInterval = Math.max(roundInterval, outcomes.interval());
+    roundIntervalDeciMillis = Math.max(roundIntervalDeciMillis, outcomes.interval());
     utilization = outcomes.report().utilization();
     reportedRate = outcomes.report().requestsPerSecond();
   }
@@ -78,7 +78,9 @@
    */
   double updateSmoothedCapacity(double rate) {
     double retainedShare =
-        Double.isNaN(smoothedCapacity) ? 0 : Math.pow(0.5, roundInterval / CAPACITY_HALF_LIFE);
+        Double.isNaN(smoothedCapacity)
+            ? 0
+            : Math.pow(0.5, roundIntervalDeciMillis / CAPACITY_HALF_LIFE_DECI_MILLIS);
     // Another order of operations would round differently and thereby change plans.
     smoothedCapacity =
         retainedShare == 0
@@ -91,7 +93,7 @@
   void resetRound() {
     roundAttempts = 0;
     roundFailedOrLate = 0;
-    roundInterval = 0;
+    roundIntervalDeciMillis = 0;
   }
 
   ZoneId zone() {
@@ -122,8 +124,8 @@
     return roundFailedOrLate;
   }
 
-  long roundInterval() {
-    return roundInterval;
+  long roundIntervalDeciMillis() {
+    return roundIntervalDeciMillis;
   }
 
   double utilization() {
--- a/src/main/java/stonespring/solver/WeightAdvisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -127,7 +127,8 @@
       return;
     }
     int classIndex = e.requestClass().index();
-    double retainedShare = Math.pow(0.5, e.interval() / ObservedEndpoint.SMOOTHING_HALF_LIFE);
+    double retainedShare =
+        Math.pow(0.5, e.interval() / ObservedEndpoint.SMOOTHING_HALF_LIFE_DECI_MILLIS);
     double rate = e.requests() * (double) DeciMillis.SECOND / Math.max(1, e.interval());
     proxy.requestRates[classIndex] =
         retainedShare * proxy.requestRates[classIndex] + (1 - retainedShare) * rate;
@@ -234,11 +235,11 @@
   }
 
   private void evaluateEndpoint(EndpointId id, ObservedEndpoint endpoint, long now) {
-    if (endpoint.roundInterval() <= 0) {
+    if (endpoint.roundIntervalDeciMillis() <= 0) {
       return;
     }
     double ownRate =
-        endpoint.roundAttempts() * (double) DeciMillis.SECOND / endpoint.roundInterval();
+        endpoint.roundAttempts() * (double) DeciMillis.SECOND / endpoint.roundIntervalDeciMillis();
     double totalRate =
         Double.isNaN(endpoint.reportedRate())
             ? ownRate / fleetShare()
@@ -247,7 +248,7 @@
         id,
         endpoint.roundAttempts(),
         endpoint.roundFailedOrLate(),
-        endpoint.roundInterval(),
+        endpoint.roundIntervalDeciMillis(),
         totalRate - ownRate,
         now);
     // Utilization during warm-up does not indicate the capacity of the warm endpoint.
--- a/src/test/java/stonespring/decision/InFlightMovesTest.java
+++ b/src/test/java/stonespring/decision/InFlightMovesTest.java
@@ -66,10 +66,10 @@
   void removesMovesOnceReportsShowThem() {
     addMove(0);
     clock.advanceTo(3 * Fleet.SECOND);
-    moves.removeVisible();
+    moves.removeReported();
     assertArrayEquals(new double[] {15, 5}, headroom());
     clock.advanceTo(3 * Fleet.SECOND + 1);
-    moves.removeVisible();
+    moves.removeReported();
     assertArrayEquals(new double[] {10, 10}, headroom());
   }
 }
