--- a/src/main/java/stonespring/daemon/EngineHost.java
+++ b/src/main/java/stonespring/daemon/EngineHost.java
@@ -41,10 +41,16 @@
 public final class EngineHost {
   private static final Logger LOG = LoggerFactory.getLogger(EngineHost.class);
 
-  /** Operators and monitoring probes do not read the status more often. */
+  /**
+   * Interval at which the status is published; operators and monitoring probes do not read it more
+   * often.
+   */
   private static final long STATUS_INTERVAL_DECI_MILLIS = DeciMillis.SECOND;
 
-  /** Upper limit of the histogram; longer durations are recorded as this one. */
+  /**
+   * Upper limit of the histogram of acknowledgement durations; longer durations are recorded as
+   * this one.
+   */
   private static final long MAX_ACKNOWLEDGEMENT_DECI_MILLIS = 600 * DeciMillis.SECOND;
 
   private static final int ACKNOWLEDGEMENT_SIGNIFICANT_DIGITS = 2;
@@ -224,7 +230,8 @@
   /** Handles an update of the endpoint list. */
   public void handleEndpointListUpdate(Event.EndpointListUpdate update, long now) {
     endpoints.update(update);
-    LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
+    LOG.info(
+        "endpoint list update of kind {}: {} entries", update.kind(), update.endpoints().size());
     passToEngine(now, update, "list " + update.kind() + " of " + update.endpoints().size());
   }
 
--- a/src/main/java/stonespring/daemon/EngineRunner.java
+++ b/src/main/java/stonespring/daemon/EngineRunner.java
@@ -117,8 +117,7 @@
     } else if (command instanceof Command.Log log) {
       LOG.info("decision: {}", log.text());
     } else if (command instanceof Command.HealthCheck || command instanceof Command.SendToPeer) {
-      LOG.warn(
-          "unsupported command of the decision engine ignored, no setting allows it: {}", command);
+      LOG.warn("the decision engine issued an unsupported command, which is ignored: {}", command);
     } else {
       return false;
     }
--- a/src/main/java/stonespring/daemon/PlatformDaemon.java
+++ b/src/main/java/stonespring/daemon/PlatformDaemon.java
@@ -98,7 +98,8 @@
   private void onEndpointListUpdate(Event.EndpointListUpdate update) {
     proxyApi.updateEndpointList(update);
     if (update.kind() != Event.ListUpdateKind.DELTA) {
-      LOG.info("endpoint list {}: {} entries", update.kind(), update.endpoints().size());
+      LOG.info(
+          "endpoint list update of kind {}: {} entries", update.kind(), update.endpoints().size());
     }
     engine.handle(update);
     if (update.kind() == Event.ListUpdateKind.FETCH_FAILED) {
