--- a/src/main/java/stonespring/daemon/ChpDaemon.java
+++ b/src/main/java/stonespring/daemon/ChpDaemon.java
@@ -28,15 +28,15 @@
 
 /**
  * An instance that serves proxies over the Clustered Hashmap Protocol (CHP). One event loop handles
- * its sockets, a thread of its own runs its decision engine. It starts with the last saved endpoint
- * list and without route tables.
+ * its sockets; an {@link EngineThread} runs its decision engine. The instance starts with the last
+ * saved endpoint list and without route tables.
  */
 public final class ChpDaemon implements Instance {
   private static final Logger LOG = LoggerFactory.getLogger(ChpDaemon.class);
 
   /**
-   * Time allowed for sending pending data at the stop. Peers that read their sockets receive it
-   * well before that.
+   * Time allowed for sending pending data at the stop. Peers that read their sockets receive the
+   * data well before that.
    */
   private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
--- a/src/main/java/stonespring/daemon/EngineThread.java
+++ b/src/main/java/stonespring/daemon/EngineThread.java
@@ -22,7 +22,9 @@
 final class EngineThread {
   private static final Logger LOG = LoggerFactory.getLogger(EngineThread.class);
 
-  /** Upper limit of the histogram; longer batches are recorded as this duration. */
+  /**
+   * Upper limit of the histogram of batch durations; longer batches are recorded as this duration.
+   */
   private static final long MAX_BATCH_NANOS = TimeUnit.MINUTES.toNanos(1);
 
   private static final int BATCH_SIGNIFICANT_DIGITS = 3;
--- a/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
+++ b/src/main/java/stonespring/daemon/PlatformConnectionLimits.java
@@ -17,17 +17,24 @@
   private static final int MAX_PENDING_BYTES = 64 << 10;
 
   /**
-   * Half of the time within which a client that never completes its handshake must be disconnected.
+   * Time that a client has for its handshake: half of the time within which a client that never
+   * completes it must be disconnected.
    */
   private static final int HANDSHAKE_TIMEOUT_MILLIS = 1_500;
 
   /** Descriptors for the process itself, the listener and the requests to discovery. */
   private static final int RESERVED_DESCRIPTORS = 56;
 
-  /** Some clients must always be able to connect and complete their handshakes. */
+  /**
+   * Minimum of the limit on connections with a pending handshake: some clients must always be able
+   * to connect and complete their handshakes.
+   */
   private static final int MIN_PENDING_HANDSHAKES = 8;
 
-  /** More connections of this kind would only use memory. */
+  /**
+   * Maximum of the limit on connections with a pending handshake: more of them would only use
+   * memory.
+   */
   private static final int MAX_PENDING_HANDSHAKES = 256;
 
   private PlatformConnectionLimits() {}
--- a/src/main/java/stonespring/daemon/RestartBudget.java
+++ b/src/main/java/stonespring/daemon/RestartBudget.java
@@ -9,7 +9,10 @@
  * within a year. Time is passed in, in {@link DeciMillis}.
  */
 final class RestartBudget {
-  /** More failures within the window are not taken for a temporary fault. */
+  /**
+   * Maximum number of restarts within the window; more failures are not regarded as a temporary
+   * fault.
+   */
   private static final int MAX_RESTARTS = 10;
 
   private static final long WINDOW_DECI_MILLIS = 3_600 * DeciMillis.SECOND;
--- a/src/main/java/stonespring/decision/AdmissionController.java
+++ b/src/main/java/stonespring/decision/AdmissionController.java
@@ -21,84 +21,106 @@
  * be too high. It is therefore multiplied by a confidence, which overload reduces and normal
  * operation restores.
  *
- * <p>This sheds load only where proxies enforce a fraction. Where they enforce a rate, the limit is
- * always {@link #UNLIMITED_RATE}, and proxies without admission limits ignore the value. In these
- * two cases a fraction below 1 only disables retries.
+ * <p>Load is shed only where proxies enforce a fraction. Where they enforce a rate, the published
+ * limit is always {@link #UNLIMITED_RATE}; proxies without admission limits ignore it. In these two
+ * cases, a computed fraction below 1 only disables retries.
  */
 final class AdmissionController {
   /**
-   * Load over capacity that admitted requests may reach; above it queues grow beyond the latency
-   * objectives.
+   * Ratio of load to capacity that admitted requests may reach; above it, queueing delays exceed
+   * the latency objectives.
    */
   private static final double TARGET_LOAD_RATIO = 0.9;
 
-  /** Mean utilization above which the fraction is limited whatever the capacity estimates say. */
+  /**
+   * Mean utilization above which requests are limited even if the capacity estimates show spare
+   * capacity.
+   */
   private static final double HIGH_UTILIZATION = 0.8;
 
   /**
-   * Share of attempts that fail or are late above which the fleet may be overloaded; well above
-   * that of normal operation.
+   * Share of failed or late attempts above which the fleet may be overloaded; well above the share
+   * in normal operation.
    */
   private static final double OVERLOAD_FAILED_OR_LATE_SHARE = 0.2;
 
   /**
-   * Share of the capacity at endpoints with many failed or late attempts above which the whole
-   * fleet counts as overloaded.
+   * Share of the fleet's capacity that endpoints with many failed or late attempts must have for
+   * the whole fleet to count as overloaded.
    */
   private static final double OVERLOAD_CAPACITY_SHARE = 0.5;
 
   /**
-   * Share of the capacity at endpoints with many failed or late attempts below which only a few
-   * endpoints have a problem.
+   * Share of the fleet's capacity that endpoints with many failed or late attempts may have for
+   * operation to count as normal: below it, only a few endpoints have a problem.
    */
   private static final double LOCAL_CAPACITY_SHARE = 0.25;
 
-  /** Factor on the confidence at the first reduction, while all requests are admitted. */
+  /**
+   * Factor by which the confidence is multiplied at the first reduction, while all requests are
+   * admitted.
+   */
   private static final double FIRST_REDUCTION_FACTOR = 0.5;
 
-  /** Factor on the confidence at each further reduction; a few of them end an overload. */
+  /**
+   * Factor by which the confidence is multiplied at each further reduction; a few reductions end an
+   * overload.
+   */
   private static final double REDUCTION_FACTOR = 0.7;
 
-  /** Least time between reductions; by then reports show the effect of the last one. */
+  /** Minimum time between reductions, so that reports show the effect of one before the next. */
   private static final long REDUCTION_INTERVAL_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
-  /** Least confidence; failures and late answers reduce it no further. */
+  /** Minimum confidence in the capacity estimate; overload does not reduce it further. */
   private static final double MIN_CONFIDENCE = 0.4;
 
-  /** Least confidence while endpoints report spare capacity: the failures may have other causes. */
+  /**
+   * Minimum confidence while endpoints report spare capacity, since failures may then have other
+   * causes than overload.
+   */
   private static final double MIN_CONFIDENCE_IF_IDLE = 0.5;
 
-  /** The same while reports are delayed, since the overload that they show may be over. */
+  /**
+   * Minimum confidence while endpoints report spare capacity and reports are delayed, since the
+   * overload that the reports show may have ended.
+   */
   private static final double MIN_CONFIDENCE_IF_REPORTS_DELAYED = 0.7;
 
-  /** Confidence that is restored in one step as soon as operation is normal. */
+  /** Confidence to which a lower value is raised in one step as soon as operation is normal. */
   private static final double RECOVERED_CONFIDENCE = 0.7;
 
-  /** Greatest confidence; the capacity estimate may be too low by this factor. */
+  /** Maximum confidence; the capacity estimate may be too low by this factor. */
   private static final double MAX_CONFIDENCE = 2;
 
   /**
-   * Relative change of the confidence per second; reports show a step before the third one follows.
+   * Relative change of the confidence per second while there is no overload; reports show the
+   * effect of a step before the third step follows.
    */
   private static final double CONFIDENCE_STEP_PER_SECOND = 0.04;
 
-  /** Least admitted fraction; some requests must get through to show whether endpoints work. */
+  /** Minimum admitted fraction; some requests must be admitted to show whether endpoints work. */
   private static final double MIN_ADMITTED_FRACTION = 0.05;
 
-  /** Relative change of the fraction above which a message to every proxy is worth its cost. */
+  /**
+   * Relative change of the admitted fraction above which a message to every proxy is worth its
+   * cost.
+   */
   private static final double MIN_RELATIVE_CHANGE = 0.05;
 
   /**
-   * Least fraction of any class relative to the overall one, as a multiple of the weight of the
-   * worst served class in the objective. With a weight of a third or more, all classes are limited
-   * alike.
+   * Minimum admitted fraction of a class relative to the overall fraction, as a multiple of the
+   * worst class weight in {@link Settings.RoutingRules}. With a weight of a third or more, all
+   * classes are limited alike.
    */
   private static final double CLASS_FLOOR_MULTIPLE = 3;
 
-  /** Keeps the divisor above 0 if all attempts fail. */
+  /** Added to the mean success share, so that the divisor is above 0 if all attempts fail. */
   private static final double MIN_SUCCESS_SHARE = 1e-9;
 
-  /** Requests per second at a proxy; none receives as many, so that this limit has no effect. */
+  /**
+   * Limit, in requests per second, that no proxy reaches; stands for no limit where proxies enforce
+   * a rate.
+   */
   private static final double UNLIMITED_RATE = 1e6;
 
   private final Settings settings;
@@ -117,8 +139,8 @@
   /**
    * Load of the fleet as observed at one update.
    *
-   * @param capacityPerOfferedRate what the ready endpoints can serve, divided by the offered
-   *     request rate; if it is below 1, some requests cannot be served
+   * @param capacityPerOfferedRate request rate that the ready endpoints can serve, divided by the
+   *     offered request rate; below 1, some requests cannot be served
    * @param utilization mean utilization of the endpoints that report one, weighted by capacity; 0
    *     if none does
    * @param failedOrLateCapacityShare share of the capacity at endpoints with more failed or late
@@ -193,8 +215,8 @@
   }
 
   /**
-   * Updates the limits to what the listed endpoints can serve. Between rounds the confidence stays,
-   * and the fraction follows changes of the endpoint list.
+   * Updates the limits to what the listed endpoints can serve. Between rounds the confidence does
+   * not change, but the admitted fraction follows changes of the endpoint list.
    */
   void updateLimits(boolean inRound) {
     if (estimates.traffic().offeredRate() <= 0) {
@@ -224,8 +246,8 @@
   }
 
   /**
-   * Observes the present load. An endpoint whose attempts succeed less often than the mean counts
-   * with less capacity; one whose attempts all fail counts with none.
+   * Computes the current load of the fleet. An endpoint whose attempts succeed less often than the
+   * mean counts with less capacity; an endpoint whose attempts all fail counts with none.
    */
   private Load observeLoad() {
     TrafficEstimator traffic = estimates.traffic();
@@ -272,8 +294,8 @@
 
   /**
    * Adjusts the confidence in a round. Overload reduces it, at most once per interval. Normal
-   * operation restores it, beyond 1 only while requests are limited. Utilization above the target
-   * fill lowers a confidence above 1 slowly to 1.
+   * operation restores it, beyond 1 only while requests are limited. Utilization above {@link
+   * #TARGET_LOAD_RATIO} slowly lowers a confidence above 1 to 1.
    */
   private void adjustConfidence(Load load) {
     long delay = estimates.cadence().reportDelay();
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -46,7 +46,7 @@
    * Creates an engine that knows no endpoint and no proxy.
    *
    * @param seed the seed of the engine's random number generator
-   * @param now the present instant by the host's clock, in DeciMillis
+   * @param now the current time of the host's clock, in DeciMillis
    */
   public AssignmentEngine(Settings settings, long seed, long now) {
     this.settings = settings;
@@ -138,8 +138,8 @@
 
   /**
    * Handles an event that is neither about a single proxy nor a report of outcomes. Also requests
-   * the endpoint list watch and starts the periodic timer where they do not run, and has the end of
-   * the batch check for urgent updates.
+   * the endpoint list watch and starts the periodic timer if they are not active, and makes the end
+   * of the batch check for urgent updates.
    */
   private void handleFleetEvent(Event event) {
     fleetChanged = true;
@@ -213,7 +213,7 @@
   /**
    * Sets the target weights of all tables that this instance has assigned or assigns in this batch.
    * Between rounds, a table that is already assigned only has routes to unavailable endpoints
-   * replaced, because the reports are too old to adjust other weights by.
+   * replaced, because reports are then too old to adjust other weights.
    *
    * @return the proxies of these tables
    */
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -5,10 +5,13 @@
   /** Ratio of load to capacity in normal operation; assumed until endpoints report utilization. */
   static final double TYPICAL_LOAD_RATIO = 0.6;
 
-  /** Utilization below which the noise of a report hides the capacity. */
+  /** Utilization below which reports are too noisy to derive a capacity from. */
   private static final double MIN_UTILIZATION = 0.15;
 
-  /** Load below which an endpoint's utilization does not count as a sample of capacity. */
+  /**
+   * Requests per second up to which an endpoint's utilization does not count as a sample of
+   * capacity; also the minimum of the load that is assumed while there are no samples.
+   */
   private static final double MIN_LOAD_PER_SECOND = 1;
 
   /** Divisor that replaces a capacity of 0. */
@@ -82,7 +85,7 @@
   /**
    * Updates all capacities. An endpoint's capacity is its listed weight times the capacity per unit
    * of weight, reduced while the endpoint warms up. Until there are samples of utilization, the
-   * present load is assumed to be {@link #TYPICAL_LOAD_RATIO} of the capacity.
+   * current load is assumed to be {@link #TYPICAL_LOAD_RATIO} of the capacity.
    */
   void refresh() {
     totalListedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
--- a/src/main/java/stonespring/decision/ChannelBudget.java
+++ b/src/main/java/stonespring/decision/ChannelBudget.java
@@ -11,8 +11,9 @@
 
 /**
  * Estimates the backlog of the channel to the proxies, and decides which updates it has room for.
- * Acknowledgements show how much of the queue has been delivered, whatever the pace of the channel.
- * Without recent ones the channel is assumed to be much slower than configured.
+ * Acknowledgements show how much of the queue has been delivered, independent of the channel's
+ * actual rate. Without recent acknowledgements the channel is assumed to be much slower than
+ * configured.
  *
  * <p>The channel is modelled as one queue of entries to all proxies, in the order of sending. An
  * entry is a route, limit, exclusion or acknowledgement request at one proxy, or part of a
@@ -20,10 +21,13 @@
  * engine's start. A batch is recorded when it ends: it takes the positions after those of the
  * previous batch, and its acknowledgement number identifies it. The backlog is the distance from
  * the position that acknowledgements have reached to the end of the queue.
+ *
+ * <p>A first table is the table that this instance assigns to a proxy for the first time since the
+ * proxy connected.
  */
 final class ChannelBudget {
   /**
-   * Least time between exclusion notices, and between urgent updates of a proxy that got many
+   * Minimum time between exclusion notices, and between urgent updates of a proxy that got many
    * messages; also the delay until postponed updates are tried again. It is well below the time
    * that a proxy may be without a route.
    */
@@ -39,19 +43,20 @@
   private static final double ASSUMED_SLOWDOWN = 5;
 
   /**
-   * Share of the backlog limit up to which routine updates are sent; the rest is left to drains.
+   * Share of the backlog limit up to which routine updates are sent; the rest is reserved for
+   * updates for draining endpoints and empty tables.
    */
   private static final double ROUTINE_BACKLOG_SHARE = 0.3;
 
   /**
-   * Share of the backlog limit up to which first tables and admission limits are sent; they can
-   * wait.
+   * Share of the backlog limit up to which first tables and admission limits are sent; both can
+   * wait until the backlog is smaller.
    */
   private static final double FIRST_TABLE_BACKLOG_SHARE = 0.35;
 
   /**
-   * Share of the backlog limit up to which exclusion notices are sent, or first tables in their
-   * place.
+   * Share of the backlog limit up to which exclusion notices are sent, or first tables that replace
+   * them.
    */
   private static final double EXCLUSION_BACKLOG_SHARE = 0.6;
 
@@ -241,7 +246,10 @@
         && hasRoutineMessageAllowance(proxy);
   }
 
-  /** Returns whether admission limits can be sent to all proxies. */
+  /**
+   * Returns whether the backlog is small enough, and the recent messages to each connected proxy
+   * few enough, to send admission limits to all proxies.
+   */
   boolean hasRoomForAdmissionLimits() {
     double maxMessages =
         limits.maxMessagesPerProxy() == 0
--- a/src/main/java/stonespring/decision/CommandBatch.java
+++ b/src/main/java/stonespring/decision/CommandBatch.java
@@ -10,11 +10,11 @@
 import stonespring.model.Settings;
 
 /**
- * Collects the commands of the present batch, and counts the channel entries that they cost at each
+ * Collects the commands of the current batch, and counts the channel entries that they cost at each
  * proxy.
  */
 final class CommandBatch {
-  /** Entries that the assignment of a table costs besides its routes. */
+  /** Entries that the assignment of a table costs in addition to its routes. */
   private static final int ASSIGNMENT_OVERHEAD_ENTRIES = 3;
 
   private final Settings.ChannelLimits limits;
@@ -29,7 +29,7 @@
     this.limits = limits;
   }
 
-  /** Adds a command that the host carries out without sending anything to a proxy. */
+  /** Adds a command that the host executes without sending anything to a proxy. */
   void addLocal(Command command) {
     localCommands.add(command);
   }
@@ -75,7 +75,10 @@
     entries += count + (before == null ? messageOverhead() : 0);
   }
 
-  /** Entries that a message costs besides its content; the acknowledgement request is one. */
+  /**
+   * Returns the entries that a message costs in addition to its content, including the
+   * acknowledgement request.
+   */
   int messageOverhead() {
     return 1 + limits.messageOverheadEntries();
   }
@@ -95,7 +98,7 @@
     return entriesByProxy.keySet();
   }
 
-  /** Removes all commands, and returns them in the order in which they must be carried out. */
+  /** Removes all commands, and returns them in the order in which they must be executed. */
   List<Command> takeCommands() {
     List<Command> commands = new ArrayList<>();
     for (List<Command> group : List.of(localCommands, restrictions, routes, assignments)) {
--- a/src/main/java/stonespring/decision/EjectionScenario.java
+++ b/src/main/java/stonespring/decision/EjectionScenario.java
@@ -5,8 +5,8 @@
   /** Failures as reports show them. */
   OBSERVED,
   /**
-   * Failures that may have begun before reports show them, at all endpoints but the one in
-   * question.
+   * Failures that may have begun before reports show them, at all endpoints of a proxy except the
+   * one whose possible load is computed.
    */
   WORST_CASE
 }
--- a/src/main/java/stonespring/decision/EndpointIntroducer.java
+++ b/src/main/java/stonespring/decision/EndpointIntroducer.java
@@ -7,22 +7,27 @@
 import stonespring.model.DeterministicRandom;
 
 /**
- * Selects the proxies whose route tables take in an endpoint that is new, is available again or is
- * idle. Each proxy is selected at random, with a probability in proportion to its number of routes
- * and to the endpoint's listed weight, and replaces the route to its most loaded endpoint.
+ * Selects the proxies whose route tables get a route to an endpoint that is new, available again or
+ * idle. Each proxy is selected at random, with a probability proportional to its number of routes
+ * and to the endpoint's listed weight. The new route replaces the one to the most loaded endpoint
+ * of the proxy's table.
  */
 final class EndpointIntroducer {
   /**
    * Factor by which the probability is multiplied for proxies in the endpoint's zone, and divided
-   * for the others, so that a proxy in the zone is four times as likely to be selected.
+   * for other proxies, so that a proxy in the zone is four times as likely to be selected.
    */
   private static final double SAME_ZONE_FACTOR = 2;
 
-  /** Share of the mean load ratio below which an endpoint is idle; normal variation stays above. */
+  /**
+   * Share of the mean load ratio below which an endpoint is idle; normal variation stays above this
+   * share.
+   */
   private static final double IDLE_LOAD_RATIO = 0.6;
 
   /**
-   * Minimum time between introductions of an idle endpoint; the last one shows in reports by then.
+   * Minimum time between introductions of an idle endpoint, so that reports show the effect of one
+   * introduction before the next.
    */
   private static final long REINTRODUCTION_INTERVAL_DECI_MILLIS = 5 * DeciMillis.SECOND;
 
@@ -49,9 +54,9 @@
   }
 
   /**
-   * Introduces the endpoints that became ready or restarted, and the idlest one. Does nothing while
-   * any proxy's table is unknown: that table may name an endpoint that is available again and warms
-   * up, and such an endpoint must stay excluded at that proxy.
+   * Introduces the endpoints that became ready or restarted, and the idle endpoint with the lowest
+   * load ratio. Does nothing while any proxy's table is unknown: that table may name an endpoint
+   * that is available again and warms up, and such an endpoint must stay excluded at that proxy.
    */
   void introduceEndpoints() {
     if (proxies.withUnknownTable().findAny().isPresent()) {
@@ -102,7 +107,10 @@
     }
   }
 
-  /** The least loaded of the idle endpoints, which random selection left out of most tables. */
+  /**
+   * Returns the least loaded idle endpoint. Random selection left idle endpoints out of most
+   * tables.
+   */
   private Optional<EndpointState> findIdlest() {
     return endpoints.all().stream()
         .filter(this::isIdle)
--- a/src/main/java/stonespring/decision/EndpointRegistry.java
+++ b/src/main/java/stonespring/decision/EndpointRegistry.java
@@ -22,14 +22,14 @@
  */
 final class EndpointRegistry {
   /**
-   * How long a removed endpoint is kept. Longer than any proxy keeps a table that names a removed
-   * endpoint.
+   * Time for which a removed endpoint is kept; longer than any proxy keeps a table that names a
+   * removed endpoint.
    */
   private static final long REMOVED_RETENTION_DECI_MILLIS = 600 * DeciMillis.SECOND;
 
   /**
-   * Share of failed attempts above which a pending removal is confirmed; higher than overloaded
-   * endpoints show.
+   * Share of failed attempts above which a pending removal is confirmed; higher than the share at
+   * overloaded endpoints.
    */
   private static final double REMOVAL_CONFIRMED_FAILURE_SHARE = 0.8;
 
--- a/src/main/java/stonespring/decision/EngineClock.java
+++ b/src/main/java/stonespring/decision/EngineClock.java
@@ -1,11 +1,14 @@
 package stonespring.decision;
 
 /**
- * Holds the present instant, which the host passes with each call. It stays the same while the
+ * Holds the current time, which the host passes with each call. The time stays the same while the
  * engine handles an event or ends a batch.
  */
 final class EngineClock {
-  /** An instant before any that a host can pass; subtracting it from one does not overflow. */
+  /**
+   * An instant before any that a host can pass. Its distance from such an instant does not overflow
+   * a {@code long}.
+   */
   static final long NEVER = Long.MIN_VALUE / 2;
 
   private long now;
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -28,7 +28,10 @@
     }
   }
 
-  /** Starts the periodic timer unless it runs, so that batches occur even without other events. */
+  /**
+   * Starts the periodic timer unless it is running, so that batches occur even without other
+   * events.
+   */
   void ensurePeriodicTimer() {
     if (!periodicRunning) {
       periodicRunning = true;
@@ -36,7 +39,9 @@
     }
   }
 
-  /** Starts the retry timer unless it runs, so that postponed updates are tried again soon. */
+  /**
+   * Starts the retry timer unless it is running, so that postponed updates are tried again soon.
+   */
   void ensureRetryTimer() {
     if (clock.now() >= retryAt) {
       retryAt = clock.now() + ChannelBudget.BATCH_INTERVAL_DECI_MILLIS;
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -4,8 +4,9 @@
 import stonespring.model.Settings;
 
 /**
- * Notifies proxies whose tables this instance does not know which endpoints to exclude. From a
- * table that it knows, the routes to such endpoints are removed instead.
+ * Notifies proxies whose tables this instance does not know which endpoints to exclude: those that
+ * are known but not ready. From a table that it knows, the routes to such endpoints are removed
+ * instead.
  */
 final class ExclusionNotifier {
   private final Settings settings;
@@ -32,7 +33,9 @@
     this.budget = budget;
   }
 
-  /** Requests notices because a proxy connected whose tables may name endpoints that left. */
+  /**
+   * Requests notices because a proxy connected whose tables may name endpoints that are not ready.
+   */
   void requestNotices() {
     noticesPending = true;
   }
@@ -44,7 +47,7 @@
 
   /**
    * Returns whether the channel has room to notify all proxies with unknown tables of all endpoints
-   * that left.
+   * that are not ready.
    */
   boolean hasRoomForNotices() {
     long excludedCount = endpoints.notReady().limit(maxRouteCountOfUnknownTable()).count();
@@ -52,13 +55,14 @@
   }
 
   /**
-   * Sends notices if an endpoint left or a proxy connected, and the last ones are long enough ago.
-   * A batch repeats the notices of all endpoints that left, since earlier ones did not reach
-   * proxies that connected later. A batch for each proxy that connected once used up the messages
-   * of all proxies.
+   * Sends notices if an endpoint went out of service or a proxy connected, and enough time has
+   * passed since the last notices. A batch repeats the notices of all endpoints that are not ready,
+   * since earlier notices did not reach proxies that connected later. Proxies that connect share a
+   * batch: when each of them caused a batch of its own, the batches used up the message limit of
+   * all proxies.
    *
-   * @param permitted whether any endpoint left and the channel has room; otherwise pending notices
-   *     are dropped
+   * @param permitted whether any endpoint is not ready and the channel has room; otherwise pending
+   *     notices are dropped
    */
   void sendNoticesIfDue(boolean permitted) {
     noticesPending |= endpoints.testAndClearExclusionsNeeded();
@@ -70,7 +74,9 @@
     }
   }
 
-  /** Excludes an endpoint if any unknown table may name it, or allows an excluded one again. */
+  /**
+   * Excludes an endpoint if any unknown table may name it, or allows an excluded endpoint again.
+   */
   void setExcluded(EndpointState endpoint, boolean excluded) {
     if (endpoint.isEvicted()) {
       return;
--- a/src/main/java/stonespring/decision/InFlightMoves.java
+++ b/src/main/java/stonespring/decision/InFlightMoves.java
@@ -6,7 +6,9 @@
 import stonespring.model.DeciMillis;
 
 /**
- * Moves that were sent and that reports do not show yet, with the headroom that they take and free.
+ * Moves that were sent but do not show in reports yet. A move is a change of the weights in one
+ * proxy's table: it takes headroom at the endpoints to which it adds load, and frees headroom at
+ * those from which it removes load.
  */
 final class InFlightMoves {
   /**
@@ -16,7 +18,7 @@
 
   /**
    * Time after which the headroom that a move frees is credited without an acknowledgement, which
-   * may be lost. The value is that of the paper that {@link UpdateScheduler} follows.
+   * may have been lost. The value is that of the paper that {@link UpdateScheduler} follows.
    */
   private static final long CREDIT_TIMEOUT_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
@@ -74,12 +76,12 @@
     }
   }
 
-  /** Removes the moves that reports show by now. */
+  /** Removes the moves that are old enough to show in reports. */
   void removeReported() {
     moves.removeIf(move -> clock.since(move.sentAt) > REPORTING_DELAY_DECI_MILLIS);
   }
 
-  /** Returns whether the headroom that any move frees is not credited yet. */
+  /** Returns whether there is a move whose freed headroom is not credited yet. */
   boolean isAwaitingCredit() {
     return moves.stream().anyMatch(move -> !isCredited(move));
   }
--- a/src/main/java/stonespring/decision/OutlierEjectionModel.java
+++ b/src/main/java/stonespring/decision/OutlierEjectionModel.java
@@ -4,26 +4,26 @@
 
 /**
  * Models the outlier ejection that proxies do by themselves: after a number of consecutive failures
- * a proxy sends an endpoint no requests for some seconds, and its other routes get them.
+ * a proxy sends an endpoint no requests for some seconds, and uses its other routes instead.
  */
 final class OutlierEjectionModel {
   /**
-   * Seconds of ejection that a run of observed failures counts for: three times the ejection time
-   * of a proxy, since failures are correlated.
+   * Assumed seconds of ejection after a run of observed failures: three times the ejection time of
+   * a proxy, since failures are correlated.
    */
   private static final double OBSERVED_EJECTION_SECONDS = 15;
 
   /**
-   * Seconds of ejection that a run of failures counts for while reports do not show it. The value
+   * Assumed seconds of ejection after a run of failures that reports do not show yet. The value
    * allows for reports that are late by a third of it, and for repeated requests, which triple the
    * attempts.
    */
   private static final double WORST_EJECTION_SECONDS = 12;
 
-  /** Share of attempts that fail under overload that is not reported yet. */
+  /** Assumed share of attempts that fail during an overload that reports do not show yet. */
   private static final double WORST_FAILURE_SHARE = 0.8;
 
-  /** Keeps the divisor above 0 if all attempts fail. */
+  /** Upper limit of the assumed failure share; keeps the divisor above 0 if all attempts fail. */
   private static final double MAX_WORST_FAILURE_SHARE = 0.99;
 
   private final Settings.RoutingRules routing;
@@ -68,7 +68,7 @@
     return WORST_EJECTION_SECONDS * runProbability * (1 - failureShare) / (1 - runProbability);
   }
 
-  /** Returns the probability that as many attempts in a row fail as cause an ejection. */
+  /** Returns the probability that enough consecutive attempts fail to cause an ejection. */
   private double runProbability(double failureShare) {
     return Math.pow(failureShare, routing.ejectAfterConsecutiveFailures());
   }
--- a/src/main/java/stonespring/decision/PendingMove.java
+++ b/src/main/java/stonespring/decision/PendingMove.java
@@ -2,7 +2,7 @@
 
 /** The change of one proxy's table from its weights to its targets, in one scheduling round. */
 final class PendingMove {
-  /** Requests per second; a smaller change is a rounding error. */
+  /** Change, in requests per second, up to which a difference is a rounding error. */
   private static final double MIN_RATE_CHANGE = 1e-6;
 
   /** Stands for a potential update time that is not computed yet. */
@@ -36,7 +36,7 @@
     return potentialUpdateTime >= 0;
   }
 
-  /** Returns the potential update time, DeciMillis; {@link UpdateScheduler} says what it is. */
+  /** Returns the potential update time, DeciMillis; {@link UpdateScheduler} defines it. */
   double potentialUpdateTime() {
     return potentialUpdateTime;
   }
@@ -47,7 +47,7 @@
 
   /**
    * Returns whether the move is on the path that the search for the longest chain of waiting moves
-   * follows at present.
+   * currently follows.
    */
   boolean isOnSearchPath() {
     return onSearchPath;
--- a/src/main/java/stonespring/decision/ProposalBlender.java
+++ b/src/main/java/stonespring/decision/ProposalBlender.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * Moves the targets of tables towards the weights that the solver proposes, the less the older the
- * proposal is. Only warm and healthy endpoints follow a proposal; the others keep the weights that
- * this instance computes.
+ * Moves the targets of tables towards the weights that the solver proposes. The older a proposal
+ * is, the smaller its influence. Only warm and healthy endpoints follow a proposal; the others keep
+ * the weights that this instance computes.
  */
 final class ProposalBlender {
   private final EngineClock clock;
@@ -21,8 +21,8 @@
 
   /**
    * Schedules the replacement of the smallest route outside the proposal by the endpoint with the
-   * largest proposed weight that the table lacks. It is at most one for each proxy and round, since
-   * routes cost channel entries.
+   * largest proposed weight that the table lacks. At most one route is replaced for each proxy and
+   * round, since routes cost channel entries.
    */
   void scheduleReplacement(ProxyState proxy) {
     if (!proxy.isTableAssigned() || proxy.proposal().influence(clock.now()) == 0) {
@@ -53,7 +53,8 @@
   }
 
   /**
-   * Moves the targets towards the proposal. The sum over the routes that follow it stays the same.
+   * Moves the targets towards the proposal. The sum of the targets that follow the proposal stays
+   * the same.
    */
   void blendTargets(ProxyState proxy) {
     WeightProposal proposal = proxy.proposal();
--- a/src/main/java/stonespring/decision/ProxyChannel.java
+++ b/src/main/java/stonespring/decision/ProxyChannel.java
@@ -12,8 +12,8 @@
   private double lastMessageEndPosition;
 
   /**
-   * Clears the recent messages for a new connection; undelivered entries of the previous one still
-   * count.
+   * Clears the recent messages for a new connection; undelivered entries of the previous connection
+   * still count.
    */
   void clearRecentMessages() {
     messagesSentAt.clear();
--- a/src/main/java/stonespring/decision/ProxyRegistry.java
+++ b/src/main/java/stonespring/decision/ProxyRegistry.java
@@ -37,7 +37,7 @@
     return proxies.values().stream().filter(ProxyState::mayHoldUnknownTables);
   }
 
-  /** Whether any proxy's table has a route to an endpoint, be it applied or only planned. */
+  /** Whether any proxy's table has a route to an endpoint, applied or only planned. */
   boolean isInTable(EndpointState endpoint) {
     for (ProxyState proxy : proxies.values()) {
       if (proxy.table().find(endpoint).isPresent()) {
--- a/src/main/java/stonespring/decision/ProxyState.java
+++ b/src/main/java/stonespring/decision/ProxyState.java
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Pending replacements of routes: the endpoint that a present route names, mapped to the endpoint
-   * that takes its place.
+   * Pending replacements of routes: the endpoint of an existing route, mapped to the endpoint that
+   * replaces it.
    */
   SortedMap<EndpointState, EndpointState> replacements() {
     return replacements;
--- a/src/main/java/stonespring/decision/ReportCadence.java
+++ b/src/main/java/stonespring/decision/ReportCadence.java
@@ -25,7 +25,7 @@
     this.clock = clock;
   }
 
-  /** Records that a report arrived, which a round may use. */
+  /** Records that a report arrived, so that a round may become due. */
   void recordReport() {
     reportedSinceRound = true;
   }
--- a/src/main/java/stonespring/decision/RequestRateEstimator.java
+++ b/src/main/java/stonespring/decision/RequestRateEstimator.java
@@ -14,6 +14,8 @@
   private static final double REPORT_RETENTION = 0.8;
 
   private static final int FIXED_POINT_ITERATIONS = 20;
+
+  /** Lower bound of the estimated share of intervals with requests. */
   private static final double MIN_REPORTED_SHARE = 0.05;
 
   /** Share of intervals with requests above which the rate is not corrected. */
--- a/src/main/java/stonespring/decision/Route.java
+++ b/src/main/java/stonespring/decision/Route.java
@@ -11,7 +11,10 @@
   /** Absolute part of the difference of weights up to which a change is not sent. */
   private static final double ABSOLUTE_TOLERANCE = 0.005;
 
-  /** Relative part of that difference, as a share of the larger weight. */
+  /**
+   * Relative part of the difference of weights up to which a change is not sent, as a share of the
+   * larger weight.
+   */
   private static final double RELATIVE_TOLERANCE = 0.05;
 
   private final EndpointState endpoint;
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -6,13 +6,14 @@
 import stonespring.model.Settings;
 
 /**
- * Selects the endpoints of a proxy's table. Routes stay while their endpoints are ready, those to
- * endpoints that left are replaced, and routes are added until the endpoints can carry the proxy's
- * requests. The {@link WeightOptimizer} sets the weights afterwards.
+ * Selects the endpoints of a proxy's table. Routes to ready endpoints are kept, other routes are
+ * replaced, and routes are added until the endpoints can carry the proxy's requests. The {@link
+ * WeightOptimizer} sets the weights afterwards.
  */
 final class RouteSelector {
   /**
-   * Least number of routes; with fewer, one failing endpoint gets a third of a proxy's requests.
+   * Minimum number of routes; with fewer, one failing endpoint would get a third of a proxy's
+   * requests.
    */
   private static final int MIN_ROUTES = 4;
 
@@ -20,23 +21,23 @@
   private static final double MAX_CAPACITY_SHARE = 0.3;
 
   /**
-   * Factor on the sampling weight of an endpoint in the proxy's zone. With three zones of equal
-   * capacity, two routes in three stay in the zone.
+   * Factor by which the sampling weight of an endpoint in the proxy's zone is multiplied. With
+   * three zones of equal capacity, two routes in three stay in the zone.
    */
   private static final double SAME_ZONE_FACTOR = 4;
 
   /**
-   * Factor on the initial weight of an endpoint in another zone, which holds until loads are
-   * reported.
+   * Factor by which the initial weight of a route to another zone is multiplied. The initial weight
+   * holds until loads are reported.
    */
   private static final double OTHER_ZONE_INITIAL_WEIGHT = 0.3;
 
-  /** Least factor for free capacity, so that a fully used endpoint can still be drawn. */
+  /** Minimum factor for free capacity, so that a fully used endpoint can still be drawn. */
   private static final double MIN_FREE_CAPACITY_FACTOR = 0.1;
 
   /**
-   * The factor for failures is this number minus the share of attempts that fail, so that it is
-   * above 0 even if all fail.
+   * Factor of the sampling weight of an endpoint without failures. The share of failed attempts is
+   * subtracted from it, so that the factor is above 0 even if all attempts fail.
    */
   private static final double MAX_FAILURE_FACTOR = 1.02;
 
@@ -81,8 +82,8 @@
   }
 
   /**
-   * Transfers routes to the endpoints that replace their own. While such an endpoint warms up, both
-   * routes stay. Replacements that are no longer possible are dropped.
+   * Moves the targets of routes to the endpoints that replace the current ones. While a new
+   * endpoint warms up, both routes are kept. Replacements that are no longer possible are dropped.
    */
   private void applyReplacements(ProxyState proxy) {
     RouteTable table = proxy.table();
@@ -95,16 +96,18 @@
                     || !replacement.getKey().isReady()
                     || !table.holds(replacement.getKey()));
     for (Map.Entry<EndpointState, EndpointState> replacement : proxy.replacements().entrySet()) {
-      EndpointState entrant = replacement.getValue();
+      EndpointState newEndpoint = replacement.getValue();
       Route replaced = table.find(replacement.getKey()).orElseThrow();
       double capacityRatio =
-          entrant.capacity()
+          newEndpoint.capacity()
               / Math.max(CapacityEstimator.MIN_CAPACITY, replacement.getKey().capacity());
       double scaledTarget = replaced.target() * Math.min(1, capacityRatio);
       double currentTarget =
-          table.holds(entrant) ? table.find(entrant).orElseThrow().target() : Route.MIN_WEIGHT;
-      Route route = table.setTarget(entrant, Math.max(scaledTarget, currentTarget));
-      if (endpoints.isWarm(entrant)) {
+          table.holds(newEndpoint)
+              ? table.find(newEndpoint).orElseThrow().target()
+              : Route.MIN_WEIGHT;
+      Route route = table.setTarget(newEndpoint, Math.max(scaledTarget, currentTarget));
+      if (endpoints.isWarm(newEndpoint)) {
         route.setTarget(Math.max(route.target(), replaced.target()));
         replaced.setTarget(0);
       }
@@ -130,8 +133,8 @@
   }
 
   /**
-   * Adds routes until the table has as many as the proxy's request rate needs, or no endpoint can
-   * be drawn.
+   * Adds routes until the table has as many routes as the proxy's request rate needs, or no
+   * endpoint can be drawn.
    */
   private void addRoutes(ProxyState proxy, int routeCount, double keptWeight) {
     // The capacity of warming endpoints is not known in the first rounds.
@@ -171,7 +174,7 @@
    * Draws a random endpoint for which the proxy has no target. The sampling weight depends on
    * listed weight, warm-up fraction, free capacity, zone and failures.
    *
-   * @param minWarmUp the least warm-up fraction, 0 to 1
+   * @param minWarmUp the minimum warm-up fraction, 0 to 1
    * @return empty if no endpoint is eligible
    */
   private Optional<EndpointState> drawEndpoint(ProxyState proxy, double minWarmUp) {
@@ -203,8 +206,8 @@
   }
 
   /**
-   * Returns whether an endpoint may be drawn. An excluded one must be warm, since a route to it
-   * would allow it at all proxies with unknown tables. While it warms up, only {@link
+   * Returns whether an endpoint may be drawn. An excluded endpoint must be warm, since a route to
+   * it would allow it at all proxies with unknown tables. While it warms up, only {@link
    * EndpointIntroducer} brings it back, once no table is unknown.
    */
   private boolean isEligible(EndpointState endpoint, double minWarmUp) {
--- a/src/main/java/stonespring/decision/RouteTable.java
+++ b/src/main/java/stonespring/decision/RouteTable.java
@@ -20,7 +20,7 @@
     return routes;
   }
 
-  /** The route to an endpoint, be it applied or only planned. */
+  /** The route to an endpoint, applied or only planned. */
   Optional<Route> find(EndpointState endpoint) {
     for (Route route : routes) {
       if (route.endpoint() == endpoint) {
@@ -71,7 +71,10 @@
     return routes.stream().mapToDouble(Route::target).sum();
   }
 
-  /** Whether the table has no applied route, or one to an endpoint that is not ready. */
+  /**
+   * Whether the table has no applied route, or has an applied route to an endpoint that is not
+   * ready.
+   */
   boolean isBroken() {
     boolean empty = true;
     for (Route route : routes) {
--- a/src/main/java/stonespring/decision/SlowStartGuard.java
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -7,11 +7,11 @@
 import stonespring.model.Settings;
 
 /**
- * Limits the load of endpoints that warm up: one fails when it gets a multiple of what it can serve
- * at present. A proxy that ejects failing endpoints sends their requests to its other routes,
- * whatever the weights. A route to a warming endpoint is therefore allowed only while the requests
- * that all proxies may send to it stay within two budgets: one for the failures that reports show,
- * and one for failures that may begin before reports show them.
+ * Limits the load of endpoints that warm up: such an endpoint fails when its load is a multiple of
+ * its current capacity. A proxy that ejects failing endpoints sends their requests over its other
+ * routes, regardless of the weights. A route to a warming endpoint is therefore allowed only while
+ * the requests that all proxies may send to it stay within two budgets: one for the failures that
+ * reports show, and one for failures that may begin before reports show them.
  */
 final class SlowStartGuard {
   /**
@@ -21,12 +21,15 @@
   private static final double OBSERVED_BUDGET_MULTIPLE = 0.5;
 
   /**
-   * Multiple of the overload limit that may be reached in the worst case. A lower one keeps out
-   * endpoints that a deployment needs, so that the deployment stalls.
+   * Multiple of the overload limit that may be reached in the worst case. A lower multiple would
+   * keep out endpoints that a deployment needs, and the deployment would stall.
    */
   private static final double WORST_CASE_BUDGET_MULTIPLE = 1.6;
 
-  /** The same during a surge, where retries add to the load. */
+  /**
+   * Multiple of the overload limit that may be reached in the worst case during a surge, where
+   * retries add to the load.
+   */
   private static final double SURGE_BUDGET_MULTIPLE = 0.8;
 
   /**
@@ -35,7 +38,7 @@
    */
   private static final double SURGE_MULTIPLE = 1.15;
 
-  /** Keeps the divisor above 0 if no weight is available. */
+  /** Minimum available weight; keeps the divisor above 0 if no weight is available. */
   private static final double MIN_AVAILABLE_WEIGHT = 1e-9;
 
   private final Settings settings;
@@ -46,7 +49,8 @@
   private final AdmissionController admission;
 
   /**
-   * Requests per second that endpoints may still be given in either scenario, by endpoint index.
+   * Requests per second that may still be sent to each endpoint, by endpoint index, with one array
+   * for each {@link EjectionScenario}.
    */
   private record Budgets(double[] observed, double[] worstCase) {}
 
@@ -128,7 +132,8 @@
   /**
    * Removes the targets of a proxy that exceed the budgets.
    *
-   * @return whether a target was removed; the others then get more, and must be checked again
+   * @return whether a target was removed; the remaining routes then get more requests and must be
+   *     checked again
    */
   private boolean removeExcessTargets(
       ProxyState proxy, Budgets budgets, double admittedShare, UrgentUpdates urgent) {
@@ -165,8 +170,8 @@
 
   /**
    * Returns the requests per second that a proxy may send over a route: the larger of the rates by
-   * the table in use and by the targets. Routes to endpoints that left are removed at once, while
-   * new ones wait for headroom.
+   * the table in use and by the targets. Both count because routes to endpoints that are not ready
+   * are removed at once, while new routes wait for headroom.
    */
   private double possibleRate(
       ProxyState proxy, Route route, double admittedShare, EjectionScenario scenario) {
@@ -180,7 +185,7 @@
   /**
    * Returns the weight of a proxy's routes that remains while it ejects endpoints; the route in
    * question counts with its whole weight. In the worst case each route gets an equal share of the
-   * attempts, as the requests of large routes that were ejected go to the small ones.
+   * attempts, because the requests of ejected large routes go to small routes.
    *
    * @param weightOf the weights of the table in use, or the targets
    */
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -40,7 +40,7 @@
    * Updates the share of the fleet's traffic that reports cover, at the start of a round. The share
    * is smoothed because a newly connected proxy shows in reports late and gradually: when proxies
    * that all connected within a second were counted in full at once, endpoints appeared slower than
-   * they were and admission limits were lowered for it.
+   * they were and admission limits were lowered as a result.
    */
   void startRound() {
     Predicate<ProxyState> isInReports =
@@ -80,9 +80,9 @@
   }
 
   /**
-   * Requests per second of the connected proxies and of those that disconnected recently. The
-   * clients of the latter may move to other proxies, and endpoints that were lost together with
-   * them stay listed for some time.
+   * Requests per second of the connected proxies and of those that disconnected recently. Clients
+   * of a disconnected proxy may move to other proxies, and endpoints that were lost together with
+   * the proxy stay listed for some time.
    */
   double offeredRate() {
     return offeredRate;
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -18,30 +18,34 @@
  * the time that the move takes in the channel, plus that of the longest chain of moves that wait
  * for the headroom it frees. A move is admitted if all endpoints that it adds load to have
  * headroom. Headroom that it frees counts once the move is acknowledged, or after 2 s. If no move
- * can be admitted and no freed headroom is awaited, the move with the least yield ratio is sent at
+ * can be admitted and no freed headroom is awaited, the move with the lowest yield ratio is sent at
  * a reduced rate (Algorithm 4).
  *
  * <p>In short: a change that frees an endpoint which others wait for is sent first. A change is
  * sent whole if each endpoint that it adds load to has room for it, and waits otherwise. If all
- * wait for each other, the one that comes closest to fitting is sent in part, to resolve the
+ * wait for each other, the change that comes closest to fitting is sent in part, to resolve the
  * deadlock.
  */
 final class UpdateScheduler {
   /**
-   * Mean fill of all endpoints, divided by the fill that a move may bring an endpoint to. An
-   * endpoint may take 1 / 0.8 = 1.25 times the load that its capacity would get at the mean fill.
+   * Mean load ratio of all endpoints, divided by the highest load ratio that a move may cause at an
+   * endpoint. An endpoint may take 1 / 0.8 = 1.25 times the load that its capacity would get at the
+   * mean load ratio.
    */
   private static final double MEAN_TO_MAX_LOAD_RATIO = 0.8;
 
   /** Potential update time of a move in a cycle of waiting moves; above that of any chain. */
   private static final double CYCLE_TIME_DECI_MILLIS = 1e9;
 
-  /** Share of a table's requests; a smaller change is within the noise of reports. */
+  /**
+   * Share of a table's requests that a change must move to be sent; a smaller change is within the
+   * noise of reports.
+   */
   private static final double MIN_TABLE_CHANGE_SHARE = 0.05;
 
   /**
-   * Share of an endpoint's capacity. In the table of a large proxy, a change that takes more than
-   * this away is sent even if it is a small share of the table.
+   * Share of an endpoint's capacity by which a change must reduce its load to be sent even if the
+   * change moves only a small share of a large proxy's requests.
    */
   private static final double MIN_CAPACITY_CHANGE_SHARE = 0.1;
 
@@ -133,7 +137,7 @@
 
   /**
    * Keeps routes to full endpoints from growing, and reduces other routes only by as much as the
-   * growing ones can take.
+   * growing routes can take.
    */
   private static void limitTargets(ProxyState proxy, double[] headroom) {
     double added = 0;
@@ -156,8 +160,8 @@
   }
 
   /**
-   * Returns whether a table changes by enough, takes enough load off an endpoint, or takes an
-   * endpoint in.
+   * Returns whether a table changes enough, reduces the load of an endpoint enough, or gets a new
+   * endpoint.
    */
   private boolean isWorthSending(ProxyState proxy) {
     List<Route> routes = proxy.table().routes();
@@ -166,15 +170,16 @@
     boolean negligible = change < MIN_TABLE_CHANGE_SHARE;
     return !negligible
         || routes.stream().anyMatch(route -> relievesEndpoint(proxy, route))
-        || proxy.replacements().values().stream().anyMatch(entrant -> entersTable(proxy, entrant));
+        || proxy.replacements().values().stream()
+            .anyMatch(newEndpoint -> entersTable(proxy, newEndpoint));
   }
 
   private static boolean relievesEndpoint(ProxyState proxy, Route route) {
     return -proxy.rateChange(route) > MIN_CAPACITY_CHANGE_SHARE * route.endpoint().capacity();
   }
 
-  private boolean entersTable(ProxyState proxy, EndpointState entrant) {
-    return !proxy.table().holds(entrant) || endpoints.isWarm(entrant);
+  private boolean entersTable(ProxyState proxy, EndpointState newEndpoint) {
+    return !proxy.table().holds(newEndpoint) || endpoints.isWarm(newEndpoint);
   }
 
   /** Registers a move as waiting at each endpoint that has no headroom for it. */
@@ -227,7 +232,7 @@
     return entries * DeciMillis.SECOND / settings.channel().entriesPerSecond();
   }
 
-  /** Sends the moves that fit, in the given order, and returns whether there was one. */
+  /** Sends the moves that fit, in the given order; returns whether any move was sent. */
   private boolean admitMoves(List<PendingMove> moves, double[] headroom) {
     boolean admitted = false;
     for (PendingMove move : moves) {
@@ -257,7 +262,7 @@
                 route -> proxy.rateChange(route) < 0 && headroom[route.endpoint().index()] < 0);
   }
 
-  /** Sends the part that fits of the move with the least yield ratio. */
+  /** Sends the fitting part of the move with the lowest yield ratio. */
   private void resolveDeadlock(List<PendingMove> moves, double[] headroom) {
     moves.stream()
         .filter(
--- a/src/main/java/stonespring/decision/UrgentUpdates.java
+++ b/src/main/java/stonespring/decision/UrgentUpdates.java
@@ -9,12 +9,12 @@
 
 /**
  * Selects and sends the table updates that cannot wait for a round: those of proxies that have no
- * route, a route to an endpoint that left, or an unknown table.
+ * route, a route to an endpoint that is not ready, or an unknown table.
  */
 final class UrgentUpdates {
   /**
-   * Time that an unknown table may stay in use: the time that proxies allow for endpoints that
-   * left, less the delivery time of a message.
+   * Time that an unknown table may stay in use: the time for which proxies may use endpoints that
+   * went out of service, less the delivery time of a message.
    */
   private static final long UNKNOWN_TABLE_TIMEOUT_DECI_MILLIS = 17 * DeciMillis.SECOND / 10;
 
@@ -95,10 +95,11 @@
   }
 
   /**
-   * Returns whether an unknown table must be replaced although few rounds have passed. Tables from
-   * before this instance started stay for the first rounds, but not for long: all endpoints of one
-   * may have left, or may have begun to leave when this instance's predecessor died, and the
-   * endpoint list no longer shows them.
+   * Returns whether an unknown table must be replaced before there were enough rounds. Tables from
+   * before the start of this instance are kept during the first rounds, but only for a limited
+   * time, because all endpoints of such a table may be out of service. They may also have gone out
+   * of service around the time when the previous instance process died, so that the endpoint list
+   * no longer shows them.
    */
   private boolean isOverdue(ProxyState proxy, boolean anyNotReady) {
     long connectedForDeciMillis = clock.since(proxy.connectedAt());
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -4,22 +4,22 @@
 import stonespring.model.Settings;
 
 /**
- * Sets the targets of routes so that requests go where one more of them causes the least loss. Each
- * route has a price: the marginal loss at the load of its endpoint, the failures and late answers
- * there, and the penalty for crossing zones. The targets of all tables are adjusted together, in
- * small steps towards equal prices.
+ * Sets the targets of routes so that requests go where an additional request causes the smallest
+ * loss. Each route has a price: the marginal loss at the load of its endpoint, the failures and
+ * late answers there, and the penalty for crossing zones. The targets of all tables are adjusted
+ * together, in small steps towards equal prices.
  */
 final class WeightOptimizer {
-  /** Number of steps for each table; after that many, targets change by less than one percent. */
+  /** Number of steps for each table; further steps change targets by less than one percent. */
   private static final int ITERATIONS = 40;
 
   /**
-   * The share of requests that is lost is half the fill to this power: half at full load, little at
-   * half load.
+   * Exponent of the load ratio in the share of lost requests, which is half the load ratio to this
+   * power: half of the requests at full load, few at half load.
    */
   private static final double LOSS_EXPONENT = 6;
 
-  /** Fill above which the loss no longer grows; keeps prices bounded. */
+  /** Ratio of load to capacity above which the loss no longer grows; keeps prices bounded. */
   private static final double MAX_LOAD_RATIO = 1.2;
 
   /**
@@ -28,17 +28,20 @@
   private static final double FAILURE_PRICE = 1.5;
 
   /**
-   * Least slope of the loss, which limits the steps: reports are old, and other instances shift
-   * load between the same endpoints.
+   * Minimum slope of the loss, unless there is spare capacity. It limits the steps, because reports
+   * are old and other instances shift load between the same endpoints.
    */
   private static final double DEFAULT_MIN_SLOPE = 30;
 
-  /** Exponent by which the least slope falls with the mean fill, relative to a typical one. */
+  /**
+   * Exponent of the mean load ratio, relative to the typical one, with which the minimum slope
+   * falls.
+   */
   private static final double SPARE_CAPACITY_EXPONENT = 4;
 
   /**
-   * Number of capacity readings before the estimate is trusted; the first ones show less load than
-   * there is.
+   * Number of capacity samples from which on the estimate is trusted; the first samples show less
+   * load than there is.
    */
   private static final int MIN_CAPACITY_SAMPLES = 20;
 
@@ -94,9 +97,9 @@
   }
 
   /**
-   * Returns the least slope. It is lower, for larger steps, while the fleet is known to have spare
-   * capacity. Near full load, or before that is known, large steps would send all tables to the
-   * same free capacity.
+   * Returns the minimum slope of the loss. It is lower, for larger steps, while the fleet is known
+   * to have spare capacity. Near full load, or before that is known, large steps would send all
+   * tables to the same free capacity.
    */
   private double minSlope() {
     if (capacity.sampleCount() < MIN_CAPACITY_SAMPLES) {
@@ -148,7 +151,7 @@
     }
   }
 
-  /** Returns how many requests are lost for each additional one at an endpoint. */
+  /** Returns how many requests are lost for each additional request at an endpoint. */
   private static double marginalLoss(EndpointState endpoint, double load) {
     double loadRatio =
         endpoint.capacity() > 0 ? Math.min(MAX_LOAD_RATIO, load / endpoint.capacity()) : 0;
--- a/src/main/java/stonespring/decision/WeightProposal.java
+++ b/src/main/java/stonespring/decision/WeightProposal.java
@@ -16,7 +16,7 @@
   private final SortedMap<EndpointState, Double> weights = new TreeMap<>();
   private long proposedAt = EngineClock.NEVER;
 
-  /** Discards the last proposal and starts another one without weights. */
+  /** Discards the last proposal and starts a new one without weights. */
   void restart(long now) {
     weights.clear();
     proposedAt = now;
--- a/src/main/java/stonespring/model/Settings.java
+++ b/src/main/java/stonespring/model/Settings.java
@@ -68,9 +68,10 @@
    *     list contains a warm endpoint
    * @param bootstrapRouteCount maximum number of routes in the table that a proxy starts with
    * @param crossZonePenalty cost of a request to another zone, as a fraction of the request's value
-   * @param worstClassWeight fraction of the objective that depends on the worst served class alone
+   * @param worstClassWeight fraction of the engine's optimization objective that depends on the
+   *     worst served request class alone
    * @param ejectAfterConsecutiveFailures number of consecutive failures after which a proxy ejects
-   *     an endpoint on its own; 0 if it never does
+   *     an endpoint on its own; 0 if proxies never eject endpoints
    */
   public record RoutingRules(
       long maxTimeWithoutEndpoint,
--- a/src/main/java/stonespring/solver/CapacityClaim.java
+++ b/src/main/java/stonespring/solver/CapacityClaim.java
@@ -31,7 +31,7 @@
 
   private long creditUpdatedAt;
 
-  /** Replaces the claim, unless the one held is as new or newer. */
+  /** Replaces the claim if the new one is more recent, or if there is no claim yet. */
   void update(double claimedCapacity, long claimedAt) {
     if (Double.isNaN(capacity) || claimedAt > claimTime) {
       capacity = claimedCapacity;
--- a/src/main/java/stonespring/solver/EndpointCredibility.java
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -20,8 +20,8 @@
   private static final double HEALTHY_FAILURE_SHARE = 0.1;
 
   /**
-   * Excess of an endpoint's failed or late share over the fleet's above which the endpoint is
-   * overloaded; more than chance produces.
+   * Excess of an endpoint's share of failed or late attempts over the fleet's share above which the
+   * endpoint is overloaded; random variation produces less.
    */
   private static final double OVERLOAD_EXCESS_FAILURE_SHARE = 0.3;
 
@@ -76,7 +76,9 @@
     return claims[source.ordinal()];
   }
 
-  /** Returns the claims, indexed by source. */
+  /**
+   * Returns the claims, indexed by the ordinal of their source; the array is shared, not a copy.
+   */
   CapacityClaim[] claims() {
     return claims;
   }
--- a/src/main/java/stonespring/solver/Flow.java
+++ b/src/main/java/stonespring/solver/Flow.java
@@ -283,7 +283,8 @@
   }
 
   /**
-   * Returns the requests lost per request that a zone sends to an endpoint, apart from congestion.
+   * Returns how many requests are lost, other than to congestion, for each request that a zone
+   * sends to an endpoint.
    */
   double routeCost(int zone, int endpoint) {
     return routeCost[zone][endpoint];
--- a/src/main/java/stonespring/solver/Plan.java
+++ b/src/main/java/stonespring/solver/Plan.java
@@ -26,13 +26,16 @@
     int changedRoutes) {
   /** What determines an endpoint's load. */
   public enum Reason {
-    /** An additional request there costs as much as anywhere else. */
+    /** An additional request at the endpoint costs as much as at any other. */
     BALANCED,
     /** The endpoint is warming up, and its load is at the maximum for that. */
     WARM_UP_CAP,
-    /** Too many of its attempts fail. */
+    /** Too many attempts at the endpoint fail. */
     FAILING,
-    /** It is below its target, because more routes to it would cost more than they gain. */
+    /**
+     * The endpoint's load is below its target, because more routes to it would cost more than they
+     * gain.
+     */
     FEW_ROUTES
   }
 
--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -52,7 +52,7 @@
    * A proxy.
    *
    * @param requestRates requests per second that it receives, by request class
-   * @param routes routes that it holds at present
+   * @param routes routes that it currently holds
    */
   public record Proxy(ProxyId id, ZoneId zone, double[] requestRates, List<Route> routes) {
     double totalRate() {
@@ -234,8 +234,9 @@
   }
 
   /**
-   * Returns the requests lost per request that a zone sends to an endpoint, through failures (mean
-   * of all request classes) and zone crossing.
+   * Returns how many requests are lost for each request that a zone sends to an endpoint. The
+   * losses are those of zone crossing and the share of failed attempts, averaged over the request
+   * classes.
    */
   double routeCost(int zone, int endpoint) {
     double failures = 0;
--- a/src/main/java/stonespring/solver/ProportionalFitter.java
+++ b/src/main/java/stonespring/solver/ProportionalFitter.java
@@ -33,8 +33,8 @@
   private static final double MAX_WEIGHT = 0.5;
 
   /**
-   * Maximum weight as a multiple of an even share, for tables with so few routes that this exceeds
-   * the maximum weight.
+   * Maximum weight of one route as a multiple of an even share. It applies to tables with so few
+   * routes that it exceeds {@link #MAX_WEIGHT}.
    */
   private static final double MAX_EVEN_SHARE_MULTIPLE = 1.5;
 
--- a/src/main/java/stonespring/solver/RendezvousSelector.java
+++ b/src/main/java/stonespring/solver/RendezvousSelector.java
@@ -111,7 +111,8 @@
   }
 
   /**
-   * Returns the endpoints of lowest rank, lowest first: twice the number of routes and some more.
+   * Returns the endpoints of lowest rank, lowest first: twice the number of routes and {@link
+   * #SPARE_CANDIDATES} more.
    */
   private static List<Integer> candidates(double[] rank, int routeCount) {
     double[] sorted = rank.clone();
--- a/src/main/java/stonespring/solver/ReportCredibility.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -19,7 +19,7 @@
   public enum Source {
     /** The endpoint's own load reports. */
     ENDPOINT,
-    /** An operator. */
+    /** A statement of an operator; only tests currently record such claims. */
     OPERATOR
   }
 
@@ -39,8 +39,8 @@
   private static final double UNPROVEN_FACTOR = 0.7;
 
   /**
-   * Ratio of the highest to the lowest claim above which the sources disagree: they cannot both be
-   * right.
+   * Ratio of the highest to the lowest claim above which the sources disagree: not all of the
+   * claims can be right.
    */
   private static final double MAX_CLAIM_RATIO = 1.5;
 
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Records a source's claim about the capacity of an endpoint when warm. Ignored if the source's
-   * current claim is as new or newer.
+   * Records a source's claim about the capacity of an endpoint when warm. The claim is ignored
+   * unless it is more recent than the source's current one.
    *
    * @param claimedAt instant of the claim
    * @throws IllegalArgumentException if the capacity is not above 0 or is too large
--- a/src/main/java/stonespring/solver/RouteAdder.java
+++ b/src/main/java/stonespring/solver/RouteAdder.java
@@ -32,7 +32,7 @@
   private record Donor(int proxy, int route, double rate) {}
 
   /**
-   * Prepares one plan.
+   * Creates an adder for the tables of one plan.
    *
    * @param plansBelowTarget by endpoint, the number of consecutive plans in which it lacked routes.
    *     The gain of a route to it is multiplied accordingly, so that a high connection cost cannot
@@ -132,7 +132,8 @@
           marginalCost[tables.endpoint(proxy, donor.route)] - marginalCost[endpoint];
       double gain = moved * HORIZON_SECONDS * (1 + plansBelowTarget[endpoint]) * savingPerRequest;
       boolean gainExceedsCost = gain > connectionCost(proxy);
-      // A table may exceed its limit by one route here; RouteDropper then removes the least used.
+      // A table may exceed its limit by one route here; RouteDropper then removes the least used
+      // one.
       boolean isWithinRouteLimit = tables.routeCount(proxy) <= tables.maxRoutes(proxy);
       if (!gainExceedsCost || !isWithinRouteLimit || !tables.canAddRoute(proxy, endpoint)) {
         continue;
--- a/src/main/java/stonespring/solver/RouteDropper.java
+++ b/src/main/java/stonespring/solver/RouteDropper.java
@@ -9,8 +9,9 @@
   private static final double MIN_WEIGHT = 0.004;
 
   /**
-   * Minimum weight as a multiple of an even share, for tables with so many routes that this is
-   * below the minimum weight: a fixed minimum would drop most routes of a very large proxy.
+   * Minimum weight of a route as a multiple of an even share. It applies to tables with so many
+   * routes that it is below {@link #MIN_WEIGHT}: a fixed minimum would drop most routes of a very
+   * large proxy.
    */
   private static final double MIN_EVEN_SHARE_MULTIPLE = 0.1;
 
--- a/src/main/java/stonespring/solver/SubsetSelector.java
+++ b/src/main/java/stonespring/solver/SubsetSelector.java
@@ -16,7 +16,10 @@
   /** Maximum number of rounds of adding routes and scaling when there is no previous plan. */
   private static final int MAX_INITIAL_ROUNDS = 10;
 
-  /** Maximum number of such rounds when tables exist already; the next plan continues. */
+  /**
+   * Maximum number of rounds of adding routes and scaling when there is a previous plan; the next
+   * plan continues.
+   */
   private static final int MAX_FOLLOW_UP_ROUNDS = 2;
 
   private final Problem problem;
@@ -32,7 +35,7 @@
   private final int maxRounds;
 
   /**
-   * Prepares one plan.
+   * Creates a selector for one plan.
    *
    * @param previous the previous plan, or null if there is none
    */
--- a/src/main/java/stonespring/solver/WeightAdvisor.java
+++ b/src/main/java/stonespring/solver/WeightAdvisor.java
@@ -61,7 +61,7 @@
    */
   private static final double CONGESTION_COST = 3.5;
 
-  /** Requests lost per new route: the work of a handshake and some more. */
+  /** Requests lost per new route: somewhat more than the work of a handshake. */
   private static final double NEW_ROUTE_COST = 0.1;
 
   /** A connected proxy: the rates that it receives and the routes that it holds. */
--- a/src/main/java/stonespring/solver/WorkingTables.java
+++ b/src/main/java/stonespring/solver/WorkingTables.java
@@ -30,8 +30,12 @@
   /** By endpoint, the total demand of the proxies that have a route to it. */
   private final double[] demandOfProxiesWithRoute;
 
+  /** Requests per second by zone and endpoint, as of the last {@link #recomputeLoads}. */
   private final double[][] loadByZone;
+
+  /** Requests per second from all zones, by endpoint. */
   private final double[] load;
+
   private final double meanCapacity;
   private final boolean anyEndpointIsWarm;
 
--- a/src/main/java/stonespring/state/ConnectedProxy.java
+++ b/src/main/java/stonespring/state/ConnectedProxy.java
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Replaces the limit of a request class for all tables.
+   * Replaces the limit that applies to a request class in all tables.
    *
-   * @return false if the limit equals the last one sent
+   * @return false if the limit equals the last one sent, so that nothing changes
    */
   boolean replaceLimitForAllTablesIfDifferent(int requestClass, AdmissionLimit limit) {
     if (limit.equals(limitsForAllTables[requestClass])) {
--- a/src/main/java/stonespring/state/ProxyUpdateBuilder.java
+++ b/src/main/java/stonespring/state/ProxyUpdateBuilder.java
@@ -14,7 +14,10 @@
     this.proxy = proxy;
   }
 
-  /** Adds a change behind all others and counts one entry for it. */
+  /**
+   * Adds a change at the end, removes an earlier change with the same subject, and counts one
+   * entry.
+   */
   void addCounted(ProxyChange change) {
     changes.putLast(change);
     entries++;
--- a/src/main/java/stonespring/state/RateLimitedChannel.java
+++ b/src/main/java/stonespring/state/RateLimitedChannel.java
@@ -90,8 +90,8 @@
     int costEntries = entries + messageOverheadEntries;
     backlogEntries += costEntries - earlier.costEntries;
     earlier.costEntries = costEntries;
-    // An acknowledgement request replaced here is never answered. The decision engine stops waiting
-    // for it on its own.
+    // If both updates request an acknowledgement, only the later request is sent. The decision
+    // engine does not rely on an answer to the earlier one.
     earlier.update =
         new ProxyUpdate(
             later.proxy(),
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -19,9 +19,9 @@
  * Converts commands of the decision engine to updates for the affected proxies. It holds the route
  * tables, admission limits and exclusions that the engine commanded, and the assignment of tables
  * to connected proxies; it makes no decisions of its own. A command costs one entry at each
- * affected proxy, with two exceptions: clearing a table costs one for each removed route and limit,
- * and assigning a table that the proxy does not use yet costs one more for each route, exclusion
- * and limit sent with it. Not thread-safe.
+ * affected proxy, with two exceptions: clearing a table costs one entry for each removed route and
+ * limit, and assigning a table that the proxy does not use yet costs one additional entry for each
+ * route, exclusion and limit sent with it. Not thread-safe.
  */
 public final class RouteTables {
   private final int requestClassCount;
@@ -293,7 +293,10 @@
       return forProxy(proxies.get(proxyNumber));
     }
 
-    /** Adds the pending limits for all tables to each update, and completes it. */
+    /**
+     * Builds the updates. Each update also gets those limits for all tables that its proxy does not
+     * have yet.
+     */
     List<ProxyUpdate> build(Optional<AckId> ack, long now) {
       List<ProxyUpdate> updates = new ArrayList<>();
       for (Map.Entry<Integer, ProxyUpdateBuilder> entry : builders.entrySet()) {
