--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -165,10 +165,11 @@
   }
 
   /**
-   * Each of several instances has a part of an entrant's budget. It must be enough for one route.
+   * Each of several instances has a part of a warming endpoint's budget. It must suffice for one
+   * route.
    */
   @Test
-  void usesEntrantsWhileProxiesEjectLittle() {
+  void usesWarmingEndpointsWhileProxiesEjectLittle() {
     Fleet fleet = Fleet.create(new FleetSettings().instances(4).build(), 8, 4);
     fleet.runRounds(10, 0.04, Map.of());
     Map<String, Double> failureShares = new TreeMap<>();
@@ -180,6 +181,6 @@
     assertTrue(
         fleet.endpoints.keySet().stream()
             .anyMatch(name -> name.startsWith("entrant") && fleet.load(name) > 0),
-        "no entrant gets requests");
+        "no added endpoint gets requests");
   }
 }
