--- a/src/main/java/stonespring/http/HttpWatch.java
+++ b/src/main/java/stonespring/http/HttpWatch.java
@@ -10,27 +10,28 @@
 import stonespring.netty.FailStopDecoder;
 
 /**
- * A call whose response arrives in chunks and may never end, on a connection of its own. It ends by
- * {@link Listener#ended}, once, or by {@link #cancel}; the listener is not called after either. A
- * silent peer counts as ended, as a machine that vanished sends nothing. State lives on the
- * connector's event loop, and all calls come from there.
+ * A call on its own connection whose response arrives in chunks and may never end. It ends with one
+ * call of {@link Listener#watchEnded} or with {@link #cancel}; the listener is not called after
+ * either. The watch also ends when the peer is silent for too long, since a machine that vanished
+ * sends nothing. State is confined to the connector's event loop; all methods must be called on it.
  */
 public final class HttpWatch {
-  /** Observes a response, on the event loop. */
+  /** Receives the events of a watch, on the event loop. */
   public interface Listener {
-    /** Bytes of the body arrived, cut anywhere. */
-    void received(byte[] bytes);
+    /** Called for received bytes of the body, which may be split at any position. */
+    void bytesReceived(byte[] bytes);
 
-    /** The response ended, or there was none. */
-    void ended(String cause);
+    /** Called once when the response has ended or the call has failed. */
+    void watchEnded(String cause);
   }
 
   /**
-   * Limits of a watch.
+   * Limits of a watch; it ends when one of them is exceeded.
    *
-   * @param responseTimeoutMillis for connecting and the complete head of the response together
-   * @param silenceTimeoutMillis for each further wait for bytes
-   * @param maxChunkBytes the longest chunk
+   * @param responseTimeoutMillis the maximum time until the head of the response has arrived,
+   *     connecting included
+   * @param silenceTimeoutMillis the maximum time between received parts after the head
+   * @param maxChunkBytes the maximum size of a chunk
    */
   public record Limits(int responseTimeoutMillis, long silenceTimeoutMillis, int maxChunkBytes) {}
 
@@ -39,10 +40,10 @@
   private final Limits limits;
   private final Listener listener;
   private final Channel channel;
-  private Future<?> timeout;
-  private boolean over;
+  private Future<?> timeoutTask;
+  private boolean ended;
 
-  /** Connects and sends the request. */
+  /** Starts the watch: connects, then sends the request. */
   public HttpWatch(
       Connector connector,
       InetSocketAddress address,
@@ -53,8 +54,8 @@
     this.request = request;
     this.limits = limits;
     this.listener = listener;
-    timeout =
-        endAfter(
+    timeoutTask =
+        scheduleEnd(
             limits.responseTimeoutMillis(),
             "no response within " + limits.responseTimeoutMillis() + " ms");
     channel =
@@ -66,70 +67,70 @@
             new ResponseHandler());
   }
 
-  private Future<?> endAfter(long millis, String cause) {
+  private Future<?> scheduleEnd(long millis, String cause) {
     return loop.schedule(() -> end(cause), millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends the watch; the listener is not called any more. */
+  /** Ends the watch without calling the listener. */
   public void cancel() {
-    over = true;
-    timeout.cancel(false);
+    ended = true;
+    timeoutTask.cancel(false);
     Connector.close(channel);
   }
 
   private void end(String cause) {
-    if (!over) {
+    if (!ended) {
       cancel();
-      listener.ended(cause);
+      listener.watchEnded(cause);
     }
   }
 
   private final class ConnectListener implements Connector.Listener {
     @Override
     public void connected() {
-      if (!over) {
+      if (!ended) {
         channel.writeAndFlush(HttpEncoder.encode(request));
       }
     }
 
     @Override
     public void connectFailed(Throwable cause) {
-      end("it can't be reached: " + cause.getMessage());
+      end("can't connect: " + cause.getMessage());
     }
   }
 
   private final class ResponseHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object part) {
-      if (over) {
+      if (ended) {
         return;
       }
-      timeout.cancel(false);
-      timeout =
-          endAfter(
+      timeoutTask.cancel(false);
+      timeoutTask =
+          scheduleEnd(
               limits.silenceTimeoutMillis(),
-              "it was silent for " + limits.silenceTimeoutMillis() + " ms");
+              "nothing received for " + limits.silenceTimeoutMillis() + " ms");
       if (part instanceof HttpResponse response) {
         acceptHead(response);
       } else if (part instanceof StreamPart.Bytes chunk) {
-        listener.received(chunk.bytes());
+        listener.bytesReceived(chunk.bytes());
       } else if (part instanceof StreamPart.End) {
-        end("its response ended");
+        end("the response ended");
       }
     }
 
-    /** A head, or a whole response if it was not in chunks. */
+    /** Accepts the head of a chunked response, or a complete response that was not chunked. */
     private void acceptHead(HttpResponse response) {
       if (response.status() != 200) {
-        end("unexpected status " + response.status());
+        end("expected status 200, got " + response.status());
       } else if (response.body().length > 0) {
-        listener.received(response.body());
+        listener.bytesReceived(response.body());
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      end("its connection ended");
+      end("the connection was closed");
     }
 
     @Override
--- a/src/main/java/stonespring/http/StartLine.java
+++ b/src/main/java/stonespring/http/StartLine.java
@@ -2,29 +2,29 @@
 
 import java.util.Map;
 
-/** The first line of a message. */
+/** The first line of a request or response. */
 sealed interface StartLine {
-  /** Where errors of the first line are reported. */
-  String PLACE = "first line";
+  /** The location that is reported in errors of the first line. */
+  String LOCATION = "first line";
 
-  /** Whether a message with this first line never has a body, whatever its headers say. */
+  /** Returns whether a message with this first line never has a body, whatever its headers say. */
   boolean excludesBody();
 
-  /** Whether a message with this first line must announce its body's length. */
+  /** Returns whether the headers must state the length of the body or chunked encoding. */
   boolean requiresLength();
 
-  /** The message of this first line. */
-  HttpMessage message(Map<String, String> headers, byte[] body);
+  /** Creates a message from this first line, headers and body. */
+  HttpMessage toMessage(Map<String, String> headers, byte[] body);
 
   /** The first line of a request. */
   record Request(String method, String target) implements StartLine {
     static Request parse(String line) {
       String[] parts = line.split(" ", 3);
       if (parts.length != 3
-          || !isVersion(parts[2])
+          || !isSupportedVersion(parts[2])
           || !parts[0].matches("[A-Z]{1,20}")
           || !parts[1].startsWith("/")) {
-        throw new MalformedHttpException(PLACE, "it is no request of HTTP/1.1");
+        throw new MalformedHttpException(LOCATION, "it is no request of HTTP/1.1");
       }
       return new Request(parts[0], parts[1]);
     }
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public HttpRequest message(Map<String, String> headers, byte[] body) {
+    public HttpRequest toMessage(Map<String, String> headers, byte[] body) {
       return new HttpRequest(method, target, headers, body);
     }
   }
@@ -49,8 +49,10 @@
   record Response(int status, String reason) implements StartLine {
     static Response parse(String line) {
       String[] parts = line.split(" ", 3);
-      if (parts.length < 2 || !isVersion(parts[0]) || !parts[1].matches("[1-5][0-9][0-9]")) {
-        throw new MalformedHttpException(PLACE, "it is no answer of HTTP/1.1");
+      if (parts.length < 2
+          || !isSupportedVersion(parts[0])
+          || !parts[1].matches("[1-5][0-9][0-9]")) {
+        throw new MalformedHttpException(LOCATION, "not a valid HTTP/1.1 status line");
       }
       return new Response(Integer.parseInt(parts[1]), parts.length == 3 ? parts[2] : "");
     }
@@ -66,12 +68,12 @@
     }
 
     @Override
-    public HttpResponse message(Map<String, String> headers, byte[] body) {
+    public HttpResponse toMessage(Map<String, String> headers, byte[] body) {
       return new HttpResponse(status, reason, headers, body);
     }
   }
 
-  private static boolean isVersion(String word) {
+  private static boolean isSupportedVersion(String word) {
     return word.matches("HTTP/1\\.[01]");
   }
 }
--- a/src/main/java/stonespring/proxy/InstanceMessages.java
+++ b/src/main/java/stonespring/proxy/InstanceMessages.java
@@ -13,21 +13,30 @@
 import stonespring.proxy.routing.RequestStatistics;
 import stonespring.proxy.routing.TableSubscriber;
 
-/** Writes what a proxy tells an instance: keys and JSON values of {@code docs/channel.md}. */
+/**
+ * Encodes the messages that a proxy sends to an instance, with the keys and JSON values that {@code
+ * docs/channel.md} defines.
+ */
 final class InstanceMessages {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Endpoints named in a hello; with more none is named, which means that it may hold any. */
+  /**
+   * Maximum number of endpoints listed in a hello. Above it the list is left out, which tells the
+   * instance that the proxy may hold any endpoint.
+   */
   private static final int MAX_NAMED_ENDPOINTS = 4096;
 
   private final ProxySettings settings;
 
   /**
-   * Who the proxy is.
+   * The state that a proxy announces when it opens or renews its session.
    *
-   * @param processId drawn at its start
-   * @param connectionCount counts its connections
-   * @param withoutTables whether it holds its bootstrap routes at most
+   * @param processId random id, drawn when the proxy starts
+   * @param connectionCount number of connections that the proxy has opened so far, this one
+   *     included
+   * @param withoutTables whether the proxy has applied no update yet and holds at most its
+   *     bootstrap routes
+   * @param namedEndpoints endpoints in the tables that the proxy holds
    */
   record Hello(
       String processId,
@@ -48,51 +57,51 @@
         .put("ops", settings.usualRequestsPerSecond())
         .put("fresh", hello.withoutTables());
     if (hello.namedEndpoints().size() <= MAX_NAMED_ENDPOINTS) {
-      ArrayNode named = value.putArray("holds");
-      hello.namedEndpoints().forEach(named::add);
+      ArrayNode endpointNames = value.putArray("holds");
+      hello.namedEndpoints().forEach(endpointNames::add);
     }
-    String timeToLive = String.valueOf(settings.instanceLink().sessionSeconds());
-    return set("/presence/" + settings.name(), Map.of("ttl", timeToLive), value);
+    String timeToLive = String.valueOf(settings.instanceLink().sessionTtlSeconds());
+    return keyValue("/presence/" + settings.name(), Map.of("ttl", timeToLive), value);
   }
 
   /**
-   * An update was applied.
+   * Encodes the acknowledgement of an applied update.
    *
-   * @param duration from its arrival, DeciMillis
+   * @param durationDeciMillis time from the update's arrival until it was applied
    */
-  ChpMessage.KvSet acknowledgement(TableSubscriber.Step.Update update, long duration) {
+  ChpMessage.KvSet acknowledgement(TableSubscriber.Step.Update update, long durationDeciMillis) {
     ObjectNode value = JSON.createObjectNode();
     value
         .put("origin", update.stream())
         .put("mark", update.ackId())
-        .put("took", DeciMillis.toSeconds(duration));
-    return set("/up/" + settings.name() + "/answer", Map.of(), value);
+        .put("took", DeciMillis.toSeconds(durationDeciMillis));
+    return keyValue("/up/" + settings.name() + "/answer", Map.of(), value);
   }
 
   ChpMessage.KvSet report(RequestStatistics statistics, long now) {
     ObjectNode value = JSON.createObjectNode();
-    value.put("span", DeciMillis.toSeconds(statistics.interval(now)));
-    ArrayNode endpoints = value.putArray("tasks");
+    value.put("span", DeciMillis.toSeconds(statistics.intervalDeciMillis(now)));
+    ArrayNode endpointRows = value.putArray("tasks");
     for (RequestStatistics.EndpointObservation observation : statistics.observations()) {
-      writeObservation(endpoints.addArray(), observation);
+      writeObservation(endpointRows.addArray(), observation);
     }
-    ArrayNode requests = value.putArray("ops");
+    ArrayNode requestRows = value.putArray("ops");
     for (int k = 0; k < settings.router().requestClasses().size(); k++) {
       RequestClassId requestClass = new RequestClassId(k);
-      requests
+      requestRows
           .addArray()
           .add(settings.router().requestClasses().get(k).name())
           .add(statistics.requests(requestClass))
-          .add(statistics.unanswered(requestClass));
+          .add(statistics.unansweredRequests(requestClass));
     }
-    return set("/up/" + settings.name() + "/report", Map.of(), value);
+    return keyValue("/up/" + settings.name() + "/report", Map.of(), value);
   }
 
   private static void writeObservation(
       ArrayNode row, RequestStatistics.EndpointObservation observation) {
     long successes = observation.attempts() - observation.failures();
     double meanSeconds =
-        successes == 0 ? 0 : DeciMillis.toSeconds(observation.successTime()) / successes;
+        successes == 0 ? 0 : DeciMillis.toSeconds(observation.totalSuccessDeciMillis()) / successes;
     row.add(observation.endpoint())
         .add(observation.attempts())
         .add(observation.failures())
@@ -110,18 +119,19 @@
     putIfKnown(node, "ops_per_s", load.requestsPerSecond());
   }
 
-  private static void putIfKnown(ObjectNode node, String name, double figure) {
-    if (!Double.isNaN(figure)) {
-      node.put(name, figure);
+  private static void putIfKnown(ObjectNode node, String name, double value) {
+    if (!Double.isNaN(value)) {
+      node.put(name, value);
     }
   }
 
-  private static ChpMessage.KvSet set(
+  private static ChpMessage.KvSet keyValue(
       String key, Map<String, String> properties, ObjectNode value) {
     try {
-      return new ChpMessage.KvSet(key, ChpMessage.NONE, properties, JSON.writeValueAsBytes(value));
+      return new ChpMessage.KvSet(
+          key, ChpMessage.EMPTY_FRAME, properties, JSON.writeValueAsBytes(value));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of JSON can't be written", e);
+      throw new IllegalStateException("cannot serialize the JSON value of key " + key, e);
     }
   }
 }
