--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static stonespring.daemon.HostSimulation.SECOND;
-import static stonespring.daemon.HostSimulation.STEP;
+import static stonespring.daemon.HostSimulation.STEP_DECI_MILLIS;
 
 import java.util.List;
 import java.util.Map;
@@ -29,8 +29,8 @@
   void keepsInvariantsAfterEveryStepOfRandomRun(long seed) {
     HostSimulation simulation = new HostSimulation(seed, seed > 6);
     simulation.run(3000);
-    assertEquals(0, simulation.resyncs(), "no update is lost in virtual time");
-    assertTrue(simulation.hostStarts() > 1);
+    assertEquals(0, simulation.lostUpdateCount(), "no update is lost in virtual time");
+    assertTrue(simulation.hostStartCount() > 1);
   }
 
   @Test
@@ -72,7 +72,7 @@
     assertTrue(unknownConnection.closeReason().contains("has no session on this connection"));
 
     simulation.connect(proxy);
-    simulation.advance(STEP);
+    simulation.advance(STEP_DECI_MILLIS);
     simulation.advance(SECOND);
     RecordingConnection conflictingConnection = new RecordingConnection();
     ProxyHello otherProcess =
@@ -115,7 +115,7 @@
     assertEquals(1, host.connectedProxyCount());
 
     for (int i = 0; i < 100 && proxy.stream().equals(oldStream); i++) {
-      simulation.advanceClock(STEP);
+      simulation.advanceClock(STEP_DECI_MILLIS);
       proxy.sendHello(host, simulation.now());
       simulation.report(proxy);
       simulation.advance(0);
--- a/src/test/java/stonespring/daemon/HostSimulation.java
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -39,12 +39,12 @@
   static final long SECOND = DeciMillis.SECOND;
 
   /** Duration of one step, in deci-milliseconds. */
-  static final long STEP = 500;
+  static final long STEP_DECI_MILLIS = 500;
 
-  static final long SESSION_TIMEOUT = 3 * SECOND;
+  static final long SESSION_TIMEOUT_DECI_MILLIS = 3 * SECOND;
 
   /** Time within which a proxy must stop sending to an endpoint that drains or is removed. */
-  private static final long MAX_REMOVAL_DELAY = 3 * SECOND;
+  private static final long MAX_REMOVAL_DELAY_DECI_MILLIS = 3 * SECOND;
 
   private static final int ZONES = 2;
   private static final int ENDPOINTS = 8;
@@ -63,7 +63,7 @@
   private long now = 100 * SECOND;
   private long lastSequence;
   private EngineHost host;
-  private int hostStarts;
+  private int hostStartCount;
 
   /**
    * Creates a simulation that has no host yet.
@@ -102,24 +102,24 @@
   }
 
   /** Returns how often a host has been started. */
-  int hostStarts() {
-    return hostStarts;
+  int hostStartCount() {
+    return hostStartCount;
   }
 
   /** Returns how many updates the proxies have lost. */
-  int resyncs() {
-    return proxies.stream().mapToInt(SimulatedProxy::resyncs).sum();
+  int lostUpdateCount() {
+    return proxies.stream().mapToInt(SimulatedProxy::lostUpdateCount).sum();
   }
 
   /** Starts a host that replaces the previous one; all proxies lose their connections. */
   void startHost() {
-    hostStarts++;
+    hostStartCount++;
     host =
         new EngineHost(
             settings,
             List.of("view", "extract"),
             HostLimits.DEFAULT,
-            "e" + hostStarts,
+            "e" + hostStartCount,
             now << 20,
             createEngine(),
             new Environment(),
@@ -249,7 +249,7 @@
     }
     startHost();
     for (int i = 0; i < steps; i++) {
-      now += STEP;
+      now += STEP_DECI_MILLIS;
       injectRandomEvent();
       proxies.forEach(this::stepProxy);
       host.runDue(now);
@@ -260,7 +260,8 @@
   private void stepProxy(SimulatedProxy proxy) {
     if (!proxy.isConnected() && random.nextInt(12) == 0) {
       connect(proxy);
-    } else if (proxy.isConnected() && (now / STEP + proxy.name().hashCode()) % 20 == 0) {
+    } else if (proxy.isConnected()
+        && (now / STEP_DECI_MILLIS + proxy.name().hashCode()) % 20 == 0) {
       proxy.sendHello(host, now);
       report(proxy);
     }
@@ -342,7 +343,7 @@
       long endpointNotReadySince = notReadySince.getOrDefault(endpoint, Long.MAX_VALUE / 2);
       long notifiedAt = Math.max(endpointNotReadySince, proxy.connectedAt());
       assertTrue(
-          now - notifiedAt <= MAX_REMOVAL_DELAY,
+          now - notifiedAt <= MAX_REMOVAL_DELAY_DECI_MILLIS,
           () ->
               "proxy "
                   + proxy.name()
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -50,7 +50,7 @@
   private long streamNumber;
   private long connectedAt;
   private String stream = "";
-  private int resyncs;
+  private int lostUpdateCount;
 
   SimulatedProxy(String name, int zone, Settings.ChannelLimits channelLimits) {
     this.name = name;
@@ -84,8 +84,8 @@
   }
 
   /** Returns how many updates were lost. */
-  int resyncs() {
-    return resyncs;
+  int lostUpdateCount() {
+    return lostUpdateCount;
   }
 
   boolean isStarted() {
@@ -129,7 +129,7 @@
             10,
             router.isWithoutTables(),
             Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList()));
-    host.handleHello(name, hello, HostSimulation.SESSION_TIMEOUT, connection, now);
+    host.handleHello(name, hello, HostSimulation.SESSION_TIMEOUT_DECI_MILLIS, connection, now);
   }
 
   /** Acknowledges the updates that have requested it since the last call. */
@@ -179,7 +179,7 @@
         pendingAcks.add(update.ackId());
       }
     } else if (step instanceof TableSubscriber.Step.Resync) {
-      resyncs++;
+      lostUpdateCount++;
       applySnapshot(host, now);
     }
   }
--- a/src/test/java/stonespring/decision/EngineRestartTest.java
+++ b/src/test/java/stonespring/decision/EngineRestartTest.java
@@ -68,7 +68,9 @@
       fleet.step(200);
     }
     fleet.step(SECOND);
-    assertTrue(fleet.proxies.get(24).excluded.contains("t0"));
+    assertTrue(
+        fleet.proxies.get(24).excludedEndpoints.contains("t0"),
+        "the proxy that connected last is told to exclude t0");
     assertTrue(
         fleet.proxies.get(0).messagesSentAt.size() <= messages + 3,
         "the exclusion notices for 20 proxies are batched");
--- a/src/test/java/stonespring/decision/Fleet.java
+++ b/src/test/java/stonespring/decision/Fleet.java
@@ -193,11 +193,11 @@
     FleetProxy proxy = proxies.computeIfAbsent(number, n -> new FleetProxy(n, zone, requestRate));
     proxy.connected = true;
     proxy.withoutTables = withoutTables;
-    proxy.emptySince = -1;
+    proxy.withoutRouteSince = -1;
     proxy.table = null;
     proxy.messagesSentAt.clear();
     if (withoutTables) {
-      proxy.excluded.clear();
+      proxy.excludedEndpoints.clear();
     }
     events.add(
         new Event.ProxyConnected(
@@ -419,9 +419,9 @@
         entries.merge(proxy.number, 1, Integer::sum);
       }
       if (proxy.connected && command.excluded()) {
-        proxy.excluded.add(command.endpoint().name());
+        proxy.excludedEndpoints.add(command.endpoint().name());
       } else if (proxy.connected) {
-        proxy.excluded.remove(command.endpoint().name());
+        proxy.excludedEndpoints.remove(command.endpoint().name());
       }
     }
   }
--- a/src/test/java/stonespring/decision/FleetInvariants.java
+++ b/src/test/java/stonespring/decision/FleetInvariants.java
@@ -26,10 +26,10 @@
    * @param when the point of the test, for the failure message
    */
   static void check(Fleet fleet, String when) {
-    boolean warm = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
+    boolean anyEndpointIsWarm = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
     for (FleetProxy proxy : fleet.proxies.values()) {
       if (proxy.connected) {
-        checkHasRoute(fleet, proxy, warm, when);
+        checkHasRoute(fleet, proxy, anyEndpointIsWarm, when);
         checkRoutesOnlyToUsableEndpoints(fleet, proxy, when);
         checkMessages(fleet, proxy, when);
       }
@@ -49,16 +49,17 @@
         && fleet.now - endpoint.startedAt() >= fleet.settings.slowStart().window();
   }
 
-  private static void checkHasRoute(Fleet fleet, FleetProxy proxy, boolean warm, String when) {
+  private static void checkHasRoute(
+      Fleet fleet, FleetProxy proxy, boolean anyEndpointIsWarm, String when) {
     boolean empty = proxy.table != null && proxy.shares().isEmpty();
-    if (!empty || !warm) {
-      proxy.emptySince = -1;
-    } else if (proxy.emptySince < 0) {
-      proxy.emptySince = fleet.now;
+    if (!empty || !anyEndpointIsWarm) {
+      proxy.withoutRouteSince = -1;
+    } else if (proxy.withoutRouteSince < 0) {
+      proxy.withoutRouteSince = fleet.now;
     }
     long limit = fleet.settings.routing().maxTimeWithoutEndpoint();
     assertTrue(
-        proxy.emptySince < 0 || fleet.now - proxy.emptySince <= limit,
+        proxy.withoutRouteSince < 0 || fleet.now - proxy.withoutRouteSince <= limit,
         when
             + ": proxy "
             + proxy.number
--- a/src/test/java/stonespring/decision/FleetProxy.java
+++ b/src/test/java/stonespring/decision/FleetProxy.java
@@ -12,7 +12,7 @@
   final double requestRate;
 
   /** Since when it has had no route although a warm endpoint is listed; -1 if that is not so. */
-  long emptySince = -1;
+  long withoutRouteSince = -1;
 
   boolean connected;
   boolean withoutTables;
@@ -21,7 +21,7 @@
   TreeMap<String, Double> table;
 
   /** Names of the endpoints that the proxy was told not to use. */
-  final TreeSet<String> excluded = new TreeSet<>();
+  final TreeSet<String> excludedEndpoints = new TreeSet<>();
 
   /** When messages were sent to the proxy within the message window, the oldest first. */
   final ArrayDeque<Long> messagesSentAt = new ArrayDeque<>();
@@ -41,12 +41,12 @@
     if (table != null) {
       double sum =
           table.entrySet().stream()
-              .filter(e -> !excluded.contains(e.getKey()))
+              .filter(e -> !excludedEndpoints.contains(e.getKey()))
               .mapToDouble(Map.Entry::getValue)
               .sum();
       table.forEach(
           (endpoint, weight) -> {
-            if (!excluded.contains(endpoint)) {
+            if (!excludedEndpoints.contains(endpoint)) {
               shares.put(endpoint, weight / sum);
             }
           });
