--- a/src/main/java/stonespring/cli/Commands.java
+++ b/src/main/java/stonespring/cli/Commands.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program with its sub-commands. */
+/** The top-level command with its sub-commands. */
 @Command(
     name = "stonespring",
     mixinStandardHelpOptions = true,
@@ -29,7 +29,7 @@
 public final class Commands {
   private Commands() {}
 
-  /** The version in the jar's manifest. */
+  /** Provides the version from the manifest of the jar file. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -38,30 +38,33 @@
     }
   }
 
-  /** Runs the command that the arguments name; returns its exit code. */
+  /** Runs the command that the arguments select and returns its exit code. */
   public static int run(String... args) {
-    return commandLine().execute(args);
+    return createCommandLine().execute(args);
   }
 
-  private static CommandLine commandLine() {
+  private static CommandLine createCommandLine() {
     CommandLine commandLine = new CommandLine(new Commands());
     commandLine.setCaseInsensitiveEnumValuesAllowed(true);
-    commandLine.setExecutionExceptionHandler((e, command, result) -> report(e, command));
+    commandLine.setExecutionExceptionHandler((e, command, result) -> handleException(e, command));
     for (CommandLine subcommand : commandLine.getSubcommands().values()) {
       subcommand.getCommandSpec().versionProvider(new Version());
     }
     return commandLine;
   }
 
-  /** Prints what a command threw, with a stack trace if it hints at a defect. */
-  private static int report(Exception e, CommandLine command) {
+  /**
+   * Prints the exception of a command and returns the exit code. Prints a stack trace only if the
+   * exception indicates a defect of the program.
+   */
+  private static int handleException(Exception e, CommandLine command) {
     if (e instanceof CommandFailedException failure) {
-      return ExitCode.fail(failure.exitCode(), failure.getMessage());
+      return ExitCode.printError(failure.exitCode(), failure.getMessage());
     }
     if (e instanceof RuntimeException && !(e.getCause() instanceof IOException)) {
       e.printStackTrace();
     }
     String message = e.getMessage() == null ? e.toString() : e.getMessage();
-    return ExitCode.fail(ExitCode.FAILED, command.getCommandName() + ": " + message);
+    return ExitCode.printError(ExitCode.FAILED, command.getCommandName() + ": " + message);
   }
 }
--- a/src/main/java/stonespring/cli/ComparisonJson.java
+++ b/src/main/java/stonespring/cli/ComparisonJson.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.annotation.JsonUnwrapped;
 import stonespring.testbed.virtual.ComparisonRow;
-import stonespring.testbed.virtual.Interval;
+import stonespring.testbed.virtual.ConfidenceInterval;
 import stonespring.testbed.virtual.Policy;
 
 /**
- * A row of a comparison in the form that {@code compare --json} prints: its names and their order
- * are that output's.
+ * A row of a comparison in the form that {@code compare --json} prints. The names of the components
+ * and their order are part of the output format.
  */
 record ComparisonJson(
     String load,
@@ -20,7 +20,7 @@
     double bareSeconds) {
 
   record Span(double mean, double low, double high) {
-    private static Span of(Interval interval) {
+    private static Span of(ConfidenceInterval interval) {
       return new Span(interval.mean(), interval.low(), interval.high());
     }
   }
--- a/src/main/java/stonespring/testbed/FleetMeasurement.java
+++ b/src/main/java/stonespring/testbed/FleetMeasurement.java
@@ -23,43 +23,52 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * Measures what a fleet of idle proxies does to an instance in a process of its own: the time until
- * all hold a route table, memory, latency of decisions. One use an object.
+ * Measures what a fleet of idle proxies costs an instance that runs in a separate process: the time
+ * until all proxies have a route table, memory, and the duration of decision batches. An object
+ * serves for one measurement.
  */
 public final class FleetMeasurement {
-  private static final int EVENT_LOOPS = 4;
-  private static final int WARM_UP_MILLIS = 3000;
-  private static final int MAX_SECONDS_UNTIL_TABLES = 300;
+  private static final int EVENT_LOOP_THREADS = 4;
+
+  /** Wait after the instance's start, for its first decision batches and JIT compilation. */
+  private static final int INSTANCE_WARM_UP_MILLIS = 3000;
+
+  private static final int ROUTE_TABLE_TIMEOUT_SECONDS = 300;
   private static final String LOOPBACK = "127.0.0.1";
 
   private final InstanceSettings settings;
-  private final Path log;
+  private final Path instanceLog;
   private final InstanceProcess instance;
   private final MultiThreadIoEventLoopGroup loops =
-      new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
-  private final AtomicReference<String> status = new AtomicReference<>("");
+      new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory());
+  private final AtomicReference<String> latestStatus = new AtomicReference<>("");
   private final List<Proxy> proxies = new ArrayList<>();
 
   private FleetMeasurement(Path script, Path folder) throws Exception {
     settings = InstanceSettings.read(script);
-    log = folder.resolve("assigner.log");
-    Files.deleteIfExists(log);
-    instance = new InstanceProcess(script, FreePorts.take(3), 0, folder.resolve("saved.json"), log);
+    instanceLog = folder.resolve("assigner.log");
+    Files.deleteIfExists(instanceLog);
+    instance =
+        new InstanceProcess(
+            script, FreePorts.take(3), 0, folder.resolve("saved.json"), instanceLog);
   }
 
   /**
    * Runs the measurement and returns its report.
    *
-   * @param spreadMillis the time within which all proxies dial
-   * @param seconds how long the fleet stands after all proxies hold a table
+   * @param script the settings script of the instance
+   * @param connectSpreadMillis the time over which the proxies' connects are spread evenly
+   * @param holdSeconds how long the fleet stays connected after every proxy has a route table
+   * @param folder receives the instance's log and cached endpoint list
    */
   public static String run(
-      Path script, int proxyCount, long spreadMillis, long seconds, Path folder) throws Exception {
+      Path script, int proxyCount, long connectSpreadMillis, long holdSeconds, Path folder)
+      throws Exception {
     FleetMeasurement measurement = new FleetMeasurement(script, folder);
     measurement.instance.start();
-    measurement.followStatus();
+    measurement.subscribeToStatus();
     try {
-      return measurement.measure(proxyCount, spreadMillis, seconds);
+      return measurement.measure(proxyCount, connectSpreadMillis, holdSeconds);
     } finally {
       if (measurement.instance.alive()) {
         measurement.instance.kill();
@@ -68,22 +77,24 @@
     }
   }
 
-  private String measure(int proxyCount, long spreadMillis, long seconds) throws Exception {
-    Thread.sleep(WARM_UP_MILLIS);
+  private String measure(int proxyCount, long connectSpreadMillis, long holdSeconds)
+      throws Exception {
+    Thread.sleep(INSTANCE_WARM_UP_MILLIS);
     long bytesBefore = instance.residentBytes();
     long startNanos = System.nanoTime();
-    dial(proxyCount, spreadMillis, startNanos);
-    double dialledSeconds = secondsSince(startNanos);
+    startProxies(proxyCount, connectSpreadMillis, startNanos);
+    double startedSeconds = secondsSince(startNanos);
     while (proxies.stream().anyMatch(proxy -> proxy.appliedUpdates() == 0)) {
-      if (secondsSince(startNanos) > MAX_SECONDS_UNTIL_TABLES) {
-        return "not all proxies hold a table after 300 s; status " + status.get();
+      if (secondsSince(startNanos) > ROUTE_TABLE_TIMEOUT_SECONDS) {
+        return "not all proxies have a route table after 300 s; last status of the instance: "
+            + latestStatus.get();
       }
       Thread.sleep(5);
     }
-    double tablesSeconds = secondsSince(startNanos);
-    Thread.sleep(TimeUnit.SECONDS.toMillis(seconds));
+    double allTablesSeconds = secondsSince(startNanos);
+    Thread.sleep(TimeUnit.SECONDS.toMillis(holdSeconds));
     long bytesAfter = instance.residentBytes();
-    String lastStatus = status.get();
+    String finalStatus = latestStatus.get();
     for (Proxy proxy : proxies) {
       proxy.stop();
     }
@@ -92,33 +103,35 @@
         "%d proxies dialled within %.2f s, all held a table after %.2f s%nstatus after %d s more: %s%n"
             + "resident memory %.1f MB before, %.1f MB after: %.1f KB a proxy%n%s%n",
         proxyCount,
-        dialledSeconds,
-        tablesSeconds,
-        seconds,
-        lastStatus,
+        startedSeconds,
+        allTablesSeconds,
+        holdSeconds,
+        finalStatus,
         bytesBefore / 1e6,
         bytesAfter / 1e6,
         (bytesAfter - bytesBefore) / 1e3 / proxyCount,
-        lastWords());
+        stopStatistics());
   }
 
   private static double secondsSince(long startNanos) {
     return (System.nanoTime() - startNanos) / 1e9;
   }
 
-  private void dial(int proxyCount, long spreadMillis, long startNanos) throws Exception {
+  private void startProxies(int proxyCount, long connectSpreadMillis, long startNanos)
+      throws Exception {
     for (int i = 0; i < proxyCount; i++) {
       proxies.add(new Proxy(proxySettings(i), (EventLoop) loops.next()).start(loops, 0));
-      long dueNanos = startNanos + TimeUnit.MILLISECONDS.toNanos(spreadMillis * i / proxyCount);
+      long dueNanos =
+          startNanos + TimeUnit.MILLISECONDS.toNanos(connectSpreadMillis * i / proxyCount);
       while (System.nanoTime() < dueNanos) {
         Thread.sleep(1);
       }
     }
   }
 
-  /** The statistics that the instance logs when it stops; empty where there are none. */
-  private String lastWords() throws IOException {
-    return Files.readAllLines(log).stream()
+  /** Returns the statistics that the instance logged when it stopped; empty if it logged none. */
+  private String stopStatistics() throws IOException {
+    return Files.readAllLines(instanceLog).stream()
         .filter(line -> line.contains(" stopped: "))
         .findFirst()
         .orElse("")
@@ -152,22 +165,22 @@
             9));
   }
 
-  private void followStatus() {
+  private void subscribeToStatus() {
     ChpClient.Listener listener =
         new ChpClient.Listener() {
           @Override
           public void snapshotReceived(List<ChpMessage.KvSync> keys, long sequence) {
-            keys.forEach(key -> status.set(new String(key.value(), StandardCharsets.UTF_8)));
+            keys.forEach(key -> latestStatus.set(new String(key.value(), StandardCharsets.UTF_8)));
           }
 
           @Override
           public void updateReceived(ChpMessage.KvPub update) {
-            status.set(new String(update.value(), StandardCharsets.UTF_8));
+            latestStatus.set(new String(update.value(), StandardCharsets.UTF_8));
           }
 
           @Override
           public void sessionEnded(String cause) {
-            // The instance is stopped at the end.
+            // The connection ends when the measurement stops the instance.
           }
         };
     new ChpClient((EventLoop) loops.next(), "/assigner/", 60_000, listener)
--- a/src/main/java/stonespring/testbed/ScenarioRecorder.java
+++ b/src/main/java/stonespring/testbed/ScenarioRecorder.java
@@ -12,18 +12,19 @@
 import stonespring.recording.Recording;
 
 /**
- * Turns the evidence of a run into a recording of its load: arrivals, processes and endpoint lists,
- * nothing of what was decided.
+ * Converts the evidence of a run into a recording of its load: arrivals, process starts and stops,
+ * endpoint list updates, and report faults. The instances' decisions are not recorded.
  */
 final class ScenarioRecorder {
-  private static final long SPAN = 1_000; // in 0.1 ms; requests in it are counted together
+  /** Interval over which arrivals are counted in one sample. */
+  private static final long SAMPLE_INTERVAL_DECI_MILLIS = 1_000;
 
   private final Scenario scenario;
   private final Evidence evidence;
   private final double startedMillis;
 
   /**
-   * Prepares to write a run that has ended.
+   * Creates a recorder for a run that has ended.
    *
    * @param startedMillis when the first client started, on the evidence's clock
    */
@@ -33,15 +34,16 @@
     this.startedMillis = startedMillis;
   }
 
-  private long at(double millis) {
+  /** Converts a time on the evidence's clock to the recording's clock; earlier times become 0. */
+  private long toDeciMillis(double millis) {
     return Math.max(0, Math.round((millis - startedMillis) * 10));
   }
 
-  private int zone(String name) {
+  private int zoneIndex(String name) {
     return scenario.instance().zones().indexOf(name);
   }
 
-  /** The run as a recording with a name. */
+  /** Returns the load of the run as a recording. */
   Recording recording(String name, List<Recording.ProxyInfo> proxies) {
     List<LoadSample> samples = new ArrayList<>();
     addProcesses(samples);
@@ -57,7 +59,7 @@
             scenario.instance().zones(),
             requestClasses(),
             proxies,
-            SPAN,
+            SAMPLE_INTERVAL_DECI_MILLIS,
             Math.round(scenario.durationSeconds() * 10_000));
     return new Recording(head, samples);
   }
@@ -76,46 +78,51 @@
   }
 
   private void addProcesses(List<LoadSample> samples) {
-    Map<String, Integer> zones = new HashMap<>();
-    for (Evidence.ProcessChange change : evidence.of(Evidence.ProcessChange.class)) {
-      zones.put(change.endpoint(), zone(change.zone()));
+    Map<String, Integer> zoneByEndpoint = new HashMap<>();
+    for (Evidence.ProcessChange change : evidence.observationsOf(Evidence.ProcessChange.class)) {
+      zoneByEndpoint.put(change.endpoint(), zoneIndex(change.zone()));
       samples.add(
           new LoadSample.ProcessChanged(
-              at(change.at()),
+              toDeciMillis(change.atMillis()),
               change.endpoint(),
-              zone(change.zone()),
+              zoneIndex(change.zone()),
               change.up() ? scenario.endpointModel().cores() : 0,
               1,
               change.warmingUp()));
     }
-    for (Evidence.Listed listed : evidence.of(Evidence.Listed.class)) {
-      // An endpoint that ran before the start has warmed up long ago; no start is known of it.
-      long started = listed.startedAt() > startedMillis ? at(listed.startedAt()) : 0;
+    for (Evidence.Listed listed : evidence.observationsOf(Evidence.Listed.class)) {
+      // Endpoints started before the scenario have warmed up: the recording has no start time (0).
+      long startedAtDeciMillis =
+          listed.startedAtMillis() > startedMillis ? toDeciMillis(listed.startedAtMillis()) : 0;
       samples.add(
           new LoadSample.EndpointListed(
-              at(listed.at()),
+              toDeciMillis(listed.atMillis()),
               listed.endpoint(),
-              zones.getOrDefault(listed.endpoint(), 0),
+              zoneByEndpoint.getOrDefault(listed.endpoint(), 0),
               1,
               state(listed.state()),
-              started));
+              startedAtDeciMillis));
     }
   }
 
   private void addFalseReports(List<LoadSample> samples) {
-    for (Evidence.FalseReport report : evidence.of(Evidence.FalseReport.class)) {
+    for (Evidence.FalseReport report : evidence.observationsOf(Evidence.FalseReport.class)) {
       samples.add(
-          new LoadSample.CapacityClaimed(at(report.at()), report.endpoint(), report.multiple()));
+          new LoadSample.CapacityClaimed(
+              toDeciMillis(report.atMillis()),
+              report.endpoint(),
+              report.claimedCapacityMultiple()));
     }
   }
 
   private void addLateReports(List<LoadSample> samples) {
     for (Scenario.Fault fault : scenario.faults()) {
       if (fault.kind() == FaultKind.LATE_REPORTS) {
-        long start = Math.round(fault.atMillis() * 10);
-        long end = Math.round((fault.atMillis() + fault.durationMillis()) * 10);
-        samples.add(new LoadSample.ReportsDelayed(start, Math.round(fault.magnitude() * 10)));
-        samples.add(new LoadSample.ReportsDelayed(end, 0));
+        long startDeciMillis = Math.round(fault.atMillis() * 10);
+        long endDeciMillis = Math.round((fault.atMillis() + fault.durationMillis()) * 10);
+        samples.add(
+            new LoadSample.ReportsDelayed(startDeciMillis, Math.round(fault.magnitude() * 10)));
+        samples.add(new LoadSample.ReportsDelayed(endDeciMillis, 0));
       }
     }
   }
@@ -127,10 +134,11 @@
     }
     List<String> classNames = scenario.instance().requestClasses().names();
     TreeMap<Long, int[]> counts = new TreeMap<>();
-    for (Evidence.Outcome outcome : evidence.of(Evidence.Outcome.class)) {
-      // A sample stands at its span's end: all requests are one span late, evenly.
-      long span = at(outcome.askedAt()) / SPAN + 1;
-      long key = span * proxies.size() + proxyIndex.get(outcome.proxy());
+    for (Evidence.Outcome outcome : evidence.observationsOf(Evidence.Outcome.class)) {
+      // A sample is dated at the end of its interval, so replay shifts all requests by one
+      // interval.
+      long sampleIndex = toDeciMillis(outcome.startedAtMillis()) / SAMPLE_INTERVAL_DECI_MILLIS + 1;
+      long key = sampleIndex * proxies.size() + proxyIndex.get(outcome.proxy());
       int[] byClass = counts.computeIfAbsent(key, k -> new int[classNames.size()]);
       byClass[classNames.indexOf(outcome.requestClass())]++;
     }
@@ -138,7 +146,9 @@
         (key, byClass) ->
             samples.add(
                 new LoadSample.Arrivals(
-                    key / proxies.size() * SPAN, (int) (key % proxies.size()), byClass)));
+                    key / proxies.size() * SAMPLE_INTERVAL_DECI_MILLIS,
+                    (int) (key % proxies.size()),
+                    byClass)));
   }
 
   private static EndpointRecord.State state(String listed) {
--- a/src/main/java/stonespring/testbed/ScenarioRun.java
+++ b/src/main/java/stonespring/testbed/ScenarioRun.java
@@ -14,12 +14,14 @@
 import stonespring.recording.Recording;
 
 /**
- * Runs one scenario on loopback and has it judged: starts the fleet, injects the faults in time,
- * waits for the last answers. One run an object; all of it on the caller's thread.
+ * Runs a scenario on loopback: starts the fleet, injects the faults at their times, waits for the
+ * last answers, and checks the invariants. An object serves for one run, on the caller's thread.
  */
 public final class ScenarioRun {
   private static final Logger LOG = LoggerFactory.getLogger(ScenarioRun.class);
   private static final double MILLIS_PER_SECOND = 1000;
+
+  /** Wait beyond the longest request timeout for the last answers. */
   private static final double ANSWER_MARGIN_MILLIS = 1000;
 
   private final Scenario scenario;
@@ -30,11 +32,11 @@
   private final ScenarioFleet fleet;
 
   /**
-   * Prepares a run.
+   * Creates a run without starting it.
    *
-   * @param script the scenario's file, which the instances read as their settings
-   * @param seed of what is drawn: sizes, requests, what faults strike
-   * @param folder where the instances' logs and saved lists go
+   * @param script the scenario's script file, from which the instances also read their settings
+   * @param seed determines all random draws: proxy sizes, requests, and the targets of faults
+   * @param folder receives the instances' logs and cached endpoint lists
    */
   public ScenarioRun(Scenario scenario, Path script, long seed, Path folder) {
     this.scenario = scenario;
@@ -43,33 +45,37 @@
     this.fleet = new ScenarioFleet(scenario, evidence, timeline, new SplittableRandom(seed));
   }
 
-  /** Runs the scenario to its end and judges it. */
+  /**
+   * Runs the scenario to its end and checks its invariants.
+   *
+   * @throws ScenarioFailedException if it can't be run to its end
+   */
   public InvariantChecker.Verdict run() throws ScenarioFailedException, InterruptedException {
     try {
-      return runAndJudge();
+      return runAndCheck();
     } catch (InterruptedException | ScenarioFailedException e) {
       throw e;
     } catch (Exception e) {
-      LOG.error("the scenario broke off", e);
-      throw new ScenarioFailedException("the scenario broke off: " + e, e);
+      LOG.error("the scenario failed before its end: its invariants are not checked", e);
+      throw new ScenarioFailedException("the scenario failed before its end: " + e, e);
     } finally {
       fleet.close();
     }
   }
 
-  private InvariantChecker.Verdict runAndJudge() throws Exception {
+  private InvariantChecker.Verdict runAndCheck() throws Exception {
     double durationMillis = scenario.durationSeconds() * MILLIS_PER_SECOND;
     fleet.start(script, folder);
     timeline.start();
     fleet.startClients();
     FaultInjector injector = new FaultInjector(fleet, timeline);
     for (Scenario.Fault fault : scenario.faults()) {
-      timeline.at(fault.atMillis(), () -> injector.inject(fault));
+      timeline.scheduleAt(fault.atMillis(), () -> injector.inject(fault));
     }
-    timeline.play(durationMillis);
+    timeline.runUntil(durationMillis);
     fleet.stopClients();
     awaitAnswers();
-    return checker().judge(timeline.startedMillis() + durationMillis);
+    return createChecker().check(timeline.startedMillis() + durationMillis);
   }
 
   private void awaitAnswers() throws ScenarioFailedException, InterruptedException {
@@ -79,17 +85,18 @@
                 .max()
                 .orElse(0)
             / 10.0;
-    double until = evidence.now() + longestTimeoutMillis + ANSWER_MARGIN_MILLIS;
-    while (fleet.openRequests() > 0 && evidence.now() < until) {
+    double deadlineMillis = evidence.now() + longestTimeoutMillis + ANSWER_MARGIN_MILLIS;
+    while (fleet.openRequests() > 0 && evidence.now() < deadlineMillis) {
       Thread.sleep(5);
     }
     if (fleet.openRequests() > 0) {
       throw new ScenarioFailedException(
-          fleet.openRequests() + " requests had no final answer after their request timeout");
+          fleet.openRequests()
+              + " requests have no final answer although the longest request timeout has passed");
     }
   }
 
-  /** The load of the run as a recording; after {@link #run}. */
+  /** Returns the load of the run as a recording; to be called after {@link #run}. */
   public Recording recording(String name) {
     return new ScenarioRecorder(scenario, evidence, timeline.startedMillis())
         .recording(
@@ -99,7 +106,7 @@
                 .toList());
   }
 
-  private InvariantChecker checker() {
+  private InvariantChecker createChecker() {
     Settings settings = scenario.instance().settings();
     Map<String, InvariantChecker.RequestClassPolicy> policies = new LinkedHashMap<>();
     for (int k = 0; k < settings.requestClasses().size(); k++) {
@@ -121,8 +128,8 @@
     return new InvariantChecker(limits, policies, evidence);
   }
 
-  /** Makes a temporary folder for a run's files. */
-  public static Path folder() throws IOException {
+  /** Creates a temporary folder for the files of a run. */
+  public static Path createTemporaryFolder() throws IOException {
     return Files.createTempDirectory("stonespring-day");
   }
 }
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 
 /**
- * Observes commits and presence on a proxy's link, with a decoder of its own: nothing here is
- * shared with the product's decoders. Runs on the link's event loop.
+ * Records commits and presence that pass on the links of one proxy. It has its own decoder and
+ * shares no code with the product's decoders. Runs on the link's event loop.
  */
 final class WireTap implements FaultyLink.Tap {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** The link's listener for updates, towards the proxy. */
+  /** Index of the link's listener that carries updates to the proxy. */
   private static final int UPDATE_LISTENER = 1;
 
-  /** The link's listener for what the proxy publishes. */
+  /** Index of the link's listener that carries the keys that the proxy sets. */
   private static final int COLLECTOR_LISTENER = 2;
 
   private static final int UPDATE_FRAMES = 5;
@@ -28,7 +28,7 @@
   private final String proxy;
   private final Evidence evidence;
   private final Map<Long, WireTapFrameParser> parsers = new HashMap<>();
-  private final Set<Long> present = new HashSet<>();
+  private final Set<Long> presentConnections = new HashSet<>();
 
   WireTap(String proxy, Evidence evidence) {
     this.proxy = proxy;
@@ -37,23 +37,23 @@
 
   @Override
   public void bytesPassed(int listener, long connection, boolean towardsProxy, byte[] bytes) {
-    boolean updates = listener == UPDATE_LISTENER && towardsProxy;
-    boolean published = listener == COLLECTOR_LISTENER && !towardsProxy;
-    if (!updates && !published) {
+    boolean isUpdate = listener == UPDATE_LISTENER && towardsProxy;
+    boolean isPublished = listener == COLLECTOR_LISTENER && !towardsProxy;
+    if (!isUpdate && !isPublished) {
       return;
     }
     WireTapFrameParser parser =
         parsers.computeIfAbsent(connection, key -> new WireTapFrameParser());
     for (List<byte[]> message : parser.parse(bytes)) {
-      if (updates) {
-        updatePassed(message);
+      if (isUpdate) {
+        recordUpdate(message);
       } else {
-        publishedPassed(connection, message);
+        recordPublished(connection, message);
       }
     }
   }
 
-  private void updatePassed(List<byte[]> message) {
+  private void recordUpdate(List<byte[]> message) {
     if (message.size() == UPDATE_FRAMES
         && key(message).equals("/proxy/" + proxy + "/commit")
         && message.get(UPDATE_FRAMES - 1).length > 0) {
@@ -61,8 +61,8 @@
     }
   }
 
-  private void publishedPassed(long connection, List<byte[]> message) {
-    if (key(message).equals("/presence/" + proxy) && present.add(connection)) {
+  private void recordPublished(long connection, List<byte[]> message) {
+    if (key(message).equals("/presence/" + proxy) && presentConnections.add(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, true));
     }
   }
@@ -74,25 +74,25 @@
   @Override
   public void connectionClosed(int listener, long connection) {
     parsers.remove(connection);
-    if (present.remove(connection)) {
+    if (presentConnections.remove(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, false));
     }
   }
 
-  /** A proxy that can't be reached counts as disconnected until its presence passes again. */
+  /** Ends the session: the proxy is unreachable until its presence passes again. */
   @Override
   public void linkFrozen() {
-    if (!present.isEmpty()) {
-      present.clear();
+    if (!presentConnections.isEmpty()) {
+      presentConnections.clear();
       evidence.add(new Evidence.Session(evidence.now(), proxy, false));
     }
   }
 
   /**
-   * Adds what an instance's status says of its channel; an unreadable status counts as over the
-   * limit.
+   * Records the channel backlog from an instance's status. An unreadable status is recorded as a
+   * backlog over the limit.
    */
-  static void status(Evidence evidence, byte[] json) {
+  static void recordStatus(Evidence evidence, byte[] json) {
     try {
       JsonNode node = JSON.readTree(json);
       evidence.add(
--- a/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualFleet.java
@@ -27,52 +27,53 @@
 import stonespring.testbed.StandIns;
 
 /**
- * A fleet in virtual time that plays a recorded load: one instance with the real engine host,
- * proxies with the real routing, simulated endpoints. The same recording, policy and seed give the
- * same result. Times are in {@link DeciMillis}. Not thread-safe.
+ * A fleet that replays a recorded load in virtual time: one instance that runs the production
+ * engine host, proxies that run the production routing code, and simulated endpoints. The same
+ * recording, policy and seed give the same result. Times are in {@link DeciMillis}. Not
+ * thread-safe.
  */
 public final class VirtualFleet {
-  /** From the instance to a proxy and back, deci-milliseconds. */
-  static final long CHANNEL_ROUND_TRIP = 200;
+  /** Network round-trip time between the instance and a proxy. */
+  static final long CHANNEL_ROUND_TRIP_DECI_MILLIS = 200;
 
-  /** Time that a report takes to the instance while reports are not delayed, deci-milliseconds. */
-  private static final long REPORT_DELAY = 3_000;
+  /** Time until a report is processed by the instance, without recorded report delays. */
+  private static final long REPORT_DELAY_DECI_MILLIS = 3_000;
 
-  /** Proxies connect at instants drawn from the first so many deci-milliseconds. */
-  private static final long CONNECT_SPREAD = 5_000;
+  /** Proxies connect at random times from 0 up to this time. */
+  private static final long CONNECT_SPREAD_DECI_MILLIS = 5_000;
 
-  /** How long endpoints recognise a repeated idempotency key, deci-milliseconds. */
-  private static final long DEDUPLICATION_WINDOW = 2 * DeciMillis.SECOND;
+  /** How long endpoints recognize a repeated idempotency key. */
+  private static final long DEDUPLICATION_WINDOW_DECI_MILLIS = 2 * DeciMillis.SECOND;
 
   private static final String INSTANCE_NAME = "e";
-  private static final String PROXY_KEYS = "proxy";
+  private static final String PROXY_KEY_KIND = "proxy";
 
   private final EventQueue events = new EventQueue();
   private final Recording recording;
   private final Policy policy;
   private final long seed;
   private final SplittableRandom random;
-  private final PlayStatistics statistics;
+  private final ReplayStatistics statistics;
   private final Map<String, VirtualEndpoint> endpoints = new HashMap<>();
   private final Map<String, VirtualProxy> proxiesByName = new LinkedHashMap<>();
   private final List<VirtualProxy> proxies = new ArrayList<>();
   private final EngineHost host;
   private final Optional<WeightAdvisor> advisor;
-  private long extraReportDelay;
-  private long nextWakeUp = Long.MAX_VALUE;
-  private long plans;
+  private long extraReportDelayDeciMillis;
+  private long nextWakeUpAt = Long.MAX_VALUE;
+  private long planCount;
 
-  /** Creates a fleet at the start of a recording. */
+  /** Creates a fleet at the start of the recording. */
   public VirtualFleet(Recording recording, Policy policy, long seed) {
     this.recording = recording;
     this.policy = policy;
     this.seed = seed;
     this.random = new SplittableRandom(seed);
-    this.statistics = new PlayStatistics(recording.head().duration());
-    // The order of the steps from here is that of the random draws.
+    this.statistics = new ReplayStatistics(recording.head().duration());
+    // The order of the following steps determines the random draws: keep it.
     List<LoadSample> initial =
         recording.samples().stream().takeWhile(sample -> sample.at() == 0).toList();
-    List<EndpointRecord> listed = applyInitial(initial);
+    List<EndpointRecord> listed = applyInitialSamples(initial);
     Policy.PolicyEngine engine = policy.createEngine(settings(), random.nextLong(), 0);
     this.advisor = engine.advisor();
     this.host =
@@ -83,7 +84,7 @@
             INSTANCE_NAME,
             1,
             engine.engine(),
-            new Environment(),
+            new SimulatedEnvironment(),
             0);
     host.handleEndpointListUpdate(
         new Event.EndpointListUpdate(Event.ListUpdateKind.SNAPSHOT, listed), 0);
@@ -95,8 +96,8 @@
     runHost();
   }
 
-  /** Applies all that holds at the start but the endpoint list, and returns that. */
-  private List<EndpointRecord> applyInitial(List<LoadSample> initial) {
+  /** Applies the initial samples, except endpoint list entries, which are returned. */
+  private List<EndpointRecord> applyInitialSamples(List<LoadSample> initial) {
     List<EndpointRecord> listed = new ArrayList<>();
     for (LoadSample sample : initial) {
       if (sample instanceof LoadSample.EndpointListed record) {
@@ -111,7 +112,7 @@
   private void createProxies(List<EndpointRecord> listed) {
     RouterSettings routing =
         StandIns.routerSettings(
-            settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW);
+            settings(), requestClassNames(), requestClass -> DEDUPLICATION_WINDOW_DECI_MILLIS);
     for (Recording.ProxyInfo recorded : recording.head().proxies()) {
       VirtualProxy proxy =
           new VirtualProxy(
@@ -138,7 +139,7 @@
 
   private void scheduleConnect(VirtualProxy proxy) {
     events.scheduleAt(
-        random.nextLong(CONNECT_SPREAD),
+        random.nextLong(CONNECT_SPREAD_DECI_MILLIS),
         () -> {
           proxy.connect(host);
           runHost();
@@ -146,19 +147,23 @@
         });
   }
 
-  /** Delivers published keys to proxies. The endpoint list comes as recorded, asked for or not. */
-  private final class Environment implements HostEnvironment {
+  /**
+   * Delivers published keys to the proxies. Endpoint list updates follow the recording, whether the
+   * engine host requests them or not.
+   */
+  private final class SimulatedEnvironment implements HostEnvironment {
     @Override
     public void publish(List<KeyUpdate> updates) {
       for (KeyUpdate update : updates) {
-        String[] key = update.key().split("/", 4); // instance, kind, proxy, key of the proxy
-        if (key[1].equals(PROXY_KEYS) && proxiesByName.containsKey(key[2])) {
+        String[] key =
+            update.key().split("/", 4); // instance, kind, proxy, key relative to the proxy
+        if (key[1].equals(PROXY_KEY_KIND) && proxiesByName.containsKey(key[2])) {
           events.scheduleAfter(
-              CHANNEL_ROUND_TRIP / 2,
+              CHANNEL_ROUND_TRIP_DECI_MILLIS / 2,
               () -> proxiesByName.get(key[2]).receive(host, update, key[3]));
         }
       }
-      events.scheduleAfter(CHANNEL_ROUND_TRIP / 2, VirtualFleet.this::runHost);
+      events.scheduleAfter(CHANNEL_ROUND_TRIP_DECI_MILLIS / 2, VirtualFleet.this::runHost);
     }
 
     @Override
@@ -199,13 +204,13 @@
         && endpoints.containsKey(claimed.endpoint())) {
       endpoints.get(claimed.endpoint()).claimCapacity(claimed.multiple());
     } else if (sample instanceof LoadSample.ReportsDelayed delayed) {
-      extraReportDelay = delayed.delay();
+      extraReportDelayDeciMillis = delayed.delay();
     }
   }
 
   /**
-   * Schedules requests that were counted over the span before the sample in the span after it, as
-   * they can't be sent in the past.
+   * Schedules the requests of a sample at random times in the interval after it. They were counted
+   * in the interval before it, which lies in the past.
    */
   private void scheduleRequests(LoadSample.Arrivals arrivals) {
     for (int index = 0; index < arrivals.requests().length; index++) {
@@ -221,7 +226,7 @@
   private void sendReport(VirtualProxy proxy) {
     ProxyReport report = proxy.report(settings().reportInterval());
     events.scheduleAfter(
-        REPORT_DELAY + extraReportDelay,
+        REPORT_DELAY_DECI_MILLIS + extraReportDelayDeciMillis,
         () -> {
           host.handleReport(proxy.name(), report, proxy);
           runHost();
@@ -229,29 +234,29 @@
     events.scheduleAfter(settings().reportInterval(), () -> sendReport(proxy));
   }
 
-  /** Runs what is due at the instance, and schedules the next run. */
+  /** Runs the due work of the instance and schedules the next run. */
   private void runHost() {
-    Optional<Plan> before = plan();
-    long nextDue = host.runDue(events.now());
-    if (isNewPlan(before, plan())) {
-      plans++;
+    Optional<Plan> previousPlan = plan();
+    long nextDueAt = host.runDue(events.now());
+    if (isNewPlan(previousPlan, plan())) {
+      planCount++;
     }
-    if (nextDue < nextWakeUp || nextWakeUp <= events.now()) {
-      nextWakeUp = Math.max(nextDue, events.now() + 1);
-      long wakeUp = nextWakeUp;
+    if (nextDueAt < nextWakeUpAt || nextWakeUpAt <= events.now()) {
+      nextWakeUpAt = Math.max(nextDueAt, events.now() + 1);
+      long wakeUpAt = nextWakeUpAt;
       events.scheduleAt(
-          wakeUp,
+          wakeUpAt,
           () -> {
-            if (wakeUp == nextWakeUp) {
+            if (wakeUpAt == nextWakeUpAt) {
               runHost();
             }
           });
     }
   }
 
-  /** Plans are compared by identity: a round may make an equal one anew. */
-  private static boolean isNewPlan(Optional<Plan> before, Optional<Plan> after) {
-    return after.isPresent() && after.get() != before.orElse(null);
+  /** Compares plans by identity, because a new plan may equal the previous one. */
+  private static boolean isNewPlan(Optional<Plan> previous, Optional<Plan> current) {
+    return current.isPresent() && current.get() != previous.orElse(null);
   }
 
   private List<String> requestClassNames() {
@@ -264,7 +269,7 @@
     return events;
   }
 
-  PlayStatistics statistics() {
+  ReplayStatistics statistics() {
     return statistics;
   }
 
@@ -280,48 +285,55 @@
     return recording.head().requestClasses().get(requestClass.index());
   }
 
-  /** The endpoint of that name; empty if the recording never started one. */
+  /** Returns an endpoint; empty if it has not been started so far in the recording. */
   Optional<VirtualEndpoint> endpoint(EndpointId endpoint) {
     return Optional.ofNullable(endpoints.get(endpoint.name()));
   }
 
-  /** Plays on until an instant, or until the end of the recording if that is earlier. */
-  public void playTo(long until) {
+  /**
+   * Replays up to an instant, or to the end of the recording if that is earlier.
+   *
+   * @param until in deci-milliseconds since the start of the recording
+   */
+  public void replayUntil(long until) {
     events.runUntil(Math.min(until, recording.head().duration()));
   }
 
   /**
-   * The weight solver's last plan; empty if its last round brought none, or if the policy is
-   * without solver.
+   * Returns the plan of the weight solver's last round; empty if that round made none, or if the
+   * policy has no solver.
    */
   public Optional<Plan> plan() {
     return advisor.flatMap(WeightAdvisor::plan);
   }
 
-  /** Plays to the end of the recording, waits for pending requests, and returns the result. */
-  public PlayResult play() {
+  /**
+   * Replays to the end of the recording, continues for the longest request timeout so that pending
+   * requests end, and returns the result.
+   */
+  public ReplayResult replay() {
     long duration = recording.head().duration();
-    playTo(duration);
+    replayUntil(duration);
     long longestTimeout =
         recording.head().requestClasses().stream()
             .mapToLong(Recording.RequestClassInfo::timeout)
             .max()
             .orElse(0);
     events.runUntil(duration + longestTimeout);
-    return new PlayResult(
+    return new ReplayResult(
         policy,
         seed,
         statistics.windows(),
-        new PlayResult.AttemptTotals(
+        new ReplayResult.AttemptTotals(
             statistics.connections(),
             statistics.crossZoneFraction(),
             endpoints.values().stream()
                 .mapToDouble(VirtualEndpoint::peakWarmUpLoad)
                 .max()
                 .orElse(0)),
-        new PlayResult.RouteTotals(
+        new ReplayResult.RouteTotals(
             statistics.routeChanges(),
             proxies.stream().mapToDouble(VirtualProxy::secondsWithoutRoutes).sum(),
-            plans));
+            planCount));
   }
 }
--- a/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
+++ b/src/main/java/stonespring/testbed/virtual/VirtualProxy.java
@@ -25,16 +25,16 @@
 import stonespring.state.ProxyReport;
 
 /**
- * A proxy in virtual time: the real routing and the real reader of published keys, connected to an
- * instance without a network. Times are in {@link DeciMillis}.
+ * A proxy in virtual time. It runs the production code for routing and for reading published keys,
+ * and exchanges messages with the instance by method calls. Times are in {@link DeciMillis}.
  */
 final class VirtualProxy implements ProxyConnection {
   private static final String COMMIT_KEY = "commit";
   private static final String ROUTE_KEY_PREFIX = "line/";
   private static final RequestClassId FIRST_CLASS = new RequestClassId(0);
 
-  /** Longer than any recording, so that the proxy never counts as silent. */
-  private static final long SESSION_TIMEOUT = 24 * 3600 * DeciMillis.SECOND;
+  /** Longer than any recording, so the proxy's session never expires. */
+  private static final long SESSION_TIMEOUT_DECI_MILLIS = 24 * 3600 * DeciMillis.SECOND;
 
   private static final long NOT_WITHOUT_ROUTES = -1;
 
@@ -66,7 +66,7 @@
     return recorded.name();
   }
 
-  /** Position of the proxy's zone. */
+  /** Returns the index of the proxy's zone. */
   int zone() {
     return recorded.zone();
   }
@@ -83,7 +83,7 @@
     return connections;
   }
 
-  /** Seconds so far in which the proxy had no route. */
+  /** Returns the total time so far during which the proxy had no route, in seconds. */
   double secondsWithoutRoutes() {
     if (withoutRoutesSince == NOT_WITHOUT_ROUTES) {
       return secondsWithoutRoutes;
@@ -93,26 +93,27 @@
 
   @Override
   public void close(String cause) {
-    throw new IllegalStateException("instance closed the connection of " + name() + ": " + cause);
+    throw new IllegalStateException(
+        "the instance closed the connection of proxy " + name() + ": " + cause);
   }
 
-  /** Connects to an instance. */
+  /** Opens the proxy's session at the instance. */
   void connect(EngineHost host) {
     ProxyHello hello =
         new ProxyHello(
             "life",
             1,
             new ZoneId(recorded.zone()),
-            recorded.requestsPerSecond(),
+            recorded.usualRequestsPerSecond(),
             true,
             Optional.of(router.namedEndpoints().stream().map(EndpointId::new).toList()));
-    host.handleHello(name(), hello, SESSION_TIMEOUT, this, events.now());
+    host.handleHello(name(), hello, SESSION_TIMEOUT_DECI_MILLIS, this, events.now());
   }
 
   /**
    * Receives a published key.
    *
-   * @param key the key's part that is relative to this proxy
+   * @param key the key relative to this proxy
    */
   void receive(EngineHost host, KeyUpdate update, String key) {
     boolean deleted = update.value().length == 0;
@@ -122,11 +123,14 @@
         subscriber.handleKeyChange(key, value, isCommit ? CommitReader.read(update.value()) : null);
     if (step instanceof TableSubscriber.Step.Resync resync) {
       throw new IllegalStateException(
-          name() + " needs a resync on a lossless channel: " + resync.cause());
+          "proxy "
+              + name()
+              + " requested a resync on a channel that loses no messages: "
+              + resync.cause());
     }
-    if (step instanceof TableSubscriber.Step.Update whole) {
-      apply(whole);
-      acknowledge(host, whole);
+    if (step instanceof TableSubscriber.Step.Update tableUpdate) {
+      apply(tableUpdate);
+      acknowledge(host, tableUpdate);
     }
   }
 
@@ -134,7 +138,7 @@
     router.apply(update);
     fleet
         .statistics()
-        .routesChanged(
+        .addRouteChanges(
             update.changes().keySet().stream()
                 .filter(key -> key.startsWith(ROUTE_KEY_PREFIX))
                 .count());
@@ -154,11 +158,17 @@
     }
     ProxyAcknowledgement acknowledgement =
         new ProxyAcknowledgement(
-            update.stream(), new AckId(update.ackId()), VirtualFleet.CHANNEL_ROUND_TRIP);
+            update.stream(),
+            new AckId(update.ackId()),
+            VirtualFleet.CHANNEL_ROUND_TRIP_DECI_MILLIS);
     host.handleAcknowledgement(name(), acknowledgement, this, events.now());
   }
 
-  /** Reports what was observed since the last report, {@code interval} ago, and starts anew. */
+  /**
+   * Creates a report of the observations since the last report and resets the statistics.
+   *
+   * @param interval time since the last report, deci-milliseconds
+   */
   ProxyReport report(long interval) {
     List<ProxyReport.EndpointObservation> observations = new ArrayList<>();
     for (RequestStatistics.EndpointObservation observed : statistics.observations()) {
