--- a/src/main/java/stonespring/daemon/EndpointListRequests.java
+++ b/src/main/java/stonespring/daemon/EndpointListRequests.java
@@ -8,8 +8,8 @@
  */
 public interface EndpointListRequests {
   /**
-   * Starts or stops watching the endpoint list. A started watch always leads to an event, also if
-   * it fails.
+   * Starts or stops watching the endpoint list. A started watch always leads to an event, even if
+   * the watch fails.
    */
   void watchEndpoints(boolean enabled);
 
--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -149,7 +149,7 @@
         endpoints.applyUpdate(update);
       }
     } else if (event instanceof Event.TimerFired timer) {
-      timers.handleFired(timer.token());
+      timers.handleTimerFired(timer.token());
     }
     listWatcher.ensureWatch();
     timers.ensurePeriodicTimer();
@@ -184,8 +184,8 @@
     if (settings.fleet().sharded() || urgentUpdates.isEmpty() && !inRound) {
       return;
     }
-    estimates.traffic().refresh();
-    estimates.capacity().refresh();
+    estimates.traffic().updateRates();
+    estimates.capacity().updateCapacities();
     admission.updateLimits(inRound);
     if (inRound) {
       introducer.introduceEndpoints();
--- a/src/main/java/stonespring/decision/CapacityEstimator.java
+++ b/src/main/java/stonespring/decision/CapacityEstimator.java
@@ -87,7 +87,7 @@
    * of weight, reduced while the endpoint warms up. Until there are samples of utilization, the
    * current load is assumed to be {@link #TYPICAL_LOAD_RATIO} of the capacity.
    */
-  void refresh() {
+  void updateCapacities() {
     totalListedWeight = endpoints.sumOverReady(EndpointState::listedWeight);
     double assumedLoad = assumedLoad();
     for (EndpointState endpoint : endpoints.all()) {
--- a/src/main/java/stonespring/decision/EndpointIntroducer.java
+++ b/src/main/java/stonespring/decision/EndpointIntroducer.java
@@ -75,7 +75,7 @@
     exclusions.setExcluded(candidate, false);
     candidate.markIntroduced(clock.now());
     for (ProxyState proxy : proxies.all()) {
-      if (proxy.isTableAssigned() && !proxy.table().holds(candidate)) {
+      if (proxy.isTableAssigned() && !proxy.table().hasAppliedRouteTo(candidate)) {
         maybeReplaceRoute(proxy, candidate);
       }
     }
--- a/src/main/java/stonespring/decision/EngineTimers.java
+++ b/src/main/java/stonespring/decision/EngineTimers.java
@@ -22,7 +22,7 @@
   }
 
   /** Records that a timer fired. */
-  void handleFired(TimerToken token) {
+  void handleTimerFired(TimerToken token) {
     if (token.equals(PERIODIC_TIMER)) {
       periodicRunning = false;
     }
--- a/src/main/java/stonespring/decision/ExclusionNotifier.java
+++ b/src/main/java/stonespring/decision/ExclusionNotifier.java
@@ -101,7 +101,7 @@
    */
   private boolean costsEntry(ProxyState proxy, EndpointState endpoint) {
     return proxy.isTableAssigned()
-        ? proxy.table().holds(endpoint)
+        ? proxy.table().hasAppliedRouteTo(endpoint)
         : batch.entriesFor(proxy) < maxRouteCountOfUnknownTable();
   }
 
--- a/src/main/java/stonespring/decision/ProposalBlender.java
+++ b/src/main/java/stonespring/decision/ProposalBlender.java
@@ -41,7 +41,7 @@
 
   private boolean isMissing(ProxyState proxy, EndpointState endpoint) {
     return followsProposal(proxy, endpoint)
-        && !proxy.table().holds(endpoint)
+        && !proxy.table().hasAppliedRouteTo(endpoint)
         && !proxy.replacements().containsValue(endpoint);
   }
 
--- a/src/main/java/stonespring/decision/RouteSelector.java
+++ b/src/main/java/stonespring/decision/RouteSelector.java
@@ -94,7 +94,7 @@
             replacement ->
                 !replacement.getValue().isReady()
                     || !replacement.getKey().isReady()
-                    || !table.holds(replacement.getKey()));
+                    || !table.hasAppliedRouteTo(replacement.getKey()));
     for (Map.Entry<EndpointState, EndpointState> replacement : proxy.replacements().entrySet()) {
       EndpointState newEndpoint = replacement.getValue();
       Route replaced = table.find(replacement.getKey()).orElseThrow();
@@ -103,7 +103,7 @@
               / Math.max(CapacityEstimator.MIN_CAPACITY, replacement.getKey().capacity());
       double scaledTarget = replaced.target() * Math.min(1, capacityRatio);
       double currentTarget =
-          table.holds(newEndpoint)
+          table.hasAppliedRouteTo(newEndpoint)
               ? table.find(newEndpoint).orElseThrow().target()
               : Route.MIN_WEIGHT;
       Route route = table.setTarget(newEndpoint, Math.max(scaledTarget, currentTarget));
--- a/src/main/java/stonespring/decision/RouteTable.java
+++ b/src/main/java/stonespring/decision/RouteTable.java
@@ -31,7 +31,7 @@
   }
 
   /** Whether the table has an applied route to an endpoint. */
-  boolean holds(EndpointState endpoint) {
+  boolean hasAppliedRouteTo(EndpointState endpoint) {
     for (Route route : routes) {
       if (route.endpoint() == endpoint && route.isApplied()) {
         return true;
--- a/src/main/java/stonespring/decision/SlowStartGuard.java
+++ b/src/main/java/stonespring/decision/SlowStartGuard.java
@@ -73,10 +73,10 @@
    * Removes the targets of routes that exceed the budgets. A proxy that already uses such a route
    * is added to the urgent updates.
    */
-  void limitTargets(List<ProxyState> known, UrgentUpdates urgent) {
+  void limitTargets(List<ProxyState> plannedProxies, UrgentUpdates urgent) {
     Budgets budgets = computeBudgets();
     double admittedShare = admission.admittedTrafficShare();
-    for (ProxyState proxy : byPriority(known)) {
+    for (ProxyState proxy : byPriority(plannedProxies)) {
       boolean removed = true;
       while (removed) {
         removed = removeExcessTargets(proxy, budgets, admittedShare, urgent);
@@ -98,8 +98,8 @@
    * otherwise routes would move back and forth between proxies in each round. Within both groups,
    * proxies of few requests come first.
    */
-  private List<ProxyState> byPriority(List<ProxyState> known) {
-    List<ProxyState> sorted = new ArrayList<>(known);
+  private List<ProxyState> byPriority(List<ProxyState> plannedProxies) {
+    List<ProxyState> sorted = new ArrayList<>(plannedProxies);
     sorted.sort(
         Comparator.<ProxyState, Boolean>comparing(proxy -> !holdsWarmingEndpoint(proxy))
             .thenComparingDouble(ProxyState::averageRate));
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -57,7 +57,7 @@
    * Updates the rates. They are summed from the latest reports instead of averages: summed over all
    * proxies, the latest rates are steady enough, and they show a surge seconds earlier.
    */
-  void refresh() {
+  void updateRates() {
     connectedRate =
         proxies.all().stream()
             .mapToDouble(proxy -> proxy.isConnected() ? proxy.requestRate().latestRate() : 0)
--- a/src/main/java/stonespring/decision/UpdateScheduler.java
+++ b/src/main/java/stonespring/decision/UpdateScheduler.java
@@ -179,7 +179,7 @@
   }
 
   private boolean entersTable(ProxyState proxy, EndpointState newEndpoint) {
-    return !proxy.table().holds(newEndpoint) || endpoints.isWarm(newEndpoint);
+    return !proxy.table().hasAppliedRouteTo(newEndpoint) || endpoints.isWarm(newEndpoint);
   }
 
   /** Registers a move as waiting at each endpoint that has no headroom for it. */
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -61,11 +61,11 @@
   /**
    * Sets the targets of the adjustable proxies' routes.
    *
-   * @param known all proxies whose tables bring load
+   * @param plannedProxies all proxies whose tables send requests to endpoints
    * @param adjustable the proxies among them whose targets may change
    */
-  void optimize(List<ProxyState> known, List<ProxyState> adjustable) {
-    double[] load = plannedLoad(known);
+  void optimize(List<ProxyState> plannedProxies, List<ProxyState> adjustable) {
+    double[] load = plannedLoad(plannedProxies);
     double minSlope = minSlope();
     lateShares = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
@@ -82,13 +82,13 @@
    * Returns the requests per second by endpoint index: those of the targets, and those that other
    * instances send.
    */
-  private double[] plannedLoad(List<ProxyState> known) {
+  private double[] plannedLoad(List<ProxyState> plannedProxies) {
     double[] load = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
       double othersLoad = capacity.load(endpoint) - endpoint.statistics().attemptRate();
       load[endpoint.index()] = Math.max(0, othersLoad);
     }
-    for (ProxyState proxy : known) {
+    for (ProxyState proxy : plannedProxies) {
       for (Route route : proxy.table().routes()) {
         load[route.endpoint().index()] += proxy.averageRate() * route.target();
       }
--- a/src/main/java/stonespring/solver/ObservedEndpoint.java
+++ b/src/main/java/stonespring/solver/ObservedEndpoint.java
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Updates the smoothed capacity, requests per second, with the one that follows from a rate at
-   * the current utilization; returns the smoothed value.
+   * Updates the smoothed capacity, requests per second, with the capacity that follows from a rate
+   * at the current utilization; returns the smoothed value.
    */
   double updateSmoothedCapacity(double rate) {
     double retainedShare =
--- a/src/main/java/stonespring/solver/ProportionalFitter.java
+++ b/src/main/java/stonespring/solver/ProportionalFitter.java
@@ -6,7 +6,7 @@
  * the one closest to the existing weights.
  */
 final class ProportionalFitter {
-  /** Maximum number of scaling rounds in one fit; what is left is for new routes. */
+  /** Maximum number of scaling rounds in one fit; the remaining error is left to new routes. */
   private static final int MAX_ROUNDS = 24;
 
   /**
--- a/src/main/java/stonespring/solver/RendezvousSelector.java
+++ b/src/main/java/stonespring/solver/RendezvousSelector.java
@@ -24,8 +24,8 @@
   private static final double MIN_SELECTION_SHARE = 1e-9;
 
   /**
-   * Candidates beyond twice the number of routes; some endpoints that are warming up cannot take
-   * another proxy.
+   * Number of candidates in addition to twice the number of routes, because some endpoints that are
+   * warming up cannot take another proxy.
    */
   private static final int SPARE_CANDIDATES = 8;
 
--- a/src/main/java/stonespring/solver/RouteAdder.java
+++ b/src/main/java/stonespring/solver/RouteAdder.java
@@ -7,7 +7,7 @@
 /**
  * Adds routes to endpoints that scaling leaves below their target, where the gain exceeds the cost
  * of a new connection. A new route takes its rate from another route of the same proxy, whose
- * endpoint is above its target; the largest such rates are moved first.
+ * endpoint is above its target; routes that can give up the highest rates come first.
  */
 final class RouteAdder {
   /** Time, in seconds, that a new route is certain to exist, over which its gain is counted. */
--- a/src/test/java/stonespring/decision/RouteTableTest.java
+++ b/src/test/java/stonespring/decision/RouteTableTest.java
@@ -23,13 +23,13 @@
   }
 
   @Test
-  void plannedRouteIsNotHeldUntilApplied() {
+  void plannedRouteIsNotAppliedUntilItHasWeight() {
     EndpointState endpoint = createReady(0);
     Route route = table.setTarget(endpoint, 0.5);
-    assertFalse(table.holds(endpoint));
+    assertFalse(table.hasAppliedRouteTo(endpoint));
     assertTrue(table.isBroken(), "no route is applied");
     route.setWeight(0.5);
-    assertTrue(table.holds(endpoint));
+    assertTrue(table.hasAppliedRouteTo(endpoint));
     assertFalse(table.isBroken());
     assertSame(route, table.setTarget(endpoint, 0.7), "a table has one route per endpoint");
   }
