--- a/src/test/java/stonespring/recorded/RecordedDigests.java
+++ b/src/test/java/stonespring/recorded/RecordedDigests.java
@@ -13,19 +13,19 @@
 import java.util.HexFormat;
 
 /**
- * Digests of recorded output, held against a resource: one line for each recording, its name, how
- * many pieces it had, and the SHA-256 of all their bytes. Where they differ, what was found is left
- * in {@code target/} under the resource's name.
+ * Digests of recorded output, compared with a resource that has one line per recording: its name,
+ * its number of chunks and the SHA-256 of their concatenated bytes. The actual lines are written to
+ * {@code target/} under the resource's name. Not thread-safe.
  */
 public final class RecordedDigests {
-  private final StringBuilder found = new StringBuilder();
+  private final StringBuilder actual = new StringBuilder();
 
-  /** One recording's running digest. */
+  /** The number of chunks of one recording and the digest of their bytes so far. */
   public static final class Recording {
     private final MessageDigest digest;
-    private int pieces;
+    private int chunkCount;
 
-    /** Starts with nothing recorded. */
+    /** Creates an empty recording. */
     public Recording() {
       try {
         this.digest = MessageDigest.getInstance("SHA-256");
@@ -36,7 +36,7 @@
 
     public void add(byte[] bytes) {
       digest.update(bytes);
-      pieces++;
+      chunkCount++;
     }
 
     public void add(String text) {
@@ -44,28 +44,28 @@
     }
   }
 
-  /** Ends a recording. */
+  /** Adds the line of a completed recording; its digest must not be updated afterwards. */
   public void put(String name, Recording recording) {
-    found
+    actual
         .append(name)
         .append(' ')
-        .append(recording.pieces)
+        .append(recording.chunkCount)
         .append(' ')
         .append(HexFormat.of().formatHex(recording.digest.digest()))
         .append('\n');
   }
 
-  /** Compares all recordings with those that the resource holds. */
+  /** Asserts that the lines added are those of the resource, in the same order. */
   public void check(String resource) throws IOException {
-    Path left = Path.of("target", resource);
-    Files.createDirectories(left.getParent());
-    Files.writeString(left, found.toString());
+    Path actualFile = Path.of("target", resource);
+    Files.createDirectories(actualFile.getParent());
+    Files.writeString(actualFile, actual.toString());
     try (InputStream in = RecordedDigests.class.getResourceAsStream("/recorded/" + resource)) {
-      assertNotNull(in, "no resource /recorded/" + resource);
+      assertNotNull(in, "test resource /recorded/" + resource + " not found");
       assertEquals(
           new String(in.readAllBytes(), StandardCharsets.UTF_8),
-          found.toString(),
-          "what is recorded has changed");
+          actual.toString(),
+          "recorded output differs from /recorded/" + resource + "; actual digests: " + actualFile);
     }
   }
 }
