--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -234,9 +234,9 @@
   }
 
   /**
-   * Returns how many requests are lost for each request that a zone sends to an endpoint. The
-   * losses are those of zone crossing and the share of failed attempts, averaged over the request
-   * classes.
+   * Returns how many requests are lost for each request that a zone sends to an endpoint: the share
+   * of failed attempts, averaged over the request classes, plus the cost of zone crossing if the
+   * endpoint is in another zone.
    */
   double routeCost(int zone, int endpoint) {
     double failures = 0;
