--- a/src/main/java/stonespring/decision/AssignmentEngine.java
+++ b/src/main/java/stonespring/decision/AssignmentEngine.java
@@ -29,12 +29,12 @@
   private final ChannelBudget budget;
   private final EngineTimers timers;
   private final EndpointListWatcher listWatcher;
-  private final UrgentUpdates urgent;
+  private final UrgentUpdates urgentUpdates;
   private final AdmissionController admission;
   private final EndpointIntroducer introducer;
   private final ProposalBlender proposals;
-  private final RouteSelector routes;
-  private final WeightOptimizer weights;
+  private final RouteSelector routeSelector;
+  private final WeightOptimizer weightOptimizer;
   private final SlowStartGuard slowStart;
   private final InFlightMoves inFlight;
   private final TableUpdater updater;
@@ -46,7 +46,7 @@
    * Creates an engine that knows no endpoint and no proxy.
    *
    * @param seed the seed of the engine's random number generator
-   * @param now the present instant by the host's clock, in DeciMillis
+   * @param now the current time of the host's clock, in DeciMillis
    */
   public AssignmentEngine(Settings settings, long seed, long now) {
     this.settings = settings;
@@ -65,13 +65,14 @@
     listWatcher = new EndpointListWatcher(settings, clock, random, batch);
     ExclusionNotifier exclusions =
         new ExclusionNotifier(settings, clock, endpoints, proxies, batch, budget);
-    urgent = new UrgentUpdates(settings, clock, endpoints, proxies, cadence, budget, exclusions);
+    urgentUpdates =
+        new UrgentUpdates(settings, clock, endpoints, proxies, cadence, budget, exclusions);
     admission =
         new AdmissionController(settings, clock, endpoints, proxies, estimates, batch, budget);
     introducer = new EndpointIntroducer(clock, random, endpoints, proxies, capacity, exclusions);
     proposals = new ProposalBlender(clock, endpoints);
-    routes = new RouteSelector(settings, random, endpoints, estimates);
-    weights = new WeightOptimizer(settings, endpoints, capacity);
+    routeSelector = new RouteSelector(settings, random, endpoints, estimates);
+    weightOptimizer = new WeightOptimizer(settings, endpoints, capacity);
     OutlierEjectionModel ejection = new OutlierEjectionModel(settings.routing(), endpoints);
     slowStart = new SlowStartGuard(settings, endpoints, proxies, traffic, ejection, admission);
     inFlight = new InFlightMoves(clock);
@@ -137,8 +138,8 @@
 
   /**
    * Handles an event that is neither about a single proxy nor a report of outcomes. Also requests
-   * the endpoint list watch and starts the periodic timer where they do not run, and has the end of
-   * the batch check for urgent updates.
+   * the endpoint list watch and starts the periodic timer if they are not active, and makes the end
+   * of the batch check for urgent updates.
    */
   private void handleFleetEvent(Event event) {
     fleetChanged = true;
@@ -148,7 +149,7 @@
         endpoints.applyUpdate(update);
       }
     } else if (event instanceof Event.TimerFired timer) {
-      timers.handleFired(timer.token());
+      timers.handleTimerFired(timer.token());
     }
     listWatcher.ensureWatch();
     timers.ensurePeriodicTimer();
@@ -176,24 +177,25 @@
     if (inRound) {
       startRound();
     }
-    boolean postponed = urgent.selectDueUpdates();
+    boolean postponed = urgentUpdates.selectDueUpdates();
     if (postponed) {
       timers.ensureRetryTimer();
     }
-    if (settings.fleet().sharded() || urgent.isEmpty() && !inRound) {
+    if (settings.fleet().sharded() || urgentUpdates.isEmpty() && !inRound) {
       return;
     }
-    estimates.traffic().refresh();
-    estimates.capacity().refresh();
+    estimates.traffic().updateRates();
+    estimates.capacity().updateCapacities();
     admission.updateLimits(inRound);
     if (inRound) {
       introducer.introduceEndpoints();
       proxies.all().forEach(proposals::scheduleReplacement);
     }
     List<ProxyState> plannedProxies = setTargets(inRound);
-    urgent.sendSelected(updater);
+    urgentUpdates.sendSelected(updater);
     if (inRound) {
-      scheduler.runRound(plannedProxies.stream().filter(proxy -> !urgent.contains(proxy)).toList());
+      scheduler.runRound(
+          plannedProxies.stream().filter(proxy -> !urgentUpdates.contains(proxy)).toList());
     }
   }
 
@@ -211,7 +213,7 @@
   /**
    * Sets the target weights of all tables that this instance has assigned or assigns in this batch.
    * Between rounds, a table that is already assigned only has routes to unavailable endpoints
-   * replaced, because the reports are too old to adjust other weights by.
+   * replaced, because reports are then too old to adjust other weights.
    *
    * @return the proxies of these tables
    */
@@ -222,21 +224,21 @@
     List<ProxyState> plannedProxies = new ArrayList<>();
     List<ProxyState> adjustable = new ArrayList<>();
     for (ProxyState proxy : proxies.all()) {
-      if (!proxy.isTableAssigned() && !(proxy.isConnected() && urgent.contains(proxy))) {
+      if (!proxy.isTableAssigned() && !(proxy.isConnected() && urgentUpdates.contains(proxy))) {
         continue;
       }
       plannedProxies.add(proxy);
       if (inRound || !proxy.isTableAssigned()) {
         adjustable.add(proxy);
       }
-      routes.selectRoutes(proxy);
+      routeSelector.selectRoutes(proxy);
       for (Route route : proxy.table().routes()) {
         route.endpoint().addPlannedLoad(proxy.averageRate() * route.target());
       }
     }
-    weights.optimize(plannedProxies, adjustable);
+    weightOptimizer.optimize(plannedProxies, adjustable);
     adjustable.forEach(proposals::blendTargets);
-    slowStart.limitTargets(plannedProxies, urgent);
+    slowStart.limitTargets(plannedProxies, urgentUpdates);
     return plannedProxies;
   }
 }
--- a/src/main/java/stonespring/decision/TrafficEstimator.java
+++ b/src/main/java/stonespring/decision/TrafficEstimator.java
@@ -24,7 +24,7 @@
   private final Settings settings;
   private final EngineClock clock;
   private final ProxyRegistry proxies;
-  private boolean anyProxyVisible;
+  private boolean anyProxyInReports;
   private double reportedShare = Double.NaN;
   private double share = 1;
   private double connectedRate;
@@ -40,14 +40,14 @@
    * Updates the share of the fleet's traffic that reports cover, at the start of a round. The share
    * is smoothed because a newly connected proxy shows in reports late and gradually: when proxies
    * that all connected within a second were counted in full at once, endpoints appeared slower than
-   * they were and admission limits were lowered for it.
+   * they were and admission limits were lowered as a result.
    */
   void startRound() {
     Predicate<ProxyState> isInReports =
         proxy ->
             proxy.isConnected() && clock.since(proxy.connectedAt()) > CONNECT_TO_REPORT_DECI_MILLIS;
-    anyProxyVisible |= proxies.all().stream().anyMatch(isInReports);
-    if (anyProxyVisible) {
+    anyProxyInReports |= proxies.all().stream().anyMatch(isInReports);
+    if (anyProxyInReports) {
       double retention = ExponentialAverage.retentionOver(settings.reportInterval());
       reportedShare = ExponentialAverage.update(reportedShare, shareOf(isInReports), retention);
     }
@@ -57,7 +57,7 @@
    * Updates the rates. They are summed from the latest reports instead of averages: summed over all
    * proxies, the latest rates are steady enough, and they show a surge seconds earlier.
    */
-  void refresh() {
+  void updateRates() {
     connectedRate =
         proxies.all().stream()
             .mapToDouble(proxy -> proxy.isConnected() ? proxy.requestRate().latestRate() : 0)
@@ -70,8 +70,8 @@
   }
 
   /** Whether any proxy has been connected for long enough to show in reports. */
-  boolean hasVisibleProxies() {
-    return anyProxyVisible;
+  boolean hasProxyInReports() {
+    return anyProxyInReports;
   }
 
   /** Requests per second that the connected proxies receive. */
@@ -80,9 +80,9 @@
   }
 
   /**
-   * Requests per second of the connected proxies and of those that disconnected recently. The
-   * clients of the latter may move to other proxies, and endpoints that were lost together with
-   * them stay listed for some time.
+   * Requests per second of the connected proxies and of those that disconnected recently. Clients
+   * of a disconnected proxy may move to other proxies, and endpoints that were lost together with
+   * the proxy stay listed for some time.
    */
   double offeredRate() {
     return offeredRate;
--- a/src/main/java/stonespring/decision/WeightOptimizer.java
+++ b/src/main/java/stonespring/decision/WeightOptimizer.java
@@ -4,23 +4,23 @@
 import stonespring.model.Settings;
 
 /**
- * Sets the targets of routes so that requests go where one more of them causes the least loss. Each
- * route has a price: the marginal loss at the load of its endpoint, the failures and late answers
- * there, and the penalty for crossing zones. The targets of all tables are adjusted together, in
- * small steps towards equal prices.
+ * Sets the targets of routes so that requests go where an additional request causes the smallest
+ * loss. Each route has a price: the marginal loss at the load of its endpoint, the failures and
+ * late answers there, and the penalty for crossing zones. The targets of all tables are adjusted
+ * together, in small steps towards equal prices.
  */
 final class WeightOptimizer {
-  /** Number of steps for each table; after that many, targets change by less than one percent. */
+  /** Number of steps for each table; further steps change targets by less than one percent. */
   private static final int ITERATIONS = 40;
 
   /**
-   * The share of requests that is lost is half the fill to this power: half at full load, little at
-   * half load.
+   * Exponent of the load ratio in the share of lost requests, which is half the load ratio to this
+   * power: half of the requests at full load, few at half load.
    */
   private static final double LOSS_EXPONENT = 6;
 
-  /** Fill above which the loss no longer grows; keeps prices bounded. */
-  private static final double MAX_FILL = 1.2;
+  /** Ratio of load to capacity above which the loss no longer grows; keeps prices bounded. */
+  private static final double MAX_LOAD_RATIO = 1.2;
 
   /**
    * Price of a failed attempt, in requests: the request itself, and the time that the attempt took.
@@ -28,19 +28,22 @@
   private static final double FAILURE_PRICE = 1.5;
 
   /**
-   * Least slope of the loss, which limits the steps: reports are old, and other instances shift
-   * load between the same endpoints.
+   * Minimum slope of the loss, unless there is spare capacity. It limits the steps, because reports
+   * are old and other instances shift load between the same endpoints.
    */
-  private static final double MIN_SLOPE = 30;
+  private static final double DEFAULT_MIN_SLOPE = 30;
 
-  /** Exponent by which the least slope falls with the mean fill, relative to a typical one. */
+  /**
+   * Exponent of the mean load ratio, relative to the typical one, with which the minimum slope
+   * falls.
+   */
   private static final double SPARE_CAPACITY_EXPONENT = 4;
 
   /**
-   * Number of capacity readings before the estimate is trusted; the first ones show less load than
-   * there is.
+   * Number of capacity samples from which on the estimate is trusted; the first samples show less
+   * load than there is.
    */
-  private static final int SETTLING_READINGS = 20;
+  private static final int MIN_CAPACITY_SAMPLES = 20;
 
   private final Settings settings;
   private final EndpointRegistry endpoints;
@@ -58,11 +61,11 @@
   /**
    * Sets the targets of the adjustable proxies' routes.
    *
-   * @param known all proxies whose tables bring load
+   * @param plannedProxies all proxies whose tables send requests to endpoints
    * @param adjustable the proxies among them whose targets may change
    */
-  void optimize(List<ProxyState> known, List<ProxyState> adjustable) {
-    double[] load = plannedLoad(known);
+  void optimize(List<ProxyState> plannedProxies, List<ProxyState> adjustable) {
+    double[] load = plannedLoad(plannedProxies);
     double minSlope = minSlope();
     lateShares = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
@@ -79,13 +82,13 @@
    * Returns the requests per second by endpoint index: those of the targets, and those that other
    * instances send.
    */
-  private double[] plannedLoad(List<ProxyState> known) {
+  private double[] plannedLoad(List<ProxyState> plannedProxies) {
     double[] load = new double[endpoints.size()];
     for (EndpointState endpoint : endpoints.all()) {
       double othersLoad = capacity.load(endpoint) - endpoint.statistics().attemptRate();
       load[endpoint.index()] = Math.max(0, othersLoad);
     }
-    for (ProxyState proxy : known) {
+    for (ProxyState proxy : plannedProxies) {
       for (Route route : proxy.table().routes()) {
         load[route.endpoint().index()] += proxy.averageRate() * route.target();
       }
@@ -94,16 +97,16 @@
   }
 
   /**
-   * Returns the least slope. It is lower, for larger steps, while the fleet is known to have spare
-   * capacity. Near full load, or before that is known, large steps would send all tables to the
-   * same free capacity.
+   * Returns the minimum slope of the loss. It is lower, for larger steps, while the fleet is known
+   * to have spare capacity. Near full load, or before that is known, large steps would send all
+   * tables to the same free capacity.
    */
   private double minSlope() {
-    if (capacity.sampleCount() < SETTLING_READINGS) {
-      return MIN_SLOPE;
+    if (capacity.sampleCount() < MIN_CAPACITY_SAMPLES) {
+      return DEFAULT_MIN_SLOPE;
     }
-    double relativeFill = capacity.meanLoadRatio() / CapacityEstimator.TYPICAL_LOAD_RATIO;
-    return MIN_SLOPE * Math.min(1, Math.pow(relativeFill, SPARE_CAPACITY_EXPONENT));
+    double relativeLoadRatio = capacity.meanLoadRatio() / CapacityEstimator.TYPICAL_LOAD_RATIO;
+    return DEFAULT_MIN_SLOPE * Math.min(1, Math.pow(relativeLoadRatio, SPARE_CAPACITY_EXPONENT));
   }
 
   /** Moves the targets of one table by a step, and updates the planned load accordingly. */
@@ -148,9 +151,10 @@
     }
   }
 
-  /** Returns how many requests are lost for each additional one at an endpoint. */
+  /** Returns how many requests are lost for each additional request at an endpoint. */
   private static double marginalLoss(EndpointState endpoint, double load) {
-    double fill = endpoint.capacity() > 0 ? Math.min(MAX_FILL, load / endpoint.capacity()) : 0;
-    return (LOSS_EXPONENT + 1) * Math.pow(fill, LOSS_EXPONENT) / 2;
+    double loadRatio =
+        endpoint.capacity() > 0 ? Math.min(MAX_LOAD_RATIO, load / endpoint.capacity()) : 0;
+    return (LOSS_EXPONENT + 1) * Math.pow(loadRatio, LOSS_EXPONENT) / 2;
   }
 }
--- a/src/main/java/stonespring/solver/EndpointCredibility.java
+++ b/src/main/java/stonespring/solver/EndpointCredibility.java
@@ -11,7 +11,7 @@
    * Half-life of the proven rate, deci-milliseconds; a machine's capacity changes over minutes, not
    * seconds.
    */
-  private static final double PROVEN_HALF_LIFE = 60 * DeciMillis.SECOND;
+  private static final double PROVEN_RATE_HALF_LIFE_DECI_MILLIS = 60 * DeciMillis.SECOND;
 
   /**
    * Share of failed or late attempts below which an endpoint is healthy; some attempts always fail
@@ -20,8 +20,8 @@
   private static final double HEALTHY_FAILURE_SHARE = 0.1;
 
   /**
-   * Excess of an endpoint's failed or late share over the fleet's above which the endpoint is
-   * overloaded; more than chance produces.
+   * Excess of an endpoint's share of failed or late attempts over the fleet's share above which the
+   * endpoint is overloaded; random variation produces less.
    */
   private static final double OVERLOAD_EXCESS_FAILURE_SHARE = 0.3;
 
@@ -76,7 +76,9 @@
     return claims[source.ordinal()];
   }
 
-  /** Returns the claims, indexed by source. */
+  /**
+   * Returns the claims, indexed by the ordinal of their source; the array is shared, not a copy.
+   */
   CapacityClaim[] claims() {
     return claims;
   }
@@ -102,7 +104,7 @@
             + otherInstancesRate;
     double succeededRate = arrivedRate * (1 - Math.min(1, failedOrLate / Math.max(1, attempts)));
     double elapsedDeciMillis = Math.max(0, now - observedAt);
-    provenRate *= Math.pow(0.5, elapsedDeciMillis / PROVEN_HALF_LIFE);
+    provenRate *= Math.pow(0.5, elapsedDeciMillis / PROVEN_RATE_HALF_LIFE_DECI_MILLIS);
     observedAt = now;
     if (failedOrLateShare < HEALTHY_FAILURE_SHARE) {
       provenRate = Math.max(provenRate, succeededRate);
--- a/src/main/java/stonespring/state/RouteTables.java
+++ b/src/main/java/stonespring/state/RouteTables.java
@@ -19,15 +19,15 @@
  * Converts commands of the decision engine to updates for the affected proxies. It holds the route
  * tables, admission limits and exclusions that the engine commanded, and the assignment of tables
  * to connected proxies; it makes no decisions of its own. A command costs one entry at each
- * affected proxy, with two exceptions: clearing a table costs one for each removed route and limit,
- * and assigning a table that the proxy does not use yet costs one more for each route, exclusion
- * and limit sent with it. Not thread-safe.
+ * affected proxy, with two exceptions: clearing a table costs one entry for each removed route and
+ * limit, and assigning a table that the proxy does not use yet costs one additional entry for each
+ * route, exclusion and limit sent with it. Not thread-safe.
  */
 public final class RouteTables {
   private final int requestClassCount;
   private final TreeMap<Integer, ConnectedProxy> proxies = new TreeMap<>();
   private final Map<Integer, StoredTable> tables = new TreeMap<>();
-  private final Set<EndpointId> excluded = new HashSet<>();
+  private final Set<EndpointId> excludedEndpoints = new HashSet<>();
   private final AdmissionLimit[] limitsForAllTables;
 
   /**
@@ -66,12 +66,12 @@
 
   /** Whether an endpoint is excluded. */
   public boolean isExcluded(EndpointId endpoint) {
-    return excluded.contains(endpoint);
+    return excludedEndpoints.contains(endpoint);
   }
 
   /** Ends the exclusion of an endpoint without an update, once no proxy can use the endpoint. */
   public void discardExclusion(EndpointId endpoint) {
-    excluded.remove(endpoint);
+    excludedEndpoints.remove(endpoint);
   }
 
   /**
@@ -178,7 +178,7 @@
     for (Map.Entry<EndpointId, Double> route : table.weights().entrySet()) {
       EndpointId endpoint = route.getKey();
       update.addCounted(routeChange(table, endpoint, route.getValue()));
-      if (excluded.contains(endpoint)) {
+      if (excludedEndpoints.contains(endpoint)) {
         update.addCounted(new ProxyChange.ExclusionChange(endpoint, true));
       }
     }
@@ -188,12 +188,12 @@
   private void excludeEndpoint(Command.ExcludeEndpoint command, BatchUpdates updates) {
     EndpointId endpoint = command.endpoint();
     if (command.excluded()) {
-      excluded.add(endpoint);
+      excludedEndpoints.add(endpoint);
     } else {
-      excluded.remove(endpoint);
+      excludedEndpoints.remove(endpoint);
     }
     for (ConnectedProxy proxy : proxies.values()) {
-      if (proxy.mayUseByInitialTable(endpoint) || hasRouteTo(proxy, endpoint)) {
+      if (proxy.mayUseThroughInitialTable(endpoint) || hasRouteTo(proxy, endpoint)) {
         updates
             .forProxy(proxy)
             .addCounted(new ProxyChange.ExclusionChange(endpoint, command.excluded()));
@@ -293,7 +293,10 @@
       return forProxy(proxies.get(proxyNumber));
     }
 
-    /** Adds the pending limits for all tables to each update, and completes it. */
+    /**
+     * Builds the updates. Each update also gets those limits for all tables that its proxy does not
+     * have yet.
+     */
     List<ProxyUpdate> build(Optional<AckId> ack, long now) {
       List<ProxyUpdate> updates = new ArrayList<>();
       for (Map.Entry<Integer, ProxyUpdateBuilder> entry : builders.entrySet()) {
