--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -95,13 +95,13 @@
 
   private ProxySettings proxySettings(InstanceSettings instanceSettings)
       throws CommandFailedException {
-    RouterSettings routing =
+    RouterSettings routerSettings =
         StandIns.routerSettings(instanceSettings, RequestClass::latencyObjective);
     return new ProxySettings(
         name,
         zone,
         System.nanoTime(),
-        routing,
+        routerSettings,
         StandIns.requestTimeoutsMillis(instanceSettings),
         List.of(),
         USUAL_REQUESTS_PER_SECOND,
--- a/src/main/java/stonespring/recording/SampleReader.java
+++ b/src/main/java/stonespring/recording/SampleReader.java
@@ -40,7 +40,7 @@
       case SampleWords.CAPACITY_CLAIMED -> {
         checkSize(4);
         yield new LoadSample.CapacityClaimed(
-            at, readEndpoint(), readNumber(3, "times", MIN_FACTOR, MAX_FACTOR));
+            at, readEndpointName(), readNumber(3, "times", MIN_FACTOR, MAX_FACTOR));
       }
       case SampleWords.REPORTS_DELAYED -> {
         checkSize(3);
@@ -68,7 +68,7 @@
     position.check(SampleWords.isState(state), "state: unknown value " + row.get(5));
     return new LoadSample.EndpointListed(
         at,
-        readEndpoint(),
+        readEndpointName(),
         readZone(),
         readNumber(4, "weight", 0, MAX_WEIGHT),
         SampleWords.stateOf(state),
@@ -79,7 +79,7 @@
     checkSize(7);
     return new LoadSample.ProcessChanged(
         at,
-        readEndpoint(),
+        readEndpointName(),
         readZone(),
         (int) readInteger(4, "cores", 0, MAX_CORES),
         readNumber(5, "speed", MIN_FACTOR, MAX_FACTOR),
@@ -92,7 +92,7 @@
         row.get(KIND).asText() + ": expected " + expected + " elements, found " + row.size());
   }
 
-  private String readEndpoint() throws InvalidRecordingException {
+  private String readEndpointName() throws InvalidRecordingException {
     JsonNode name = row.get(FIRST_FIELD);
     position.check(
         name.isTextual() && !name.asText().isEmpty(),
--- a/src/main/java/stonespring/simulator/HostedInstance.java
+++ b/src/main/java/stonespring/simulator/HostedInstance.java
@@ -72,7 +72,7 @@
     }
     Event event = eventReader.read(message, lists);
     if (engine != null && failure == null) {
-      knownIds.add(event);
+      knownIds.addIdsOf(event);
       runEngine(() -> engine.handle(now, event));
     }
   }
--- a/src/main/java/stonespring/simulator/KnownIds.java
+++ b/src/main/java/stonespring/simulator/KnownIds.java
@@ -23,7 +23,7 @@
   }
 
   /** Adds the ids that an event introduces. */
-  void add(Event event) {
+  void addIdsOf(Event event) {
     if (event instanceof Event.EndpointListUpdate update) {
       update.endpoints().forEach(entry -> endpoints.add(entry.endpoint()));
     } else if (event instanceof Event.ShardRoute route) {
--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -11,29 +11,29 @@
 
 /** Packages have one job each and make no circles; what decides has no I/O, clock or thread. */
 final class ArchitectureTest {
-  private static final JavaClasses ALL =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("stonespring");
-  private static final String[] DECIDES = {
+  private static final String[] DECISION_PACKAGES = {
     "stonespring.decision..", "stonespring.proxy.routing..", "stonespring.solver.."
   };
 
-  private static void holds(ArchRule rule) {
-    rule.check(ALL);
+  private static void check(ArchRule rule) {
+    rule.check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void packagesMakeNoCircles() {
-    holds(SlicesRuleDefinition.slices().matching("stonespring.(**)").should().beFreeOfCycles());
+  void packageDependenciesHaveNoCycles() {
+    check(SlicesRuleDefinition.slices().matching("stonespring.(**)").should().beFreeOfCycles());
   }
 
   @Test
-  void whatDecidesHasNoOutside() {
-    holds(
+  void decisionCodeUsesNoIoClocksOrThreads() {
+    check(
         noClasses()
             .that()
-            .resideInAnyPackage(DECIDES)
+            .resideInAnyPackage(DECISION_PACKAGES)
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
@@ -52,10 +52,10 @@
             .orShould()
             .dependOnClassesThat()
             .haveFullyQualifiedName("java.lang.Thread"));
-    holds(
+    check(
         noClasses()
             .that()
-            .resideInAnyPackage(DECIDES)
+            .resideInAnyPackage(DECISION_PACKAGES)
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
@@ -63,8 +63,8 @@
   }
 
   @Test
-  void transportKnowsNothingOfTables() {
-    holds(
+  void transportsDoNotDependOnRoutingOrDaemons() {
+    check(
         noClasses()
             .that()
             .resideInAnyPackage(
@@ -84,8 +84,8 @@
   }
 
   @Test
-  void stateKnowsNoFrontAndNoSocket() {
-    holds(
+  void stateDoesNotDependOnProxyApisOrTransports() {
+    check(
         noClasses()
             .that()
             .resideInAnyPackage("stonespring.state..")
@@ -96,8 +96,8 @@
   }
 
   @Test
-  void theInvariantCheckerSharesNoCodeWithWhatDecides() {
-    holds(
+  void invariantCheckerSharesNoCodeWithCodeUnderTest() {
+    check(
         noClasses()
             .that()
             .haveSimpleNameStartingWith("InvariantChecker")
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -29,7 +29,7 @@
   void keepsInvariantsAfterEveryStepOfRandomRun(long seed) {
     HostSimulation simulation = new HostSimulation(seed, seed > 6);
     simulation.run(3000);
-    assertEquals(0, simulation.resyncs(), "no update is lost in virtual time");
+    assertEquals(0, simulation.lostUpdateCount(), "no update is lost in virtual time");
     assertTrue(simulation.hostStarts() > 1);
   }
 
--- a/src/test/java/stonespring/daemon/HostSimulation.java
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -48,7 +48,7 @@
 
   private static final int ZONES = 2;
   private static final int ENDPOINTS = 8;
-  private static final int PROXIES = 12;
+  private static final int PROXY_COUNT = 12;
   private static final int REQUEST_CLASSES = 2;
   private static final RequestClassId VIEW = new RequestClassId(0);
   private static final RequestClassId EXTRACT = new RequestClassId(1);
@@ -77,7 +77,7 @@
 
   private static Settings settings() {
     return new Settings(
-        new Settings.Fleet(1, ZONES, PROXIES, false),
+        new Settings.Fleet(1, ZONES, PROXY_COUNT, false),
         List.of(
             new RequestClass(RetrySafety.IDEMPOTENT, SECOND / 2, 3),
             new RequestClass(RetrySafety.NON_IDEMPOTENT, SECOND, 2)),
@@ -107,8 +107,8 @@
   }
 
   /** Returns how many updates the proxies have lost. */
-  int resyncs() {
-    return proxies.stream().mapToInt(SimulatedProxy::resyncs).sum();
+  int lostUpdateCount() {
+    return proxies.stream().mapToInt(SimulatedProxy::lostUpdateCount).sum();
   }
 
   /** Starts a host that replaces the previous one; all proxies lose their connections. */
@@ -244,7 +244,7 @@
     for (int i = 0; i < ENDPOINTS; i++) {
       addEndpoint("t" + i + "@h:" + (i + 1), i % ZONES);
     }
-    for (int i = 0; i < PROXIES; i++) {
+    for (int i = 0; i < PROXY_COUNT; i++) {
       addProxy("p" + i, i % ZONES);
     }
     startHost();
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -50,7 +50,7 @@
   private long streamNumber;
   private long connectedAt;
   private String stream = "";
-  private int resyncs;
+  private int lostUpdateCount;
 
   SimulatedProxy(String name, int zone, Settings.ChannelLimits channelLimits) {
     this.name = name;
@@ -84,8 +84,8 @@
   }
 
   /** Returns how many updates were lost. */
-  int resyncs() {
-    return resyncs;
+  int lostUpdateCount() {
+    return lostUpdateCount;
   }
 
   boolean isStarted() {
@@ -179,7 +179,7 @@
         pendingAcks.add(update.ackId());
       }
     } else if (step instanceof TableSubscriber.Step.Resync) {
-      resyncs++;
+      lostUpdateCount++;
       applySnapshot(host, now);
     }
   }
--- a/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
+++ b/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
@@ -26,13 +26,13 @@
 /** Tests the traffic estimates for many proxies with one or two requests per second each. */
 final class LowTrafficProxiesTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final int PROXIES = 120;
+  private static final int PROXY_COUNT = 120;
   private static final int ENDPOINTS = 12;
   private static final int CLASSES = 3;
   private static final double REQUEST_RATE = 0.6; // requests per second per proxy and class
 
   private final SplittableRandom random = new SplittableRandom(5);
-  private final long[][] reportedUntil = new long[PROXIES][CLASSES];
+  private final long[][] reportedUntil = new long[PROXY_COUNT][CLASSES];
   private final List<Double> limits = new ArrayList<>();
   private AssignmentEngine engine;
   private long now = 100 * SECOND;
@@ -41,7 +41,7 @@
     engine =
         new AssignmentEngine(
             new Settings(
-                new Settings.Fleet(instances, 1, PROXIES, false),
+                new Settings.Fleet(instances, 1, PROXY_COUNT, false),
                 List.of(
                     new RequestClass(RetrySafety.IDEMPOTENT, SECOND / 2, 1),
                     new RequestClass(RetrySafety.IDEMPOTENCY_KEYED, SECOND, 1),
@@ -139,7 +139,7 @@
   @ValueSource(ints = {1, 2})
   void estimatesTheMeanRateOfLowTrafficProxies(int instances) {
     startEngine(instances);
-    int proxyCount = PROXIES / instances;
+    int proxyCount = PROXY_COUNT / instances;
     for (int p = 0; p < proxyCount; p++) {
       connect(p, true);
     }
@@ -166,7 +166,7 @@
     double reportedRate = 0;
     for (int tenth = 1; tenth <= 80; tenth++) {
       now += SECOND / 10;
-      if (connected < PROXIES / 2) {
+      if (connected < PROXY_COUNT / 2) {
         connect(connected++, false);
       }
       if (tenth % 10 == 0) {
@@ -176,7 +176,7 @@
       }
       endBatch();
     }
-    assertTrue(connected == PROXIES / 2, "all of this instance's proxies have connected");
+    assertTrue(connected == PROXY_COUNT / 2, "all of this instance's proxies have connected");
     assertEquals(
         1,
         limits.stream().min(Double::compare).orElse(1.0),
@@ -190,31 +190,31 @@
   @Test
   void countsEarlierTrafficOfReconnectedProxies() {
     startEngine(1);
-    for (int p = 0; p < PROXIES; p++) {
+    for (int p = 0; p < PROXY_COUNT; p++) {
       connect(p, true);
     }
     for (int round = 0; round < 10; round++) {
       now += SECOND;
-      handleReports(0, PROXIES, 0.6);
+      handleReports(0, PROXY_COUNT, 0.6);
       endBatch();
     }
-    for (int p = 0; p < PROXIES / 2; p++) {
+    for (int p = 0; p < PROXY_COUNT / 2; p++) {
       engine.handle(now, new Event.ProxyDisconnected(new ProxyId(p)));
     }
     for (int round = 0; round < 120; round++) {
       now += SECOND;
-      handleReports(PROXIES / 2, PROXIES, 0.6);
+      handleReports(PROXY_COUNT / 2, PROXY_COUNT, 0.6);
       endBatch();
     }
     assertEquals(
         1,
         limits.stream().min(Double::compare).orElse(1.0),
         "the endpoints can serve the traffic of half of the proxies");
-    for (int p = 0; p < PROXIES / 2; p++) {
+    for (int p = 0; p < PROXY_COUNT / 2; p++) {
       connect(p, false);
     }
     now += SECOND;
-    handleReports(PROXIES / 2, PROXIES, 0.6);
+    handleReports(PROXY_COUNT / 2, PROXY_COUNT, 0.6);
     endBatch();
     assertTrue(
         limits.stream().min(Double::compare).orElse(1.0) < 1,
@@ -230,18 +230,18 @@
   private double runAndFindLowestLimit(boolean delayed) {
     limits.clear();
     startEngine(1);
-    for (int p = 0; p < PROXIES; p++) {
+    for (int p = 0; p < PROXY_COUNT; p++) {
       connect(p, true);
     }
     for (int round = 0; round < 15; round++) {
       now += SECOND;
-      handleReports(0, PROXIES, 0.6);
+      handleReports(0, PROXY_COUNT, 0.6);
       endBatch();
     }
     now += delayed ? 4 * SECOND : 0;
     for (int round = 0; round < 4; round++) {
       now += SECOND;
-      handleOutcomes(PROXIES * REQUEST_RATE * CLASSES, 0.6, 0.4);
+      handleOutcomes(PROXY_COUNT * REQUEST_RATE * CLASSES, 0.6, 0.4);
       endBatch();
     }
     return limits.stream().min(Double::compare).orElse(1.0);
@@ -253,9 +253,11 @@
    */
   @Test
   void reducesLimitsLessWhileReportsAreDelayed() {
-    double normal = runAndFindLowestLimit(false);
-    double delayed = runAndFindLowestLimit(true);
-    assertTrue(normal < 0.5, "lowest limit without delay " + normal);
-    assertTrue(delayed > 0.65, "lowest limit without delay " + normal + ", with delay " + delayed);
+    double limitWithoutDelay = runAndFindLowestLimit(false);
+    double limitWithDelay = runAndFindLowestLimit(true);
+    assertTrue(limitWithoutDelay < 0.5, "lowest limit without delay " + limitWithoutDelay);
+    assertTrue(
+        limitWithDelay > 0.65,
+        "lowest limit without delay " + limitWithoutDelay + ", with delay " + limitWithDelay);
   }
 }
--- a/src/test/java/stonespring/decision/MassReconnectTest.java
+++ b/src/test/java/stonespring/decision/MassReconnectTest.java
@@ -19,7 +19,7 @@
  * the platform, where the instance does not know the tables that connecting proxies hold.
  */
 final class MassReconnectTest {
-  private static final int PROXIES = 150; // the first tables of so many just fit the channel
+  private static final int PROXY_COUNT = 150; // the first tables of so many just fit the channel
   private static final int REMOVED_ENDPOINTS = 30; // endpoints that the release removes
 
   /** Acknowledgements by the number of sent entries up to the acknowledged message. */
@@ -75,7 +75,7 @@
   }
 
   private static void connectAll(Fleet fleet) {
-    for (int i = 3; i < PROXIES; i++) {
+    for (int i = 3; i < PROXY_COUNT; i++) {
       fleet.connect(i, i % 2, 2, false);
     }
   }
@@ -138,7 +138,7 @@
     assertTrue(
         blocked,
         "without acknowledgements the channel counts as full, so routes to removed endpoints remain");
-    for (int i = 3; i < PROXIES; i++) {
+    for (int i = 3; i < PROXY_COUNT; i++) {
       fleet.disconnect(i);
     }
     List<String> names = new ArrayList<>(fleet.shares(0).keySet());
--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -34,12 +34,12 @@
  */
 final class RecordedCommandsTest {
   private static final long SECOND = DeciMillis.SECOND;
-  private static final long STEP = SECOND / 10;
-  private static final int STEPS = 320; // 32 s
-  private static final int PROXIES = 8;
-  private static final int ENDPOINTS = 10;
+  private static final long STEP_DECI_MILLIS = SECOND / 10;
+  private static final int STEP_COUNT = 320; // 32 s
+  private static final int PROXY_COUNT = 8;
+  private static final int ENDPOINT_COUNT = 10;
   private static final double CAPACITY = 40; // requests per second that one endpoint can serve
-  private static final int SEEDS = 2;
+  private static final int SEED_COUNT = 2;
 
   /** A change that a scenario applies to the fleet before each step. */
   private interface FleetChange {
@@ -76,7 +76,7 @@
     private final Map<String, Double> extraFailures = new HashMap<>();
     private long reportDelay = SECOND / 5;
     private long seed;
-    private int nextEndpoint = ENDPOINTS;
+    private int nextEndpoint = ENDPOINT_COUNT;
     private int stepsPerAcknowledgement = 2;
     private int commandCount;
 
@@ -103,12 +103,12 @@
     }
 
     void setUp() {
-      for (int i = 0; i < ENDPOINTS; i++) {
+      for (int i = 0; i < ENDPOINT_COUNT; i++) {
         fleet.endpoints.put(
             name(i), Fleet.endpointRecord(name(i), i % 2, EndpointRecord.State.READY, 0));
       }
       startEngine();
-      for (int i = 0; i < PROXIES; i++) {
+      for (int i = 0; i < PROXY_COUNT; i++) {
         fleet.connect(i, i % 2, 4 + random.nextInt(45), i % 3 != 2);
       }
     }
@@ -156,7 +156,7 @@
 
     void simulate(FleetChange change) {
       setUp();
-      for (int step = 0; step < STEPS; step++) {
+      for (int step = 0; step < STEP_COUNT; step++) {
         change.applyBefore(this, step);
         if (step % 10 == 9) {
           report();
@@ -167,7 +167,7 @@
         if (step % stepsPerAcknowledgement == 0) {
           fleet.acknowledgeAll();
         }
-        commandCount += fleet.step(STEP).size();
+        commandCount += fleet.step(STEP_DECI_MILLIS).size();
       }
     }
   }
@@ -193,7 +193,7 @@
   }
 
   private static void replacedEndpoints(Run run, int step) {
-    if (step % 30 == 20 && step / 30 < ENDPOINTS) {
+    if (step % 30 == 20 && step / 30 < ENDPOINT_COUNT) {
       run.replace(step / 30, step % 60 == 20);
     }
   }
@@ -206,7 +206,7 @@
           .toList()
           .forEach(run.fleet::disconnect);
     }
-    for (int i = 0; i < ENDPOINTS; i += 2) {
+    for (int i = 0; i < ENDPOINT_COUNT; i += 2) {
       if (step == 120) {
         run.fleet.updateEndpoint(Run.name(i), 0, EndpointRecord.State.REMOVED, 0);
       } else if (step == 180) {
@@ -264,10 +264,11 @@
     surge(run, step);
     replacedEndpoints(run, step);
     if (step % 40 == 15) {
-      for (int p = 0; p < PROXIES; p += 2) {
+      for (int p = 0; p < PROXY_COUNT; p += 2) {
         List<Event.WeightsProposed.Share> shares = new ArrayList<>();
         for (int i = p; i < p + 5; i++) {
-          shares.add(new Event.WeightsProposed.Share(new EndpointId(Run.name(i % ENDPOINTS)), 0.2));
+          shares.add(
+              new Event.WeightsProposed.Share(new EndpointId(Run.name(i % ENDPOINT_COUNT)), 0.2));
         }
         run.fleet.events.add(new Event.WeightsProposed(new ProxyId(p), shares));
       }
@@ -318,7 +319,7 @@
           .forEach(run.fleet::disconnect);
     }
     if (step > 100 && step < 140 && step % 3 == 0 || step > 145 && step % 5 == 0) {
-      int number = run.random.nextInt(PROXIES + 6);
+      int number = run.random.nextInt(PROXY_COUNT + 6);
       if (!run.fleet.proxies.containsKey(number) || !run.fleet.proxies.get(number).connected) {
         run.fleet.connect(number, number % 2, 10 + number, run.random.nextBoolean());
       }
@@ -331,7 +332,8 @@
     if (step % 25 == 5) {
       RouteTableId shard = new RouteTableId(step / 25);
       events.add(new Event.ShardOwnership(shard, step % 50 == 5));
-      events.add(new Event.ShardRoute(shard, new EndpointId(Run.name(step / 25 % ENDPOINTS)), 1));
+      events.add(
+          new Event.ShardRoute(shard, new EndpointId(Run.name(step / 25 % ENDPOINT_COUNT)), 1));
       events.add(new Event.ShardRequestRate(shard, new RequestClassId(0), 40, 1, SECOND));
     }
     replacedEndpoints(run, step);
@@ -374,56 +376,60 @@
   }
 
   private static List<Scenario> trafficScenarios() {
-    Settings byFraction = settings(AdmissionLimitKind.FRACTION);
-    Settings byRate = settings(AdmissionLimitKind.RATE);
-    Settings unlimited = settings(AdmissionLimitKind.NONE);
-    Settings unlimitedMessages = new FleetSettings().maxMessages(0).bootstrapRoutes(0).build();
+    Settings fractionLimitSettings = settings(AdmissionLimitKind.FRACTION);
+    Settings rateLimitSettings = settings(AdmissionLimitKind.RATE);
+    Settings noLimitSettings = settings(AdmissionLimitKind.NONE);
+    Settings unlimitedMessageSettings =
+        new FleetSettings().maxMessages(0).bootstrapRoutes(0).build();
     return List.of(
-        new Scenario("calm", byFraction, RecordedCommandsTest::steadyTraffic),
-        new Scenario("surge", byFraction, RecordedCommandsTest::surge),
-        new Scenario("overload", byFraction, RecordedCommandsTest::overload),
-        new Scenario("overload-rates", byRate, RecordedCommandsTest::overload),
-        new Scenario("overload-no-limits", unlimited, RecordedCommandsTest::overload),
+        new Scenario("calm", fractionLimitSettings, RecordedCommandsTest::steadyTraffic),
+        new Scenario("surge", fractionLimitSettings, RecordedCommandsTest::surge),
+        new Scenario("overload", fractionLimitSettings, RecordedCommandsTest::overload),
+        new Scenario("overload-rates", rateLimitSettings, RecordedCommandsTest::overload),
+        new Scenario("overload-no-limits", noLimitSettings, RecordedCommandsTest::overload),
         new Scenario(
-            "overload-unlimited-messages", unlimitedMessages, RecordedCommandsTest::overload));
+            "overload-unlimited-messages",
+            unlimitedMessageSettings,
+            RecordedCommandsTest::overload));
   }
 
   private static List<Scenario> changingFleetScenarios() {
-    Settings byFraction = settings(AdmissionLimitKind.FRACTION);
-    Settings byRate = settings(AdmissionLimitKind.RATE);
+    Settings fractionLimitSettings = settings(AdmissionLimitKind.FRACTION);
+    Settings rateLimitSettings = settings(AdmissionLimitKind.RATE);
     Settings narrow = narrowChannel();
     Settings onSockets = narrow.withPlatformConstraints();
     return List.of(
-        new Scenario("drains", byFraction, RecordedCommandsTest::replacedEndpoints),
+        new Scenario("drains", fractionLimitSettings, RecordedCommandsTest::replacedEndpoints),
         new Scenario("drains-narrow", narrow, RecordedCommandsTest::replacedEndpoints),
         new Scenario(
             "drains-on-sockets",
-            byFraction.withPlatformConstraints(),
+            fractionLimitSettings.withPlatformConstraints(),
             RecordedCommandsTest::replacedEndpoints),
-        new Scenario("lost-zone", byFraction, RecordedCommandsTest::lostZone),
+        new Scenario("lost-zone", fractionLimitSettings, RecordedCommandsTest::lostZone),
         new Scenario("lost-zone-narrow", narrow, RecordedCommandsTest::lostZone),
-        new Scenario("restarts", byFraction, RecordedCommandsTest::restarts),
+        new Scenario("restarts", fractionLimitSettings, RecordedCommandsTest::restarts),
         new Scenario("restarts-on-sockets", onSockets, RecordedCommandsTest::restarts),
-        new Scenario("warm-up", byFraction, RecordedCommandsTest::warmUp),
-        new Scenario("warm-up-rates", byRate, RecordedCommandsTest::warmUp));
+        new Scenario("warm-up", fractionLimitSettings, RecordedCommandsTest::warmUp),
+        new Scenario("warm-up-rates", rateLimitSettings, RecordedCommandsTest::warmUp));
   }
 
   private static List<Scenario> otherScenarios() {
-    Settings byFraction = settings(AdmissionLimitKind.FRACTION);
+    Settings fractionLimitSettings = settings(AdmissionLimitKind.FRACTION);
     Settings narrow = narrowChannel();
     Settings onSockets = narrow.withPlatformConstraints();
     Settings watched = new FleetSettings().bootstrapRoutes(5).watchRequired().build();
     Settings keepServing = new FleetSettings().bootstrapRoutes(5).removedKeepServing(true).build();
     Settings threeInstances = new FleetSettings().instances(3).bootstrapRoutes(5).build();
     return List.of(
-        new Scenario("late-reports", byFraction, RecordedCommandsTest::lateReports),
+        new Scenario("late-reports", fractionLimitSettings, RecordedCommandsTest::lateReports),
         new Scenario("late-reports-narrow", narrow, RecordedCommandsTest::lateReports),
-        new Scenario("bad-endpoints", byFraction, RecordedCommandsTest::failingEndpoints),
-        new Scenario("proposals", byFraction, RecordedCommandsTest::proposals),
-        new Scenario("advised", byFraction, RecordedCommandsTest::solverAdvice),
+        new Scenario(
+            "bad-endpoints", fractionLimitSettings, RecordedCommandsTest::failingEndpoints),
+        new Scenario("proposals", fractionLimitSettings, RecordedCommandsTest::proposals),
+        new Scenario("advised", fractionLimitSettings, RecordedCommandsTest::solverAdvice),
         new Scenario("lists", watched, RecordedCommandsTest::listFailuresAndSnapshots),
         new Scenario("wrong-list", keepServing, RecordedCommandsTest::listWithoutServingEndpoints),
-        new Scenario("herd", byFraction, RecordedCommandsTest::massReconnect),
+        new Scenario("herd", fractionLimitSettings, RecordedCommandsTest::massReconnect),
         new Scenario("herd-on-sockets", onSockets, RecordedCommandsTest::massReconnect),
         new Scenario("shards", sharded(), RecordedCommandsTest::shardEvents),
         new Scenario("three-instances", threeInstances, RecordedCommandsTest::peerMessages));
@@ -433,7 +439,7 @@
   void seededRunsIssueRecordedCommands() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     for (Scenario scenario : scenarios()) {
-      for (long seed = 1; seed <= SEEDS; seed++) {
+      for (long seed = 1; seed <= SEED_COUNT; seed++) {
         Run run = new Run(scenario.settings(), seed);
         run.simulate(scenario.change());
         assertTrue(
--- a/src/test/java/stonespring/decision/ScaleOutSimulation.java
+++ b/src/test/java/stonespring/decision/ScaleOutSimulation.java
@@ -114,9 +114,9 @@
     available
         .keySet()
         .removeIf(name -> ejectedUntil.getOrDefault(proxy.number + name, 0L) > fleet.now);
-    TreeMap<String, Double> used = available.isEmpty() ? shares : available;
-    double sum = used.values().stream().mapToDouble(w -> w).sum();
-    for (Map.Entry<String, Double> e : used.entrySet()) {
+    TreeMap<String, Double> usedShares = available.isEmpty() ? shares : available;
+    double sum = usedShares.values().stream().mapToDouble(w -> w).sum();
+    for (Map.Entry<String, Double> e : usedShares.entrySet()) {
       double routeAttempts = attempts * e.getValue() / sum;
       double failureShare = failureShares.getOrDefault(e.getKey(), 0.0);
       load.merge(e.getKey(), routeAttempts, Double::sum);
--- a/src/test/java/stonespring/decision/UpdateSchedulingTest.java
+++ b/src/test/java/stonespring/decision/UpdateSchedulingTest.java
@@ -70,13 +70,13 @@
   void movesLargeProxyOffFailingEndpoint() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 8, 200, 3);
     fleet.runRounds(4, 0.05, Map.of());
-    String failing = fleet.shares(0).firstKey();
-    double before = fleet.load(failing);
+    String failingEndpoint = fleet.shares(0).firstKey();
+    double before = fleet.load(failingEndpoint);
     for (int i = 0; i < 12; i++) {
-      fleet.runRounds(1, 0.05, Map.of(failing, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
+      fleet.runRounds(1, 0.05, Map.of(failingEndpoint, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
     }
     assertTrue(
-        fleet.load(failing) < 0.9 * before,
-        "load of the failing endpoint went from " + before + " to " + fleet.load(failing));
+        fleet.load(failingEndpoint) < 0.9 * before,
+        "load of the failing endpoint went from " + before + " to " + fleet.load(failingEndpoint));
   }
 }
--- a/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/RecordedBytesTest.java
@@ -41,7 +41,7 @@
  */
 final class RecordedBytesTest {
   private static final List<String> REQUEST_CLASSES = List.of("look", "buy", "pay/now");
-  private static final int PROXIES = 4;
+  private static final int PROXY_COUNT = 4;
   private static final int STEPS = 600;
   private static final String SETTINGS =
       """
@@ -53,10 +53,10 @@
           .replace("\n", "");
 
   private static Command command(SplittableRandom random) {
-    RouteTableId table = new RouteTableId(random.nextInt(PROXIES));
+    RouteTableId table = new RouteTableId(random.nextInt(PROXY_COUNT));
     EndpointId endpoint =
         new EndpointId("s-" + random.nextInt(9) + (random.nextInt(5) == 0 ? "/a" : ""));
-    int mask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
+    int requestClassMask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
     return switch (random.nextInt(10)) {
       case 0, 1, 2, 3 ->
           new Command.SetRoute(
@@ -65,12 +65,14 @@
           random.nextInt(5) == 0
               ? new Command.ClearRouteTable(table)
               : new Command.SetRoute(table, endpoint, 1e-5);
-      case 5, 6 -> new Command.AssignRouteTable(table, new ProxyId(random.nextInt(PROXIES)), mask);
+      case 5, 6 ->
+          new Command.AssignRouteTable(
+              table, new ProxyId(random.nextInt(PROXY_COUNT)), requestClassMask);
       case 7 -> new Command.ExcludeEndpoint(endpoint, random.nextBoolean());
       default ->
           new Command.LimitAdmission(
               random.nextBoolean() ? Command.ALL_TABLES : table,
-              mask,
+              requestClassMask,
               RetryPolicy.values()[random.nextInt(4)],
               random.nextInt(9) / 8.0);
     };
@@ -91,7 +93,7 @@
   void writesRecordedMessagesToPlatformProxies() throws IOException {
     RecordedDigests digests = new RecordedDigests();
     PlatformMessageCodec codec =
-        new PlatformMessageCodec(new NameTable(List.of(), REQUEST_CLASSES), PROXIES);
+        new PlatformMessageCodec(new NameTable(List.of(), REQUEST_CLASSES), PROXY_COUNT);
     for (long seed = 1; seed <= 4; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       RouteTables tables = new RouteTables(REQUEST_CLASSES.size());
@@ -99,7 +101,7 @@
       Map<Integer, Set<EndpointId>> excluded = new LinkedHashMap<>();
       RecordedDigests.Recording recording = new RecordedDigests.Recording();
       for (int step = 0; step < STEPS; step++) {
-        int proxy = random.nextInt(PROXIES);
+        int proxy = random.nextInt(PROXY_COUNT);
         if (!routeStates.containsKey(proxy) || random.nextInt(30) == 0) {
           tables.addProxy(new ProxyId(proxy), Optional.empty());
           routeStates.put(
@@ -141,14 +143,14 @@
     for (long seed = 1; seed <= 4; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       RouteTables tables = new RouteTables(REQUEST_CLASSES.size());
-      ProxySessions<String> sessions = new ProxySessions<>(PROXIES);
+      ProxySessions<String> sessions = new ProxySessions<>(PROXY_COUNT);
       PublishedState published =
           new PublishedState(
               new KeyStore(50, 4000), new PublishedKeyCodec(REQUEST_CLASSES), "e" + seed, sessions);
       RecordedDigests.Recording recording = new RecordedDigests.Recording();
-      boolean[] connected = new boolean[PROXIES];
+      boolean[] connected = new boolean[PROXY_COUNT];
       for (int step = 0; step < STEPS; step++) {
-        int number = random.nextInt(PROXIES);
+        int number = random.nextInt(PROXY_COUNT);
         if (!connected[number] || random.nextInt(30) == 0) {
           Optional<List<EndpointId>> endpoints =
               random.nextBoolean()
--- a/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
@@ -33,9 +33,9 @@
  */
 final class SimulatorEquivalenceTest {
   private static final List<String> REQUEST_CLASSES = List.of("look", "buy", "pay");
-  private static final int PROXIES = 4;
+  private static final int PROXY_COUNT = 4;
   private static final PlatformMessageCodec CODEC =
-      new PlatformMessageCodec(new NameTable(List.of(), REQUEST_CLASSES), PROXIES);
+      new PlatformMessageCodec(new NameTable(List.of(), REQUEST_CLASSES), PROXY_COUNT);
   private static final int ENDPOINTS = 7;
 
   private record Limit(double share, int retryCode) {}
@@ -231,7 +231,7 @@
   }
 
   private static Command command(SplittableRandom random) {
-    RouteTableId table = new RouteTableId(random.nextInt(PROXIES));
+    RouteTableId table = new RouteTableId(random.nextInt(PROXY_COUNT));
     EndpointId endpoint = new EndpointId("s-" + random.nextInt(ENDPOINTS));
     int mask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
     return switch (random.nextInt(9)) {
@@ -241,7 +241,8 @@
           random.nextInt(6) == 0
               ? new Command.ClearRouteTable(table)
               : new Command.SetRoute(table, endpoint, 0.001);
-      case 4, 5 -> new Command.AssignRouteTable(table, new ProxyId(random.nextInt(PROXIES)), mask);
+      case 4, 5 ->
+          new Command.AssignRouteTable(table, new ProxyId(random.nextInt(PROXY_COUNT)), mask);
       case 6 -> new Command.ExcludeEndpoint(endpoint, random.nextBoolean());
       default ->
           new Command.LimitAdmission(
@@ -268,7 +269,7 @@
     }
 
     void step(int step) {
-      int number = random.nextInt(PROXIES);
+      int number = random.nextInt(PROXY_COUNT);
       if (!routeStates.containsKey(number) || random.nextInt(40) == 0) {
         connect(number);
       }
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -26,21 +26,21 @@
  * again.
  */
 final class StoredDataTest {
-  private static final Path STORED = Path.of("src/test/resources/stored");
+  private static final Path STORED_FILES = Path.of("src/test/resources/stored");
   private static final List<String> ZONES = List.of("west", "east");
   @TempDir private Path folder;
 
   /** Every value of the settings, by position: no name of a field is part of it. */
-  private static String values(Settings s) {
+  private static String describeValues(Settings s) {
     StringBuilder classes = new StringBuilder();
-    for (RequestClass type : s.requestClasses()) {
+    for (RequestClass requestClass : s.requestClasses()) {
       classes
           .append('(')
-          .append(type.retrySafety().ordinal())
+          .append(requestClass.retrySafety().ordinal())
           .append(' ')
-          .append(type.latencyObjective())
+          .append(requestClass.latencyObjective())
           .append(' ')
-          .append(type.priorityWeight())
+          .append(requestClass.priorityWeight())
           .append(')');
     }
     return String.join(
@@ -72,10 +72,10 @@
   }
 
   @Test
-  void aSavedListIsReadAndWrittenAsItWas() throws Exception {
-    EndpointListCodec entries = new EndpointListCodec(ZONES, 17_645_760_000_000L);
-    byte[] stored = Files.readAllBytes(STORED.resolve("list.json"));
-    List<EndpointRecord> list = entries.read(stored);
+  void readsStoredEndpointListAndWritesSameBytes() throws Exception {
+    EndpointListCodec codec = new EndpointListCodec(ZONES, 17_645_760_000_000L);
+    byte[] stored = Files.readAllBytes(STORED_FILES.resolve("list.json"));
+    List<EndpointRecord> list = codec.read(stored);
     assertEquals(
         List.of(
             new EndpointRecord(
@@ -91,41 +91,41 @@
                 EndpointRecord.State.DRAINING,
                 2500)),
         list);
-    assertArrayEquals(stored, entries.write(list));
+    assertArrayEquals(stored, codec.write(list));
   }
 
-  private static byte[] unpacked(Path file) throws IOException {
+  private static byte[] decompress(Path file) throws IOException {
     try (GZIPInputStream in = new GZIPInputStream(Files.newInputStream(file))) {
       return in.readAllBytes();
     }
   }
 
   @Test
-  void aRecordedDayIsRead() throws IOException {
-    Recording day = RecordingFile.read(STORED.resolve("day.rec.gz"));
+  void readsStoredRecording() throws IOException {
+    Recording recording = RecordingFile.read(STORED_FILES.resolve("day.rec.gz"));
     assertEquals(
         "1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 2900 10 30 100000 2900.0 50000 5 3 10000 false 0.12 80000 0.2"
             + " 3.0 0.3 false 3 false",
-        values(day.head().settings()));
-    assertEquals(1098, day.samples().size());
-    assertEquals(3, day.head().proxies().size());
+        describeValues(recording.head().settings()));
+    assertEquals(1098, recording.samples().size());
+    assertEquals(3, recording.head().proxies().size());
   }
 
   @Test
-  void aRecordedDayIsWrittenAsItWas() throws IOException {
-    Path stored = STORED.resolve("day.rec.gz");
-    Path again = folder.resolve("again.rec.gz");
-    RecordingFile.write(RecordingFile.read(stored), again);
-    assertArrayEquals(unpacked(stored), unpacked(again));
+  void writesStoredRecordingWithSameContent() throws IOException {
+    Path stored = STORED_FILES.resolve("day.rec.gz");
+    Path rewritten = folder.resolve("again.rec.gz");
+    RecordingFile.write(RecordingFile.read(stored), rewritten);
+    assertArrayEquals(decompress(stored), decompress(rewritten));
   }
 
   @Test
-  void aSettingsScriptIsRead() throws Exception {
-    InstanceSettings settings = InstanceSettings.read(STORED.resolve("settings.star"));
+  void readsStoredSettingsScript() throws Exception {
+    InstanceSettings settings = InstanceSettings.read(STORED_FILES.resolve("settings.star"));
     assertEquals(
         "1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 5800 10 30 100000 2900.0 50000 5 24 10000 false 0.12 170000 0.17"
             + " 4.0 0.3 false 3 false",
-        values(settings.settings()));
+        describeValues(settings.settings()));
     assertEquals(List.of("view", "sketch", "extract"), settings.requestClasses().names());
     assertEquals(
         List.of(15_000L, 20_000L, 15_000L), settings.requestClasses().timeoutsDeciMillis());
@@ -133,26 +133,26 @@
   }
 
   @Test
-  void thePlatformsConfigurationIsRead() throws Exception {
-    PlatformConfig file = PlatformConfig.read(STORED.resolve("platform.json"));
+  void readsStoredPlatformConfiguration() throws Exception {
+    PlatformConfig config = PlatformConfig.read(STORED_FILES.resolve("platform.json"));
     assertEquals(
         "2 2 (0 4000 1.0)(1 7000 2.5)(2 9000 4.0) true 2 3000 5 20 80000 1500.0 60000 3 8 5000 true 0.1 120000 0.3 2.5 0.2"
             + " true 3 true",
-        values(file.settings().settings()));
+        describeValues(config.settings().settings()));
     assertEquals(
         "n1 4100 4101 256 " + 0x8c1f30d27a5be964L,
-        file.name()
+        config.name()
             + " "
-            + file.listen().getPort()
+            + config.listen().getPort()
             + " "
-            + file.discovery().getPort()
+            + config.discovery().getPort()
             + " "
-            + file.sockets()
+            + config.sockets()
             + " "
-            + file.seed());
-    assertEquals(ZONES, file.settings().zones());
-    assertEquals(List.of("look", "edit", "buy"), file.settings().requestClassNames());
-    assertEquals(2500, file.settings().minBatchIntervalDeciMillis());
-    assertEquals(4, file.cachedEndpointList().orElseThrow().get("seq").asInt());
+            + config.seed());
+    assertEquals(ZONES, config.settings().zones());
+    assertEquals(List.of("look", "edit", "buy"), config.settings().requestClassNames());
+    assertEquals(2500, config.settings().minBatchIntervalDeciMillis());
+    assertEquals(4, config.cachedEndpointList().orElseThrow().get("seq").asInt());
   }
 }
--- a/src/test/java/stonespring/testbed/InvariantCheckerTest.java
+++ b/src/test/java/stonespring/testbed/InvariantCheckerTest.java
@@ -45,7 +45,7 @@
             startedAtMillis, proxy, requestId, requestClass, status, reason, notExecuted, 100));
   }
 
-  private void addConnect(double atMillis, String proxy) {
+  private void addConnection(double atMillis, String proxy) {
     evidence.add(new Evidence.Session(atMillis, proxy, true));
   }
 
@@ -56,7 +56,7 @@
   @Test
   void reportsProxyWithoutEndpointForLongerThanTheLimit() {
     addListing(0, "t", "ready");
-    addConnect(0, "p");
+    addConnection(0, "p");
     for (int i = 0; i < 5; i++) {
       addOutcome(10_000 + 1000 * i, "p", "o" + i, "view", 503, "no-task", true);
     }
@@ -67,7 +67,7 @@
 
   @Test
   void allowsProxyWithoutEndpointWhileDisconnectedOrNoWarmEndpointIsListed() {
-    addConnect(0, "p");
+    addConnection(0, "p");
     evidence.add(new Evidence.Listed(0, "t", "ready", 12_000));
     addOutcome(10_000, "p", "a", "view", 503, "no-task", true);
     addOutcome(17_000, "p", "b", "view", 503, "no-task", true);
@@ -104,8 +104,8 @@
   void reportsRequestToDrainingEndpointAfterTheGracePeriod() {
     addListing(0, "t", "ready");
     addListing(10_000, "t", "draining");
-    addConnect(0, "p");
-    addConnect(12_000, "late");
+    addConnection(0, "p");
+    addConnection(12_000, "late");
     evidence.add(new Evidence.Arrival(12_900, "t", "p", "a", "view", 1));
     evidence.add(new Evidence.Arrival(14_900, "t", "late", "b", "view", 1));
     evidence.add(new Evidence.Arrival(20_000, "t", "never-connected", "c", "view", 1));
@@ -119,7 +119,7 @@
     addListing(10_000, "t", "draining");
     addListing(12_000, "t", "gone");
     addListing(13_000, "t", "ready");
-    addConnect(0, "p");
+    addConnection(0, "p");
     evidence.add(new Evidence.Arrival(30_000, "t", "p", "a", "view", 1));
     assertNoViolation();
   }
--- a/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
+++ b/src/test/java/stonespring/testbed/virtual/RecordedPlansTest.java
@@ -15,7 +15,7 @@
  */
 final class RecordedPlansTest {
   private static final int ENDPOINTS = 12;
-  private static final int PROXIES = 10;
+  private static final int PROXY_COUNT = 10;
 
   @Test
   void plansMatchRecordedDigests() throws IOException {
@@ -24,7 +24,8 @@
         List.of(
             LoadGenerator.Kind.SURGE, LoadGenerator.Kind.LOST_ZONE, LoadGenerator.Kind.DEPLOY)) {
       VirtualFleet fleet =
-          new VirtualFleet(LoadGenerator.generate(kind, 1, ENDPOINTS, PROXIES), Policy.SOLVER, 1);
+          new VirtualFleet(
+              LoadGenerator.generate(kind, 1, ENDPOINTS, PROXY_COUNT), Policy.SOLVER, 1);
       for (long second : new long[] {12, 35}) {
         fleet.replayUntil(second * DeciMillis.SECOND);
         RecordedDigests.Recording recording = new RecordedDigests.Recording();
