--- a/src/main/java/stonespring/cli/CommandFailedException.java
+++ b/src/main/java/stonespring/cli/CommandFailedException.java
@@ -19,7 +19,7 @@
     return new CommandFailedException(ExitCode.USAGE, message, null);
   }
 
-  /** Returns an exception like {@link #usage(String)} that has a cause. */
+  /** Returns the same exception as {@link #usage(String)}, with a cause. */
   static CommandFailedException usage(String message, Throwable cause) {
     return new CommandFailedException(ExitCode.USAGE, message, cause);
   }
@@ -29,7 +29,7 @@
     return new CommandFailedException(ExitCode.FAILED, message, null);
   }
 
-  /** Returns an exception like {@link #failed(String)} that has a cause. */
+  /** Returns the same exception as {@link #failed(String)}, with a cause. */
   static CommandFailedException failed(String message, Throwable cause) {
     return new CommandFailedException(ExitCode.FAILED, message, cause);
   }
--- a/src/main/java/stonespring/cli/EndpointCommand.java
+++ b/src/main/java/stonespring/cli/EndpointCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import stonespring.testbed.StandIns;
 
-/** Runs simulated endpoints for trials by hand. */
+/** Runs simulated endpoints for manual testing. */
 @Command(
     name = "task",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/ForegroundProcess.java
+++ b/src/main/java/stonespring/cli/ForegroundProcess.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import stonespring.daemon.Instance;
 
-/** Keeps the process running for commands that run until they are stopped. */
+/** Keeps the process of a command running until the command fails or a signal stops it. */
 final class ForegroundProcess {
   /**
    * Maximum time to wait, after a signal, for a stopped instance to end before the process exits.
--- a/src/main/java/stonespring/cli/InputFiles.java
+++ b/src/main/java/stonespring/cli/InputFiles.java
@@ -8,7 +8,7 @@
 import stonespring.recording.Recording;
 import stonespring.recording.RecordingFile;
 
-/** Reads input files of several commands; an invalid file is a usage error. */
+/** Reads the kinds of input files that several commands share; an invalid file is a usage error. */
 final class InputFiles {
   private InputFiles() {}
 
--- a/src/main/java/stonespring/cli/PlanJson.java
+++ b/src/main/java/stonespring/cli/PlanJson.java
@@ -42,7 +42,7 @@
         plan.changedRoutes());
   }
 
-  /** Returns the word for a reason in the output. */
+  /** Returns the name of a reason in the output. */
   static String reasonWord(Plan.Reason reason) {
     return switch (reason) {
       case BALANCED -> "BALANCED";
--- a/src/main/java/stonespring/cli/PlatformCommand.java
+++ b/src/main/java/stonespring/cli/PlatformCommand.java
@@ -33,7 +33,7 @@
 
   @Override
   public Integer call() throws Exception {
-    // Installed before anything else: without a handler, SIGHUP would end the process.
+    // The SIGHUP handler is installed first: without a handler, the signal would end the process.
     ConfigReloader reloader = new ConfigReloader(path);
     SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
     logging.apply();
--- a/src/main/java/stonespring/cli/ProxyCommand.java
+++ b/src/main/java/stonespring/cli/ProxyCommand.java
@@ -30,10 +30,10 @@
   private static final String ADDRESS_PATTERN = "[A-Za-z0-9.-]+:[0-9]{1,5}";
   private static final long DECI_MILLIS_PER_MILLI = 10;
 
-  /** The rough estimate of its request rate that the proxy sends when it connects. */
+  /** Estimate of its own request rate that the proxy sends when it connects. */
   private static final double USUAL_REQUESTS_PER_SECOND = 1;
 
-  /** Time to apply one changed route; a proxy that is run by hand simulates none. */
+  /** Simulated time to apply one changed route; 0 disables the simulation of this delay. */
   private static final int ROUTE_CHANGE_DELAY_MICROS = 0;
 
   private static final long SILENCE_TIMEOUT_MILLIS = 3_000;
--- a/src/main/java/stonespring/cli/RegistryCommand.java
+++ b/src/main/java/stonespring/cli/RegistryCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import stonespring.testbed.StandIns;
 
-/** Runs a simulated endpoint registry for trials by hand. */
+/** Runs a simulated endpoint registry for manual testing. */
 @Command(
     name = "registry",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -79,8 +79,8 @@
   /** Prints keys as they arrive; called on the client's event loop. */
   private final class Printer implements ChpClient.Listener {
     /**
-     * Completed when the command is done: with the reason why the session ended, or with an empty
-     * string once a snapshot is printed and updates are not requested.
+     * Completed when the command is finished: with the reason why the session ended, or with an
+     * empty string once a snapshot has been printed without {@code --follow}.
      */
     private final CompletableFuture<String> ended = new CompletableFuture<>();
 
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -11,7 +11,10 @@
 import stonespring.testbed.virtual.Policy;
 import stonespring.testbed.virtual.VirtualFleet;
 
-/** Replays a recorded load in virtual time and prints the weight solver's plan with reasons. */
+/**
+ * Replays a recorded load in virtual time and prints the weight solver's plan, with the reason for
+ * the target of each endpoint.
+ */
 @Command(
     name = "solve",
     mixinStandardHelpOptions = true,
--- a/src/main/java/stonespring/recording/LoadSample.java
+++ b/src/main/java/stonespring/recording/LoadSample.java
@@ -13,14 +13,15 @@
   long at();
 
   /**
-   * The requests that arrived at a proxy during the sample interval that ended at this instant.
+   * The requests that arrived at a proxy during the sample interval that ended at the instant
+   * {@code at}.
    *
    * @param requests number of requests by request class, in the order of the settings
    */
   record Arrivals(long at, int proxy, int[] requests) implements LoadSample {}
 
   /**
-   * The endpoint list changed its entry for an endpoint.
+   * The entry for an endpoint in the endpoint list changed.
    *
    * @param weight capacity relative to other endpoints, as in {@link EndpointRecord}
    * @param startedAt when the endpoint's process last started, on the clock of the recording; 0 if
@@ -34,7 +35,8 @@
    * An endpoint's process started or ended.
    *
    * @param cores number of cores; 0 if the process ended
-   * @param speed speed of a core relative to a usual core
+   * @param speed speed of a core relative to the core for which {@link Recording.RequestClassInfo}
+   *     states service times
    * @param warmingUp whether the process reaches its full capacity only after a warm-up
    */
   record ProcessChanged(
@@ -42,16 +44,17 @@
       implements LoadSample {}
 
   /**
-   * From this instant on, the load reports of an endpoint claim a multiple of its actual capacity.
+   * From the instant {@code at} on, the load reports of an endpoint claim a multiple of its actual
+   * capacity.
    *
    * @param multiple claimed capacity divided by actual capacity; 1 ends the false claim
    */
   record CapacityClaimed(long at, String endpoint, double multiple) implements LoadSample {}
 
   /**
-   * From this instant on, the proxies' reports arrive later than usual.
+   * From the instant {@code at} on, the reports of all proxies arrive later than usual.
    *
-   * @param delay additional delay; 0 ends it
+   * @param delay additional delay of each report; 0 ends the delay
    */
   record ReportsDelayed(long at, long delay) implements LoadSample {}
 }
--- a/src/main/java/stonespring/recording/ReadPosition.java
+++ b/src/main/java/stonespring/recording/ReadPosition.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** The line of a file that is being read, counted from 1; error messages name it. */
+/** The current line, counted from 1, in the file that a reader reads; for error messages. */
 final class ReadPosition {
   private final Path file;
   private long line = 1;
@@ -15,7 +15,7 @@
     line++;
   }
 
-  /** Returns an exception to throw for the current line; does not throw it. */
+  /** Creates, but does not throw, an exception for the current line. */
   InvalidRecordingException error(String problem) {
     return new InvalidRecordingException(file, line, problem);
   }
@@ -23,7 +23,7 @@
   /**
    * Checks the content of the current line.
    *
-   * @throws InvalidRecordingException with the problem, if the condition is false
+   * @throws InvalidRecordingException with the problem as its message, if the condition is false
    */
   void check(boolean condition, String problem) throws InvalidRecordingException {
     if (!condition) {
--- a/src/main/java/stonespring/recording/Recording.java
+++ b/src/main/java/stonespring/recording/Recording.java
@@ -4,8 +4,8 @@
 import stonespring.model.Settings;
 
 /**
- * The recorded load of a fleet over some time. It contains no decisions of instances, so that the
- * same load can be replayed under other decisions.
+ * The recorded load of a fleet over some time. It contains no commands of instances, so that the
+ * same load can be replayed with other route tables and limits.
  *
  * @param samples the observations, in ascending order of their instants
  */
@@ -41,7 +41,8 @@
    * stonespring.model.DeciMillis}.
    *
    * @param timeout time after which clients give up a request
-   * @param serviceTime processing time of a request on a usual core
+   * @param serviceTime processing time of a request on a core of speed 1, as in {@link
+   *     LoadSample.ProcessChanged}
    */
   public record RequestClassInfo(String name, long timeout, long serviceTime) {}
 
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -14,10 +14,16 @@
 
 /** Reads the lines of one recording, the head and then the samples, and validates them. */
 final class RecordingReader {
-  /** Maximum duration of a recording and instant of a sample, {@link DeciMillis}: 24 hours. */
+  /**
+   * Maximum duration of a recording and maximum instant of a sample: 24 hours in {@link
+   * DeciMillis}.
+   */
   static final long MAX_DURATION = 24 * 3600 * DeciMillis.SECOND;
 
-  /** Bounds memory; corresponds to about 1.7 hours of 800 proxies sampled every second. */
+  /**
+   * Maximum number of samples, which limits memory: about 1.7 hours of 800 proxies sampled every
+   * second.
+   */
   private static final int MAX_SAMPLES = 5_000_000;
 
   /** Maximum number of characters in a line; the head is long because it lists every proxy. */
--- a/src/main/java/stonespring/recording/SampleWords.java
+++ b/src/main/java/stonespring/recording/SampleWords.java
@@ -5,7 +5,7 @@
 
 /**
  * The words for kinds of samples and states of endpoints in files. They are part of the file format
- * and do not follow renames of the code.
+ * and stay the same when identifiers in the code are renamed.
  */
 final class SampleWords {
   static final String ARRIVALS = "came";
--- a/src/main/java/stonespring/recording/StoredHead.java
+++ b/src/main/java/stonespring/recording/StoredHead.java
@@ -4,7 +4,7 @@
 
 /**
  * A recording's head in the form that files contain. The names of the components and their order
- * are part of the file format and do not follow renames of the code.
+ * are part of the file format and stay the same when other identifiers in the code are renamed.
  */
 record StoredHead(
     int version,
@@ -16,7 +16,9 @@
     long every,
     long length) {
 
-  /** A request class without the properties that the settings contain. */
+  /**
+   * The properties of a request class that the settings do not contain; durations in DeciMillis.
+   */
   record StoredType(String name, long opTimeout, long work) {
     static StoredType of(Recording.RequestClassInfo info) {
       return new StoredType(info.name(), info.timeout(), info.serviceTime());
@@ -27,7 +29,7 @@
     }
   }
 
-  /** A proxy of the recorded fleet. */
+  /** A proxy of the recorded fleet; {@code usualOps} is its usual number of requests per second. */
   record StoredProxy(String name, int zone, double usualOps) {
     static StoredProxy of(Recording.ProxyInfo info) {
       return new StoredProxy(info.name(), info.zone(), info.usualRequestsPerSecond());
--- a/src/main/java/stonespring/recording/StoredSettings.java
+++ b/src/main/java/stonespring/recording/StoredSettings.java
@@ -8,7 +8,8 @@
 
 /**
  * The settings in a recording's head in the form that files contain. The names of the components
- * and their order are part of the file format and do not follow renames of the code.
+ * and their order are part of the file format and stay the same when other identifiers in the code
+ * are renamed.
  */
 record StoredSettings(
     int assigners,
@@ -35,7 +36,10 @@
     int shunAfter,
     boolean holdingsUnknown) {
 
-  /** The word for a class's retry safety; constants are in the order of {@link RetrySafety}. */
+  /**
+   * The retry safety of a request class in files; constants correspond to {@link RetrySafety} by
+   * order.
+   */
   enum StoredRepeat {
     RETRYABLE,
     DEDUPLICATED,
@@ -43,7 +47,8 @@
   }
 
   /**
-   * The word for the admission limits; constants are in the order of {@link AdmissionLimitKind}.
+   * The kind of admission limits in files; constants correspond to {@link AdmissionLimitKind} by
+   * order.
    */
   enum StoredLevelKind {
     NONE,
@@ -51,7 +56,7 @@
     RATE
   }
 
-  /** A request class as the settings define it. */
+  /** The properties of a request class that the settings contain; the latency is in DeciMillis. */
   record StoredClass(StoredRepeat repeat, long targetLatency, double benefit) {}
 
   static StoredSettings of(Settings settings) {
--- a/src/main/java/stonespring/simulator/BatchReader.java
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -9,11 +9,11 @@
 import stonespring.simulator.WireNames.Batch;
 
 /**
- * Reads batches of messages, each one line of JSON. A batch is parsed as a stream, so that only one
- * message at a time is held as a tree.
+ * Reads batches of messages; each batch is one line of JSON. A batch is parsed as a stream, so that
+ * memory holds the JSON tree of only one message at a time.
  */
 final class BatchReader {
-  /** Stands for a number that the line has not provided yet; valid numbers start at 0. */
+  /** Marks a number that has not been read from the line yet; valid numbers start at 0. */
   private static final long UNSET = -1;
 
   /** Receives the messages of a batch in the order of the line. */
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Reads a batch and passes its messages to the handler. Messages that precede an error in the
-   * line have been passed on by then.
+   * Reads a batch and passes its messages to the handler. If the line has an error, the messages
+   * before the error have already been passed to the handler.
    *
    * @throws com.fasterxml.jackson.core.JsonProcessingException if the line is not valid JSON
    * @throws SimulatorProtocolException if the line violates the protocol
--- a/src/main/java/stonespring/simulator/CommandWriter.java
+++ b/src/main/java/stonespring/simulator/CommandWriter.java
@@ -97,7 +97,7 @@
     };
   }
 
-  /** Writes the notification that the instance's engine failed. */
+  /** Writes the notification that the engine of the instance has failed. */
   void writeFailure(String text) throws IOException {
     json.writeStartArray();
     json.writeString(CommandName.FAILURE);
--- a/src/main/java/stonespring/simulator/EndpointLists.java
+++ b/src/main/java/stonespring/simulator/EndpointLists.java
@@ -4,7 +4,8 @@
 
 /**
  * The endpoint lists that the simulator has sent. It sends each list once and refers to it by
- * number in updates to instances. A list stays valid until another one is sent under its number.
+ * number in updates to instances. A list stays valid until the simulator sends another one under
+ * the same number.
  */
 final class EndpointLists {
   /** List numbers run from 0 to one below this value. */
@@ -12,7 +13,7 @@
 
   private final JsonNode[] entriesByNumber = new JsonNode[MAX_LISTS];
 
-  /** Stores the list that a message contains. */
+  /** Stores the list in a message under its number, in place of an earlier list. */
   void put(SimulatorMessage message) {
     int number = message.id(0, WireNames.Field.LIST_NUMBER);
     if (number >= MAX_LISTS || !message.value(1, WireNames.Field.LIST_ENTRIES).isArray()) {
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -23,14 +23,14 @@
 import stonespring.simulator.WireNames.UpdateKind;
 
 /**
- * Decodes an instance's messages into events. Names of zones and request classes are resolved by
- * the instance's settings.
+ * Decodes the messages to an instance into events. Names of zones and request classes are resolved
+ * to their positions in the settings of the instance.
  */
 final class EventReader {
-  /** The status code of a successful health check; it is that of HTTP. */
+  /** The HTTP status code of a successful health check. */
   private static final int STATUS_OK = 200;
 
-  /** Weight of an endpoint whose entry contains none. */
+  /** Weight of an endpoint whose list entry has no numeric weight. */
   private static final double DEFAULT_WEIGHT = 1;
 
   private final PlatformSettings settings;
--- a/src/main/java/stonespring/simulator/HostedInstance.java
+++ b/src/main/java/stonespring/simulator/HostedInstance.java
@@ -14,19 +14,20 @@
 import stonespring.simulator.WireNames.Message;
 
 /**
- * One hosted instance, which messages start, stop and start again. It shares no state with other
- * instances. If its engine throws an exception, the instance has failed until it is started again.
+ * A hosted instance; messages of the simulator start, stop and restart it. It shares no state with
+ * other instances. If its engine throws an exception, the instance is in the failed state until it
+ * is started again.
  */
 final class HostedInstance {
   private final KnownIds knownIds = new KnownIds();
 
-  /** Decodes messages by the settings of the last start; null before the first start. */
+  /** Decodes messages with the settings of the last start; null before the first start. */
   private EventReader eventReader;
 
   /** Null while the instance is stopped. */
   private DecisionEngine engine;
 
-  /** Describes the exception of the engine; null unless the instance has failed. */
+  /** Description of the exception that the engine threw; null unless the instance has failed. */
   private String failure;
 
   /**
@@ -101,7 +102,9 @@
     return Optional.ofNullable(failure);
   }
 
-  /** Runs a call to the engine; an exception makes the instance fail. */
+  /**
+   * Runs a call to the engine; if it throws an exception, puts the instance into the failed state.
+   */
   private void runEngine(Runnable engineCall) {
     try {
       engineCall.run();
--- a/src/main/java/stonespring/simulator/KnownIds.java
+++ b/src/main/java/stonespring/simulator/KnownIds.java
@@ -9,9 +9,9 @@
 import stonespring.simulator.WireNames.CommandName;
 
 /**
- * The endpoints and proxies that events have introduced to an instance. The simulator aborts its
- * run at a command for any other id. Such a command is rejected here instead, with an error that
- * names the id.
+ * The ids of the endpoints and proxies that an instance has received in events. The simulator
+ * aborts its run if a command contains any other id. {@link #check} rejects such a command earlier,
+ * with an error that names the id.
  */
 final class KnownIds {
   private final Set<EndpointId> endpoints = new HashSet<>();
@@ -22,7 +22,7 @@
     proxies.clear();
   }
 
-  /** Adds the ids that an event introduces. */
+  /** Adds the ids that an event contains. */
   void addIdsOf(Event event) {
     if (event instanceof Event.EndpointListUpdate update) {
       update.endpoints().forEach(entry -> endpoints.add(entry.endpoint()));
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Checks the ids of a command.
+   * Checks that events have contained the ids of a command.
    *
-   * @throws SimulatorProtocolException if no event introduced one of them
+   * @throws SimulatorProtocolException if no event has contained one of the ids
    */
   void check(Command command) {
     if (command instanceof Command.SetRoute route) {
--- a/src/main/java/stonespring/simulator/SimulatorHost.java
+++ b/src/main/java/stonespring/simulator/SimulatorHost.java
@@ -23,7 +23,7 @@
 
 /**
  * Hosts instances for the simulator: reads batches of events, one per line, and replies to each
- * with one line of commands. To be used by one thread.
+ * with one line of commands. Not thread-safe.
  */
 public final class SimulatorHost {
   private static final int BUFFER_BYTES = 1 << 16;
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Writes the commands and the failure of an instance; writes nothing if it has neither. */
+  /** Writes the commands and the failure of an instance; writes nothing if there are neither. */
   private void writePart(JsonGenerator json, int number, HostedInstance instance)
       throws IOException {
     List<Command> commands = instance.endBatch(batchReader.now());
--- a/src/main/java/stonespring/simulator/SimulatorMessage.java
+++ b/src/main/java/stonespring/simulator/SimulatorMessage.java
@@ -23,7 +23,7 @@
     this.firstValue = firstValue;
   }
 
-  /** Returns a message as the simulator sends it, with its name as the first element. */
+  /** Returns the message in an array whose first element is the name of the message. */
   static SimulatorMessage of(JsonNode array) {
     if (!array.isArray() || array.isEmpty() || !array.get(0).isTextual()) {
       throw new SimulatorProtocolException(
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Returns an entry of an endpoint list, whose elements are all values; errors name the message
-   * that contains the list.
+   * Returns an entry of an endpoint list. An entry has no name: its first element is already a
+   * value. Errors name the message that contains the list.
    */
   static SimulatorMessage ofListEntry(JsonNode array) {
     return new SimulatorMessage(WireNames.Message.ENDPOINT_LIST, array, 0);
@@ -102,7 +102,7 @@
     return value.asBoolean();
   }
 
-  /** Returns an exception to throw for an invalid field; does not throw it. */
+  /** Creates, but does not throw, an exception for an invalid field. */
   SimulatorProtocolException invalid(String field, String problem) {
     return new SimulatorProtocolException(
         "message '" + name + "': field '" + field + "': " + problem);
--- a/src/main/java/stonespring/simulator/SimulatorProtocolException.java
+++ b/src/main/java/stonespring/simulator/SimulatorProtocolException.java
@@ -1,8 +1,8 @@
 package stonespring.simulator;
 
 /**
- * Thrown when input of the simulator violates its protocol, or a command would; the message text
- * names the message or command and the field.
+ * Thrown when input from the simulator, or a command to be sent to it, violates the simulator's
+ * protocol. The exception message names the protocol message or command and the field.
  */
 public final class SimulatorProtocolException extends RuntimeException {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/stonespring/simulator/WireNames.java
+++ b/src/main/java/stonespring/simulator/WireNames.java
@@ -1,8 +1,8 @@
 package stonespring.simulator;
 
 /**
- * The names in the simulator's protocol. The simulator defines them, so they do not follow renames
- * of the code.
+ * The names in the simulator's protocol. The simulator defines them, so that they stay the same
+ * when identifiers in the code are renamed.
  */
 final class WireNames {
   /** Fields of a batch and of a reply. */
@@ -38,7 +38,7 @@
     private Message() {}
   }
 
-  /** Names of the messages' fields, for error messages; values are read by position. */
+  /** Names of the messages' fields, used only in error messages: values are read by position. */
   static final class Field {
     static final String SEED = "salt";
     static final String SETTINGS = "facts";
