--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -9,7 +9,10 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/** Packages have one job each and make no circles; what decides has no I/O, clock or thread. */
+/**
+ * Tests that package dependencies have no cycles, that layers depend only on lower ones, and that
+ * decision code uses no I/O, clocks or threads.
+ */
 final class ArchitectureTest {
   private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
--- a/src/test/java/stonespring/chp/ChpClientTest.java
+++ b/src/test/java/stonespring/chp/ChpClientTest.java
@@ -118,7 +118,8 @@
   }
 
   /**
-   * Polls the collector meanwhile: the library processes new peers only when its socket is used.
+   * Returns the next event of the client. Polls the collector until then, because the library
+   * processes new peers only when its socket is used.
    */
   private String awaitCollectorReady() throws InterruptedException {
     String event = null;
--- a/src/test/java/stonespring/config/script/ScriptTest.java
+++ b/src/test/java/stonespring/config/script/ScriptTest.java
@@ -114,7 +114,7 @@
     assertTrue(errors("x = " + "not ".repeat(5000) + "1").get(0).contains("nested"));
   }
 
-  /** A script of random tokens ends soon, with values or a {@link ScriptException}. */
+  /** A script of random tokens terminates, either with values or with a {@link ScriptException}. */
   @Property(tries = 300, seed = "1")
   void endsWithValuesOrErrorsOnAnyText(@ForAll long seed) throws IOException {
     SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/stonespring/daemon/BadPeerTest.java
+++ b/src/test/java/stonespring/daemon/BadPeerTest.java
@@ -28,7 +28,8 @@
 import stonespring.zmtp.ZmtpLimits;
 
 /**
- * Peers that violate a protocol: the instance closes their connections and keeps serving others.
+ * Tests that an instance closes the connections of peers that violate a protocol, and keeps serving
+ * others.
  */
 final class BadPeerTest {
   /** Upper bound of each wait, which ends as soon as its event happens. */
--- a/src/test/java/stonespring/daemon/ChpServerStopTest.java
+++ b/src/test/java/stonespring/daemon/ChpServerStopTest.java
@@ -33,11 +33,11 @@
 import stonespring.state.ProxyReport;
 import stonespring.zmtp.ZmtpLimits;
 
-/** Start and stop of a CHP server. */
+/** Tests the start and stop of a CHP server. */
 final class ChpServerStopTest {
   /**
-   * Snapshot of 7 MB: more than the buffers of both sockets hold, less than a peer may leave
-   * unread.
+   * Number of keys of 1000 bytes in a snapshot of 7 MB. That is more than the buffers of both
+   * sockets hold, and less than the server queues for a peer that does not read.
    */
   private static final int KEY_COUNT = 7_000;
 
--- a/src/test/java/stonespring/daemon/EngineHostTest.java
+++ b/src/test/java/stonespring/daemon/EngineHostTest.java
@@ -20,7 +20,7 @@
 import stonespring.state.ProxyHello;
 import stonespring.state.ProxyReport;
 
-/** A complete host in virtual time, with proxies that apply what it publishes. */
+/** Tests an engine host in virtual time together with proxies that apply the keys it publishes. */
 final class EngineHostTest {
   private static final RequestClassId VIEW = new RequestClassId(0);
 
@@ -99,7 +99,10 @@
         proxy.connection().closeReason());
   }
 
-  /** The old connection is half open, so the host has not noticed that its stream is dead. */
+  /**
+   * The old connection is half open: the proxy no longer uses it, but the host still regards it as
+   * open.
+   */
   @Test
   void replacesSessionWhenProxyConnectsOnNewerStream() {
     HostSimulation simulation = createSimulationWithOneEndpoint();
--- a/src/test/java/stonespring/daemon/HostSimulation.java
+++ b/src/test/java/stonespring/daemon/HostSimulation.java
@@ -106,7 +106,7 @@
     return hostStarts;
   }
 
-  /** Returns how many updates the proxies have lost. */
+  /** Returns the number of updates that the proxies have lost. */
   int lostUpdateCount() {
     return proxies.stream().mapToInt(SimulatedProxy::lostUpdateCount).sum();
   }
@@ -179,7 +179,7 @@
     return proxy;
   }
 
-  /** Creates a proxy that the simulation does not drive. */
+  /** Creates a proxy that the simulation does not connect or update. */
   SimulatedProxy createProxy(String name, int zone) {
     return new SimulatedProxy(name, zone, settings.channel());
   }
--- a/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
+++ b/src/test/java/stonespring/daemon/PlatformConfigurationTest.java
@@ -17,7 +17,9 @@
 import stonespring.config.InvalidConfigException;
 import stonespring.config.PlatformConfig;
 
-/** Reading of the platform's configuration at the start, and reloads with and without SIGHUP. */
+/**
+ * Tests how the platform's configuration is read at the start and reloaded with and without SIGHUP.
+ */
 final class PlatformConfigurationTest {
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
@@ -97,7 +99,10 @@
         "/registry/instances?stream=1&index=5", platform.acceptListRequest(moved).target());
   }
 
-  /** SIGHUP is ignored as under nohup, so no signal handler of the process is called. */
+  /**
+   * The process is started with SIGHUP ignored, as by nohup, so that its signal handler is never
+   * called.
+   */
   @Test
   void followsDiscoveryToNewAddressAndLogsThatSighupIsIgnored() throws Exception {
     platform.writeConfig(platform.config());
--- a/src/test/java/stonespring/daemon/PlatformEngineTest.java
+++ b/src/test/java/stonespring/daemon/PlatformEngineTest.java
@@ -18,7 +18,10 @@
 import stonespring.model.ProxyId;
 import stonespring.model.RouteTableId;
 
-/** Batches, restarts and stop of the decision engine on the platform, with scripted engines. */
+/**
+ * Tests batches, restarts and the stop of the decision engine on the platform, with scripted
+ * engines.
+ */
 final class PlatformEngineTest {
   private static final RouteTableId TABLE = new RouteTableId(1);
   private static final String FAILURE_MESSAGE = "failure injected by the test";
--- a/src/test/java/stonespring/daemon/PlatformFixture.java
+++ b/src/test/java/stonespring/daemon/PlatformFixture.java
@@ -145,7 +145,7 @@
     return closeLater(PlatformProcess.startAfter(shellCommand, folder, configFile()));
   }
 
-  /** Creates an instance inside this process, with the test's engines. */
+  /** Creates an instance in the process of the test, with engines that the test provides. */
   PlatformDaemon createDaemon(EngineFactory engines) throws Exception {
     writeConfig(config());
     return new PlatformDaemon(PlatformConfig.read(configFile()), engines);
@@ -166,7 +166,7 @@
   /** Ends the process, closes all open resources and deletes the files. */
   @Override
   public void afterEach(ExtensionContext context) throws Exception {
-    // The process is ended first, so that it does not react to the closing of the others.
+    // The process is ended first, so that it does not react when the other resources are closed.
     for (AutoCloseable resource : openResources) {
       if (resource instanceof PlatformProcess) {
         resource.close();
--- a/src/test/java/stonespring/daemon/PlatformProcessTest.java
+++ b/src/test/java/stonespring/daemon/PlatformProcessTest.java
@@ -14,12 +14,16 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 
 /**
- * Life cycle of an instance's process on the platform: start, service, exhausted descriptors, exit.
+ * Tests the life cycle of an instance's process on the platform: start, service, exhausted file
+ * descriptors, exit.
  */
 final class PlatformProcessTest {
   @RegisterExtension final PlatformFixture platform = new PlatformFixture();
 
-  /** Covers the first answer, a route table, reloads, a move of discovery and the stop. */
+  /**
+   * Covers a keep-alive, a route table, reloads of an invalid and a valid configuration, a new
+   * address of the discovery server, and an orderly stop.
+   */
   @Test
   void servesThroughReloadsUntilOrderlyStop() throws Exception {
     platform.writeConfig(platform.config());
@@ -62,8 +66,8 @@
   }
 
   /**
-   * Clients use up all descriptors that the process may have, and the watch ends meanwhile. It
-   * can't be reopened before the connections of those clients are closed.
+   * Clients use up all file descriptors of the process, and the watch ends while none is free. The
+   * process cannot reopen the watch before it has closed connections of those clients.
    */
   @Test
   void recoversFromRunningOutOfDescriptors() throws Exception {
--- a/src/test/java/stonespring/daemon/RestartBudgetTest.java
+++ b/src/test/java/stonespring/daemon/RestartBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import stonespring.model.DeciMillis;
 
-/** The limit on how often the engine may be restarted. */
+/** Tests the limit on how often the engine is restarted. */
 final class RestartBudgetTest {
   @Test
   void limitsRestartsPerHourButNotOverWeeks() {
--- a/src/test/java/stonespring/daemon/SimulatedProxy.java
+++ b/src/test/java/stonespring/daemon/SimulatedProxy.java
@@ -24,7 +24,7 @@
 import stonespring.state.ProxyAcknowledgement;
 import stonespring.state.ProxyHello;
 
-/** A proxy in virtual time that applies what a host publishes and routes by it. */
+/** A proxy in virtual time that applies the keys a host publishes and routes requests by them. */
 final class SimulatedProxy {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final RouterSettings ROUTER_SETTINGS =
@@ -83,7 +83,7 @@
     return stream;
   }
 
-  /** Returns how many updates were lost. */
+  /** Returns the number of lost updates, each of which made the proxy apply a new snapshot. */
   int lostUpdateCount() {
     return lostUpdateCount;
   }
@@ -113,7 +113,10 @@
     sendHello(host, now);
   }
 
-  /** Drops the connection and returns it; the caller notifies the host if the host is to notice. */
+  /**
+   * Drops the connection and returns it. The host is not notified; a caller that simulates a
+   * detected close notifies it.
+   */
   RecordingConnection disconnect() {
     RecordingConnection closed = connection;
     connection = null;
--- a/src/test/java/stonespring/decision/AdmissionControlTest.java
+++ b/src/test/java/stonespring/decision/AdmissionControlTest.java
@@ -12,7 +12,7 @@
 import stonespring.model.EndpointRecord;
 import stonespring.model.RetryPolicy;
 
-/** Admission limits: when requests are rejected, and of which classes. */
+/** Tests when admission limits are lowered, and for which request classes. */
 final class AdmissionControlTest {
   /**
    * Half of the proxies disconnect with their zone, and the endpoint list does not show yet which
--- a/src/test/java/stonespring/decision/AdvisedEngineTest.java
+++ b/src/test/java/stonespring/decision/AdvisedEngineTest.java
@@ -35,7 +35,7 @@
     return fleet;
   }
 
-  /** Runs a round of a second, and checks the invariants. */
+  /** Runs one round, which lasts a second, and checks the invariants. */
   private static void runRound(Fleet fleet, Map<String, Double> failureShares) {
     fleet.report(UTILIZATION_PER_REQUEST_RATE, failureShares);
     fleet.step(SECOND);
--- a/src/test/java/stonespring/decision/ChannelBudgetTest.java
+++ b/src/test/java/stonespring/decision/ChannelBudgetTest.java
@@ -9,7 +9,7 @@
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointRecord;
 
-/** Room that routine updates leave in the channel for urgent ones. */
+/** Tests that routine updates leave part of the channel's capacity to urgent ones. */
 final class ChannelBudgetTest {
   @Test
   void reservesMessagesForUrgentUpdates() {
--- a/src/test/java/stonespring/decision/EngineInvariantsTest.java
+++ b/src/test/java/stonespring/decision/EngineInvariantsTest.java
@@ -88,7 +88,10 @@
     return true;
   }
 
-  /** Changes failure shares, restarts the engine, acknowledges messages or reports, or nothing. */
+  /**
+   * Changes a failure share, restarts the engine, acknowledges all messages, adds reports, or does
+   * nothing.
+   */
   private void applyOtherChange(int action, long restartSeed) {
     if (action < 19) {
       failureShares.put("t" + random.nextInt(endpointCount), random.nextInt(3) / 2.0);
--- a/src/test/java/stonespring/decision/Fleet.java
+++ b/src/test/java/stonespring/decision/Fleet.java
@@ -38,7 +38,7 @@
   /** The endpoint list by endpoint name; it has no removed endpoints. */
   final TreeMap<String, EndpointRecord> endpoints = new TreeMap<>();
 
-  /** Requests per second that other instances' proxies send, by endpoint. */
+  /** Requests per second that the proxies of other instances send, by endpoint. */
   final TreeMap<String, Double> otherInstancesLoad = new TreeMap<>();
 
   /** When endpoints last became draining or removed, by endpoint. */
@@ -173,7 +173,7 @@
     }
   }
 
-  /** Changes the endpoint list, and has the next step report the change to the engine. */
+  /** Changes the endpoint list, and queues the change for the next step. */
   void updateEndpoint(String name, int zone, EndpointRecord.State state, long startedAt) {
     EndpointRecord endpoint = endpointRecord(name, zone, state, startedAt);
     boolean wasReady = !endpoints.containsKey(name) || endpoints.get(name).state() == READY;
@@ -188,7 +188,7 @@
     events.add(new Event.EndpointListUpdate(Event.ListUpdateKind.DELTA, List.of(endpoint)));
   }
 
-  /** Connects a proxy. One that was connected before keeps its zone and request rate. */
+  /** Connects a proxy. A proxy that was connected before keeps its zone and request rate. */
   void connect(int number, int zone, double requestRate, boolean withoutTables) {
     FleetProxy proxy = proxies.computeIfAbsent(number, n -> new FleetProxy(n, zone, requestRate));
     proxy.connected = true;
@@ -264,7 +264,7 @@
     return new LoadReport(utilization, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
   }
 
-  /** Adds a report of one endpoint's outcomes in a second, from the proxies of the first zone. */
+  /** Adds a report about one endpoint by the proxies of the first zone, which covers one second. */
   void reportOutcomes(String endpoint, long attempts, long failures) {
     events.add(
         new Event.EndpointOutcomes(
@@ -278,8 +278,8 @@
   }
 
   /**
-   * Runs rounds of a second each. A round consists of reports, a step, the acknowledgement of all
-   * messages, and a check of the invariants.
+   * Runs rounds, each of which lasts a second. A round consists of reports, a step, the
+   * acknowledgement of all messages, and a check of the invariants.
    */
   void runRounds(int count, double utilizationPerRequestRate, Map<String, Double> failureShares) {
     for (int i = 0; i < count; i++) {
@@ -290,7 +290,7 @@
     }
   }
 
-  /** Has the next step pass the acknowledgements of all messages to the engine. */
+  /** Queues the acknowledgements of all messages for the next step. */
   void acknowledgeAll() {
     events.addAll(acknowledgements);
     acknowledgements.clear();
--- a/src/test/java/stonespring/decision/FleetInvariants.java
+++ b/src/test/java/stonespring/decision/FleetInvariants.java
@@ -7,7 +7,7 @@
 import stonespring.model.RetryPolicy;
 import stonespring.model.RetrySafety;
 
-/** Checks what must hold after every step, as far as the engine's commands show it. */
+/** Checks invariants after a step, as far as the engine's commands determine them. */
 final class FleetInvariants {
   /**
    * Number of messages to a proxy in the message window from which on updates for unavailable
@@ -15,7 +15,7 @@
    */
   private static final int MESSAGES_BEFORE_BATCHING = 8;
 
-  /** How long such updates may wait for a batch. */
+  /** Maximum time for which updates for unavailable endpoints may wait for a batch. */
   private static final long BATCHING_GRACE_DECI_MILLIS = 3 * DeciMillis.SECOND / 2;
 
   private FleetInvariants() {}
--- a/src/test/java/stonespring/decision/FleetProxy.java
+++ b/src/test/java/stonespring/decision/FleetProxy.java
@@ -11,7 +11,10 @@
   final int zone;
   final double requestRate;
 
-  /** Since when it has had no route although a warm endpoint is listed; -1 if that is not so. */
+  /**
+   * Instant in DeciMillis since which the proxy has had no route although a warm endpoint is
+   * listed; -1 if it has a route or no warm endpoint is listed.
+   */
   long emptySince = -1;
 
   boolean connected;
--- a/src/test/java/stonespring/decision/InFlightMovesTest.java
+++ b/src/test/java/stonespring/decision/InFlightMovesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import stonespring.model.ProxyId;
 
-/** When the headroom that a sent move takes and frees is counted. */
+/** Tests at which times the headroom that a sent move takes or frees is counted. */
 final class InFlightMovesTest {
   private final EngineClock clock = new EngineClock(0);
   private final InFlightMoves moves = new InFlightMoves(clock);
--- a/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
+++ b/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Half of the proxies are disconnected for two minutes. When they reconnect, their earlier
-   * traffic counts before they have reported.
+   * Half of the proxies are disconnected for two minutes. When they reconnect, their request rates
+   * from before the disconnection are counted until they report new ones.
    */
   @Test
   void countsEarlierTrafficOfReconnectedProxies() {
--- a/src/test/java/stonespring/decision/MassReconnectTest.java
+++ b/src/test/java/stonespring/decision/MassReconnectTest.java
@@ -19,7 +19,9 @@
  * the platform, where the instance does not know the tables that connecting proxies hold.
  */
 final class MassReconnectTest {
-  private static final int PROXY_COUNT = 150; // the first tables of so many just fit the channel
+  /** The channel's backlog limit just admits the first tables of this many proxies. */
+  private static final int PROXY_COUNT = 150;
+
   private static final int REMOVED_ENDPOINTS = 30; // endpoints that the release removes
 
   /** Acknowledgements by the number of sent entries up to the acknowledged message. */
--- a/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
+++ b/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 
-/** Share of the time for which proxies are expected to eject an endpoint. */
+/** Tests the expected share of the time for which a proxy ejects an endpoint. */
 final class OutlierEjectionModelTest {
   private final EngineClock clock = new EngineClock(100 * Fleet.SECOND);
   private final Settings settings = new FleetSettings().ejectAfter(3).build();
--- a/src/test/java/stonespring/decision/RecordedCommandsTest.java
+++ b/src/test/java/stonespring/decision/RecordedCommandsTest.java
@@ -48,7 +48,7 @@
 
   private record Scenario(String name, Settings settings, FleetChange change) {}
 
-  /** Passes all calls on to an engine, and digests the commands that it returns. */
+  /** Passes all calls on to an engine, and adds the returned commands to a recording. */
   private record Recorder(DecisionEngine engine, RecordedDigests.Recording recording)
       implements DecisionEngine {
     @Override
@@ -91,7 +91,7 @@
       fleet.engine = new Recorder(fleet.engine, recording);
     }
 
-    /** Replaces the engine by one with another seed, to which all proxies reconnect. */
+    /** Replaces the engine by one with another seed; all proxies reconnect. */
     void restartEngine() {
       seed += 100;
       startEngine();
@@ -128,7 +128,10 @@
       fleet.updateEndpoint(name(nextEndpoint++), zone, EndpointRecord.State.READY, fleet.now);
     }
 
-    /** The warm-up fraction of an endpoint; 0 if it is null, which stands for an unlisted one. */
+    /**
+     * Returns the warm-up fraction of an endpoint; 0 for null, which stands for an endpoint that is
+     * not listed.
+     */
     private double warmUpFraction(EndpointRecord endpoint) {
       return endpoint == null ? 0 : fleet.warmUpFraction(endpoint);
     }
--- a/src/test/java/stonespring/decision/RouteWeightsTest.java
+++ b/src/test/java/stonespring/decision/RouteWeightsTest.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that tables name, and their weights. */
+/** Tests which endpoints have routes in tables, and the weights of these routes. */
 final class RouteWeightsTest {
   @Test
   void addsRoutesWhenProxyHasMuchTraffic() {
--- a/src/test/java/stonespring/decision/ScaleOutSimulation.java
+++ b/src/test/java/stonespring/decision/ScaleOutSimulation.java
@@ -102,9 +102,10 @@
   }
 
   /**
-   * Distributes a proxy's attempts over its routes, without the endpoints that it has ejected.
+   * Distributes a proxy's attempts over its routes, except for those to endpoints that it has
+   * ejected.
    *
-   * @param load attempts by endpoint, to which these are added
+   * @param load attempts by endpoint, to which the attempts of the proxy are added
    * @param retries whether proxies retry failed attempts at their other endpoints
    */
   private void distributeAttempts(
@@ -217,7 +218,7 @@
     delayedReports.add(Map.entry(fleet.now + reportDelayDeciMillis, event));
   }
 
-  /** Returns the endpoint with the worst load, and when it was reached. */
+  /** Returns the name of the endpoint with the worst load, and the instant of that load. */
   String worstLoadDescription() {
     return worstLoadDescription;
   }
@@ -234,8 +235,8 @@
   }
 
   /**
-   * Runs normal operation for a while, then the surge; two seconds into the surge, endpoints are
-   * added.
+   * Runs 2 to 14 seconds of normal operation and then 25 seconds of a surge. From two seconds into
+   * the surge, endpoints are added each second.
    *
    * @param surge factor on the usual requests that the surge reaches
    * @param addedAtOnce endpoints that are added each second
--- a/src/test/java/stonespring/decision/ScaleOutUnderSurgeTest.java
+++ b/src/test/java/stonespring/decision/ScaleOutUnderSurgeTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stonespring.model.DeciMillis;
 
-/** Load of endpoints that warm up while the fleet scales out during a surge. */
+/** Tests the load of endpoints that warm up while the fleet scales out during a surge. */
 final class ScaleOutUnderSurgeTest {
   /**
    * Accepted load as a multiple of the overload limit. Without the guard it is 3.8; the goal is
@@ -15,8 +15,8 @@
   private static final double KNOWN_WORST_SHARE = 2;
 
   /**
-   * In this harsh scenario, warming endpoints exceed their overload limit. The asserted bound is
-   * the worst share that is known, so that a regression is noticed;
+   * Warming endpoints are known to exceed their overload limit in this scenario. The asserted bound
+   * is the worst known share, so that the test detects a further increase;
    * docs/incidents/growth-in-a-surge.md describes what was tried.
    */
   @ParameterizedTest
--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -13,7 +13,7 @@
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointRecord;
 
-/** Load of endpoints that warm up. */
+/** Tests the load of endpoints that warm up. */
 final class SlowStartTest {
   @Test
   void limitsLoadOfRestartedEndpointToItsCapacity() {
--- a/src/test/java/stonespring/decision/UpdateSchedulingTest.java
+++ b/src/test/java/stonespring/decision/UpdateSchedulingTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Changes of tables wait for headroom. */
+/** Tests that changes of tables wait until endpoints have headroom for them. */
 final class UpdateSchedulingTest {
   @Test
   void movesLoadToOtherZoneThoughOneEndpointIsFull() {
--- a/src/test/java/stonespring/decision/WeightProposalTest.java
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 
-/** Weights proposed by the solver: fresh ones are followed, within the limits of the engine. */
+/** Tests that the engine follows recent weights of the solver as far as its own limits allow. */
 final class WeightProposalTest {
   private static final long SECOND = DeciMillis.SECOND;
 
--- a/src/test/java/stonespring/http/HttpDecoderTest.java
+++ b/src/test/java/stonespring/http/HttpDecoderTest.java
@@ -28,7 +28,8 @@
   }
 
   /**
-   * Decodes bytes; returns descriptions of the messages, after that of a violation if there is one.
+   * Decodes bytes and returns descriptions of the messages; that of a protocol violation comes
+   * first, if there is one.
    *
    * @param splitRandom determines where the bytes are split; null to pass them in one piece
    */
--- a/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/PlatformProxyApiTest.java
@@ -169,8 +169,8 @@
   }
 
   /**
-   * Only the most recently removed endpoints stay known. When an endpoint is evicted, its exclusion
-   * is discarded too.
+   * The API stores only the most recently removed endpoints. When it evicts an endpoint, it
+   * discards its exclusion too.
    */
   @Test
   void rejectsReportsAboutEndpointsListedLongAgo() throws Exception {
--- a/src/test/java/stonespring/recorded/CommandEncoder.java
+++ b/src/test/java/stonespring/recorded/CommandEncoder.java
@@ -8,14 +8,14 @@
 import stonespring.model.Command;
 
 /**
- * Writes commands as bytes that name no type or field: a tag for the kind, then the values by
- * position with their full bits. A rename therefore leaves the bytes as they are; a changed
- * decision does not.
+ * Encodes commands as bytes without names of types or fields: a tag for the kind, followed by all
+ * bits of each value in a fixed order. Renamed identifiers therefore do not change the bytes, but
+ * changed commands do.
  */
 public final class CommandEncoder {
   private CommandEncoder() {}
 
-  /** The bytes of one batch of commands, in order. */
+  /** Encodes a batch of commands in their order. */
   public static byte[] encode(List<Command> commands) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -75,9 +75,8 @@
       out.writeInt(c.bytes().length);
       out.write(c.bytes());
     } else if (command instanceof Command.Log) {
-      out.writeByte(
-          11); // its text is for people: words may be put better, that a line is logged may not
-      // change
+      // The text is left out, so that it can be reworded; that a line is logged must not change.
+      out.writeByte(11);
     } else {
       throw new AssertionError("no encoding for " + command);
     }
--- a/src/test/java/stonespring/recorded/RecordedDigests.java
+++ b/src/test/java/stonespring/recorded/RecordedDigests.java
@@ -13,19 +13,19 @@
 import java.util.HexFormat;
 
 /**
- * Digests of recorded output, held against a resource: one line for each recording, its name, how
- * many pieces it had, and the SHA-256 of all their bytes. Where they differ, what was found is left
- * in {@code target/} under the resource's name.
+ * Compares digests of a test's output with those stored in a resource. Each line of the resource
+ * has the name of a recording, its number of pieces, and the SHA-256 of the bytes of all pieces.
+ * The digests of the last run are written to {@code target/} under the name of the resource.
  */
 public final class RecordedDigests {
   private final StringBuilder found = new StringBuilder();
 
-  /** One recording's running digest. */
+  /** The digest of a recording to which pieces of output are added in order. */
   public static final class Recording {
     private final MessageDigest digest;
     private int pieces;
 
-    /** Starts with nothing recorded. */
+    /** Creates a recording without pieces. */
     public Recording() {
       try {
         this.digest = MessageDigest.getInstance("SHA-256");
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Ends a recording. */
+  /** Completes a recording and adds its digest under a name. */
   public void put(String name, Recording recording) {
     found
         .append(name)
@@ -55,7 +55,7 @@
         .append('\n');
   }
 
-  /** Compares all recordings with those that the resource holds. */
+  /** Fails the test unless the digests of all recordings are those in the resource. */
   public void check(String resource) throws IOException {
     Path left = Path.of("target", resource);
     Files.createDirectories(left.getParent());
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -22,15 +22,18 @@
 import stonespring.recording.RecordingFile;
 
 /**
- * What version 0.2.0 stored or was given is read as it was then, and is written in the same form
- * again.
+ * Tests that files of version 0.2.0, stored by the program or given to it, are still read with the
+ * same values, and that rewritten files have the same content.
  */
 final class StoredDataTest {
   private static final Path STORED_FILES = Path.of("src/test/resources/stored");
   private static final List<String> ZONES = List.of("west", "east");
   @TempDir private Path folder;
 
-  /** Every value of the settings, by position: no name of a field is part of it. */
+  /**
+   * Returns all values of the settings in a fixed order without field names, so that a renamed
+   * field does not change the result.
+   */
   private static String describeValues(Settings s) {
     StringBuilder classes = new StringBuilder();
     for (RequestClass requestClass : s.requestClasses()) {
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -102,7 +102,10 @@
         errorWithLineReplaced(lines.length, "[\"late\",5,0]"));
   }
 
-  /** Damaged files either still yield a recording or one typed error, never another exception. */
+  /**
+   * A damaged file can still be valid by chance; otherwise it causes an {@link
+   * InvalidRecordingException}, never another exception.
+   */
   @Test
   void throwsNothingButInvalidRecordingExceptionForDamagedFiles() throws IOException {
     writeAndReadLines();
--- a/src/test/java/stonespring/simulator/SimulatorHostTest.java
+++ b/src/test/java/stonespring/simulator/SimulatorHostTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests replies and errors of the simulator protocol; inputs have single quotes for double ones.
+ * Tests replies and errors of the simulator protocol; inputs are written with single quotes, which
+ * are replaced by double ones.
  */
 final class SimulatorHostTest {
   private static final String SETTINGS =
--- a/src/test/java/stonespring/state/PublishedStateTest.java
+++ b/src/test/java/stonespring/state/PublishedStateTest.java
@@ -21,7 +21,7 @@
     sessions.handleHello("p", hello("l", 1), new Object(), 0, 10);
     assertEquals(List.of(), published.publish(update(PROXY, 5)));
     assertTrue(keys.snapshot("/proxy/p/").stream().noneMatch(k -> k.key().endsWith("/commit")));
-    // The three keys that fit took the numbers 11 to 13; deletions need no room.
+    // The three stored keys have the sequence numbers 11 to 13; a deletion needs no free space.
     assertNotNull(keys.delete("/x"));
     assertEquals(14, keys.sequence());
     assertEquals(15, published.publishSessionEnd(PROXY).get(0).sequence());
--- a/src/test/java/stonespring/testbed/FaultyLinkTest.java
+++ b/src/test/java/stonespring/testbed/FaultyLinkTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 final class FaultyLinkTest {
-  /** Limits a read that never ends; a passing test reads without waiting for it. */
+  /** Upper bound of a read that would block forever; a passing test never reaches it. */
   private static final int TIMEOUT_MILLIS = 10_000;
 
   private final MultiThreadIoEventLoopGroup loops =
--- a/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpConnectionTest.java
@@ -103,7 +103,8 @@
       byte[] ready = new byte[hex(READY_SUB).length];
       in.readFully(ready);
       assertArrayEquals(hex(READY_SUB.replace("535542", "505542")), ready);
-      // As common libraries send it: a command to a 3.1 peer, a message to a 3.0 peer.
+      // Common libraries send a subscription as a command to a 3.1 peer, and as a message to a 3.0
+      // peer.
       socket.getOutputStream().write(hex("04 13 09 535542534352494245 2F70726F78792F312F"));
       assertEquals("+/proxy/1/", nextEvent());
       socket.getOutputStream().write(hex("00 0A 01 2F70726F78792F312F"));
