--- a/src/test/java/stonespring/ArchitectureTest.java
+++ b/src/test/java/stonespring/ArchitectureTest.java
@@ -10,11 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that package dependencies have no cycles, that layers depend only on lower ones, and that
- * decision code uses no I/O, clocks or threads.
+ * Checks the dependencies between packages of the main code: they are free of cycles, and the
+ * packages that make routing decisions perform no I/O, read no clock and start no thread. The
+ * transport packages do not depend on the application packages, {@code state} depends neither on
+ * the proxy API nor on sockets, and the invariant checker shares no code with what it checks.
  */
 final class ArchitectureTest {
-  private static final JavaClasses PRODUCTION_CLASSES =
+  private static final JavaClasses MAIN_CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("stonespring");
@@ -23,16 +25,16 @@
   };
 
   private static void check(ArchRule rule) {
-    rule.check(PRODUCTION_CLASSES);
+    rule.check(MAIN_CLASSES);
   }
 
   @Test
-  void packageDependenciesHaveNoCycles() {
+  void packagesHaveNoCyclicDependencies() {
     check(SlicesRuleDefinition.slices().matching("stonespring.(**)").should().beFreeOfCycles());
   }
 
   @Test
-  void decisionCodeUsesNoIoClocksOrThreads() {
+  void decisionPackagesUseNoIoClockOrThread() {
     check(
         noClasses()
             .that()
@@ -66,7 +68,7 @@
   }
 
   @Test
-  void transportsDoNotDependOnRoutingOrDaemons() {
+  void transportPackagesDoNotDependOnApplicationPackages() {
     check(
         noClasses()
             .that()
@@ -87,7 +89,7 @@
   }
 
   @Test
-  void stateDoesNotDependOnProxyApisOrTransports() {
+  void statePackageDoesNotDependOnProxyApiOrSockets() {
     check(
         noClasses()
             .that()
@@ -99,7 +101,7 @@
   }
 
   @Test
-  void invariantCheckerSharesNoCodeWithCodeUnderTest() {
+  void invariantCheckerDoesNotDependOnCheckedCode() {
     check(
         noClasses()
             .that()
--- a/src/test/java/stonespring/recorded/CommandEncoder.java
+++ b/src/test/java/stonespring/recorded/CommandEncoder.java
@@ -8,14 +8,14 @@
 import stonespring.model.Command;
 
 /**
- * Encodes commands as bytes without names of types or fields: a tag for the kind, followed by all
- * bits of each value in a fixed order. Renamed identifiers therefore do not change the bytes, but
- * changed commands do.
+ * Encodes commands as bytes for {@link RecordedDigests}: a tag for the type of command, then its
+ * components by position at full precision. The bytes contain no type or component names, so a
+ * rename leaves them unchanged while a changed decision changes them.
  */
 public final class CommandEncoder {
   private CommandEncoder() {}
 
-  /** Encodes a batch of commands in their order. */
+  /** Encodes one batch of commands, in order, preceded by their number. */
   public static byte[] encode(List<Command> commands) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -75,7 +75,8 @@
       out.writeInt(c.bytes().length);
       out.write(c.bytes());
     } else if (command instanceof Command.Log) {
-      // The text is left out, so that it can be reworded; that a line is logged must not change.
+      // The text is left out, so that log lines can be reworded; that a line is logged still
+      // counts.
       out.writeByte(11);
     } else {
       throw new AssertionError("no encoding for " + command);
--- a/src/test/java/stonespring/recorded/StoredDataTest.java
+++ b/src/test/java/stonespring/recorded/StoredDataTest.java
@@ -22,21 +22,18 @@
 import stonespring.recording.RecordingFile;
 
 /**
- * Tests that files of version 0.2.0, stored by the program or given to it, are still read with the
- * same values, and that rewritten files have the same content.
+ * Guards compatibility with version 0.2.0: the files that it wrote or read are still read with the
+ * same values, and those that it wrote are still written with the same content.
  */
 final class StoredDataTest {
-  private static final Path STORED_FILES = Path.of("src/test/resources/stored");
+  private static final Path STORED_DATA = Path.of("src/test/resources/stored");
   private static final List<String> ZONES = List.of("west", "east");
-  @TempDir private Path folder;
+  @TempDir private Path temporaryFolder;
 
-  /**
-   * Returns all values of the settings in a fixed order without field names, so that a renamed
-   * field does not change the result.
-   */
-  private static String describeValues(Settings s) {
+  /** Returns every value of the settings by position, without field names. */
+  private static String describeValues(Settings settings) {
     StringBuilder classes = new StringBuilder();
-    for (RequestClass requestClass : s.requestClasses()) {
+    for (RequestClass requestClass : settings.requestClasses()) {
       classes
           .append('(')
           .append(requestClass.retrySafety().ordinal())
@@ -49,36 +46,36 @@
     return String.join(
         " ",
         List.of(
-            "" + s.fleet().instances(),
-            "" + s.fleet().zones(),
+            "" + settings.fleet().instances(),
+            "" + settings.fleet().zones(),
             classes,
-            "" + s.endpointList().watchRequired(),
-            "" + s.admissionLimitKind().ordinal(),
-            "" + s.channel().maxBacklogEntries(),
-            "" + s.channel().messageOverheadEntries(),
-            "" + s.channel().maxMessagesPerProxy(),
-            "" + s.channel().messageWindow(),
-            "" + s.channel().entriesPerSecond(),
-            "" + s.routing().maxTimeWithoutEndpoint(),
-            "" + s.routing().bootstrapRouteCount(),
-            "" + s.fleet().proxies(),
-            "" + s.reportInterval(),
-            "" + s.fleet().sharded(),
-            "" + s.routing().crossZonePenalty(),
-            "" + s.slowStart().window(),
-            "" + s.slowStart().initialFraction(),
-            "" + s.slowStart().overloadMultiple(),
-            "" + s.routing().worstClassWeight(),
-            "" + s.endpointList().removedEndpointsKeepServing(),
-            "" + s.routing().ejectAfterConsecutiveFailures(),
-            "" + s.channel().proxyTablesUnknown()));
+            "" + settings.endpointList().watchRequired(),
+            "" + settings.admissionLimitKind().ordinal(),
+            "" + settings.channel().maxBacklogEntries(),
+            "" + settings.channel().messageOverheadEntries(),
+            "" + settings.channel().maxMessagesPerProxy(),
+            "" + settings.channel().messageWindow(),
+            "" + settings.channel().entriesPerSecond(),
+            "" + settings.routing().maxTimeWithoutEndpoint(),
+            "" + settings.routing().bootstrapRouteCount(),
+            "" + settings.fleet().proxies(),
+            "" + settings.reportInterval(),
+            "" + settings.fleet().sharded(),
+            "" + settings.routing().crossZonePenalty(),
+            "" + settings.slowStart().window(),
+            "" + settings.slowStart().initialFraction(),
+            "" + settings.slowStart().overloadMultiple(),
+            "" + settings.routing().worstClassWeight(),
+            "" + settings.endpointList().removedEndpointsKeepServing(),
+            "" + settings.routing().ejectAfterConsecutiveFailures(),
+            "" + settings.channel().proxyTablesUnknown()));
   }
 
   @Test
-  void readsStoredEndpointListAndWritesSameBytes() throws Exception {
-    EndpointListCodec codec = new EndpointListCodec(ZONES, 17_645_760_000_000L);
-    byte[] stored = Files.readAllBytes(STORED_FILES.resolve("list.json"));
-    List<EndpointRecord> list = codec.read(stored);
+  void readsAndRewritesSavedEndpointListUnchanged() throws Exception {
+    EndpointListCodec entries = new EndpointListCodec(ZONES, 17_645_760_000_000L);
+    byte[] stored = Files.readAllBytes(STORED_DATA.resolve("list.json"));
+    List<EndpointRecord> list = entries.read(stored);
     assertEquals(
         List.of(
             new EndpointRecord(
@@ -94,7 +91,7 @@
                 EndpointRecord.State.DRAINING,
                 2500)),
         list);
-    assertArrayEquals(stored, codec.write(list));
+    assertArrayEquals(stored, entries.write(list));
   }
 
   private static byte[] decompress(Path file) throws IOException {
@@ -104,8 +101,8 @@
   }
 
   @Test
-  void readsStoredRecording() throws IOException {
-    Recording recording = RecordingFile.read(STORED_FILES.resolve("day.rec.gz"));
+  void readsRecordedScenario() throws IOException {
+    Recording recording = RecordingFile.read(STORED_DATA.resolve("day.rec.gz"));
     assertEquals(
         "1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 2900 10 30 100000 2900.0 50000 5 3 10000 false 0.12 80000 0.2"
             + " 3.0 0.3 false 3 false",
@@ -115,16 +112,16 @@
   }
 
   @Test
-  void writesStoredRecordingWithSameContent() throws IOException {
-    Path stored = STORED_FILES.resolve("day.rec.gz");
-    Path rewritten = folder.resolve("again.rec.gz");
+  void rewritesRecordedScenarioUnchanged() throws IOException {
+    Path stored = STORED_DATA.resolve("day.rec.gz");
+    Path rewritten = temporaryFolder.resolve("rewritten.rec.gz");
     RecordingFile.write(RecordingFile.read(stored), rewritten);
     assertArrayEquals(decompress(stored), decompress(rewritten));
   }
 
   @Test
-  void readsStoredSettingsScript() throws Exception {
-    InstanceSettings settings = InstanceSettings.read(STORED_FILES.resolve("settings.star"));
+  void readsSettingsScript() throws Exception {
+    InstanceSettings settings = InstanceSettings.read(STORED_DATA.resolve("settings.star"));
     assertEquals(
         "1 3 (0 5000 3.0)(1 8000 3.0)(2 6000 2.0) false 1 5800 10 30 100000 2900.0 50000 5 24 10000 false 0.12 170000 0.17"
             + " 4.0 0.3 false 3 false",
@@ -136,8 +133,8 @@
   }
 
   @Test
-  void readsStoredPlatformConfiguration() throws Exception {
-    PlatformConfig config = PlatformConfig.read(STORED_FILES.resolve("platform.json"));
+  void readsPlatformConfig() throws Exception {
+    PlatformConfig config = PlatformConfig.read(STORED_DATA.resolve("platform.json"));
     assertEquals(
         "2 2 (0 4000 1.0)(1 7000 2.5)(2 9000 4.0) true 2 3000 5 20 80000 1500.0 60000 3 8 5000 true 0.1 120000 0.3 2.5 0.2"
             + " true 3 true",
