--- a/src/main/java/stonespring/cli/CheckCommand.java
+++ b/src/main/java/stonespring/cli/CheckCommand.java
@@ -22,11 +22,11 @@
       InstanceSettings settings = InstanceSettings.read(file);
       System.out.println(
           file
-              + ": good; "
+              + ": valid; "
               + settings.zones().size()
               + " zones, "
               + settings.requestClasses().names().size()
-              + " op types, ports "
+              + " request classes, ports "
               + settings.listen().port()
               + " to "
               + (settings.listen().port() + 2));
--- a/src/main/java/stonespring/cli/CompareCommand.java
+++ b/src/main/java/stonespring/cli/CompareCommand.java
@@ -39,7 +39,7 @@
   @Option(
       names = "--seeds",
       defaultValue = "5",
-      description = "Seeds for each load and policy (default: ${DEFAULT-VALUE}).")
+      description = "Number of seeds for each load and policy (default: ${DEFAULT-VALUE}).")
   private int seeds;
 
   @Option(
@@ -73,7 +73,7 @@
     }
     if (chartFolder != null) {
       ComparisonCharts.write(rows, chartFolder)
-          .forEach(file -> System.err.println("written: " + file));
+          .forEach(file -> System.err.println("chart written to " + file));
     }
     return ExitCode.OK;
   }
--- a/src/main/java/stonespring/cli/LoggingOptions.java
+++ b/src/main/java/stonespring/cli/LoggingOptions.java
@@ -13,7 +13,7 @@
 
 /** The logging options that several commands share. */
 final class LoggingOptions {
-  @Option(names = "--log-json", description = "Log lines of JSON instead of plain text.")
+  @Option(names = "--log-json", description = "Write log lines as JSON instead of plain text.")
   private boolean json;
 
   @Option(
--- a/src/main/java/stonespring/cli/ServeCommand.java
+++ b/src/main/java/stonespring/cli/ServeCommand.java
@@ -21,18 +21,18 @@
   @Option(
       names = "--port",
       description =
-          "Port for snapshots, overrides that of the script; 0 selects three free ports in a row.")
+          "Port for snapshots; overrides the port in the script. 0 selects three consecutive free ports.")
   private Integer port;
 
   @Option(
       names = "--registry-port",
-      description = "Port of the registry, overrides that of the script.")
+      description = "Port of the registry; overrides the port in the script.")
   private Integer registryPort;
 
   @Option(
       names = "--saved-list",
       paramLabel = "PATH",
-      description = "File for the last known endpoint list, overrides that of the script.")
+      description = "File for the last known endpoint list; overrides the file in the script.")
   private Path savedList;
 
   @Mixin private LoggingOptions logging;
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -65,7 +65,8 @@
               ? printer.ended.get()
               : printer.ended.get(SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       if (!error.isEmpty()) {
-        throw CommandFailedException.failed("snapshot: " + error);
+        throw CommandFailedException.failed(
+            "snapshot: the session with the instance ended: " + error);
       }
       return ExitCode.OK;
     } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -20,7 +20,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Replays a recorded load in virtual time and prints the weight solver's plan at one instant, with"
-            + " reasons.")
+            + " the reason for the target of each endpoint.")
 final class SolveCommand implements Callable<Integer> {
   @Parameters(paramLabel = "RECORDING", description = "The recorded load.")
   private Path file;
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -90,10 +90,7 @@
       head = mapper.readValue(line, StoredHead.class).toHead();
     } catch (JsonProcessingException e) {
       throw position.error(
-          e.getOriginalMessage()
-              .lines()
-              .findFirst()
-              .orElse("expected the recording's head as a JSON object"));
+          "head: " + e.getOriginalMessage().lines().findFirst().orElse("expected a JSON object"));
     }
     checkSizes(head);
     checkProxies(head);
@@ -117,15 +114,15 @@
     int requestClasses = head.settings().requestClasses().size();
     position.check(
         head.requestClasses().size() == requestClasses && !head.requestClasses().isEmpty(),
-        "types: expected as many as in the settings, "
+        "types: expected "
             + requestClasses
-            + ", and at least 1, found "
+            + " request classes as in the settings, and at least 1, found "
             + head.requestClasses().size());
     position.check(
         head.sampleInterval() > 0 && head.duration() > 0 && head.duration() <= MAX_DURATION,
-        "every, length: expected values above 0 and a length of at most "
+        "every, length: expected durations above 0 and a length of at most "
             + MAX_DURATION
-            + ", found "
+            + " deci-milliseconds, found "
             + head.sampleInterval()
             + ", "
             + head.duration());
@@ -161,7 +158,7 @@
           requestClass.serviceTime() > 0 && requestClass.timeout() > 0,
           "types: "
               + requestClass.name()
-              + ": work, opTimeout: expected values above 0, found "
+              + ": work, opTimeout: expected durations above 0 deci-milliseconds, found "
               + requestClass.serviceTime()
               + ", "
               + requestClass.timeout());
--- a/src/main/java/stonespring/recording/SampleReader.java
+++ b/src/main/java/stonespring/recording/SampleReader.java
@@ -47,7 +47,7 @@
         yield new LoadSample.ReportsDelayed(
             at, readInteger(2, "by", 0, RecordingReader.MAX_DURATION));
       }
-      default -> throw position.error("kind: unknown value " + row.get(KIND));
+      default -> throw position.error("kind: expected a kind of sample, found " + row.get(KIND));
     };
   }
 
@@ -65,7 +65,8 @@
   private LoadSample readEndpointListed(long at) throws InvalidRecordingException {
     checkSize(7);
     String state = row.get(5).asText();
-    position.check(SampleWords.isState(state), "state: unknown value " + row.get(5));
+    position.check(
+        SampleWords.isState(state), "state: expected READY, DRAINING or GONE, found " + row.get(5));
     return new LoadSample.EndpointListed(
         at,
         readEndpointName(),
--- a/src/main/java/stonespring/simulator/BatchReader.java
+++ b/src/main/java/stonespring/simulator/BatchReader.java
@@ -62,18 +62,18 @@
       boolean hasParts = readFields(json);
       if (now < 0 || sequence < 0 || !hasParts) {
         throw new SimulatorProtocolException(
-            "batch: expected the fields '"
+            "batch: expected numbers from 0 in the fields '"
                 + Batch.TIME_SECONDS
-                + "', '"
-                + Batch.SEQUENCE
                 + "' and '"
+                + Batch.SEQUENCE
+                + "' and the field '"
                 + Batch.PARTS
-                + "' and no negative number; at least one field is missing or negative");
+                + "'; at least one of them is missing or negative");
       }
       checkToken(json.currentToken(), JsonToken.END_OBJECT, "batch");
       if (json.nextToken() != null) {
         throw new SimulatorProtocolException(
-            "batch: expected the end of the line after it, found another JSON value");
+            "batch: expected the end of the line after the batch, found another JSON value");
       }
     }
   }
--- a/src/main/java/stonespring/simulator/EndpointLists.java
+++ b/src/main/java/stonespring/simulator/EndpointLists.java
@@ -19,7 +19,9 @@
     if (number >= MAX_LISTS || !message.value(1, WireNames.Field.LIST_ENTRIES).isArray()) {
       throw message.invalid(
           WireNames.Field.LIST_ENTRIES,
-          "expected an array under a list number of at most " + (MAX_LISTS - 1));
+          "expected an array, and a list number of at most "
+              + (MAX_LISTS - 1)
+              + ", found another type or a greater number");
     }
     entriesByNumber[number] = message.value(1, WireNames.Field.LIST_ENTRIES);
   }
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -61,7 +61,9 @@
       case Message.PROXY_DISCONNECTED -> new Event.ProxyDisconnected(readProxy(message));
       case Message.PROXY_CONNECTED -> readProxyConnected(message);
       case Message.ENDPOINT_OUTCOMES -> readOutcomes(message);
-      default -> throw new SimulatorProtocolException("unknown message '" + message.name() + "'");
+      default ->
+          throw new SimulatorProtocolException(
+              "message name: expected a name of the protocol, found '" + message.name() + "'");
     };
   }
 
@@ -224,6 +226,6 @@
 
   private static SimulatorProtocolException unknownValue(
       SimulatorMessage message, String field, String value) {
-    return message.invalid(field, "unknown value '" + value + "'");
+    return message.invalid(field, "expected a value of the protocol, found '" + value + "'");
   }
 }
--- a/src/main/java/stonespring/simulator/SimulatorMessage.java
+++ b/src/main/java/stonespring/simulator/SimulatorMessage.java
@@ -50,7 +50,7 @@
   JsonNode value(int position, String field) {
     JsonNode value = array.get(firstValue + position);
     if (value == null) {
-      throw invalid(field, "the value is missing");
+      throw invalid(field, "expected a value, found none");
     }
     return value;
   }
@@ -59,7 +59,7 @@
   long nonNegativeInteger(int position, String field) {
     JsonNode value = value(position, field);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
-      throw invalid(field, "expected an integer from 0, found " + value);
+      throw invalid(field, "expected an integer of at least 0, found " + value);
     }
     return value.asLong();
   }
--- a/src/test/java/stonespring/decision/AdvisedEngineTest.java
+++ b/src/test/java/stonespring/decision/AdvisedEngineTest.java
@@ -143,7 +143,9 @@
     for (int i = 0; i < 25; i++) {
       runRound(first, Map.of("t1", 0.2));
       runRound(second, Map.of("t1", 0.2));
-      assertTrue(first.commands.equals(second.commands), "round " + i);
+      assertTrue(
+          first.commands.equals(second.commands),
+          "round " + i + ": equal events must give equal commands");
     }
   }
 }
--- a/src/test/java/stonespring/decision/EngineInvariantsTest.java
+++ b/src/test/java/stonespring/decision/EngineInvariantsTest.java
@@ -164,7 +164,10 @@
         }
         fleet.step(SECOND);
       }
-      assertEquals(first.commands, second.commands, "round " + i);
+      assertEquals(
+          first.commands,
+          second.commands,
+          "round " + i + ": equal events must give equal commands");
     }
   }
 }
--- a/src/test/java/stonespring/decision/EngineRestartTest.java
+++ b/src/test/java/stonespring/decision/EngineRestartTest.java
@@ -160,7 +160,7 @@
           possibleRate
               + " requests per second may reach "
               + entrant
-              + ", which can serve "
+              + ", expected at most 1.95 times its capacity of "
               + capacity);
     }
   }
--- a/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
+++ b/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
@@ -209,7 +209,8 @@
     assertEquals(
         1,
         limits.stream().min(Double::compare).orElse(1.0),
-        "the endpoints can serve the traffic of half of the proxies");
+        "no limit is below 1, because the endpoints can serve the traffic of half of the proxies; limits: "
+            + limits);
     for (int p = 0; p < PROXY_COUNT / 2; p++) {
       connect(p, false);
     }
@@ -218,7 +219,8 @@
     endBatch();
     assertTrue(
         limits.stream().min(Double::compare).orElse(1.0) < 1,
-        "the endpoints cannot serve the traffic of all proxies; limits: " + limits);
+        "a limit is below 1, because the endpoints cannot serve the traffic of all proxies; limits: "
+            + limits);
   }
 
   /**
@@ -255,9 +257,14 @@
   void reducesLimitsLessWhileReportsAreDelayed() {
     double limitWithoutDelay = runAndFindLowestLimit(false);
     double limitWithDelay = runAndFindLowestLimit(true);
-    assertTrue(limitWithoutDelay < 0.5, "lowest limit without delay " + limitWithoutDelay);
+    assertTrue(
+        limitWithoutDelay < 0.5,
+        "lowest limit without delay: expected less than 0.5, found " + limitWithoutDelay);
     assertTrue(
         limitWithDelay > 0.65,
-        "lowest limit without delay " + limitWithoutDelay + ", with delay " + limitWithDelay);
+        "lowest limit with delay: expected more than 0.65, found "
+            + limitWithDelay
+            + "; without delay: "
+            + limitWithoutDelay);
   }
 }
--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -28,9 +28,16 @@
       double capacity = Math.min(1, 0.2 + 0.8 * (i + 1) / 10) / 0.04;
       assertTrue(
           fleet.load("t2") <= 1.3 * capacity,
-          "round " + i + ": load " + fleet.load("t2") + " at a capacity of " + capacity);
+          "round "
+              + i
+              + ": expected a load of at most 1.3 times the capacity of "
+              + capacity
+              + ", found "
+              + fleet.load("t2"));
     }
-    assertTrue(fleet.load("t2") > 5, "load once warm: " + fleet.load("t2"));
+    assertTrue(
+        fleet.load("t2") > 5,
+        "load of the warm endpoint t2: expected more than 5, found " + fleet.load("t2"));
   }
 
   /**
@@ -89,7 +96,7 @@
                 + all
                 + " requests per second may reach "
                 + entrant
-                + ", overload limit "
+                + ", expected at most 2.4 times the overload limit of "
                 + limit);
       }
     }
@@ -180,6 +187,6 @@
     assertTrue(
         fleet.endpoints.keySet().stream()
             .anyMatch(name -> name.startsWith("entrant") && fleet.load(name) > 0),
-        "no entrant gets requests");
+        "at least one new endpoint must get requests");
   }
 }
--- a/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
+++ b/src/test/java/stonespring/discovery/PlatformEndpointWatchTest.java
@@ -61,10 +61,16 @@
     }
     fixture.source.setWatchEnabled(true);
     fixture.server.accept().close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "closed before the response");
+    assertEquals(
+        "FETCH_FAILED",
+        fixture.updates.nextDescription(),
+        "the connection was closed before the response");
     fixture.source.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk("{\"seq\":50,\"who").close();
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "closed within a message");
+    assertEquals(
+        "FETCH_FAILED",
+        fixture.updates.nextDescription(),
+        "the connection was closed in the middle of a message");
     fixture.source.setWatchEnabled(true);
     ManualHttpExchange watchWithLowerVersion = fixture.server.accept();
     assertEquals(
@@ -72,7 +78,10 @@
         watchWithLowerVersion.target(),
         "an incomplete message does not change the version");
     watchWithLowerVersion.writeRaw(CHUNKED_HEAD).writeChunk(message(7, false));
-    assertEquals("FETCH_FAILED", fixture.updates.nextDescription(), "a delta with a lower version");
+    assertEquals(
+        "FETCH_FAILED",
+        fixture.updates.nextDescription(),
+        "a delta with a lower version fails the watch");
     fixture.source.setWatchEnabled(true);
     assertEquals(
         "/registry/instances?stream=1&index=0",
@@ -159,9 +168,9 @@
     EndpointUpdates updates = new EndpointUpdates();
     sourceWithoutSockets.start(updates, EndpointUpdates::ignoreList);
     sourceWithoutSockets.setWatchEnabled(true);
-    assertEquals("FETCH_FAILED", updates.nextDescription(), "the watch");
+    assertEquals("FETCH_FAILED", updates.nextDescription(), "the watch cannot open a socket");
     sourceWithoutSockets.fetch();
-    assertEquals("FETCH_FAILED", updates.nextDescription(), "the fetch");
+    assertEquals("FETCH_FAILED", updates.nextDescription(), "the fetch cannot open a socket");
     sourceWithoutSockets.setWatchEnabled(true);
     fixture.server.acceptWatch().writeChunk(message(5, true, entry("s-1", "Ready")));
     assertEquals("SNAPSHOT s-1/READY/1/1.5/9500", updates.nextDescription());
--- a/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
+++ b/src/test/java/stonespring/discovery/RegistryEndpointSourceTest.java
@@ -85,7 +85,9 @@
         "a query without an index follows a decreased index");
     registry.respondWithoutIndex("[]");
     assertEquals(
-        Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "response without an index");
+        Event.ListUpdateKind.FETCH_FAILED,
+        updates.next().kind(),
+        "a response without an index fails the query");
   }
 
   @Test
@@ -103,7 +105,9 @@
         "a restarted watch reports a snapshot");
     registry.accept().channel().close();
     assertEquals(
-        Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "the connection was closed");
+        Event.ListUpdateKind.FETCH_FAILED,
+        updates.next().kind(),
+        "the query fails when the connection is closed");
   }
 
   @Test
@@ -119,6 +123,8 @@
     registry.stop();
     source.fetch();
     assertEquals(
-        Event.ListUpdateKind.FETCH_FAILED, updates.next().kind(), "the registry is stopped");
+        Event.ListUpdateKind.FETCH_FAILED,
+        updates.next().kind(),
+        "the query fails while the registry is stopped");
   }
 }
--- a/src/test/java/stonespring/http/HttpDecoderTest.java
+++ b/src/test/java/stonespring/http/HttpDecoderTest.java
@@ -137,7 +137,8 @@
       for (; next instanceof StreamPart.Bytes part; next = channel.readInbound()) {
         body.append(new String(part.bytes(), StandardCharsets.US_ASCII));
       }
-      assertEquals("abcdefgh", body.toString(), "split at " + splitIndex);
+      assertEquals(
+          "abcdefgh", body.toString(), "messages when the bytes are split at " + splitIndex);
       assertEquals(new StreamPart.End(), next);
     }
   }
--- a/src/test/java/stonespring/line/LineDecoderTest.java
+++ b/src/test/java/stonespring/line/LineDecoderTest.java
@@ -49,13 +49,13 @@
       EmbeddedChannel channel = channel();
       channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOf(all, cut)));
       channel.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(all, cut, all.length)));
-      assertEquals(whole, read(channel), "cut at " + cut);
+      assertEquals(whole, read(channel), "messages when the bytes are split at " + cut);
     }
     EmbeddedChannel channel = channel();
     for (byte single : all) {
       channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {single}));
     }
-    assertEquals(whole, read(channel), "byte by byte");
+    assertEquals(whole, read(channel), "messages when each byte arrives alone");
   }
 
   @Test
--- a/src/test/java/stonespring/proxy/routing/RouterTest.java
+++ b/src/test/java/stonespring/proxy/routing/RouterTest.java
@@ -93,7 +93,7 @@
     assertEquals(
         Optional.empty(),
         router.pick(SKETCH, null, 0),
-        "a class without a table, now or earlier, has no routes");
+        "a class that was never assigned a table has no routes");
   }
 
   @Test
@@ -237,7 +237,12 @@
           assertEquals(
               attempts <= maxRetries && retriesOnFailure && requestClass != EXTRACT,
               router.mayRetry(requestClass, new RequestProgress(attempts, false, 0, SECOND), 0),
-              policy + " " + requestClass + " " + attempts);
+              "retry after "
+                  + attempts
+                  + " attempts of "
+                  + requestClass
+                  + " with policy "
+                  + policy);
           assertFalse(
               router.mayRetry(
                   requestClass, new RequestProgress(attempts, true, 0, SECOND), SECOND - 50),
--- a/src/test/java/stonespring/recording/RecordingFileTest.java
+++ b/src/test/java/stonespring/recording/RecordingFileTest.java
@@ -82,7 +82,9 @@
     assertEquals("version: expected 1, found 2", errorWithLineReplaced(1, "{\"version\":2}"));
     assertEquals(
         "expected a JSON array, found invalid JSON", errorWithLineReplaced(2, "[\"ran\",0"));
-    assertEquals("kind: unknown value \"walked\"", errorWithLineReplaced(2, "[\"walked\",0]"));
+    assertEquals(
+        "kind: expected a kind of sample, found \"walked\"",
+        errorWithLineReplaced(2, "[\"walked\",0]"));
     assertEquals(
         "zone: expected an integer from 0 to 2, found 3",
         errorWithLineReplaced(2, "[\"ran\",0,\"t0\",3,2,1.0,false]"));
@@ -93,7 +95,7 @@
         "ops: expected an integer from 0 to 10000000, found -1",
         errorWithLineReplaced(2, "[\"came\",0,0,-1,0,0]"));
     assertEquals(
-        "state: unknown value \"UP\"",
+        "state: expected READY, DRAINING or GONE, found \"UP\"",
         errorWithLineReplaced(2, "[\"listed\",0,\"t0\",1,1.0,\"UP\",0]"));
     String[] lines = writeAndReadLines();
     String previousAt = lines[lines.length - 2].split(",")[1];
--- a/src/test/java/stonespring/simulator/SimulatorHostTest.java
+++ b/src/test/java/stonespring/simulator/SimulatorHostTest.java
@@ -57,12 +57,12 @@
       quoteCharacter = '~',
       value = {
         "[]|batch: expected START_OBJECT, found START_ARRAY",
-        "{'tS':1,'seq':4}|batch: expected the fields 'tS', 'seq' and 'parts' and no negative number; at least one field is missing or negative",
+        "{'tS':1,'seq':4}|batch: expected numbers from 0 in the fields 'tS' and 'seq' and the field 'parts'; at least one of them is missing or negative",
         "{'tS':'x','seq':4}|field 'tS': expected a number, found \"x\"",
         "{'seq':4,'parts':[]}|batch: expected field 'tS' before 'parts'; it is missing, negative or comes later",
         "{'tS':1,'seq':4,'parts':3}|field 'parts': expected START_ARRAY, found VALUE_NUMBER_INT",
         "{'tS':1,'seq':4,'parts':[{'msgs':[]}]}|element of 'parts': expected field 'i' before 'msgs'; it is missing, negative or comes later",
-        "{'tS':1,'seq':4,'parts':[]} 5|batch: expected the end of the line after it, found another JSON value",
+        "{'tS':1,'seq':4,'parts':[]} 5|batch: expected the end of the line after the batch, found another JSON value",
       })
   void rejectsAMalformedBatch(String line, String expectedMessage) {
     assertRejected(line + "\n", expectedMessage);
@@ -74,9 +74,9 @@
       quoteCharacter = '~',
       value = {
         "[5]|field 'msgs': expected a message that starts with its name, found [5]",
-        "['guess']|unknown message 'guess'",
-        "['disconnected']|message 'disconnected': field 'clientLb': the value is missing",
-        "['disconnected',-1]|message 'disconnected': field 'clientLb': expected an integer from 0, found -1",
+        "['guess']|message name: expected a name of the protocol, found 'guess'",
+        "['disconnected']|message 'disconnected': field 'clientLb': expected a value, found none",
+        "['disconnected',-1]|message 'disconnected': field 'clientLb': expected an integer of at least 0, found -1",
         "['disconnected',65536]|message 'disconnected': field 'clientLb': expected at most 65535, found 65536",
         "['joined',1,'east',2,true]|message 'joined': field 'regionPart': expected a zone of the settings, found 'east'",
         "['joined',1,'west',2,1]|message 'joined': field 'yes': expected true or false, found 1",
@@ -84,8 +84,8 @@
         "['ledgerLine',1,'a','b']|message 'ledgerLine': field 'w': expected a number, found \"b\"",
         "['heard',1,'0x']|message 'heard': field 'data': expected pairs of hexadecimal digits, found other text",
         "['endpoints',0,'whole']|message 'endpoints': field 'setId': expected the number of a list sent earlier, found 0",
-        "['endpoints',0,'new']|message 'endpoints': field 'mode': unknown value 'new'",
-        "['ledger',16,[]]|message 'ledger': field 'membersList': expected an array under a list number of at most 15",
+        "['endpoints',0,'new']|message 'endpoints': field 'mode': expected a value of the protocol, found 'new'",
+        "['ledger',16,[]]|message 'ledger': field 'membersList': expected an array, and a list number of at most 15, found another type or a greater number",
       })
   void errorNamesMessageAndFieldWhenAMessageIsInvalid(String message, String expectedMessage) {
     assertRejected(batch(START + "," + message), expectedMessage);
--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -82,7 +82,10 @@
             + " s late");
     assertTrue(
         estimates[59] <= 1.05 * CAPACITY && estimates[59] >= 0.5 * CAPACITY,
-        "estimate at the end: " + estimates[59]);
+        "estimate at the end: expected 0.5 to 1.05 times the capacity "
+            + CAPACITY
+            + ", found "
+            + estimates[59]);
   }
 
   @Test
@@ -92,7 +95,10 @@
     assertEquals(ReportCredibility.Reason.OBSERVED_CEILING, estimate(2).reason());
     assertTrue(
         estimate(2).capacity() < 0.5 * CAPACITY,
-        "estimate after 2 successes per second: " + estimate(2).capacity());
+        "estimate after 2 successes per second: expected less than half of the capacity "
+            + CAPACITY
+            + ", found "
+            + estimate(2).capacity());
     for (int second = 0; second < 60; second++) {
       now += SECOND;
       credibility.recordOutcomes(id(2), 5, 0, SECOND, 0, now);
@@ -123,7 +129,7 @@
       double estimate = estimate(4).capacity();
       assertTrue(
           second == 0 || estimate <= 1.26 * Math.max(CAPACITY, lastEstimate),
-          "estimate " + estimate + " after " + lastEstimate);
+          "estimate went from " + lastEstimate + " to " + estimate);
       lastEstimate = estimate;
       credibility.recordOutcomes(id(4), Math.round(estimate * 10), 0, 10 * SECOND, 0, now);
     }
--- a/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
+++ b/src/test/java/stonespring/zmtp/ZmtpDecoderTest.java
@@ -120,7 +120,7 @@
     assertTrue(violationMessage(2, 0, 0, 0, 0, 0, 0, 4, 0).contains("over the limit of 1000"));
     assertTrue(
         violationMessage(2, 0xFF, 0, 0, 0, 0, 0, 0, 0).contains("over the limit"),
-        "a size with the sign bit set");
+        "a frame size with the sign bit set is rejected");
     assertTrue(
         violationMessage(1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0)
             .contains("9 frames with 0 bytes are over the limit of 8 frames"));
