--- a/src/test/java/stonespring/decision/AdmissionControlTest.java
+++ b/src/test/java/stonespring/decision/AdmissionControlTest.java
@@ -25,7 +25,7 @@
     fleet.endpoints.keySet().forEach(name -> failureShares.put(name, 0.7));
     fleet.runRounds(8, 0.1, failureShares);
     double before = fleet.meanLimit();
-    assertTrue(before < 0.6, "mean limit under overload: " + before);
+    assertTrue(before < 0.6, "mean limit under overload: expected less than 0.6, found " + before);
     for (int p = 0; p < 8; p += 2) {
       fleet.disconnect(p);
     }
@@ -53,7 +53,9 @@
     Fleet fleet = Fleet.create(8, 8);
     fleet.runRounds(5, 0.05, Map.of());
     fleet.runRounds(60, 0.2, Map.of());
-    assertTrue(fleet.lowestLimit < 0.95, "lowest limit " + fleet.lowestLimit);
+    assertTrue(
+        fleet.lowestLimit < 0.95,
+        "lowest limit under overload: expected less than 0.95, found " + fleet.lowestLimit);
     assertEquals(RetryPolicy.NEVER, fleet.retryPolicies.get(0), "retry policy under overload");
     assertTrue(
         fleet.limits[0] >= fleet.limits[1] && fleet.limits[1] > fleet.limits[2],
@@ -61,7 +63,7 @@
             + Arrays.toString(fleet.limits));
     assertTrue(
         fleet.limits[2] > 0.2,
-        "the most limited class must still be admitted: limit " + fleet.limits[2]);
+        "limit of the most limited class: expected more than 0.2, found " + fleet.limits[2]);
     fleet.runRounds(30, 0.03, Map.of());
     assertEquals(1, fleet.lowestLimit);
   }
@@ -78,7 +80,11 @@
       fleet.successLatency = late ? 2 * SECOND : fleet.successLatency;
       fleet.runRounds(12, 0.03, failureShares);
       assertTrue(
-          fleet.lowestLimit < 0.9, "lowest limit " + fleet.lowestLimit + ", late answers " + late);
+          fleet.lowestLimit < 0.9,
+          "lowest limit: expected less than 0.9, found "
+              + fleet.lowestLimit
+              + "; late answers: "
+              + late);
       fleet.successLatency = 1000;
       fleet.runRounds(30, 0.03, Map.of());
       assertEquals(1, fleet.lowestLimit);
@@ -95,7 +101,10 @@
     fleet.step(10);
     assertTrue(
         fleet.lowestLimit < 0.9 && fleet.retryPolicies.get(0) == RetryPolicy.NEVER,
-        "lowest limit " + fleet.lowestLimit + ", retry policies " + fleet.retryPolicies);
+        "expected a lowest limit of less than 0.9 and retry policy NEVER for class 0, found limit "
+            + fleet.lowestLimit
+            + ", retry policies "
+            + fleet.retryPolicies);
   }
 
   @Test
@@ -106,7 +115,8 @@
     fleet.reportSpan = SECOND;
     fleet.runRounds(1, 0.08, Map.of());
     double limit = fleet.meanLimit();
-    assertTrue(limit < 0.5, "mean limit after the first reports: " + limit);
+    assertTrue(
+        limit < 0.5, "mean limit after the first reports: expected less than 0.5, found " + limit);
   }
 
   /** While endpoints report spare capacity, failures may have another cause than overload. */
@@ -125,7 +135,11 @@
     }
     assertTrue(
         lowestLimits[0] > 1.15 * lowestLimits[1],
-        "lowest mean limit: " + lowestLimits[0] + " idle, " + lowestLimits[1] + " busy");
+        "lowest mean limit: expected more than 1.15 times the limit of busy endpoints for idle ones, found "
+            + lowestLimits[0]
+            + " idle, "
+            + lowestLimits[1]
+            + " busy");
   }
 
   @Test
@@ -144,6 +158,7 @@
     fleet.runRounds(60, 0.2, Map.of());
     assertTrue(
         fleet.limits[0] > 0 && fleet.limits[2] > 0 && fleet.limits[1] < 1,
-        "limits by class: " + Arrays.toString(fleet.limits));
+        "expected limits above 0 for classes 0 and 2, and below 1 for class 1; limits by class: "
+            + Arrays.toString(fleet.limits));
   }
 }
--- a/src/test/java/stonespring/decision/RouteWeightsTest.java
+++ b/src/test/java/stonespring/decision/RouteWeightsTest.java
@@ -14,8 +14,11 @@
     Fleet fleet = Fleet.createWithLargeProxy(12, 5, 100, 5);
     fleet.runRounds(20, 0.05, Map.of());
     assertTrue(
-        fleet.shares(0).size() >= 10, "routes of the large proxy: " + fleet.shares(0).size());
-    assertTrue(fleet.shares(1).size() <= 6, "routes of a small proxy: " + fleet.shares(1).size());
+        fleet.shares(0).size() >= 10,
+        "routes of the large proxy: expected at least 10, found " + fleet.shares(0).size());
+    assertTrue(
+        fleet.shares(1).size() <= 6,
+        "routes of a small proxy: expected at most 6, found " + fleet.shares(1).size());
   }
 
   @Test
@@ -26,7 +29,7 @@
     fleet.runRounds(10, 0.03, Map.of("t3", 1.0));
     assertTrue(
         fleet.load("t3") < loadBefore / 3,
-        "load of t3 went from " + loadBefore + " to " + fleet.load("t3"));
+        "load of t3: expected less than a third of " + loadBefore + ", found " + fleet.load("t3"));
     assertTrue(fleet.load("t3") > 0, "a route must remain to show when t3 recovers");
   }
 
@@ -39,7 +42,8 @@
     fleet.runRounds(6, 0.03, failureShares);
     for (String endpoint : fleet.endpoints.keySet()) {
       assertTrue(
-          fleet.load(endpoint) > 2, endpoint + " has a load of only " + fleet.load(endpoint));
+          fleet.load(endpoint) > 2,
+          "load of " + endpoint + ": expected more than 2, found " + fleet.load(endpoint));
     }
   }
 
@@ -60,7 +64,8 @@
         fleet.load("t0") + fleet.load("t1") + fleet.load("t2") + fleet.load("t3");
     assertTrue(
         rateAtLoadedEndpoints < 0.45 * 80,
-        rateAtLoadedEndpoints + " of 80 requests per second go to endpoints loaded by others");
+        "requests per second to endpoints loaded by other instances: expected less than 0.45 of 80, found "
+            + rateAtLoadedEndpoints);
   }
 
   @Test
@@ -76,7 +81,9 @@
                         .mapToDouble(e -> p.requestRate * e.getValue())
                         .sum())
             .sum();
-    assertTrue(crossZoneRate < 3, crossZoneRate + " of 80 requests per second cross zones");
+    assertTrue(
+        crossZoneRate < 3,
+        "requests per second to other zones: expected less than 3 of 80, found " + crossZoneRate);
   }
 
   @Test
@@ -85,7 +92,9 @@
     fleet.runRounds(60, 0.05, Map.of());
     long idleCount =
         fleet.endpoints.keySet().stream().filter(name -> fleet.load(name) == 0).count();
-    assertTrue(idleCount <= 6, idleCount + " of 16 endpoints idle with 3 tables of 4 routes");
+    assertTrue(
+        idleCount <= 6,
+        "idle endpoints: expected at most 6 of 16 with 3 tables of 4 routes, found " + idleCount);
   }
 
   @Test
@@ -100,6 +109,8 @@
         fleet.endpoints.keySet().stream()
             .filter(name -> name.startsWith("new") && fleet.load(name) > 0.5)
             .count();
-    assertTrue(usedCount >= 8, usedCount + " of 10 new endpoints used");
+    assertTrue(
+        usedCount >= 8,
+        "new endpoints with requests: expected at least 8 of 10, found " + usedCount);
   }
 }
--- a/src/test/java/stonespring/decision/UpdateSchedulingTest.java
+++ b/src/test/java/stonespring/decision/UpdateSchedulingTest.java
@@ -20,7 +20,9 @@
     for (int i = 1; i < 20; i += 2) {
       otherZoneRate += fleet.load("t" + i);
     }
-    assertTrue(otherZoneRate > 125, "requests per second to the other zone: " + otherZoneRate);
+    assertTrue(
+        otherZoneRate > 125,
+        "requests per second to the other zone: expected more than 125, found " + otherZoneRate);
   }
 
   /**
@@ -37,7 +39,12 @@
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 2 * mean,
-            endpoint + " has a load of " + fleet.load(endpoint) + ", mean " + mean);
+            "load of "
+                + endpoint
+                + ": expected less than twice the mean "
+                + mean
+                + ", found "
+                + fleet.load(endpoint));
       }
     }
   }
@@ -57,7 +64,14 @@
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 1.45 * 80 / 6,
-            "round " + i + ": " + endpoint + " has a load of " + fleet.load(endpoint));
+            "round "
+                + i
+                + ": load of "
+                + endpoint
+                + ": expected less than "
+                + 1.45 * 80 / 6
+                + ", found "
+                + fleet.load(endpoint));
       }
     }
   }
@@ -77,6 +91,9 @@
     }
     assertTrue(
         fleet.load(failingEndpoint) < 0.9 * before,
-        "load of the failing endpoint went from " + before + " to " + fleet.load(failingEndpoint));
+        "load of the failing endpoint: expected less than 0.9 times "
+            + before
+            + ", found "
+            + fleet.load(failingEndpoint));
   }
 }
--- a/src/test/java/stonespring/decision/WeightProposalTest.java
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -66,7 +66,10 @@
     double followed = weight(fleet, 0, largest);
     assertTrue(
         before < 0.4 && followed > 0.5,
-        "weight before the proposals: " + before + ", with them: " + followed);
+        "expected a weight below 0.4 before the proposals and above 0.5 with them, found "
+            + before
+            + " and "
+            + followed);
     // Other instances load that endpoint now. Without new proposals, the engine's own weights
     // return.
     fleet.otherInstancesLoad.put(largest, 20.0);
@@ -75,7 +78,10 @@
     }
     assertTrue(
         weight(fleet, 0, largest) < 0.6 * followed,
-        "weight without new proposals went from " + followed + " to " + weight(fleet, 0, largest));
+        "weight without new proposals: expected less than 0.6 times "
+            + followed
+            + ", found "
+            + weight(fleet, 0, largest));
   }
 
   @Test
@@ -97,7 +103,8 @@
     }
     assertTrue(
         weight(fleet, 0, wanted) > 0.05,
-        "weight of the proposed endpoint: " + weight(fleet, 0, wanted));
+        "weight of the proposed endpoint: expected more than 0.05, found "
+            + weight(fleet, 0, wanted));
     assertTrue(
         fleet.shares(0).size() <= routes + 1,
         "one route is replaced, and both stay until the new one has headroom: "
@@ -124,7 +131,10 @@
     }
     assertTrue(
         weight(fleet, 0, failing) <= before,
-        "weight of the failing endpoint went from " + before + " to " + weight(fleet, 0, failing));
+        "weight of the failing endpoint: expected at most "
+            + before
+            + ", found "
+            + weight(fleet, 0, failing));
   }
 
   /** The proposal for every proxy is a single route, to an endpoint that warms up. */
@@ -143,7 +153,12 @@
       double capacity = (0.2 + 0.8 * (i + 1) / 10) / 0.04;
       assertTrue(
           fleet.load("entrant") <= 1.3 * capacity,
-          "round " + i + ": load " + fleet.load("entrant") + " at a capacity of " + capacity);
+          "round "
+              + i
+              + ": expected a load of at most 1.3 times the capacity of "
+              + capacity
+              + ", found "
+              + fleet.load("entrant"));
     }
   }
 
@@ -189,7 +204,14 @@
                 : Math.min(1, 0.2 + 0.8 * (fleet.now - record.startedAt()) / (10.0 * SECOND));
         assertTrue(
             warmUpFraction >= 1 || fleet.load(name) <= 3 * warmUpFraction / 0.04,
-            name + " has a load of " + fleet.load(name) + " at warm-up fraction " + warmUpFraction);
+            "load of "
+                + name
+                + " at warm-up fraction "
+                + warmUpFraction
+                + ": expected at most "
+                + 3 * warmUpFraction / 0.04
+                + ", found "
+                + fleet.load(name));
       }
     }
   }
--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -65,7 +65,12 @@
       estimates[second] = estimate(3).capacity();
       assertTrue(
           estimates[second] <= 1.25 * 1.06 * CAPACITY,
-          "estimate at second " + second + ": " + estimates[second]);
+          "estimate at second "
+              + second
+              + ": expected at most 1.325 times the capacity "
+              + CAPACITY
+              + ", found "
+              + estimates[second]);
       secondsOver += estimates[second] > 1.1 * CAPACITY ? 1 : 0;
       if (second >= reportDelay) {
         double load = 0.98 * estimates[second - reportDelay];
@@ -76,10 +81,12 @@
     }
     assertTrue(
         secondsOver <= 2 * reportDelay + 4,
-        secondsOver
-            + " s more than a tenth above the true capacity with reports "
+        "seconds with an estimate more than a tenth above the true capacity: expected at most "
+            + (2 * reportDelay + 4)
+            + " with reports "
             + reportDelay
-            + " s late");
+            + " s late, found "
+            + secondsOver);
     assertTrue(
         estimates[59] <= 1.05 * CAPACITY && estimates[59] >= 0.5 * CAPACITY,
         "estimate at the end: expected 0.5 to 1.05 times the capacity "
@@ -106,7 +113,10 @@
     }
     assertTrue(
         estimate(2).capacity() > 0.9 * CAPACITY,
-        "estimate after 60 s without failures: " + estimate(2).capacity());
+        "estimate after 60 s without failures: expected more than 0.9 times the capacity "
+            + CAPACITY
+            + ", found "
+            + estimate(2).capacity());
   }
 
   @Test
@@ -129,11 +139,21 @@
       double estimate = estimate(4).capacity();
       assertTrue(
           second == 0 || estimate <= 1.26 * Math.max(CAPACITY, lastEstimate),
-          "estimate went from " + lastEstimate + " to " + estimate);
+          "estimate: expected at most 1.26 times the larger of "
+              + CAPACITY
+              + " and "
+              + lastEstimate
+              + ", found "
+              + estimate);
       lastEstimate = estimate;
       credibility.recordOutcomes(id(4), Math.round(estimate * 10), 0, 10 * SECOND, 0, now);
     }
-    assertTrue(lastEstimate > 2.9 * CAPACITY, "estimate " + lastEstimate + " for a capacity of 30");
+    assertTrue(
+        lastEstimate > 2.9 * CAPACITY,
+        "estimate at the end: expected more than 2.9 times "
+            + CAPACITY
+            + ", found "
+            + lastEstimate);
   }
 
   @Test
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -191,7 +191,7 @@
       double excessShare = excessShare(problem, plan);
       assertTrue(
           excessShare < 0.02,
-          "share of the fleet's capacity above endpoints' capacity: "
+          "rate above endpoints' capacities, as a share of the fleet's capacity: expected less than 0.02, found "
               + excessShare
               + ", plan "
               + iteration);
@@ -317,7 +317,12 @@
         double load = totalLoads.getOrDefault(endpoint.id().name(), 0.0);
         assertTrue(
             load <= endpoint.maxLoad() * (1 + 1e-6),
-            endpoint.id() + " receives " + load + ", maximum " + endpoint.maxLoad());
+            "load of "
+                + endpoint.id()
+                + ": expected at most "
+                + endpoint.maxLoad()
+                + ", found "
+                + load);
       }
     }
   }
@@ -335,7 +340,10 @@
       boolean lowersCost = next.cost() < 0.998 * plan.cost();
       assertTrue(
           iteration < 4 || lowersCost || next.changedRoutes() <= initialRoutes / 10,
-          next.changedRoutes() + " of " + initialRoutes + " routes changed in an unchanged fleet");
+          "changed routes in an unchanged fleet: expected at most a tenth of "
+              + initialRoutes
+              + ", found "
+              + next.changedRoutes());
       plan = next;
     }
   }
@@ -352,7 +360,9 @@
       changedWeights += plan.newRoutes() == 0 ? plan.changedRoutes() : 0;
     }
     assertTrue(
-        changedWeights < 20, changedWeights + " weights changed in plans without a new route");
+        changedWeights < 20,
+        "weights changed in plans without a new route: expected fewer than 20, found "
+            + changedWeights);
   }
 
   /**
@@ -394,7 +404,8 @@
     }
     assertTrue(
         plan.lowerBound() > 0 && plan.optimalityGap() > -1e-6 && plan.optimalityGap() < 0.06,
-        "optimality gap " + plan.optimalityGap());
+        "optimality gap: expected 0 to 0.06 with a lower bound above 0, found "
+            + plan.optimalityGap());
   }
 
   /**
@@ -412,7 +423,9 @@
             0.25 * fleet.endpoints.stream().mapToDouble(Problem.Endpoint::capacity).sum(),
             List.of()));
     Plan plan = new Solver().solve(fleet.problem());
-    assertTrue(plan.optimalityGap() < 0.1, "optimality gap " + plan.optimalityGap());
+    assertTrue(
+        plan.optimalityGap() < 0.1,
+        "optimality gap: expected less than 0.1, found " + plan.optimalityGap());
     assertTrue(excessShare(fleet.problem(), plan) < 0.005);
   }
 
--- a/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
+++ b/src/test/java/stonespring/testbed/virtual/VirtualFleetTest.java
@@ -46,9 +46,9 @@
         if (policy == Policy.SOLVER) {
           assertTrue(
               result.attempts().peakWarmUpLoad() < 1,
-              "a warming-up endpoint reached "
+              "load of a warming-up endpoint: expected less than its overload limit, found "
                   + result.attempts().peakWarmUpLoad()
-                  + " of its overload limit");
+                  + " times the limit");
           assertEquals(
               0,
               result.routes().secondsWithoutRoutes(),
