--- a/src/main/java/stonespring/cli/PlatformCommand.java
+++ b/src/main/java/stonespring/cli/PlatformCommand.java
@@ -27,23 +27,23 @@
       defaultValue = "${env:NODE_CONFIG}",
       description =
           "Configuration file of the platform (default: the file that NODE_CONFIG names).")
-  private Path path;
+  private Path configFile;
 
   @Mixin private LoggingOptions logging;
 
   @Override
   public Integer call() throws Exception {
     // The SIGHUP handler is installed first: without a handler, the signal would end the process.
-    ConfigReloader reloader = new ConfigReloader(path);
-    SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
+    ConfigReloader reloader = new ConfigReloader(configFile);
+    SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
     logging.apply();
-    if (previous == SignalHandler.SIG_IGN) {
+    if (previousHandler == SignalHandler.SIG_IGN) {
       // The parent process, for example nohup, ignores SIGHUP; the JVM then calls no handler.
       LOG.warn(
           "SIGHUP is ignored, as inherited from the parent process: a changed configuration is read only"
               + " after a fetch of the endpoint list fails");
     }
-    if (path == null || path.toString().isEmpty()) {
+    if (configFile == null || configFile.toString().isEmpty()) {
       throw CommandFailedException.usage(
           "assigner: expected a configuration file as argument FILE or in NODE_CONFIG, found neither");
     }
@@ -55,7 +55,7 @@
 
   private PlatformConfig readConfig() throws CommandFailedException {
     try {
-      return PlatformConfig.read(path);
+      return PlatformConfig.read(configFile);
     } catch (InvalidConfigException e) {
       throw CommandFailedException.usage(e.getMessage(), e);
     }
--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -60,13 +60,13 @@
         new ChpClient((EventLoop) eventLoops.next(), subtree, SILENCE_TIMEOUT_MILLIS, printer);
     client.connect(host, port, false, ZmtpLimits.DEFAULT);
     try {
-      String error =
+      String endCause =
           follow
               ? printer.ended.get()
               : printer.ended.get(SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-      if (!error.isEmpty()) {
+      if (!endCause.isEmpty()) {
         throw CommandFailedException.failed(
-            "snapshot: the session with the instance ended: " + error);
+            "snapshot: the session with the instance ended: " + endCause);
       }
       return ExitCode.OK;
     } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/stonespring/recording/RecordingFile.java
+++ b/src/main/java/stonespring/recording/RecordingFile.java
@@ -33,11 +33,12 @@
    * readers never find an incomplete recording.
    */
   public static void write(Recording recording, Path file) throws IOException {
-    Path temporary = file.resolveSibling(file.getFileName() + ".part");
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
     try (BufferedWriter out =
         new BufferedWriter(
             new OutputStreamWriter(
-                new GZIPOutputStream(Files.newOutputStream(temporary)), StandardCharsets.UTF_8))) {
+                new GZIPOutputStream(Files.newOutputStream(temporaryFile)),
+                StandardCharsets.UTF_8))) {
       out.write(MAPPER.writeValueAsString(StoredHead.of(recording.head())));
       out.write('\n');
       for (LoadSample sample : recording.samples()) {
@@ -46,7 +47,7 @@
       }
     }
     Files.move(
-        temporary, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
   /**
--- a/src/main/java/stonespring/simulator/HostedInstance.java
+++ b/src/main/java/stonespring/simulator/HostedInstance.java
@@ -109,8 +109,11 @@
     try {
       engineCall.run();
     } catch (RuntimeException | StackOverflowError e) {
-      StackTraceElement[] trace = e.getStackTrace();
-      failure = "the decision module failed: " + e + (trace.length > 0 ? " at " + trace[0] : "");
+      StackTraceElement[] stackTrace = e.getStackTrace();
+      failure =
+          "the decision module failed: "
+              + e
+              + (stackTrace.length > 0 ? " at " + stackTrace[0] : "");
       e.printStackTrace();
     }
   }
--- a/src/main/java/stonespring/simulator/SimulatorHost.java
+++ b/src/main/java/stonespring/simulator/SimulatorHost.java
@@ -28,13 +28,13 @@
 public final class SimulatorHost {
   private static final int BUFFER_BYTES = 1 << 16;
 
-  private final JsonFactory factory =
+  private final JsonFactory jsonFactory =
       JsonFactory.builder()
           .streamReadConstraints(
               StreamReadConstraints.builder().maxStringLength(Integer.MAX_VALUE).build())
           .build();
   private final BatchReader batchReader =
-      new BatchReader(new ObjectMapper(factory), this::handleMessage);
+      new BatchReader(new ObjectMapper(jsonFactory), this::handleMessage);
   private final EndpointLists endpointLists = new EndpointLists();
   private final Map<Integer, HostedInstance> instances = new TreeMap<>();
 
@@ -77,7 +77,7 @@
   }
 
   private void writeReply(OutputStream out) throws IOException {
-    try (JsonGenerator json = factory.createGenerator(out)) {
+    try (JsonGenerator json = jsonFactory.createGenerator(out)) {
       json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
       json.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
       json.writeStartObject();
--- a/src/test/java/stonespring/decision/EndpointStatisticsTest.java
+++ b/src/test/java/stonespring/decision/EndpointStatisticsTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void startsWithoutFailures() {
+  void hasNoFailuresOrUtilizationBeforeFirstReport() {
     assertEquals(1, statistics.successShare());
     assertEquals(0, statistics.failedOrLateShare());
     assertEquals(Double.NaN, statistics.utilization());
--- a/src/test/java/stonespring/decision/FleetInvariants.java
+++ b/src/test/java/stonespring/decision/FleetInvariants.java
@@ -26,10 +26,10 @@
    * @param when the point of the test, for the failure message
    */
   static void check(Fleet fleet, String when) {
-    boolean warm = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
+    boolean warmEndpointListed = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
     for (FleetProxy proxy : fleet.proxies.values()) {
       if (proxy.connected) {
-        checkHasRoute(fleet, proxy, warm, when);
+        checkHasRoute(fleet, proxy, warmEndpointListed, when);
         checkRoutesOnlyToUsableEndpoints(fleet, proxy, when);
         checkMessages(fleet, proxy, when);
       }
@@ -49,9 +49,10 @@
         && fleet.now - endpoint.startedAt() >= fleet.settings.slowStart().window();
   }
 
-  private static void checkHasRoute(Fleet fleet, FleetProxy proxy, boolean warm, String when) {
-    boolean empty = proxy.table != null && proxy.shares().isEmpty();
-    if (!empty || !warm) {
+  private static void checkHasRoute(
+      Fleet fleet, FleetProxy proxy, boolean warmEndpointListed, String when) {
+    boolean hasNoRoute = proxy.table != null && proxy.shares().isEmpty();
+    if (!hasNoRoute || !warmEndpointListed) {
       proxy.emptySince = -1;
     } else if (proxy.emptySince < 0) {
       proxy.emptySince = fleet.now;
--- a/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
+++ b/src/test/java/stonespring/decision/LowTrafficProxiesTest.java
@@ -160,7 +160,7 @@
    * show how much the endpoints can serve.
    */
   @Test
-  void rejectsNothingWhileManyProxiesConnectAfterStart() {
+  void admitsAllRequestsWhileManyProxiesConnectAfterStart() {
     startEngine(2);
     int connected = 0;
     double reportedRate = 0;
--- a/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
+++ b/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
@@ -71,9 +71,9 @@
   @Test
   void expectsNoEjectionWhenProxiesDoNotEject() {
     EndpointState failing = endpoint(0, 18, 18);
-    OutlierEjectionModel none =
+    OutlierEjectionModel modelWithoutEjection =
         new OutlierEjectionModel(new FleetSettings().ejectAfter(0).build().routing(), endpoints);
-    assertEquals(0, none.ejectedShare(proxy, failing, 1, OBSERVED));
-    assertEquals(0, none.ejectedShare(proxy, failing, 1, WORST_CASE));
+    assertEquals(0, modelWithoutEjection.ejectedShare(proxy, failing, 1, OBSERVED));
+    assertEquals(0, modelWithoutEjection.ejectedShare(proxy, failing, 1, WORST_CASE));
   }
 }
--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -68,7 +68,7 @@
     for (int i = 0; i < 4; i++) {
       fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
     }
-    boolean used = false;
+    boolean someEntrantUsed = false;
     for (int round = 0; round < 12; round++) {
       fleet.runRounds(1, 0.02, Map.of());
       double warmUpFraction =
@@ -83,7 +83,7 @@
                 .filter(p -> p.shares().containsKey(entrant))
                 .mapToDouble(p -> p.requestRate)
                 .sum();
-        used |= all > 0;
+        someEntrantUsed |= all > 0;
         double limit =
             fleet.settings.slowStart().overloadMultiple() * (warmUpFraction + 0.1) / 0.02;
         // The budget is 1.6 times the limit; the rest of 2.4 allows for errors of estimated
@@ -100,7 +100,7 @@
                 + limit);
       }
     }
-    assertTrue(used, "some proxy must use a warming endpoint");
+    assertTrue(someEntrantUsed, "some proxy must use a warming endpoint");
   }
 
   /**
@@ -134,22 +134,26 @@
         .filter(name -> name.startsWith("t"))
         .forEach(name -> failureShares.put(name, 0.95));
     fleet.trafficFactor = 4;
-    double worst = 0;
+    double worstLoadShare = 0;
     for (int round = 0; round < 6; round++) {
       fleet.runRounds(1, 0.5, failureShares);
       double warmUpFraction =
           fleet.settings.slowStart().initialFraction()
               + (1 - fleet.settings.slowStart().initialFraction()) * (3 + round) / 10;
       for (int i = 0; round > 1 && i < 2; i++) {
-        worst =
+        worstLoadShare =
             Math.max(
-                worst,
+                worstLoadShare,
                 fleet.trafficFactor
                     * rateWithFailingEndpointsEjected(fleet, "entrant" + i, failureShares)
                     / (fleet.settings.slowStart().overloadMultiple() * warmUpFraction / 0.12));
       }
     }
-    assertTrue(worst < 1.6, "a warming endpoint may get " + worst + " times the overload limit");
+    assertTrue(
+        worstLoadShare < 1.6,
+        "possible load of a warming endpoint: expected less than 1.6 times the overload limit, found "
+            + worstLoadShare
+            + " times");
   }
 
   /**
--- a/src/test/java/stonespring/decision/WeightProposalTest.java
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -57,31 +57,31 @@
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
     }
-    String largest = fleet.shares(0).lastKey();
-    double before = weight(fleet, 0, largest);
+    String lastEndpoint = fleet.shares(0).lastKey();
+    double weightBefore = weight(fleet, 0, lastEndpoint);
     for (int i = 0; i < 10; i++) {
-      fleet.events.add(proposed(0, Map.of(largest, 0.7, fleet.shares(0).firstKey(), 0.3)));
+      fleet.events.add(proposed(0, Map.of(lastEndpoint, 0.7, fleet.shares(0).firstKey(), 0.3)));
       round(fleet, Map.of());
     }
-    double followed = weight(fleet, 0, largest);
+    double weightWithProposals = weight(fleet, 0, lastEndpoint);
     assertTrue(
-        before < 0.4 && followed > 0.5,
+        weightBefore < 0.4 && weightWithProposals > 0.5,
         "expected a weight below 0.4 before the proposals and above 0.5 with them, found "
-            + before
+            + weightBefore
             + " and "
-            + followed);
+            + weightWithProposals);
     // Other instances load that endpoint now. Without new proposals, the engine's own weights
     // return.
-    fleet.otherInstancesLoad.put(largest, 20.0);
+    fleet.otherInstancesLoad.put(lastEndpoint, 20.0);
     for (int i = 0; i < 30; i++) {
       round(fleet, Map.of());
     }
     assertTrue(
-        weight(fleet, 0, largest) < 0.6 * followed,
+        weight(fleet, 0, lastEndpoint) < 0.6 * weightWithProposals,
         "weight without new proposals: expected less than 0.6 times "
-            + followed
+            + weightWithProposals
             + ", found "
-            + weight(fleet, 0, largest));
+            + weight(fleet, 0, lastEndpoint));
   }
 
   @Test
@@ -90,21 +90,21 @@
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
     }
-    String wanted =
+    String proposedEndpoint =
         fleet.endpoints.keySet().stream()
             .filter(name -> weight(fleet, 0, name) == 0)
             .findFirst()
             .orElseThrow();
     int routes = fleet.shares(0).size();
-    String kept = fleet.shares(0).firstKey();
+    String keptEndpoint = fleet.shares(0).firstKey();
     for (int i = 0; i < 15; i++) {
-      fleet.events.add(proposed(0, Map.of(wanted, 0.5, kept, 0.5)));
+      fleet.events.add(proposed(0, Map.of(proposedEndpoint, 0.5, keptEndpoint, 0.5)));
       round(fleet, Map.of());
     }
     assertTrue(
-        weight(fleet, 0, wanted) > 0.05,
+        weight(fleet, 0, proposedEndpoint) > 0.05,
         "weight of the proposed endpoint: expected more than 0.05, found "
-            + weight(fleet, 0, wanted));
+            + weight(fleet, 0, proposedEndpoint));
     assertTrue(
         fleet.shares(0).size() <= routes + 1,
         "one route is replaced, and both stay until the new one has headroom: "
@@ -121,20 +121,20 @@
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
     }
-    String failing = fleet.shares(0).firstKey();
-    double before = weight(fleet, 0, failing);
+    String failingEndpoint = fleet.shares(0).firstKey();
+    double weightBefore = weight(fleet, 0, failingEndpoint);
     for (int i = 0; i < 10; i++) {
       for (int p = 0; p < 8; p++) {
-        fleet.events.add(proposed(p, Map.of(failing, 1.0)));
+        fleet.events.add(proposed(p, Map.of(failingEndpoint, 1.0)));
       }
-      round(fleet, Map.of(failing, 0.5));
+      round(fleet, Map.of(failingEndpoint, 0.5));
     }
     assertTrue(
-        weight(fleet, 0, failing) <= before,
+        weight(fleet, 0, failingEndpoint) <= weightBefore,
         "weight of the failing endpoint: expected at most "
-            + before
+            + weightBefore
             + ", found "
-            + weight(fleet, 0, failing));
+            + weight(fleet, 0, failingEndpoint));
   }
 
   /** The proposal for every proxy is a single route, to an endpoint that warms up. */
--- a/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
+++ b/src/test/java/stonespring/proxyapi/platform/SimulatorEquivalenceTest.java
@@ -93,8 +93,8 @@
       }
     }
 
-    private static boolean includesClass(int mask, int requestClass) {
-      return mask == 0 || (mask >> requestClass & 1) == 1;
+    private static boolean includesClass(int requestClassMask, int requestClass) {
+      return requestClassMask == 0 || (requestClassMask >> requestClass & 1) == 1;
     }
 
     RoutingView view(int proxy) {
@@ -233,7 +233,7 @@
   private static Command command(SplittableRandom random) {
     RouteTableId table = new RouteTableId(random.nextInt(PROXY_COUNT));
     EndpointId endpoint = new EndpointId("s-" + random.nextInt(ENDPOINTS));
-    int mask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
+    int requestClassMask = random.nextInt(3) == 0 ? random.nextInt(1, 8) : 0;
     return switch (random.nextInt(9)) {
       case 0, 1, 2 ->
           new Command.SetRoute(table, endpoint, random.nextInt(4) == 0 ? 0 : weight(random));
@@ -242,12 +242,13 @@
               ? new Command.ClearRouteTable(table)
               : new Command.SetRoute(table, endpoint, 0.001);
       case 4, 5 ->
-          new Command.AssignRouteTable(table, new ProxyId(random.nextInt(PROXY_COUNT)), mask);
+          new Command.AssignRouteTable(
+              table, new ProxyId(random.nextInt(PROXY_COUNT)), requestClassMask);
       case 6 -> new Command.ExcludeEndpoint(endpoint, random.nextBoolean());
       default ->
           new Command.LimitAdmission(
               random.nextBoolean() ? Command.ALL_TABLES : table,
-              mask,
+              requestClassMask,
               RetryPolicy.values()[random.nextInt(4)],
               random.nextInt(5) / 4.0);
     };
--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void capsAClaimByObservations() {
+  void capsClaimAtObservedCapacity() {
     recordHonestClaims(0, 5);
     credibility.recordOutcomes(id(2), 60, 40, 10 * SECOND, 0, now);
     assertEquals(ReportCredibility.Reason.OBSERVED_CEILING, estimate(2).reason());
@@ -178,7 +178,7 @@
    * a removed one, and the stored state must not grow.
    */
   @Test
-  void forgetsRemovedEndpoints() {
+  void discardsStateOfRemovedEndpoints() {
     recordHonestClaims(0, 5);
     int estimatesBefore = credibility.estimateCapacities(now).size();
     credibility.setListedWeight(id(10), 1);
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -395,7 +395,7 @@
    * that limit.
    */
   @Test
-  void staysNearLowerBound() {
+  void keepsCostNearLowerBound() {
     SolverTest fleet = fleet(7, 120, 120, 0.65);
     Solver solver = new Solver();
     Plan plan = solver.solve(fleet.problem());
