--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -317,12 +317,7 @@
         double load = totalLoads.getOrDefault(endpoint.id().name(), 0.0);
         assertTrue(
             load <= endpoint.maxLoad() * (1 + 1e-6),
-            "load of "
-                + endpoint.id()
-                + ": expected at most "
-                + endpoint.maxLoad()
-                + ", found "
-                + load);
+            endpoint.id() + " receives " + load + ", maximum " + endpoint.maxLoad());
       }
     }
   }
@@ -340,10 +335,7 @@
       boolean lowersCost = next.cost() < 0.998 * plan.cost();
       assertTrue(
           iteration < 4 || lowersCost || next.changedRoutes() <= initialRoutes / 10,
-          "changed routes in an unchanged fleet: expected at most a tenth of "
-              + initialRoutes
-              + ", found "
-              + next.changedRoutes());
+          next.changedRoutes() + " of " + initialRoutes + " routes changed, limit one tenth");
       plan = next;
     }
   }
@@ -360,9 +352,7 @@
       changedWeights += plan.newRoutes() == 0 ? plan.changedRoutes() : 0;
     }
     assertTrue(
-        changedWeights < 20,
-        "weights changed in plans without a new route: expected fewer than 20, found "
-            + changedWeights);
+        changedWeights < 20, changedWeights + " weights changed in plans without a new route");
   }
 
   /**
@@ -404,8 +394,7 @@
     }
     assertTrue(
         plan.lowerBound() > 0 && plan.optimalityGap() > -1e-6 && plan.optimalityGap() < 0.06,
-        "optimality gap: expected 0 to 0.06 with a lower bound above 0, found "
-            + plan.optimalityGap());
+        "optimality gap (limits 0 and 0.06): " + plan.optimalityGap());
   }
 
   /**
@@ -423,9 +412,7 @@
             0.25 * fleet.endpoints.stream().mapToDouble(Problem.Endpoint::capacity).sum(),
             List.of()));
     Plan plan = new Solver().solve(fleet.problem());
-    assertTrue(
-        plan.optimalityGap() < 0.1,
-        "optimality gap: expected less than 0.1, found " + plan.optimalityGap());
+    assertTrue(plan.optimalityGap() < 0.1, "optimality gap (limit 0.1): " + plan.optimalityGap());
     assertTrue(excessShare(fleet.problem(), plan) < 0.005);
   }
 
