--- a/src/main/java/stonespring/config/InstanceSettings.java
+++ b/src/main/java/stonespring/config/InstanceSettings.java
@@ -51,7 +51,7 @@
   public record RequestClasses(List<String> names, List<Long> timeoutsDeciMillis) {}
 
   /**
-   * The source of the endpoint list, and its cache.
+   * The source of the endpoint list, and the file in which the instance caches the list.
    *
    * @param cacheFile the file that keeps the last endpoint list across restarts, if there is one
    */
@@ -113,26 +113,26 @@
 
   /**
    * Returns a copy of these settings with values given on the command line; a null argument keeps
-   * the present value.
+   * the current value.
    *
    * @throws IllegalArgumentException if a port is out of range, or if a registry port is given
    *     although the endpoint list comes from a file
    */
   public InstanceSettings withOverrides(
-      Integer otherPort, Integer registryPort, Path otherCacheFile) {
-    if (otherPort != null && (otherPort < 0 || otherPort > MAX_SNAPSHOT_PORT)) {
+      Integer portOverride, Integer registryPortOverride, Path cacheFileOverride) {
+    if (portOverride != null && (portOverride < 0 || portOverride > MAX_SNAPSHOT_PORT)) {
       throw new IllegalArgumentException(
-          "the port must be from 0 to " + MAX_SNAPSHOT_PORT + ", got " + otherPort);
+          "the port must be from 0 to " + MAX_SNAPSHOT_PORT + ", got " + portOverride);
     }
     Source source = endpointList.source();
-    if (registryPort != null) {
-      source = withRegistryPort(source, registryPort);
+    if (registryPortOverride != null) {
+      source = withRegistryPort(source, registryPortOverride);
     }
     Optional<Path> cacheFile =
-        otherCacheFile == null ? endpointList.cacheFile() : Optional.of(otherCacheFile);
+        cacheFileOverride == null ? endpointList.cacheFile() : Optional.of(cacheFileOverride);
     return new InstanceSettings(
         name,
-        otherPort == null ? listen : new ListenAddress(listen.host(), otherPort),
+        portOverride == null ? listen : new ListenAddress(listen.host(), portOverride),
         settings,
         zones,
         requestClasses,
@@ -144,11 +144,11 @@
   private static Source withRegistryPort(Source source, int port) {
     if (!(source instanceof Source.FromRegistry registry) || port < 1 || port > MAX_PORT) {
       throw new IllegalArgumentException(
-          "the registry port must be from 1 to "
-              + MAX_PORT
-              + ", got "
+          "cannot set the registry port to "
               + port
-              + ", and the endpoint list must come from a registry, not from a file");
+              + ": expected a port from 1 to "
+              + MAX_PORT
+              + ", and an endpoint list that comes from a registry, not from a file");
     }
     return new Source.FromRegistry(
         registry.host(), port, registry.service(), registry.waitSeconds());
--- a/src/main/java/stonespring/config/script/ScriptLoader.java
+++ b/src/main/java/stonespring/config/script/ScriptLoader.java
@@ -42,7 +42,7 @@
           from,
           "load: "
               + file
-              + " loads itself, or loads are nested more than "
+              + " loads itself, directly or through other files, or loads are nested more than "
               + MAX_LOAD_DEPTH
               + " files deep");
     }
@@ -71,7 +71,7 @@
   }
 
   private List<Statement> parse(Path file, String text) {
-    List<Token> tokens = new Lexer(file.toString(), text, errors).tokens();
+    List<Token> tokens = new Lexer(file.toString(), text, errors).tokenize();
     return new StatementParser(tokens, errors).parse();
   }
 
--- a/src/main/java/stonespring/config/script/Values.java
+++ b/src/main/java/stonespring/config/script/Values.java
@@ -12,7 +12,7 @@
  */
 public final class Values {
   /**
-   * The magnitude from which on doubles are not printed as whole numbers, since large doubles do
+   * Doubles of this magnitude or above are not printed as whole numbers, because large doubles do
    * not represent whole numbers exactly.
    */
   private static final double MAX_PRINTED_AS_WHOLE = 1e15;
@@ -93,7 +93,7 @@
   }
 
   /** Returns an entry of a dict, an item of a list or a character of a string. */
-  static Object entry(SourceLocation location, Object container, Object index) {
+  static Object elementAt(SourceLocation location, Object container, Object index) {
     if (container instanceof ScriptDict dict) {
       if (!dict.containsKey(index)) {
         throw new EvaluationException(location, "the dict has no key " + index);
--- a/src/main/java/stonespring/proxy/routing/TableSubscriber.java
+++ b/src/main/java/stonespring/proxy/routing/TableSubscriber.java
@@ -16,33 +16,34 @@
   /** The key that completes an update. */
   public static final String COMMIT_KEY = "commit";
 
-  /** Maximum number of keys in an update. One with more keys cannot be a route table. */
+  /** Maximum number of keys in an update. A larger update cannot be a route table. */
   private static final int MAX_KEYS = 100_000;
 
   /** The result of handling a key or a snapshot. */
-  public sealed interface Step {
+  public sealed interface Result {
     /**
-     * There is nothing to apply: the update is not complete, or the snapshot contains no change.
+     * There is nothing to apply: the update is not complete, or the snapshot contains no state
+     * newer than the last update.
      */
-    record Gathered() implements Step {}
+    record NothingToApply() implements Result {}
 
     /**
-     * A complete update that must be applied.
+     * A complete update to apply.
      *
      * @param stream the stream that it belongs to
      * @param fullState whether the update replaces everything that the stream has sent before
      * @param changes values by key, in the order of their last arrival; the value is null for a
      *     deleted key
-     * @param ackId the number to acknowledge, or {@link Commit#NO_ACK}
+     * @param ackId the number to send in the acknowledgement, or {@link Commit#NO_ACK}
      */
     record Update(String stream, boolean fullState, Map<String, String> changes, int ackId)
-        implements Step {}
+        implements Result {}
 
     /** The received changes are incomplete or invalid, and the snapshot must be requested. */
-    record Resync(String cause) implements Step {}
+    record Resync(String cause) implements Result {}
 
     /** The instance ended the stream; the tables received so far stay in force. */
-    record Ended() implements Step {}
+    record StreamEnded() implements Result {}
   }
 
   /**
@@ -51,14 +52,14 @@
    * @param stream the stream of updates that it belongs to
    * @param sequence number of the update within the stream, from 1
    * @param keys number of keys that the update changed
-   * @param ackId the number to acknowledge, or {@link #NO_ACK}
+   * @param ackId the number to send in the acknowledgement, or {@link #NO_ACK}
    */
   public record Commit(String stream, int sequence, int keys, int ackId) {
-    /** Used in place of a number if no acknowledgement is requested. */
+    /** Value of {@code ackId} if no acknowledgement is requested. */
     public static final int NO_ACK = -1;
   }
 
-  private static final Step GATHERED = new Step.Gathered();
+  private static final Result NOTHING_TO_APPLY = new Result.NothingToApply();
 
   private final LinkedHashMap<String, String> pendingChanges = new LinkedHashMap<>();
   private String stream = "";
@@ -70,37 +71,37 @@
    * @param value the new value, or null if the key was deleted
    * @param commit the decoded value if the key is {@link #COMMIT_KEY}, else null
    */
-  public Step handleKeyChange(String key, String value, Commit commit) {
+  public Result handleKeyChange(String key, String value, Commit commit) {
     if (!key.equals(COMMIT_KEY)) {
       return collect(key, value);
     }
     if (value == null) {
       pendingChanges.clear();
-      return new Step.Ended();
+      return new Result.StreamEnded();
     }
     return completeUpdate(commit);
   }
 
-  private Step collect(String key, String value) {
+  private Result collect(String key, String value) {
     if (pendingChanges.size() >= MAX_KEYS) {
       pendingChanges.clear();
-      return new Step.Resync("received more than " + MAX_KEYS + " keys without a commit");
+      return new Result.Resync("received more than " + MAX_KEYS + " keys without a commit");
     }
     pendingChanges.remove(key);
     pendingChanges.put(key, value);
-    return GATHERED;
+    return NOTHING_TO_APPLY;
   }
 
-  private Step completeUpdate(Commit commit) {
+  private Result completeUpdate(Commit commit) {
     LinkedHashMap<String, String> changes = new LinkedHashMap<>(pendingChanges);
     pendingChanges.clear();
     int expectedSequence = commit.stream().equals(stream) ? sequence + 1 : 1;
     if (commit.sequence() != expectedSequence || commit.keys() != changes.size()) {
-      return new Step.Resync(describeMismatch(commit, changes.size(), expectedSequence));
+      return new Result.Resync(describeMismatch(commit, changes.size(), expectedSequence));
     }
     stream = commit.stream();
     sequence = commit.sequence();
-    return new Step.Update(stream, sequence == 1, changes, commit.ackId());
+    return new Result.Update(stream, sequence == 1, changes, commit.ackId());
   }
 
   private static String describeMismatch(Commit commit, int receivedKeys, int expectedSequence) {
@@ -114,10 +115,10 @@
    *
    * @param commit null if the stream has sent nothing yet
    */
-  public Step handleSnapshot(Map<String, String> keys, Commit commit) {
+  public Result handleSnapshot(Map<String, String> keys, Commit commit) {
     pendingChanges.clear();
     if (commit == null) {
-      return GATHERED;
+      return NOTHING_TO_APPLY;
     }
     boolean isNewState = !commit.stream().equals(stream) || commit.sequence() != sequence;
     stream = commit.stream();
@@ -126,6 +127,6 @@
     changes.remove(COMMIT_KEY);
     // The snapshot is acknowledged as well, because the update that requested the acknowledgement
     // may never arrive.
-    return isNewState ? new Step.Update(stream, true, changes, commit.ackId()) : GATHERED;
+    return isNewState ? new Result.Update(stream, true, changes, commit.ackId()) : NOTHING_TO_APPLY;
   }
 }
--- a/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/chp/ChpProxyApi.java
@@ -31,12 +31,12 @@
   private static final String ACKNOWLEDGEMENT = "answer";
   private static final String LEASE_SECONDS = "ttl";
 
-  /** With a longer lease, the name of a proxy that has died would stay in use for hours. */
+  /** With a longer lease, a proxy that crashed could not reconnect under its name for hours. */
   private static final int MAX_LEASE_SECONDS = 3600;
 
   private static final Pattern LEASE_PATTERN = Pattern.compile("[0-9]{1,6}");
 
-  /** Number of snapshots that one peer may wait for; a client waits for one at a time. */
+  /** Maximum number of pending snapshots of one peer; a client requests one at a time. */
   private static final int MAX_PENDING_SNAPSHOTS = 4;
 
   private static final String OVERLOADED =
@@ -80,8 +80,8 @@
 
   @Override
   public void snapshotRequested(ZmtpConnection peer, String subtree) {
-    AtomicInteger pending = pendingSnapshots(peer);
-    if (pending.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
+    AtomicInteger pendingCount = pendingSnapshots(peer);
+    if (pendingCount.incrementAndGet() > MAX_PENDING_SNAPSHOTS) {
       throw new InvalidChpMessageException(
           "ICANHAZ: more than " + MAX_PENDING_SNAPSHOTS + " snapshots are pending for this peer");
     }
@@ -90,7 +90,7 @@
             subtree,
             snapshot -> {
               sendSnapshot(peer, subtree, snapshot);
-              pending.decrementAndGet();
+              pendingCount.decrementAndGet();
             });
     if (!accepted) {
       throw new InvalidChpMessageException(OVERLOADED);
@@ -98,12 +98,12 @@
   }
 
   private static AtomicInteger pendingSnapshots(ZmtpConnection peer) {
-    AtomicInteger pending = peer.channel().attr(PENDING_SNAPSHOTS).get();
-    if (pending == null) {
-      pending = new AtomicInteger();
-      peer.channel().attr(PENDING_SNAPSHOTS).set(pending);
+    AtomicInteger pendingCount = peer.channel().attr(PENDING_SNAPSHOTS).get();
+    if (pendingCount == null) {
+      pendingCount = new AtomicInteger();
+      peer.channel().attr(PENDING_SNAPSHOTS).set(pendingCount);
     }
-    return pending;
+    return pendingCount;
   }
 
   private static void sendSnapshot(ZmtpConnection peer, String subtree, KeySnapshot snapshot) {
@@ -158,7 +158,8 @@
       throw new InvalidChpMessageException(
           "KVSET "
               + set.key()
-              + ": the value is empty; presence ends with its ttl or its connection");
+              + ": the value is empty; to end its presence,"
+              + " a proxy lets the ttl expire or closes the connection");
     }
     return handler.handleHello(
         proxy,
--- a/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
+++ b/src/main/java/stonespring/proxyapi/platform/PlatformProxyApi.java
@@ -43,7 +43,7 @@
    */
   private static final int MAX_KNOWN_ENDPOINTS = 60_000;
 
-  /** Number of dropped messages that are logged; later ones are only counted. */
+  /** Maximum number of dropped messages that are logged; later ones are only counted. */
   private static final int MAX_LOGGED_DROPS = 50;
 
   private final PlatformMessageCodec codec;
@@ -59,7 +59,7 @@
   private final CollectorConnections collectors = new CollectorConnections(MAX_COLLECTORS_PER_ZONE);
   private final KnownEndpoints knownEndpoints = new KnownEndpoints(MAX_KNOWN_ENDPOINTS);
   private RouteTables tables;
-  private long droppedMessages;
+  private long droppedMessageCount;
 
   /**
    * Creates an API that has no connections.
@@ -80,7 +80,7 @@
       handleFirstMessage(connection, message);
     } else if (!PlatformMessageCodec.isKnownKind(message.kind())) {
       connection.close(
-          "it sent a message of unknown kind: " + LineMessage.printable(message.kind()));
+          "the peer sent a message of unknown kind: " + LineMessage.printable(message.kind()));
     } else {
       try {
         handlePeerMessage(peer, message);
@@ -98,6 +98,7 @@
             acceptProxy(connection, codec.readSubscribe(message));
         case PlatformMessageCodec.SOURCE ->
             acceptCollector(connection, new Collector(codec.readSource(message)));
+        // The refusal calls SUBSCRIBE and SOURCE the joining of a peer.
         default -> connection.close("no joining before " + LineMessage.printable(message.kind()));
       }
     } catch (InvalidMessageException e) {
@@ -105,25 +106,25 @@
     }
   }
 
-  private void acceptProxy(LineConnection connection, Event.ProxyConnected hello) {
-    ProxySession earlierSession = sessions.get(hello.proxy().number());
+  private void acceptProxy(LineConnection connection, Event.ProxyConnected connectedEvent) {
+    ProxySession earlierSession = sessions.get(connectedEvent.proxy().number());
     if (earlierSession != null) {
       // Calls handleClosed(), which emits the event that the proxy disconnected.
       earlierSession.connection().close("replaced by a newer session of the proxy");
     }
-    startSession(connection, hello);
+    startSession(connection, connectedEvent);
   }
 
-  private void startSession(LineConnection connection, Event.ProxyConnected hello) {
+  private void startSession(LineConnection connection, Event.ProxyConnected connectedEvent) {
     Set<EndpointId> excluded =
-        excludedEndpointsByProxy.computeIfAbsent(hello.proxy(), proxy -> new HashSet<>());
-    ProxyExclusions exclusions = new ProxyExclusions(excluded, !hello.withoutTables());
+        excludedEndpointsByProxy.computeIfAbsent(connectedEvent.proxy(), proxy -> new HashSet<>());
+    ProxyExclusions exclusions = new ProxyExclusions(excluded, !connectedEvent.withoutTables());
     ProxyRouteState routeState = new ProxyRouteState(requestClassCount, tables, exclusions);
-    ProxySession session = new ProxySession(hello, connection, routeState);
-    sessions.put(hello.proxy().number(), session);
+    ProxySession session = new ProxySession(connectedEvent, connection, routeState);
+    sessions.put(connectedEvent.proxy().number(), session);
     connection.setSession(session);
-    tables.addProxy(hello.proxy(), Optional.empty());
-    eventConsumer.accept(hello);
+    tables.addProxy(connectedEvent.proxy(), Optional.empty());
+    eventConsumer.accept(connectedEvent);
   }
 
   private void acceptCollector(LineConnection connection, Collector collector) {
@@ -180,9 +181,9 @@
   }
 
   private void dropMessage(PlatformPeer sender, LineMessage message, String cause) {
-    if (droppedMessages++ < MAX_LOGGED_DROPS) {
+    if (droppedMessageCount++ < MAX_LOGGED_DROPS) {
       LOG.warn(
-          "message from {} dropped: {} in: {}",
+          "message from {} dropped: {}; message: {}",
           sender,
           cause,
           PlatformMessageCodec.describe(message));
@@ -213,15 +214,19 @@
   /**
    * Resets the state after the decision engine restarted. The tables, limits and exclusions of the
    * earlier engine are discarded, and a new session starts on the connection of each connected
-   * proxy. The event of each session says that the proxy may have tables, which are unknown.
+   * proxy. The event of each session says that the proxy may have tables of unknown content.
    */
   public void handleEngineRestart() {
     tables = new RouteTables(requestClassCount);
     for (ProxySession session : List.copyOf(sessions.values())) {
-      Event.ProxyConnected hello = session.hello();
+      Event.ProxyConnected connectedEvent = session.connectedEvent();
       startSession(
           session.connection(),
-          new Event.ProxyConnected(hello.proxy(), hello.zone(), hello.requestsPerSecond(), false));
+          new Event.ProxyConnected(
+              connectedEvent.proxy(),
+              connectedEvent.zone(),
+              connectedEvent.requestsPerSecond(),
+              false));
     }
   }
 
@@ -246,7 +251,10 @@
     List<String> lines = codec.write(message);
     if (LOG.isDebugEnabled()) {
       LOG.debug(
-          "sending to {}: {} entries: {}", session, message.entries(), String.join(" | ", lines));
+          "sending to {} a message with {} entries: {}",
+          session,
+          message.entries(),
+          String.join(" | ", lines));
     }
     session.connection().write(String.join("\r\n", lines) + "\r\n");
   }
@@ -258,7 +266,7 @@
 
   /** Returns the number of invalid messages of known peers that were dropped since the start. */
   public long droppedMessageCount() {
-    return droppedMessages;
+    return droppedMessageCount;
   }
 
   boolean isConnected(ProxyId proxy) {
--- a/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
+++ b/src/main/java/stonespring/proxyapi/platform/ProxyRouteState.java
@@ -22,14 +22,18 @@
 import stonespring.state.RouteTables;
 
 /**
- * The route state of one proxy, as the updates of its session set it. It converts updates to
- * messages of the platform's protocol, which differs from the update model: each request class has
- * its own route table and tables have no numbers; a request class has a single admission limit,
- * which combines the limit of its table with the limit for all tables; and exclusions remain when
- * the session ends. The message of a typical update has as many entries as the update.
+ * Holds the routes and admission limits of one proxy that result from the updates of its session.
+ * Converts updates to messages of the platform's protocol, which differs from the update model:
+ * each request class has its own route table and tables have no numbers; a request class has a
+ * single admission limit, which combines the limit of its table with the limit for all tables; and
+ * exclusions remain when the session ends. The message of a typical update has as many entries as
+ * the update.
  */
 final class ProxyRouteState {
-  /** Keeps a line much shorter than the maximum line length of a proxy. */
+  /**
+   * Maximum number of routes in a line, so that the line is much shorter than the longest one that
+   * a proxy accepts.
+   */
   private static final int MAX_ROUTES_PER_PART = 512;
 
   private final int requestClassCount;
@@ -41,8 +45,8 @@
   private final Map<RouteTableId, AdmissionLimit[]> limitsByTable = new HashMap<>();
   private final AdmissionLimit[] sentLimits;
 
-  /** The tables that one update changes, in the order of its changes. */
-  private static final class TouchedTables {
+  /** The tables that one update changes, in the order in which the update changes them. */
+  private static final class ChangedTables {
     private final Set<RouteTableId> replaced = new LinkedHashSet<>();
     private final Map<RouteTableId, List<ProxyChange.RouteChange>> changedRoutes =
         new LinkedHashMap<>();
@@ -51,7 +55,7 @@
   /**
    * Creates the state of a new session.
    *
-   * @param tables the state of all proxies, which knows the excluded endpoints
+   * @param tables the state of all proxies, which includes the excluded endpoints
    */
   ProxyRouteState(int requestClassCount, RouteTables tables, ProxyExclusions exclusions) {
     this.requestClassCount = requestClassCount;
@@ -64,20 +68,20 @@
   /** Applies an update, and returns the message to send; empty if nothing is to be sent. */
   ConfigMessage apply(ProxyUpdate update) {
     ExclusionChanges exclusionChanges = new ExclusionChanges();
-    TouchedTables touched = new TouchedTables();
-    update.changes().forEach(change -> applyChange(change, touched, exclusionChanges));
+    ChangedTables changedTables = new ChangedTables();
+    update.changes().forEach(change -> applyChange(change, changedTables, exclusionChanges));
 
     List<ConfigMessage.Part> parts = new ArrayList<>();
-    touched.changedRoutes.forEach(
+    changedTables.changedRoutes.forEach(
         (table, changes) -> {
-          if (touched.replaced.contains(table)) {
+          if (changedTables.replaced.contains(table)) {
             addReplacement(table, parts, exclusionChanges);
           } else {
             addRoutes(table, changes, parts, exclusionChanges);
           }
         });
-    for (RouteTableId table : touched.replaced) {
-      if (!touched.changedRoutes.containsKey(table)) {
+    for (RouteTableId table : changedTables.replaced) {
+      if (!changedTables.changedRoutes.containsKey(table)) {
         addReplacement(table, parts, exclusionChanges);
       }
     }
@@ -88,20 +92,23 @@
   }
 
   private void applyChange(
-      ProxyChange change, TouchedTables touched, ExclusionChanges exclusionChanges) {
+      ProxyChange change, ChangedTables changedTables, ExclusionChanges exclusionChanges) {
     if (change instanceof ProxyChange.TableAssignment assignment) {
       assignedTables[assignment.requestClass().index()] = assignment.table();
-      touched.replaced.add(assignment.table());
+      changedTables.replaced.add(assignment.table());
     } else if (change instanceof ProxyChange.RouteChange route) {
       applyRoute(route);
-      touched.changedRoutes.computeIfAbsent(route.table(), id -> new ArrayList<>()).add(route);
+      changedTables
+          .changedRoutes
+          .computeIfAbsent(route.table(), id -> new ArrayList<>())
+          .add(route);
     } else if (change instanceof ProxyChange.AdmissionLimitChange limit) {
-      AdmissionLimit[] ofTable =
+      AdmissionLimit[] limitsOfTable =
           limitsByTable.computeIfAbsent(limit.table(), id -> new AdmissionLimit[requestClassCount]);
-      ofTable[limit.requestClass().index()] = limit.limit().orElse(null);
+      limitsOfTable[limit.requestClass().index()] = limit.limit().orElse(null);
       if (limit.limit().isEmpty()) {
         // The protocol removes a limit only by replacing the table.
-        touched.replaced.add(limit.table());
+        changedTables.replaced.add(limit.table());
       }
     } else if (change instanceof ProxyChange.ExclusionChange exclusion) {
       exclusionChanges.add(exclusion.endpoint(), exclusion.excluded());
@@ -109,17 +116,20 @@
   }
 
   private void applyRoute(ProxyChange.RouteChange route) {
-    TreeMap<EndpointId, ProxyChange.RouteChange> ofTable =
+    TreeMap<EndpointId, ProxyChange.RouteChange> routesOfTable =
         routesByTable.computeIfAbsent(
             route.table(), id -> new TreeMap<>(Comparator.comparing(EndpointId::name)));
     if (route.weight() > 0) {
-      ofTable.put(route.endpoint(), route);
+      routesOfTable.put(route.endpoint(), route);
     } else {
-      ofTable.remove(route.endpoint());
+      routesOfTable.remove(route.endpoint());
     }
   }
 
-  /** Adds parts that replace the routes of a table; the proxy also removes the limit. */
+  /**
+   * Adds parts that replace the routes of a table; the proxy then also removes the limits of the
+   * request classes that use the table.
+   */
   private void addReplacement(
       RouteTableId table, List<ConfigMessage.Part> parts, ExclusionChanges exclusionChanges) {
     BitSet usingClasses = classesUsing(table);
@@ -137,7 +147,10 @@
     addExclusions(allRoutes, exclusionChanges);
   }
 
-  /** Adds parts with the changed routes of a table; an unused table is sent when assigned. */
+  /**
+   * Adds parts with the changed routes of a table. A table that no request class uses is not sent
+   * before it is assigned.
+   */
   private void addRoutes(
       RouteTableId table,
       List<ProxyChange.RouteChange> changes,
@@ -174,7 +187,9 @@
     } while (from < changes.size());
   }
 
-  /** Adds the exclusion state of the routed endpoints, because the proxy may have another one. */
+  /**
+   * Adds the exclusion state of the routed endpoints, because the state at the proxy may differ.
+   */
   private void addExclusions(
       List<ProxyChange.RouteChange> changes, ExclusionChanges exclusionChanges) {
     for (ProxyChange.RouteChange route : changes) {
@@ -184,7 +199,10 @@
     }
   }
 
-  /** Removes the state of unused tables: such a table is sent whole when assigned again. */
+  /**
+   * Removes the state of tables that no request class uses. Such a table is sent completely when it
+   * is assigned again.
+   */
   private void removeUnusedTables() {
     Set<RouteTableId> used = new HashSet<>(Arrays.asList(assignedTables));
     routesByTable.keySet().retainAll(used);
@@ -213,21 +231,22 @@
   }
 
   /**
-   * Returns the limit that applies to a request class, or null if there is none. If there is both a
-   * limit of its table and a limit for all tables, the lower value applies with the retry policy of
-   * the table's limit.
+   * Returns the limit that applies to a request class, or null if there is none. If the class has
+   * both a limit of its table and a limit for all tables, the lower value applies, with the retry
+   * policy of the table's limit.
    */
   private AdmissionLimit effectiveLimit(int requestClass) {
-    AdmissionLimit own = limitOf(assignedTables[requestClass], requestClass);
-    AdmissionLimit common = limitOf(Command.ALL_TABLES, requestClass);
-    if (own == null || common == null) {
-      return own == null ? common : own;
+    AdmissionLimit tableLimit = limitOf(assignedTables[requestClass], requestClass);
+    AdmissionLimit commonLimit = limitOf(Command.ALL_TABLES, requestClass);
+    if (tableLimit == null || commonLimit == null) {
+      return tableLimit == null ? commonLimit : tableLimit;
     }
-    return new AdmissionLimit(Math.min(own.limit(), common.limit()), own.retryPolicy());
+    return new AdmissionLimit(
+        Math.min(tableLimit.limit(), commonLimit.limit()), tableLimit.retryPolicy());
   }
 
   private AdmissionLimit limitOf(RouteTableId table, int requestClass) {
-    AdmissionLimit[] ofTable = limitsByTable.get(table);
-    return ofTable == null ? null : ofTable[requestClass];
+    AdmissionLimit[] limitsOfTable = limitsByTable.get(table);
+    return limitsOfTable == null ? null : limitsOfTable[requestClass];
   }
 }
--- a/src/main/java/stonespring/testbed/WireTap.java
+++ b/src/main/java/stonespring/testbed/WireTap.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * Records commits and presence that pass on the links of one proxy. It has its own decoder and
- * shares no code with the product's decoders. Runs on the link's event loop.
+ * Records the commit keys and presence keys that pass through the links of one proxy. It has its
+ * own decoder and shares no code with the product's decoders. Runs on the link's event loop.
  */
 final class WireTap implements FaultyLink.Tap {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -38,8 +38,8 @@
   @Override
   public void bytesPassed(int listener, long connection, boolean towardsProxy, byte[] bytes) {
     boolean isUpdate = listener == UPDATE_LISTENER && towardsProxy;
-    boolean isPublished = listener == COLLECTOR_LISTENER && !towardsProxy;
-    if (!isUpdate && !isPublished) {
+    boolean isCollectorMessage = listener == COLLECTOR_LISTENER && !towardsProxy;
+    if (!isUpdate && !isCollectorMessage) {
       return;
     }
     WireTapFrameParser parser =
@@ -48,7 +48,7 @@
       if (isUpdate) {
         recordUpdate(message);
       } else {
-        recordPublished(connection, message);
+        recordCollectorMessage(connection, message);
       }
     }
   }
@@ -61,7 +61,7 @@
     }
   }
 
-  private void recordPublished(long connection, List<byte[]> message) {
+  private void recordCollectorMessage(long connection, List<byte[]> message) {
     if (key(message).equals("/presence/" + proxy) && presentConnections.add(connection)) {
       evidence.add(new Evidence.Session(evidence.now(), proxy, true));
     }
@@ -79,7 +79,10 @@
     }
   }
 
-  /** Ends the session: the proxy is unreachable until its presence passes again. */
+  /**
+   * Records the end of the session: the instance can't reach the proxy until the link forwards its
+   * presence key again.
+   */
   @Override
   public void linkFrozen() {
     if (!presentConnections.isEmpty()) {
--- a/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
+++ b/src/main/java/stonespring/testbed/virtual/ComparisonCharts.java
@@ -19,13 +19,13 @@
   private static final int HEIGHT_PIXELS = 520;
 
   /**
-   * Steps in which the lower end of an axis of fractions is chosen. It lies up to two steps below
-   * the lowest value, because fractions are close together and hard to tell apart on an axis from
-   * 0.
+   * Number of steps into which an axis of fractions from 0 to 1 is divided. The axis starts between
+   * one and two steps below the lowest value instead of at 0, because fractions that are close
+   * together are hard to tell apart on an axis from 0.
    */
   private static final int FRACTION_AXIS_STEPS = 20;
 
-  /** Distance kept below the step under the lowest value. */
+  /** Distance from the start of the axis to the step at or below the lowest value. */
   private static final double FRACTION_AXIS_MARGIN = 0.05;
 
   private ComparisonCharts() {}
@@ -39,14 +39,14 @@
    */
   public static List<Path> write(List<ComparisonRow> rows, Path folder) throws IOException {
     Files.createDirectories(folder);
-    CategoryChart service =
+    CategoryChart serviceChart =
         chart(
             rows,
             "Service by load, with 95% confidence intervals (simulated endpoints)",
             "fraction answered within the latency objective",
             row -> row.service().mean(),
             row -> (row.service().high() - row.service().low()) / 2);
-    CategoryChart connections =
+    CategoryChart connectionsChart =
         chart(
             rows,
             "Connections opened by load (simulated endpoints)",
@@ -54,8 +54,8 @@
             row -> row.averages().connections(),
             row -> 0);
     return List.of(
-        save(service, folder.resolve("service.png")),
-        save(connections, folder.resolve("connections.png")));
+        save(serviceChart, folder.resolve("service.png")),
+        save(connectionsChart, folder.resolve("connections.png")));
   }
 
   private static Path save(CategoryChart chart, Path file) throws IOException {
