--- a/src/main/java/stonespring/cli/SnapshotCommand.java
+++ b/src/main/java/stonespring/cli/SnapshotCommand.java
@@ -60,12 +60,13 @@
         new ChpClient((EventLoop) eventLoops.next(), subtree, SILENCE_TIMEOUT_MILLIS, printer);
     client.connect(host, port, false, ZmtpLimits.DEFAULT);
     try {
-      String error =
+      String endCause =
           follow
               ? printer.ended.get()
               : printer.ended.get(SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-      if (!error.isEmpty()) {
-        throw CommandFailedException.failed("snapshot: " + error);
+      if (!endCause.isEmpty()) {
+        throw CommandFailedException.failed(
+            "snapshot: the session with the instance ended: " + endCause);
       }
       return ExitCode.OK;
     } catch (ExecutionException | TimeoutException e) {
@@ -79,8 +80,8 @@
   /** Prints keys as they arrive; called on the client's event loop. */
   private final class Printer implements ChpClient.Listener {
     /**
-     * Completed when the command is done: with the reason why the session ended, or with an empty
-     * string once a snapshot is printed and updates are not requested.
+     * Completed when the command is finished: with the reason why the session ended, or with an
+     * empty string once a snapshot has been printed without {@code --follow}.
      */
     private final CompletableFuture<String> ended = new CompletableFuture<>();
 
--- a/src/main/java/stonespring/cli/SolveCommand.java
+++ b/src/main/java/stonespring/cli/SolveCommand.java
@@ -11,13 +11,16 @@
 import stonespring.testbed.virtual.Policy;
 import stonespring.testbed.virtual.VirtualFleet;
 
-/** Replays a recorded load in virtual time and prints the weight solver's plan with reasons. */
+/**
+ * Replays a recorded load in virtual time and prints the weight solver's plan, with the reason for
+ * the target of each endpoint.
+ */
 @Command(
     name = "solve",
     mixinStandardHelpOptions = true,
     description =
         "Replays a recorded load in virtual time and prints the weight solver's plan at one instant, with"
-            + " reasons.")
+            + " the reason for the target of each endpoint.")
 final class SolveCommand implements Callable<Integer> {
   @Parameters(paramLabel = "RECORDING", description = "The recorded load.")
   private Path file;
--- a/src/main/java/stonespring/recording/RecordingReader.java
+++ b/src/main/java/stonespring/recording/RecordingReader.java
@@ -14,10 +14,16 @@
 
 /** Reads the lines of one recording, the head and then the samples, and validates them. */
 final class RecordingReader {
-  /** Maximum duration of a recording and instant of a sample, {@link DeciMillis}: 24 hours. */
+  /**
+   * Maximum duration of a recording and maximum instant of a sample: 24 hours in {@link
+   * DeciMillis}.
+   */
   static final long MAX_DURATION = 24 * 3600 * DeciMillis.SECOND;
 
-  /** Bounds memory; corresponds to about 1.7 hours of 800 proxies sampled every second. */
+  /**
+   * Maximum number of samples, which limits memory: about 1.7 hours of 800 proxies sampled every
+   * second.
+   */
   private static final int MAX_SAMPLES = 5_000_000;
 
   /** Maximum number of characters in a line; the head is long because it lists every proxy. */
@@ -84,10 +90,7 @@
       head = mapper.readValue(line, StoredHead.class).toHead();
     } catch (JsonProcessingException e) {
       throw position.error(
-          e.getOriginalMessage()
-              .lines()
-              .findFirst()
-              .orElse("expected the recording's head as a JSON object"));
+          "head: " + e.getOriginalMessage().lines().findFirst().orElse("expected a JSON object"));
     }
     checkSizes(head);
     checkProxies(head);
@@ -111,15 +114,15 @@
     int requestClasses = head.settings().requestClasses().size();
     position.check(
         head.requestClasses().size() == requestClasses && !head.requestClasses().isEmpty(),
-        "types: expected as many as in the settings, "
+        "types: expected "
             + requestClasses
-            + ", and at least 1, found "
+            + " request classes as in the settings, and at least 1, found "
             + head.requestClasses().size());
     position.check(
         head.sampleInterval() > 0 && head.duration() > 0 && head.duration() <= MAX_DURATION,
-        "every, length: expected values above 0 and a length of at most "
+        "every, length: expected durations above 0 and a length of at most "
             + MAX_DURATION
-            + ", found "
+            + " deci-milliseconds, found "
             + head.sampleInterval()
             + ", "
             + head.duration());
@@ -155,7 +158,7 @@
           requestClass.serviceTime() > 0 && requestClass.timeout() > 0,
           "types: "
               + requestClass.name()
-              + ": work, opTimeout: expected values above 0, found "
+              + ": work, opTimeout: expected durations above 0 deci-milliseconds, found "
               + requestClass.serviceTime()
               + ", "
               + requestClass.timeout());
--- a/src/main/java/stonespring/recording/SampleReader.java
+++ b/src/main/java/stonespring/recording/SampleReader.java
@@ -40,14 +40,14 @@
       case SampleWords.CAPACITY_CLAIMED -> {
         checkSize(4);
         yield new LoadSample.CapacityClaimed(
-            at, readEndpoint(), readNumber(3, "times", MIN_FACTOR, MAX_FACTOR));
+            at, readEndpointName(), readNumber(3, "times", MIN_FACTOR, MAX_FACTOR));
       }
       case SampleWords.REPORTS_DELAYED -> {
         checkSize(3);
         yield new LoadSample.ReportsDelayed(
             at, readInteger(2, "by", 0, RecordingReader.MAX_DURATION));
       }
-      default -> throw position.error("kind: unknown value " + row.get(KIND));
+      default -> throw position.error("kind: expected a kind of sample, found " + row.get(KIND));
     };
   }
 
@@ -65,10 +65,11 @@
   private LoadSample readEndpointListed(long at) throws InvalidRecordingException {
     checkSize(7);
     String state = row.get(5).asText();
-    position.check(SampleWords.isState(state), "state: unknown value " + row.get(5));
+    position.check(
+        SampleWords.isState(state), "state: expected READY, DRAINING or GONE, found " + row.get(5));
     return new LoadSample.EndpointListed(
         at,
-        readEndpoint(),
+        readEndpointName(),
         readZone(),
         readNumber(4, "weight", 0, MAX_WEIGHT),
         SampleWords.stateOf(state),
@@ -79,7 +80,7 @@
     checkSize(7);
     return new LoadSample.ProcessChanged(
         at,
-        readEndpoint(),
+        readEndpointName(),
         readZone(),
         (int) readInteger(4, "cores", 0, MAX_CORES),
         readNumber(5, "speed", MIN_FACTOR, MAX_FACTOR),
@@ -92,7 +93,7 @@
         row.get(KIND).asText() + ": expected " + expected + " elements, found " + row.size());
   }
 
-  private String readEndpoint() throws InvalidRecordingException {
+  private String readEndpointName() throws InvalidRecordingException {
     JsonNode name = row.get(FIRST_FIELD);
     position.check(
         name.isTextual() && !name.asText().isEmpty(),
--- a/src/main/java/stonespring/simulator/EventReader.java
+++ b/src/main/java/stonespring/simulator/EventReader.java
@@ -23,14 +23,14 @@
 import stonespring.simulator.WireNames.UpdateKind;
 
 /**
- * Decodes an instance's messages into events. Names of zones and request classes are resolved by
- * the instance's settings.
+ * Decodes the messages to an instance into events. Names of zones and request classes are resolved
+ * to their positions in the settings of the instance.
  */
 final class EventReader {
-  /** The status code of a successful health check; it is that of HTTP. */
+  /** The HTTP status code of a successful health check. */
   private static final int STATUS_OK = 200;
 
-  /** Weight of an endpoint whose entry contains none. */
+  /** Weight of an endpoint whose list entry has no numeric weight. */
   private static final double DEFAULT_WEIGHT = 1;
 
   private final PlatformSettings settings;
@@ -61,7 +61,9 @@
       case Message.PROXY_DISCONNECTED -> new Event.ProxyDisconnected(readProxy(message));
       case Message.PROXY_CONNECTED -> readProxyConnected(message);
       case Message.ENDPOINT_OUTCOMES -> readOutcomes(message);
-      default -> throw new SimulatorProtocolException("unknown message '" + message.name() + "'");
+      default ->
+          throw new SimulatorProtocolException(
+              "message name: expected a name of the protocol, found '" + message.name() + "'");
     };
   }
 
@@ -224,6 +226,6 @@
 
   private static SimulatorProtocolException unknownValue(
       SimulatorMessage message, String field, String value) {
-    return message.invalid(field, "unknown value '" + value + "'");
+    return message.invalid(field, "expected a value of the protocol, found '" + value + "'");
   }
 }
--- a/src/main/java/stonespring/simulator/SimulatorHost.java
+++ b/src/main/java/stonespring/simulator/SimulatorHost.java
@@ -23,18 +23,18 @@
 
 /**
  * Hosts instances for the simulator: reads batches of events, one per line, and replies to each
- * with one line of commands. To be used by one thread.
+ * with one line of commands. Not thread-safe.
  */
 public final class SimulatorHost {
   private static final int BUFFER_BYTES = 1 << 16;
 
-  private final JsonFactory factory =
+  private final JsonFactory jsonFactory =
       JsonFactory.builder()
           .streamReadConstraints(
               StreamReadConstraints.builder().maxStringLength(Integer.MAX_VALUE).build())
           .build();
   private final BatchReader batchReader =
-      new BatchReader(new ObjectMapper(factory), this::handleMessage);
+      new BatchReader(new ObjectMapper(jsonFactory), this::handleMessage);
   private final EndpointLists endpointLists = new EndpointLists();
   private final Map<Integer, HostedInstance> instances = new TreeMap<>();
 
@@ -77,7 +77,7 @@
   }
 
   private void writeReply(OutputStream out) throws IOException {
-    try (JsonGenerator json = factory.createGenerator(out)) {
+    try (JsonGenerator json = jsonFactory.createGenerator(out)) {
       json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
       json.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
       json.writeStartObject();
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Writes the commands and the failure of an instance; writes nothing if it has neither. */
+  /** Writes the commands and the failure of an instance; writes nothing if there are neither. */
   private void writePart(JsonGenerator json, int number, HostedInstance instance)
       throws IOException {
     List<Command> commands = instance.endBatch(batchReader.now());
--- a/src/test/java/stonespring/decision/AdvisedEngineTest.java
+++ b/src/test/java/stonespring/decision/AdvisedEngineTest.java
@@ -35,7 +35,7 @@
     return fleet;
   }
 
-  /** Runs a round of a second, and checks the invariants. */
+  /** Runs one round, which lasts a second, and checks the invariants. */
   private static void runRound(Fleet fleet, Map<String, Double> failureShares) {
     fleet.report(UTILIZATION_PER_REQUEST_RATE, failureShares);
     fleet.step(SECOND);
@@ -143,7 +143,9 @@
     for (int i = 0; i < 25; i++) {
       runRound(first, Map.of("t1", 0.2));
       runRound(second, Map.of("t1", 0.2));
-      assertTrue(first.commands.equals(second.commands), "round " + i);
+      assertTrue(
+          first.commands.equals(second.commands),
+          "round " + i + ": equal events must give equal commands");
     }
   }
 }
--- a/src/test/java/stonespring/decision/FleetInvariants.java
+++ b/src/test/java/stonespring/decision/FleetInvariants.java
@@ -7,7 +7,7 @@
 import stonespring.model.RetryPolicy;
 import stonespring.model.RetrySafety;
 
-/** Checks what must hold after every step, as far as the engine's commands show it. */
+/** Checks invariants after a step, as far as the engine's commands determine them. */
 final class FleetInvariants {
   /**
    * Number of messages to a proxy in the message window from which on updates for unavailable
@@ -15,7 +15,7 @@
    */
   private static final int MESSAGES_BEFORE_BATCHING = 8;
 
-  /** How long such updates may wait for a batch. */
+  /** Maximum time for which updates for unavailable endpoints may wait for a batch. */
   private static final long BATCHING_GRACE_DECI_MILLIS = 3 * DeciMillis.SECOND / 2;
 
   private FleetInvariants() {}
@@ -26,10 +26,10 @@
    * @param when the point of the test, for the failure message
    */
   static void check(Fleet fleet, String when) {
-    boolean anyEndpointIsWarm = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
+    boolean warmEndpointListed = fleet.endpoints.values().stream().anyMatch(e -> isWarm(fleet, e));
     for (FleetProxy proxy : fleet.proxies.values()) {
       if (proxy.connected) {
-        checkHasRoute(fleet, proxy, anyEndpointIsWarm, when);
+        checkHasRoute(fleet, proxy, warmEndpointListed, when);
         checkRoutesOnlyToUsableEndpoints(fleet, proxy, when);
         checkMessages(fleet, proxy, when);
       }
@@ -50,9 +50,9 @@
   }
 
   private static void checkHasRoute(
-      Fleet fleet, FleetProxy proxy, boolean anyEndpointIsWarm, String when) {
-    boolean empty = proxy.table != null && proxy.shares().isEmpty();
-    if (!empty || !anyEndpointIsWarm) {
+      Fleet fleet, FleetProxy proxy, boolean warmEndpointListed, String when) {
+    boolean hasNoRoute = proxy.table != null && proxy.shares().isEmpty();
+    if (!hasNoRoute || !warmEndpointListed) {
       proxy.withoutRouteSince = -1;
     } else if (proxy.withoutRouteSince < 0) {
       proxy.withoutRouteSince = fleet.now;
--- a/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
+++ b/src/test/java/stonespring/decision/OutlierEjectionModelTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.Settings;
 import stonespring.model.ZoneId;
 
-/** Share of the time for which proxies are expected to eject an endpoint. */
+/** Tests the expected share of the time for which a proxy ejects an endpoint. */
 final class OutlierEjectionModelTest {
   private final EngineClock clock = new EngineClock(100 * Fleet.SECOND);
   private final Settings settings = new FleetSettings().ejectAfter(3).build();
@@ -71,9 +71,9 @@
   @Test
   void expectsNoEjectionWhenProxiesDoNotEject() {
     EndpointState failing = endpoint(0, 18, 18);
-    OutlierEjectionModel none =
+    OutlierEjectionModel modelWithoutEjection =
         new OutlierEjectionModel(new FleetSettings().ejectAfter(0).build().routing(), endpoints);
-    assertEquals(0, none.ejectedShare(proxy, failing, 1, OBSERVED));
-    assertEquals(0, none.ejectedShare(proxy, failing, 1, WORST_CASE));
+    assertEquals(0, modelWithoutEjection.ejectedShare(proxy, failing, 1, OBSERVED));
+    assertEquals(0, modelWithoutEjection.ejectedShare(proxy, failing, 1, WORST_CASE));
   }
 }
--- a/src/test/java/stonespring/decision/SlowStartTest.java
+++ b/src/test/java/stonespring/decision/SlowStartTest.java
@@ -13,7 +13,7 @@
 import stonespring.model.AdmissionLimitKind;
 import stonespring.model.EndpointRecord;
 
-/** Load of endpoints that warm up. */
+/** Tests the load of endpoints that warm up. */
 final class SlowStartTest {
   @Test
   void limitsLoadOfRestartedEndpointToItsCapacity() {
@@ -28,9 +28,16 @@
       double capacity = Math.min(1, 0.2 + 0.8 * (i + 1) / 10) / 0.04;
       assertTrue(
           fleet.load("t2") <= 1.3 * capacity,
-          "round " + i + ": load " + fleet.load("t2") + " at a capacity of " + capacity);
+          "round "
+              + i
+              + ": expected a load of at most 1.3 times the capacity of "
+              + capacity
+              + ", found "
+              + fleet.load("t2"));
     }
-    assertTrue(fleet.load("t2") > 5, "load once warm: " + fleet.load("t2"));
+    assertTrue(
+        fleet.load("t2") > 5,
+        "load of the warm endpoint t2: expected more than 5, found " + fleet.load("t2"));
   }
 
   /**
@@ -61,7 +68,7 @@
     for (int i = 0; i < 4; i++) {
       fleet.updateEndpoint("entrant" + i, i % 2, READY, fleet.now);
     }
-    boolean used = false;
+    boolean someEntrantUsed = false;
     for (int round = 0; round < 12; round++) {
       fleet.runRounds(1, 0.02, Map.of());
       double warmUpFraction =
@@ -76,7 +83,7 @@
                 .filter(p -> p.shares().containsKey(entrant))
                 .mapToDouble(p -> p.requestRate)
                 .sum();
-        used |= all > 0;
+        someEntrantUsed |= all > 0;
         double limit =
             fleet.settings.slowStart().overloadMultiple() * (warmUpFraction + 0.1) / 0.02;
         // The budget is 1.6 times the limit; the rest of 2.4 allows for errors of estimated
@@ -89,11 +96,11 @@
                 + all
                 + " requests per second may reach "
                 + entrant
-                + ", overload limit "
+                + ", expected at most 2.4 times the overload limit of "
                 + limit);
       }
     }
-    assertTrue(used, "some proxy must use a warming endpoint");
+    assertTrue(someEntrantUsed, "some proxy must use a warming endpoint");
   }
 
   /**
@@ -127,22 +134,26 @@
         .filter(name -> name.startsWith("t"))
         .forEach(name -> failureShares.put(name, 0.95));
     fleet.trafficFactor = 4;
-    double worst = 0;
+    double worstLoadShare = 0;
     for (int round = 0; round < 6; round++) {
       fleet.runRounds(1, 0.5, failureShares);
       double warmUpFraction =
           fleet.settings.slowStart().initialFraction()
               + (1 - fleet.settings.slowStart().initialFraction()) * (3 + round) / 10;
       for (int i = 0; round > 1 && i < 2; i++) {
-        worst =
+        worstLoadShare =
             Math.max(
-                worst,
+                worstLoadShare,
                 fleet.trafficFactor
                     * rateWithFailingEndpointsEjected(fleet, "entrant" + i, failureShares)
                     / (fleet.settings.slowStart().overloadMultiple() * warmUpFraction / 0.12));
       }
     }
-    assertTrue(worst < 1.6, "a warming endpoint may get " + worst + " times the overload limit");
+    assertTrue(
+        worstLoadShare < 1.6,
+        "possible load of a warming endpoint: expected less than 1.6 times the overload limit, found "
+            + worstLoadShare
+            + " times");
   }
 
   /**
@@ -181,6 +192,6 @@
     assertTrue(
         fleet.endpoints.keySet().stream()
             .anyMatch(name -> name.startsWith("entrant") && fleet.load(name) > 0),
-        "no added endpoint gets requests");
+        "at least one new endpoint must get requests");
   }
 }
--- a/src/test/java/stonespring/decision/UpdateSchedulingTest.java
+++ b/src/test/java/stonespring/decision/UpdateSchedulingTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Changes of tables wait for headroom. */
+/** Tests that changes of tables wait until endpoints have headroom for them. */
 final class UpdateSchedulingTest {
   @Test
   void movesLoadToOtherZoneThoughOneEndpointIsFull() {
@@ -20,7 +20,9 @@
     for (int i = 1; i < 20; i += 2) {
       otherZoneRate += fleet.load("t" + i);
     }
-    assertTrue(otherZoneRate > 125, "requests per second to the other zone: " + otherZoneRate);
+    assertTrue(
+        otherZoneRate > 125,
+        "requests per second to the other zone: expected more than 125, found " + otherZoneRate);
   }
 
   /**
@@ -37,7 +39,12 @@
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 2 * mean,
-            endpoint + " has a load of " + fleet.load(endpoint) + ", mean " + mean);
+            "load of "
+                + endpoint
+                + ": expected less than twice the mean "
+                + mean
+                + ", found "
+                + fleet.load(endpoint));
       }
     }
   }
@@ -57,7 +64,14 @@
       for (String endpoint : fleet.endpoints.keySet()) {
         assertTrue(
             fleet.load(endpoint) < 1.45 * 80 / 6,
-            "round " + i + ": " + endpoint + " has a load of " + fleet.load(endpoint));
+            "round "
+                + i
+                + ": load of "
+                + endpoint
+                + ": expected less than "
+                + 1.45 * 80 / 6
+                + ", found "
+                + fleet.load(endpoint));
       }
     }
   }
@@ -70,13 +84,16 @@
   void movesLargeProxyOffFailingEndpoint() {
     Fleet fleet = Fleet.createWithLargeProxy(12, 8, 200, 3);
     fleet.runRounds(4, 0.05, Map.of());
-    String failing = fleet.shares(0).firstKey();
-    double before = fleet.load(failing);
+    String failingEndpoint = fleet.shares(0).firstKey();
+    double before = fleet.load(failingEndpoint);
     for (int i = 0; i < 12; i++) {
-      fleet.runRounds(1, 0.05, Map.of(failing, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
+      fleet.runRounds(1, 0.05, Map.of(failingEndpoint, 1.0, "t" + (3 + i % 8), i % 2 * 0.6));
     }
     assertTrue(
-        fleet.load(failing) < 0.9 * before,
-        "load of the failing endpoint went from " + before + " to " + fleet.load(failing));
+        fleet.load(failingEndpoint) < 0.9 * before,
+        "load of the failing endpoint: expected less than 0.9 times "
+            + before
+            + ", found "
+            + fleet.load(failingEndpoint));
   }
 }
--- a/src/test/java/stonespring/decision/WeightProposalTest.java
+++ b/src/test/java/stonespring/decision/WeightProposalTest.java
@@ -15,7 +15,7 @@
 import stonespring.model.Event;
 import stonespring.model.ProxyId;
 
-/** Weights proposed by the solver: fresh ones are followed, within the limits of the engine. */
+/** Tests that the engine follows recent weights of the solver as far as its own limits allow. */
 final class WeightProposalTest {
   private static final long SECOND = DeciMillis.SECOND;
 
@@ -57,25 +57,31 @@
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
     }
-    String largest = fleet.shares(0).lastKey();
-    double before = weight(fleet, 0, largest);
+    String lastEndpoint = fleet.shares(0).lastKey();
+    double weightBefore = weight(fleet, 0, lastEndpoint);
     for (int i = 0; i < 10; i++) {
-      fleet.events.add(proposed(0, Map.of(largest, 0.7, fleet.shares(0).firstKey(), 0.3)));
+      fleet.events.add(proposed(0, Map.of(lastEndpoint, 0.7, fleet.shares(0).firstKey(), 0.3)));
       round(fleet, Map.of());
     }
-    double followed = weight(fleet, 0, largest);
+    double weightWithProposals = weight(fleet, 0, lastEndpoint);
     assertTrue(
-        before < 0.4 && followed > 0.5,
-        "weight before the proposals: " + before + ", with them: " + followed);
+        weightBefore < 0.4 && weightWithProposals > 0.5,
+        "expected a weight below 0.4 before the proposals and above 0.5 with them, found "
+            + weightBefore
+            + " and "
+            + weightWithProposals);
     // Other instances load that endpoint now. Without new proposals, the engine's own weights
     // return.
-    fleet.otherInstancesLoad.put(largest, 20.0);
+    fleet.otherInstancesLoad.put(lastEndpoint, 20.0);
     for (int i = 0; i < 30; i++) {
       round(fleet, Map.of());
     }
     assertTrue(
-        weight(fleet, 0, largest) < 0.6 * followed,
-        "weight without new proposals went from " + followed + " to " + weight(fleet, 0, largest));
+        weight(fleet, 0, lastEndpoint) < 0.6 * weightWithProposals,
+        "weight without new proposals: expected less than 0.6 times "
+            + weightWithProposals
+            + ", found "
+            + weight(fleet, 0, lastEndpoint));
   }
 
   @Test
@@ -84,20 +90,21 @@
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
     }
-    String wanted =
+    String proposedEndpoint =
         fleet.endpoints.keySet().stream()
             .filter(name -> weight(fleet, 0, name) == 0)
             .findFirst()
             .orElseThrow();
     int routes = fleet.shares(0).size();
-    String kept = fleet.shares(0).firstKey();
+    String keptEndpoint = fleet.shares(0).firstKey();
     for (int i = 0; i < 15; i++) {
-      fleet.events.add(proposed(0, Map.of(wanted, 0.5, kept, 0.5)));
+      fleet.events.add(proposed(0, Map.of(proposedEndpoint, 0.5, keptEndpoint, 0.5)));
       round(fleet, Map.of());
     }
     assertTrue(
-        weight(fleet, 0, wanted) > 0.05,
-        "weight of the proposed endpoint: " + weight(fleet, 0, wanted));
+        weight(fleet, 0, proposedEndpoint) > 0.05,
+        "weight of the proposed endpoint: expected more than 0.05, found "
+            + weight(fleet, 0, proposedEndpoint));
     assertTrue(
         fleet.shares(0).size() <= routes + 1,
         "one route is replaced, and both stay until the new one has headroom: "
@@ -114,17 +121,20 @@
     for (int i = 0; i < 10; i++) {
       round(fleet, Map.of());
     }
-    String failing = fleet.shares(0).firstKey();
-    double before = weight(fleet, 0, failing);
+    String failingEndpoint = fleet.shares(0).firstKey();
+    double weightBefore = weight(fleet, 0, failingEndpoint);
     for (int i = 0; i < 10; i++) {
       for (int p = 0; p < 8; p++) {
-        fleet.events.add(proposed(p, Map.of(failing, 1.0)));
+        fleet.events.add(proposed(p, Map.of(failingEndpoint, 1.0)));
       }
-      round(fleet, Map.of(failing, 0.5));
+      round(fleet, Map.of(failingEndpoint, 0.5));
     }
     assertTrue(
-        weight(fleet, 0, failing) <= before,
-        "weight of the failing endpoint went from " + before + " to " + weight(fleet, 0, failing));
+        weight(fleet, 0, failingEndpoint) <= weightBefore,
+        "weight of the failing endpoint: expected at most "
+            + weightBefore
+            + ", found "
+            + weight(fleet, 0, failingEndpoint));
   }
 
   /** The proposal for every proxy is a single route, to an endpoint that warms up. */
@@ -143,7 +153,12 @@
       double capacity = (0.2 + 0.8 * (i + 1) / 10) / 0.04;
       assertTrue(
           fleet.load("entrant") <= 1.3 * capacity,
-          "round " + i + ": load " + fleet.load("entrant") + " at a capacity of " + capacity);
+          "round "
+              + i
+              + ": expected a load of at most 1.3 times the capacity of "
+              + capacity
+              + ", found "
+              + fleet.load("entrant"));
     }
   }
 
@@ -189,7 +204,14 @@
                 : Math.min(1, 0.2 + 0.8 * (fleet.now - record.startedAt()) / (10.0 * SECOND));
         assertTrue(
             warmUpFraction >= 1 || fleet.load(name) <= 3 * warmUpFraction / 0.04,
-            name + " has a load of " + fleet.load(name) + " at warm-up fraction " + warmUpFraction);
+            "load of "
+                + name
+                + " at warm-up fraction "
+                + warmUpFraction
+                + ": expected at most "
+                + 3 * warmUpFraction / 0.04
+                + ", found "
+                + fleet.load(name));
       }
     }
   }
--- a/src/test/java/stonespring/http/HttpDecoderTest.java
+++ b/src/test/java/stonespring/http/HttpDecoderTest.java
@@ -28,7 +28,8 @@
   }
 
   /**
-   * Decodes bytes; returns descriptions of the messages, after that of a violation if there is one.
+   * Decodes bytes and returns descriptions of the messages; that of a protocol violation comes
+   * first, if there is one.
    *
    * @param splitRandom determines where the bytes are split; null to pass them in one piece
    */
@@ -136,7 +137,8 @@
       for (; next instanceof StreamPart.Bytes part; next = channel.readInbound()) {
         body.append(new String(part.bytes(), StandardCharsets.US_ASCII));
       }
-      assertEquals("abcdefgh", body.toString(), "split at " + splitIndex);
+      assertEquals(
+          "abcdefgh", body.toString(), "messages when the bytes are split at " + splitIndex);
       assertEquals(new StreamPart.End(), next);
     }
   }
--- a/src/test/java/stonespring/solver/ReportCredibilityTest.java
+++ b/src/test/java/stonespring/solver/ReportCredibilityTest.java
@@ -65,7 +65,12 @@
       estimates[second] = estimate(3).capacity();
       assertTrue(
           estimates[second] <= 1.25 * 1.06 * CAPACITY,
-          "estimate at second " + second + ": " + estimates[second]);
+          "estimate at second "
+              + second
+              + ": expected at most 1.325 times the capacity "
+              + CAPACITY
+              + ", found "
+              + estimates[second]);
       secondsOver += estimates[second] > 1.1 * CAPACITY ? 1 : 0;
       if (second >= reportDelay) {
         double load = 0.98 * estimates[second - reportDelay];
@@ -76,23 +81,31 @@
     }
     assertTrue(
         secondsOver <= 2 * reportDelay + 4,
-        secondsOver
-            + " s more than a tenth above the true capacity with reports "
+        "seconds with an estimate more than a tenth above the true capacity: expected at most "
+            + (2 * reportDelay + 4)
+            + " with reports "
             + reportDelay
-            + " s late");
+            + " s late, found "
+            + secondsOver);
     assertTrue(
         estimates[59] <= 1.05 * CAPACITY && estimates[59] >= 0.5 * CAPACITY,
-        "estimate at the end: " + estimates[59]);
+        "estimate at the end: expected 0.5 to 1.05 times the capacity "
+            + CAPACITY
+            + ", found "
+            + estimates[59]);
   }
 
   @Test
-  void capsAClaimByObservations() {
+  void capsClaimAtObservedCapacity() {
     recordHonestClaims(0, 5);
     credibility.recordOutcomes(id(2), 60, 40, 10 * SECOND, 0, now);
     assertEquals(ReportCredibility.Reason.OBSERVED_CEILING, estimate(2).reason());
     assertTrue(
         estimate(2).capacity() < 0.5 * CAPACITY,
-        "estimate after 2 successes per second: " + estimate(2).capacity());
+        "estimate after 2 successes per second: expected less than half of the capacity "
+            + CAPACITY
+            + ", found "
+            + estimate(2).capacity());
     for (int second = 0; second < 60; second++) {
       now += SECOND;
       credibility.recordOutcomes(id(2), 5, 0, SECOND, 0, now);
@@ -100,7 +113,10 @@
     }
     assertTrue(
         estimate(2).capacity() > 0.9 * CAPACITY,
-        "estimate after 60 s without failures: " + estimate(2).capacity());
+        "estimate after 60 s without failures: expected more than 0.9 times the capacity "
+            + CAPACITY
+            + ", found "
+            + estimate(2).capacity());
   }
 
   @Test
@@ -123,11 +139,21 @@
       double estimate = estimate(4).capacity();
       assertTrue(
           second == 0 || estimate <= 1.26 * Math.max(CAPACITY, lastEstimate),
-          "estimate " + estimate + " after " + lastEstimate);
+          "estimate: expected at most 1.26 times the larger of "
+              + CAPACITY
+              + " and "
+              + lastEstimate
+              + ", found "
+              + estimate);
       lastEstimate = estimate;
       credibility.recordOutcomes(id(4), Math.round(estimate * 10), 0, 10 * SECOND, 0, now);
     }
-    assertTrue(lastEstimate > 2.9 * CAPACITY, "estimate " + lastEstimate + " for a capacity of 30");
+    assertTrue(
+        lastEstimate > 2.9 * CAPACITY,
+        "estimate at the end: expected more than 2.9 times "
+            + CAPACITY
+            + ", found "
+            + lastEstimate);
   }
 
   @Test
@@ -152,7 +178,7 @@
    * a removed one, and the stored state must not grow.
    */
   @Test
-  void forgetsRemovedEndpoints() {
+  void discardsStateOfRemovedEndpoints() {
     recordHonestClaims(0, 5);
     int estimatesBefore = credibility.estimateCapacities(now).size();
     credibility.setListedWeight(id(10), 1);
--- a/src/test/java/stonespring/solver/SolverTest.java
+++ b/src/test/java/stonespring/solver/SolverTest.java
@@ -191,7 +191,7 @@
       double excessShare = excessShare(problem, plan);
       assertTrue(
           excessShare < 0.02,
-          "share of the fleet's capacity above endpoints' capacity: "
+          "rate above endpoints' capacities, as a share of the fleet's capacity: expected less than 0.02, found "
               + excessShare
               + ", plan "
               + iteration);
@@ -335,7 +335,7 @@
       boolean lowersCost = next.cost() < 0.998 * plan.cost();
       assertTrue(
           iteration < 4 || lowersCost || next.changedRoutes() <= initialRoutes / 10,
-          next.changedRoutes() + " of " + initialRoutes + " routes changed in an unchanged fleet");
+          next.changedRoutes() + " of " + initialRoutes + " routes changed, limit one tenth");
       plan = next;
     }
   }
@@ -385,7 +385,7 @@
    * that limit.
    */
   @Test
-  void staysNearLowerBound() {
+  void keepsCostNearLowerBound() {
     SolverTest fleet = fleet(7, 120, 120, 0.65);
     Solver solver = new Solver();
     Plan plan = solver.solve(fleet.problem());
@@ -394,7 +394,7 @@
     }
     assertTrue(
         plan.lowerBound() > 0 && plan.optimalityGap() > -1e-6 && plan.optimalityGap() < 0.06,
-        "optimality gap " + plan.optimalityGap());
+        "optimality gap (limits 0 and 0.06): " + plan.optimalityGap());
   }
 
   /**
@@ -412,7 +412,7 @@
             0.25 * fleet.endpoints.stream().mapToDouble(Problem.Endpoint::capacity).sum(),
             List.of()));
     Plan plan = new Solver().solve(fleet.problem());
-    assertTrue(plan.optimalityGap() < 0.1, "optimality gap " + plan.optimalityGap());
+    assertTrue(plan.optimalityGap() < 0.1, "optimality gap (limit 0.1): " + plan.optimalityGap());
     assertTrue(excessShare(fleet.problem(), plan) < 0.005);
   }
 
