--- a/src/main/java/stonespring/solver/Problem.java
+++ b/src/main/java/stonespring/solver/Problem.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Supplier;
 import stonespring.model.EndpointId;
 import stonespring.model.ProxyId;
 import stonespring.model.ZoneId;
@@ -114,35 +115,43 @@
     for (int e = 0; e < endpoints.length; e++) {
       Endpoint endpoint = endpoints[e];
       String name = "endpoint " + endpoint.id().name();
-      require(indexById.put(endpoint.id(), e) == null, name + " occurs twice");
+      require(indexById.put(endpoint.id(), e) == null, () -> name + " occurs twice");
       require(
           endpoint.zone().index() < zoneCount,
-          name + ": zone index must be below " + zoneCount + ", but is " + endpoint.zone().index());
+          () ->
+              name
+                  + ": zone index must be below "
+                  + zoneCount
+                  + ", but is "
+                  + endpoint.zone().index());
       require(
           endpoint.capacity() > 0 && endpoint.capacity() < VALUE_LIMIT,
-          name
-              + ": capacity must be above 0 and below "
-              + VALUE_LIMIT
-              + ", but is "
-              + endpoint.capacity());
+          () ->
+              name
+                  + ": capacity must be above 0 and below "
+                  + VALUE_LIMIT
+                  + ", but is "
+                  + endpoint.capacity());
       require(
           endpoint.maxLoad() > 0 && endpoint.maxDemandOfProxiesWithRoute() > 0,
-          name
-              + ": maximum load and maximum demand of proxies with a route must be above 0, but are "
-              + endpoint.maxLoad()
-              + " and "
-              + endpoint.maxDemandOfProxiesWithRoute());
+          () ->
+              name
+                  + ": maximum load and maximum demand of proxies with a route must be above 0, but are "
+                  + endpoint.maxLoad()
+                  + " and "
+                  + endpoint.maxDemandOfProxiesWithRoute());
       require(
           endpoint.failureShares().length == requestClassCount,
-          name
-              + ": expected failure shares of "
-              + requestClassCount
-              + " request classes, but got "
-              + endpoint.failureShares().length);
+          () ->
+              name
+                  + ": expected failure shares of "
+                  + requestClassCount
+                  + " request classes, but got "
+                  + endpoint.failureShares().length);
       for (double share : endpoint.failureShares()) {
         require(
             share >= 0 && share <= 1,
-            name + ": failure share must be from 0 to 1, but is " + share);
+            () -> name + ": failure share must be from 0 to 1, but is " + share);
       }
     }
   }
@@ -151,43 +160,51 @@
     Set<ProxyId> seen = new HashSet<>();
     for (Proxy proxy : proxies) {
       String name = "proxy " + proxy.id().number();
-      require(seen.add(proxy.id()), name + " occurs twice");
+      require(seen.add(proxy.id()), () -> name + " occurs twice");
       require(
           proxy.zone().index() < zoneCount,
-          name + ": zone index must be below " + zoneCount + ", but is " + proxy.zone().index());
+          () ->
+              name
+                  + ": zone index must be below "
+                  + zoneCount
+                  + ", but is "
+                  + proxy.zone().index());
       require(
           proxy.requestRates().length == requestClassCount,
-          name
-              + ": expected request rates of "
-              + requestClassCount
-              + " request classes, but got "
-              + proxy.requestRates().length);
+          () ->
+              name
+                  + ": expected request rates of "
+                  + requestClassCount
+                  + " request classes, but got "
+                  + proxy.requestRates().length);
       for (double rate : proxy.requestRates()) {
         require(
             rate >= 0 && rate < VALUE_LIMIT,
-            name
-                + ": request rate must be at least 0 and below "
-                + VALUE_LIMIT
-                + ", but is "
-                + rate);
+            () ->
+                name
+                    + ": request rate must be at least 0 and below "
+                    + VALUE_LIMIT
+                    + ", but is "
+                    + rate);
       }
       for (Route route : proxy.routes()) {
         require(
             route.weight() >= 0 && route.weight() < VALUE_LIMIT,
-            name
-                + ": weight of the route to "
-                + route.endpoint().name()
-                + " must be at least 0 and below "
-                + VALUE_LIMIT
-                + ", but is "
-                + route.weight());
+            () ->
+                name
+                    + ": weight of the route to "
+                    + route.endpoint().name()
+                    + " must be at least 0 and below "
+                    + VALUE_LIMIT
+                    + ", but is "
+                    + route.weight());
       }
     }
   }
 
-  private static void require(boolean condition, String message) {
+  private static void require(boolean condition, Supplier<String> message) {
     if (!condition) {
-      throw new IllegalArgumentException("problem: " + message);
+      throw new IllegalArgumentException("problem: " + message.get());
     }
   }
 
--- a/src/main/java/stonespring/solver/ReportCredibility.java
+++ b/src/main/java/stonespring/solver/ReportCredibility.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
+import java.util.function.Supplier;
 import stonespring.model.EndpointId;
 
 /**
@@ -87,9 +88,9 @@
     return endpointsByName.computeIfAbsent(endpoint.name(), name -> new EndpointCredibility());
   }
 
-  private static void require(boolean condition, EndpointId endpoint, String message) {
+  private static void require(boolean condition, EndpointId endpoint, Supplier<String> message) {
     if (!condition) {
-      throw new IllegalArgumentException("endpoint " + endpoint.name() + ": " + message);
+      throw new IllegalArgumentException("endpoint " + endpoint.name() + ": " + message.get());
     }
   }
 
@@ -102,7 +103,7 @@
     require(
         weight > 0 && weight < VALUE_LIMIT,
         endpoint,
-        "listed weight must be above 0 and below " + VALUE_LIMIT + ", but is " + weight);
+        () -> "listed weight must be above 0 and below " + VALUE_LIMIT + ", but is " + weight);
     credibilityOf(endpoint).setListedWeight(weight);
   }
 
@@ -130,12 +131,13 @@
     require(
         capacity > 0 && capacity < VALUE_LIMIT,
         endpoint,
-        "capacity claimed by "
-            + source
-            + " must be above 0 and below "
-            + VALUE_LIMIT
-            + ", but is "
-            + capacity);
+        () ->
+            "capacity claimed by "
+                + source
+                + " must be above 0 and below "
+                + VALUE_LIMIT
+                + ", but is "
+                + capacity);
     credibilityOf(endpoint).claim(source).update(capacity, claimedAt);
   }
 
